--- a/cmd/cherryrelay/closes_test.go
+++ b/cmd/cherryrelay/closes_test.go
@@ -82,7 +82,7 @@
 	w := newWorldWithin(t, "ws", "tcp", callers.Bounds{Silent: long, Idle: long})
 	c := w.connect()
 	free := w.holds()
-	before := w.node.loop.Waiting()
+	before := w.node.loop.Pending()
 	w.must(c.SendRaw(w.frame(c, 1)))
 	w.queued(before + 1)
 	text := c.Frame([]byte(`{"type":"progress","id":"` + id(2) + `","fields":{}}`))
@@ -108,7 +108,7 @@
 			w.must(c.SendRaw(text[:len(text)/2]))
 			time.Sleep(silent / 2) // it is taken in
 			free := w.holds()
-			before := w.node.loop.Waiting()
+			before := w.node.loop.Pending()
 			w.must(c.SendRaw(text[len(text)/2:]))
 			w.queued(before + 1)
 			time.Sleep(silent) // its time is up by now
@@ -141,7 +141,7 @@
 				w.hears(c)
 			}
 			free := w.holds()
-			before := w.node.loop.Waiting()
+			before := w.node.loop.Pending()
 			w.must(w.dispatchers[0].Release(id(2), call.CauseNormal))
 			w.queued(before + 1)
 			w.node.loop.Post(func() { // in the same turn, behind the end
--- a/cmd/cherryrelay/crossings_test.go
+++ b/cmd/cherryrelay/crossings_test.go
@@ -96,9 +96,9 @@
 // queued waits until so many things lie before the loop.
 func (w *world) queued(n int) {
 	w.Helper()
-	for until := time.Now().Add(peer.Patience); w.node.loop.Waiting() < n; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(peer.Patience); w.node.loop.Pending() < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			w.Fatalf("%d things lie before the loop, want %d", w.node.loop.Waiting(), n)
+			w.Fatalf("%d things lie before the loop, want %d", w.node.loop.Pending(), n)
 		}
 	}
 }
@@ -363,7 +363,7 @@
 				w.must(c.SetUp(id(1), long, 0, "x"))
 				e := w.gets(0)
 				free := w.holds()
-				before := w.node.loop.Waiting()
+				before := w.node.loop.Pending()
 				w.must(e.Answer("y"))
 				w.queued(before + 1) // the answer comes first
 				w.must(leave(w, c, 1))
@@ -544,11 +544,11 @@
 			w.must(c.SetUp(id(1), 20*time.Second, 0, "x"))
 			w.taken(1)
 			free := w.holds()
-			before := w.node.loop.Waiting()
+			before := w.node.loop.Pending()
 			w.dispatchers[0].Open()
 			w.queued(before + 2) // a second later: the connection, and what its dispatcher says first
 			w.linked(0, 1)
-			now := w.node.loop.Waiting()
+			now := w.node.loop.Pending()
 			w.must(leave(w, c, 1))
 			w.queued(now + 1)
 			free()
--- a/cmd/cherryrelay/durable.go
+++ b/cmd/cherryrelay/durable.go
@@ -23,7 +23,7 @@
 // kept is what the calls of an earlier process are read from.
 type kept struct {
 	ledger *ledger.Ledger
-	book   *recovery.Book
+	book   *recovery.CallTable
 	damage []string
 	key    []byte
 	still  func() error // whether the directory is this process's still
@@ -48,14 +48,14 @@
 	}
 	k := &kept{damage: found.Damage, key: key, still: watchLedger(d)}
 	var bad error
-	if k.book, bad = recovery.Read(found.Records, found.Gaps); bad != nil {
+	if k.book, bad = recovery.Replay(found.Records, found.Gaps); bad != nil {
 		k.damage = append(k.damage, bad.Error())
 	}
 	now := time.Duration(time.Now().UnixNano())
-	k.book.Forget(now)
+	k.book.Prune(now)
 	k.ledger = ledger.New(d, ledger.Options{
-		Name: name, Key: key, Sync: config.Syncs[l.Sync], Segment: l.SegmentMB << 20, Most: l.MostMB << 20,
-		Look: k.still,
+		Name: name, Key: key, Sync: config.Syncs[l.Sync], SegmentSize: l.SegmentMB << 20, MaxSize: l.MostMB << 20,
+		AfterWrite: k.still,
 		Compact: func(records [][]byte, gaps map[int]bool) ([][]byte, error) {
 			return recovery.Compact(records, gaps, time.Duration(time.Now().UnixNano()))
 		},
@@ -68,17 +68,17 @@
 	l := n.config.Ledger
 	n.ledger = k.ledger
 	n.core.Recover(k.book, k.damage)
-	n.core.Keep(k.ledger, l.OnFailure == "refuse")
+	n.core.UseLedger(k.ledger, l.OnFailure == "refuse")
 	n.core.BeginLedger(wait)
 	n.kept = k
 	n.seek()
-	n.core.HasLedger()
+	n.core.LedgerAvailable()
 }
 
 // startLedger opens the ledger at a start. While a predecessor serves it is that one's, and this process's once it has ended.
 func (n *node) startLedger() error {
 	l := n.config.Ledger
-	n.core.AddFigures(n.core.RecoveryFigures)
+	n.core.AddMetrics(n.core.RecoveryMetrics)
 	if n.upgrade.predecessor != nil {
 		n.core.AwaitLedger()
 		return nil
@@ -100,14 +100,14 @@
 		var k *kept
 		var err error
 		for until := time.Now().Add(ownedFor); ; time.Sleep(ownedAgain) {
-			if k, err = openLedger(n.config.Ledger, n.config.Name, n.log); !errors.Is(err, ledger.ErrOwned) || time.Now().After(until) {
+			if k, err = openLedger(n.config.Ledger, n.config.Name, n.log); !errors.Is(err, ledger.ErrLocked) || time.Now().After(until) {
 				break
 			}
 		}
 		n.loop.Post(func() {
 			if err != nil {
 				n.log.Error("THE STATE OF CALLS IS NOT KEPT: the ledger of the predecessor cannot be had", "err", err)
-				n.core.HasLedger()
+				n.core.LedgerAvailable()
 				return
 			}
 			n.takeLedger(k, 0)
@@ -116,4 +116,4 @@
 }
 
 // recoveryPage is what operators are shown.
-func (n *node) recoveryPage(url.Values) (any, error) { return n.core.RecoveredState(), nil }
+func (n *node) recoveryPage(url.Values) (any, error) { return n.core.RecoveryStatus(), nil }
--- a/cmd/cherryrelay/endings_test.go
+++ b/cmd/cherryrelay/endings_test.go
@@ -120,7 +120,7 @@
 					w.hears(c)
 					w.acked(0)
 					free := w.holds()
-					before := w.node.loop.Waiting()
+					before := w.node.loop.Pending()
 					acts := []func() error{
 						func() error { return e.ReleaseHere(id(1), call.CauseNormal) }, func() error { return leave(w, c, 1) },
 					}
@@ -168,7 +168,7 @@
 // quiet reports whether the fronts have nothing unread, nor unsent.
 func (w *world) quiet() bool {
 	quiet := make(chan bool)
-	w.node.loop.Post(func() { quiet <- w.node.lines.Quiet() && w.node.api.Quiet() })
+	w.node.loop.Post(func() { quiet <- w.node.lines.Idle() && w.node.api.Idle() })
 	return <-quiet
 }
 
@@ -346,7 +346,7 @@
 // nowhere finds no call, and goes on looking.
 type nowhere struct{ call.Finder }
 
-func (nowhere) Want(string, []byte) bool { return true }
+func (nowhere) Lookup(string, []byte) bool { return true }
 
 // TestACallThatIsLookedForIsAnsweredInTime: callers come back for calls that other controllers may have. Each is told by when it gives
 // its call up, the one that says nothing of that only once all have looked.
@@ -355,7 +355,7 @@
 	w := crossing(t, "ws", "tcp", false, testSettings(t))
 	set := make(chan struct{})
 	w.node.loop.Post(func() {
-		w.node.core.Seek(nowhere{}, func() bool { return true }, func(err error) { t.Error(err) })
+		w.node.core.UseFinder(nowhere{}, func() bool { return true }, func(err error) { t.Error(err) })
 		close(set)
 	})
 	<-set
@@ -378,7 +378,7 @@
 			t.Errorf("%+v after %v: want the final answer to %d by %v", m, took, want.id, want.by)
 		}
 	}
-	w.node.loop.Post(func() { w.node.core.Missing(id(3), false) })
+	w.node.loop.Post(func() { w.node.core.CallNotFound(id(3), false) })
 	if m, err := c.Next(); err != nil || m.ID != id(3) || m.Fields["error"] != "unknown" {
 		t.Errorf("%+v, %v: want the answer to the last", m, err)
 	}
--- a/cmd/cherryrelay/fleet.go
+++ b/cmd/cherryrelay/fleet.go
@@ -44,7 +44,7 @@
 		n.fleet = &fleet{client: client, Fleet: membership.Start(client, membership.Options{
 			Name: c.Name, Address: c.Listen, Prefix: strings.TrimSuffix(c.Fleet.Prefix, "/") + "/", Lease: c.Fleet.Lease(),
 		}, n.log)}
-		n.core.AddFigures(n.fleet.Figures)
+		n.core.AddMetrics(n.fleet.Figures)
 		if n.manage != nil {
 			for path, page := range n.fleet.Pages() {
 				n.manage.Show(path, page)
--- a/cmd/cherryrelay/node.go
+++ b/cmd/cherryrelay/node.go
@@ -82,14 +82,14 @@
 		return nil, err
 	}
 	if c.Subset != nil {
-		core.Select(c.Subset.Options(c.Name))
+		core.UseSubset(c.Subset.Options(c.Name))
 	}
 	pool := dispatchers.New(loop, core, dispatchers.Options{
-		ConnectTimeout: c.Settings.ConnectTimeout(), Fields: c.Settings.Report.Fields, Log: log,
+		ConnectTimeout: c.Settings.ConnectTimeout(), ReportFields: c.Settings.Report.Fields, Log: log,
 	})
-	core.Serve(pool)
+	core.SetDispatchers(pool)
 	core.OnFlush(pool.Flush)
-	loop.OnPause(pool.Heard)
+	loop.AddIdleCheck(pool.NoUnreadInput)
 	keeper := lists.New(log, func(u call.Update) { loop.Post(func() { core.Update(u) }) })
 	if c.Subset != nil {
 		most := c.Subset.ListBound(c.Limits.MemoryMB << 20)
@@ -133,7 +133,7 @@
 			return nil, err
 		}
 	}
-	core.AddFigures(func() []*dto.MetricFamily { return callers.Figures(n.fronts()...) })
+	core.AddMetrics(func() []*dto.MetricFamily { return callers.Figures(n.fronts()...) })
 	if c.Management != "" {
 		if n.manage, err = management.Listen(loop, core, log, c.Management); err != nil {
 			return nil, err
@@ -146,7 +146,7 @@
 		log.Info("serving operators", "address", n.manage.Address())
 	}
 	n.list = coordinator.New(c.Coordinator, c.Known.Index, log, keeper.Stream(decide.FromCoordinator))
-	loop.OnPause(n.list.Quiet)
+	loop.AddIdleCheck(n.list.Quiet)
 	go n.list.Run(ctx)
 	if err := n.followStore(ctx); err != nil {
 		return nil, err
@@ -166,7 +166,7 @@
 		// Also before a good file: who is a newcomer to it starts cold.
 		switch m, err := stored.Load(s.Directory, o.File); {
 		case err == nil:
-			if v := n.lists.Recall(m); !v.Taken {
+			if v := n.lists.Recall(m); !v.Accepted {
 				n.log.Error("the stored set of dispatchers is not used", "fault", v.Faults[0].String())
 			}
 		case !errors.Is(err, stored.ErrNone):
@@ -177,16 +177,16 @@
 	}
 	v := n.lists.Take(n.files.First())
 	switch {
-	case !v.Taken && !n.lists.Listed():
+	case !v.Accepted && !n.lists.Listed():
 		more := ""
-		if v.Found > 1 {
-			more = fmt.Sprintf(" (and %d more: cherryrelay pool check %s)", v.Found-1, o.File)
+		if v.FaultCount > 1 {
+			more = fmt.Sprintf(" (and %d more: cherryrelay pool check %s)", v.FaultCount-1, o.File)
 		}
 		return fmt.Errorf("pool %s: %v%s", o.File, v.Faults[0], more)
-	case !v.Taken:
+	case !v.Accepted:
 		n.log.Error("the pool file is broken: serving with the set that was stored", "file", o.File, "fault", v.Faults[0].String())
 	}
-	n.core.AddFigures(n.lists.Figures)
+	n.core.AddMetrics(n.lists.Figures)
 	go n.files.Run(ctx)
 	return nil
 }
@@ -199,7 +199,7 @@
 	f := callers.New(n.loop, n.core, n.log, tcp, format, n.bounds, n.terms)
 	n.core.AddFront(f)
 	n.core.OnFlush(f.Flush)
-	n.loop.OnPause(f.Heard)
+	n.loop.AddIdleCheck(f.Heard)
 	n.log.Info("serving", "address", f.Address())
 	return f, nil
 }
@@ -278,9 +278,9 @@
 			err = c.Follow(n.config)
 		}
 		if err == nil {
-			err = n.core.Retune(c.Settings)
+			err = n.core.Reconfigure(c.Settings)
 		}
-		n.core.Reloaded(err == nil)
+		n.core.CountReload(err == nil)
 		if err != nil {
 			n.log.Error("configuration is not reloaded", "err", err)
 			return
@@ -289,7 +289,7 @@
 		for _, f := range n.fronts() {
 			f.Retune(n.terms)
 		}
-		n.pool.Retune(c.Settings.ConnectTimeout(), c.Settings.Report.Fields)
+		n.pool.Reconfigure(c.Settings.ConnectTimeout(), c.Settings.Report.Fields)
 		n.list.Move(c.Coordinator)
 		c.Listen, c.Management, c.Operator = n.config.Listen, n.config.Management, n.config.Operator // they hold from the start
 		n.config = c
--- a/cmd/cherryrelay/poolfile_test.go
+++ b/cmd/cherryrelay/poolfile_test.go
@@ -133,7 +133,7 @@
 // member is the i-th dispatcher, of a weight.
 func (s *site) member(i, weight int) pool.Member {
 	if weight == 0 {
-		weight = pool.Idle
+		weight = pool.NoNewCalls
 	}
 	return pool.Member{Address: s.dispatchers[i].Address(), ServerEntry: control.ServerEntry{
 		ID: control.ServerID(fmt.Sprint("s", i)), Cell: i, Weight: weight, StartedAt: longRunning}}
@@ -350,8 +350,8 @@
 		reason pool.Reason
 	}{
 		{whole[:len(whole)/2], pool.Unfinished},
-		{bytes.Replace(whole, []byte("server s1"), []byte("server s0"), 1), pool.Twice},
-		{poolfile.Write("zero", []pool.Member{s.member(0, 0), s.member(1, 0)}), pool.Nobody},
+		{bytes.Replace(whole, []byte("server s1"), []byte("server s0"), 1), pool.Duplicate},
+		{poolfile.Write("zero", []pool.Member{s.member(0, 0), s.member(1, 0)}), pool.NoneActive},
 		{bytes.Replace(whole, []byte("servers = 2"), []byte("servers = 3"), 1), pool.BadCount},
 		{nil, pool.Unfinished},
 	} {
@@ -397,7 +397,7 @@
 	s.put([]byte("[pool]\n"))
 	s.serve()
 	s.refused(pool.Unfinished)
-	if v := s.shows(); v.Version.Source != pool.FromStore || v.Version.Label != "good" || v.Servers != 2 || !s.log.has("serving with the set that was stored") {
+	if v := s.shows(); v.Version.Source != pool.FromSnapshot || v.Version.Label != "good" || v.Servers != 2 || !s.log.has("serving with the set that was stored") {
 		t.Errorf("serves with %+v", v.Version)
 	}
 	if got := s.calls(0x100, 40); got[0] != 10 || got[1] != 30 {
@@ -505,12 +505,12 @@
 	members := []pool.Member{s.member(0, 7)}
 	for i := range 999 {
 		members = append(members, pool.Member{Address: fmt.Sprintf("127.1.%d.%d:1", i/250, i%250+1), ServerEntry: control.ServerEntry{
-			ID: control.ServerID(fmt.Sprintf("t%03d", i)), Zone: "tartu", Status: control.Draining, Weight: pool.Idle}})
+			ID: control.ServerID(fmt.Sprintf("t%03d", i)), Zone: "tartu", Status: control.Draining, Weight: pool.NoNewCalls}})
 	}
 	s.put(poolfile.Write("many", members))
 	s.serve()
 	s.put([]byte("[end]\n"))
-	s.refused(pool.BadForm)
+	s.refused(pool.BadFormat)
 	at := "--management=" + s.node.manage.Address()
 	status, out, faults := command("pool", "show", at)
 	if lines := strings.Count(out, "\n"); status != 0 || faults != "" || lines != 1000+6 || !strings.Contains(out, "version many") || !strings.Contains(out, "the first section must be [pool]") {
--- a/cmd/cherryrelay/shares_test.go
+++ b/cmd/cherryrelay/shares_test.go
@@ -27,14 +27,14 @@
 		if status != http.StatusOK || jsoniter.UnmarshalFromString(body, &shares) != nil || len(shares) != 2 {
 			t.Fatalf("%d %s", status, body)
 		}
-		if shares[0].NoLine == 1 && shares[1].Own == 1 {
+		if shares[0].NoLine == 1 && shares[1].OwnLines == 1 {
 			break
 		}
 		if time.Now().After(until) {
 			t.Fatalf("%+v: want one request of the first in vain, and a line of the second", shares)
 		}
 	}
-	if shares[0].Asked != 1 || shares[1].Asked != 1 || shares[0].Own != 0 || shares[0].RestMS <= 0 {
+	if shares[0].SetUpsSent != 1 || shares[1].SetUpsSent != 1 || shares[0].OwnLines != 0 || shares[0].BackOffMS <= 0 {
 		t.Errorf("%+v: want each asked once, and a rest for the first", shares)
 	}
 }
--- a/cmd/cherryrelay/soak_ledger_test.go
+++ b/cmd/cherryrelay/soak_ledger_test.go
@@ -115,18 +115,18 @@
 		d.kill()
 		path := filepath.Join(d.directory, "ledger")
 		d.must(os.RemoveAll(path))
-		disk, err := ledger.Directory(path)
+		disk, err := ledger.OpenDirectory(path)
 		d.must(err)
-		l := ledger.New(disk, ledger.Options{Name: "n1", Patience: time.Minute, Most: 1 << 30, Segment: 1 << 30}, nil)
-		d.must(l.BeginAndWait(nil, time.Minute))
+		l := ledger.New(disk, ledger.Options{Name: "n1", CommitTimeout: time.Minute, MaxSize: 1 << 30, SegmentSize: 1 << 30}, nil)
+		d.must(l.BeginEpochAndWait(nil, time.Minute))
 		now := time.Now().UnixMicro()
 		for i := range calls {
 			events := []recovery.Event{
-				{Kind: recovery.Took, ID: id(i + 1), AtUs: now, DeadlineUs: now + 60e6, Class: "send-setup", Called: "k", Description: strings.Repeat("x", 100), Token: recovery.Hash(token(id(i + 1)))},
-				{Kind: recovery.Sent, ID: id(i + 1), AtUs: now, Server: "s0", Address: address},
+				{Kind: recovery.KindAccepted, ID: id(i + 1), AtUs: now, DeadlineUs: now + 60e6, Class: "send-setup", Called: "k", Description: strings.Repeat("x", 100), Token: recovery.HashToken(token(id(i + 1)))},
+				{Kind: recovery.KindAttemptSent, ID: id(i + 1), AtUs: now, Server: "s0", Address: address},
 			}
 			if i%10 > 0 { // one in ten is open
-				events = append(events, recovery.Event{Kind: recovery.Stood, ID: id(i + 1), AtUs: now, Server: "s0", Address: address, Description: "y" + id(i+1)})
+				events = append(events, recovery.Event{Kind: recovery.KindEstablished, ID: id(i + 1), AtUs: now, Server: "s0", Address: address, Description: "y" + id(i+1)})
 			}
 			for _, e := range events {
 				text, err := e.Encode()
@@ -137,7 +137,7 @@
 				d.must(l.Commit())
 			}
 		}
-		size := l.Figures().Bytes
+		size := l.Metrics().Bytes
 		d.must(l.Close())
 		from := time.Now()
 		d.start()
--- a/cmd/cherryrelay/standing_test.go
+++ b/cmd/cherryrelay/standing_test.go
@@ -31,7 +31,7 @@
 
 // lists has the node told of so many dispatchers.
 func (w *world) lists(n int, address func(i int) string) {
-	u := call.Update{Whole: true}
+	u := call.Update{Complete: true}
 	for i := range n {
 		u.Servers = append(u.Servers, call.Server{ServerEntry: control.ServerEntry{ID: control.ServerID(fmt.Sprint("d", i)), Cell: i}, Address: address(i)})
 	}
--- a/cmd/cherryrelay/stories_test.go
+++ b/cmd/cherryrelay/stories_test.go
@@ -93,7 +93,7 @@
 		u.Servers = append(u.Servers, call.Server{
 			ServerEntry: control.ServerEntry{ID: control.ServerID(fmt.Sprint("d", i)), Cell: i}, Address: d.Address()})
 	}
-	u.Whole = true
+	u.Complete = true
 	w.list = u
 	w.knows()
 	t.Cleanup(func() {
--- a/cmd/cherryrelay/takeover.go
+++ b/cmd/cherryrelay/takeover.go
@@ -20,9 +20,9 @@
 	if f == nil || f.Ledgers == "" || n.room != nil || k == nil || n.fleet == nil {
 		return
 	}
-	certain := func() (decide.Life, bool) {
+	certain := func() (decide.IncarnationID, bool) {
 		store, incarnation, ok := n.fleet.Life()
-		return decide.Life{Store: store, Incarnation: incarnation}, ok
+		return decide.IncarnationID{Store: store, Number: incarnation}, ok
 	}
 	room, err := takeover.Open(n.core, takeover.Options{
 		Ledgers: f.Ledgers, Name: n.config.Name, Key: k.key, Lease: f.Lease(), Post: n.loop.Post, Still: k.still, Taken: n.beginAnew,
@@ -33,8 +33,8 @@
 		return
 	}
 	n.room = room
-	n.core.Seek(room, func() bool { _, ok := certain(); return ok }, n.beginAnew)
-	n.core.AddFigures(room.Figures)
+	n.core.UseFinder(room, func() bool { _, ok := certain(); return ok }, n.beginAnew)
+	n.core.AddMetrics(room.Figures)
 	n.loop.Post(func() {
 		if n.manage != nil {
 			for path, page := range room.Pages() {
@@ -45,8 +45,8 @@
 }
 
 // HasEnded reports whether an incarnation of a controller has certainly ended, with nobody in its place.
-func (n *node) HasEnded(name string, l decide.Life) bool {
-	return n.fleet.HasEnded(l.Store, name, l.Incarnation)
+func (n *node) HasEnded(name string, l decide.IncarnationID) bool {
+	return n.fleet.HasEnded(l.Store, name, l.Number)
 }
 
 // beginAnew ends all that this process does, at once, and starts the program again in its place: its calls may be another's by now, so no
@@ -81,14 +81,14 @@
 }
 
 // watchLedger has each commit of a ledger look whether it is this process's still.
-func watchLedger(d ledger.Disk) func() error { return func() error { return ledger.Still(d) } }
+func watchLedger(d ledger.Disk) func() error { return func() error { return ledger.VerifyPath(d) } }
 
 // directoryOf opens a ledger's directory; in a fleet, that of one which was taken in the same moment is made anew.
 func directoryOf(path string, log *slog.Logger) (ledger.Disk, error) {
-	d, err := ledger.Directory(path)
-	if errors.Is(err, ledger.ErrTaken) {
+	d, err := ledger.OpenDirectory(path)
+	if errors.Is(err, ledger.ErrSealed) {
 		log.Warn("the ledger was taken while it was opened", "directory", path)
-		d, err = ledger.Directory(path)
+		d, err = ledger.OpenDirectory(path)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("opening the ledger: %w", err)
--- a/cmd/cherryrelay/terms_leaving_test.go
+++ b/cmd/cherryrelay/terms_leaving_test.go
@@ -149,11 +149,11 @@
 	"lies before a busy loop": {hold: func(w *world, c *peer.Caller, n int) (time.Time, func()) {
 		w.linked(0, 1)
 		free := w.holds()
-		before := w.node.loop.Waiting()
+		before := w.node.loop.Pending()
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
 		w.queued(before + 1)
 		return time.Time{}, func() {
-			other := w.node.loop.Waiting()
+			other := w.node.loop.Pending()
 			behind, err := peer.Call("tcp", w.node.lines.Address())
 			w.must(err)
 			defer behind.Close()
--- a/cmd/cherryrelay/terms_refused_test.go
+++ b/cmd/cherryrelay/terms_refused_test.go
@@ -87,7 +87,7 @@
 	w.fillConnections(bounds.Connections)
 	free := w.holds()
 	for range bounds.Most() - bounds.Connections {
-		before := w.node.loop.Waiting()
+		before := w.node.loop.Pending()
 		w.connect()
 		w.queued(before + 1)
 	}
@@ -106,7 +106,7 @@
 	w := newWorldWithin(t, "tcp", "tcp", callers.Bounds{Silent: long, Idle: long})
 	c := w.connect()
 	free := w.holds()
-	before := w.node.loop.Waiting()
+	before := w.node.loop.Pending()
 	w.must(c.SendRaw(w.frame(c, 1)))
 	w.queued(before + 1)
 	flood := c.Frame([]byte(`{"type":"progress","id":"` + id(2) + `","fields":{}}`))
--- a/cmd/cherryrelay/upgrade.go
+++ b/cmd/cherryrelay/upgrade.go
@@ -85,10 +85,10 @@
 		u.serve()
 		return
 	}
-	n.core.Await()
+	n.core.AwaitPredecessor()
 	n.share()
 	n.core.OnFlush(func() {
-		if n.core.Waits() && n.core.Able() {
+		if n.core.AwaitsPredecessor() && n.core.CanPlaceCalls() {
 			u.serve()
 		}
 	})
@@ -100,7 +100,7 @@
 // serve accepts callers, and has the predecessor stop.
 func (u *upgrade) serve() {
 	n := u.node
-	n.core.Begin()
+	n.core.StartServing()
 	for _, f := range n.fronts() {
 		if err := f.Listener().Start(); err != nil {
 			n.log.Error("callers cannot be accepted", "err", err)
@@ -147,7 +147,7 @@
 	u.predecessor, u.held = nil, 0
 	n.share()
 	n.inheritLedger()
-	if n.core.Waits() {
+	if n.core.AwaitsPredecessor() {
 		u.serve()
 	}
 }
@@ -212,7 +212,7 @@
 	}
 	open := 0
 	for _, f := range u.node.fronts() {
-		open += f.Open()
+		open += f.Connections()
 	}
 	if open != u.held {
 		u.held = open
@@ -233,7 +233,7 @@
 		u.offer()
 		_ = old.Close()
 	}
-	n.core.Resume()
+	n.core.SuccessorEnded()
 	n.stay()
 	for _, f := range n.fronts() {
 		if err := f.Listener().Start(); err != nil {
@@ -247,7 +247,7 @@
 func (u *upgrade) end() error {
 	if u.successor != nil {
 		if u.ready {
-			u.node.core.Standings(func(id string, server control.ServerID) {
+			u.node.core.EachEstablishedCall(func(id string, server control.ServerID) {
 				u.successor.Last(handover.Message{Stands: id, Server: string(server)})
 			})
 		}
@@ -264,7 +264,7 @@
 
 // divided is how the descriptors are divided, and by what.
 type divided struct {
-	links.Share
+	links.SocketQuota
 	connected, held int
 }
 
@@ -284,7 +284,7 @@
 
 // shares is what the descriptors that callers and dispatchers have between them come to, while so many processes share the limit. Of two,
 // each has half of what is left beside the callers of both; the callers themselves are divided by the processes (upgrade.held).
-func shares(c *config.Config, processes int) links.Share {
+func shares(c *config.Config, processes int) links.SocketQuota {
 	limit, most := c.Limits.Sockets, bounds(c).Most()
 	if c.WebSocket != nil {
 		most *= 2
@@ -293,38 +293,38 @@
 	if c.Management != "" {
 		own += management.Descriptors
 	}
-	least := dispatchers.MaxLinks // dispatchers are connected to however small the limit is
+	least := dispatchers.MaxConnections // dispatchers are connected to however small the limit is
 	if processes == 1 {
 		sockets := max(limit-own, most+least)
-		return links.Share{Sockets: sockets, Callers: most, Kept: min(limit/callersKeep, most), Ahead: max(limit/callersAhead, leastAhead)}
+		return links.SocketQuota{Sockets: sockets, MaxCallers: most, Reserved: min(limit/callersKeep, most), Headroom: max(limit/callersAhead, leastAhead)}
 	}
-	return links.Share{Sockets: most + max((limit-most)/processes-own, least), Callers: most, Kept: most}
+	return links.SocketQuota{Sockets: most + max((limit-most)/processes-own, least), MaxCallers: most, Reserved: most}
 }
 
 // divide has callers and dispatchers keep to their parts of the descriptors, by the callers that there are.
 func (n *node) divide() {
 	if n.config.Limits.Sockets == 0 {
-		n.pool.Budget(0)
+		n.pool.SetSocketBudget(0)
 		return
 	}
 	connected := 0
 	for _, f := range n.fronts() {
-		connected += f.Open()
+		connected += f.Connections()
 	}
-	held := n.pool.Held()
+	held := n.pool.SocketCount()
 	if connected == n.divided.connected && held == n.divided.held {
 		return
 	}
 	n.divided.connected, n.divided.held = connected, held
 	_, sockets := n.divided.Divide(connected)
-	n.pool.Budget(sockets)
-	free := n.divided.Accept(connected, held) - connected
+	n.pool.SetSocketBudget(sockets)
+	free := n.divided.CallerLimit(connected, held) - connected
 	for _, f := range n.fronts() {
-		if free < n.divided.Ahead/2 { // dispatchers have nothing to give up
+		if free < n.divided.Headroom/2 { // dispatchers have nothing to give up
 			f.Squeeze()
 		}
 		f.Scarce(free <= keptForRefusals)
-		f.Accept(max(f.Open()+free/len(n.fronts()), 1))
+		f.Accept(max(f.Connections()+free/len(n.fronts()), 1))
 	}
 }
 
@@ -332,18 +332,18 @@
 func (n *node) share() {
 	c, u := n.config, n.upgrade
 	two := u.predecessor != nil || u.successor != nil
-	memory, each := c.Limits.MemoryMB<<20, dispatchers.MaxLinks
+	memory, each := c.Limits.MemoryMB<<20, dispatchers.MaxConnections
 	if two {
 		memory, each = memory/sharers, each/sharers
 	}
 	limitMemory(memory)
-	n.core.Within(memory)
-	n.pool.Limit(each)
+	n.core.LimitMemory(memory)
+	n.pool.SetMaxConnections(each)
 	processes := 1
 	if two {
 		processes = sharers
 	}
-	n.divided = divided{Share: shares(c, processes), connected: -1}
+	n.divided = divided{SocketQuota: shares(c, processes), connected: -1}
 	most := n.bounds.Connections
 	if u.predecessor != nil && most > 0 {
 		most = max(most-u.held, 1)
--- a/cmd/cherryrelay/upgrade_test.go
+++ b/cmd/cherryrelay/upgrade_test.go
@@ -265,7 +265,7 @@
 			}
 			for processes := 1; processes <= sharers; processes++ {
 				share := shares(c, processes)
-				for connected := range share.Callers + 1 {
+				for connected := range share.MaxCallers + 1 {
 					callers, each := share.Divide(connected)
 					if all := callers + processes*(own+management.Descriptors+each); all > sockets || each < dispatcher*fleet/4 {
 						t.Fatalf("of %d, %d processes may take %d, %d for dispatchers (second front: %v)", sockets, processes, all, each, second != nil)
--- a/control/api.go
+++ b/control/api.go
@@ -32,81 +32,81 @@
 	Network
 )
 
-// Effect tells what a repeated set-up of a class can do.
-type Effect int
+// Idempotency tells what a repeated set-up of a class can do.
+type Idempotency int
 
 const (
-	// Safe set-ups may be repeated and refused freely.
-	Safe Effect = iota
-	// Keyed set-ups may be repeated where and while repeats are discarded.
-	Keyed
-	// Unsafe set-ups may be repeated only when none of the earlier ones ran.
-	Unsafe
+	// Idempotent set-ups may be repeated and refused freely.
+	Idempotent Idempotency = iota
+	// IdempotentByKey set-ups may be repeated where and while repeats are discarded.
+	IdempotentByKey
+	// NonIdempotent set-ups may be repeated only when none of the earlier ones ran.
+	NonIdempotent
 )
 
-// Scope is the set of servers that discard repeats of a Keyed set-up.
-type Scope int
+// DedupScope is the set of servers that discard repeats of a Keyed set-up.
+type DedupScope int
 
 const (
-	// ScopeAll takes in every server.
-	ScopeAll Scope = iota
-	// ScopeZone takes in the servers of one zone.
-	ScopeZone
-	// ScopeCell takes in the servers of one cell.
-	ScopeCell
+	// DedupAll takes in every server.
+	DedupAll DedupScope = iota
+	// DedupZone takes in the servers of one zone.
+	DedupZone
+	// DedupCell takes in the servers of one cell.
+	DedupCell
 )
 
 // Class describes one class of calls.
 type Class struct {
-	Name      string
-	Aim       time.Duration // a call that stands within it earns its full worth
-	Deadline  time.Duration // how long a caller keeps trying
-	Worth     float64
-	LateShare float64 // share of the worth that a later call earns
-	Effect    Effect
-	Scope     Scope         // Keyed: who discards repeats
-	Window    time.Duration // Keyed: how long repeats are discarded
-	Cells     []int         // the pools that may take it; empty for all
+	Name        string
+	Aim         time.Duration // a call that stands within it earns its full worth
+	Deadline    time.Duration // how long a caller keeps trying
+	Worth       float64
+	LateShare   float64 // share of the worth that a later call earns
+	Idempotency Idempotency
+	DedupScope  DedupScope    // Keyed: who discards repeats
+	DedupWindow time.Duration // Keyed: how long repeats are discarded
+	Cells       []int         // the pools that may take it; empty for all
 }
 
 // ReportField says what one figure of a load report means.
 type ReportField int
 
 const (
-	// Unknown figures are passed over.
-	Unknown ReportField = iota
+	// UnknownField figures are passed over.
+	UnknownField ReportField = iota
 	// FreeLines is the number of free lines towards the server.
 	FreeLines
 	// Lines is the number of lines towards the server.
 	Lines
 	// Utilisation is the busy share of the server's processor.
 	Utilisation
-	// Queue is the number of set-ups waiting at the processor.
-	Queue
-	// Wait is the wait at the processor, in milliseconds.
-	Wait
-	// Rate is how many set-ups a second the server can take by now, from all nodes together.
-	Rate
+	// QueueLength is the number of set-ups waiting at the processor.
+	QueueLength
+	// QueueWait is the wait at the processor, in milliseconds.
+	QueueWait
+	// MaxRate is how many set-ups a second the server can take by now, from all nodes together.
+	MaxRate
 )
 
 // Settings is all that a Controller is told at its start.
 type Settings struct {
-	Classes      []Class
-	Peers        int // access nodes that share the servers, this one with them
-	Layout       Layout
-	OwnCell      int // Network: the cell of the own exchange
-	Tick         time.Duration
-	ReleaseGuard time.Duration // least gap after an attempt that may have left a trace
-	AnswerGrace  time.Duration // how long after a caller's limit an answer still counts
-	StartShare   float64       // least share of its capacity that a cold server has
-	ColdFor      time.Duration // longest time until it is warm
-	TipMultiple  float64       // a cold server sent more than this multiple falls over
-	MaxAttempts  int           // for each call; 0 for no limit
-	HoldOff      bool          // callers can be told when to come back
-	MaxHoldOff   time.Duration
-	MayCancel    bool
-	ListOnDemand bool // the server list comes only when asked for
-	Report       []ReportField
+	Classes            []Class
+	Nodes              int // access nodes that share the servers, this one with them
+	Layout             Layout
+	OwnCell            int // Network: the cell of the own exchange
+	Tick               time.Duration
+	ReleaseGuard       time.Duration // least gap after an attempt that may have left a trace
+	AnswerGrace        time.Duration // how long after a caller's limit an answer still counts
+	ColdCapacity       float64       // least share of its capacity that a cold server has
+	WarmUpTime         time.Duration // longest time until it is warm
+	ColdOverloadFactor float64       // a cold server sent more than this multiple falls over
+	MaxAttempts        int           // for each call; 0 for no limit
+	MayHoldOff         bool          // callers can be told when to come back
+	MaxHoldOff         time.Duration
+	MayCancel          bool
+	ListOnDemand       bool // the server list comes only when asked for
+	ReportFields       []ReportField
 }
 
 // ServerStatus is what the server list says of a server.
@@ -159,22 +159,22 @@
 // mayLinger reports whether the server may still be at it, or hold something for it.
 func (o Outcome) mayLinger() bool { return o == TimedOut || o == Reset || o == Cancelled }
 
-// ServerFigures is what the node knows of a server that decides how much of it the node gets.
-type ServerFigures struct {
-	ID    ServerID
-	Lines float64       // that it has; 1 if that is not told
-	Free  int           // lines that are free, as far as is known; -1 if that is not told
-	Own   int           // lines that this node's calls have
-	Rest  time.Duration // for which it gets no set-up from this node any more
-	Open  bool          // it has no window
-	Limit float64       // its window, in starts a control period
+// ServerStats is what the node knows of a server that decides how much of it the node gets.
+type ServerStats struct {
+	ID        ServerID
+	Lines     float64       // that it has; 1 if that is not told
+	FreeLines int           // lines that are free, as far as is known; -1 if that is not told
+	OwnLines  int           // lines that this node's calls have
+	BackOff   time.Duration // for which it gets no set-up from this node any more
+	Unlimited bool          // it has no window
+	Window    float64       // its window, in starts a control period
 }
 
-// Figures of all servers, in the order in which they were first listed.
-func (c *Controller) Figures(now time.Duration) []ServerFigures {
-	var all []ServerFigures
+// Stats of all servers, in the order in which they were first listed.
+func (c *Controller) Stats(now time.Duration) []ServerStats {
+	var all []ServerStats
 	for _, s := range c.servers {
-		all = append(all, ServerFigures{ID: s.ID, Lines: s.lines, Free: s.free, Own: s.own, Rest: max(s.restUntil-now, 0), Open: s.open, Limit: s.limit})
+		all = append(all, ServerStats{ID: s.ID, Lines: s.lines, FreeLines: s.free, OwnLines: s.own, BackOff: max(s.restUntil-now, 0), Unlimited: s.open, Window: s.limit})
 	}
 	return all
 }
@@ -219,7 +219,7 @@
 	Elapsed  time.Duration
 	NoLine   bool      // Full: for want of a line, not of the processor
 	CallOver bool      // nothing more is owed for the call
-	Report   []float64 // by Settings.Report; may be empty
+	Report   []float64 // by Settings.ReportFields; may be empty
 }
 
 // CallerLeft tells that the caller gave up early.
@@ -259,7 +259,7 @@
 	Attempt int
 }
 
-// Refuse is a final answer: turned away, to come back after HoldOff if above 0.
+// Refuse is a final answer: turned away, to come back after MayHoldOff if above 0.
 type Refuse struct {
 	ID      CallID
 	HoldOff time.Duration
@@ -307,8 +307,8 @@
 		return fmt.Errorf("control: tick %v", s.Tick)
 	case s.ReleaseGuard < 0 || s.MaxHoldOff < 0 || s.AnswerGrace < 0 || s.MaxAttempts < 0:
 		return errors.New("control: a time or count is below zero")
-	case s.StartShare < 0 || s.StartShare > 1 || s.ColdFor < 0:
-		return fmt.Errorf("control: cold start from %v within %v", s.StartShare, s.ColdFor)
+	case s.ColdCapacity < 0 || s.ColdCapacity > 1 || s.WarmUpTime < 0:
+		return fmt.Errorf("control: cold start from %v within %v", s.ColdCapacity, s.WarmUpTime)
 	}
 	return nil
 }
--- a/control/control.go
+++ b/control/control.go
@@ -152,15 +152,15 @@
 		last:     map[string]*server{},
 		unserved: map[try]time.Duration{},
 	}
-	if err := c.Retune(s); err != nil {
+	if err := c.UpdateSettings(s); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-// Retune gives the controller other settings; with an error, it keeps those it has. Calls keep the class
+// UpdateSettings gives the controller other settings; with an error, it keeps those it has. Calls keep the class
 // they came with and the fewer attempts, and all that is known of servers stays.
-func (c *Controller) Retune(s Settings) error {
+func (c *Controller) UpdateSettings(s Settings) error {
 	if err := s.check(); err != nil {
 		return err
 	}
@@ -231,7 +231,7 @@
 	if s.open {
 		s.limit = 0
 	}
-	s.limit = max(s.limit, c.able(s)/float64(max(c.settings.Peers, 1))*controlPeriod.Seconds())
+	s.limit = max(s.limit, c.able(s)/float64(max(c.settings.Nodes, 1))*controlPeriod.Seconds())
 	most := max(1, s.limit*targetShare*c.aim.Seconds()/controlPeriod.Seconds())
 	if s.cold {
 		s.limit, most = c.coldRate(s)*controlPeriod.Seconds(), 1
@@ -327,16 +327,16 @@
 	if c.settings.Layout == Network && (s.Cell == c.settings.OwnCell || k.transit && s.Cell != k.first) {
 		return false
 	}
-	if k.ranAt == nil || class.Effect == Safe {
+	if k.ranAt == nil || class.Idempotency == Idempotent {
 		return true
 	}
-	if class.Effect == Unsafe || c.now-k.ranSince >= class.Window {
+	if class.Idempotency == NonIdempotent || c.now-k.ranSince >= class.DedupWindow {
 		return false
 	}
-	switch class.Scope {
-	case ScopeZone:
+	switch class.DedupScope {
+	case DedupZone:
 		return s.Zone == k.ranAt.Zone
-	case ScopeCell:
+	case DedupCell:
 		return s.Cell == k.ranAt.Cell
 	}
 	return true
@@ -373,7 +373,7 @@
 
 // hasPart reports whether the server was short of lines lately, and the node has its even part of them.
 func (c *Controller) hasPart(s *server) bool {
-	return s.shortAt > 0 && c.now-s.shortAt < mostRest && s.own*max(c.settings.Peers, 1) >= int(s.lines)
+	return s.shortAt > 0 && c.now-s.shortAt < mostRest && s.own*max(c.settings.Nodes, 1) >= int(s.lines)
 }
 
 // draw picks a server at random, by what each can take.
@@ -528,12 +528,12 @@
 func (c *Controller) refuse(k *call) {
 	class := k.class
 	c.lose(k)
-	if k.ranAt != nil && (class.Effect == Unsafe || class.Effect == Keyed && class.Scope != ScopeAll) {
+	if k.ranAt != nil && (class.Idempotency == NonIdempotent || class.Idempotency == IdempotentByKey && class.DedupScope != DedupAll) {
 		c.do(Fail{ID: k.id})
 		return
 	}
 	refusal := Refuse{ID: k.id}
-	if c.settings.HoldOff {
+	if c.settings.MayHoldOff {
 		refusal.HoldOff = c.settings.MaxHoldOff
 	}
 	c.do(refusal)
@@ -758,7 +758,7 @@
 }
 
 func (c *Controller) report(s *server, figures []float64) {
-	fields, peers := c.settings.Report, max(c.settings.Peers, 1)
+	fields, peers := c.settings.ReportFields, max(c.settings.Nodes, 1)
 	for i, v := range figures {
 		if i >= len(fields) || v < 0 {
 			continue
@@ -769,12 +769,12 @@
 			s.free, s.spare = int(v), int(v/float64(peers)+c.rng.Float64())
 		case Lines:
 			s.lines = max(v, 1)
-		case Wait:
+		case QueueWait:
 			s.wait = max(0, time.Duration(v*float64(time.Millisecond)))
 			if s.suspect {
 				c.relieve(s)
 			}
-		case Rate:
+		case MaxRate:
 			s.able = v
 		case Utilisation:
 			s.util += v
@@ -816,7 +816,7 @@
 		}
 		restarted := entry.StartedAt != s.StartedAt
 		s.ServerEntry = entry
-		if restarted && entry.StartedAt > 0 && c.now-entry.StartedAt < c.settings.ColdFor {
+		if restarted && entry.StartedAt > 0 && c.now-entry.StartedAt < c.settings.WarmUpTime {
 			c.startCold(s, entry.StartedAt)
 		}
 	}
@@ -834,7 +834,7 @@
 // retire forgets servers that have long been gone. Until then one in its place learns from it what to expect.
 func (c *Controller) retire() {
 	c.servers = slices.DeleteFunc(c.servers, func(s *server) bool {
-		old := s.Status == Removed && len(s.out) == 0 && c.now-s.goneAt > 2*max(c.settings.ColdFor, controlPeriod)
+		old := s.Status == Removed && len(s.out) == 0 && c.now-s.goneAt > 2*max(c.settings.WarmUpTime, controlPeriod)
 		if old {
 			delete(c.byID, s.ID)
 			c.unstick(s)
@@ -863,10 +863,10 @@
 // coldRate is how many starts a second a cold server is sent: this node's part of what a warm one gets, cut
 // to the share it can do by now, times half of the multiple that pushes it over. So the sum of all is safe.
 func (c *Controller) coldRate(s *server) float64 {
-	since := float64(c.now-s.coldFrom) / float64(max(c.settings.ColdFor, 1))
+	since := float64(c.now-s.coldFrom) / float64(max(c.settings.WarmUpTime, 1))
 	s.cold = since < 1
-	share := c.settings.StartShare + (1-c.settings.StartShare)*min(max(0, since), 1)
-	return c.rate(s) * share * max(1, c.settings.TipMultiple/2)
+	share := c.settings.ColdCapacity + (1-c.settings.ColdCapacity)*min(max(0, since), 1)
+	return c.rate(s) * share * max(1, c.settings.ColdOverloadFactor/2)
 }
 
 // rate is how many starts a second this node makes to the server when it is warm. A new one gets what the one
@@ -919,7 +919,7 @@
 }
 
 // leastRate keeps this node informed, and all nodes together harmless.
-func (c *Controller) leastRate() float64 { return firstRate / float64(max(c.settings.Peers, 1)) }
+func (c *Controller) leastRate() float64 { return firstRate / float64(max(c.settings.Nodes, 1)) }
 
 // planWake asks for a turn at the next time at which something may be due.
 func (c *Controller) planWake() {
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -18,19 +18,19 @@
 			{Name: "low", Aim: time.Second, Deadline: 8 * time.Second, Worth: 1, LateShare: 0.2},
 			{Name: "high", Aim: time.Second, Deadline: 8 * time.Second, Worth: 4, LateShare: 0.2},
 		},
-		Peers:        4,
-		OwnCell:      -1,
-		Tick:         5 * ms,
-		ReleaseGuard: 300 * ms,
-		AnswerGrace:  20 * ms,
-		StartShare:   0.3,
-		ColdFor:      12 * time.Second,
-		TipMultiple:  2,
-		MaxAttempts:  4,
-		HoldOff:      true,
-		MaxHoldOff:   2 * time.Second,
-		MayCancel:    true,
-		Report:       []ReportField{FreeLines, Lines},
+		Nodes:              4,
+		OwnCell:            -1,
+		Tick:               5 * ms,
+		ReleaseGuard:       300 * ms,
+		AnswerGrace:        20 * ms,
+		ColdCapacity:       0.3,
+		WarmUpTime:         12 * time.Second,
+		ColdOverloadFactor: 2,
+		MaxAttempts:        4,
+		MayHoldOff:         true,
+		MaxHoldOff:         2 * time.Second,
+		MayCancel:          true,
+		ReportFields:       []ReportField{FreeLines, Lines},
 	}
 }
 
@@ -127,7 +127,7 @@
 		{"late share", func(s *Settings) { s.Classes[0].LateShare = 2 }},
 		{"tick", func(s *Settings) { s.Tick = 0 }},
 		{"release guard", func(s *Settings) { s.ReleaseGuard = -1 }},
-		{"start share", func(s *Settings) { s.StartShare = 2 }},
+		{"start share", func(s *Settings) { s.ColdCapacity = 2 }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -266,7 +266,7 @@
 
 func TestUnsafeCallsAreNotRepeated(t *testing.T) {
 	s := settings()
-	s.Classes[0].Effect = Unsafe
+	s.Classes[0].Idempotency = NonIdempotent
 	n := newNode(t, s)
 	n.after(0, list(Active, "a", "b"))
 	n.after(ms, offer("1", 0, 0))
@@ -335,15 +335,15 @@
 		{"nothing known", nil, nil, nil, 0},
 		{"own delays", nil, nil, func(s *server) { s.delay = time.Duration(target / 2) }, 0.5},
 		{"reported utilisation", []ReportField{Utilisation}, []float64{0.7}, nil, 0.7},
-		{"reported wait", []ReportField{Wait}, []float64{target / 1e6}, nil, 1},
-		{"utilisation before wait", []ReportField{Wait, Utilisation}, []float64{target / 1e6, 0.7}, nil, 0.7},
-		{"missing figures", []ReportField{Wait, Utilisation}, []float64{-1, -1}, nil, 0},
+		{"reported wait", []ReportField{QueueWait}, []float64{target / 1e6}, nil, 1},
+		{"utilisation before wait", []ReportField{QueueWait, Utilisation}, []float64{target / 1e6, 0.7}, nil, 0.7},
+		{"missing figures", []ReportField{QueueWait, Utilisation}, []float64{-1, -1}, nil, 0},
 		{"a full of the processor", nil, nil, func(s *server) { s.full = true }, tooHigh},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := settings()
-			s.Report = tt.fields
+			s.ReportFields = tt.fields
 			n := newNode(t, s)
 			n.after(0, list(Active, "a"), ReportReceived{Server: "a", OK: true, Report: tt.report})
 			server := n.c.byID["a"]
@@ -371,7 +371,7 @@
 
 func TestKeyedCallsStayWhereRepeatsAreDiscarded(t *testing.T) {
 	s := settings()
-	s.Classes[0].Effect, s.Classes[0].Scope, s.Classes[0].Window = Keyed, ScopeCell, 5*time.Second
+	s.Classes[0].Idempotency, s.Classes[0].DedupScope, s.Classes[0].DedupWindow = IdempotentByKey, DedupCell, 5*time.Second
 	n := newNode(t, s)
 	n.after(0, list(Active, "a", "b"))
 	n.after(ms, offer("1", 0, 0))
@@ -545,18 +545,18 @@
 	n.after(0, list(Active, "a", "b"))
 	n.after(ms, offer("1", 0, 0), offer("2", 0, 0))
 	other := settings()
-	other.Classes = []Class{{Name: "only", Aim: time.Second, Deadline: 8 * time.Second, Worth: 1, Effect: Unsafe, Cells: []int{1}}}
+	other.Classes = []Class{{Name: "only", Aim: time.Second, Deadline: 8 * time.Second, Worth: 1, Idempotency: NonIdempotent, Cells: []int{1}}}
 	other.MaxAttempts = 1
 	bad := other
 	bad.Classes = []Class{{Name: "only", Aim: time.Second}}
-	if err := n.c.Retune(bad); err == nil {
+	if err := n.c.UpdateSettings(bad); err == nil {
 		t.Fatal("a class without a deadline was taken")
 	}
 	all := n.after(ms, offer("3", 1, 0), AttemptEnded{ID: "1", Server: "a", Outcome: Failed})
 	if sent := of[SetUp](all); len(sent) != 2 {
 		t.Errorf("under the old settings %v are sent, want a second attempt of 1, and 3", sent)
 	}
-	if err := n.c.Retune(other); err != nil {
+	if err := n.c.UpdateSettings(other); err != nil {
 		t.Fatal(err)
 	}
 	all = n.after(ms, offer("4", 0, 0), AttemptEnded{ID: "2", Server: "a", Outcome: Failed})
@@ -813,7 +813,7 @@
 func TestRestsAreShortAtAnySize(t *testing.T) {
 	for _, peers := range []int{1, 3, 300} {
 		many := settings()
-		many.Peers = peers
+		many.Nodes = peers
 		n := newNode(t, many)
 		n.after(0, list(Active, "a"))
 		n.after(10*time.Second, offer("1", 0, 0))
@@ -832,7 +832,7 @@
 func withRates(t *testing.T, servers ...string) *node {
 	t.Helper()
 	s := settings()
-	s.Peers, s.Report = 20, []ReportField{FreeLines, Lines, Wait, Rate}
+	s.Nodes, s.ReportFields = 20, []ReportField{FreeLines, Lines, QueueWait, MaxRate}
 	n := newNode(t, s)
 	entries := ListReceived{Whole: true}
 	for i, id := range servers {
@@ -949,7 +949,7 @@
 // with closed windows, and calls that wait.
 func BenchmarkStep(b *testing.B) {
 	s := settings()
-	s.Peers = 250
+	s.Nodes = 250
 	c, err := New(s, 7)
 	if err != nil {
 		b.Fatal(err)
@@ -980,7 +980,7 @@
 	f.Add([]byte("aabbccddeeffgghhiijjkkllmm"))
 	f.Fuzz(func(t *testing.T, script []byte) {
 		s := settings()
-		s.Classes[1].Effect = Effect(len(script) % 3)
+		s.Classes[1].Idempotency = Idempotency(len(script) % 3)
 		c, err := New(s, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -1070,7 +1070,7 @@
 					if o == TimedOut || o == Reset || o == Cancelled {
 						k.ready = now + s.ReleaseGuard
 					}
-					if classOf[id] == 1 && s.Classes[1].Effect == Unsafe {
+					if classOf[id] == 1 && s.Classes[1].Idempotency == NonIdempotent {
 						k.unsafe = k.unsafe || o == TimedOut || o == Reset || o == Cancelled || o == Failed
 					}
 					play(AttemptEnded{ID: id, Server: k.server, Attempt: k.attempts - 1, Outcome: o, Elapsed: ms})
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -11,7 +11,7 @@
 func ExampleController() {
 	c, err := control.New(control.Settings{
 		Classes: []control.Class{{Name: "voice", Aim: time.Second, Deadline: 8 * time.Second, Worth: 1}},
-		Peers:   2,
+		Nodes:   2,
 		OwnCell: -1,
 		Tick:    5 * time.Millisecond,
 	}, 1)
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -23,9 +23,9 @@
 func newFate(t *rapid.T) *fate {
 	s := Settings{
 		Classes: []Class{{Name: "c", Aim: 2 * time.Second, Deadline: 9 * time.Second, Worth: 1, LateShare: 0.25}},
-		Peers:   rapid.SampledFrom([]int{1, 3, 20, 300}).Draw(t, "peers"), Tick: 5 * ms, ReleaseGuard: 500 * ms, StartShare: 0.3,
-		ColdFor: 10 * time.Second, TipMultiple: 2, MaxAttempts: 5, HoldOff: true, MaxHoldOff: 2 * time.Second, MayCancel: true,
-		Report: []ReportField{FreeLines, Lines, Wait, Rate},
+		Nodes:   rapid.SampledFrom([]int{1, 3, 20, 300}).Draw(t, "peers"), Tick: 5 * ms, ReleaseGuard: 500 * ms, ColdCapacity: 0.3,
+		WarmUpTime: 10 * time.Second, ColdOverloadFactor: 2, MaxAttempts: 5, MayHoldOff: true, MaxHoldOff: 2 * time.Second, MayCancel: true,
+		ReportFields: []ReportField{FreeLines, Lines, QueueWait, MaxRate},
 	}
 	c, err := New(s, rapid.Uint64().Draw(t, "seed"))
 	if err != nil {
--- a/internal/call/behind_answer_test.go
+++ b/internal/call/behind_answer_test.go
@@ -33,7 +33,7 @@
 // against the end of a call that is told late or to nobody as it may be that of an earlier attempt.
 func TestWhoseAnEndBehindTheAnswerIs(t *testing.T) {
 	t.Parallel()
-	beside := func(s *site) { s.core.ReleasedBeside("a", overtakenID, CauseNormal, nil) }
+	beside := func(s *site) { s.core.ReleasedOnOtherConnection("a", overtakenID, CauseNormal, nil) }
 	own := func(s *site) { s.core.Released("a", overtakenID, noAttempt, CauseNormal, nil) }
 	replied := func(s *site) { s.pinged(true) }
 	connectionEnds := func(s *site) { s.pinged(false) }
@@ -57,7 +57,7 @@
 		"an end on the connection of its answer":   {control.Reset, steps{read: own}, 1, 0, 0, read, read},
 		"another end, whose probe has its reply":   {control.Reset, steps{read: beside, next: beside, later: replied}, 0, 0, 0, 0, 0},
 		"another end, and its connection's end":    {control.Reset, steps{read: beside, next: beside, later: connectionEnds}, 1, 1, 0, later, later},
-		"an end of the same id at another address": {control.Reset, steps{read: func(s *site) { s.core.ReleasedBeside("b", overtakenID, CauseNormal, nil) }}, 0, 0, 0, 0, 0},
+		"an end of the same id at another address": {control.Reset, steps{read: func(s *site) { s.core.ReleasedOnOtherConnection("b", overtakenID, CauseNormal, nil) }}, 0, 0, 0, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -95,7 +95,7 @@
 	s := newSite(t)
 	goesOn := true
 	s.core.Loop().Post(func() {
-		goesOn = s.core.ReleasedBeside("a", overtakenID, CauseNormal, nil)
+		goesOn = s.core.ReleasedOnOtherConnection("a", overtakenID, CauseNormal, nil)
 		s.core.Loop().Quit()
 	})
 	s.core.Loop().Run()
--- a/internal/call/bounds_test.go
+++ b/internal/call/bounds_test.go
@@ -77,7 +77,7 @@
 						s.list(control.Active, control.ServerID(fmt.Sprint("d", next)))
 						if next >= 3 {
 							s.list(control.Removed, control.ServerID(fmt.Sprint("d", next-3)))
-							s.core.Died(control.ServerID(fmt.Sprint("d", next-3)))
+							s.core.DispatcherFailed(control.ServerID(fmt.Sprint("d", next-3)))
 						}
 					}
 					id := fmt.Sprintf("%016x", number)
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -29,9 +29,9 @@
 	Class       string
 	Called      string
 	FirstCell   int
-	Again       bool // a call that was cut and comes again, or a marked redial
+	Redial      bool // a call that was cut and comes again, or a marked redial
 	Description string
-	Left        time.Duration // how long its caller said, as it sent the set-up, that it waits
+	TimeLeft    time.Duration // how long its caller said, as it sent the set-up, that it waits
 	Deadline    time.Time     // when the caller gives up
 	Caller      Caller
 	Token       []byte // hash of what its caller can claim it with on another connection; nil if it can't
@@ -69,22 +69,22 @@
 	Answer(id, description string) error
 	// End is the final answer to a call that does not stand.
 	End(id string, end End)
-	// Left reports whether who waits there has gone, also where that has not been told yet. What it has said last is taken in first.
-	Left() bool
-	// Over tells that a call that stood has ended. No connection owns it: if this one has closed since, another
+	// Disconnected reports whether who waits there has gone, also where that has not been told yet. What it has said last is taken in first.
+	Disconnected() bool
+	// NotifyTerminated tells that a call that stood has ended. No connection owns it: if this one has closed since, another
 	// one carries the news.
-	Over(id string, end End)
+	NotifyTerminated(id string, end End)
 }
 
 // Front is a way in for callers.
 type Front interface {
 	// Release passes on the end of a call that no connection is known for, as after a restart.
 	Release(id string, end End)
-	// Open is the number of its connections.
-	Open() int
-	// Quiet reports whether nothing that callers have sent waits to be taken in, and nothing to be sent to them, nor the end of a call to
+	// Connections is the number of its connections.
+	Connections() int
+	// Idle reports whether nothing that callers have sent waits to be taken in, and nothing to be sent to them, nor the end of a call to
 	// one that is still to connect or may not have read it.
-	Quiet() bool
+	Idle() bool
 }
 
 // MaxDescription leaves room for the headers around it in a message of 16 KiB, whatever the wire.
@@ -110,7 +110,7 @@
 	Class       string
 	Called      string
 	Description string
-	Limit       time.Duration // how long the call controller will wait
+	Timeout     time.Duration // how long the call controller will wait
 }
 
 // Dispatchers places attempts. What becomes of them comes back through the methods of Core.
@@ -118,16 +118,16 @@
 	// Update takes in changes of the list of dispatchers.
 	Update(Update)
 	SetUp(control.ServerID, SetUp)
-	// Withdraw gives up an attempt.
-	Withdraw(server control.ServerID, id string, attempt int)
+	// CancelAttempt gives up an attempt.
+	CancelAttempt(server control.ServerID, id string, attempt int)
 	// Release cuts a call that stands; an empty server stands for all of them.
 	Release(server control.ServerID, id string, cause int)
 	Probe(control.ServerID)
 	// Ping probes the connection of an attempt. Done is called once the reply has been read there, behind all that the dispatcher told there
 	// before; at once, if the attempt has not left; and with false if the connection ends first, or has ended.
 	Ping(server control.ServerID, id string, attempt int, done func(replied bool))
-	// Renew opens one more connection: a dispatcher tells on it what it told last on one that is lost.
-	Renew(control.ServerID)
+	// Reconnect opens one more connection: a dispatcher tells on it what it told last on one that is lost.
+	Reconnect(control.ServerID)
 }
 
 // Server is a line of the list of dispatchers.
--- a/internal/call/claim_deadline_test.go
+++ b/internal/call/claim_deadline_test.go
@@ -14,15 +14,15 @@
 // lookups is a Finder that looks for calls until it is told what to find.
 type lookups struct{}
 
-func (lookups) Want(string, []byte) bool  { return true }
-func (lookups) Kept(...string)            {}
-func (lookups) Ended(string, int)         {}
-func (lookups) Give(*takeover.Call) error { return nil }
-func (lookups) Gone(...string)            {}
+func (lookups) Lookup(string, []byte) bool    { return true }
+func (lookups) Persisted(...string)           {}
+func (lookups) Terminated(string, int)        {}
+func (lookups) Transfer(*takeover.Call) error { return nil }
+func (lookups) Transferred(...string)         {}
 
 // recoveredOpen is a book with an open call.
-func recoveredOpen(core *Core, id string) *recovery.Book {
-	b := recovery.NewBook()
+func recoveredOpen(core *Core, id string) *recovery.CallTable {
+	b := recovery.NewCallTable()
 	b.Apply(taken(id, core.now()))
 	return b
 }
@@ -35,16 +35,16 @@
 		"it was left by an earlier process": func(core *Core) { core.Recover(recoveredOpen(core, id), nil) },
 		"its connection closed here": func(core *Core) {
 			gone := &stage{core: core}
-			_ = core.Offer(Request{ID: id, Class: "c", Deadline: time.Now().Add(9 * time.Second), Caller: gone, Token: recovery.Hash(callToken), Description: "x"})
-			core.CallerClosed(gone)
+			_ = core.Offer(Request{ID: id, Class: "c", Deadline: time.Now().Add(9 * time.Second), Caller: gone, Token: recovery.HashToken(callToken), Description: "x"})
+			core.CallerDisconnected(gone)
 		},
 		"an earlier process has the ledger": func(core *Core) { core.AwaitLedger() },
-		"it is looked for, and not found":   func(core *Core) { core.Seek(lookups{}, func() bool { return true }, func(error) {}) },
+		"it is looked for, and not found":   func(core *Core) { core.UseFinder(lookups{}, func() bool { return true }, func(error) {}) },
 		"it is looked for, and found": func(core *Core) {
-			core.Seek(lookups{}, func() bool { return true }, func(error) {})
+			core.UseFinder(lookups{}, func() bool { return true }, func(error) {})
 			core.Loop().After(left/2, func() {
 				e := taken(id, core.now())
-				core.Arrived(&takeover.Call{Events: []recovery.Event{e}, LastUs: e.AtUs}, -1)
+				core.CallReceived(&takeover.Call{Events: []recovery.Event{e}, LastUs: e.AtUs}, -1)
 			})
 		},
 	} {
@@ -52,12 +52,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				core := newSite(t).core
 				s := &stage{core: core}
-				core.Serve(s)
+				core.SetDispatchers(s)
 				core.AddFront(atFront{s})
 				core.Loop().Post(func() {
-					core.Update(Update{Whole: true, Servers: []Server{{ServerEntry: control.ServerEntry{ID: "a"}, Address: "127.0.0.1:1"}}})
+					core.Update(Update{Complete: true, Servers: []Server{{ServerEntry: control.ServerEntry{ID: "a"}, Address: "127.0.0.1:1"}}})
 					begin(core)
-					if err := core.Claim(Claim{Caller: s, ID: id, Token: callToken, By: time.Now().Add(left)}); err != nil {
+					if err := core.ResumeCall(ResumeRequest{Caller: s, ID: id, Token: callToken, Deadline: time.Now().Add(left)}); err != nil {
 						t.Error(err)
 					}
 				})
--- a/internal/call/core.go
+++ b/internal/call/core.go
@@ -112,11 +112,11 @@
 	lost         *lost
 	passing      *passing // nil without other controllers
 	places       map[control.ServerID]Server
-	selection    *selection // nil where the whole list is connected to
-	claims       []Claim    // that came while a predecessor had the calls
-	releases     []*record  // calls of an earlier process to be released once there is a list
-	unchecked    []*record  // those that stood, until there is one
-	recovered    Recovered
+	selection    *selection      // nil where the whole list is connected to
+	claims       []ResumeRequest // that came while a predecessor had the calls
+	releases     []*record       // calls of an earlier process to be released once there is a list
+	unchecked    []*record       // those that stood, until there is one
+	recovered    RecoveryStatus
 	awaitsLedger bool
 	parts        []func() []*dto.MetricFamily // figures of other parts
 	draining     time.Time
@@ -126,7 +126,7 @@
 
 // New returns a Core on the loop.
 func New(loop *Loop, log *slog.Logger, s *settings.Settings, seed uint64) (*Core, error) {
-	decisions, err := s.Control()
+	decisions, err := s.ControlSettings()
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -141,7 +141,7 @@
 	}
 	c.heir, c.lost, c.places = &heir{c}, &lost{heir{c}}, map[control.ServerID]Server{}
 	c.showClasses()
-	c.AddFigures(c.endFigures)
+	c.AddMetrics(c.endFigures)
 	loop.turn = c.turn
 	return c, nil
 }
@@ -152,14 +152,14 @@
 // Log is the core's log.
 func (c *Core) Log() *slog.Logger { return c.log }
 
-// Serve names where calls are placed; it comes before the first list.
-func (c *Core) Serve(d Dispatchers) { c.dispatchers = d }
+// SetDispatchers names where calls are placed; it comes before the first list.
+func (c *Core) SetDispatchers(d Dispatchers) { c.dispatchers = d }
 
 // AddFront names a way in for callers.
 func (c *Core) AddFront(f Front) { c.fronts = append(c.fronts, f) }
 
-// Within bounds what is held for callers by the memory that the process has; 0 is no bound.
-func (c *Core) Within(memory int64) {
+// LimitMemory bounds what is held for callers by the memory that the process has; 0 is no bound.
+func (c *Core) LimitMemory(memory int64) {
 	c.maxHeld = math.MaxInt
 	if memory > 0 {
 		c.maxHeld = int(heldShare * float64(memory))
--- a/internal/call/core_test.go
+++ b/internal/call/core_test.go
@@ -35,9 +35,9 @@
 func (s *site) Probe(control.ServerID)                {}
 func (s *site) Answer(id, _ string) error             { s.answers[id]++; return nil }
 func (s *site) End(id string, _ End)                  { s.finals[id]++ }
-func (s *site) Left() bool                            { return false }
-func (s *site) Over(id string, _ End)                 { s.overs[id]++ }
-func (s *site) Renew(control.ServerID)                {}
+func (s *site) Disconnected() bool                    { return false }
+func (s *site) NotifyTerminated(id string, _ End)     { s.overs[id]++ }
+func (s *site) Reconnect(control.ServerID)            {}
 
 // Ping keeps what is to be called as the reply to a probe comes.
 func (s *site) Ping(_ control.ServerID, _ string, _ int, done func(bool)) {
@@ -53,7 +53,7 @@
 	}
 }
 
-func (s *site) Withdraw(_ control.ServerID, id string, _ int) {
+func (s *site) CancelAttempt(_ control.ServerID, id string, _ int) {
 	delete(s.out, id)
 	s.ready[id] = time.Now().Add(guard)
 }
@@ -82,7 +82,7 @@
 	if o == control.Reset {
 		s.ready[a.ID] = time.Now().Add(guard)
 	}
-	s.core.Ended(server, a.ID, a.Attempt, o, false, nil)
+	s.core.AttemptEnded(server, a.ID, a.Attempt, o, false, nil)
 }
 
 // answered has an attempt answered, if it is still out.
@@ -110,7 +110,7 @@
 	}
 	s := &site{t: t, core: core, settings: set, out: map[string]control.ServerID{}, ready: map[string]time.Time{}, finals: map[string]int{},
 		answers: map[string]int{}, overs: map[string]int{}, drained: map[control.ServerID]bool{}}
-	core.Serve(s)
+	core.SetDispatchers(s)
 	return s
 }
 
@@ -177,7 +177,7 @@
 func TestAHeldCallIsRefusedAtOnce(t *testing.T) {
 	s := newSite(t)
 	s.react = func(control.ServerID, SetUp) { t.Error("a call was sent where no dispatcher is known") }
-	s.core.Update(Update{Whole: true})
+	s.core.Update(Update{Complete: true})
 	_ = s.core.Offer(Request{ID: "1", Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s})
 	s.core.turn()
 	if s.finals["1"] != 1 {
@@ -198,7 +198,7 @@
 		caller := &site{t: t, answers: map[string]int{}, finals: map[string]int{}, overs: map[string]int{}}
 		_ = s.core.Offer(Request{ID: fmt.Sprint("a", i), Class: "c", Deadline: time.Now().Add(time.Minute), Caller: caller, Description: "x"})
 		_ = s.core.Offer(Request{ID: fmt.Sprint("b", i), Class: "c", Deadline: time.Now().Add(time.Minute), Caller: caller, Description: "x"})
-		s.core.CallerClosed(caller)
+		s.core.CallerDisconnected(caller)
 		s.core.turn()
 		s.core.Update(Update{Servers: []Server{{ServerEntry: control.ServerEntry{ID: control.ServerID(fmt.Sprint("s", i)), Status: control.Removed}}}})
 	}
@@ -206,7 +206,7 @@
 		k.overAt = k.overAt.Add(-remember) // as if it were later
 	}
 	_ = s.core.Offer(Request{ID: "last", Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s, Description: "x"})
-	s.core.GiveUp(s, "last", CauseNormal)
+	s.core.CallerReleased(s, "last", CauseNormal)
 	got := map[string]int{"calls": len(s.core.calls), "ended": len(s.core.ended), "owing": len(s.core.owing) + len(s.core.standing), "status": len(s.core.status),
 		"owed": s.core.owed, "held": s.core.held, "timers": len(s.core.loop.timers)}
 	want := map[string]int{"calls": 1, "ended": 1, "owing": 0, "status": 0, "owed": 0, "held": 0, "timers": 0}
@@ -224,7 +224,7 @@
 		if a.Attempt == 0 {
 			delete(s.out, a.ID)
 			s.ready[a.ID] = time.Now().Add(guard)
-			s.core.Ended(server, a.ID, 0, control.Reset, false, nil)
+			s.core.AttemptEnded(server, a.ID, 0, control.Reset, false, nil)
 			return
 		}
 		s.core.Answered(server, a.ID, 0, "late")
@@ -276,8 +276,8 @@
 	}{{false, true}, {true, false}} {
 		s := newSite(t)
 		c := s.core
-		c.Update(Update{Whole: true})
-		c.Reached()
+		c.Update(Update{Complete: true})
+		c.DispatcherReached()
 		c.Supersede(func(string, End) bool { return true })
 		if c.Ready() || c.Phase() != Closing {
 			t.Errorf("with a successor: ready %v in phase %v", c.Ready(), c.Phase())
@@ -286,7 +286,7 @@
 		if test.asked {
 			c.Drain()
 		}
-		c.Resume()
+		c.SuccessorEnded()
 		if got := c.Ready(); got != test.want {
 			t.Errorf("asked to end: %v; ready: %v", test.asked, got)
 		}
--- a/internal/call/drain.go
+++ b/internal/call/drain.go
@@ -44,7 +44,7 @@
 
 // quiet reports whether callers have sent nothing that is not taken in yet.
 func (c *Core) quiet() bool {
-	return !slices.ContainsFunc(c.fronts, func(f Front) bool { return !f.Quiet() })
+	return !slices.ContainsFunc(c.fronts, func(f Front) bool { return !f.Idle() })
 }
 
 func (c *Core) allOpen() []string {
--- a/internal/call/durable.go
+++ b/internal/call/durable.go
@@ -17,12 +17,12 @@
 // Ledger keeps what happens to calls; *ledger.Ledger is one.
 type Ledger interface {
 	Append(record []byte) error
-	Pending() bool
+	HasPending() bool
 	Commit() error
-	Begin(state [][]byte) error
-	Begun() (done bool, err error)
-	On() bool
-	Figures() ledger.Figures
+	BeginEpoch(state [][]byte) error
+	EpochResult() (done bool, err error)
+	Enabled() bool
+	Metrics() ledger.Metrics
 }
 
 const (
@@ -43,11 +43,11 @@
 	watching bool
 }
 
-// Keep has all that happens to calls kept, once BeginLedger has had the state that Recover left written.
-func (c *Core) Keep(l Ledger, refuse bool) {
+// UseLedger has all that happens to calls kept, once BeginLedger has had the state that Recover left written.
+func (c *Core) UseLedger(l Ledger, refuse bool) {
 	c.durable = &durable{core: c, ledger: l, refuse: refuse, pause: beginLeast}
 	c.loop.OnCommit(c.durable.commit)
-	c.AddFigures(c.durable.metrics)
+	c.AddMetrics(c.durable.metrics)
 }
 
 // BeginLedger has the state of now written, as the first that is kept; until it is, a restart finds what was there before. With
@@ -63,7 +63,7 @@
 }
 
 // refuses reports whether new calls are refused because they could not be kept.
-func (d *durable) refuses() bool { return d.refuse && !d.ledger.On() }
+func (d *durable) refuses() bool { return d.refuse && !d.ledger.Enabled() }
 
 // note has an event of a call kept with this turn.
 func (c *Core) note(k *record, kind recovery.Kind, fill func(*recovery.Event)) {
@@ -72,12 +72,12 @@
 	}
 	e := recovery.Event{Kind: kind, ID: k.ID, AtUs: c.now().Microseconds()}
 	switch kind {
-	case recovery.Took:
-		e.Class, e.Called, e.First, e.Again, e.Description, e.Token = k.Class, k.Called, k.FirstCell, k.Again, k.Description, k.Token
+	case recovery.KindAccepted:
+		e.Class, e.Called, e.FirstCell, e.Redial, e.Description, e.Token = k.Class, k.Called, k.FirstCell, k.Redial, k.Description, k.Token
 		e.DeadlineUs = (c.now() + time.Until(k.Deadline)).Microseconds()
-	case recovery.Sent, recovery.Back, recovery.Stood:
+	case recovery.KindAttemptSent, recovery.KindAttemptFailed, recovery.KindEstablished:
 		at, _ := c.place(k.server)
-		e.Attempt, e.Server, e.Address, e.StartedUs = k.attempts-1, string(k.server), at.Address, at.StartedAt.Microseconds()
+		e.Attempt, e.Server, e.Address, e.ServerStartedUs = k.attempts-1, string(k.server), at.Address, at.StartedAt.Microseconds()
 	}
 	if fill != nil {
 		fill(&e)
@@ -88,7 +88,7 @@
 // noteBack tells that an attempt came to nothing.
 func (c *Core) noteBack(k *record, o control.Outcome) {
 	c.selection.ended(k, o)
-	c.note(k, recovery.Back, func(e *recovery.Event) {
+	c.note(k, recovery.KindAttemptFailed, func(e *recovery.Event) {
 		switch o {
 		case control.TimedOut, control.Reset, control.Cancelled:
 			e.NotBeforeUs = (c.now() + c.decisions.ReleaseGuard).Microseconds()
@@ -98,12 +98,12 @@
 
 // noteOver tells that a call that stood has ended.
 func (c *Core) noteOver(k *record, end End) {
-	c.note(k, recovery.Over, func(e *recovery.Event) { e.Cause, e.Reason = end.Cause, string(end.Reason) })
+	c.note(k, recovery.KindTerminated, func(e *recovery.Event) { e.Cause, e.Reason = end.Cause, string(end.Reason) })
 }
 
 func (d *durable) append(e recovery.Event) {
 	d.spoilt = true
-	if !d.ledger.On() {
+	if !d.ledger.Enabled() {
 		return
 	}
 	text, err := e.Encode()
@@ -117,10 +117,10 @@
 
 // commit has all that was noted written before anything that was decided with it leaves.
 func (d *durable) commit() {
-	if !d.ledger.On() {
-		d.core.mayGoOn(ledger.ErrOff)
+	if !d.ledger.Enabled() {
+		d.core.mayGoOn(ledger.ErrDisabled)
 	}
-	if !d.ledger.Pending() {
+	if !d.ledger.HasPending() {
 		return
 	}
 	if err := d.ledger.Commit(); err != nil {
@@ -148,11 +148,11 @@
 	d.watching = true
 	var look func()
 	look = func() {
-		if d.ledger.On() {
+		if d.ledger.Enabled() {
 			d.watching = false
 			return
 		}
-		d.core.mayGoOn(ledger.ErrOff)
+		d.core.mayGoOn(ledger.ErrDisabled)
 		d.core.loop.After(lookAgain, look)
 	}
 	d.core.loop.After(lookAgain, look)
@@ -162,7 +162,7 @@
 func (d *durable) begin() {
 	state, err := d.core.state()
 	if err == nil {
-		err = d.ledger.Begin(state)
+		err = d.ledger.BeginEpoch(state)
 	}
 	if err != nil {
 		d.failed(err)
@@ -173,7 +173,7 @@
 }
 
 func (d *durable) look() {
-	done, err := d.ledger.Begun()
+	done, err := d.ledger.EpochResult()
 	switch {
 	case !done:
 		d.core.loop.After(beginLook, d.look)
@@ -182,7 +182,7 @@
 	default:
 		// What happened meanwhile is not in the state that was written: it is told again, call by call.
 		if d.spoilt {
-			if err := d.again(ledger.DefaultPatience); err != nil {
+			if err := d.again(ledger.DefaultCommitTimeout); err != nil {
 				d.failed(err)
 				return
 			}
@@ -199,17 +199,17 @@
 	if err != nil {
 		return err
 	}
-	if err := d.ledger.Begin(state); err != nil {
+	if err := d.ledger.BeginEpoch(state); err != nil {
 		return err //nolint:wrapcheck // it says what it is
 	}
 	until := time.Now().Add(patience)
 	for {
-		done, err := d.ledger.Begun()
+		done, err := d.ledger.EpochResult()
 		switch {
 		case done:
 			return err //nolint:wrapcheck // it says what it is
 		case time.Now().After(until):
-			return ledger.ErrSlow
+			return ledger.ErrTimeout
 		}
 		time.Sleep(100 * time.Microsecond)
 	}
@@ -236,13 +236,13 @@
 // known is a call as the decisions on recovery see it.
 func (c *Core) known(k *record) *recovery.Call {
 	now := c.now()
-	r := &recovery.Call{Event: recovery.Event{ID: k.ID, AtUs: now.Microseconds(), Token: k.Token}, At: now, Attempts: k.attempts, Out: k.out, Server: string(k.server)}
+	r := &recovery.Call{Event: recovery.Event{ID: k.ID, AtUs: now.Microseconds(), Token: k.Token}, LastEventAt: now, Attempts: k.attempts, AttemptInProgress: k.out, Server: string(k.server)}
 	if place, _ := c.place(k.server); place.Address != "" {
-		r.Address, r.Started = place.Address, place.StartedAt
+		r.Address, r.ServerStarted = place.Address, place.StartedAt
 	} else if k.place != nil {
-		r.Address, r.Started = k.place.Address, k.place.Started
+		r.Address, r.ServerStarted = k.place.Address, k.place.ServerStarted
 	}
-	r.Class, r.Called, r.First, r.Again, r.Description = k.Class, k.Called, k.FirstCell, k.Again, k.Description
+	r.Class, r.Called, r.FirstCell, r.Redial, r.Description = k.Class, k.Called, k.FirstCell, k.Redial, k.Description
 	r.DeadlineUs = max((now + time.Until(k.Deadline)).Microseconds(), 1)
 	switch k.state {
 	case open:
@@ -250,30 +250,30 @@
 			r.NotBefore = max(r.NotBefore, now+c.decisions.ReleaseGuard)
 		}
 	case stands:
-		r.State, r.Answer = recovery.Standing, k.answer
+		r.State, r.Answer = recovery.StateEstablished, k.answer
 		r.Attempts = max(r.Attempts, 1)
-		r.At = max(0, now-time.Since(k.sentAt))
+		r.LastEventAt = max(0, now-time.Since(k.sentAt))
 	case over:
-		r.State = recovery.Answered
+		r.State = recovery.StateRejected
 		if k.end.Reason == ReasonEnded || k.end.Reason == ReasonCut {
-			r.State = recovery.Ended
+			r.State = recovery.StateTerminated
 		}
 		r.Cause, r.Reason, r.HoldOff = k.end.Cause, string(k.end.Reason), k.end.HoldOff
-		r.At = max(0, now-time.Since(k.overAt))
+		r.LastEventAt = max(0, now-time.Since(k.overAt))
 	}
 	return r
 }
 
 // metrics are the ledger's figures.
 func (d *durable) metrics() []*dto.MetricFamily {
-	f := d.ledger.Figures()
+	f := d.ledger.Metrics()
 	on := 0.0
-	if f.On {
+	if f.Enabled {
 		on = 1
 	}
 	mean := 0.0
 	if f.Commits > 0 {
-		mean = f.Waited.Seconds() / float64(f.Commits)
+		mean = f.TotalCommitWait.Seconds() / float64(f.Commits)
 	}
 	return []*dto.MetricFamily{
 		telemetry.Gauge("ledger_on", "1 while the state of calls is kept.", on),
@@ -282,8 +282,8 @@
 		telemetry.Counter("ledger_commits_total", "Turns whose events were written together.", f.Commits),
 		telemetry.Counter("ledger_failures_total", "Times that the ledger was given up, to be begun with anew.", f.Failures),
 		telemetry.Counter("ledger_snapshots_total", "Snapshots written.", f.Snapshots),
-		telemetry.Gauge("ledger_files_bytes", "Bytes of its files.", float64(f.Files)),
+		telemetry.Gauge("ledger_files_bytes", "Bytes of its files.", float64(f.FileBytes)),
 		telemetry.Gauge("ledger_commit_seconds_mean", "Mean wait of a turn for its write.", mean),
-		telemetry.Gauge("ledger_commit_seconds_worst", "Worst wait of a turn for its write.", f.Worst.Seconds()),
+		telemetry.Gauge("ledger_commit_seconds_worst", "Worst wait of a turn for its write.", f.LongestCommitWait.Seconds()),
 	}
 }
--- a/internal/call/durable_test.go
+++ b/internal/call/durable_test.go
@@ -21,11 +21,13 @@
 	commits               int
 }
 
-func (p *paper) Append(r []byte) error   { p.batch = append(p.batch, r); return nil }
-func (p *paper) Pending() bool           { return len(p.batch) > 0 }
-func (p *paper) On() bool                { return p.on }
-func (p *paper) Figures() ledger.Figures { return ledger.Figures{On: p.on, Commits: uint64(p.commits)} }
-func (p *paper) Begin(state [][]byte) error {
+func (p *paper) Append(r []byte) error { p.batch = append(p.batch, r); return nil }
+func (p *paper) HasPending() bool      { return len(p.batch) > 0 }
+func (p *paper) Enabled() bool         { return p.on }
+func (p *paper) Metrics() ledger.Metrics {
+	return ledger.Metrics{Enabled: p.on, Commits: uint64(p.commits)}
+}
+func (p *paper) BeginEpoch(state [][]byte) error {
 	p.state, p.begins, p.on, p.batch = state, true, false, nil
 	return nil
 }
@@ -41,7 +43,7 @@
 	return nil
 }
 
-func (p *paper) Begun() (bool, error) {
+func (p *paper) EpochResult() (bool, error) {
 	if !p.begins {
 		return false, nil
 	}
@@ -56,12 +58,12 @@
 // mute are dispatchers that say nothing: the test speaks for them.
 type mute struct{}
 
-func (mute) Update(Update)                          {}
-func (mute) SetUp(control.ServerID, SetUp)          {}
-func (mute) Renew(control.ServerID)                 {}
-func (mute) Withdraw(control.ServerID, string, int) {}
-func (mute) Release(control.ServerID, string, int)  {}
-func (mute) Probe(control.ServerID)                 {}
+func (mute) Update(Update)                               {}
+func (mute) SetUp(control.ServerID, SetUp)               {}
+func (mute) Reconnect(control.ServerID)                  {}
+func (mute) CancelAttempt(control.ServerID, string, int) {}
+func (mute) Release(control.ServerID, string, int)       {}
+func (mute) Probe(control.ServerID)                      {}
 
 // Ping has no reply.
 func (mute) Ping(control.ServerID, string, int, func(bool)) {}
@@ -69,7 +71,7 @@
 // durableSite is a core with two dispatchers.
 func durableSite(t *testing.T) (*Core, *site) {
 	s := newSite(t)
-	s.core.Serve(mute{})
+	s.core.SetDispatchers(mute{})
 	s.list(control.Active, "a", "b")
 	s.core.turn()
 	return s.core, s
@@ -80,22 +82,22 @@
 func TestTheLedgerHasWhatTheCoreHas(t *testing.T) {
 	core, s := durableSite(t)
 	p := &paper{}
-	core.Keep(p, false)
+	core.UseLedger(p, false)
 	core.BeginLedger(time.Second)
 	rng := rand.New(rand.NewPCG(5, 6))
 	ids := 0
 	check := func() {
-		book, err := recovery.Read(p.records, nil)
-		if err != nil || book.Strays() > 0 {
-			t.Fatalf("%v, %d events that do not fit", err, book.Strays())
+		book, err := recovery.Replay(p.records, nil)
+		if err != nil || book.UnexpectedEvents() > 0 {
+			t.Fatalf("%v, %d events that do not fit", err, book.UnexpectedEvents())
 		}
 		got, want := map[string]string{}, map[string]string{}
 		for _, c := range book.Calls() {
-			if c.State > recovery.Standing && core.calls[c.ID] == nil {
+			if c.State > recovery.StateEstablished && core.calls[c.ID] == nil {
 				continue // the core has forgotten it by now
 			}
-			if got[c.ID] = fmt.Sprint(c.State, c.Cause); c.State <= recovery.Standing {
-				got[c.ID] = fmt.Sprint(c.State, c.Attempts, c.Out, c.Server)
+			if got[c.ID] = fmt.Sprint(c.State, c.Cause); c.State <= recovery.StateEstablished {
+				got[c.ID] = fmt.Sprint(c.State, c.Attempts, c.AttemptInProgress, c.Server)
 			}
 		}
 		for id, k := range core.calls {
@@ -116,7 +118,7 @@
 		case 0, 1:
 			ids++
 			id := fmt.Sprintf("%016x", ids)
-			if err := core.Offer(Request{ID: id, Class: "c", Called: "k" + id, FirstCell: rng.IntN(2), Description: "x", Deadline: time.Now().Add(time.Minute), Caller: s, Token: recovery.Hash("a token of some caller")}); err != nil {
+			if err := core.Offer(Request{ID: id, Class: "c", Called: "k" + id, FirstCell: rng.IntN(2), Description: "x", Deadline: time.Now().Add(time.Minute), Caller: s, Token: recovery.HashToken("a token of some caller")}); err != nil {
 				t.Fatal(err)
 			}
 		default:
@@ -127,13 +129,13 @@
 			case k.state == open && k.out && rng.IntN(3) == 0:
 				core.Answered(k.server, id, k.attempts-1, "y"+id)
 			case k.state == open && k.out && rng.IntN(3) == 0:
-				core.Ended(k.server, id, k.attempts-1, []control.Outcome{control.Failed, control.Full, control.Reset}[rng.IntN(3)], true, nil)
+				core.AttemptEnded(k.server, id, k.attempts-1, []control.Outcome{control.Failed, control.Full, control.Reset}[rng.IntN(3)], true, nil)
 			case k.state == open && rng.IntN(8) == 0:
-				core.GiveUp(k.Caller, id, CauseNormal)
+				core.CallerReleased(k.Caller, id, CauseNormal)
 			case k.state == stands && rng.IntN(3) == 0:
 				core.Released(k.server, id, k.attempts-1, []int{CauseNormal, CauseTemporary}[rng.IntN(2)], nil)
 			case k.state == stands && rng.IntN(8) == 0:
-				core.GiveUp(k.Caller, id, CauseTemporary)
+				core.CallerReleased(k.Caller, id, CauseTemporary)
 			}
 		}
 		core.turn()
@@ -142,15 +144,15 @@
 		}
 		if step%500 == 499 { // it fails for a while, and begins anew
 			p.fails = true
-			core.note(&record{Request: Request{ID: "00000000000000ff"}}, recovery.Left, nil)
+			core.note(&record{Request: Request{ID: "00000000000000ff"}}, recovery.KindCancelled, nil)
 			core.turn()
-			if p.on || core.RecoveredState().NotKept == "" {
+			if p.on || core.RecoveryStatus().NotPersisted == "" {
 				t.Fatal("it failed, and nobody says so")
 			}
 			p.fails = false
 			core.durable.begin()
 			core.durable.look()
-			if !p.on || core.RecoveredState().NotKept != "" {
+			if !p.on || core.RecoveryStatus().NotPersisted != "" {
 				t.Fatal("it does not begin anew")
 			}
 			check()
@@ -166,7 +168,7 @@
 	for _, refuse := range []bool{false, true} {
 		core, s := durableSite(t)
 		p := &paper{}
-		core.Keep(p, refuse)
+		core.UseLedger(p, refuse)
 		core.BeginLedger(time.Second)
 		p.fails = true
 		for n := range 2 {
--- a/internal/call/earlier_held_test.go
+++ b/internal/call/earlier_held_test.go
@@ -12,8 +12,10 @@
 func TestACallHeldByAnEarlierAttemptIsReleased(t *testing.T) {
 	t.Parallel()
 	for name, comesToNothing := range map[string]func(s *site, server control.ServerID){
-		"it is refused":   func(s *site, server control.ServerID) { s.core.Ended(server, "1", 1, control.Failed, false, nil) },
-		"its caller goes": func(s *site, _ control.ServerID) { s.core.GiveUp(s, "1", CauseNormal) },
+		"it is refused": func(s *site, server control.ServerID) {
+			s.core.AttemptEnded(server, "1", 1, control.Failed, false, nil)
+		},
+		"its caller goes": func(s *site, _ control.ServerID) { s.core.CallerReleased(s, "1", CauseNormal) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -23,7 +25,7 @@
 				switch a.Attempt {
 				case 0:
 					s.ready[a.ID] = time.Now().Add(guard)
-					s.core.Ended(server, a.ID, 0, control.Reset, false, nil)
+					s.core.AttemptEnded(server, a.ID, 0, control.Reset, false, nil)
 				case 1:
 					s.core.Answered(server, a.ID, 0, "late")
 					if s.releases > 0 {
@@ -32,7 +34,7 @@
 					comesToNothing(s, server)
 					s.core.Loop().After(10*guard, s.core.Loop().Quit)
 				default:
-					s.core.Ended(server, a.ID, a.Attempt, control.Failed, false, nil)
+					s.core.AttemptEnded(server, a.ID, a.Attempt, control.Failed, false, nil)
 				}
 			}
 			s.core.Loop().Post(func() {
--- a/internal/call/ends.go
+++ b/internal/call/ends.go
@@ -19,9 +19,9 @@
 	c.applyEnd(k, id, result, cause, report)
 }
 
-// ReleasedBeside tells that a dispatcher has released a call that stands, on another connection than that of its answer, and reports whether the call
+// ReleasedOnOtherConnection tells that a dispatcher has released a call that stands, on another connection than that of its answer, and reports whether the call
 // goes on there. The release may be that of a call which an earlier attempt has established under the same id.
-func (c *Core) ReleasedBeside(server control.ServerID, id string, cause int, report []float64) (goesOn bool) {
+func (c *Core) ReleasedOnOtherConnection(server control.ServerID, id string, cause int, report []float64) (goesOn bool) {
 	k := c.calls[id]
 	result := c.matchEnd(k, server, noAttempt)
 	if result == endOfCall && k.triedBefore() {
@@ -37,7 +37,7 @@
 	c.received[result]++
 	switch result {
 	case endElsewhere:
-		c.passing.finder.Ended(id, cause)
+		c.passing.finder.Terminated(id, cause)
 	case endOfUnknownCall: // from before a restart: its caller still has to hear of it
 		c.knowOver(id)
 		c.tellOver(c.heir, id, endOf(cause))
--- a/internal/call/ends_told_test.go
+++ b/internal/call/ends_told_test.go
@@ -18,13 +18,13 @@
 	left             bool
 }
 
-func (e *endsLog) Release(id string, _ End)    { e.front = append(e.front, id) }
-func (e *endsLog) Open() int                   { return 1 }
-func (e *endsLog) Quiet() bool                 { return true }
-func (e *endsLog) Ended(id string, _ int)      { e.elsewhere = append(e.elsewhere, id) }
-func (e *endsLog) Left() bool                  { return e.left }
-func (e *endsLog) Over(id string, end End)     { e.site.Over(id, end) }
-func (e *endsLog) Answer(id, sdp string) error { return e.site.Answer(id, sdp) }
+func (e *endsLog) Release(id string, _ End)            { e.front = append(e.front, id) }
+func (e *endsLog) Connections() int                    { return 1 }
+func (e *endsLog) Idle() bool                          { return true }
+func (e *endsLog) Terminated(id string, _ int)         { e.elsewhere = append(e.elsewhere, id) }
+func (e *endsLog) Disconnected() bool                  { return e.left }
+func (e *endsLog) NotifyTerminated(id string, end End) { e.site.NotifyTerminated(id, end) }
+func (e *endsLog) Answer(id, sdp string) error         { return e.site.Answer(id, sdp) }
 
 const (
 	endedID   = "00000000000000e1"
@@ -65,13 +65,13 @@
 	}{
 		"its dispatcher ends it":                {false, func(e *endsLog) { e.core.Released("a", endedID, 0, CauseNormal, nil) }, endsTold{Answers: 1, Overs: 1}},
 		"another dispatcher ends one of its id": {false, func(e *endsLog) { e.core.Released("b", endedID, -1, CauseNormal, nil) }, endsTold{Answers: 1}},
-		"its dispatcher dies":                   {false, func(e *endsLog) { e.core.Died("a") }, endsTold{Answers: 1, Overs: 1}},
-		"another dispatcher dies":               {false, func(e *endsLog) { e.core.Died("b") }, endsTold{Answers: 1}},
-		"another connection ends it": {false, func(e *endsLog) { e.core.GiveUp(&endsLog{site: e.site}, endedID, CauseNormal) },
+		"its dispatcher dies":                   {false, func(e *endsLog) { e.core.DispatcherFailed("a") }, endsTold{Answers: 1, Overs: 1}},
+		"another dispatcher dies":               {false, func(e *endsLog) { e.core.DispatcherFailed("b") }, endsTold{Answers: 1}},
+		"another connection ends it": {false, func(e *endsLog) { e.core.CallerReleased(&endsLog{site: e.site}, endedID, CauseNormal) },
 			endsTold{Answers: 1, Overs: 1, Releases: 1}},
-		"its caller ends it, or gave it up as it was answered": {false, func(e *endsLog) { e.core.GiveUp(e, endedID, CauseNormal) },
+		"its caller ends it, or gave it up as it was answered": {false, func(e *endsLog) { e.core.CallerReleased(e, endedID, CauseNormal) },
 			endsTold{Answers: 1, Overs: 1, Releases: 1}},
-		"its caller cuts it": {false, func(e *endsLog) { e.core.GiveUp(e, endedID, CauseTemporary) }, endsTold{Answers: 1, Releases: 1}},
+		"its caller cuts it": {false, func(e *endsLog) { e.core.CallerReleased(e, endedID, CauseTemporary) }, endsTold{Answers: 1, Releases: 1}},
 		"a successor takes the end": {false, func(e *endsLog) {
 			e.core.Supersede(func(id string, _ End) bool { e.elsewhere = append(e.elsewhere, id); return true })
 			e.core.Released("a", endedID, 0, CauseNormal, nil)
@@ -84,20 +84,20 @@
 			e.core.Released("a", unknownID, -1, CauseNormal, nil)
 			e.core.Released("a", unknownID, -1, CauseNormal, nil)
 		}, endsTold{Answers: 1, Front: []string{unknownID}}},
-		"its caller ends one from before a restart": {false, func(e *endsLog) { e.core.GiveUp(e, unknownID, CauseTemporary) },
+		"its caller ends one from before a restart": {false, func(e *endsLog) { e.core.CallerReleased(e, unknownID, CauseTemporary) },
 			endsTold{Answers: 1, Releases: 1}},
 		"it may be another controller's": {false, func(e *endsLog) {
-			e.core.Seek(e, func() bool { return true }, func(error) {})
+			e.core.UseFinder(e, func() bool { return true }, func(error) {})
 			e.core.Released("a", unknownID, -1, CauseNormal, nil)
 		}, endsTold{Answers: 1, Elsewhere: []string{unknownID}}},
 		"it is on its way to another controller": {false, func(e *endsLog) {
-			e.core.Seek(e, func() bool { return true }, func(error) {})
+			e.core.UseFinder(e, func() bool { return true }, func(error) {})
 			e.core.calls[endedID].moving = true
 			e.core.Released("a", endedID, 0, CauseNormal, nil)
 		}, endsTold{Answers: 1, Elsewhere: []string{endedID}}},
 		"it was adopted, and its dispatcher dies": {false, func(e *endsLog) {
 			e.core.Adopt(unknownID, "b")
-			e.core.Died("b")
+			e.core.DispatcherFailed("b")
 		}, endsTold{Answers: 1, Front: []string{unknownID}}},
 		"its answer comes as its caller has left": {true, func(e *endsLog) {
 			e.left = true
--- a/internal/call/figures.go
+++ b/internal/call/figures.go
@@ -37,11 +37,11 @@
 	}
 }
 
-// Written tells that all of a set-up has gone to a dispatcher.
-func (c *Core) Written() { c.figures.Attempts++ }
+// SetUpWritten tells that all of a set-up has gone to a dispatcher.
+func (c *Core) SetUpWritten() { c.figures.Attempts++ }
 
-// AddFigures has the text of the figures close with those of another part.
-func (c *Core) AddFigures(part func() []*dto.MetricFamily) { c.parts = append(c.parts, part) }
+// AddMetrics has the text of the figures close with those of another part.
+func (c *Core) AddMetrics(part func() []*dto.MetricFamily) { c.parts = append(c.parts, part) }
 
 // Telemetry is all figures as text.
 func (c *Core) Telemetry() (string, error) {
--- a/internal/call/late_refusal_test.go
+++ b/internal/call/late_refusal_test.go
@@ -23,7 +23,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newSite(t)
-			refuse := func(server control.ServerID, id string) { s.core.Ended(server, id, 0, test.outcome, false, nil) }
+			refuse := func(server control.ServerID, id string) { s.core.AttemptEnded(server, id, 0, test.outcome, false, nil) }
 			s.react = func(server control.ServerID, a SetUp) {
 				if a.Attempt == 0 {
 					s.core.Loop().After(time.Millisecond, func() {
--- a/internal/call/leave_test.go
+++ b/internal/call/leave_test.go
@@ -13,8 +13,8 @@
 }
 
 func (r *reading) Release(string, End) {}
-func (r *reading) Open() int           { return 1 }
-func (r *reading) Quiet() bool         { r.asked++; return !r.unread }
+func (r *reading) Connections() int    { return 1 }
+func (r *reading) Idle() bool          { r.asked++; return !r.unread }
 
 // TestWhatLiesUnreadIsTakenInBeforeTheEnd: a controller that has served out does not end while something of its callers' lies unread, as
 // what came in time may after a pause; but it does end before it would be killed.
--- a/internal/call/list.go
+++ b/internal/call/list.go
@@ -28,7 +28,7 @@
 		c.places[s.ID] = s
 		c.setStatus(s.ID, s.Status) // which forgets the place of one that is gone
 	}
-	if u.Whole {
+	if u.Complete {
 		var gone []control.ServerID
 		for id := range c.status {
 			if !named[id] {
@@ -42,7 +42,7 @@
 		c.listed = true
 	}
 	c.dispatchers.Update(u)
-	c.tell(control.ListReceived{Entries: entries, Whole: u.Whole})
+	c.tell(control.ListReceived{Entries: entries, Whole: u.Complete})
 	c.checkRecovered()
 }
 
--- a/internal/call/loop.go
+++ b/internal/call/loop.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// Waiting is the number of functions that were posted and have not run; any goroutine may call it.
-func (l *Loop) Waiting() int {
+// Pending is the number of functions that were posted and have not run; any goroutine may call it.
+func (l *Loop) Pending() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.queue)
@@ -61,8 +61,8 @@
 // OnCommit has f run before anything leaves the process that was decided since it ran last. It must do nothing if nothing was.
 func (l *Loop) OnCommit(f func()) { l.commit = f }
 
-// OnPause names what tells whether all that has come is with the loop, for a loop that goes on after a pause. It runs on the loop.
-func (l *Loop) OnPause(quiet func() bool) { l.quiet = append(l.quiet, quiet) }
+// AddIdleCheck names what tells whether all that has come is with the loop, for a loop that goes on after a pause. It runs on the loop.
+func (l *Loop) AddIdleCheck(quiet func() bool) { l.quiet = append(l.quiet, quiet) }
 
 // Commit runs what OnCommit was given; whatever writes to a socket calls it first. Only the loop may call it.
 func (l *Loop) Commit() {
@@ -139,7 +139,7 @@
 			time.Sleep(catchUpStep)
 		}
 		known = slices.ContainsFunc(l.quiet, unread)
-		n := l.Waiting()
+		n := l.Pending()
 		if still++; n != waits || known {
 			still, waits = 0, n
 		}
--- a/internal/call/loop_test.go
+++ b/internal/call/loop_test.go
@@ -25,7 +25,7 @@
 			l := NewLoop()
 			var order []string
 			looked := 0
-			l.OnPause(func() bool {
+			l.AddIdleCheck(func() bool {
 				if looked++; looked == looks && test.comes {
 					l.Post(func() { order = append(order, "word") })
 				}
--- a/internal/call/offers.go
+++ b/internal/call/offers.go
@@ -14,21 +14,21 @@
 
 // What callers ask for: set-ups, and that they are given up.
 
-// ErrRepeated is a set-up under the id of another that is open, or of a call that stands, on the same connection: there
+// ErrDuplicateID is a set-up under the id of another that is open, or of a call that stands, on the same connection: there
 // is no answer that could not be taken for the other's.
-var ErrRepeated = errors.New("set-up under an id that is in use")
+var ErrDuplicateID = errors.New("set-up under an id that is in use")
 
 // Offer takes in a set-up. An error calls for the end of its connection.
 func (c *Core) Offer(r Request) error {
 	if old := c.calls[r.ID]; old != nil {
 		if old.Caller == r.Caller && old.state != over {
-			return ErrRepeated
+			return ErrDuplicateID
 		}
 		// An id is never used again. Whoever sent this is no party to the call of that id, and must not go on to end it.
 		c.log.Warn("set-up with a known id", "id", r.ID)
 		c.end(&r, BadRequest)
 		if old.state != over {
-			return ErrRepeated
+			return ErrDuplicateID
 		}
 		return nil
 	}
@@ -60,7 +60,7 @@
 	}
 	c.calls[r.ID] = k
 	c.owe(k)
-	c.note(k, recovery.Took, nil)
+	c.note(k, recovery.KindAccepted, nil)
 	c.limit(k)
 	c.offer(k, class)
 	return nil
@@ -69,14 +69,14 @@
 // pastItsTime is the final answer to a set-up whose time was over when it was read. One that waited for that has been tried nowhere: it is
 // refused. One that was sent with no time left has failed.
 func (c *Core) pastItsTime(r *Request) End {
-	if r.Left <= 0 {
+	if r.TimeLeft <= 0 {
 		return End{Cause: CauseTemporary, Reason: ReasonDeadline}
 	}
 	return End{Cause: CauseCongestion, Reason: ReasonDeadline, HoldOff: c.holdOff()}
 }
 
-// TurnAway refuses a set-up whose connection there is no room for.
-func (c *Core) TurnAway(r Request) {
+// RefuseOverLimit refuses a set-up whose connection there is no room for.
+func (c *Core) RefuseOverLimit(r Request) {
 	c.log.Warn("no room for another connection", "id", r.ID)
 	c.end(&r, End{Cause: CauseCongestion, Reason: ReasonRefused, HoldOff: c.holdOff()})
 }
@@ -98,7 +98,7 @@
 // mayRepeat reports whether a set-up of the class that has been attempted so often does no harm if it comes again, whatever became of the
 // attempts.
 func (c *Core) mayRepeat(class, attempts int) bool {
-	return class >= 0 && (attempts == 0 || c.decisions.Classes[class].Effect == control.Safe)
+	return class >= 0 && (attempts == 0 || c.decisions.Classes[class].Idempotency == control.Idempotent)
 }
 
 // offer tells the module of a call.
@@ -106,7 +106,7 @@
 	c.selection.offered(k, c.decisions.Classes[class])
 	c.tell(control.CallOffered{
 		ID: control.CallID(k.ID), Class: class, Budget: time.Until(k.Deadline), Called: k.Called,
-		FirstCell: k.FirstCell, Redial: k.Again, Attempts: k.attempts, NotBefore: k.notBefore,
+		FirstCell: k.FirstCell, Redial: k.Redial, Attempts: k.attempts, NotBefore: k.notBefore,
 	})
 }
 
@@ -116,25 +116,25 @@
 }
 
 func (c *Core) holdOff() time.Duration {
-	if !c.decisions.HoldOff {
+	if !c.decisions.MayHoldOff {
 		return 0
 	}
 	return c.decisions.MaxHoldOff
 }
 
-// GiveUp is a caller's release: of a set-up that it no longer waits for, or of a call that stands.
-func (c *Core) GiveUp(caller Caller, id string, cause int) {
+// CallerReleased is a caller's release: of a set-up that it no longer waits for, or of a call that stands.
+func (c *Core) CallerReleased(caller Caller, id string, cause int) {
 	k := c.calls[id]
 	switch {
 	case k != nil && k.moving:
 		c.dispatchers.Release("", id, cause)
-		c.passing.finder.Ended(id, cause)
+		c.passing.finder.Terminated(id, cause)
 	case k == nil:
 		// A call that stood before a restart: whichever dispatcher has it releases it. A set-up that was lost
 		// with the restart has nothing to release.
 		if c.passing != nil && ValidID(id) {
 			c.dispatchers.Release("", id, cause)
-			c.passing.finder.Ended(id, cause)
+			c.passing.finder.Terminated(id, cause)
 			return
 		}
 		if cause != CauseNormal && ValidID(id) && time.Since(c.epoch) < heritage {
@@ -144,7 +144,7 @@
 	case k.state == open && k.Caller != caller: // only whoever waits for an answer can give it up
 	case k.state == open:
 		c.abandon(k)
-		c.note(k, recovery.Left, nil)
+		c.note(k, recovery.KindCancelled, nil)
 		c.close(k)
 	case k.state == stands:
 		endlog.Call(c.log, endlog.EndedByCaller, id, endlog.Server(k.server), slog.Int("cause", cause))
@@ -165,9 +165,9 @@
 	}
 }
 
-// CallerClosed ends the set-ups of a connection that has closed: no answer is owed for them. Calls that stand go
+// CallerDisconnected ends the set-ups of a connection that has closed: no answer is owed for them. Calls that stand go
 // on.
-func (c *Core) CallerClosed(caller Caller) {
+func (c *Core) CallerDisconnected(caller Caller) {
 	c.passing.left(caller)
 	for _, id := range c.openOf(caller) {
 		c.callerLeft(c.calls[id])
@@ -180,11 +180,11 @@
 		c.lose(k)
 		return
 	}
-	c.GiveUp(k.Caller, k.ID, CauseNormal)
+	c.CallerReleased(k.Caller, k.ID, CauseNormal)
 }
 
-// CallerBroke answers the set-ups of a connection that is about to be closed for a fault of its peer.
-func (c *Core) CallerBroke(caller Caller) {
+// CallerProtocolError answers the set-ups of a connection that is about to be closed for a fault of its peer.
+func (c *Core) CallerProtocolError(caller Caller) {
 	for _, id := range c.openOf(caller) {
 		k := c.calls[id]
 		c.abandon(k)
@@ -195,16 +195,16 @@
 // openOf asks no call but the caller's own: connections come and go by hundreds.
 func (c *Core) openOf(caller Caller) []string { return slices.Sorted(maps.Keys(c.owing[caller])) }
 
-// Owes is the number of set-ups without an answer that came from the caller, and of calls that it has come for and that are looked for.
-func (c *Core) Owes(caller Caller) int {
+// PendingOf is the number of set-ups without an answer that came from the caller, and of calls that it has come for and that are looked for.
+func (c *Core) PendingOf(caller Caller) int {
 	if c.passing != nil {
 		return len(c.owing[caller]) + c.passing.waiting[caller]
 	}
 	return len(c.owing[caller])
 }
 
-// StandingOf is the number of calls of the caller that stand.
-func (c *Core) StandingOf(caller Caller) int { return c.standing[caller] }
+// EstablishedOf is the number of calls of the caller that stand.
+func (c *Core) EstablishedOf(caller Caller) int { return c.standing[caller] }
 
 func (c *Core) owe(k *record) {
 	c.owed++
@@ -241,7 +241,7 @@
 		return
 	}
 	r := k.Request
-	c.note(k, recovery.Final, func(e *recovery.Event) {
+	c.note(k, recovery.KindRejected, func(e *recovery.Event) {
 		e.Cause, e.Reason, e.HoldOffUs = end.Cause, string(end.Reason), end.HoldOff.Microseconds()
 	})
 	c.close(k)
--- a/internal/call/offers_test.go
+++ b/internal/call/offers_test.go
@@ -20,7 +20,7 @@
 func TestASetUpThatWaitedPastItsTimeIsRefused(t *testing.T) {
 	s := newSite(t)
 	caller := &listener{site: s}
-	if err := s.core.Offer(Request{ID: "1", Class: "c", Left: time.Second, Deadline: time.Now().Add(-time.Millisecond), Caller: caller}); err != nil {
+	if err := s.core.Offer(Request{ID: "1", Class: "c", TimeLeft: time.Second, Deadline: time.Now().Add(-time.Millisecond), Caller: caller}); err != nil {
 		t.Fatal(err)
 	}
 	if want := (End{Cause: CauseCongestion, Reason: ReasonDeadline, HoldOff: s.core.holdOff()}); caller.end != want || want.HoldOff == 0 {
@@ -44,21 +44,21 @@
 // was out that must not be repeated.
 func TestAtItsLimitACallThatMayHaveRunIsNotRefused(t *testing.T) {
 	for name, c := range map[string]struct {
-		effect  control.Effect
+		effect  control.Idempotency
 		servers []control.ServerID
 		want    int
 	}{
-		"attempted, and harmful to repeat":     {control.Unsafe, []control.ServerID{"a"}, CauseTemporary},
-		"attempted, and harmless to repeat":    {control.Safe, []control.ServerID{"a"}, CauseCongestion},
-		"not attempted, and harmful to repeat": {control.Unsafe, nil, CauseCongestion},
+		"attempted, and harmful to repeat":     {control.NonIdempotent, []control.ServerID{"a"}, CauseTemporary},
+		"attempted, and harmless to repeat":    {control.Idempotent, []control.ServerID{"a"}, CauseCongestion},
+		"not attempted, and harmful to repeat": {control.NonIdempotent, nil, CauseCongestion},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t)
-			s.core.decisions.Classes[0].Effect = c.effect
+			s.core.decisions.Classes[0].Idempotency = c.effect
 			s.react = func(control.ServerID, SetUp) {} // silent
 			s.list(control.Active, c.servers...)
 			caller := &listener{site: s}
-			if err := s.core.Offer(Request{ID: "1", Class: "c", Left: time.Second, Deadline: time.Now().Add(time.Second), Caller: caller}); err != nil {
+			if err := s.core.Offer(Request{ID: "1", Class: "c", TimeLeft: time.Second, Deadline: time.Now().Add(time.Second), Caller: caller}); err != nil {
 				t.Fatal(err)
 			}
 			limit := s.core.calls["1"].limit
--- a/internal/call/outcomes.go
+++ b/internal/call/outcomes.go
@@ -29,7 +29,7 @@
 		endlog.Call(c.log, endlog.AnswerOfEarlier, id, endlog.Server(server), endlog.Attempt(attempt))
 		return false
 	}
-	if k != nil && k.state == open && k.Caller.Left() && k.state == open {
+	if k != nil && k.state == open && k.Caller.Disconnected() && k.state == open {
 		c.callerLeft(k) // before the answer came: whoever leaves later has had it, and its call stands
 	}
 	if k == nil || !k.out || k.server != server || attempt >= 0 && attempt != k.attempts-1 {
@@ -44,11 +44,11 @@
 		c.log.Warn("answer that cannot be passed on", "id", id, "server", server, "err", err)
 		endlog.Call(c.log, endlog.AnswerUnfit, id, endlog.Server(server), endlog.Attempt(attempt))
 		c.dispatchers.Release(server, id, CauseNormal)
-		c.Ended(server, id, attempt, control.Failed, false, nil)
+		c.AttemptEnded(server, id, attempt, control.Failed, false, nil)
 		k.tried = append(k.tried, triedAttempt{server, k.attempts - 1, true}) // it was established there
 		return false
 	}
-	c.note(k, recovery.Stood, func(e *recovery.Event) {
+	c.note(k, recovery.KindEstablished, func(e *recovery.Event) {
 		if k.Token != nil {
 			e.Description = description
 		}
@@ -64,7 +64,7 @@
 		k.answer = description
 	}
 	if k.Caller == c.lost {
-		c.claimWithin(k, recovery.ClaimWithin)
+		c.claimWithin(k, recovery.EstablishedResumeTimeout)
 	}
 	c.tell(control.CallStands{ID: control.CallID(id), Server: server, Attempt: k.attempts - 1,
 		Elapsed: time.Since(k.sentAt)})
@@ -73,15 +73,15 @@
 	return k.state == stands
 }
 
-// Ended tells the outcome of an attempt that does not stand. The outcome of one that was withdrawn has been told
+// AttemptEnded tells the outcome of an attempt that does not stand. The outcome of one that was withdrawn has been told
 // already: its report counts, and that it was refused.
-func (c *Core) Ended(server control.ServerID, id string, attempt int, o control.Outcome, noLine bool, report []float64) {
+func (c *Core) AttemptEnded(server control.ServerID, id string, attempt int, o control.Outcome, noLine bool, report []float64) {
 	k := c.calls[id]
 	if k == nil || !k.out || k.server != server || attempt >= 0 && attempt != k.attempts-1 {
 		if k != nil && attempt >= 0 {
 			k.forgetRefused(attempt, o)
 		}
-		c.Reported(server, report)
+		c.LoadReported(server, report)
 		return
 	}
 	c.loop.Stop(k.timer)
@@ -108,16 +108,16 @@
 	}
 }
 
-// Reported brings a load report outside an attempt.
-func (c *Core) Reported(server control.ServerID, report []float64) {
+// LoadReported brings a load report outside an attempt.
+func (c *Core) LoadReported(server control.ServerID, report []float64) {
 	if len(report) > 0 {
 		c.tell(control.ReportReceived{Server: server, OK: true, Report: report})
 	}
 }
 
-// Died tells that a dispatcher is no more. Its calls were cut, and it can't say so itself.
-func (c *Core) Died(server control.ServerID) {
-	cut := slices.Sorted(c.StandAt(server))
+// DispatcherFailed tells that a dispatcher is no more. Its calls were cut, and it can't say so itself.
+func (c *Core) DispatcherFailed(server control.ServerID) {
+	cut := slices.Sorted(c.EstablishedAt(server))
 	if len(cut) > 0 {
 		endlog.Dispatcher(c.log, endlog.CountsAsGone, string(server), slog.Int("calls", len(cut)))
 	}
@@ -129,8 +129,8 @@
 	}
 }
 
-// StandAt names the calls that stand at a dispatcher, in no order.
-func (c *Core) StandAt(server control.ServerID) iter.Seq[string] {
+// EstablishedAt names the calls that stand at a dispatcher, in no order.
+func (c *Core) EstablishedAt(server control.ServerID) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for id, k := range c.calls {
 			if k.state == stands && k.server == server && !yield(id) {
@@ -140,17 +140,17 @@
 	}
 }
 
-// Standing is their number.
-func (c *Core) Standing(server control.ServerID) int {
+// EstablishedCount is their number.
+func (c *Core) EstablishedCount(server control.ServerID) int {
 	n := 0
-	for range c.StandAt(server) {
+	for range c.EstablishedAt(server) {
 		n++
 	}
 	return n
 }
 
-// EachStanding calls f with the dispatcher of each call that stands, in no order.
-func (c *Core) EachStanding(f func(server control.ServerID)) {
+// EachEstablished calls f with the dispatcher of each call that stands, in no order.
+func (c *Core) EachEstablished(f func(server control.ServerID)) {
 	for _, k := range c.calls {
 		if k.state == stands {
 			f(k.server)
--- a/internal/call/overtaken_test.go
+++ b/internal/call/overtaken_test.go
@@ -26,9 +26,9 @@
 	{'L', func(s *site) {
 		delete(s.out, overtakenID)
 		s.ready[overtakenID] = time.Now().Add(guard)
-		s.core.Ended("a", overtakenID, 0, control.Reset, false, nil)
+		s.core.AttemptEnded("a", overtakenID, 0, control.Reset, false, nil)
 	}},
-	{'C', func(s *site) { s.core.GiveUp(s, overtakenID, CauseNormal) }},
+	{'C', func(s *site) { s.core.CallerReleased(s, overtakenID, CauseNormal) }},
 }
 
 // orders are all orders of any of the messages that can come about: on one connection the answer comes before the end, and nothing after its loss.
@@ -121,7 +121,7 @@
 				if a.Attempt == 0 {
 					delete(s.out, a.ID)
 					s.ready[a.ID] = time.Now().Add(guard)
-					s.core.Ended(server, a.ID, 0, control.Reset, false, nil)
+					s.core.AttemptEnded(server, a.ID, 0, control.Reset, false, nil)
 					return
 				}
 				s.core.Released(server, a.ID, -1, CauseNormal, nil)
--- a/internal/call/phase.go
+++ b/internal/call/phase.go
@@ -53,8 +53,8 @@
 // able reports whether calls can be placed.
 func (c *Core) able() bool { return c.listed && c.reached }
 
-// Reached tells that calls can be placed at some dispatcher.
-func (c *Core) Reached() { c.reached = true }
+// DispatcherReached tells that calls can be placed at some dispatcher.
+func (c *Core) DispatcherReached() { c.reached = true }
 
 // Evacuate sends callers away. Calls that stand go on, and the process stays up for a Rejoin.
 func (c *Core) Evacuate() {
--- a/internal/call/queries_test.go
+++ b/internal/call/queries_test.go
@@ -15,7 +15,7 @@
 	given int
 }
 
-func (f *transfers) Give(*takeover.Call) error { f.given++; return nil }
+func (f *transfers) Transfer(*takeover.Call) error { f.given++; return nil }
 
 // TestACallIsNotGivenToAQueryThatIsOlderThanItsClaim guards against a call that is taken from the caller that has come back for it here: the query
 // of another controller, at which the caller was before and which has failed since, had the call transferred to nobody.
@@ -24,23 +24,23 @@
 	s := newSite(t)
 	s.react = func(control.ServerID, SetUp) {}
 	finder := &transfers{}
-	s.core.Seek(finder, func() bool { return true }, func(error) {})
+	s.core.UseFinder(finder, func() bool { return true }, func(error) {})
 	gone := &listener{site: s}
-	if err := s.core.Offer(Request{ID: id, Class: "c", Left: 9 * time.Second, Deadline: time.Now().Add(9 * time.Second), Caller: gone,
-		Token: recovery.Hash(callToken), Description: "x"}); err != nil {
+	if err := s.core.Offer(Request{ID: id, Class: "c", TimeLeft: 9 * time.Second, Deadline: time.Now().Add(9 * time.Second), Caller: gone,
+		Token: recovery.HashToken(callToken), Description: "x"}); err != nil {
 		t.Fatal(err)
 	}
-	s.core.CallerClosed(gone)
-	query := takeover.Query{Token: recovery.Hash(callToken), Seen: time.Now()}
-	if err := s.core.Claim(Claim{Caller: &listener{site: s}, ID: id, Token: callToken}); err != nil {
+	s.core.CallerDisconnected(gone)
+	query := takeover.Query{Token: recovery.HashToken(callToken), Seen: time.Now()}
+	if err := s.core.ResumeCall(ResumeRequest{Caller: &listener{site: s}, ID: id, Token: callToken}); err != nil {
 		t.Fatal(err)
 	}
-	s.core.Wanted(map[string]takeover.Query{id: query})
+	s.core.TransferRequested(map[string]takeover.Query{id: query})
 	if finder.given != 0 {
 		t.Error("a call is given to the query that came before its caller")
 	}
 	query.Seen = time.Now()
-	s.core.Wanted(map[string]takeover.Query{id: query})
+	s.core.TransferRequested(map[string]takeover.Query{id: query})
 	if finder.given != 1 {
 		t.Error("a call is not given to the query that came after its caller")
 	}
--- a/internal/call/received_test.go
+++ b/internal/call/received_test.go
@@ -81,9 +81,9 @@
 		endlog.AnswerUnfit:     {func(s *site) { s.core.calls[id].Caller = unfit{s} }, established},
 		endlog.Established:     {established},
 		endlog.WithoutAnswer:   {func(s *site) { s.core.Released("a", id, 0, CauseNormal, nil) }},
-		endlog.Over:            {established, func(s *site) { s.core.Died("a") }},
-		endlog.CountsAsGone:    {established, func(s *site) { s.core.Died("a") }},
-		endlog.EndedByCaller:   {established, func(s *site) { s.core.GiveUp(s, id, CauseNormal) }},
+		endlog.Over:            {established, func(s *site) { s.core.DispatcherFailed("a") }},
+		endlog.CountsAsGone:    {established, func(s *site) { s.core.DispatcherFailed("a") }},
+		endlog.EndedByCaller:   {established, func(s *site) { s.core.CallerReleased(s, id, CauseNormal) }},
 		endlog.ToSuccessor: {established, func(s *site) { s.core.Supersede(func(string, End) bool { return true }) },
 			func(s *site) { s.core.Released("a", id, 0, CauseNormal, nil) }},
 	} {
--- a/internal/call/recover.go
+++ b/internal/call/recover.go
@@ -19,29 +19,29 @@
 // lost stands in for a caller whose connection is gone and who may come back for its calls. What it is owed waits with them.
 type lost struct{ heir }
 
-// Recovered is what became of the calls that an earlier process left, for operators.
-type Recovered struct {
-	Acts    map[string]int `json:"acts"`    // calls, by what was done with them
-	Why     map[string]int `json:"why"`     // and why
-	Cut     int            `json:"cut"`     // calls that stood, and were cut once the list had come
-	Waiting int            `json:"waiting"` // open ones whose callers have not come yet
-	Claimed int            `json:"claimed"` // given to callers that came back, since the start
-	Unknown int            `json:"unknown"` // claims of calls that are not known
-	Strays  int            `json:"strays"`  // events that did not fit
-	TookUs  int64          `json:"took_us"`
-	Damage  []string       `json:"damage,omitempty"`
-	NotKept string         `json:"not_kept,omitempty"` // why the state of calls is not kept now
+// RecoveryStatus is what became of the calls that an earlier process left, for operators.
+type RecoveryStatus struct {
+	Actions      map[string]int `json:"acts"`    // calls, by what was done with them
+	Reasons      map[string]int `json:"why"`     // and why
+	Cut          int            `json:"cut"`     // calls that stood, and were cut once the list had come
+	Waiting      int            `json:"waiting"` // open ones whose callers have not come yet
+	Resumed      int            `json:"claimed"` // given to callers that came back, since the start
+	Unknown      int            `json:"unknown"` // claims of calls that are not known
+	Unexpected   int            `json:"strays"`  // events that did not fit
+	TookUs       int64          `json:"took_us"`
+	Damage       []string       `json:"damage,omitempty"`
+	NotPersisted string         `json:"not_kept,omitempty"` // why the state of calls is not kept now
 }
 
 // Recover takes up the calls that an earlier process left. It comes before callers are served.
-func (c *Core) Recover(b *recovery.Book, damage []string) {
+func (c *Core) Recover(b *recovery.CallTable, damage []string) {
 	from := time.Now()
-	c.recovered.Acts, c.recovered.Why = map[string]int{}, map[string]int{}
-	c.recovered.Strays, c.recovered.Damage = b.Strays(), damage
+	c.recovered.Actions, c.recovered.Reasons = map[string]int{}, map[string]int{}
+	c.recovered.Unexpected, c.recovered.Damage = b.UnexpectedEvents(), damage
 	rules := recovery.Rules{Guard: c.decisions.ReleaseGuard, MaxAttempts: c.decisions.MaxAttempts}
 	for _, d := range b.Plan(c.now(), rules) {
 		if k := c.calls[d.ID]; k != nil { // a predecessor has handed it over, without what its caller can claim it with
-			if k.state == stands && d.State == recovery.Standing && k.Token == nil {
+			if k.state == stands && d.State == recovery.StateEstablished && k.Token == nil {
 				k.Token, k.answer, k.place = d.Token, d.Answer, d.Call
 			}
 			continue
@@ -51,7 +51,7 @@
 	slices.SortStableFunc(c.ended, func(a, b *record) int { return a.overAt.Compare(b.overAt) }) // forgotten in this order
 	c.recovered.TookUs += time.Since(from).Microseconds()
 	if n := len(c.calls); n > 0 {
-		c.log.Info("calls of an earlier process", "acts", fmt.Sprint(c.recovered.Acts), "strays", b.Strays(), "damage", len(damage))
+		c.log.Info("calls of an earlier process", "acts", fmt.Sprint(c.recovered.Actions), "strays", b.UnexpectedEvents(), "damage", len(damage))
 	}
 	for _, text := range damage {
 		c.log.Error("the state of calls is damaged", "damage", text)
@@ -62,49 +62,49 @@
 func (c *Core) recover(d recovery.Decision) {
 	now := time.Now()
 	k := &record{
-		Request: Request{ID: d.ID, Class: d.Class, Called: d.Called, FirstCell: d.First, Again: d.Again, Caller: c.lost, Token: d.Token},
-		server:  control.ServerID(d.Server), attempts: d.Attempts, sentAt: now.Add(d.At - c.now()), place: d.Call,
+		Request: Request{ID: d.ID, Class: d.Class, Called: d.Called, FirstCell: d.FirstCell, Redial: d.Redial, Caller: c.lost, Token: d.Token},
+		server:  control.ServerID(d.Server), attempts: d.Attempts, sentAt: now.Add(d.LastEventAt - c.now()), place: d.Call,
 	}
-	act := d.Act
+	act := d.Action
 	// What is repeated must do no harm if it ran.
-	if act == recovery.Await && !c.mayRepeat(c.class(d.Class), d.Attempts) {
-		act, d.Why = recovery.Fail, "it may not be repeated"
+	if act == recovery.AwaitResume && !c.mayRepeat(c.class(d.Class), d.Attempts) {
+		act, d.Why = recovery.FailCall, "it may not be repeated"
 	}
-	c.recovered.Acts[act.String()]++
-	c.recovered.Why[d.Why]++
+	c.recovered.Actions[act.String()]++
+	c.recovered.Reasons[d.Why]++
 	endlog.Call(c.log, endlog.Recovered, d.ID, endlog.Server(d.Server), slog.String("act", act.String()))
 	c.calls[d.ID] = k
-	if d.Release {
+	if d.MustRelease {
 		c.releases = append(c.releases, k)
 	}
 	switch act {
-	case recovery.Await:
-		k.Description, k.Deadline, k.notBefore, k.parked = d.Description, now.Add(d.Left), d.NotBefore, true
+	case recovery.AwaitResume:
+		k.Description, k.Deadline, k.notBefore, k.parked = d.Description, now.Add(d.TimeLeft), d.NotBefore, true
 		c.owe(k)
 		c.limit(k)
-		c.giveUpAfter(k, d.Until-c.now())
-	case recovery.Adopt:
+		c.giveUpAfter(k, d.ResumeDeadline-c.now())
+	case recovery.AdoptCall:
 		k.state, k.answer = stands, d.Answer
 		c.standing[k.Caller]++
 		c.unchecked = append(c.unchecked, k)
-		if d.Until > 0 {
-			c.claimWithin(k, d.Until-c.now())
+		if d.ResumeDeadline > 0 {
+			c.claimWithin(k, d.ResumeDeadline-c.now())
 		}
-	case recovery.Tell:
+	case recovery.NotifyCaller:
 		c.recall(k, k.sentAt, End{Cause: d.Cause, Reason: Reason(d.Reason), HoldOff: d.HoldOff})
-		c.lost.Over(k.ID, k.end)
-	case recovery.Keep:
+		c.lost.NotifyTerminated(k.ID, k.end)
+	case recovery.RepeatOutcome:
 		c.recall(k, k.sentAt, End{Cause: d.Cause, Reason: Reason(d.Reason), HoldOff: d.HoldOff})
-	case recovery.Fail:
+	case recovery.FailCall:
 		reason := ReasonFailed
-		if d.Left <= 0 {
+		if d.TimeLeft <= 0 {
 			reason = ReasonDeadline
 		}
 		c.recall(k, now, End{Cause: CauseTemporary, Reason: reason})
-	case recovery.Cut:
-		if d.State == recovery.Standing {
+	case recovery.ReleaseCall:
+		if d.State == recovery.StateEstablished {
 			c.recall(k, now, End{Cause: CauseTemporary, Reason: ReasonCut})
-			c.lost.Over(k.ID, k.end)
+			c.lost.NotifyTerminated(k.ID, k.end)
 			break
 		}
 		c.recall(k, now, End{Cause: CauseTemporary, Reason: ReasonFailed})
@@ -134,7 +134,7 @@
 			continue
 		}
 		at, listed := c.place(k.server)
-		if ok, why := k.place.Stands(recovery.Place{Address: at.Address, Started: at.StartedAt, Listed: listed}); !ok {
+		if ok, why := k.place.MayStillBeEstablished(recovery.ListEntry{Address: at.Address, Started: at.StartedAt, Listed: listed}); !ok {
 			c.log.Info("call of an earlier process is cut", "id", k.ID, "server", k.server, "why", why)
 			c.recovered.Cut++
 			c.finish(k, CauseTemporary, nil)
@@ -160,7 +160,7 @@
 	k.orphan = c.loop.After(d, func() {
 		if k.state == s && k.Caller == c.lost {
 			c.log.Info("nobody came back for a call", "id", k.ID, "stood", s == stands)
-			c.GiveUp(c.lost, k.ID, cause)
+			c.CallerReleased(c.lost, k.ID, cause)
 			then()
 		}
 	})
@@ -169,7 +169,7 @@
 // lose keeps an open call whose connection has closed for its caller to come back.
 func (c *Core) lose(k *record) {
 	c.move(k, c.lost)
-	c.giveUpAfter(k, min(recovery.ResumeWithin, time.Until(k.Deadline)))
+	c.giveUpAfter(k, min(recovery.PendingResumeTimeout, time.Until(k.Deadline)))
 }
 
 // move gives a call to another caller.
@@ -189,27 +189,27 @@
 	}
 }
 
-// Claim is a caller's word that a call of another connection is its own.
-type Claim struct {
+// ResumeRequest is a caller's word that a call of another connection is its own.
+type ResumeRequest struct {
 	Caller    Caller
 	ID, Token string
 	Answered  bool
-	By        time.Time // when its caller gives an open call up; zero if it does not say so
+	Deadline  time.Time // when its caller gives an open call up; zero if it does not say so
 }
 
 // maxClaims bounds claims that wait for a predecessor to end: as many as its callers can have had.
 const maxClaims = 16 << 10
 
-// ErrTooManyClaims ends a connection whose claims cannot even wait. What it claims can be claimed again.
-var ErrTooManyClaims = errors.New("too many calls are resumed at once")
+// ErrTooManyResumes ends a connection whose claims cannot even wait. What it claims can be claimed again.
+var ErrTooManyResumes = errors.New("too many calls are resumed at once")
 
-// Claim is a caller's word that a call is its own, on whatever connection it has now. It gets what it is owed: the final
+// ResumeCall is a caller's word that a call is its own, on whatever connection it has now. It gets what it is owed: the final
 // answer if there is one, the one to come if not, and the end of a call that stands. An error calls for the end of its
 // connection.
-func (c *Core) Claim(claim Claim) error {
+func (c *Core) ResumeCall(claim ResumeRequest) error {
 	if c.awaitsLedger {
 		if len(c.claims) >= maxClaims {
-			return ErrTooManyClaims
+			return ErrTooManyResumes
 		}
 		c.claims = append(c.claims, claim)
 		c.unlessFound(claim, func() { c.ledgerTooLate(claim) })
@@ -220,11 +220,11 @@
 	if (k == nil || k.moving) && c.want(claim) {
 		return nil
 	}
-	if k == nil || !recovery.Claims(token, k.Token) {
+	if k == nil || !recovery.TokenMatches(token, k.Token) {
 		c.unknown(caller, id, token, k == nil)
 		return nil
 	}
-	c.recovered.Claimed++
+	c.recovered.Resumed++
 	k.claimedAt = time.Now()
 	endlog.Call(c.log, endlog.CameBack, id, endlog.Server(k.server), slog.String(endlog.StateKey, k.state.String()))
 	switch {
@@ -257,7 +257,7 @@
 		if k.Caller != caller {
 			c.move(k, caller)
 		}
-		c.shorten(k, claim.By)
+		c.shorten(k, claim.Deadline)
 		if k.parked {
 			k.parked = false
 			class := c.class(k.Class)
@@ -283,14 +283,14 @@
 }
 
 // unlessFound has tooLate run before the caller of a claim gives up, if it says when that is.
-func (c *Core) unlessFound(claim Claim, tooLate func()) {
-	if !claim.Answered && !claim.By.IsZero() {
-		c.loop.After(max(time.Until(claim.By)-early, 0), tooLate)
+func (c *Core) unlessFound(claim ResumeRequest, tooLate func()) {
+	if !claim.Answered && !claim.Deadline.IsZero() {
+		c.loop.After(max(time.Until(claim.Deadline)-early, 0), tooLate)
 	}
 }
 
 // ledgerTooLate tells a caller whose time is over that nothing is known of its call, as a predecessor has the ledger still.
-func (c *Core) ledgerTooLate(claim Claim) {
+func (c *Core) ledgerTooLate(claim ResumeRequest) {
 	i := slices.Index(c.claims, claim)
 	if i < 0 {
 		return
@@ -306,7 +306,7 @@
 		// Nothing is known of it, so nobody will ever be told of it: it must not stand anywhere.
 		c.dispatchers.Release("", id, CauseNormal)
 		c.knowOver(id)
-		c.calls[id].Token, c.calls[id].end = recovery.Hash(token), End{Cause: CauseTemporary, Reason: ReasonUnknown}
+		c.calls[id].Token, c.calls[id].end = recovery.HashToken(token), End{Cause: CauseTemporary, Reason: ReasonUnknown}
 	}
 	caller.End(id, End{Cause: CauseTemporary, Reason: ReasonUnknown})
 }
@@ -315,8 +315,8 @@
 // meanwhile, as one of the two must; they are kept from then on.
 func (c *Core) AwaitLedger() { c.awaitsLedger = true }
 
-// HasLedger ends AwaitLedger.
-func (c *Core) HasLedger() {
+// LedgerAvailable ends AwaitLedger.
+func (c *Core) LedgerAvailable() {
 	if !c.awaitsLedger {
 		return
 	}
@@ -324,14 +324,14 @@
 	claims := c.claims
 	c.claims = nil
 	for _, claim := range claims {
-		if err := c.Claim(claim); err != nil {
+		if err := c.ResumeCall(claim); err != nil {
 			c.log.Error("claim that cannot be served", "id", claim.ID, "err", err)
 		}
 	}
 }
 
-// RecoveredState is what became of the calls of an earlier process.
-func (c *Core) RecoveredState() Recovered {
+// RecoveryStatus is what became of the calls of an earlier process.
+func (c *Core) RecoveryStatus() RecoveryStatus {
 	r := c.recovered
 	for _, k := range c.calls {
 		if k.parked && k.state == open {
@@ -339,16 +339,16 @@
 		}
 	}
 	if c.durable != nil {
-		r.NotKept = c.durable.why
+		r.NotPersisted = c.durable.why
 	}
 	return r
 }
 
-// RecoveryFigures are as much in figures.
-func (c *Core) RecoveryFigures() []*dto.MetricFamily {
+// RecoveryMetrics are as much in figures.
+func (c *Core) RecoveryMetrics() []*dto.MetricFamily {
 	counts := map[string]uint64{}
-	for _, act := range slices.Sorted(maps.Keys(c.recovered.Acts)) {
-		counts[act] = uint64(c.recovered.Acts[act])
+	for _, act := range slices.Sorted(maps.Keys(c.recovered.Actions)) {
+		counts[act] = uint64(c.recovered.Actions[act])
 	}
 	if len(counts) == 0 {
 		counts["none"] = 0
@@ -356,7 +356,7 @@
 	return []*dto.MetricFamily{
 		telemetry.Counters("recovered_total", "Calls of an earlier process, by what was done with them.", "act", counts),
 		telemetry.Counter("recovered_cut_total", "Calls of an earlier process that stood where they can't stand any more.", uint64(c.recovered.Cut)),
-		telemetry.Counter("resumed_total", "Calls given to callers that came back.", uint64(c.recovered.Claimed)),
+		telemetry.Counter("resumed_total", "Calls given to callers that came back.", uint64(c.recovered.Resumed)),
 		telemetry.Counter("resumed_unknown_total", "Calls that callers came back for and that are not known.", uint64(c.recovered.Unknown)),
 		telemetry.Gauge("recovery_seconds", "Time that taking them up took.", float64(c.recovered.TookUs)/1e6),
 	}
--- a/internal/call/recover_test.go
+++ b/internal/call/recover_test.go
@@ -22,12 +22,12 @@
 func (s *stage) say(format string, args ...any) {
 	s.said = append(s.said, fmt.Sprintf(format, args...))
 }
-func (s *stage) Quiet() bool                                  { return true }
-func (s *stage) Open() int                                    { return 1 }
+func (s *stage) Idle() bool                                   { return true }
+func (s *stage) Connections() int                             { return 1 }
 func (s *stage) Answer(id, d string) error                    { s.say("answer %s %s", id, d); return nil }
 func (s *stage) End(id string, e End)                         { s.say("end %s %d %s", id, e.Cause, e.Reason) }
-func (s *stage) Left() bool                                   { return false }
-func (s *stage) Over(id string, e End)                        { s.say("over %s %d %s", id, e.Cause, e.Reason) }
+func (s *stage) Disconnected() bool                           { return false }
+func (s *stage) NotifyTerminated(id string, e End)            { s.say("over %s %d %s", id, e.Cause, e.Reason) }
 func (s *stage) SetUp(server control.ServerID, a SetUp)       { s.say("set-up %s", a.ID) }
 func (s *stage) Release(_ control.ServerID, id string, _ int) { s.say("dispatchers release %s", id) }
 
@@ -50,36 +50,38 @@
 	}{
 		"open, an attempt out": {
 			func(now time.Duration) []recovery.Event {
-				return []recovery.Event{taken(id, now), event(recovery.Sent, id, now)}
+				return []recovery.Event{taken(id, now), event(recovery.KindAttemptSent, id, now)}
 			}, nil, []string{"dispatchers release " + id}, []string{"set-up " + id}, map[string]int{"await": 1}},
 		"stands": {
 			func(now time.Duration) []recovery.Event {
-				return []recovery.Event{taken(id, now), event(recovery.Sent, id, now), event(recovery.Stood, id, now)}
+				return []recovery.Event{taken(id, now), event(recovery.KindAttemptSent, id, now), event(recovery.KindEstablished, id, now)}
 			}, nil, nil, []string{"answer " + id + " y"}, map[string]int{"adopt": 1}},
 		"stands at one that has gone": {
 			func(now time.Duration) []recovery.Event {
-				e := event(recovery.Stood, id, now)
+				e := event(recovery.KindEstablished, id, now)
 				e.Server = "gone"
-				return []recovery.Event{taken(id, now), event(recovery.Sent, id, now), e}
+				return []recovery.Event{taken(id, now), event(recovery.KindAttemptSent, id, now), e}
 			}, nil, []string{"front " + id + " 41 cut"}, []string{"end " + id + " 41 cut"}, map[string]int{"adopt": 1}},
 		"ended, perhaps not told": {
 			func(now time.Duration) []recovery.Event {
-				e := event(recovery.Over, id, now)
+				e := event(recovery.KindTerminated, id, now)
 				e.Cause, e.Reason = 16, "ended"
-				return []recovery.Event{taken(id, now), event(recovery.Sent, id, now), event(recovery.Stood, id, now), e}
+				return []recovery.Event{taken(id, now), event(recovery.KindAttemptSent, id, now), event(recovery.KindEstablished, id, now), e}
 			}, []string{"front " + id + " 16 ended"}, nil, []string{"end " + id + " 16 ended"}, map[string]int{"tell": 1}},
 		"refused": {
 			func(now time.Duration) []recovery.Event {
-				e := event(recovery.Final, id, now)
+				e := event(recovery.KindRejected, id, now)
 				e.Cause, e.Reason = 42, "refused"
 				return []recovery.Event{taken(id, now), e}
 			}, nil, nil, []string{"end " + id + " 42 refused"}, map[string]int{"keep": 1}},
 		"out of time": {
 			func(now time.Duration) []recovery.Event {
-				return []recovery.Event{taken(id, now-time.Minute), event(recovery.Sent, id, now-time.Minute)}
+				return []recovery.Event{taken(id, now-time.Minute), event(recovery.KindAttemptSent, id, now-time.Minute)}
 			}, nil, []string{"dispatchers release " + id}, []string{"end " + id + " 41 deadline"}, map[string]int{"fail": 1}},
 		"doubtful, and stands": {
-			func(now time.Duration) []recovery.Event { return []recovery.Event{event(recovery.Stood, id, now)} },
+			func(now time.Duration) []recovery.Event {
+				return []recovery.Event{event(recovery.KindEstablished, id, now)}
+			},
 			[]string{"front " + id + " 41 cut"}, []string{"dispatchers release " + id}, []string{"end " + id + " 41 unknown"}, map[string]int{"cut": 1}},
 		"nothing is known": {
 			func(time.Duration) []recovery.Event { return nil },
@@ -88,9 +90,9 @@
 		t.Run(name, func(t *testing.T) {
 			core := newSite(t).core
 			s := &stage{core: core}
-			core.Serve(s)
+			core.SetDispatchers(s)
 			core.AddFront(atFront{s})
-			b := recovery.NewBook()
+			b := recovery.NewCallTable()
 			for _, e := range test.events(core.now()) {
 				b.Apply(e)
 			}
@@ -104,21 +106,21 @@
 			}
 			core.Recover(b, nil)
 			expect("at once", test.atOnce)
-			core.Update(Update{Whole: true, Servers: []Server{{ServerEntry: control.ServerEntry{ID: "a"}, Address: "127.0.0.1:1"}}})
+			core.Update(Update{Complete: true, Servers: []Server{{ServerEntry: control.ServerEntry{ID: "a"}, Address: "127.0.0.1:1"}}})
 			expect("when the list has come", test.listed)
-			if err := core.Claim(Claim{Caller: s, ID: id, Token: callToken}); err != nil {
+			if err := core.ResumeCall(ResumeRequest{Caller: s, ID: id, Token: callToken}); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(guard + 20*time.Millisecond) // an attempt waits for the guard
 			core.tell(control.Woken{})
 			expect("when its caller comes", test.claimed)
-			if err := core.Claim(Claim{Caller: s, ID: id, Token: callToken}); err != nil {
+			if err := core.ResumeCall(ResumeRequest{Caller: s, ID: id, Token: callToken}); err != nil {
 				t.Fatal(err)
 			}
 			if test.acts["fail"]+test.acts["keep"]+test.acts["await"]+test.acts["adopt"] > 0 {
 				expect("when it comes again", nil)
 			}
-			if diff := cmp.Diff(test.acts, core.RecoveredState().Acts); diff != "" {
+			if diff := cmp.Diff(test.acts, core.RecoveryStatus().Actions); diff != "" {
 				t.Errorf("acts (-want +got):\n%s", diff)
 			}
 		})
@@ -126,8 +128,8 @@
 }
 
 func taken(id string, at time.Duration) recovery.Event {
-	e := event(recovery.Took, id, at)
-	e.Class, e.Called, e.Description, e.Token = "c", "k", "x", recovery.Hash(callToken)
+	e := event(recovery.KindAccepted, id, at)
+	e.Class, e.Called, e.Description, e.Token = "c", "k", "x", recovery.HashToken(callToken)
 	e.DeadlineUs = (at + 9*time.Second).Microseconds()
 	return e
 }
@@ -135,7 +137,7 @@
 // event is one of a call that is at dispatcher a.
 func event(kind recovery.Kind, id string, at time.Duration) recovery.Event {
 	e := recovery.Event{Kind: kind, ID: id, AtUs: at.Microseconds()}
-	if kind == recovery.Sent || kind == recovery.Stood {
+	if kind == recovery.KindAttemptSent || kind == recovery.KindEstablished {
 		e.Server, e.Address, e.Description = "a", "127.0.0.1:1", "y"
 	}
 	return e
@@ -145,22 +147,22 @@
 func TestNobodyComesBack(t *testing.T) {
 	core := newSite(t).core
 	s := &stage{core: core}
-	core.Serve(s)
+	core.SetDispatchers(s)
 	core.AddFront(atFront{s})
-	b := recovery.NewBook()
-	for n, kind := range []recovery.Kind{recovery.Sent, recovery.Stood} {
+	b := recovery.NewCallTable()
+	for n, kind := range []recovery.Kind{recovery.KindAttemptSent, recovery.KindEstablished} {
 		id := fmt.Sprintf("%016x", n+1)
 		b.Apply(taken(id, core.now()))
-		b.Apply(event(recovery.Sent, id, core.now()))
-		if kind == recovery.Stood {
+		b.Apply(event(recovery.KindAttemptSent, id, core.now()))
+		if kind == recovery.KindEstablished {
 			b.Apply(event(kind, id, core.now()))
 		}
 	}
 	loop := core.Loop()
 	loop.Post(func() {
 		core.Recover(b, nil)
-		core.Update(Update{Whole: true, Servers: []Server{{ServerEntry: control.ServerEntry{ID: "a"}, Address: "127.0.0.1:1"}}})
-		loop.After(recovery.ClaimWithin+200*time.Millisecond, loop.Quit)
+		core.Update(Update{Complete: true, Servers: []Server{{ServerEntry: control.ServerEntry{ID: "a"}, Address: "127.0.0.1:1"}}})
+		loop.After(recovery.EstablishedResumeTimeout+200*time.Millisecond, loop.Quit)
 	})
 	loop.Run()
 	// The first is released when the list comes, as whatever was open is; it goes nowhere.
@@ -180,20 +182,20 @@
 	site := newSite(t)
 	core := site.core
 	s := &stage{core: core}
-	core.Serve(s)
+	core.SetDispatchers(s)
 	core.AddFront(atFront{s})
-	b := recovery.NewBook()
+	b := recovery.NewCallTable()
 	b.Apply(taken(id, core.now()))
 	core.Recover(b, nil)
-	core.Update(Update{Whole: true, Servers: []Server{{ServerEntry: control.ServerEntry{ID: "a"}, Address: "127.0.0.1:1"}}})
+	core.Update(Update{Complete: true, Servers: []Server{{ServerEntry: control.ServerEntry{ID: "a"}, Address: "127.0.0.1:1"}}})
 	core.turn()
 	other := *site.settings
 	other.RequestClasses = slices.Clone(other.RequestClasses)
 	other.RequestClasses[0].Name = "another"
-	if err := core.Retune(&other); err != nil {
+	if err := core.Reconfigure(&other); err != nil {
 		t.Fatal(err)
 	}
-	if err := core.Claim(Claim{Caller: s, ID: id, Token: callToken}); err != nil {
+	if err := core.ResumeCall(ResumeRequest{Caller: s, ID: id, Token: callToken}); err != nil {
 		t.Fatal(err)
 	}
 	core.turn()
--- a/internal/call/retune.go
+++ b/internal/call/retune.go
@@ -6,14 +6,14 @@
 	"cherryrelay/internal/settings"
 )
 
-// Retune gives the core and its module other settings; with an error, nothing changes. Calls keep the class they came with.
-func (c *Core) Retune(s *settings.Settings) error {
-	decisions, err := s.Control()
+// Reconfigure gives the core and its module other settings; with an error, nothing changes. Calls keep the class they came with.
+func (c *Core) Reconfigure(s *settings.Settings) error {
+	decisions, err := s.ControlSettings()
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	c.consult() // set-ups that have come already name their class by its place in the old settings
-	if err := c.module.Retune(c.selection.scaled(decisions)); err != nil {
+	if err := c.module.UpdateSettings(c.selection.scaled(decisions)); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	c.decisions = decisions
@@ -21,8 +21,8 @@
 	return nil
 }
 
-// Reloaded counts a configuration that was taken or turned down.
-func (c *Core) Reloaded(taken bool) {
+// CountReload counts a configuration that was taken or turned down.
+func (c *Core) CountReload(taken bool) {
 	if taken {
 		c.figures.ReloadsOK++
 	} else {
--- a/internal/call/selection.go
+++ b/internal/call/selection.go
@@ -59,15 +59,15 @@
 	gone  []control.ServerID // of a whole list: those that it does not name
 }
 
-// Select has the core connect to a subset of the list alone. It comes before the first list; the options must pass their Check.
-func (c *Core) Select(o subset.Options) {
+// UseSubset has the core connect to a subset of the list alone. It comes before the first list; the options must pass their Check.
+func (c *Core) UseSubset(o subset.Options) {
 	o = o.WithDefaults()
 	c.selection = &selection{
-		core: c, size: o.Size, quiet: o.Quiet, subset: subset.New(o), entries: map[control.ServerID]Server{}, was: true,
+		core: c, size: o.Size, quiet: o.ShrinkAfter, subset: subset.New(o), entries: map[control.ServerID]Server{}, was: true,
 		told: map[control.ServerID]bool{}, lingers: map[control.ServerID]bool{}, waiting: map[*record]time.Duration{},
-		peers: c.decisions.Peers,
+		peers: c.decisions.Nodes,
 	}
-	c.AddFigures(c.selection.figures)
+	c.AddMetrics(c.selection.figures)
 }
 
 // place is the list's line of a dispatcher, in the subset or not.
@@ -94,7 +94,7 @@
 		return true
 	}
 	c := &listChange{Update: u}
-	if u.Whole {
+	if u.Complete {
 		c.named = make(map[control.ServerID]bool, len(u.Servers))
 	}
 	if len(s.queue) == 0 {
@@ -125,15 +125,15 @@
 		return false
 	}
 	n := len(s.entries)
-	if u.Whole {
+	if u.Complete {
 		n = 0
 	}
 	for _, e := range u.Servers {
 		_, known := s.entries[e.ID]
 		switch {
-		case e.Status != control.Removed && (u.Whole || !known):
+		case e.Status != control.Removed && (u.Complete || !known):
 			n++
-		case e.Status == control.Removed && known && !u.Whole:
+		case e.Status == control.Removed && known && !u.Complete:
 			n--
 		}
 	}
@@ -148,7 +148,7 @@
 		s.apply(e)
 	}
 	for id := range s.entries {
-		if u.Whole && !named[id] {
+		if u.Complete && !named[id] {
 			s.forget(id)
 		}
 	}
@@ -157,7 +157,7 @@
 	for id := range s.entries {
 		s.told[id] = true
 	}
-	s.whole = s.whole || u.Whole
+	s.whole = s.whole || u.Complete
 	s.core.take(u)
 	s.retune()
 }
@@ -166,7 +166,7 @@
 func (s *selection) work() {
 	until := time.Now().Add(sliceTime)
 	for len(s.queue) > 0 && s.advance(s.queue[0], until) {
-		s.whole = s.whole || s.queue[0].Whole
+		s.whole = s.whole || s.queue[0].Complete
 		s.queue = s.queue[1:]
 	}
 	if s.core.listed || s.whole || len(s.queue) == 0 {
@@ -190,7 +190,7 @@
 			return false
 		}
 	}
-	if c.Whole && !c.swept {
+	if c.Complete && !c.swept {
 		for id := range s.entries {
 			if !c.named[id] {
 				c.gone = append(c.gone, id)
@@ -261,7 +261,7 @@
 	if s.whole && !s.core.listed {
 		u = s.first()
 	}
-	if u.Whole || len(u.Servers) > 0 {
+	if u.Complete || len(u.Servers) > 0 {
 		s.core.take(u)
 	}
 	s.retune()
@@ -286,13 +286,13 @@
 }
 
 func lingering(e Server) Server {
-	e.Status, e.Lingers = control.Removed, true
+	e.Status, e.CallsContinue = control.Removed, true
 	return e
 }
 
 // first is the first whole list that the core is told.
 func (s *selection) first() Update {
-	u := Update{Whole: true}
+	u := Update{Complete: true}
 	for id := range s.told {
 		u.Servers = append(u.Servers, s.entries[id])
 	}
@@ -330,7 +330,7 @@
 		return
 	}
 	if e, listed := s.entries[id]; listed {
-		s.subset.Use(s.core.now(), e.Cell)
+		s.subset.UseCell(s.core.now(), e.Cell)
 		s.flushNeed()
 	}
 }
@@ -352,14 +352,14 @@
 	}
 	now := s.core.now()
 	s.waiting[k] = max(now, k.notBefore)
-	s.subset.Use(now, k.FirstCell)
+	s.subset.UseCell(now, k.FirstCell)
 	places := 0
 	for _, cell := range class.Cells {
 		if places >= s.size {
 			break
 		}
-		s.subset.Use(now, cell)
-		places += s.subset.InCell(cell)
+		s.subset.UseCell(now, cell)
+		places += s.subset.CountInCell(cell)
 	}
 	s.flushNeed()
 }
@@ -367,7 +367,7 @@
 // flushNeed tells what need has changed, and has it given back some day.
 func (s *selection) flushNeed() {
 	s.flush()
-	if s.resting == nil && !s.subset.Resting() {
+	if s.resting == nil && !s.subset.AtBaseSize() {
 		s.resting = s.core.loop.After(max(time.Duration(restShare*float64(s.quiet)), time.Millisecond), s.rest)
 	}
 }
@@ -375,7 +375,7 @@
 // rest gives back what is not needed any more.
 func (s *selection) rest() {
 	s.resting = nil
-	s.subset.Rest(s.core.now(), s.sound)
+	s.subset.Shrink(s.core.now(), s.sound)
 	s.flushNeed()
 }
 
@@ -412,7 +412,7 @@
 		return false
 	}
 	now := s.core.now()
-	needed := s.refused && s.subset.Scarce(s.sound)
+	needed := s.refused && s.subset.TooFewUsable(s.sound)
 	s.refused = false
 	for k, since := range s.waiting {
 		switch {
@@ -462,10 +462,10 @@
 // refusal where it may have run.
 func (k *record) repeatable(class *control.Class) bool {
 	switch {
-	case k.ranSince.IsZero() || class.Effect == control.Safe:
+	case k.ranSince.IsZero() || class.Idempotency == control.Idempotent:
 		return true
-	case class.Effect == control.Keyed && class.Scope == control.ScopeAll:
-		return k.Deadline.Sub(k.ranSince) < class.Window
+	case class.Idempotency == control.IdempotentByKey && class.DedupScope == control.DedupAll:
+		return k.Deadline.Sub(k.ranSince) < class.DedupWindow
 	}
 	return false
 }
@@ -479,8 +479,8 @@
 		return d
 	}
 	if listed := s.subset.Active(); !s.all() && listed > 0 {
-		users := math.Ceil(float64(d.Peers) * float64(s.subset.Len()) / float64(listed))
-		d.Peers = min(d.Peers, max(int(users), 1))
+		users := math.Ceil(float64(d.Nodes) * float64(s.subset.Len()) / float64(listed))
+		d.Nodes = min(d.Nodes, max(int(users), 1))
 	}
 	return d
 }
@@ -488,11 +488,11 @@
 // retune tells the module how many controllers share a dispatcher by now.
 func (s *selection) retune() {
 	d := s.scaled(s.core.decisions)
-	if d.Peers == s.peers {
+	if d.Nodes == s.peers {
 		return
 	}
-	s.peers = d.Peers
-	if err := s.core.module.Retune(d); err != nil {
+	s.peers = d.Nodes
+	if err := s.core.module.UpdateSettings(d); err != nil {
 		s.core.log.Error("settings that the subset does not fit", "err", err) // they were checked as they were taken
 	}
 }
--- a/internal/call/selection_test.go
+++ b/internal/call/selection_test.go
@@ -26,12 +26,12 @@
 
 func newScene(t *testing.T, o *subset.Options) *scene {
 	s := &scene{site: newSite(t), start: time.Now(), known: map[control.ServerID]Server{}}
-	s.core.Serve(s)
-	s.core.Reached()
+	s.core.SetDispatchers(s)
+	s.core.DispatcherReached()
 	s.react = func(server control.ServerID, a SetUp) { s.answered(server, a) }
 	if o != nil {
 		o.Identity = "controller-1"
-		s.core.Select(*o)
+		s.core.UseSubset(*o)
 	}
 	return s
 }
@@ -52,9 +52,9 @@
 	s.site.SetUp(server, a)
 }
 
-func (s *scene) Withdraw(server control.ServerID, id string, attempt int) {
+func (s *scene) CancelAttempt(server control.ServerID, id string, attempt int) {
 	s.ask("withdraw %s/%d at %s", id, attempt, server)
-	s.site.Withdraw(server, id, attempt)
+	s.site.CancelAttempt(server, id, attempt)
 }
 
 func (s *scene) Release(server control.ServerID, id string, cause int) {
@@ -127,7 +127,7 @@
 				}
 			}
 			s.play(4*time.Second, func() {
-				s.core.Update(Update{Whole: true, Servers: servers(0, 1+rng.IntN(most))})
+				s.core.Update(Update{Complete: true, Servers: servers(0, 1+rng.IntN(most))})
 				for i := range 300 {
 					s.at(time.Duration(rng.IntN(3000))*time.Millisecond, func() {
 						s.offer(fmt.Sprint(i), rng.IntN(most), time.Duration(50+rng.IntN(800))*time.Millisecond)
@@ -167,9 +167,9 @@
 	for name, outcome := range map[string]control.Outcome{"full": control.Full, "unreachable": control.Unreachable, "silent": control.TimedOut} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newScene(t, &subset.Options{Size: 4, Most: 40, Quiet: time.Second})
+				s := newScene(t, &subset.Options{Size: 4, GrowthLimit: 40, ShrinkAfter: time.Second})
 				s.core.decisions.MaxAttempts = 0
-				if err := s.core.module.Retune(s.core.decisions); err != nil {
+				if err := s.core.module.UpdateSettings(s.core.decisions); err != nil {
 					t.Fatal(err)
 				}
 				bad := map[control.ServerID]bool{}
@@ -183,7 +183,7 @@
 					})
 				}
 				s.play(20*time.Second, func() {
-					s.core.Update(Update{Whole: true, Servers: servers(0, 100)})
+					s.core.Update(Update{Complete: true, Servers: servers(0, 100)})
 					for _, id := range s.active() {
 						bad[id] = true
 					}
@@ -219,17 +219,17 @@
 
 // TestARefusalIsNotDelayedWhereNothingCanGrow: with all dispatchers in the subset, or as many as there may be, the module's word stands.
 func TestARefusalIsNotDelayedWhereNothingCanGrow(t *testing.T) {
-	for name, o := range map[string]*subset.Options{"none": nil, "the list": {Size: 4}, "the most": {Size: 2, Most: 2}} {
+	for name, o := range map[string]*subset.Options{"none": nil, "the list": {Size: 4}, "the most": {Size: 2, GrowthLimit: 2}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newScene(t, o)
 				s.core.decisions.MaxAttempts = 2
-				if err := s.core.module.Retune(s.core.decisions); err != nil {
+				if err := s.core.module.UpdateSettings(s.core.decisions); err != nil {
 					t.Fatal(err)
 				}
 				s.react = func(server control.ServerID, a SetUp) { s.ended(server, a, control.Full) }
 				s.play(time.Second, func() {
-					s.core.Update(Update{Whole: true, Servers: servers(0, 4)})
+					s.core.Update(Update{Complete: true, Servers: servers(0, 4)})
 					s.offer("1", -1, 500*time.Millisecond)
 					s.at(20*time.Millisecond, func() {
 						if s.finals["1"] != 1 || s.setUps != 2 {
@@ -245,14 +245,14 @@
 // TestFirstChoicesBeyondTheSubset: each call goes to the dispatcher that it names, wherever that is in the list.
 func TestFirstChoicesBeyondTheSubset(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScene(t, &subset.Options{Size: 4, Most: 20, Quiet: time.Second})
+		s := newScene(t, &subset.Options{Size: 4, GrowthLimit: 20, ShrinkAfter: time.Second})
 		at := map[string]control.ServerID{}
 		s.react = func(server control.ServerID, a SetUp) {
 			at[a.ID] = server
 			s.answered(server, a)
 		}
 		s.play(time.Minute, func() {
-			s.core.Update(Update{Whole: true, Servers: servers(0, 100)})
+			s.core.Update(Update{Complete: true, Servers: servers(0, 100)})
 			for i := range 100 {
 				s.at(time.Duration(i)*10*time.Millisecond, func() { s.offer(fmt.Sprint(i), i, time.Second) })
 			}
@@ -271,9 +271,9 @@
 // TestAClassWithGroupsOfItsOwn: a class that may go to some groups alone is served though none of them is in the subset, and most are full.
 func TestAClassWithGroupsOfItsOwn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScene(t, &subset.Options{Size: 4, Most: 20})
+		s := newScene(t, &subset.Options{Size: 4, GrowthLimit: 20})
 		s.core.decisions.Classes[0].Cells = []int{7, 8, 50}
-		if err := s.core.module.Retune(s.core.decisions); err != nil {
+		if err := s.core.module.UpdateSettings(s.core.decisions); err != nil {
 			t.Fatal(err)
 		}
 		s.react = func(at control.ServerID, a SetUp) {
@@ -284,7 +284,7 @@
 			}
 		}
 		s.play(time.Second, func() {
-			s.core.Update(Update{Whole: true, Servers: servers(0, 100)})
+			s.core.Update(Update{Complete: true, Servers: servers(0, 100)})
 			s.offer("1", 7, 500*time.Millisecond)
 		})
 		if s.answers["1"] != 1 {
@@ -296,10 +296,10 @@
 // TestCallsOfADispatcherThatLeavesTheSubset: they go on, and what the list says of it later is told as ever.
 func TestCallsOfADispatcherThatLeavesTheSubset(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScene(t, &subset.Options{Size: 4, Most: 20, Quiet: time.Second})
+		s := newScene(t, &subset.Options{Size: 4, GrowthLimit: 20, ShrinkAfter: time.Second})
 		var out []control.ServerID
 		s.play(time.Minute, func() {
-			s.core.Update(Update{Whole: true, Servers: servers(0, 100)})
+			s.core.Update(Update{Complete: true, Servers: servers(0, 100)})
 			base := s.active()
 			for i := range 100 { // three that are not in the subset by themselves
 				if id := server(i).ID; len(out) < 3 && !slices.Contains(base, id) {
@@ -309,8 +309,8 @@
 			}
 			s.at(10*time.Second, func() {
 				for _, id := range out {
-					if e := s.known[id]; e.Status != control.Removed || !e.Lingers || s.core.Standing(id) != 1 {
-						t.Errorf("%s after the quiet: %+v, %d calls stand", id, e, s.core.Standing(id))
+					if e := s.known[id]; e.Status != control.Removed || !e.CallsContinue || s.core.EstablishedCount(id) != 1 {
+						t.Errorf("%s after the quiet: %+v, %d calls stand", id, e, s.core.EstablishedCount(id))
 					}
 				}
 				s.core.Released(out[0], string(out[0]), 0, CauseNormal, nil)
@@ -322,10 +322,10 @@
 				removed := as(s.core.selection.entries[out[2]], control.Removed)
 				removed.Address = ""
 				s.core.Update(Update{Servers: []Server{renewed, removed}})
-				if e := s.known[out[1]]; e.StartedAt != renewed.StartedAt || e.Status != control.Removed || !e.Lingers {
+				if e := s.known[out[1]]; e.StartedAt != renewed.StartedAt || e.Status != control.Removed || !e.CallsContinue {
 					t.Errorf("one that began anew: %+v", e)
 				}
-				if e := s.known[out[2]]; e.Status != control.Removed || e.Lingers {
+				if e := s.known[out[2]]; e.Status != control.Removed || e.CallsContinue {
 					t.Errorf("one that is gone: %+v", e)
 				}
 			})
@@ -338,7 +338,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newScene(t, &subset.Options{Size: 4})
 		s.play(time.Second, func() {
-			s.core.Update(Update{Whole: true, Servers: servers(0, 100)})
+			s.core.Update(Update{Complete: true, Servers: servers(0, 100)})
 			inside := s.active()
 			n := len(s.asked)
 			for i := range 100 {
@@ -360,12 +360,12 @@
 			if now := s.active(); !slices.Equal(now, inside) {
 				t.Errorf("%v after its return, %v before", now, inside)
 			}
-			s.core.Update(Update{Whole: true, Servers: servers(0, 3)}) // now the list is no longer than the subset
+			s.core.Update(Update{Complete: true, Servers: servers(0, 3)}) // now the list is no longer than the subset
 			if now := s.active(); len(now) != 3 {
 				t.Errorf("%v of a list of three", now)
 			}
 			for _, id := range inside {
-				if e := s.known[id]; s.core.selection.entries[id].ID == "" && (e.Status != control.Removed || e.Lingers) {
+				if e := s.known[id]; s.core.selection.entries[id].ID == "" && (e.Status != control.Removed || e.CallsContinue) {
 					t.Errorf("%+v is off the list", e)
 				}
 			}
@@ -376,10 +376,10 @@
 // TestASubsetThatNobodyAnswersGrowsWithoutCalls: until some dispatcher is reached, nobody calls.
 func TestASubsetThatNobodyAnswersGrowsWithoutCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScene(t, &subset.Options{Size: 4, Most: 12, Quiet: time.Minute})
+		s := newScene(t, &subset.Options{Size: 4, GrowthLimit: 12, ShrinkAfter: time.Minute})
 		s.core.reached = false
 		s.play(10*time.Second, func() {
-			s.core.Update(Update{Whole: true, Servers: servers(0, 100)})
+			s.core.Update(Update{Complete: true, Servers: servers(0, 100)})
 			for i, want := range []int{4, 8, 12, 12} {
 				s.at(time.Duration(i)*reachWithin+time.Millisecond, func() {
 					if n := len(s.active()); n != want {
@@ -399,8 +399,8 @@
 	rounds := 0
 	s.core.OnFlush(func() { rounds++ })
 	s.play(time.Minute, func() {
-		s.core.Update(Update{Whole: true, Servers: servers(0, n)})
-		s.core.Update(Update{Whole: true, Servers: servers(n/2, n+n/2)})
+		s.core.Update(Update{Complete: true, Servers: servers(0, n)})
+		s.core.Update(Update{Complete: true, Servers: servers(n/2, n+n/2)})
 		s.core.Update(Update{Servers: []Server{as(server(n), control.Removed), as(server(n+1), control.Draining)}})
 		var look func()
 		look = func() {
@@ -431,13 +431,13 @@
 func TestPeersAreThoseOfOneDispatcher(t *testing.T) {
 	s := newScene(t, &subset.Options{Size: 10})
 	d := s.core.decisions
-	d.Peers = 100
+	d.Nodes = 100
 	for _, test := range []struct{ listed, want int }{{5, 100}, {10, 100}, {50, 20}, {200, 5}, {3, 100}} {
-		s.core.Update(Update{Whole: true, Servers: servers(0, test.listed)})
+		s.core.Update(Update{Complete: true, Servers: servers(0, test.listed)})
 		for len(s.core.selection.queue) > 0 {
 			s.core.loop.takeIn()
 		}
-		if got := s.core.selection.scaled(d).Peers; got != test.want {
+		if got := s.core.selection.scaled(d).Nodes; got != test.want {
 			t.Errorf("%d listed: %d peers, not %d", test.listed, got, test.want)
 		}
 	}
@@ -458,7 +458,7 @@
 			for b.Loop() {
 				b.StopTimer()
 				s := newSite(new(testing.T))
-				s.core.Select(subset.Options{Identity: "controller-1"})
+				s.core.UseSubset(subset.Options{Identity: "controller-1"})
 				settle := func(u Update) {
 					hold(func() { s.core.Update(u) })
 					for s.core.turn(); len(s.core.selection.queue) > 0; {
@@ -468,7 +468,7 @@
 						})
 					}
 				}
-				settle(Update{Whole: true, Servers: servers(0, n)})
+				settle(Update{Complete: true, Servers: servers(0, n)})
 				u := Update{Servers: servers(0, 3000)}
 				for i := range u.Servers {
 					if i%2 == 0 {
--- a/internal/call/succession.go
+++ b/internal/call/succession.go
@@ -15,17 +15,17 @@
 	emptyWithin = 2500 * time.Millisecond
 )
 
-// Await has the core take no callers while a predecessor serves them: it is not ready until Begin.
-func (c *Core) Await() { c.waits = true }
+// AwaitPredecessor has the core take no callers while a predecessor serves them: it is not ready until Begin.
+func (c *Core) AwaitPredecessor() { c.waits = true }
 
-// Waits reports whether a predecessor still serves.
-func (c *Core) Waits() bool { return c.waits }
+// AwaitsPredecessor reports whether a predecessor still serves.
+func (c *Core) AwaitsPredecessor() bool { return c.waits }
 
-// Able reports whether calls can be placed, so that Begin may come.
-func (c *Core) Able() bool { return c.able() }
+// CanPlaceCalls reports whether calls can be placed, so that Begin may come.
+func (c *Core) CanPlaceCalls() bool { return c.able() }
 
-// Begin ends Await.
-func (c *Core) Begin() { c.waits = false }
+// StartServing ends Await.
+func (c *Core) StartServing() { c.waits = false }
 
 // Supersede tells that a successor serves callers now. Set-ups that were taken are answered here, ends of calls are told
 // through relay, as long as it takes them, and then the process ends.
@@ -44,8 +44,8 @@
 	}
 }
 
-// Resume takes callers again: the successor is no more.
-func (c *Core) Resume() {
+// SuccessorEnded takes callers again: the successor is no more.
+func (c *Core) SuccessorEnded() {
 	if c.Superseded() {
 		c.superseded, c.relay = time.Time{}, nil
 		if c.byItself && !c.left {
@@ -61,18 +61,18 @@
 // keepsCallers reports whether a superseded process that ends still has connections on which something may arrive.
 func (c *Core) keepsCallers() bool {
 	return c.Superseded() && time.Since(c.draining) < emptyWithin &&
-		slices.ContainsFunc(c.fronts, func(f Front) bool { return f.Open() > 0 })
+		slices.ContainsFunc(c.fronts, func(f Front) bool { return f.Connections() > 0 })
 }
 
 // tellOver tells a caller that a call that stood has ended; with a successor, that one does, as callers are there.
 func (c *Core) tellOver(caller Caller, id string, end End) {
-	if !c.HandOver(id, end) {
-		caller.Over(id, end)
+	if !c.RelayToSuccessor(id, end) {
+		caller.NotifyTerminated(id, end)
 	}
 }
 
-// HandOver leaves the end of a call to the successor, and reports whether that has taken it. It is false without one.
-func (c *Core) HandOver(id string, end End) bool {
+// RelayToSuccessor leaves the end of a call to the successor, and reports whether that has taken it. It is false without one.
+func (c *Core) RelayToSuccessor(id string, end End) bool {
 	if c.relay != nil && c.relay(id, end) {
 		endlog.Call(c.log, endlog.ToSuccessor, id)
 		return true
@@ -80,8 +80,8 @@
 	return false
 }
 
-// Standings calls f for each call that stands, in the order of their ids.
-func (c *Core) Standings(f func(id string, server control.ServerID)) {
+// EachEstablishedCall calls f for each call that stands, in the order of their ids.
+func (c *Core) EachEstablishedCall(f func(id string, server control.ServerID)) {
 	var ids []string
 	for id, k := range c.calls {
 		if k.state == stands {
@@ -108,9 +108,9 @@
 
 func (h *heir) Answer(string, string) error { return nil } // none of its calls is open
 func (h *heir) End(string, End)             {}
-func (h *heir) Left() bool                  { return false }
+func (h *heir) Disconnected() bool          { return false }
 
-func (h *heir) Over(id string, end End) {
+func (h *heir) NotifyTerminated(id string, end End) {
 	for _, f := range h.core.fronts {
 		f.Release(id, end)
 	}
--- a/internal/call/takeover.go
+++ b/internal/call/takeover.go
@@ -16,39 +16,39 @@
 
 // Finder has the calls of lost controllers, and passes on those of living ones; *takeover.Room is one.
 type Finder interface {
-	// Want has a call looked for; Arrived or Missing tells how that came out.
-	Want(id string, token []byte) bool
-	// Kept tells that calls which arrived are in the own ledger.
-	Kept(ids ...string)
-	// Ended tells the end of a call that is not held here.
-	Ended(id string, cause int)
-	// Give has a call's file written; Given tells when it is. Gone tells that the call is held here no more.
-	Give(c *takeover.Call) error
-	Gone(ids ...string)
+	// Lookup has a call looked for; Arrived or Missing tells how that came out.
+	Lookup(id string, token []byte) bool
+	// Persisted tells that calls which arrived are in the own ledger.
+	Persisted(ids ...string)
+	// Terminated tells the end of a call that is not held here.
+	Terminated(id string, cause int)
+	// Transfer has a call's file written; Given tells when it is. Gone tells that the call is held here no more.
+	Transfer(c *takeover.Call) error
+	Transferred(ids ...string)
 }
 
 // passing is the core's part in calls that pass between controllers.
 type passing struct {
 	finder  Finder
-	certain func() bool        // whether this process has its name for itself, as far as is known
-	letGo   func(error)        // does not return: this process begins anew
-	held    bool               // calls have been kept: another controller may take them
-	claims  map[string][]Claim // that wait for their call to be found
-	waiting map[Caller]int     // how many of each
-	kept    []string           // arrived, and not told to be kept
-	gone    []string           // let go, and not told to be gone
+	certain func() bool                // whether this process has its name for itself, as far as is known
+	letGo   func(error)                // does not return: this process begins anew
+	held    bool                       // calls have been kept: another controller may take them
+	claims  map[string][]ResumeRequest // that wait for their call to be found
+	waiting map[Caller]int             // how many of each
+	kept    []string                   // arrived, and not told to be kept
+	gone    []string                   // let go, and not told to be gone
 }
 
-// Seek has calls that are not known here looked for among those of other controllers. LetGo ends the process's work at once, before another
+// UseFinder has calls that are not known here looked for among those of other controllers. LetGo ends the process's work at once, before another
 // word leaves it; it is for a process that may hold its calls no more.
-func (c *Core) Seek(f Finder, certain func() bool, letGo func(error)) {
-	c.passing = &passing{finder: f, certain: certain, letGo: letGo, claims: map[string][]Claim{}, waiting: map[Caller]int{}, held: c.durable != nil && c.durable.ledger.On()}
+func (c *Core) UseFinder(f Finder, certain func() bool, letGo func(error)) {
+	c.passing = &passing{finder: f, certain: certain, letGo: letGo, claims: map[string][]ResumeRequest{}, waiting: map[Caller]int{}, held: c.durable != nil && c.durable.ledger.Enabled()}
 }
 
 // want has a call looked for that somebody has come for. It reports whether it is.
-func (c *Core) want(claim Claim) bool {
+func (c *Core) want(claim ResumeRequest) bool {
 	p := c.passing
-	if p == nil || !ValidID(claim.ID) || !p.finder.Want(claim.ID, recovery.Hash(claim.Token)) {
+	if p == nil || !ValidID(claim.ID) || !p.finder.Lookup(claim.ID, recovery.HashToken(claim.Token)) {
 		return false
 	}
 	p.claims[claim.ID] = append(p.claims[claim.ID], claim)
@@ -59,7 +59,7 @@
 
 // tooLate tells a caller whose time for an open call is over that nothing is known of it yet, as a final answer is owed by then. The call
 // goes on being looked for: what stands of it, wherever, has to be released.
-func (c *Core) tooLate(claim Claim) {
+func (c *Core) tooLate(claim ResumeRequest) {
 	p := c.passing
 	if !slices.Contains(p.claims[claim.ID], claim) {
 		return // found, or missed, or its caller has gone
@@ -69,7 +69,7 @@
 }
 
 // came takes the claims that have waited for a call.
-func (p *passing) came(id string) []Claim {
+func (p *passing) came(id string) []ResumeRequest {
 	claims := p.claims[id]
 	for _, claim := range slices.Clone(claims) {
 		p.drop(claim)
@@ -78,8 +78,8 @@
 }
 
 // drop forgets a claim that waits.
-func (p *passing) drop(claim Claim) {
-	if p.claims[claim.ID] = slices.DeleteFunc(slices.Clone(p.claims[claim.ID]), func(o Claim) bool { return o == claim }); len(p.claims[claim.ID]) == 0 {
+func (p *passing) drop(claim ResumeRequest) {
+	if p.claims[claim.ID] = slices.DeleteFunc(slices.Clone(p.claims[claim.ID]), func(o ResumeRequest) bool { return o == claim }); len(p.claims[claim.ID]) == 0 {
 		delete(p.claims, claim.ID)
 	}
 	if p.waiting[claim.Caller]--; p.waiting[claim.Caller] <= 0 {
@@ -94,14 +94,14 @@
 	}
 	delete(p.waiting, caller)
 	for id, claims := range p.claims {
-		if p.claims[id] = slices.DeleteFunc(claims, func(o Claim) bool { return o.Caller == caller }); len(p.claims[id]) == 0 {
+		if p.claims[id] = slices.DeleteFunc(claims, func(o ResumeRequest) bool { return o.Caller == caller }); len(p.claims[id]) == 0 {
 			delete(p.claims, id) // the call may still come, and then waits for it as any that is left
 		}
 	}
 }
 
-// Arrived takes up a call that was another controller's. Over is the cause of its end, if a dispatcher has told that already; else -1.
-func (c *Core) Arrived(from *takeover.Call, over int) {
+// CallReceived takes up a call that was another controller's. Over is the cause of its end, if a dispatcher has told that already; else -1.
+func (c *Core) CallReceived(from *takeover.Call, over int) {
 	p, id := c.passing, from.ID()
 	if k := c.calls[id]; k != nil && !k.moving {
 		p.kept = append(p.kept, id) // it is here already: an earlier process was lost between the two steps of keeping it
@@ -110,17 +110,17 @@
 	}
 	rules := recovery.Rules{Guard: c.decisions.ReleaseGuard, MaxAttempts: c.decisions.MaxAttempts}
 	for _, d := range from.Book().Plan(c.now(), rules) {
-		d = decide.Found(d, from.MayLive)
-		d.Call.Foreign = true
-		if c.recovered.Acts == nil {
-			c.recovered.Acts, c.recovered.Why = map[string]int{}, map[string]int{}
+		d = decide.AdjustForLiveOwner(d, from.MayLive)
+		d.Call.FromOtherController = true
+		if c.recovered.Actions == nil {
+			c.recovered.Actions, c.recovered.Reasons = map[string]int{}, map[string]int{}
 		}
 		c.recover(d)
 	}
 	k := c.calls[id]
 	if k == nil {
 		p.kept = append(p.kept, id) // nothing is owed
-		c.Missing(id, false)
+		c.CallNotFound(id, false)
 		return
 	}
 	endlog.Call(c.log, endlog.Arrived, id, endlog.Server(k.server))
@@ -128,7 +128,7 @@
 	p.kept = append(p.kept, id)
 	c.checkRecovered()
 	if k.state == stands { // its end may have been told to the one that had it, which told nobody
-		c.dispatchers.Renew(k.server)
+		c.dispatchers.Reconnect(k.server)
 	}
 	c.claimed(id)
 	if over >= 0 && k.state == stands {
@@ -150,22 +150,22 @@
 func (c *Core) claimed(id string) {
 	claims := c.passing.came(id)
 	for _, claim := range claims {
-		if err := c.Claim(claim); err != nil {
+		if err := c.ResumeCall(claim); err != nil {
 			c.log.Error("claim that cannot be served", "id", claim.ID, "err", err)
 		}
 	}
 }
 
-// Missing tells those that have waited for a call that nothing is known of it; cut, that nobody can have it.
-func (c *Core) Missing(id string, cut bool) {
+// CallNotFound tells those that have waited for a call that nothing is known of it; cut, that nobody can have it.
+func (c *Core) CallNotFound(id string, cut bool) {
 	claims := c.passing.came(id)
 	for _, claim := range claims {
 		c.unknown(claim.Caller, claim.ID, claim.Token, cut)
 	}
 }
 
-// Elsewhere takes in ends that dispatchers told to other controllers, and returns the calls that are held here.
-func (c *Core) Elsewhere(ends map[string]int) (mine []string) {
+// ApplyRemoteEnds takes in ends that dispatchers told to other controllers, and returns the calls that are held here.
+func (c *Core) ApplyRemoteEnds(ends map[string]int) (mine []string) {
 	for id, cause := range ends {
 		if k := c.calls[id]; k != nil && k.state == stands && !k.moving {
 			c.finish(k, cause, nil)
@@ -175,9 +175,9 @@
 	return mine
 }
 
-// Wanted gives calls away whose callers have come back elsewhere, as the hash of the token shows. What is out for one is withdrawn first, so
+// TransferRequested gives calls away whose callers have come back elsewhere, as the hash of the token shows. What is out for one is withdrawn first, so
 // that all that is known of it can be written.
-func (c *Core) Wanted(calls map[string]takeover.Query) {
+func (c *Core) TransferRequested(calls map[string]takeover.Query) {
 	for id, query := range calls {
 		k := c.calls[id]
 		if k == nil || k.moving || len(k.Token) == 0 || !bytes.Equal(k.Token, query.Token) || k.end.Reason == ReasonUnknown {
@@ -195,20 +195,20 @@
 		c.stopTimers(k)
 		k.moving = true
 		known := c.known(k)
-		if err := c.passing.finder.Give(&takeover.Call{Events: known.Events(), LastUs: c.now().Microseconds()}); err != nil {
+		if err := c.passing.finder.Transfer(&takeover.Call{Events: known.Events(), LastUs: c.now().Microseconds()}); err != nil {
 			c.log.Error("a call cannot be given to another controller", "id", id, "err", err)
 		}
 	}
 }
 
-// Given lets a call go whose file is written.
-func (c *Core) Given(id string) {
+// TransferWritten lets a call go whose file is written.
+func (c *Core) TransferWritten(id string) {
 	k := c.calls[id]
 	if k == nil || !k.moving {
 		return
 	}
 	endlog.Call(c.log, endlog.Given, id, endlog.Server(k.server))
-	c.note(k, recovery.Left, nil)
+	c.note(k, recovery.KindCancelled, nil)
 	switch {
 	case k.state == open:
 		c.settle(k)
@@ -222,23 +222,23 @@
 	delete(c.calls, id)
 	c.passing.gone = append(c.passing.gone, id)
 	if claims := c.passing.claims[id]; len(claims) > 0 { // its caller is here again
-		c.passing.finder.Want(id, recovery.Hash(claims[0].Token))
+		c.passing.finder.Lookup(id, recovery.HashToken(claims[0].Token))
 	}
 }
 
 // passed tells the finder what the ledger has by now. It comes after a commit.
 func (c *Core) passed() {
 	p := c.passing
-	if p == nil || c.durable != nil && !c.durable.ledger.On() {
+	if p == nil || c.durable != nil && !c.durable.ledger.Enabled() {
 		return
 	}
 	p.held = true
 	if len(p.kept) > 0 {
-		p.finder.Kept(p.kept...)
+		p.finder.Persisted(p.kept...)
 		p.kept = nil
 	}
 	if len(p.gone) > 0 {
-		p.finder.Gone(p.gone...)
+		p.finder.Transferred(p.gone...)
 		p.gone = nil
 	}
 }
@@ -250,7 +250,7 @@
 	if p == nil {
 		return
 	}
-	if errors.Is(err, ledger.ErrTaken) || p.held && !c.durable.ledger.On() && !p.certain() {
+	if errors.Is(err, ledger.ErrSealed) || p.held && !c.durable.ledger.Enabled() && !p.certain() {
 		p.letGo(err)
 	}
 }
--- a/internal/call/turn.go
+++ b/internal/call/turn.go
@@ -109,7 +109,7 @@
 		}
 		return
 	}
-	if k.Caller.Left() || k.state != open { // while it waited; that is told in a later turn, or was lying unread
+	if k.Caller.Disconnected() || k.state != open { // while it waited; that is told in a later turn, or was lying unread
 		if k.attempts++; k.state == open {
 			c.callerLeft(k)
 		}
@@ -126,7 +126,7 @@
 	k.attempts++
 	c.countAsk(a.Server, false)
 	c.noteTried(k, a.Server)
-	c.note(k, recovery.Sent, nil)
+	c.note(k, recovery.KindAttemptSent, nil)
 	attempt := k.attempts - 1
 	k.timer = c.loop.After(limit, func() {
 		if k.out && k.attempts-1 == attempt {
@@ -134,7 +134,7 @@
 		}
 	})
 	c.dispatchers.SetUp(a.Server, SetUp{ID: k.ID, Attempt: attempt, Class: k.Class, Called: k.Called,
-		Description: k.Description, Limit: limit})
+		Description: k.Description, Timeout: limit})
 }
 
 // withdraw gives up the attempt that is out. Its outcome is told at once; what the dispatcher still says of it is
@@ -142,7 +142,7 @@
 func (c *Core) withdraw(k *record, o control.Outcome, callOver bool) {
 	c.loop.Stop(k.timer)
 	k.out = false
-	c.dispatchers.Withdraw(k.server, k.ID, k.attempts-1)
+	c.dispatchers.CancelAttempt(k.server, k.ID, k.attempts-1)
 	c.releaseEarlier(k)
 	if k.overtaken != nil && !callOver {
 		c.endUnanswered(k, k.overtaken.report)
--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -67,23 +67,23 @@
 	Offer(call.Request) error
 	// Reject answers a set-up that makes no sense.
 	Reject(call.Request)
-	// TurnAway refuses a set-up that there is no room for.
-	TurnAway(call.Request)
-	GiveUp(caller call.Caller, id string, cause int)
-	// Claim is a caller's word that a call of another connection is its own.
-	Claim(call.Claim) error
-	CallerClosed(call.Caller)
-	CallerBroke(call.Caller)
-	// Owes is the number of set-ups without an answer that came from the caller.
-	Owes(call.Caller) int
-	// StandingOf is the number of its calls that stand.
-	StandingOf(call.Caller) int
+	// RefuseOverLimit refuses a set-up that there is no room for.
+	RefuseOverLimit(call.Request)
+	CallerReleased(caller call.Caller, id string, cause int)
+	// ResumeCall is a caller's word that a call of another connection is its own.
+	ResumeCall(call.ResumeRequest) error
+	CallerDisconnected(call.Caller)
+	CallerProtocolError(call.Caller)
+	// PendingOf is the number of set-ups without an answer that came from the caller.
+	PendingOf(call.Caller) int
+	// EstablishedOf is the number of its calls that stand.
+	EstablishedOf(call.Caller) int
 	Ready() bool
 	Phase() call.Phase
 	// Superseded reports whether another process tells the ends of calls.
 	Superseded() bool
-	// HandOver leaves the end of a call to that process, and reports whether it has taken it.
-	HandOver(id string, end call.End) bool
+	// RelayToSuccessor leaves the end of a call to that process, and reports whether it has taken it.
+	RelayToSuccessor(id string, end call.End) bool
 }
 
 // Format is the framing of one connection.
@@ -185,12 +185,12 @@
 	}
 }
 
-// Open is the number of connections that hold a descriptor.
-func (f *Front) Open() int { return f.listener.Held() }
+// Connections is the number of connections that hold a descriptor.
+func (f *Front) Connections() int { return f.listener.Held() }
 
-// Quiet reports whether no end of a call waits for a caller, no connection waits to be accepted, and none has anything unread, half a message,
+// Idle reports whether no end of a call waits for a caller, no connection waits to be accepted, and none has anything unread, half a message,
 // words that wait for the socket, or an end that may be lost with it.
-func (f *Front) Quiet() bool {
+func (f *Front) Idle() bool {
 	return len(f.pending) == 0 && !f.listener.Waiting() && !slices.ContainsFunc(f.all, func(c *Conn) bool {
 		return !c.closed && (c.partial && time.Since(c.since) < wholeWithin || c.conn.Unsent() > 0 || !c.conn.Quiet() || !c.conn.AllTaken() || c.mayLoseEnd())
 	})
@@ -199,7 +199,7 @@
 // Heard reports whether all is with the loop, as far as it may be, that was sent by callers with a set-up open: another's word cannot take
 // one back. Of very many connections, few have one.
 func (f *Front) Heard() bool {
-	return !slices.ContainsFunc(f.all, func(c *Conn) bool { return !c.closed && f.core.Owes(c) > 0 && c.conn.Unread() })
+	return !slices.ContainsFunc(f.all, func(c *Conn) bool { return !c.closed && f.core.PendingOf(c) > 0 && c.conn.Unread() })
 }
 
 var _ call.Caller = (*Conn)(nil)
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -78,7 +78,7 @@
 
 // lastWords answers the set-ups of a connection that goes for a fault of its peer; nobody else is touched.
 func (c *Conn) lastWords(err error) {
-	c.front.core.CallerBroke(c)
+	c.front.core.CallerProtocolError(c)
 	c.conn.Write(c.format.Bye(err))
 }
 
@@ -126,7 +126,7 @@
 		}
 		return c.setUp(m, at)
 	case "release":
-		c.front.core.GiveUp(c, m.ID, m.CauseOr(call.CauseNormal))
+		c.front.core.CallerReleased(c, m.ID, m.CauseOr(call.CauseNormal))
 	case "resume":
 		if !c.resumable() {
 			c.front.log.Debug("resume where that is off", "id", m.ID)
@@ -137,16 +137,16 @@
 			return fmt.Errorf("resume of the id %.40q", m.ID)
 		}
 		if c.resumed++; c.resumed > maxResumed {
-			return call.ErrTooManyClaims
+			return call.ErrTooManyResumes
 		}
-		claim := call.Claim{Caller: c, ID: m.ID, Token: string(m.Fields["token"]), Answered: m.Fields["answered"] == "1"}
+		claim := call.ResumeRequest{Caller: c, ID: m.ID, Token: string(m.Fields["token"]), Answered: m.Fields["answered"] == "1"}
 		awaited := at.Add(c.front.terms.longestDeadline())
 		if left, err := m.Int("left"); err == nil && left >= 0 && left <= longest.Milliseconds() {
-			claim.By = at.Add(time.Duration(left) * time.Millisecond)
-			awaited = earlier(awaited, claim.By)
+			claim.Deadline = at.Add(time.Duration(left) * time.Millisecond)
+			awaited = earlier(awaited, claim.Deadline)
 		}
 		c.awaitsAnswer(awaited)
-		return c.front.core.Claim(claim)
+		return c.front.core.ResumeCall(claim)
 	case "ping":
 		if !c.tested && !c.asked {
 			c.passOn()
@@ -182,7 +182,7 @@
 	r.Caller = c
 	c.awaitsAnswer(r.Deadline)
 	if c.refusesOverflow() {
-		c.front.core.TurnAway(r)
+		c.front.core.RefuseOverLimit(r)
 		return nil
 	}
 	return c.front.core.Offer(r)
@@ -237,7 +237,7 @@
 		f.log.Warn("connection from callers closed", "peer", c.conn.Remote(), "reason", reason)
 	}
 	c.logEnded(reason)
-	f.core.CallerClosed(c)
+	f.core.CallerDisconnected(c)
 	for _, t := range c.sent {
 		if c.unheard(t) {
 			c.logCall(endlog.EndUnread, t.id)
@@ -254,8 +254,8 @@
 	return errors.Is(reason, conn.ErrReset) || errors.Is(reason, syscall.ECONNRESET) || errors.Is(reason, syscall.EPIPE)
 }
 
-// Left reports whether the caller has gone. What it has said last is taken in before.
-func (c *Conn) Left() bool {
+// Disconnected reports whether the caller has gone. What it has said last is taken in before.
+func (c *Conn) Disconnected() bool {
 	if !c.closed {
 		c.conn.Hear()
 	}
--- a/internal/callers/ends.go
+++ b/internal/callers/ends.go
@@ -38,7 +38,7 @@
 	pending := f.pending
 	f.pending = nil
 	for _, r := range pending {
-		if superseded && f.core.HandOver(r.id, r.end) {
+		if superseded && f.core.RelayToSuccessor(r.id, r.end) {
 			continue
 		}
 		if !f.send(r) {
@@ -116,8 +116,8 @@
 	return 0
 }
 
-// Over sends the end of a call that stood, on another connection if this one has closed since.
-func (c *Conn) Over(id string, end call.End) {
+// NotifyTerminated sends the end of a call that stood, on another connection if this one has closed since.
+func (c *Conn) NotifyTerminated(id string, end call.End) {
 	r := release{id: id, end: end, at: time.Now()}
 	if c.gone() {
 		c.front.release(r)
@@ -165,7 +165,7 @@
 	if c.gone() {
 		return slices.ContainsFunc(c.sent, c.unheard)
 	}
-	return c.front.core.Owes(c) == 0 && c.front.core.StandingOf(c) == 0 &&
+	return c.front.core.PendingOf(c) == 0 && c.front.core.EstablishedOf(c) == 0 &&
 		slices.ContainsFunc(c.sent, func(t *told) bool { return t.elsewhere && c.unheard(t) })
 }
 
--- a/internal/callers/ends_heard_test.go
+++ b/internal/callers/ends_heard_test.go
@@ -15,8 +15,8 @@
 	standing int
 }
 
-func (c *closingCore) Phase() call.Phase          { return call.Closing }
-func (c *closingCore) StandingOf(call.Caller) int { return c.standing }
+func (c *closingCore) Phase() call.Phase             { return call.Closing }
+func (c *closingCore) EstablishedOf(call.Caller) int { return c.standing }
 
 // roomyFront serves a front with room for several connections, with so many to it.
 func roomyFront(t *testing.T, core Core, connections int) (*Front, []*peer.Caller, []*Conn) {
@@ -92,8 +92,8 @@
 	f, _, conns := roomyFront(t, serving(), 1)
 	onLoop(f.loop, func() {
 		c := conns[0]
-		c.Over("00000000000000f1", call.End{Cause: call.CauseNormal})
-		c.Over("00000000000000f2", call.End{Cause: call.CauseNormal})
+		c.NotifyTerminated("00000000000000f1", call.End{Cause: call.CauseNormal})
+		c.NotifyTerminated("00000000000000f2", call.End{Cause: call.CauseNormal})
 		if len(c.sent) != 2 || !c.sent[0].leftAt.IsZero() || !c.sent[1].leftAt.IsZero() {
 			t.Errorf("%d ends are kept that have not left, want 2", len(c.sent))
 		}
@@ -133,7 +133,7 @@
 			onLoop(f.loop, func() {
 				core, _ := f.core.(*closingCore)
 				if test.told {
-					conns[0].Over("00000000000000f1", call.End{Cause: call.CauseNormal})
+					conns[0].NotifyTerminated("00000000000000f1", call.End{Cause: call.CauseNormal})
 					conns[0].conn.Flush()
 				}
 				core.standing = test.standing
--- a/internal/callers/ends_leave_test.go
+++ b/internal/callers/ends_leave_test.go
@@ -20,7 +20,7 @@
 	}()
 	s.do(func() {
 		s.core.Update(call.Update{Servers: []call.Server{{ServerEntry: control.ServerEntry{ID: orderServer, Status: control.Active}, Address: "first"}}})
-		s.core.Reached()
+		s.core.DispatcherReached()
 	})
 	time.Sleep(time.Second)
 	s.do(func() { s.first = s.caller.opens() })
--- a/internal/callers/ends_test.go
+++ b/internal/callers/ends_test.go
@@ -52,7 +52,7 @@
 	counted := func() { onLoop(f.loop, func() { got = append(got, f.ends) }) }
 	caller, c := connects(t, f, 1)
 	settled(f, c)
-	onLoop(f.loop, func() { c.Over(first, ended); f.Flush() })
+	onLoop(f.loop, func() { c.NotifyTerminated(first, ended); f.Flush() })
 	hearsEnd(t, caller, first)
 	counted()
 	closes(t, f, caller, c) // right behind it
@@ -100,7 +100,7 @@
 			_, c := connects(t, f, 1)
 			onLoop(f.loop, func() {
 				f.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))
-				c.Over(id, ended)
+				c.NotifyTerminated(id, ended)
 				f.Flush()
 				happens(f, c)
 				f.log = slog.New(slog.DiscardHandler)
--- a/internal/callers/ends_unread_test.go
+++ b/internal/callers/ends_unread_test.go
@@ -15,7 +15,7 @@
 	caller, first := connects(t, f, 1)
 	sets(t, f, caller, first, func() {})
 	onLoop(f.loop, func() {
-		first.Over("00000000000000a1", call.End{Cause: call.CauseNormal, Reason: call.ReasonEnded})
+		first.NotifyTerminated("00000000000000a1", call.End{Cause: call.CauseNormal, Reason: call.ReasonEnded})
 		f.Flush()
 		if len(first.sent) != 1 || first.sent[0].leftAt.IsZero() {
 			t.Fatal("the end has not left")
--- a/internal/callers/orders_test.go
+++ b/internal/callers/orders_test.go
@@ -155,10 +155,10 @@
 	}
 	s.front = newFront(loop, core, log, format, Within(0), NewTerms(set))
 	s.front.listen(s.listener)
-	core.Serve(s.dispatchers)
+	core.SetDispatchers(s.dispatchers)
 	core.AddFront(s.front)
 	core.OnFlush(s.front.Flush)
-	loop.OnPause(s.front.Heard)
+	loop.AddIdleCheck(s.front.Heard)
 	return s
 }
 
@@ -244,7 +244,7 @@
 			c.client.send(jsonl.Message{Type: "progress", ID: orderedID})
 		}), 0, false},
 		{'o', "the end of another call is told there", onOwn(func(c *Conn) {
-			c.Over(otherID, call.End{Cause: call.CauseNormal, Reason: call.ReasonEnded})
+			c.NotifyTerminated(otherID, call.End{Cause: call.CauseNormal, Reason: call.ReasonEnded})
 		}), 0, false},
 		{'w', "another set-up is refused there", onOwn(func(c *Conn) {
 			c.End(otherID, call.End{Cause: call.CauseCongestion, Reason: call.ReasonRefused})
@@ -294,7 +294,7 @@
 	}()
 	s.do(func() {
 		s.core.Update(call.Update{Servers: []call.Server{{ServerEntry: control.ServerEntry{ID: orderServer, Status: control.Active}, Address: "first"}}})
-		s.core.Reached()
+		s.core.DispatcherReached()
 	})
 	time.Sleep(time.Second)
 	s.do(func() { s.first = s.caller.opens() })
--- a/internal/callers/overflow_test.go
+++ b/internal/callers/overflow_test.go
@@ -19,12 +19,12 @@
 	owes map[call.Caller]int
 }
 
-func (c *openCore) Offer(r call.Request) error      { c.owes[r.Caller]++; return nil }
-func (c *openCore) Owes(caller call.Caller) int     { return c.owes[caller] }
-func (c *openCore) CallerClosed(caller call.Caller) { delete(c.owes, caller) }
-func (c *openCore) StandingOf(call.Caller) int      { return 0 }
-func (c *openCore) Phase() call.Phase               { return call.Serving }
-func (c *openCore) Superseded() bool                { return false }
+func (c *openCore) Offer(r call.Request) error            { c.owes[r.Caller]++; return nil }
+func (c *openCore) PendingOf(caller call.Caller) int      { return c.owes[caller] }
+func (c *openCore) CallerDisconnected(caller call.Caller) { delete(c.owes, caller) }
+func (c *openCore) EstablishedOf(call.Caller) int         { return 0 }
+func (c *openCore) Phase() call.Phase                     { return call.Serving }
+func (c *openCore) Superseded() bool                      { return false }
 
 // onLoop has a step run on the loop, and waits for it.
 func onLoop(loop *call.Loop, step func()) {
--- a/internal/callers/room.go
+++ b/internal/callers/room.go
@@ -53,7 +53,7 @@
 // a call of it stands, as its caller keeps it then.
 func (f *Front) worth(c *Conn) int {
 	switch {
-	case f.core.StandingOf(c) > 0:
+	case f.core.EstablishedOf(c) > 0:
 		return 2
 	case c.asked || c.tested:
 		return 1
@@ -72,7 +72,7 @@
 	var least *Conn
 	now := time.Now()
 	for _, c := range f.all {
-		if c.closed || c == newest || c.partial || f.core.Owes(c) > 0 || c.holdsAnswer(now) {
+		if c.closed || c == newest || c.partial || f.core.PendingOf(c) > 0 || c.holdsAnswer(now) {
 			continue
 		}
 		better := -1
@@ -112,10 +112,10 @@
 		case c.holdsAnswer(now): // its caller may read on in time
 		case c.overflow && f.listener.Full() && now.Sub(c.since) > overflowFor:
 			c.leaveOverflow()
-		case closing && f.core.Owes(c) == 0 && (f.core.StandingOf(c) == 0 || f.core.Superseded()) && now.Sub(c.since) > settle &&
+		case closing && f.core.PendingOf(c) == 0 && (f.core.EstablishedOf(c) == 0 || f.core.Superseded()) && now.Sub(c.since) > settle &&
 			!slices.ContainsFunc(c.sent, c.unheard) && c.conn.Quiet() && c.conn.AllTaken():
 			c.shut(conn.ErrClosedHere)
-		case f.core.Owes(c) > 0 || f.core.StandingOf(c) > 0 || !c.conn.Quiet():
+		case f.core.PendingOf(c) > 0 || f.core.EstablishedOf(c) > 0 || !c.conn.Quiet():
 		case !c.said && now.Sub(c.since) > f.bounds.Silent && c.conn.AllTaken():
 			c.shut(errSilent)
 		case now.Sub(c.usedAt) > f.bounds.Idle && c.conn.AllTaken():
@@ -170,7 +170,7 @@
 	c.conn.Hear()
 	switch {
 	case c.closed:
-	case !c.overflow || c.front.core.Owes(c) > 0: // a set-up waited for its turn, and there is room for it by now
+	case !c.overflow || c.front.core.PendingOf(c) > 0: // a set-up waited for its turn, and there is room for it by now
 	case c.partial:
 		c.cutShort()
 	case c.conn.Quiet() && c.conn.AllTaken():
--- a/internal/callers/room_test.go
+++ b/internal/callers/room_test.go
@@ -9,7 +9,7 @@
 // busyCore owes an answer on every connection.
 type busyCore struct{ Core }
 
-func (busyCore) Owes(call.Caller) int { return 1 }
+func (busyCore) PendingOf(call.Caller) int { return 1 }
 
 // TestMakeRoomAmongBusyConnections: where every connection is owed an answer, none is closed; a newest one stays for its refusal, and without
 // a newest one, as descriptors run short, nothing happens.
--- a/internal/callers/standin_test.go
+++ b/internal/callers/standin_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// Withdraw gives an attempt up.
-func (d *standInDispatchers) Withdraw(_ control.ServerID, id string, _ int) {
+// CancelAttempt gives an attempt up.
+func (d *standInDispatchers) CancelAttempt(_ control.ServerID, id string, _ int) {
 	if id == orderedID {
 		d.out = false
 	}
@@ -56,8 +56,8 @@
 // Ping has no reply.
 func (d *standInDispatchers) Ping(control.ServerID, string, int, func(bool)) {}
 
-// Renew opens nothing.
-func (d *standInDispatchers) Renew(control.ServerID) {}
+// Reconnect opens nothing.
+func (d *standInDispatchers) Reconnect(control.ServerID) {}
 
 // answers tells that the call stands.
 func (d *standInDispatchers) answers() bool {
--- a/internal/callers/terms.go
+++ b/internal/callers/terms.go
@@ -116,10 +116,10 @@
 	}
 	waits := time.Duration(left) * time.Millisecond
 	return call.Request{
-		ID: m.ID, Class: field("class"), Called: field("key"), FirstCell: dest, Again: field("retry") == "1",
-		Description: description, Token: recovery.Hash(token),
+		ID: m.ID, Class: field("class"), Called: field("key"), FirstCell: dest, Redial: field("retry") == "1",
+		Description: description, Token: recovery.HashToken(token),
 		// The caller counts from when it sent the last byte; the nearest to that is when it came in.
-		Left: waits, Deadline: at.Add(waits),
+		TimeLeft: waits, Deadline: at.Add(waits),
 	}, nil
 }
 
--- a/internal/callers/unsent_test.go
+++ b/internal/callers/unsent_test.go
@@ -159,7 +159,7 @@
 // claimsCore takes claims to calls.
 type claimsCore struct{ *openCore }
 
-func (claimsCore) Claim(call.Claim) error { return nil }
+func (claimsCore) ResumeCall(call.ResumeRequest) error { return nil }
 
 // TestAResumeHoldsNoConnectionForLong guards against a front that is kept full by callers that do not read, and name an hour in which they would wait for
 // the answer of the call that they come back for; and against an answer that is thrown away, as its caller names no time.
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -159,7 +159,7 @@
 	}
 	defer f.close()
 	for i := range size {
-		disk, err := ledger.Directory(filepath.Join(b.directory, "ledgers", fmt.Sprintf("other%d", i)))
+		disk, err := ledger.OpenDirectory(filepath.Join(b.directory, "ledgers", fmt.Sprintf("other%d", i)))
 		if err != nil {
 			return nil, err //nolint:wrapcheck // it says what it is
 		}
@@ -195,21 +195,21 @@
 
 // writeLedger leaves the ledger of a controller that is gone, with so many calls, nine in ten of which stand.
 func writeLedger(directory string, calls int, server, address string) (size uint64, err error) {
-	disk, err := ledger.Directory(directory)
+	disk, err := ledger.OpenDirectory(directory)
 	if err != nil {
 		return 0, err //nolint:wrapcheck // it says what it is
 	}
-	l := ledger.New(disk, ledger.Options{Name: lostName, Patience: time.Minute, Most: 1 << 30, Segment: 1 << 30}, nil)
-	if err := l.BeginAndWait(nil, time.Minute); err != nil {
+	l := ledger.New(disk, ledger.Options{Name: lostName, CommitTimeout: time.Minute, MaxSize: 1 << 30, SegmentSize: 1 << 30}, nil)
+	if err := l.BeginEpochAndWait(nil, time.Minute); err != nil {
 		return 0, err //nolint:wrapcheck // it says what it is
 	}
 	now := time.Now().UnixMicro()
 	for i := range calls {
 		id := fmt.Sprintf("%016x", i+1)
 		events := []recovery.Event{
-			{Kind: recovery.Took, ID: id, AtUs: now, DeadlineUs: now + time.Minute.Microseconds(), Class: "send-setup", Called: "k", Description: description, Token: recovery.Hash("token")},
-			{Kind: recovery.Sent, ID: id, AtUs: now, Server: server, Address: address},
-			{Kind: recovery.Stood, ID: id, AtUs: now, Server: server, Address: address, Description: description},
+			{Kind: recovery.KindAccepted, ID: id, AtUs: now, DeadlineUs: now + time.Minute.Microseconds(), Class: "send-setup", Called: "k", Description: description, Token: recovery.HashToken("token")},
+			{Kind: recovery.KindAttemptSent, ID: id, AtUs: now, Server: server, Address: address},
+			{Kind: recovery.KindEstablished, ID: id, AtUs: now, Server: server, Address: address, Description: description},
 		}
 		if i%10 == 0 {
 			events = events[:2]
@@ -229,7 +229,7 @@
 	if err := l.Commit(); err != nil {
 		return 0, err //nolint:wrapcheck // it says what it is
 	}
-	size = l.Figures().Bytes
+	size = l.Metrics().Bytes
 	return size, l.Close() //nolint:wrapcheck // it says what it is
 }
 
--- a/internal/commands/ledger.go
+++ b/internal/commands/ledger.go
@@ -58,12 +58,12 @@
 }
 
 // read reads a ledger without touching it, also one that a controller writes.
-func (f *ledgerFlags) read(directory string) (*ledger.Found, error) {
+func (f *ledgerFlags) read(directory string) (*ledger.Contents, error) {
 	key, err := f.key()
 	if err != nil {
 		return nil, err
 	}
-	d, err := ledger.ReadOnly(directory)
+	d, err := ledger.OpenReadOnly(directory)
 	if err != nil {
 		return nil, err //nolint:wrapcheck // it says what it is
 	}
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	book, bad := recovery.Read(found.Records, found.Gaps)
+	book, bad := recovery.Replay(found.Records, found.Gaps)
 	states := map[string]int{}
 	for _, call := range book.Calls() {
 		name := [...]string{"open", "standing", "answered", "ended"}[call.State]
@@ -85,8 +85,8 @@
 		states[name]++
 	}
 	fmt.Fprintf(out, "%d files, %d bytes; %d records, %d of them of the snapshot; gaps: %d, torn end: %v\n",
-		found.Files, found.Bytes, len(found.Records), found.Snapshot, len(found.Gaps), found.Torn)
-	if last := book.Last(); last > 0 {
+		found.FileCount, found.Bytes, len(found.Records), found.SnapshotRecords, len(found.Gaps), found.Torn)
+	if last := book.LastAlive(); last > 0 {
 		fmt.Fprintf(out, "last event at %s\n", time.Unix(0, int64(last)).UTC().Format(time.RFC3339Nano))
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	book, bad := recovery.Read(found.Records, found.Gaps)
+	book, bad := recovery.Replay(found.Records, found.Gaps)
 	switch {
 	case bad != nil:
 		return bad
@@ -118,16 +118,16 @@
 		return fmt.Errorf("records are missing in %d places: %s", len(found.Gaps), found.Damage[0])
 	case len(found.Damage) > 0:
 		return errors.New(found.Damage[0])
-	case book.Strays() > 0:
-		return fmt.Errorf("%d events do not fit the others", book.Strays())
+	case book.UnexpectedEvents() > 0:
+		return fmt.Errorf("%d events do not fit the others", book.UnexpectedEvents())
 	}
 	fmt.Fprintf(out, "%d records, %d calls: nothing is damaged or missing\n", len(found.Records), len(book.Calls()))
 	return nil
 }
 
 var kinds = map[recovery.Kind]string{
-	recovery.Took: "took", recovery.Sent: "sent", recovery.Back: "back", recovery.Stood: "stood", recovery.Final: "final",
-	recovery.Over: "over", recovery.Left: "left",
+	recovery.KindAccepted: "took", recovery.KindAttemptSent: "sent", recovery.KindAttemptFailed: "back", recovery.KindEstablished: "stood", recovery.KindRejected: "final",
+	recovery.KindTerminated: "over", recovery.KindCancelled: "left",
 }
 
 // shownEvent is an event as operators see it: neither descriptions nor tokens are theirs to read.
@@ -179,7 +179,7 @@
 	if err != nil {
 		return err
 	}
-	d, err := ledger.Directory(directory)
+	d, err := ledger.OpenDirectory(directory)
 	if err != nil {
 		return err //nolint:wrapcheck // it says what it is
 	}
@@ -193,7 +193,7 @@
 	}
 	l := ledger.New(d, ledger.Options{Name: f.name, Key: key, Sync: ledger.SyncAlways}, found)
 	defer func() { err = errors.Join(err, l.Close()) }()
-	if err := l.BeginAndWait(slices.Clone(least), time.Minute); err != nil {
+	if err := l.BeginEpochAndWait(slices.Clone(least), time.Minute); err != nil {
 		return err //nolint:wrapcheck // it says what it is
 	}
 	fmt.Fprintf(out, "%d records are %d now\n", len(found.Records), len(least))
--- a/internal/commands/ledger_test.go
+++ b/internal/commands/ledger_test.go
@@ -14,22 +14,22 @@
 // keep writes a ledger in which one call stands and one is open.
 func keep(t *testing.T, path string) {
 	t.Helper()
-	d, err := ledger.Directory(path)
+	d, err := ledger.OpenDirectory(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := ledger.New(d, ledger.Options{Name: "n1", Patience: time.Minute}, nil)
-	if err := l.BeginAndWait(nil, time.Minute); err != nil {
+	l := ledger.New(d, ledger.Options{Name: "n1", CommitTimeout: time.Minute}, nil)
+	if err := l.BeginEpochAndWait(nil, time.Minute); err != nil {
 		t.Fatal(err)
 	}
 	at := time.Now().UnixMicro()
 	for _, e := range []recovery.Event{
-		{Kind: recovery.Took, ID: "00000000000000aa", AtUs: at, DeadlineUs: at + 9e6, Class: "c", Description: "a secret"},
-		{Kind: recovery.Took, ID: "00000000000000bb", AtUs: at, DeadlineUs: at + 9e6, Class: "c"},
-		{Kind: recovery.Sent, ID: "00000000000000aa", AtUs: at, Server: "s"},
-		{Kind: recovery.Back, ID: "00000000000000aa", AtUs: at, Server: "s"},
-		{Kind: recovery.Sent, ID: "00000000000000aa", AtUs: at, Server: "s", Attempt: 1},
-		{Kind: recovery.Stood, ID: "00000000000000aa", AtUs: at, Server: "s", Attempt: 1},
+		{Kind: recovery.KindAccepted, ID: "00000000000000aa", AtUs: at, DeadlineUs: at + 9e6, Class: "c", Description: "a secret"},
+		{Kind: recovery.KindAccepted, ID: "00000000000000bb", AtUs: at, DeadlineUs: at + 9e6, Class: "c"},
+		{Kind: recovery.KindAttemptSent, ID: "00000000000000aa", AtUs: at, Server: "s"},
+		{Kind: recovery.KindAttemptFailed, ID: "00000000000000aa", AtUs: at, Server: "s"},
+		{Kind: recovery.KindAttemptSent, ID: "00000000000000aa", AtUs: at, Server: "s", Attempt: 1},
+		{Kind: recovery.KindEstablished, ID: "00000000000000aa", AtUs: at, Server: "s", Attempt: 1},
 	} {
 		text, err := e.Encode()
 		if err != nil {
--- a/internal/commands/pool.go
+++ b/internal/commands/pool.go
@@ -352,7 +352,7 @@
 // printVersion tells of one version, with its faults.
 func printVersion(out io.Writer, v *pool.Version) {
 	what := "refused"
-	if v.Taken {
+	if v.Accepted {
 		what = "taken"
 	}
 	fmt.Fprintf(out, "%d  %s  %s from %s", v.Number, time.Unix(0, int64(v.At)).UTC().Format(time.RFC3339Nano), what, v.Source)
@@ -362,7 +362,7 @@
 	if v.Digest != "" {
 		fmt.Fprintf(out, ", digest %s", v.Digest)
 	}
-	if v.Taken {
+	if v.Accepted {
 		fmt.Fprintf(out, ", %d servers: %s\n", v.Servers, v.Change.String())
 		return
 	}
@@ -370,11 +370,11 @@
 	for _, f := range v.Faults {
 		fmt.Fprintln(out, "   ", f)
 	}
-	if more := v.Found - len(v.Faults); more > 0 {
+	if more := v.FaultCount - len(v.Faults); more > 0 {
 		fmt.Fprintf(out, "    and %d more\n", more)
 	}
-	if v.Again > 0 {
-		fmt.Fprintf(out, "    seen %d times more\n", v.Again)
+	if v.Repeats > 0 {
+		fmt.Fprintf(out, "    seen %d times more\n", v.Repeats)
 	}
 }
 
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -64,7 +64,7 @@
 		return errors.New("ledger.directory: no directory is named")
 	case !known:
 		return fmt.Errorf("ledger.sync: %q is none of none, interval and always", l.Sync)
-	case l.SegmentMB < 0 || l.MostMB < 0 || l.MostMB > 0 && l.MostMB < 4*max(l.SegmentMB, ledger.DefaultSegment>>20):
+	case l.SegmentMB < 0 || l.MostMB < 0 || l.MostMB > 0 && l.MostMB < 4*max(l.SegmentMB, ledger.DefaultSegmentSize>>20):
 		return errors.New("ledger.most_mb: it must hold four segments of segment_mb")
 	case l.OnFailure != "" && l.OnFailure != "serve" && l.OnFailure != "refuse":
 		return fmt.Errorf("ledger.on_failure: %q is neither serve nor refuse", l.OnFailure)
@@ -122,7 +122,7 @@
 
 // Options are those of a controller's subset.
 func (s *Subset) Options(controller string) subset.Options {
-	return subset.Options{Identity: controller, Zone: s.Zone, Size: s.Size, Most: s.Most, Quiet: time.Duration(s.QuietMs) * time.Millisecond}
+	return subset.Options{Identity: controller, Zone: s.Zone, Size: s.Size, GrowthLimit: s.Most, ShrinkAfter: time.Duration(s.QuietMs) * time.Millisecond}
 }
 
 const (
--- a/internal/decide/links/budget.go
+++ b/internal/decide/links/budget.go
@@ -17,10 +17,10 @@
 const (
 	// Draining connections go to dispatchers that drain and have no call.
 	Draining Purpose = iota
-	// Ahead connections are opened before a call needs them.
-	Ahead
-	// Standing connections go to dispatchers at which calls stand or set-ups are open.
-	Standing
+	// Preconnect connections are opened before a call needs them.
+	Preconnect
+	// ActiveCalls connections go to dispatchers at which calls stand or set-ups are open.
+	ActiveCalls
 	// SetUp connections are waited for by a set-up.
 	SetUp
 )
@@ -39,7 +39,7 @@
 	switch p {
 	case Draining:
 		most /= 2
-	case Ahead:
+	case Preconnect:
 		most -= (most + 7) / 8
 	}
 	return held < max(most, 1)
@@ -50,34 +50,34 @@
 
 // Connection is an open or half-closed connection, as it counts when one must be closed to make room.
 type Connection struct {
-	Drains     bool      // its dispatcher drains or is gone
-	Sole       bool      // its dispatcher has no other open connection
-	HalfClosed bool      // given up, and still read
-	Standing   bool      // calls stand at its dispatcher
-	Heard      bool      // something has come on it
-	SetUps     int       // that had no final answer here, withdrawn ones among them
-	Since      time.Time // when it was opened or, if it is, half-closed
-	UsedAt     time.Time // when a set-up was sent on it last; that of its opening if none was
+	Draining      bool      // its dispatcher drains or is gone
+	Sole          bool      // its dispatcher has no other open connection
+	HalfClosed    bool      // given up, and still read
+	HasCalls      bool      // calls stand at its dispatcher
+	HasReceived   bool      // something has come on it
+	PendingSetUps int       // that had no final answer here, withdrawn ones among them
+	Since         time.Time // when it was opened or, if it is, half-closed
+	UsedAt        time.Time // when a set-up was sent on it last; that of its opening if none was
 }
 
 // rank orders connections by how little is lost with them; ok is false for those that must stay.
 func (c Connection) rank(now time.Time) (rank int, ok bool) {
 	open := now.Sub(c.Since)
-	rested := open >= settled || c.Heard && !c.HalfClosed && open >= settledHeard
+	rested := open >= settled || c.HasReceived && !c.HalfClosed && open >= settledHeard
 	switch {
-	case c.HalfClosed && !c.Standing:
+	case c.HalfClosed && !c.HasCalls:
 		return 0, true
 	case c.HalfClosed:
 		return 4, rested
-	case c.SetUps > 0:
+	case c.PendingSetUps > 0:
 		return 0, false
-	case c.Drains && !c.Standing:
+	case c.Draining && !c.HasCalls:
 		return 1, true
 	case !c.Sole:
 		return 2, true
-	case !c.Standing:
+	case !c.HasCalls:
 		return 3, true
-	case c.Drains: // one that drains may take no new connection, and there would be no way to its calls
+	case c.Draining: // one that drains may take no new connection, and there would be no way to its calls
 		return 6, rested
 	}
 	return 5, rested
@@ -87,11 +87,11 @@
 // so long.
 func (p Purpose) highest(without time.Duration) int {
 	switch {
-	case p == SetUp, p == Standing && without >= withoutFor:
+	case p == SetUp, p == ActiveCalls && without >= withoutFor:
 		return 6
-	case p == Standing:
+	case p == ActiveCalls:
 		return 3
-	case p == Ahead:
+	case p == Preconnect:
 		return 1
 	}
 	return -1
--- a/internal/decide/links/budget_test.go
+++ b/internal/decide/links/budget_test.go
@@ -10,7 +10,7 @@
 
 func TestAllows(t *testing.T) {
 	const budget = 16
-	for purpose, most := range map[Purpose]int{Draining: 8, Ahead: 14, Standing: 16, SetUp: 16} {
+	for purpose, most := range map[Purpose]int{Draining: 8, Preconnect: 14, ActiveCalls: 16, SetUp: 16} {
 		for held := range 2 * budget {
 			if got := Budget(budget).Allows(purpose, held); got != (held < most) {
 				t.Errorf("purpose %d with %d held: %v", purpose, held, got)
@@ -27,29 +27,29 @@
 func TestEvict(t *testing.T) {
 	now := start.Add(time.Hour)
 	connections := []Connection{
-		{HalfClosed: true, SetUps: 3, Since: now, UsedAt: now},
-		{Drains: true, Sole: true, Since: now, UsedAt: now},
+		{HalfClosed: true, PendingSetUps: 3, Since: now, UsedAt: now},
+		{Draining: true, Sole: true, Since: now, UsedAt: now},
 		{Since: now, UsedAt: now},
 		{Sole: true, UsedAt: now.Add(-time.Minute)},
 		{Sole: true, UsedAt: now.Add(-time.Second)},
-		{HalfClosed: true, Standing: true, Since: now.Add(-settled), UsedAt: start},
-		{Sole: true, Standing: true, Since: now.Add(-settled), UsedAt: now.Add(-time.Second)},
-		{Sole: true, Standing: true, Heard: true, Since: now.Add(-settledHeard), UsedAt: now},
-		{Drains: true, Sole: true, Standing: true, Since: now.Add(-settled), UsedAt: start},
+		{HalfClosed: true, HasCalls: true, Since: now.Add(-settled), UsedAt: start},
+		{Sole: true, HasCalls: true, Since: now.Add(-settled), UsedAt: now.Add(-time.Second)},
+		{Sole: true, HasCalls: true, HasReceived: true, Since: now.Add(-settledHeard), UsedAt: now},
+		{Draining: true, Sole: true, HasCalls: true, Since: now.Add(-settled), UsedAt: start},
 	}
 	kept := []Connection{
-		{SetUps: 1}, {Sole: true, SetUps: 2, Standing: true}, {Drains: true, SetUps: 1},
-		{Sole: true, Standing: true, Since: now.Add(-settled + 1)},
-		{HalfClosed: true, Standing: true, Heard: true, Since: now.Add(-settled + 1)},
-		{Sole: true, Standing: true, Heard: true, Since: now.Add(-settledHeard + 1)},
-		{Drains: true, Sole: true, Standing: true, Since: now.Add(-settled + 1)},
+		{PendingSetUps: 1}, {Sole: true, PendingSetUps: 2, HasCalls: true}, {Draining: true, PendingSetUps: 1},
+		{Sole: true, HasCalls: true, Since: now.Add(-settled + 1)},
+		{HalfClosed: true, HasCalls: true, HasReceived: true, Since: now.Add(-settled + 1)},
+		{Sole: true, HasCalls: true, HasReceived: true, Since: now.Add(-settledHeard + 1)},
+		{Draining: true, Sole: true, HasCalls: true, Since: now.Add(-settled + 1)},
 	}
 	for _, test := range []struct {
 		purpose Purpose
 		without time.Duration
 		may     int // so many of the connections
 	}{
-		{Draining, time.Hour, 0}, {Ahead, time.Hour, 2}, {Standing, 0, 5}, {Standing, withoutFor, len(connections)}, {SetUp, 0, len(connections)},
+		{Draining, time.Hour, 0}, {Preconnect, time.Hour, 2}, {ActiveCalls, 0, 5}, {ActiveCalls, withoutFor, len(connections)}, {SetUp, 0, len(connections)},
 	} {
 		for i, c := range connections {
 			if got := Evict(now, test.purpose, test.without, append(kept, c)); got >= 0 != (i < test.may) || got >= 0 && got != len(kept) {
@@ -77,8 +77,8 @@
 	ago := rapid.Map(rapid.Int64Range(-int64(time.Second), int64(5*time.Second)), func(d int64) time.Time { return now.Add(-time.Duration(d)) })
 	connection := rapid.Custom(func(t *rapid.T) Connection {
 		return Connection{
-			Drains: rapid.Bool().Draw(t, "drains"), Sole: rapid.Bool().Draw(t, "sole"), HalfClosed: rapid.Bool().Draw(t, "half-closed"),
-			Standing: rapid.Bool().Draw(t, "standing"), Heard: rapid.Bool().Draw(t, "heard"), SetUps: rapid.IntRange(0, 2).Draw(t, "set-ups"), Since: ago.Draw(t, "since"),
+			Draining: rapid.Bool().Draw(t, "drains"), Sole: rapid.Bool().Draw(t, "sole"), HalfClosed: rapid.Bool().Draw(t, "half-closed"),
+			HasCalls: rapid.Bool().Draw(t, "standing"), HasReceived: rapid.Bool().Draw(t, "heard"), PendingSetUps: rapid.IntRange(0, 2).Draw(t, "set-ups"), Since: ago.Draw(t, "since"),
 			UsedAt: ago.Draw(t, "used"),
 		}
 	})
@@ -89,8 +89,8 @@
 		i := Evict(now, purpose, without, connections)
 		free, settledIdle := false, false
 		for _, c := range connections {
-			idle := c.HalfClosed || c.SetUps == 0
-			free = free || idle && !c.Standing
+			idle := c.HalfClosed || c.PendingSetUps == 0
+			free = free || idle && !c.HasCalls
 			settledIdle = settledIdle || idle && now.Sub(c.Since) >= settled
 		}
 		if i < 0 {
@@ -101,11 +101,11 @@
 		}
 		c := connections[i]
 		switch {
-		case !c.HalfClosed && c.SetUps > 0:
+		case !c.HalfClosed && c.PendingSetUps > 0:
 			t.Fatal("one with a set-up open is closed")
-		case c.Standing && c.Sole && !c.HalfClosed && (now.Sub(c.Since) < settledHeard || !c.Heard && now.Sub(c.Since) < settled || purpose <= Ahead || free):
+		case c.HasCalls && c.Sole && !c.HalfClosed && (now.Sub(c.Since) < settledHeard || !c.HasReceived && now.Sub(c.Since) < settled || purpose <= Preconnect || free):
 			t.Fatalf("the only one to a dispatcher with calls is closed for purpose %d", purpose)
-		case purpose == Ahead && !c.Drains && !c.HalfClosed:
+		case purpose == Preconnect && !c.Draining && !c.HalfClosed:
 			t.Fatal("a live dispatcher's makes room for what nobody needs yet")
 		}
 		others := slices.Delete(slices.Clone(connections), i, i+1)
