--- a/internal/decide/links/links.go
+++ b/internal/decide/links/links.go
@@ -23,8 +23,8 @@
 	at   time.Time
 }
 
-// Note takes in how many set-ups are open at once.
-func (d *Demand) Note(now time.Time, open int) {
+// Observe takes in how many set-ups are open at once.
+func (d *Demand) Observe(now time.Time, open int) {
 	d.peak, d.at = max(d.now(now), float64(open)), now
 }
 
@@ -34,16 +34,16 @@
 	return d.peak * math.Exp2(-float64(age)/float64(halfLife))
 }
 
-// Wanted is how many connections there should be, from 1 to most: one, so that no call has to wait for a handshake and what
+// Target is how many connections there should be, from 1 to most: one, so that no call has to wait for a handshake and what
 // the dispatcher tells unasked arrives; as many as set-ups were open at once lately, since one that breaks takes those on it
 // along; and one beside a single one on which a set-up has been without a word for so long.
-func (d *Demand) Wanted(now time.Time, oldest time.Duration, most int) int {
+func (d *Demand) Target(now time.Time, oldest time.Duration, most int) int {
 	wanted := int(math.Ceil(d.now(now) - 0.5)) // half of a set-up is what is left of one after a half-life
-	if Doubtful(oldest) {
+	if IsSuspect(oldest) {
 		wanted = max(wanted, 2)
 	}
 	return max(1, min(wanted, most))
 }
 
-// Doubtful reports whether a set-up of that age, without a word since, has its connection in doubt.
-func Doubtful(oldest time.Duration) bool { return oldest >= doubtful }
+// IsSuspect reports whether a set-up of that age, without a word since, has its connection in doubt.
+func IsSuspect(oldest time.Duration) bool { return oldest >= doubtful }
--- a/internal/decide/links/links_test.go
+++ b/internal/decide/links/links_test.go
@@ -30,13 +30,13 @@
 		var d Demand
 		now := start
 		for _, open := range test.open {
-			d.Note(now, open)
+			d.Observe(now, open)
 			now = now.Add(time.Second)
 		}
 		if len(test.open) > 0 {
 			now = now.Add(-time.Second)
 		}
-		if got := d.Wanted(now.Add(test.after), test.oldest, test.most); got != test.want {
+		if got := d.Target(now.Add(test.after), test.oldest, test.most); got != test.want {
 			t.Errorf("%s: %d, want %d", name, got, test.want)
 		}
 	}
@@ -52,13 +52,13 @@
 		for range rapid.IntRange(0, 30).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "gap")))
 			open := rapid.IntRange(0, 12).Draw(t, "open")
-			d.Note(now, open)
+			d.Observe(now, open)
 			oldest := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "oldest"))
-			if got := d.Wanted(now, oldest, most); got < 1 || got > most || got < min(open, most) {
+			if got := d.Target(now, oldest, most); got < 1 || got > most || got < min(open, most) {
 				t.Fatalf("%d wanted with %d open, %d at most", got, open, most)
 			}
 		}
-		if got := d.Wanted(now.Add(time.Minute), 0, most); got != 1 {
+		if got := d.Target(now.Add(time.Minute), 0, most); got != 1 {
 			t.Fatalf("%d wanted after a minute of nothing", got)
 		}
 	})
--- a/internal/decide/links/redial.go
+++ b/internal/decide/links/redial.go
@@ -21,9 +21,9 @@
 	jitter   float64
 }
 
-// Fail takes in that a dial failed, or that a connection ended as soon as it was open. The jitter is a number from 0 to 1, drawn anew each
+// RecordFailure takes in that a dial failed, or that a connection ended as soon as it was open. The jitter is a number from 0 to 1, drawn anew each
 // time, so that the dials of many controllers spread.
-func (b *Backoff) Fail(now time.Time, jitter float64) {
+func (b *Backoff) RecordFailure(now time.Time, jitter float64) {
 	b.failures, b.at, b.jitter = b.failures+1, now, min(max(jitter, 0), 1)
 }
 
@@ -41,7 +41,7 @@
 		return 0
 	case p == SetUp:
 		return redialLeast
-	case p == Standing:
+	case p == ActiveCalls:
 		most = redialStanding
 	}
 	pause := redialLeast
@@ -49,14 +49,14 @@
 		pause *= 2
 	}
 	pause = min(pause, most)
-	if p == Standing {
+	if p == ActiveCalls {
 		return pause
 	}
 	return pause/2 + time.Duration(b.jitter*float64(pause/2))
 }
 
-// Next is when the dispatcher may be dialled for the purpose; zero if at any time.
-func (b *Backoff) Next(p Purpose) time.Time {
+// NextDial is when the dispatcher may be dialled for the purpose; zero if at any time.
+func (b *Backoff) NextDial(p Purpose) time.Time {
 	if b.failures == 0 {
 		return time.Time{}
 	}
@@ -69,12 +69,12 @@
 	return since < 0 || since >= b.pause(p)
 }
 
-// Pace bounds the dials of a whole process that no call needs and that follow on one that failed: of very many dispatchers that refuse,
+// DialLimiter bounds the dials of a whole process that no call needs and that follow on one that failed: of very many dispatchers that refuse,
 // each is dialled rarely.
-type Pace struct{ at time.Time }
+type DialLimiter struct{ at time.Time }
 
-// Take reports whether such a dial may begin now, and counts it if so.
-func (p *Pace) Take(now time.Time) bool {
+// Allow reports whether such a dial may begin now, and counts it if so.
+func (p *DialLimiter) Allow(now time.Time) bool {
 	if since := now.Sub(p.at); since >= 0 && since < aheadEvery {
 		return false
 	}
--- a/internal/decide/links/redial_test.go
+++ b/internal/decide/links/redial_test.go
@@ -13,17 +13,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var b Backoff
 		now := start
-		bounds := map[Purpose]time.Duration{Draining: redialAhead, Ahead: redialAhead, Standing: redialStanding, SetUp: redialLeast}
+		bounds := map[Purpose]time.Duration{Draining: redialAhead, Preconnect: redialAhead, ActiveCalls: redialStanding, SetUp: redialLeast}
 		for p := range bounds {
 			if !b.Due(now, p) {
 				t.Fatalf("one that did not fail is not due for purpose %d", p)
 			}
 		}
 		for n := range rapid.IntRange(1, 30).Draw(t, "failures") {
-			b.Fail(now, rapid.Float64Range(0, 1).Draw(t, "jitter"))
+			b.RecordFailure(now, rapid.Float64Range(0, 1).Draw(t, "jitter"))
 			for p, most := range bounds {
 				least := min(redialLeast<<min(n, 20), most)
-				if p <= Ahead {
+				if p <= Preconnect {
 					least /= 2
 				}
 				if b.Due(now.Add(least-1), p) || !b.Due(now.Add(most), p) {
@@ -35,7 +35,7 @@
 			}
 			now = now.Add(redialAhead)
 		}
-		if b.Reset(); b.Failed() || !b.Due(now.Add(-time.Hour), Ahead) || !b.Due(now, Ahead) {
+		if b.Reset(); b.Failed() || !b.Due(now.Add(-time.Hour), Preconnect) || !b.Due(now, Preconnect) {
 			t.Fatal("what is reset is not due at once")
 		}
 	})
@@ -44,12 +44,12 @@
 // TestPace: in any stretch of time there are no more dials than seconds, and one more; and there is one each second if they are asked for.
 func TestPace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var p Pace
+		var p DialLimiter
 		var taken []time.Time
 		now := start
 		for range rapid.IntRange(1, 200).Draw(t, "asked") {
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(1500*time.Millisecond)).Draw(t, "gap")))
-			if p.Take(now) {
+			if p.Allow(now) {
 				taken = append(taken, now)
 			} else if now.Sub(taken[len(taken)-1]) >= aheadEvery {
 				t.Fatal("none is allowed after a second without")
@@ -60,7 +60,7 @@
 				t.Fatalf("two within %v", taken[i+1].Sub(taken[i]))
 			}
 		}
-		if !p.Take(now.Add(-time.Hour)) {
+		if !p.Allow(now.Add(-time.Hour)) {
 			t.Fatal("a clock that was set back holds dials up")
 		}
 	})
--- a/internal/decide/links/renewal.go
+++ b/internal/decide/links/renewal.go
@@ -20,30 +20,30 @@
 	unread   bool
 }
 
-// Want asks for a connection on which the ends are repeated that were told until now.
-func (r *Renewal) Want(now time.Time) {
+// Request asks for a connection on which the ends are repeated that were told until now.
+func (r *Renewal) Request(now time.Time) {
 	r.since = now
 	if r.dueAt.IsZero() {
 		r.dueAt = now.Add(renewAfter)
 	}
 }
 
-// Lost notes that ends which were told until now may have been lost.
-func (r *Renewal) Lost(now time.Time) {
+// RecordLoss notes that ends which were told until now may have been lost.
+func (r *Renewal) RecordLoss(now time.Time) {
 	r.missing = true
-	r.Want(now)
+	r.Request(now)
 }
 
-// Repeat asks for a connection if the last one is older than repeatEvery and none is due.
-func (r *Renewal) Repeat(now time.Time) {
+// RequestPeriodic asks for a connection if the last one is older than repeatEvery and none is due.
+func (r *Renewal) RequestPeriodic(now time.Time) {
 	if r.dueAt.IsZero() && now.Sub(r.dialedAt) >= repeatEvery {
-		r.Want(now)
+		r.Request(now)
 	}
 }
 
-// Opened notes that a connection has come up whose dial began at the given time. The dispatcher may have accepted it at any time since: it
+// RecordOpened notes that a connection has come up whose dial began at the given time. The dispatcher may have accepted it at any time since: it
 // brings what was lost before.
-func (r *Renewal) Opened(dialedAt time.Time) {
+func (r *Renewal) RecordOpened(dialedAt time.Time) {
 	r.dialedAt = dialedAt
 	if !dialedAt.Before(r.since) {
 		r.since, r.dueAt, r.missing = time.Time{}, time.Time{}, false
@@ -53,8 +53,8 @@
 // Cancel has no connection dialled until the next one is asked for.
 func (r *Renewal) Cancel() { r.dueAt = time.Time{} }
 
-// Missing reports whether ends may have been lost that no connection has brought since.
-func (r *Renewal) Missing() bool { return r.missing }
+// EndsMissing reports whether ends may have been lost that no connection has brought since.
+func (r *Renewal) EndsMissing() bool { return r.missing }
 
 // Pending reports whether a connection is to be dialled, now or soon.
 func (r *Renewal) Pending() bool { return !r.dueAt.IsZero() }
@@ -62,8 +62,8 @@
 // Due reports whether a connection is to be dialled now.
 func (r *Renewal) Due(now time.Time) bool { return r.Pending() && !now.Before(r.dueAt) }
 
-// SetUnread sets whether the dispatcher may hold a connection for open that nobody reads.
-func (r *Renewal) SetUnread(unread bool) { r.unread = unread }
+// SetUnreadConnection sets whether the dispatcher may hold a connection for open that nobody reads.
+func (r *Renewal) SetUnreadConnection(unread bool) { r.unread = unread }
 
-// Unread reports whether it may.
-func (r *Renewal) Unread() bool { return r.unread }
+// HasUnreadConnection reports whether it may.
+func (r *Renewal) HasUnreadConnection() bool { return r.unread }
--- a/internal/decide/members/members.go
+++ b/internal/decide/members/members.go
@@ -37,8 +37,8 @@
 	Gone State = "gone"
 )
 
-// Known reports whether a member may say so of itself.
-func (s State) Known() bool { return s == Joining || s == Serving || s == Leaving }
+// SelfReported reports whether a member may say so of itself.
+func (s State) SelfReported() bool { return s == Joining || s == Serving || s == Leaving }
 
 // Entry is a member's key as the store has it.
 type Entry struct {
@@ -58,21 +58,21 @@
 // Member is one controller as this one knows it.
 type Member struct {
 	Entry
-	Store uint64        // the store whose revisions these are: one that was put back has them again, for others
-	Since time.Duration // when this process first heard of the incarnation
-	Ended time.Duration // when it heard of its end; 0 while there is none
-	Left  bool          // it said that it was leaving before it went
-	last  State
+	Store       uint64        // the store whose revisions these are: one that was put back has them again, for others
+	FirstSeenAt time.Duration // when this process first heard of the incarnation
+	EndedAt     time.Duration // when it heard of its end; 0 while there is none
+	WasLeaving  bool          // it said that it was leaving before it went
+	last        State
 }
 
 // Kind says what happened to a member.
 type Kind string
 
 const (
-	// Came tells of a new incarnation, Turned of another state, Went of a certain end.
-	Came, Turned, Went Kind = "came", "turned", "went"
-	// Joined and Parted are this process's own certainty, gained and lost; Moved is another store in the place of the one that was.
-	Joined, Parted, Moved Kind = "joined", "parted", "store moved"
+	// MemberAppeared tells of a new incarnation, Turned of another state, Went of a certain end.
+	MemberAppeared, MemberStateChanged, MemberEnded Kind = "came", "turned", "went"
+	// LeaseGained and Parted are this process's own certainty, gained and lost; Moved is another store in the place of the one that was.
+	LeaseGained, LeaseLost, StoreReplaced Kind = "joined", "parted", "store moved"
 )
 
 // Event is one line of the history.
@@ -128,9 +128,9 @@
 
 // --- The own membership ---
 
-// Held takes in that the own key is there, made at a revision, under a lease that was granted or renewed by a request sent then.
+// RecordOwnKey takes in that the own key is there, made at a revision, under a lease that was granted or renewed by a request sent then.
 // A key made anew is a new incarnation; the old one's right does not pass on to it.
-func (v *View) Held(now, sent time.Duration, incarnation int64) {
+func (v *View) RecordOwnKey(now, sent time.Duration, incarnation int64) {
 	if incarnation <= 0 || incarnation < v.incarnation {
 		return
 	}
@@ -140,9 +140,9 @@
 	v.extend(now, sent)
 }
 
-// Renewed takes in the answer to a renewal of the own lease. It counts from when the request was sent: however late the answer, the
+// RecordRenewal takes in the answer to a renewal of the own lease. It counts from when the request was sent: however late the answer, the
 // store had it no sooner.
-func (v *View) Renewed(now, sent time.Duration, incarnation int64) {
+func (v *View) RecordRenewal(now, sent time.Duration, incarnation int64) {
 	if incarnation == v.incarnation && incarnation != 0 {
 		v.extend(now, sent)
 	}
@@ -153,8 +153,8 @@
 	v.turn(now, "")
 }
 
-// Ended takes in that the own lease or key is no more, for all that the store says, or that this process gives it up.
-func (v *View) Ended(now time.Duration, cause string) {
+// RecordLeaseEnd takes in that the own lease or key is no more, for all that the store says, or that this process gives it up.
+func (v *View) RecordLeaseEnd(now time.Duration, cause string) {
 	v.rightUntil = 0
 	v.turn(now, cause)
 	v.incarnation = 0
@@ -164,35 +164,35 @@
 func (v *View) turn(now time.Duration, cause string) {
 	if is := v.incarnation != 0 && now < v.rightUntil; is != v.certain {
 		v.certain = is
-		kind := Parted
+		kind := LeaseLost
 		if is {
-			kind = Joined
+			kind = LeaseGained
 		}
 		v.note(now, kind, Entry{Name: v.self, Incarnation: v.incarnation}, cause)
 	}
 }
 
-// Certain reports whether this process has its name for itself now, as which incarnation, and until when if nothing more is heard.
+// HoldsLease reports whether this process has its name for itself now, as which incarnation, and until when if nothing more is heard.
 // Whoever acts on it must act before then.
-func (v *View) Certain(now time.Duration) (incarnation int64, until time.Duration, ok bool) {
+func (v *View) HoldsLease(now time.Duration) (incarnation int64, until time.Duration, ok bool) {
 	v.turn(now, "no renewal was answered in time")
 	return v.incarnation, v.rightUntil, v.certain
 }
 
 // --- The others ---
 
-// Store takes in which store answered and at which revision, of any answer that is linearizable. It reports false if this is
+// ObserveStore takes in which store answered and at which revision, of any answer that is linearizable. It reports false if this is
 // another store, or the same one put back to an earlier state: then no key that is missing there says that anybody has ended, and the
 // own key must be made anew. The revision need not be that of this request's keys.
-func (v *View) Store(now time.Duration, cluster uint64, revision int64) bool {
+func (v *View) ObserveStore(now time.Duration, cluster uint64, revision int64) bool {
 	same := v.cluster == 0 || cluster == v.cluster && revision >= v.highest
 	if !same {
 		cause := "the store went back"
 		if cluster != v.cluster {
 			cause = "another store"
 		}
-		v.note(now, Moved, Entry{Name: v.self, Incarnation: v.incarnation}, cause)
-		v.Ended(now, cause)
+		v.note(now, StoreReplaced, Entry{Name: v.self, Incarnation: v.incarnation}, cause)
+		v.RecordLeaseEnd(now, cause)
 		// Who lives is not known any more. Nobody has ended.
 		v.members, v.known, v.revision, v.looks = map[string]*Member{}, false, 0, nil
 		v.highest = 0
@@ -201,8 +201,8 @@
 	return same
 }
 
-// Looked takes in a linearizable answer that was asked for then: the view is as old as that once it is whole up to the revision.
-func (v *View) Looked(sent time.Duration, revision int64) {
+// RecordRevision takes in a linearizable answer that was asked for then: the view is as old as that once it is whole up to the revision.
+func (v *View) RecordRevision(sent time.Duration, revision int64) {
 	if n := len(v.looks); n > 0 && v.looks[n-1].sent >= sent {
 		return
 	}
@@ -222,9 +222,9 @@
 	}
 }
 
-// Read takes in a whole read that was asked for then. One from before what is known already is passed over, and reported as false:
+// ApplyRead takes in a whole read that was asked for then. One from before what is known already is passed over, and reported as false:
 // a key that is missing from it may have been made since.
-func (v *View) Read(now, sent time.Duration, revision int64, entries []Entry) bool {
+func (v *View) ApplyRead(now, sent time.Duration, revision int64, entries []Entry) bool {
 	if revision < v.revision {
 		return false
 	}
@@ -246,8 +246,8 @@
 	return true
 }
 
-// Watched takes in what the watch told: all changes up to a revision, of which there may be none.
-func (v *View) Watched(now time.Duration, revision int64, changes []Change) {
+// ApplyChanges takes in what the watch told: all changes up to a revision, of which there may be none.
+func (v *View) ApplyChanges(now time.Duration, revision int64, changes []Change) {
 	for _, c := range changes {
 		if !c.Deleted {
 			v.put(now, c.Entry)
@@ -270,21 +270,21 @@
 		v.end(now, m, "its name was taken anew")
 	default:
 		if m.State != e.State {
-			v.note(now, Turned, e, "")
+			v.note(now, MemberStateChanged, e, "")
 		}
 		m.Entry = e
 		return
 	}
-	v.members[e.Name] = &Member{Entry: e, Store: v.cluster, Since: now}
-	v.note(now, Came, e, "")
+	v.members[e.Name] = &Member{Entry: e, Store: v.cluster, FirstSeenAt: now}
+	v.note(now, MemberAppeared, e, "")
 }
 
 // end is the one way for a member to be gone.
 func (v *View) end(now time.Duration, m *Member, cause string) {
 	delete(v.members, m.Name)
-	m.Left, m.Ended = m.State == Leaving, now
+	m.WasLeaving, m.EndedAt = m.State == Leaving, now
 	m.last, m.State = m.State, Gone
-	v.note(now, Went, m.Entry, cause)
+	v.note(now, MemberEnded, m.Entry, cause)
 	if len(v.gone) == keepGone {
 		v.gone = slices.Delete(v.gone, 0, keepGone/4)
 	}
@@ -311,8 +311,8 @@
 	})
 }
 
-// Cluster is the number of the store whose revisions the incarnations are; 0 before it has answered.
-func (v *View) Cluster() uint64 { return v.cluster }
+// StoreID is the number of the store whose revisions the incarnations are; 0 before it has answered.
+func (v *View) StoreID() uint64 { return v.cluster }
 
 // Gone are those that have ended, the latest last.
 func (v *View) Gone() []Member {
@@ -331,7 +331,7 @@
 // Actable reports whether the view is young enough to act on, for one whose own membership is certain.
 func (v *View) Actable(now time.Duration) bool {
 	age, known := v.Age(now)
-	_, _, certain := v.Certain(now)
+	_, _, certain := v.HoldsLease(now)
 	return known && certain && age <= staleLeases*v.lease
 }
 
--- a/internal/decide/members/members_test.go
+++ b/internal/decide/members/members_test.go
@@ -62,39 +62,39 @@
 	v := New("a", lease)
 	certain := func(at time.Duration, want bool) {
 		t.Helper()
-		if _, _, ok := v.Certain(at); ok != want {
+		if _, _, ok := v.HoldsLease(at); ok != want {
 			t.Errorf("at %v certain %v, want %v", at, ok, want)
 		}
 	}
 	certain(0, false)
-	v.Held(time.Second, 0, 7) // asked for at 0, answered at 1 s
+	v.RecordOwnKey(time.Second, 0, 7) // asked for at 0, answered at 1 s
 	right := lease - Margin(lease)
 	certain(right-1, true)
 	certain(right, false)
-	v.Renewed(right+time.Second, time.Second, 7) // an answer that comes late counts from when it was asked for
+	v.RecordRenewal(right+time.Second, time.Second, 7) // an answer that comes late counts from when it was asked for
 	certain(time.Second+right-1, true)
 	certain(time.Second+right, false)
-	v.Renewed(5*time.Second, 5*time.Second, 6) // another incarnation's
+	v.RecordRenewal(5*time.Second, 5*time.Second, 6) // another incarnation's
 	certain(5*time.Second, false)
-	v.Renewed(5*time.Second, 5*time.Second, 7)
+	v.RecordRenewal(5*time.Second, 5*time.Second, 7)
 	certain(5*time.Second, true)
-	v.Ended(6*time.Second, "told")
+	v.RecordLeaseEnd(6*time.Second, "told")
 	certain(6*time.Second, false)
-	v.Renewed(6*time.Second, 6*time.Second, 7) // what is over is not renewed
+	v.RecordRenewal(6*time.Second, 6*time.Second, 7) // what is over is not renewed
 	certain(6*time.Second, false)
-	v.Held(7*time.Second, 7*time.Second, 9)
+	v.RecordOwnKey(7*time.Second, 7*time.Second, 9)
 	certain(7*time.Second, true)
 }
 
 func TestEndsAreOnlyThoseThatTheStoreTells(t *testing.T) {
 	v := New("a", lease)
-	v.Store(0, 1, 10)
-	v.Read(0, 0, 10, []Entry{entry("a", 2, 2, Serving), entry("b", 3, 9, Serving), entry("c", 4, 4, Serving)})
-	if v.Read(1, 1, 9, nil) {
+	v.ObserveStore(0, 1, 10)
+	v.ApplyRead(0, 0, 10, []Entry{entry("a", 2, 2, Serving), entry("b", 3, 9, Serving), entry("c", 4, 4, Serving)})
+	if v.ApplyRead(1, 1, 9, nil) {
 		t.Error("a read from before what is known was taken")
 	}
-	v.Watched(2, 12, []Change{{entry("b", 3, 11, Leaving), false}, {Entry{Name: "c", Revision: 12}, true}, {Entry{Name: "b", Revision: 9}, true}})
-	v.Watched(3, 14, []Change{{entry("c", 14, 14, Joining), false}})
+	v.ApplyChanges(2, 12, []Change{{entry("b", 3, 11, Leaving), false}, {Entry{Name: "c", Revision: 12}, true}, {Entry{Name: "b", Revision: 9}, true}})
+	v.ApplyChanges(3, 14, []Change{{entry("c", 14, 14, Joining), false}})
 	for _, c := range []struct {
 		name        string
 		incarnation int64
@@ -116,10 +116,10 @@
 		cluster  uint64
 		revision int64
 	}{{2, 20}, {2, 5}} {
-		if v.Store(4, moved.cluster, moved.revision) {
+		if v.ObserveStore(4, moved.cluster, moved.revision) {
 			t.Errorf("store %d was taken for the one before", i)
 		}
-		v.Read(5, 5, moved.revision, nil)
+		v.ApplyRead(5, 5, moved.revision, nil)
 		if v.HasEnded(1, "b", 3) || v.HasEnded(2, "b", 3) || v.HasEnded(2, "a", 2) {
 			t.Error("who is missing in another store is held to have ended")
 		}
@@ -131,17 +131,17 @@
 	if _, known := v.Age(0); known {
 		t.Error("a view that was never read is known")
 	}
-	v.Held(0, 0, 1)
-	v.Read(time.Second, 0, 10, nil)
-	v.Looked(2*time.Second, 15) // the store has gone on, and the watch has not told
+	v.RecordOwnKey(0, 0, 1)
+	v.ApplyRead(time.Second, 0, 10, nil)
+	v.RecordRevision(2*time.Second, 15) // the store has gone on, and the watch has not told
 	if age, _ := v.Age(3 * time.Second); age != 3*time.Second || !v.Behind() {
 		t.Errorf("age %v, behind %v", age, v.Behind())
 	}
-	v.Watched(3*time.Second, 15, nil)
+	v.ApplyChanges(3*time.Second, 15, nil)
 	if age, _ := v.Age(3 * time.Second); age != time.Second || v.Behind() {
 		t.Errorf("age %v, behind %v, once the watch has told all", age, v.Behind())
 	}
-	v.Renewed(8*time.Second, 8*time.Second, 1)
+	v.RecordRenewal(8*time.Second, 8*time.Second, 1)
 	if !v.Actable(8*time.Second) || v.Actable(8*time.Second+1) {
 		t.Error("a view is acted on until it is two leases old")
 	}
@@ -150,11 +150,11 @@
 // TestBounds: names come and go a thousand times and more; what is kept of them does not grow.
 func TestBounds(t *testing.T) {
 	v := New("a", lease)
-	v.Read(0, 0, 1, nil)
+	v.ApplyRead(0, 0, 1, nil)
 	for i := range int64(5000) {
-		v.Watched(time.Duration(i), 3+2*i, []Change{
+		v.ApplyChanges(time.Duration(i), 3+2*i, []Change{
 			{entry(fmt.Sprint("n", i), 2+2*i, 2+2*i, Serving), false}, {Entry{Name: fmt.Sprint("n", i), Revision: 3 + 2*i}, true}})
-		v.Looked(time.Duration(i), 1<<40+i)
+		v.RecordRevision(time.Duration(i), 1<<40+i)
 	}
 	if len(v.members) > 0 || len(v.gone) > keepGone || len(v.history) > keepHistory || len(v.looks) > 8 {
 		t.Errorf("%d members, %d gone, %d lines of history, %d looks", len(v.members), len(v.gone), len(v.history), len(v.looks))
--- a/internal/decide/members/world_test.go
+++ b/internal/decide/members/world_test.go
@@ -164,7 +164,7 @@
 				return func(now, _ time.Duration) {
 					p.store(now, cluster, revision)
 					if p.joined {
-						p.view.Ended(now, "gone")
+						p.view.RecordLeaseEnd(now, "gone")
 						p.joined = false
 						w.lives++
 						p.id = w.lives
@@ -178,8 +178,8 @@
 					return
 				}
 				p.joined = true
-				p.view.Held(now, sent, incarnation)
-				p.view.Renewed(now, sent, incarnation)
+				p.view.RecordOwnKey(now, sent, incarnation)
+				p.view.RecordRenewal(now, sent, incarnation)
 			}
 		})
 	case 1: // a look
@@ -187,7 +187,7 @@
 			cluster, revision := s.cluster, s.revision
 			return func(now, sent time.Duration) {
 				if p.store(now, cluster, revision) {
-					p.view.Looked(sent, revision)
+					p.view.RecordRevision(sent, revision)
 				}
 			}
 		})
@@ -203,7 +203,7 @@
 					if !p.store(now, cluster, revision) && !w.o.keepThrough {
 						return
 					}
-					if p.view.Read(now, sent, revision, entries) {
+					if p.view.ApplyRead(now, sent, revision, entries) {
 						p.next, p.deaf = next, w.Float64() < 0.2
 					}
 				}
@@ -221,14 +221,14 @@
 					return
 				}
 				p.next += len(told)
-				p.view.Watched(now, revision, told)
+				p.view.ApplyChanges(now, revision, told)
 			}
 		})
 		if w.o.silence {
 			if age, known := p.view.Age(p.clock()); known && age > w.o.lease {
 				for _, m := range p.view.Members() {
 					if m.Name != p.name {
-						p.view.Watched(p.clock(), 0, []Change{{Entry{Name: m.Name, Revision: 1 << 60}, true}})
+						p.view.ApplyChanges(p.clock(), 0, []Change{{Entry{Name: m.Name, Revision: 1 << 60}, true}})
 					}
 				}
 			}
@@ -241,7 +241,7 @@
 	if p.w.o.keepThrough {
 		return true
 	}
-	if p.view.Store(now, cluster, revision) {
+	if p.view.ObserveStore(now, cluster, revision) {
 		return true
 	}
 	p.joined, p.deaf = false, true
@@ -292,7 +292,7 @@
 		if w.now < p.paused { // it does nothing; it is asked once it goes on, by a clock that has
 			continue
 		}
-		incarnation, _, certain := p.view.Certain(p.clock())
+		incarnation, _, certain := p.view.HoldsLease(p.clock())
 		if !certain {
 			continue
 		}
@@ -301,7 +301,7 @@
 		}
 		sure[p.name] = p
 		for _, o := range w.all {
-			if o != p && o.view.HasEnded(p.view.Cluster(), p.name, incarnation) {
+			if o != p && o.view.HasEnded(p.view.StoreID(), p.name, incarnation) {
 				w.fault("%s has ended as %d for another, and is certain of it", p.name, incarnation)
 			}
 		}
@@ -338,7 +338,7 @@
 	}
 	for _, p := range w.all {
 		for _, e := range p.view.history {
-			if e.Kind == Joined {
+			if e.Kind == LeaseGained {
 				joins++
 			}
 		}
--- a/internal/decide/pool/bench_test.go
+++ b/internal/decide/pool/bench_test.go
@@ -10,7 +10,7 @@
 
 // large is a set of n servers, one of which has a weight that changes.
 func large(n, weight int) Candidate {
-	c := Candidate{Source: FromFile, Digest: fmt.Sprint(weight), Update: Update{Whole: true}}
+	c := Candidate{Source: FromFile, Digest: fmt.Sprint(weight), Update: Update{Complete: true}}
 	for i := range n {
 		c.Servers = append(c.Servers, Member{Address: fmt.Sprintf("127.0.%d.%d:7000", i/250, i%250), ServerEntry: control.ServerEntry{
 			ID: control.ServerID(fmt.Sprint("s-", i)), Cell: i % 4, Weight: 100}})
@@ -42,10 +42,10 @@
 		sets := [2]Candidate{large(n, 1), large(n, 2)}
 		b.Run(fmt.Sprint("pool/", n), func(b *testing.B) {
 			p := New()
-			p.Take(clock, sets[1])
+			p.Apply(clock, sets[1])
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				if v := p.Take(clock, sets[i%2]); !v.Taken || len(v.Update.Servers) != 1 {
+				if v := p.Apply(clock, sets[i%2]); !v.Accepted || len(v.Update.Servers) != 1 {
 					b.Fatal(v.Faults, len(v.Update.Servers))
 				}
 			}
--- a/internal/decide/pool/change.go
+++ b/internal/decide/pool/change.go
@@ -10,12 +10,12 @@
 
 // Change is what a set that comes into force changes, by name. A dispatcher may be in several of the lists.
 type Change struct {
-	Added     []control.ServerID `json:"added,omitempty"`
-	Removed   []control.ServerID `json:"removed,omitempty"`
-	Moved     []control.ServerID `json:"moved,omitempty"`     // another address: another process
-	Restarted []control.ServerID `json:"restarted,omitempty"` // a later start at the same address
-	Weighed   []control.ServerID `json:"weighed,omitempty"`   // another weight
-	Restated  []control.ServerID `json:"restated,omitempty"`  // another status, zone or group
+	Added      []control.ServerID `json:"added,omitempty"`
+	Removed    []control.ServerID `json:"removed,omitempty"`
+	Moved      []control.ServerID `json:"moved,omitempty"`     // another address: another process
+	Restarted  []control.ServerID `json:"restarted,omitempty"` // a later start at the same address
+	Reweighted []control.ServerID `json:"weighed,omitempty"`   // another weight
+	Updated    []control.ServerID `json:"restated,omitempty"`  // another status, zone or group
 }
 
 // compare notes how a member differs from the one in force.
@@ -32,15 +32,15 @@
 		c.Restarted = append(c.Restarted, id)
 	}
 	if old.Weight != e.Weight {
-		c.Weighed = append(c.Weighed, id)
+		c.Reweighted = append(c.Reweighted, id)
 	}
 	if old.Status != e.Status || old.Zone != e.Zone || old.Cell != e.Cell {
-		c.Restated = append(c.Restated, id)
+		c.Updated = append(c.Updated, id)
 	}
 }
 
 func (c *Change) lists() []*[]control.ServerID {
-	return []*[]control.ServerID{&c.Added, &c.Removed, &c.Moved, &c.Restarted, &c.Weighed, &c.Restated}
+	return []*[]control.ServerID{&c.Added, &c.Removed, &c.Moved, &c.Restarted, &c.Reweighted, &c.Updated}
 }
 
 func (c *Change) sort() {
--- a/internal/decide/pool/check.go
+++ b/internal/decide/pool/check.go
@@ -15,10 +15,10 @@
 const (
 	// MaxServers is the most that a set of people may name at all: 8 MiB hold about as many. What a process takes is bounded by Bound.
 	MaxServers = 50_000
-	// DefaultBound is what a process takes of people unless it is told otherwise: each dispatcher is a connection, at least.
-	DefaultBound = 10_000
-	// MaxName bounds names, zones and labels: they are on every line of a log.
-	MaxName = 64
+	// DefaultLimit is what a process takes of people unless it is told otherwise: each dispatcher is a connection, at least.
+	DefaultLimit = 10_000
+	// MaxNameLength bounds names, zones and labels: they are on every line of a log.
+	MaxNameLength = 64
 	// MaxGroup bounds groups; first choices name them.
 	MaxGroup = 1 << 20
 	// maxAddress bounds addresses.
@@ -32,19 +32,19 @@
 
 // The reasons.
 const (
-	BadForm    Reason = "form"       // it cannot be read, or has what it must not have
+	BadFormat  Reason = "form"       // it cannot be read, or has what it must not have
 	BadValue   Reason = "value"      // a value makes no sense
 	Unfinished Reason = "unfinished" // no end mark last: it may still be written
 	BadCount   Reason = "count"      // not as many servers as announced
-	Twice      Reason = "twice"      // a name or an address is used twice
-	Nobody     Reason = "nobody"     // nobody would get calls
+	Duplicate  Reason = "twice"      // a name or an address is used twice
+	NoneActive Reason = "nobody"     // nobody would get calls
 	BadMAC     Reason = "mac"        // the MAC is wrong or missing
 	TooLarge   Reason = "size"       // it is over a bound
 	Missing    Reason = "missing"    // there is no file, or it cannot be opened
 )
 
 // Reasons are all of them.
-var Reasons = []Reason{BadForm, BadValue, Unfinished, BadCount, Twice, Nobody, BadMAC, TooLarge, Missing}
+var Reasons = []Reason{BadFormat, BadValue, Unfinished, BadCount, Duplicate, NoneActive, BadMAC, TooLarge, Missing}
 
 // Fault is one thing that is wrong with a candidate, and where.
 type Fault struct {
@@ -80,8 +80,8 @@
 		add(-1, TooLarge, "", "%d servers, %d are allowed", len(c.Servers), MaxServers)
 		return faults
 	}
-	if len(c.Label) > MaxName {
-		add(-1, BadValue, "version", "longer than %d bytes", MaxName)
+	if len(c.Label) > MaxNameLength {
+		add(-1, BadValue, "version", "longer than %d bytes", MaxNameLength)
 	}
 	names := make(map[control.ServerID]int, len(c.Servers))
 	addresses := make(map[string]int, len(c.Servers))
@@ -91,7 +91,7 @@
 			add(i, BadValue, "server", "the name %.80q %s", m.ID, text)
 		}
 		if first, twice := names[m.ID]; twice {
-			add(i, Twice, "server", "%q is named twice%s", m.ID, c.at(first))
+			add(i, Duplicate, "server", "%q is named twice%s", m.ID, c.at(first))
 		} else {
 			names[m.ID] = i
 		}
@@ -99,7 +99,7 @@
 		if text := badAddress(m.Address); text != "" {
 			add(i, BadValue, "address", "%.80q of server %q %s", m.Address, m.ID, text)
 		} else if first, twice := addresses[host(m.Address)]; twice && !gone {
-			add(i, Twice, "address", "%q of server %q is that of server %q%s, too", m.Address, m.ID, c.Servers[first].ID, c.at(first))
+			add(i, Duplicate, "address", "%q of server %q is that of server %q%s, too", m.Address, m.ID, c.Servers[first].ID, c.at(first))
 		} else if !gone {
 			addresses[host(m.Address)] = i
 		}
@@ -111,7 +111,7 @@
 		if m.Cell < 0 || m.Cell > MaxGroup {
 			add(i, BadValue, "group", "%d of server %q is not from 0 to %d", m.Cell, m.ID, MaxGroup)
 		}
-		if m.Weight != Idle && (m.Weight < 1 || m.Weight > MaxWeight) {
+		if m.Weight != NoNewCalls && (m.Weight < 1 || m.Weight > MaxWeight) {
 			add(i, BadValue, "weight", "%d of server %q is not from 0 to %d", m.Weight, m.ID, MaxWeight)
 		}
 		if m.Status < control.Active || m.Status > control.Removed {
@@ -120,10 +120,10 @@
 		if m.StartedAt < 0 || m.StartedAt > now+maxSkew {
 			add(i, BadValue, "since", "server %q would start in the future, or before 1970", m.ID)
 		}
-		takes = takes || m.Status == control.Active && m.Weight != Idle
+		takes = takes || m.Status == control.Active && m.Weight != NoNewCalls
 	}
 	if !takes && len(faults) == 0 {
-		add(-1, Nobody, "", "no server is active with a weight above 0: nobody would get calls")
+		add(-1, NoneActive, "", "no server is active with a weight above 0: nobody would get calls")
 	}
 	return faults
 }
@@ -141,8 +141,8 @@
 	switch {
 	case name == "":
 		return "is empty"
-	case len(name) > MaxName:
-		return fmt.Sprintf("is longer than %d bytes", MaxName)
+	case len(name) > MaxNameLength:
+		return fmt.Sprintf("is longer than %d bytes", MaxNameLength)
 	case !utf8.ValidString(name):
 		return "is no UTF-8"
 	case strings.ContainsFunc(name, func(r rune) bool { return !unicode.IsPrint(r) || r == ' ' || r == '"' || r == '\\' }):
--- a/internal/decide/pool/history.go
+++ b/internal/decide/pool/history.go
@@ -14,26 +14,26 @@
 
 // Version is one candidate of people, or a change that a stream told, and what became of it.
 type Version struct {
-	Number  int           `json:"number"` // counts from 1
-	Source  Source        `json:"source"`
-	Label   string        `json:"label,omitempty"`
-	Digest  string        `json:"digest,omitempty"`
-	At      time.Duration `json:"at"` // when it was first judged, ns of the Unix clock
-	Taken   bool          `json:"taken"`
-	Again   int           `json:"again,omitempty"` // how many times more the same was refused
-	Faults  []Fault       `json:"faults,omitempty"`
-	Found   int           `json:"found,omitempty"` // faults in all
-	Change  Change        `json:"change,omitzero"`
-	Changed int           `json:"changed"` // servers that the change touches
-	Servers int           `json:"servers"` // of the set in force after it
+	Number         int           `json:"number"` // counts from 1
+	Source         Source        `json:"source"`
+	Label          string        `json:"label,omitempty"`
+	Digest         string        `json:"digest,omitempty"`
+	At             time.Duration `json:"at"` // when it was first judged, ns of the Unix clock
+	Accepted       bool          `json:"taken"`
+	Repeats        int           `json:"again,omitempty"` // how many times more the same was refused
+	Faults         []Fault       `json:"faults,omitempty"`
+	FaultCount     int           `json:"found,omitempty"` // faults in all
+	Change         Change        `json:"change,omitzero"`
+	ChangedServers int           `json:"changed"` // servers that the change touches
+	Servers        int           `json:"servers"` // of the set in force after it
 }
 
 // refuse notes that a candidate is not taken. The set in force stays.
 func (p *Pool) refuse(now time.Duration, c *Candidate, faults []Fault) Verdict {
 	if t := p.trouble; t != nil && c.Digest != "" && t.Digest == c.Digest && t.Source == c.Source && c.byPeople() && slices.Equal(t.Faults, head(faults)) {
-		t.Again++ // seen again, not news
+		t.Repeats++ // seen again, not news
 		if last := &p.history[len(p.history)-1]; last.Number == t.Number {
-			last.Again = t.Again
+			last.Repeats = t.Repeats
 		}
 		return Verdict{Version: *t}
 	}
@@ -44,7 +44,7 @@
 		}
 		seen[f.Reason] = true
 	}
-	v := p.note(Version{Source: c.Source, Label: c.Label, Digest: c.Digest, At: now, Faults: head(faults), Found: len(faults)})
+	v := p.note(Version{Source: c.Source, Label: c.Label, Digest: c.Digest, At: now, Faults: head(faults), FaultCount: len(faults)})
 	if c.byPeople() {
 		p.trouble = &v
 	}
@@ -61,8 +61,8 @@
 	if change.Empty() && p.current.Number > 0 && (!c.byPeople() || c.Digest == p.current.Digest && c.Label == p.current.Label) {
 		return p.current
 	}
-	v := Version{Source: c.Source, Label: c.Label, Digest: c.Digest, At: now, Taken: true}
-	v.Change, v.Changed = change.cut()
+	v := Version{Source: c.Source, Label: c.Label, Digest: c.Digest, At: now, Accepted: true}
+	v.Change, v.ChangedServers = change.cut()
 	p.taken++
 	p.current = p.note(v)
 	return p.current
@@ -81,8 +81,8 @@
 // Current is the version in force; its Number is 0 before the first.
 func (p *Pool) Current() Version { return p.current }
 
-// Trouble is the last candidate of people if that was refused, and nothing good has come since.
-func (p *Pool) Trouble() (Version, bool) {
+// LastRefused is the last candidate of people if that was refused, and nothing good has come since.
+func (p *Pool) LastRefused() (Version, bool) {
 	if p.trouble == nil {
 		return Version{}, false
 	}
--- a/internal/decide/pool/looks.go
+++ b/internal/decide/pool/looks.go
@@ -16,16 +16,16 @@
 	unwatched = 150 * time.Millisecond
 )
 
-// Sight is what a look at a file found.
-type Sight struct {
+// Observation is what a look at a file found.
+type Observation struct {
 	Digest     string // of its bytes; of the error, if it could not be read
 	Unfinished bool   // it may be on its way still: no end mark, or no file
 	InPlace    bool   // it is the same file as at the last look, with other bytes
 }
 
-// Looks decides when a file is looked at and which sights are judged. It has no clock: times are on any one that does not
+// FilePoller decides when a file is looked at and which sights are judged. It has no clock: times are on any one that does not
 // go back.
-type Looks struct {
+type FilePoller struct {
 	watched bool
 	due     time.Duration // when to look next
 	judged  string        // the digest that was judged last
@@ -33,30 +33,32 @@
 	since   time.Duration // when that was first seen
 }
 
-// NewLooks returns a Looks that is due at once.
-func NewLooks(now time.Duration, watched bool) *Looks { return &Looks{watched: watched, due: now} }
+// NewFilePoller returns a Looks that is due at once.
+func NewFilePoller(now time.Duration, watched bool) *FilePoller {
+	return &FilePoller{watched: watched, due: now}
+}
 
-// Watched tells whether changes are told by a watch.
-func (l *Looks) Watched(now time.Duration, watched bool) {
+// SetWatched tells whether changes are told by a watch.
+func (l *FilePoller) SetWatched(now time.Duration, watched bool) {
 	l.watched = watched
 	l.due = min(l.due, now+l.pace())
 }
 
-func (l *Looks) pace() time.Duration {
+func (l *FilePoller) pace() time.Duration {
 	if l.watched {
 		return slowly
 	}
 	return unwatched
 }
 
-// Stirred tells that something has changed on the way to the file. However many come, the look is not put off.
-func (l *Looks) Stirred(now time.Duration) { l.due = min(l.due, now+gather) }
+// NoteChange tells that something has changed on the way to the file. However many come, the look is not put off.
+func (l *FilePoller) NoteChange(now time.Duration) { l.due = min(l.due, now+gather) }
 
-// Due is when to look next.
-func (l *Looks) Due() time.Duration { return l.due }
+// NextPoll is when to look next.
+func (l *FilePoller) NextPoll() time.Duration { return l.due }
 
-// Looked tells what a look found, and reports whether that is to be judged now.
-func (l *Looks) Looked(now time.Duration, s Sight) bool {
+// Observe tells what a look found, and reports whether that is to be judged now.
+func (l *FilePoller) Observe(now time.Duration, s Observation) bool {
 	l.due = now + l.pace()
 	if s.Digest == l.judged {
 		l.pending = ""
--- a/internal/decide/pool/pool.go
+++ b/internal/decide/pool/pool.go
@@ -16,24 +16,24 @@
 const (
 	// MaxWeight is the highest weight: enough for parts of a thousandth.
 	MaxWeight = 1000
-	// Idle is the weight of a dispatcher that gets nothing new. In a file it is written 0; the zero value is that of lists
+	// NoNewCalls is the weight of a dispatcher that gets nothing new. In a file it is written 0; the zero value is that of lists
 	// that have no weights.
-	Idle = -1
+	NoNewCalls = -1
 )
 
 // Member is a line of a list of dispatchers. Its Weight is 0 in lists without weights, Idle, or 1 to MaxWeight.
 type Member struct {
 	control.ServerEntry
 	Address string
-	// Lingers is for one that is Removed: people left it out of a set, so nothing new goes there, but nobody says that its
+	// CallsContinue is for one that is Removed: people left it out of a set, so nothing new goes there, but nobody says that its
 	// process has ended, and its calls go on.
-	Lingers bool
+	CallsContinue bool
 }
 
 // Update is a list of dispatchers, or changes to it.
 type Update struct {
-	Servers []Member
-	Whole   bool // dispatchers that are not named are gone
+	Servers  []Member
+	Complete bool // dispatchers that are not named are gone
 }
 
 // Source names where a candidate comes from.
@@ -42,7 +42,7 @@
 // The sources.
 const (
 	FromFile        Source = "file"
-	FromStore       Source = "store" // the last good set of an earlier process
+	FromSnapshot    Source = "store" // the last good set of an earlier process
 	FromCoordinator Source = "coordinator"
 	FromEtcd        Source = "etcd"
 	FromStart       Source = "known" // the platform's list at the start
@@ -60,7 +60,7 @@
 }
 
 // byPeople reports whether the candidate is checked closely.
-func (c *Candidate) byPeople() bool { return c.Source == FromFile || c.Source == FromStore }
+func (c *Candidate) byPeople() bool { return c.Source == FromFile || c.Source == FromSnapshot }
 
 // entry is a member in force.
 type entry struct {
@@ -85,18 +85,18 @@
 
 // New returns a Pool without a set.
 func New() *Pool {
-	return &Pool{entries: map[control.ServerID]*entry{}, refused: map[Reason]int{}, files: DefaultBound}
+	return &Pool{entries: map[control.ServerID]*entry{}, refused: map[Reason]int{}, files: DefaultLimit}
 }
 
-// Bound sets the most servers that a set may have, whoever it comes from: what the memory bears. What is over it is refused whole.
-func (p *Pool) Bound(servers int) { p.files, p.streams = min(servers, MaxServers), servers }
+// SetLimit sets the most servers that a set may have, whoever it comes from: what the memory bears. What is over it is refused whole.
+func (p *Pool) SetLimit(servers int) { p.files, p.streams = min(servers, MaxServers), servers }
 
 // over tells of a candidate with more servers than are taken.
 func (p *Pool) over(c *Candidate) []Fault {
 	n, most := 0, p.files
 	if !c.byPeople() {
 		most = p.streams
-		if !c.Whole {
+		if !c.Complete {
 			n = len(p.entries)
 		}
 	}
@@ -105,9 +105,9 @@
 	}
 	for _, m := range c.Servers { // a change may name what is in force
 		switch old := p.entries[m.ID]; {
-		case m.Status != control.Removed && (c.Whole || old == nil):
+		case m.Status != control.Removed && (c.Complete || old == nil):
 			n++
-		case m.Status == control.Removed && !c.Whole && old != nil:
+		case m.Status == control.Removed && !c.Complete && old != nil:
 			n--
 		}
 	}
@@ -124,8 +124,8 @@
 	Changed bool   // Update has something to tell
 }
 
-// Take judges a candidate.
-func (p *Pool) Take(now time.Duration, c Candidate) Verdict {
+// Apply judges a candidate.
+func (p *Pool) Apply(now time.Duration, c Candidate) Verdict {
 	if !c.byPeople() {
 		return p.follow(now, c)
 	}
@@ -138,14 +138,14 @@
 	}
 	next, change, left := p.plan(now, &c)
 	first := !p.listed
-	u := Update{Whole: first}
+	u := Update{Complete: first}
 	for _, id := range change.ids() {
 		if e := next[id]; e != nil {
 			u.Servers = append(u.Servers, e.told())
 			continue
 		}
 		gone := p.entries[id].told()
-		gone.Status, gone.Lingers = control.Removed, !left[id]
+		gone.Status, gone.CallsContinue = control.Removed, !left[id]
 		u.Servers = append(u.Servers, gone)
 	}
 	p.entries, p.listed = next, true
@@ -156,7 +156,7 @@
 // told is the member as the module and the connections know it: to them, one that gets nothing new is draining.
 func (e *entry) told() Member {
 	m := e.Member
-	if m.Weight == Idle {
+	if m.Weight == NoNewCalls {
 		m.Weight = 0
 		if m.Status == control.Active {
 			m.Status = control.Draining
@@ -227,7 +227,7 @@
 		return p.refuse(now, &c, faults)
 	}
 	next := p.entries
-	if c.Whole {
+	if c.Complete {
 		next = make(map[control.ServerID]*entry, len(c.Servers))
 		p.listed = true
 	}
@@ -235,7 +235,7 @@
 	for _, m := range c.Servers {
 		old := p.entries[m.ID]
 		if m.Status == control.Removed {
-			if !c.Whole && old != nil {
+			if !c.Complete && old != nil {
 				change.Removed = append(change.Removed, m.ID)
 				delete(next, m.ID)
 			}
@@ -251,7 +251,7 @@
 		next[m.ID] = e
 		change.compare(old, e)
 	}
-	if c.Whole {
+	if c.Complete {
 		for id := range p.entries {
 			if next[id] == nil {
 				change.Removed = append(change.Removed, id)
@@ -274,59 +274,59 @@
 	return members
 }
 
-// Listed reports whether any set is in force.
-func (p *Pool) Listed() bool { return p.listed }
+// HasSet reports whether any set is in force.
+func (p *Pool) HasSet() bool { return p.listed }
 
-// Memory is a set in force in a form that can be kept and taken up again by a later process.
-type Memory struct {
-	Label   string       `json:"label"`
-	Digest  string       `json:"digest"`
-	Members []Remembered `json:"members"`
+// Snapshot is a set in force in a form that can be kept and taken up again by a later process.
+type Snapshot struct {
+	Label   string           `json:"label"`
+	Digest  string           `json:"digest"`
+	Members []SnapshotMember `json:"members"`
 }
 
-// Remembered is one member of a Memory. Times are microseconds of the Unix clock.
-type Remembered struct {
-	Name      string `json:"name"`
-	Address   string `json:"address"`
-	Zone      string `json:"zone"`
-	Group     int    `json:"group"`
-	Status    int    `json:"status"`
-	Weight    int    `json:"weight"`
-	StartedUs int64  `json:"started_us"`
-	GivenUs   int64  `json:"given_us"`
-	SeenUs    int64  `json:"seen_us"`
+// SnapshotMember is one member of a Memory. Times are microseconds of the Unix clock.
+type SnapshotMember struct {
+	Name            string `json:"name"`
+	Address         string `json:"address"`
+	Zone            string `json:"zone"`
+	Group           int    `json:"group"`
+	Status          int    `json:"status"`
+	Weight          int    `json:"weight"`
+	StartedUs       int64  `json:"started_us"`
+	ReportedStartUs int64  `json:"given_us"`
+	FirstSeenUs     int64  `json:"seen_us"`
 }
 
-// Remember gives the set in force.
-func (p *Pool) Remember() Memory {
-	m := Memory{Label: p.current.Label, Digest: p.current.Digest}
+// Snapshot gives the set in force.
+func (p *Pool) Snapshot() Snapshot {
+	m := Snapshot{Label: p.current.Label, Digest: p.current.Digest}
 	for _, id := range slices.Sorted(maps.Keys(p.entries)) {
 		e := p.entries[id]
-		m.Members = append(m.Members, Remembered{
+		m.Members = append(m.Members, SnapshotMember{
 			Name: string(id), Address: e.Address, Zone: e.Zone, Group: e.Cell, Status: int(e.Status), Weight: e.Weight,
-			StartedUs: e.StartedAt.Microseconds(), GivenUs: e.given.Microseconds(), SeenUs: e.seen.Microseconds(),
+			StartedUs: e.StartedAt.Microseconds(), ReportedStartUs: e.given.Microseconds(), FirstSeenUs: e.seen.Microseconds(),
 		})
 	}
 	return m
 }
 
-// Recall takes up what an earlier process remembered, before any other set. It is checked as a file is: what was kept may
+// Restore takes up what an earlier process remembered, before any other set. It is checked as a file is: what was kept may
 // be of a version whose limits were others.
-func (p *Pool) Recall(now time.Duration, m Memory) Verdict {
-	c := Candidate{Source: FromStore, Label: m.Label, Digest: m.Digest, Update: Update{Whole: true}}
+func (p *Pool) Restore(now time.Duration, m Snapshot) Verdict {
+	c := Candidate{Source: FromSnapshot, Label: m.Label, Digest: m.Digest, Update: Update{Complete: true}}
 	for _, r := range m.Members {
 		c.Servers = append(c.Servers, Member{Address: r.Address, ServerEntry: control.ServerEntry{
 			ID: control.ServerID(r.Name), Zone: r.Zone, Cell: r.Group, Status: control.ServerStatus(r.Status), Weight: r.Weight,
 			StartedAt: min(micros(r.StartedUs), now+maxSkew), // the clock may have been set back since
 		}})
 	}
-	v := p.Take(now, c)
-	if !v.Taken {
+	v := p.Apply(now, c)
+	if !v.Accepted {
 		return v
 	}
 	for _, r := range m.Members {
 		if e := p.entries[control.ServerID(r.Name)]; e != nil {
-			e.given, e.seen = min(micros(r.GivenUs), now+maxSkew), min(micros(r.SeenUs), now)
+			e.given, e.seen = min(micros(r.ReportedStartUs), now+maxSkew), min(micros(r.FirstSeenUs), now)
 		}
 	}
 	return v
--- a/internal/decide/pool/pool_test.go
+++ b/internal/decide/pool/pool_test.go
@@ -27,7 +27,7 @@
 
 // file is a candidate of people; its digest is made of what it holds.
 func file(members ...Member) Candidate {
-	return Candidate{Source: FromFile, Digest: fmt.Sprint(members), Update: Update{Servers: members, Whole: true}}
+	return Candidate{Source: FromFile, Digest: fmt.Sprint(members), Update: Update{Servers: members, Complete: true}}
 }
 
 func names(ids []control.ServerID) string {
@@ -46,7 +46,7 @@
 	}{
 		"a name twice":       {append(slices.Clone(good), member("a", "3", 1)), []string{`twice: line 30: server: "a" is named twice, first in line 10`}},
 		"an address twice":   {append(slices.Clone(good), member("c", "2", 1)), []string{`twice: line 30: address: "127.0.0.1:2" of server "c" is that of server "b", first in line 20, too`}},
-		"every weight zero":  {[]Member{member("a", "1", Idle), member("b", "2", Idle)}, []string{"nobody: no server is active with a weight above 0: nobody would get calls"}},
+		"every weight zero":  {[]Member{member("a", "1", NoNewCalls), member("b", "2", NoNewCalls)}, []string{"nobody: no server is active with a weight above 0: nobody would get calls"}},
 		"nobody active":      {[]Member{with(member("a", "1", 1), func(m *Member) { m.Status = control.Draining })}, []string{"nobody: no server is active with a weight above 0: nobody would get calls"}},
 		"nobody at all":      {nil, []string{"nobody: no server is active with a weight above 0: nobody would get calls"}},
 		"a weight too high":  {[]Member{member("a", "1", 1001)}, []string{`value: line 10: weight: 1001 of server "a" is not from 0 to 1000`}},
@@ -58,31 +58,31 @@
 		"a start to come":    {[]Member{with(member("a", "1", 1), func(m *Member) { m.StartedAt = clock + time.Hour })}, []string{`value: line 10: since: server "a" would start in the future, or before 1970`}},
 		"two faults at once": {[]Member{member("", "1", 1), member("b", "x", 1)}, []string{
 			`value: line 10: server: the name "" is empty`, `value: line 20: address: "127.0.0.1:x" of server "b" is neither host:port nor ws://host:port/path`}},
-		"far too many": {make([]Member, DefaultBound+1), []string{"size: 10001 servers, 10000 are allowed"}},
+		"far too many": {make([]Member, DefaultLimit+1), []string{"size: 10001 servers, 10000 are allowed"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := New()
-			p.Take(clock, file(good...))
+			p.Apply(clock, file(good...))
 			before := p.Members()
 			c := file(test.servers...)
 			for i := range test.servers {
 				c.Lines = append(c.Lines, 10*(i+1))
 			}
-			v := p.Take(clock+time.Second, c)
+			v := p.Apply(clock+time.Second, c)
 			var got []string
 			for _, f := range v.Faults {
 				got = append(got, string(f.Reason)+": "+f.String())
 			}
-			if diff := cmp.Diff(test.want, got); diff != "" || v.Taken || v.Changed {
-				t.Errorf("taken %v, faults (-want +got):\n%s", v.Taken, diff)
+			if diff := cmp.Diff(test.want, got); diff != "" || v.Accepted || v.Changed {
+				t.Errorf("taken %v, faults (-want +got):\n%s", v.Accepted, diff)
 			}
 			if diff := cmp.Diff(before, p.Members()); diff != "" {
 				t.Errorf("the set in force changed:\n%s", diff)
 			}
-			if trouble, is := p.Trouble(); !is || trouble.Number != 2 {
+			if trouble, is := p.LastRefused(); !is || trouble.Number != 2 {
 				t.Errorf("trouble %v %+v", is, trouble)
 			}
-			if p.Take(clock+2*time.Second, file(good...)); func() bool { _, is := p.Trouble(); return is }() {
+			if p.Apply(clock+2*time.Second, file(good...)); func() bool { _, is := p.LastRefused(); return is }() {
 				t.Error("the good set has come back, and the trouble is still told")
 			}
 		})
@@ -132,7 +132,7 @@
 			p := New()
 			var v Verdict
 			for i, set := range test.sets {
-				if v = p.Take(seen+time.Duration(i)*time.Second, file(set...)); !v.Taken {
+				if v = p.Apply(seen+time.Duration(i)*time.Second, file(set...)); !v.Accepted {
 					t.Fatalf("refused: %v", v.Faults)
 				}
 			}
@@ -148,15 +148,15 @@
 
 func TestOnlyWhatChangesIsTold(t *testing.T) {
 	p := New()
-	first := p.Take(clock, file(member("a", "1", 1), member("b", "2", 1), member("c", "3", 1)))
-	if !first.Update.Whole || len(first.Update.Servers) != 3 {
+	first := p.Apply(clock, file(member("a", "1", 1), member("b", "2", 1), member("c", "3", 1)))
+	if !first.Update.Complete || len(first.Update.Servers) != 3 {
 		t.Fatalf("first: %+v", first.Update)
 	}
-	v := p.Take(clock+time.Second, file(member("a", "1", 1), member("b", "2", Idle), member("d", "4", 2),
+	v := p.Apply(clock+time.Second, file(member("a", "1", 1), member("b", "2", NoNewCalls), member("d", "4", 2),
 		with(member("e", "5", 1), func(m *Member) { m.Status = control.Removed })))
 	want := Update{Servers: []Member{
 		with(member("b", "2", 0), func(m *Member) { m.Status = control.Draining }),
-		with(member("c", "3", 1), func(m *Member) { m.Status, m.Lingers = control.Removed, true }),
+		with(member("c", "3", 1), func(m *Member) { m.Status, m.CallsContinue = control.Removed, true }),
 		with(member("d", "4", 2), func(m *Member) { m.StartedAt = clock + time.Second }),
 	}}
 	if diff := cmp.Diff(want, v.Update); diff != "" {
@@ -165,7 +165,7 @@
 	if got := v.Change.String(); got != "added d; removed c; weighed b" {
 		t.Errorf("change %q", got)
 	}
-	v = p.Take(clock+2*time.Second, file(member("a", "1", 1), member("b", "2", 9),
+	v = p.Apply(clock+2*time.Second, file(member("a", "1", 1), member("b", "2", 9),
 		with(member("d", "4", 2), func(m *Member) { m.Status = control.Removed })))
 	gone := with(member("d", "4", 2), func(m *Member) { m.Status, m.StartedAt = control.Removed, clock+time.Second })
 	if diff := cmp.Diff(Update{Servers: []Member{member("b", "2", 9), gone}}, v.Update); diff != "" {
@@ -178,12 +178,12 @@
 	p := New()
 	odd := []Member{member("a", "1", 0), member("b", "1", 0), {ServerEntry: control.ServerEntry{ID: "c"}}}
 	for i, u := range []Update{
-		{Servers: odd, Whole: true},
+		{Servers: odd, Complete: true},
 		{Servers: []Member{with(member("a", "1", 0), func(m *Member) { m.Status = control.Draining })}},
 		{Servers: []Member{with(member("b", "1", 0), func(m *Member) { m.Status = control.Removed })}},
-		{Servers: nil, Whole: true},
+		{Servers: nil, Complete: true},
 	} {
-		v := p.Take(clock+time.Duration(i)*time.Second, Candidate{Source: FromCoordinator, Update: u})
+		v := p.Apply(clock+time.Duration(i)*time.Second, Candidate{Source: FromCoordinator, Update: u})
 		if diff := cmp.Diff(u, v.Update); diff != "" || !v.Changed {
 			t.Errorf("update %d (-want +got):\n%s", i, diff)
 		}
@@ -199,20 +199,20 @@
 
 func TestTheHistoryIsBounded(t *testing.T) {
 	p := New()
-	p.Take(clock, file(member("a", "1", 1)))
+	p.Apply(clock, file(member("a", "1", 1)))
 	for i := range 3 * maxHistory {
-		p.Take(clock+time.Duration(i), file(member("a", "1", Idle)))
+		p.Apply(clock+time.Duration(i), file(member("a", "1", NoNewCalls)))
 	}
-	if trouble, _ := p.Trouble(); trouble.Again != 3*maxHistory-1 || len(p.History()) != 2 {
-		t.Errorf("the same refused often: again %d, %d versions", trouble.Again, len(p.History()))
+	if trouble, _ := p.LastRefused(); trouble.Repeats != 3*maxHistory-1 || len(p.History()) != 2 {
+		t.Errorf("the same refused often: again %d, %d versions", trouble.Repeats, len(p.History()))
 	}
 	for i := range 3 * maxHistory {
-		p.Take(clock+time.Duration(i), file(member("a", "1", i+1)))
+		p.Apply(clock+time.Duration(i), file(member("a", "1", i+1)))
 	}
 	if h := p.History(); len(h) != maxHistory || h[0].Number != 2+3*maxHistory-1 {
 		t.Errorf("%d versions, the newest number %d", len(h), h[0].Number)
 	}
-	if taken, refused := p.Counts(); taken != 3*maxHistory || refused[Nobody] != 1 {
+	if taken, refused := p.Counts(); taken != 3*maxHistory || refused[NoneActive] != 1 {
 		t.Errorf("taken %d, refused %v", taken, refused)
 	}
 }
@@ -224,7 +224,7 @@
 	for range n {
 		m := member(rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"}).Draw(t, "name"),
 			rapid.SampledFrom([]string{"1", "2", "3", "4", "5", "6"}).Draw(t, "port"),
-			rapid.SampledFrom([]int{Idle, 1, 2, 1000, 1001}).Draw(t, "weight"))
+			rapid.SampledFrom([]int{NoNewCalls, 1, 2, 1000, 1001}).Draw(t, "weight"))
 		m.Status = control.ServerStatus(rapid.IntRange(0, 2).Draw(t, "status"))
 		m.StartedAt = rapid.SampledFrom([]time.Duration{0, 0, clock - time.Hour, clock + time.Second, clock + 5*time.Second}).Draw(t, "since")
 		members = append(members, m)
@@ -244,9 +244,9 @@
 			now += time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond
 			c := candidates(t)
 			valid := len(Check(now, &c)) == 0
-			v := p.Take(now, c)
-			if v.Taken != valid {
-				t.Fatalf("taken %v, valid %v: %v", v.Taken, valid, v.Faults)
+			v := p.Apply(now, c)
+			if v.Accepted != valid {
+				t.Fatalf("taken %v, valid %v: %v", v.Accepted, valid, v.Faults)
 			}
 			if valid {
 				last = &c
@@ -287,20 +287,20 @@
 				t.Fatalf("%d in force, %d told, %d in the candidate", len(p.Members()), len(told), len(in))
 			}
 			before := p.Current()
-			if again := p.Take(now, *last); again.Changed && len(again.Update.Servers) > 0 || p.Current().Number != before.Number {
+			if again := p.Apply(now, *last); again.Changed && len(again.Update.Servers) > 0 || p.Current().Number != before.Number {
 				t.Fatalf("the same set again changes %+v", again.Update)
 			}
 		}
 		// And a later process that recalls it has the same.
 		q := New()
 		if last != nil {
-			if v := q.Recall(now, p.Remember()); !v.Taken {
+			if v := q.Restore(now, p.Snapshot()); !v.Accepted {
 				t.Fatalf("what was remembered is refused: %v", v.Faults)
 			}
 			if diff := cmp.Diff(p.Members(), q.Members()); diff != "" {
 				t.Fatalf("recalled (-want +got):\n%s", diff)
 			}
-			if v := q.Take(now, *last); len(v.Update.Servers) > 0 {
+			if v := q.Apply(now, *last); len(v.Update.Servers) > 0 {
 				t.Fatalf("the set that was recalled, again, changes %+v", v.Update)
 			}
 		}
@@ -311,24 +311,24 @@
 func TestLooks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(0)
-		l := NewLooks(now, rapid.Bool().Draw(t, "watched"))
+		l := NewFilePoller(now, rapid.Bool().Draw(t, "watched"))
 		judged := ""
-		sight, changed := Sight{Digest: "0"}, now // what is in the file, and since when
+		sight, changed := Observation{Digest: "0"}, now // what is in the file, and since when
 		for i := range rapid.IntRange(1, 30).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "write") {
-				sight = Sight{Digest: fmt.Sprint(i), Unfinished: rapid.Bool().Draw(t, "unfinished"), InPlace: rapid.Bool().Draw(t, "in place")}
+				sight = Observation{Digest: fmt.Sprint(i), Unfinished: rapid.Bool().Draw(t, "unfinished"), InPlace: rapid.Bool().Draw(t, "in place")}
 				changed = now
 				if l.watched {
-					l.Stirred(now)
+					l.NoteChange(now)
 				}
 			}
 			until := now + time.Duration(rapid.IntRange(0, 700).Draw(t, "ms"))*time.Millisecond
-			for looks := 0; l.Due() <= until; looks++ {
+			for looks := 0; l.NextPoll() <= until; looks++ {
 				if looks > 60 {
 					t.Fatal("it never stops looking")
 				}
-				now = max(now, l.Due())
-				if l.Looked(now, sight) {
+				now = max(now, l.NextPoll())
+				if l.Observe(now, sight) {
 					if judged == sight.Digest {
 						t.Fatal("judged twice")
 					}
@@ -340,7 +340,7 @@
 					}
 					judged = sight.Digest
 				}
-				if l.Due() <= now {
+				if l.NextPoll() <= now {
 					t.Fatal("the next look is due at once")
 				}
 			}
@@ -355,7 +355,7 @@
 // TestABoundHoldsForAllSources: what is over it is refused whole, be it a file, a list of a stream or a change to one.
 func TestABoundHoldsForAllSources(t *testing.T) {
 	p := New()
-	p.Bound(3)
+	p.SetLimit(3)
 	members := func(from, to int) (all []Member) {
 		for i := from; i < to; i++ {
 			all = append(all, member(fmt.Sprint("s", i), fmt.Sprint(1000+i), 1))
@@ -365,7 +365,7 @@
 	gone := member("s0", "1000", 1)
 	gone.Status = control.Removed
 	stream := func(whole bool, all ...Member) Candidate {
-		return Candidate{Source: FromCoordinator, Update: Update{Whole: whole, Servers: all}}
+		return Candidate{Source: FromCoordinator, Update: Update{Complete: whole, Servers: all}}
 	}
 	for i, test := range []struct {
 		Candidate
@@ -380,11 +380,11 @@
 		{stream(false, append(members(3, 4), gone)...), true, 3},
 		{stream(true, members(5, 7)...), true, 2},
 	} {
-		v := p.Take(clock+time.Duration(i), test.Candidate)
-		if v.Taken != test.taken || len(p.Members()) != test.left {
-			t.Errorf("step %d: taken %v, %d in force: %v", i, v.Taken, len(p.Members()), v.Faults)
+		v := p.Apply(clock+time.Duration(i), test.Candidate)
+		if v.Accepted != test.taken || len(p.Members()) != test.left {
+			t.Errorf("step %d: taken %v, %d in force: %v", i, v.Accepted, len(p.Members()), v.Faults)
 		}
-		if !v.Taken && (len(v.Faults) != 1 || v.Faults[0].String() != "4 servers, 3 are allowed") {
+		if !v.Accepted && (len(v.Faults) != 1 || v.Faults[0].String() != "4 servers, 3 are allowed") {
 			t.Errorf("step %d: %v", i, v.Faults)
 		}
 	}
--- a/internal/decide/recovery/book.go
+++ b/internal/decide/recovery/book.go
@@ -11,53 +11,53 @@
 
 // The states.
 const (
-	Open     State = iota // its caller waits for a final answer
-	Standing              // established
-	Answered              // rejected: it had a final answer and was not established
-	Ended                 // established, and terminated
+	StatePending     State = iota // its caller waits for a final answer
+	StateEstablished              // established
+	StateRejected                 // rejected: it had a final answer and was not established
+	StateTerminated               // established, and terminated
 )
 
 // Call is the replayed state of one call.
 type Call struct {
-	Event     // as it was accepted; only the id if that event is lost
-	State     State
-	Attempts  int
-	Out       bool // an attempt was in progress
-	Server    string
-	Address   string
-	Started   time.Duration
-	NotBefore time.Duration // no attempt before that
-	Answer    string        // the description of the answer
-	Cause     int
-	Reason    string
-	HoldOff   time.Duration
-	At        time.Duration // of the last event
-	Doubtful  bool          // events of it may be lost
-	Foreign   bool          // claimed from another controller, which may reach the same dispatcher at another address
+	Event               // as it was accepted; only the id if that event is lost
+	State               State
+	Attempts            int
+	AttemptInProgress   bool // an attempt was in progress
+	Server              string
+	Address             string
+	ServerStarted       time.Duration
+	NotBefore           time.Duration // no attempt before that
+	Answer              string        // the description of the answer
+	Cause               int
+	Reason              string
+	HoldOff             time.Duration
+	LastEventAt         time.Duration // of the last event
+	Doubtful            bool          // events of it may be lost
+	FromOtherController bool          // claimed from another controller, which may reach the same dispatcher at another address
 }
 
 // Deadline is when its caller gives up.
 func (c *Call) Deadline() time.Duration { return microseconds(c.DeadlineUs) }
 
-// TakenAt is when it was accepted.
-func (c *Call) TakenAt() time.Duration { return microseconds(c.AtUs) }
+// AcceptedAt is when it was accepted.
+func (c *Call) AcceptedAt() time.Duration { return microseconds(c.AtUs) }
 
-// Remember is how long a call is kept after its end, so that a caller that resumes it late is told.
-const Remember = 20 * time.Second
+// RetentionPeriod is how long a call is kept after its end, so that a caller that resumes it late is told.
+const RetentionPeriod = 20 * time.Second
 
-// Book replays events into calls. It is not safe for concurrent use.
-type Book struct {
+// CallTable replays events into calls. It is not safe for concurrent use.
+type CallTable struct {
 	calls      map[string]*Call
 	last       time.Duration // of all events
 	gapped     bool
 	unexpected int // events that do not fit
 }
 
-// NewBook returns an empty Book.
-func NewBook() *Book { return &Book{calls: map[string]*Call{}} }
+// NewCallTable returns an empty Book.
+func NewCallTable() *CallTable { return &CallTable{calls: map[string]*Call{}} }
 
-// Gap records that events may be missing here, of any call.
-func (b *Book) Gap() {
+// MarkGap records that events may be missing here, of any call.
+func (b *CallTable) MarkGap() {
 	b.gapped = true
 	for _, c := range b.calls {
 		c.Doubtful = c.Doubtful || c.unresolved()
@@ -65,16 +65,16 @@
 }
 
 // Apply replays one event. One that is unexpected in the state of its call makes the call doubtful: events have been lost.
-func (b *Book) Apply(e Event) {
+func (b *CallTable) Apply(e Event) {
 	at := microseconds(e.AtUs)
 	b.last = max(b.last, at)
 	c := b.calls[e.ID]
-	if e.Kind == Took {
+	if e.Kind == KindAccepted {
 		if c != nil { // an id is never used again
 			b.recordUnexpected(c)
 			return
 		}
-		b.calls[e.ID] = &Call{Event: e, At: at}
+		b.calls[e.ID] = &Call{Event: e, LastEventAt: at}
 		return
 	}
 	if c == nil {
@@ -83,80 +83,80 @@
 		c = &Call{Event: Event{ID: e.ID, AtUs: e.AtUs}, Doubtful: true}
 		b.calls[e.ID] = c
 	}
-	c.At = max(c.At, at)
+	c.LastEventAt = max(c.LastEventAt, at)
 	b.applyTo(c, e)
 }
 
 // applyTo replays an event that follows the first one of its call.
-func (b *Book) applyTo(c *Call, e Event) {
+func (b *CallTable) applyTo(c *Call, e Event) {
 	switch e.Kind {
-	case Sent:
-		if c.State != Open || c.Out || e.Attempt != c.Attempts {
+	case KindAttemptSent:
+		if c.State != StatePending || c.AttemptInProgress || e.Attempt != c.Attempts {
 			b.recordUnexpected(c)
 		}
-		c.Out, c.Attempts = true, max(c.Attempts, e.Attempt+1)
+		c.AttemptInProgress, c.Attempts = true, max(c.Attempts, e.Attempt+1)
 		c.setServer(e)
-	case Back:
-		if c.State != Open || !c.Out || e.Attempt != c.Attempts-1 {
+	case KindAttemptFailed:
+		if c.State != StatePending || !c.AttemptInProgress || e.Attempt != c.Attempts-1 {
 			b.recordUnexpected(c)
 		}
-		c.Out, c.NotBefore = false, max(c.NotBefore, microseconds(e.NotBeforeUs))
-	case Stood:
-		if c.State != Open || !c.Out && c.Server != "" {
+		c.AttemptInProgress, c.NotBefore = false, max(c.NotBefore, microseconds(e.NotBeforeUs))
+	case KindEstablished:
+		if c.State != StatePending || !c.AttemptInProgress && c.Server != "" {
 			b.recordUnexpected(c)
 		}
-		if c.State == Open {
-			c.State, c.Out, c.Answer = Standing, false, e.Description
+		if c.State == StatePending {
+			c.State, c.AttemptInProgress, c.Answer = StateEstablished, false, e.Description
 		}
 		c.Attempts = max(c.Attempts, e.Attempt+1)
 		c.setServer(e)
-	case Final, Left:
-		if c.State != Open {
+	case KindRejected, KindCancelled:
+		if c.State != StatePending {
 			b.recordUnexpected(c)
 			return
 		}
-		c.finish(Answered, e)
-		if e.Kind == Left {
+		c.finish(StateRejected, e)
+		if e.Kind == KindCancelled {
 			delete(b.calls, e.ID) // its caller does not come back
 		}
-	case Over:
-		if c.State != Standing {
+	case KindTerminated:
+		if c.State != StateEstablished {
 			b.recordUnexpected(c)
 		}
-		c.finish(Ended, e)
+		c.finish(StateTerminated, e)
 	}
 }
 
 func (c *Call) setServer(e Event) {
-	c.Server, c.Address, c.Started = e.Server, e.Address, microseconds(e.StartedUs)
+	c.Server, c.Address, c.ServerStarted = e.Server, e.Address, microseconds(e.ServerStartedUs)
 }
 
 // unresolved reports whether the loss of events can matter to the call.
-func (c *Call) unresolved() bool { return c.State == Open || c.State == Standing }
+func (c *Call) unresolved() bool { return c.State == StatePending || c.State == StateEstablished }
 
-func (b *Book) recordUnexpected(c *Call) {
+func (b *CallTable) recordUnexpected(c *Call) {
 	b.unexpected++
 	c.Doubtful = c.Doubtful || c.unresolved()
 }
 
 func (c *Call) finish(s State, e Event) {
-	c.State, c.Out = s, false
+	c.State, c.AttemptInProgress = s, false
 	c.Cause, c.Reason, c.HoldOff = e.Cause, e.Reason, microseconds(e.HoldOffUs)
 	c.Doubtful = false // the end is certain, whatever was lost
 	c.Description = ""
 }
 
-// Forget drops calls that ended more than Remember ago.
-func (b *Book) Forget(now time.Duration) {
+// Prune drops calls that ended more than Remember ago.
+func (b *CallTable) Prune(now time.Duration) {
 	for id, c := range b.calls {
-		if c.State >= Answered && now-c.At > Remember {
+		if c.State >= StateRejected && now-c.LastEventAt > RetentionPeriod {
 			delete(b.calls, id)
 		}
 	}
 }
 
 // Calls returns all calls, sorted by id.
-func (b *Book) Calls() []*Call {
+func (b *CallTable) Calls() []*Call {
 	all := make([]*Call, 0, len(b.calls))
 	for _, c := range b.calls {
 		all = append(all, c)
@@ -165,14 +165,14 @@
 	return all
 }
 
-// Last returns the last time at which the process is known to have been alive.
-func (b *Book) Last() time.Duration { return b.last }
+// LastAlive returns the last time at which the process is known to have been alive.
+func (b *CallTable) LastAlive() time.Duration { return b.last }
 
-// Strays returns the number of unexpected or unreadable events.
-func (b *Book) Strays() int { return b.unexpected }
+// UnexpectedEvents returns the number of unexpected or unreadable events.
+func (b *CallTable) UnexpectedEvents() int { return b.unexpected }
 
 // Events returns the fewest events that replay to the same Book. Doubtful calls stay doubtful: one of which only the end is known has no Took.
-func (b *Book) Events() []Event {
+func (b *CallTable) Events() []Event {
 	var all []Event
 	for _, c := range b.Calls() {
 		all = append(all, c.Events()...)
@@ -183,34 +183,34 @@
 // Events returns the fewest events that replay to the same call.
 func (c *Call) Events() []Event {
 	var all []Event
-	place := Event{ID: c.ID, AtUs: c.At.Microseconds(), Server: c.Server, Address: c.Address, StartedUs: c.Started.Microseconds()}
+	place := Event{ID: c.ID, AtUs: c.LastEventAt.Microseconds(), Server: c.Server, Address: c.Address, ServerStartedUs: c.ServerStarted.Microseconds()}
 	taken := c.Event
-	taken.Kind, taken.Description = Took, ""
-	if c.State == Open {
+	taken.Kind, taken.Description = KindAccepted, ""
+	if c.State == StatePending {
 		taken.Description = c.Event.Description
 	}
 	if c.DeadlineUs > 0 && !c.Doubtful {
 		all = append(all, taken)
 	}
 	sent, back, stood := place, place, place
-	sent.Kind, sent.Attempt = Sent, max(c.Attempts-1, 0)
-	back.Kind, back.Attempt, back.NotBeforeUs = Back, sent.Attempt, c.NotBefore.Microseconds()
-	stood.Kind, stood.Attempt, stood.Description = Stood, sent.Attempt, c.Answer
+	sent.Kind, sent.Attempt = KindAttemptSent, max(c.Attempts-1, 0)
+	back.Kind, back.Attempt, back.NotBeforeUs = KindAttemptFailed, sent.Attempt, c.NotBefore.Microseconds()
+	stood.Kind, stood.Attempt, stood.Description = KindEstablished, sent.Attempt, c.Answer
 	switch c.State {
-	case Open:
+	case StatePending:
 		if c.Attempts > 0 || c.Doubtful {
 			all = append(all, replayAttempts(sent)...)
 		}
-		if c.Attempts > 0 && !c.Out && !c.Doubtful {
+		if c.Attempts > 0 && !c.AttemptInProgress && !c.Doubtful {
 			all = append(all, back)
 		}
-	case Standing:
+	case StateEstablished:
 		all = append(all, stood)
-	case Answered, Ended:
+	case StateRejected, StateTerminated:
 		end := place
-		end.Kind, end.Cause, end.Reason, end.HoldOffUs = Final, c.Cause, c.Reason, c.HoldOff.Microseconds()
-		if c.State == Ended {
-			end.Kind = Over
+		end.Kind, end.Cause, end.Reason, end.HoldOffUs = KindRejected, c.Cause, c.Reason, c.HoldOff.Microseconds()
+		if c.State == StateTerminated {
+			end.Kind = KindTerminated
 			all = append(all, stood)
 		}
 		all = append(all, end)
@@ -223,7 +223,7 @@
 	var all []Event
 	for n := range sent.Attempt {
 		earlier, failed := sent, sent
-		earlier.Attempt, failed.Attempt, failed.Kind = n, n, Back
+		earlier.Attempt, failed.Attempt, failed.Kind = n, n, KindAttemptFailed
 		all = append(all, earlier, failed)
 	}
 	return append(all, sent)
@@ -231,8 +231,8 @@
 
 // Compact reduces encoded events to the fewest that replay to the same calls. Gaps are those of Read.
 func Compact(records [][]byte, gaps map[int]bool, now time.Duration) ([][]byte, error) {
-	b, err := Read(records, gaps)
-	b.Forget(max(now, b.last))
+	b, err := Replay(records, gaps)
+	b.Prune(max(now, b.last))
 	var out [][]byte
 	for _, e := range b.Events() {
 		text, encodeErr := e.Encode()
@@ -244,28 +244,28 @@
 	return out, err
 }
 
-// Read replays records into a Book; gaps holds the indexes before which records may be missing. An unreadable record counts as missing, and
+// Replay replays records into a Book; gaps holds the indexes before which records may be missing. An unreadable record counts as missing, and
 // the last error is returned with the Book.
-func Read(records [][]byte, gaps map[int]bool) (b *Book, err error) {
-	b = NewBook()
+func Replay(records [][]byte, gaps map[int]bool) (b *CallTable, err error) {
+	b = NewCallTable()
 	for i, text := range records {
 		if gaps[i] {
-			b.Gap()
+			b.MarkGap()
 		}
 		e, bad := Decode(text)
 		if bad != nil {
 			err = bad
 			b.unexpected++
-			b.Gap()
+			b.MarkGap()
 			continue
 		}
 		b.Apply(e)
 	}
 	if gaps[len(records)] {
-		b.Gap()
+		b.MarkGap()
 	}
 	return b, err
 }
 
-// Alive records that the process was alive at a time.
-func (b *Book) Alive(at time.Duration) { b.last = max(b.last, at) }
+// MarkAlive records that the process was alive at a time.
+func (b *CallTable) MarkAlive(at time.Duration) { b.last = max(b.last, at) }
--- a/internal/decide/recovery/event.go
+++ b/internal/decide/recovery/event.go
@@ -14,13 +14,13 @@
 
 // The kinds. Their numbers are on disk: new ones may be added, none may be reused.
 const (
-	Took  Kind = 1 // a set-up was accepted: its caller waits for a final answer
-	Sent  Kind = 2 // an attempt was sent
-	Back  Kind = 3 // the attempt failed
-	Stood Kind = 4 // the call was established
-	Final Kind = 5 // the call was rejected
-	Over  Kind = 6 // the established call was terminated
-	Left  Kind = 7 // the caller gave the set-up up: it needs no answer
+	KindAccepted      Kind = 1 // a set-up was accepted: its caller waits for a final answer
+	KindAttemptSent   Kind = 2 // an attempt was sent
+	KindAttemptFailed Kind = 3 // the attempt failed
+	KindEstablished   Kind = 4 // the call was established
+	KindRejected      Kind = 5 // the call was rejected
+	KindTerminated    Kind = 6 // the established call was terminated
+	KindCancelled     Kind = 7 // the caller gave the set-up up: it needs no answer
 )
 
 // Event is an event of a call. Times are Unix times in microseconds.
@@ -32,18 +32,18 @@
 	// Took.
 	Class       string `cbor:"4,keyasint,omitempty"`
 	Called      string `cbor:"5,keyasint,omitempty"`
-	First       int    `cbor:"6,keyasint,omitempty"`
-	Again       bool   `cbor:"7,keyasint,omitempty"`
+	FirstCell   int    `cbor:"6,keyasint,omitempty"`
+	Redial      bool   `cbor:"7,keyasint,omitempty"`
 	Description string `cbor:"8,keyasint,omitempty"` // of the set-up; of the answer in Stood
 	DeadlineUs  int64  `cbor:"9,keyasint,omitempty"`
 	Token       []byte `cbor:"10,keyasint,omitempty"` // hash of the token that its caller can claim it with
 
 	// Sent, Back and Stood.
-	Attempt     int    `cbor:"11,keyasint,omitempty"`
-	Server      string `cbor:"12,keyasint,omitempty"`
-	Address     string `cbor:"13,keyasint,omitempty"`
-	StartedUs   int64  `cbor:"14,keyasint,omitempty"` // of the server
-	NotBeforeUs int64  `cbor:"15,keyasint,omitempty"` // Back: no attempt before that
+	Attempt         int    `cbor:"11,keyasint,omitempty"`
+	Server          string `cbor:"12,keyasint,omitempty"`
+	Address         string `cbor:"13,keyasint,omitempty"`
+	ServerStartedUs int64  `cbor:"14,keyasint,omitempty"` // of the server
+	NotBeforeUs     int64  `cbor:"15,keyasint,omitempty"` // Back: no attempt before that
 
 	// Final and Over.
 	Cause     int    `cbor:"16,keyasint,omitempty"`
@@ -86,7 +86,7 @@
 		return e, fmt.Errorf("event: %w", err)
 	}
 	switch {
-	case e.Kind < Took || e.Kind > Left:
+	case e.Kind < KindAccepted || e.Kind > KindCancelled:
 		return e, fmt.Errorf("event of the unknown kind %d", e.Kind)
 	case e.ID == "" || len(e.ID) > maxID || len(e.Description) > maxText || e.Attempt < 0 || e.AtUs < 0 || e.DeadlineUs < 0:
 		return e, fmt.Errorf("event of kind %d that makes no sense", e.Kind)
--- a/internal/decide/recovery/plan.go
+++ b/internal/decide/recovery/plan.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// ResumeWithin is how long after the restart an open call waits for its caller. Callers dial again at once; a load balancer may take
+	// PendingResumeTimeout is how long after the restart an open call waits for its caller. Callers dial again at once; a load balancer may take
 	// some seconds to move one, but then its call has little time left.
-	ResumeWithin = 3 * time.Second
-	// ClaimWithin is how long an established call, whose caller may not have received the answer, waits to be claimed.
-	ClaimWithin = 5 * time.Second
+	PendingResumeTimeout = 3 * time.Second
+	// EstablishedResumeTimeout is how long an established call, whose caller may not have received the answer, waits to be claimed.
+	EstablishedResumeTimeout = 5 * time.Second
 	// unconfirmedWindow is how long before its last known event a process may have sent messages that did not reach their receivers.
 	unconfirmedWindow = time.Second
-	// MinToken and MaxToken bound the length of the tokens with which callers claim calls. Shorter ones can be guessed.
-	MinToken, MaxToken = 16, 64
+	// MinTokenLength and MaxTokenLength bound the length of the tokens with which callers claim calls. Shorter ones can be guessed.
+	MinTokenLength, MaxTokenLength = 16, 64
 )
 
 // Rules are the settings that recovery depends on.
@@ -24,41 +24,41 @@
 	MaxAttempts int           // for each call; 0 for no limit
 }
 
-// Act is the action decided on for a call.
-type Act int
+// Action is the action decided on for a call.
+type Action int
 
 // The acts.
 const (
-	Await Act = iota + 1 // it is open: wait until the decision's Until for its caller to resume it
-	Adopt                // it is established: keep it
-	Tell                 // it was terminated, and its caller may not know: notify it at once, and when it resumes
-	Keep                 // it was rejected: repeat that to its caller when it resumes
-	Fail                 // it expired during the outage: tell its caller when it resumes
-	Cut                  // its state is not trusted: release it at all dispatchers, and report it as failed or cut
+	AwaitResume   Action = iota + 1 // it is open: wait until the decision's Until for its caller to resume it
+	AdoptCall                       // it is established: keep it
+	NotifyCaller                    // it was terminated, and its caller may not know: notify it at once, and when it resumes
+	RepeatOutcome                   // it was rejected: repeat that to its caller when it resumes
+	FailCall                        // it expired during the outage: tell its caller when it resumes
+	ReleaseCall                     // its state is not trusted: release it at all dispatchers, and report it as failed or cut
 )
 
-func (a Act) String() string {
+func (a Action) String() string {
 	return [...]string{"", "await", "adopt", "tell", "keep", "fail", "cut"}[a]
 }
 
 // Decision is the decision on one call.
 type Decision struct {
 	*Call
-	Act Act
-	Why string
-	// Until is when an Await ends without its caller; of an Adopt, when a call whose caller may not know of it is released, or 0 if the
+	Action Action
+	Why    string
+	// ResumeDeadline is when an Await ends without its caller; of an Adopt, when a call whose caller may not know of it is released, or 0 if the
 	// caller knows.
-	Until time.Duration
-	// Left is how long the caller of an Await still waits, at most.
-	Left time.Duration
+	ResumeDeadline time.Duration
+	// TimeLeft is how long the caller of an Await still waits, at most.
+	TimeLeft time.Duration
 	// NotBefore is the earliest time for the next attempt of an Await.
 	NotBefore time.Duration
-	// Release means that dispatchers are told to release the call, in case an attempt had an effect.
-	Release bool
+	// MustRelease means that dispatchers are told to release the call, in case an attempt had an effect.
+	MustRelease bool
 }
 
 // Plan decides on each call at the restart, sorted by id.
-func (b *Book) Plan(now time.Duration, r Rules) []Decision {
+func (b *CallTable) Plan(now time.Duration, r Rules) []Decision {
 	var all []Decision
 	for _, c := range b.Calls() {
 		all = append(all, b.decide(now, r, c))
@@ -66,19 +66,19 @@
 	return all
 }
 
-func (b *Book) decide(now time.Duration, r Rules, c *Call) Decision {
+func (b *CallTable) decide(now time.Duration, r Rules, c *Call) Decision {
 	d := Decision{Call: c}
 	switch {
-	case c.State == Ended && b.last-c.At <= unconfirmedWindow:
-		d.Act, d.Why = Tell, "ended, perhaps not told"
-	case c.State == Ended || c.State == Answered:
-		d.Act, d.Why = Keep, "over"
+	case c.State == StateTerminated && b.last-c.LastEventAt <= unconfirmedWindow:
+		d.Action, d.Why = NotifyCaller, "ended, perhaps not told"
+	case c.State == StateTerminated || c.State == StateRejected:
+		d.Action, d.Why = RepeatOutcome, "over"
 	case c.Doubtful:
-		d.Act, d.Why, d.Release = Cut, "something of it was lost", true
-	case c.State == Standing:
-		d.Act, d.Why = Adopt, "stands"
-		if b.last-c.At <= unconfirmedWindow && len(c.Token) > 0 {
-			d.Why, d.Until = "stands, perhaps not told", now+ClaimWithin
+		d.Action, d.Why, d.MustRelease = ReleaseCall, "something of it was lost", true
+	case c.State == StateEstablished:
+		d.Action, d.Why = AdoptCall, "stands"
+		if b.last-c.LastEventAt <= unconfirmedWindow && len(c.Token) > 0 {
+			d.Why, d.ResumeDeadline = "stands, perhaps not told", now+EstablishedResumeTimeout
 		}
 	default:
 		d = b.decideOpen(now, r, c, d)
@@ -88,54 +88,54 @@
 
 // decideOpen decides on a call whose caller waits for its final answer. An attempt that was in progress was abandoned as its connection broke;
 // it may have had an effect, so it is released.
-func (b *Book) decideOpen(now time.Duration, r Rules, c *Call, d Decision) Decision {
+func (b *CallTable) decideOpen(now time.Duration, r Rules, c *Call, d Decision) Decision {
 	// The time left by the Unix clock, but never more than was left when it was last known to be alive: a clock that was
 	// set back must not stretch it.
-	d.Left = min(c.Deadline()-now, c.Deadline()-max(c.TakenAt(), min(b.last, c.Deadline())))
-	d.Release = true
+	d.TimeLeft = min(c.Deadline()-now, c.Deadline()-max(c.AcceptedAt(), min(b.last, c.Deadline())))
+	d.MustRelease = true
 	switch {
-	case d.Left <= 0:
-		d.Act, d.Why = Fail, "its time ran out"
+	case d.TimeLeft <= 0:
+		d.Action, d.Why = FailCall, "its time ran out"
 		return d
 	case r.MaxAttempts > 0 && c.Attempts >= r.MaxAttempts:
-		d.Act, d.Why = Fail, "no attempt is left"
+		d.Action, d.Why = FailCall, "no attempt is left"
 		return d
 	}
-	d.Act, d.Why = Await, "open, held"
-	if c.Out {
+	d.Action, d.Why = AwaitResume, "open, held"
+	if c.AttemptInProgress {
 		d.Why = "open, with an attempt out"
 	}
 	// Whatever is known of its attempts may not be all: the end of what was kept may be lost without a trace, with the machine
 	// if not with the process. So it is released everywhere, and the guard runs from the return. That is the most that any
 	// attempt can ask for, also after a clock was set back.
 	d.NotBefore = now + r.Guard
-	d.Until = now + min(ResumeWithin, d.Left)
+	d.ResumeDeadline = now + min(PendingResumeTimeout, d.TimeLeft)
 	return d
 }
 
-// Place is a dispatcher's entry in the list.
-type Place struct {
+// ListEntry is a dispatcher's entry in the list.
+type ListEntry struct {
 	Address string
 	Started time.Duration
 	Listed  bool
 }
 
-// Stands reports whether an established call can still be so at its dispatcher, by its entry in the list; if not, why. A dispatcher that is
+// MayStillBeEstablished reports whether an established call can still be so at its dispatcher, by its entry in the list; if not, why. A dispatcher that is
 // not listed has gone, and one at another address or with a later start is another process.
-func (c *Call) Stands(p Place) (ok bool, why string) {
+func (c *Call) MayStillBeEstablished(p ListEntry) (ok bool, why string) {
 	switch {
 	case !p.Listed:
 		return false, "its dispatcher is off the list"
-	case p.Address != c.Address && !c.Foreign:
+	case p.Address != c.Address && !c.FromOtherController:
 		return false, "its dispatcher is at another address"
-	case p.Started > c.Started && p.Started > c.At:
+	case p.Started > c.ServerStarted && p.Started > c.LastEventAt:
 		return false, "its dispatcher has started anew"
 	}
 	return true, ""
 }
 
-// Hash returns the hash of a token, which is logged in place of the token.
-func Hash(token string) []byte {
+// HashToken returns the hash of a token, which is logged in place of the token.
+func HashToken(token string) []byte {
 	if token == "" {
 		return nil
 	}
@@ -144,9 +144,11 @@
 }
 
 // ValidToken reports whether the length of a token is allowed.
-func ValidToken(token string) bool { return len(token) >= MinToken && len(token) <= MaxToken }
+func ValidToken(token string) bool {
+	return len(token) >= MinTokenLength && len(token) <= MaxTokenLength
+}
 
-// Claims reports whether a token has a hash, in constant time. A call without a hash cannot be claimed.
-func Claims(token string, hash []byte) bool {
-	return len(hash) > 0 && ValidToken(token) && subtle.ConstantTimeCompare(Hash(token), hash) == 1
+// TokenMatches reports whether a token has a hash, in constant time. A call without a hash cannot be claimed.
+func TokenMatches(token string, hash []byte) bool {
+	return len(hash) > 0 && ValidToken(token) && subtle.ConstantTimeCompare(HashToken(token), hash) == 1
 }
--- a/internal/decide/recovery/recovery_test.go
+++ b/internal/decide/recovery/recovery_test.go
@@ -18,12 +18,12 @@
 var rules = Rules{Guard: 500 * ms, MaxAttempts: 5}
 
 func took(id string, at, left time.Duration) Event {
-	return Event{Kind: Took, ID: id, AtUs: at.Microseconds(), DeadlineUs: (at + left).Microseconds(), Class: "c", Description: "x", Token: Hash("a token of a caller")}
+	return Event{Kind: KindAccepted, ID: id, AtUs: at.Microseconds(), DeadlineUs: (at + left).Microseconds(), Class: "c", Description: "x", Token: HashToken("a token of a caller")}
 }
 
 func at(kind Kind, id string, t time.Duration, fill ...func(*Event)) Event {
 	e := Event{Kind: kind, ID: id, AtUs: t.Microseconds()}
-	if kind == Sent || kind == Back || kind == Stood {
+	if kind == KindAttemptSent || kind == KindAttemptFailed || kind == KindEstablished {
 		e.Server, e.Address = "s", "127.0.0.1:1"
 	}
 	for _, f := range fill {
@@ -44,51 +44,51 @@
 
 func TestPlan(t *testing.T) {
 	const back = clock + 10*time.Second // the return; the process was last known to be alive at clock+9 s
-	alive := at(Left, "other", clock+9*time.Second)
+	alive := at(KindCancelled, "other", clock+9*time.Second)
 	for name, test := range map[string]struct {
 		events []Event
 		gap    int // before which event something is missing; 0 for nothing
-		act    Act
+		act    Action
 		why    string
 		check  func(d Decision) bool
 	}{
-		"held": {[]Event{took("a", clock+8*time.Second, 9*time.Second)}, 0, Await, "open, held",
+		"held": {[]Event{took("a", clock+8*time.Second, 9*time.Second)}, 0, AwaitResume, "open, held",
 			func(d Decision) bool {
-				return d.Left == 7*time.Second && d.NotBefore == back+rules.Guard && d.Release && d.Until == back+ResumeWithin
+				return d.TimeLeft == 7*time.Second && d.NotBefore == back+rules.Guard && d.MustRelease && d.ResumeDeadline == back+PendingResumeTimeout
 			}},
-		"an attempt out": {[]Event{took("a", clock+8*time.Second, 9*time.Second), at(Sent, "a", clock+8*time.Second)}, 0, Await, "open, with an attempt out",
-			func(d Decision) bool { return d.NotBefore == back+rules.Guard && d.Release && d.Attempts == 1 }},
-		"in the wait after a time-out": {[]Event{took("a", clock+8*time.Second, 9*time.Second), at(Sent, "a", clock+8*time.Second),
-			at(Back, "a", clock+9*time.Second, notBefore(clock+9500*ms))}, 0, Await, "open, held",
-			func(d Decision) bool { return d.NotBefore == back+rules.Guard && d.Release }},
-		"little time left": {[]Event{took("a", clock+9*time.Second, 2*time.Second)}, 0, Await, "open, held",
-			func(d Decision) bool { return d.Until == back+time.Second }},
-		"its time ran out": {[]Event{took("a", clock, 9*time.Second)}, 0, Fail, "its time ran out", nil},
-		"answered and told": {[]Event{took("a", clock, 9*time.Second), at(Sent, "a", clock), at(Stood, "a", clock+time.Second, answer("y"))}, 0, Adopt, "stands",
-			func(d Decision) bool { return d.Until == 0 && d.Answer == "y" }},
-		"answered, perhaps not told": {[]Event{took("a", clock, 9*time.Second), at(Sent, "a", clock), at(Stood, "a", clock+8500*ms)}, 0, Adopt, "stands, perhaps not told",
-			func(d Decision) bool { return d.Until == back+ClaimWithin }},
-		"answered, and nobody can claim it": {[]Event{anonymous(took("a", clock, 9*time.Second)), at(Sent, "a", clock), at(Stood, "a", clock+8500*ms)}, 0, Adopt, "stands",
-			func(d Decision) bool { return d.Until == 0 }},
-		"ended, perhaps not told": {[]Event{took("a", clock, 9*time.Second), at(Sent, "a", clock), at(Stood, "a", clock), at(Over, "a", clock+8500*ms, cause(16, "ended"))}, 0, Tell, "ended, perhaps not told",
+		"an attempt out": {[]Event{took("a", clock+8*time.Second, 9*time.Second), at(KindAttemptSent, "a", clock+8*time.Second)}, 0, AwaitResume, "open, with an attempt out",
+			func(d Decision) bool { return d.NotBefore == back+rules.Guard && d.MustRelease && d.Attempts == 1 }},
+		"in the wait after a time-out": {[]Event{took("a", clock+8*time.Second, 9*time.Second), at(KindAttemptSent, "a", clock+8*time.Second),
+			at(KindAttemptFailed, "a", clock+9*time.Second, notBefore(clock+9500*ms))}, 0, AwaitResume, "open, held",
+			func(d Decision) bool { return d.NotBefore == back+rules.Guard && d.MustRelease }},
+		"little time left": {[]Event{took("a", clock+9*time.Second, 2*time.Second)}, 0, AwaitResume, "open, held",
+			func(d Decision) bool { return d.ResumeDeadline == back+time.Second }},
+		"its time ran out": {[]Event{took("a", clock, 9*time.Second)}, 0, FailCall, "its time ran out", nil},
+		"answered and told": {[]Event{took("a", clock, 9*time.Second), at(KindAttemptSent, "a", clock), at(KindEstablished, "a", clock+time.Second, answer("y"))}, 0, AdoptCall, "stands",
+			func(d Decision) bool { return d.ResumeDeadline == 0 && d.Answer == "y" }},
+		"answered, perhaps not told": {[]Event{took("a", clock, 9*time.Second), at(KindAttemptSent, "a", clock), at(KindEstablished, "a", clock+8500*ms)}, 0, AdoptCall, "stands, perhaps not told",
+			func(d Decision) bool { return d.ResumeDeadline == back+EstablishedResumeTimeout }},
+		"answered, and nobody can claim it": {[]Event{anonymous(took("a", clock, 9*time.Second)), at(KindAttemptSent, "a", clock), at(KindEstablished, "a", clock+8500*ms)}, 0, AdoptCall, "stands",
+			func(d Decision) bool { return d.ResumeDeadline == 0 }},
+		"ended, perhaps not told": {[]Event{took("a", clock, 9*time.Second), at(KindAttemptSent, "a", clock), at(KindEstablished, "a", clock), at(KindTerminated, "a", clock+8500*ms, cause(16, "ended"))}, 0, NotifyCaller, "ended, perhaps not told",
 			func(d Decision) bool { return d.Cause == 16 && d.Reason == "ended" }},
-		"ended long ago": {[]Event{took("a", clock, 9*time.Second), at(Sent, "a", clock), at(Stood, "a", clock), at(Over, "a", clock+time.Second, cause(16, "ended"))}, 0, Keep, "over", nil},
-		"refused": {[]Event{took("a", clock, 9*time.Second), at(Final, "a", clock+8*time.Second, cause(42, "refused"))}, 0, Keep, "over",
-			func(d Decision) bool { return d.Cause == 42 && !d.Release }},
-		"open, and something was lost":   {[]Event{took("a", clock+8*time.Second, 9*time.Second), alive}, 1, Cut, "something of it was lost", func(d Decision) bool { return d.Release }},
-		"stands, and something was lost": {[]Event{took("a", clock, 9*time.Second), at(Sent, "a", clock), at(Stood, "a", clock), alive}, 3, Cut, "something of it was lost", nil},
-		"ended, and something was lost":  {[]Event{took("a", clock, 9*time.Second), at(Final, "a", clock+8*time.Second), alive}, 2, Keep, "over", nil},
-		"its beginning is lost":          {[]Event{at(Stood, "a", clock)}, 0, Cut, "something of it was lost", nil},
-		"only its end is known":          {[]Event{at(Over, "a", clock, cause(41, "cut"))}, 0, Keep, "over", nil},
-		"an attempt is missing":          {[]Event{took("a", clock+8*time.Second, 9*time.Second), at(Sent, "a", clock+8*time.Second, attempt(1))}, 0, Cut, "something of it was lost", nil},
-		"two attempts out":               {[]Event{took("a", clock+8*time.Second, 9*time.Second), at(Sent, "a", clock), at(Sent, "a", clock, attempt(1))}, 0, Cut, "something of it was lost", nil},
-		"taken twice":                    {[]Event{took("a", clock+8*time.Second, 9*time.Second), took("a", clock+8*time.Second, 9*time.Second)}, 0, Cut, "something of it was lost", nil},
+		"ended long ago": {[]Event{took("a", clock, 9*time.Second), at(KindAttemptSent, "a", clock), at(KindEstablished, "a", clock), at(KindTerminated, "a", clock+time.Second, cause(16, "ended"))}, 0, RepeatOutcome, "over", nil},
+		"refused": {[]Event{took("a", clock, 9*time.Second), at(KindRejected, "a", clock+8*time.Second, cause(42, "refused"))}, 0, RepeatOutcome, "over",
+			func(d Decision) bool { return d.Cause == 42 && !d.MustRelease }},
+		"open, and something was lost":   {[]Event{took("a", clock+8*time.Second, 9*time.Second), alive}, 1, ReleaseCall, "something of it was lost", func(d Decision) bool { return d.MustRelease }},
+		"stands, and something was lost": {[]Event{took("a", clock, 9*time.Second), at(KindAttemptSent, "a", clock), at(KindEstablished, "a", clock), alive}, 3, ReleaseCall, "something of it was lost", nil},
+		"ended, and something was lost":  {[]Event{took("a", clock, 9*time.Second), at(KindRejected, "a", clock+8*time.Second), alive}, 2, RepeatOutcome, "over", nil},
+		"its beginning is lost":          {[]Event{at(KindEstablished, "a", clock)}, 0, ReleaseCall, "something of it was lost", nil},
+		"only its end is known":          {[]Event{at(KindTerminated, "a", clock, cause(41, "cut"))}, 0, RepeatOutcome, "over", nil},
+		"an attempt is missing":          {[]Event{took("a", clock+8*time.Second, 9*time.Second), at(KindAttemptSent, "a", clock+8*time.Second, attempt(1))}, 0, ReleaseCall, "something of it was lost", nil},
+		"two attempts out":               {[]Event{took("a", clock+8*time.Second, 9*time.Second), at(KindAttemptSent, "a", clock), at(KindAttemptSent, "a", clock, attempt(1))}, 0, ReleaseCall, "something of it was lost", nil},
+		"taken twice":                    {[]Event{took("a", clock+8*time.Second, 9*time.Second), took("a", clock+8*time.Second, 9*time.Second)}, 0, ReleaseCall, "something of it was lost", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := NewBook()
+			b := NewCallTable()
 			for i, e := range test.events {
 				if test.gap > 0 && i == test.gap {
-					b.Gap()
+					b.MarkGap()
 				}
 				b.Apply(e)
 			}
@@ -97,8 +97,8 @@
 				if d.ID != "a" {
 					continue
 				}
-				if d.Act != test.act || d.Why != test.why || test.check != nil && !test.check(d) {
-					t.Errorf("%s because %q: %+v", d.Act, d.Why, d)
+				if d.Action != test.act || d.Why != test.why || test.check != nil && !test.check(d) {
+					t.Errorf("%s because %q: %+v", d.Action, d.Why, d)
 				}
 			}
 		})
@@ -106,75 +106,75 @@
 }
 
 func TestEarlierAttemptsCount(t *testing.T) {
-	b := NewBook()
+	b := NewCallTable()
 	b.Apply(took("a", clock, 9*time.Second))
 	for n := range rules.MaxAttempts {
-		if d := b.Plan(clock+time.Second, rules)[0]; d.Act != Await || d.Attempts != n {
-			t.Errorf("after %d: %s, %d", n, d.Act, d.Attempts)
+		if d := b.Plan(clock+time.Second, rules)[0]; d.Action != AwaitResume || d.Attempts != n {
+			t.Errorf("after %d: %s, %d", n, d.Action, d.Attempts)
 		}
-		b.Apply(at(Sent, "a", clock, attempt(n)))
-		b.Apply(at(Back, "a", clock, attempt(n)))
+		b.Apply(at(KindAttemptSent, "a", clock, attempt(n)))
+		b.Apply(at(KindAttemptFailed, "a", clock, attempt(n)))
 	}
-	if d := b.Plan(clock+time.Second, rules)[0]; d.Act != Fail || d.Why != "no attempt is left" || !d.Release {
-		t.Errorf("after all: %s because %s", d.Act, d.Why)
+	if d := b.Plan(clock+time.Second, rules)[0]; d.Action != FailCall || d.Why != "no attempt is left" || !d.MustRelease {
+		t.Errorf("after all: %s because %s", d.Action, d.Why)
 	}
 }
 
 // TestClockChange while nobody served stretches neither a deadline nor a guard.
 func TestClockChange(t *testing.T) {
 	for _, shift := range []time.Duration{-time.Hour, -time.Second, 0, time.Second, time.Hour} {
-		b := NewBook()
+		b := NewCallTable()
 		b.Apply(took("a", clock, 9*time.Second))
-		b.Apply(at(Sent, "a", clock+time.Second))
-		b.Apply(at(Back, "a", clock+2*time.Second, notBefore(clock+2500*ms)))
+		b.Apply(at(KindAttemptSent, "a", clock+time.Second))
+		b.Apply(at(KindAttemptFailed, "a", clock+2*time.Second, notBefore(clock+2500*ms)))
 		now := clock + 3*time.Second + shift
 		d := b.Plan(now, rules)[0]
-		if d.Act == Await && (d.Left > 7*time.Second || d.NotBefore > now+rules.Guard || d.NotBefore < now+rules.Guard) {
-			t.Errorf("set by %v: %v left, not before %v", shift, d.Left, d.NotBefore-now)
+		if d.Action == AwaitResume && (d.TimeLeft > 7*time.Second || d.NotBefore > now+rules.Guard || d.NotBefore < now+rules.Guard) {
+			t.Errorf("set by %v: %v left, not before %v", shift, d.TimeLeft, d.NotBefore-now)
 		}
-		if shift == time.Hour && d.Act != Fail {
-			t.Errorf("set forth by an hour: %s", d.Act)
+		if shift == time.Hour && d.Action != FailCall {
+			t.Errorf("set forth by an hour: %s", d.Action)
 		}
 	}
 }
 
 func TestStands(t *testing.T) {
-	c := &Call{Server: "s", Address: "127.0.0.1:1", Started: clock, At: clock + time.Minute}
+	c := &Call{Server: "s", Address: "127.0.0.1:1", ServerStarted: clock, LastEventAt: clock + time.Minute}
 	for _, test := range []struct {
-		place Place
+		place ListEntry
 		why   string
 	}{
-		{Place{"127.0.0.1:1", clock, true}, ""},
-		{Place{"127.0.0.1:1", clock - time.Hour, true}, ""},
-		{Place{"127.0.0.1:1", clock + time.Second, true}, ""}, // told late: the call stood there after that start
-		{Place{"127.0.0.1:1", clock, false}, "its dispatcher is off the list"},
-		{Place{"127.0.0.1:2", clock, true}, "its dispatcher is at another address"},
-		{Place{"127.0.0.1:1", clock + 2*time.Minute, true}, "its dispatcher has started anew"},
+		{ListEntry{"127.0.0.1:1", clock, true}, ""},
+		{ListEntry{"127.0.0.1:1", clock - time.Hour, true}, ""},
+		{ListEntry{"127.0.0.1:1", clock + time.Second, true}, ""}, // told late: the call stood there after that start
+		{ListEntry{"127.0.0.1:1", clock, false}, "its dispatcher is off the list"},
+		{ListEntry{"127.0.0.1:2", clock, true}, "its dispatcher is at another address"},
+		{ListEntry{"127.0.0.1:1", clock + 2*time.Minute, true}, "its dispatcher has started anew"},
 	} {
-		if ok, why := c.Stands(test.place); why != test.why || ok != (why == "") {
+		if ok, why := c.MayStillBeEstablished(test.place); why != test.why || ok != (why == "") {
 			t.Errorf("%+v: %v, %q, want %q", test.place, ok, why, test.why)
 		}
 	}
 }
 
 func TestTokens(t *testing.T) {
-	token := strings.Repeat("t", MinToken)
+	token := strings.Repeat("t", MinTokenLength)
 	for _, test := range []struct {
 		token string
 		hash  []byte
 		want  bool
 	}{
-		{token, Hash(token), true}, {token + "x", Hash(token), false}, {"", nil, false}, {"", Hash(""), false}, {token, nil, false},
-		{"short", Hash("short"), false}, {strings.Repeat("t", MaxToken+1), Hash(strings.Repeat("t", MaxToken+1)), false},
+		{token, HashToken(token), true}, {token + "x", HashToken(token), false}, {"", nil, false}, {"", HashToken(""), false}, {token, nil, false},
+		{"short", HashToken("short"), false}, {strings.Repeat("t", MaxTokenLength+1), HashToken(strings.Repeat("t", MaxTokenLength+1)), false},
 	} {
-		if got := Claims(test.token, test.hash); got != test.want {
+		if got := TokenMatches(test.token, test.hash); got != test.want {
 			t.Errorf("%q: %v", test.token, got)
 		}
 	}
 }
 
 func TestEncoding(t *testing.T) {
-	e := at(Back, "00000000000000aa", clock, attempt(3), notBefore(clock+time.Second))
+	e := at(KindAttemptFailed, "00000000000000aa", clock, attempt(3), notBefore(clock+time.Second))
 	text, err := e.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -183,8 +183,8 @@
 	if diff := cmp.Diff(e, got); diff != "" || err != nil {
 		t.Errorf("%v (-want +got):\n%s", err, diff)
 	}
-	for name, bad := range map[string]Event{"no kind": {ID: "a"}, "a kind to come": {Kind: Left + 1, ID: "a"}, "no id": {Kind: Took},
-		"a long id": {Kind: Took, ID: strings.Repeat("a", 65)}, "below zero": {Kind: Took, ID: "a", Attempt: -1}} {
+	for name, bad := range map[string]Event{"no kind": {ID: "a"}, "a kind to come": {Kind: KindCancelled + 1, ID: "a"}, "no id": {Kind: KindAccepted},
+		"a long id": {Kind: KindAccepted, ID: strings.Repeat("a", 65)}, "below zero": {Kind: KindAccepted, ID: "a", Attempt: -1}} {
 		text, err := bad.Encode()
 		if err != nil {
 			t.Fatal(err)
@@ -219,20 +219,20 @@
 		}
 		switch {
 		case c.open && !c.out && rapid.Bool().Draw(t, "send"):
-			all = append(all, at(Sent, id, now, attempt(c.attempts)))
+			all = append(all, at(KindAttemptSent, id, now, attempt(c.attempts)))
 			c.out = true
 			c.attempts++
 		case c.open && c.out && rapid.Bool().Draw(t, "stands"):
-			all = append(all, at(Stood, id, now, attempt(c.attempts-1), answer(fmt.Sprint("y", i))))
+			all = append(all, at(KindEstablished, id, now, attempt(c.attempts-1), answer(fmt.Sprint("y", i))))
 			c.open, c.out, c.stands = false, false, true
 		case c.open && c.out && rapid.Bool().Draw(t, "back"):
-			all = append(all, at(Back, id, now, attempt(c.attempts-1), notBefore(now+rules.Guard)))
+			all = append(all, at(KindAttemptFailed, id, now, attempt(c.attempts-1), notBefore(now+rules.Guard)))
 			c.out = false
 		case c.open && !c.out && rapid.Bool().Draw(t, "final"):
-			all = append(all, at(Final, id, now, cause(42, "refused")))
+			all = append(all, at(KindRejected, id, now, cause(42, "refused")))
 			c.open = false
 		case c.stands && rapid.Bool().Draw(t, "over"):
-			all = append(all, at(Over, id, now, cause(16, "ended")))
+			all = append(all, at(KindTerminated, id, now, cause(16, "ended")))
 			c.stands = false
 		}
 	}
@@ -245,7 +245,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		all := life(t)
 		cut := rapid.IntRange(0, len(all)).Draw(t, "cut")
-		b := NewBook()
+		b := NewCallTable()
 		attempts, lastAt, ended, stood := map[string]int{}, clock, map[string]bool{}, map[string]bool{}
 		var records [][]byte
 		for _, e := range all[:cut] {
@@ -257,33 +257,33 @@
 			records = append(records, text)
 			lastAt = max(lastAt, microseconds(e.AtUs))
 			switch e.Kind {
-			case Sent:
+			case KindAttemptSent:
 				attempts[e.ID]++
-			case Stood:
+			case KindEstablished:
 				stood[e.ID] = true
-			case Final, Over:
+			case KindRejected, KindTerminated:
 				ended[e.ID] = true
 			}
 		}
 		now := lastAt + time.Duration(rapid.IntRange(0, 12_000).Draw(t, "down"))*ms
-		if b.Strays() > 0 {
-			t.Fatalf("%d events do not fit", b.Strays())
+		if b.UnexpectedEvents() > 0 {
+			t.Fatalf("%d events do not fit", b.UnexpectedEvents())
 		}
 		plan := b.Plan(now, rules)
 		for _, d := range plan {
 			switch {
-			case d.Act == Cut:
+			case d.Action == ReleaseCall:
 				t.Fatalf("%s is cut, and nothing was lost", d.ID)
-			case ended[d.ID] != (d.Act == Keep || d.Act == Tell):
-				t.Fatalf("%s: ended %v, %s", d.ID, ended[d.ID], d.Act)
-			case !ended[d.ID] && stood[d.ID] != (d.Act == Adopt):
-				t.Fatalf("%s: stands %v, %s", d.ID, stood[d.ID], d.Act)
-			case d.Act == Adopt && (d.Answer == "" || d.Server == ""):
+			case ended[d.ID] != (d.Action == RepeatOutcome || d.Action == NotifyCaller):
+				t.Fatalf("%s: ended %v, %s", d.ID, ended[d.ID], d.Action)
+			case !ended[d.ID] && stood[d.ID] != (d.Action == AdoptCall):
+				t.Fatalf("%s: stands %v, %s", d.ID, stood[d.ID], d.Action)
+			case d.Action == AdoptCall && (d.Answer == "" || d.Server == ""):
 				t.Fatalf("%s stands nowhere, or without an answer: %+v", d.ID, d.Call)
-			case d.Act == Await && (d.Attempts != attempts[d.ID] || d.Attempts >= rules.MaxAttempts || d.Left <= 0 || now+d.Left > d.Deadline()):
-				t.Fatalf("%s: %d attempts, %d were made; %v left", d.ID, d.Attempts, attempts[d.ID], d.Left)
-			case d.Act == Await && (d.NotBefore < now+rules.Guard || !d.Release):
-				t.Fatalf("%s: the guard is not kept: %v, release %v", d.ID, d.NotBefore-now, d.Release)
+			case d.Action == AwaitResume && (d.Attempts != attempts[d.ID] || d.Attempts >= rules.MaxAttempts || d.TimeLeft <= 0 || now+d.TimeLeft > d.Deadline()):
+				t.Fatalf("%s: %d attempts, %d were made; %v left", d.ID, d.Attempts, attempts[d.ID], d.TimeLeft)
+			case d.Action == AwaitResume && (d.NotBefore < now+rules.Guard || !d.MustRelease):
+				t.Fatalf("%s: the guard is not kept: %v, release %v", d.ID, d.NotBefore-now, d.MustRelease)
 			}
 		}
 		// Compacted after any of the records, the plan is the same.
@@ -292,28 +292,28 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := Read(append(least, records[at:]...), nil)
-		if err != nil || again.Strays() > 0 {
-			t.Fatalf("%v, %d strays", err, again.Strays())
+		again, err := Replay(append(least, records[at:]...), nil)
+		if err != nil || again.UnexpectedEvents() > 0 {
+			t.Fatalf("%v, %d strays", err, again.UnexpectedEvents())
 		}
 		acts := func(plan []Decision) (all []string) {
 			for _, d := range plan {
-				if d.Act != Await {
+				if d.Action != AwaitResume {
 					d.Call.Attempts = 0 // of no use any more
 				}
-				all = append(all, fmt.Sprint(d.ID, d.Act, d.Attempts, d.Left, d.NotBefore, d.Release, d.Answer, d.Cause))
+				all = append(all, fmt.Sprint(d.ID, d.Action, d.Attempts, d.TimeLeft, d.NotBefore, d.MustRelease, d.Answer, d.Cause))
 			}
 			return all
 		}
 		// What is long over may be forgotten; a last sign of life may go with it.
-		if again.Last() == b.Last() {
+		if again.LastAlive() == b.LastAlive() {
 			if diff := cmp.Diff(acts(plan), acts(again.Plan(now, rules))); diff != "" {
 				t.Fatalf("compacted after %d of %d (-want +got):\n%s", at, len(records), diff)
 			}
 		}
 		// And with a gap anywhere, no call that it may have been about is trusted, nor is one after it whose beginning is lost.
 		hole := rapid.IntRange(0, len(records)).Draw(t, "hole")
-		gapped, err := Read(records, map[int]bool{hole: true})
+		gapped, err := Replay(records, map[int]bool{hole: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -322,8 +322,8 @@
 			known[e.ID] = true
 		}
 		for _, d := range gapped.Plan(now, rules) {
-			if known[d.ID] && (d.Act == Await || d.Act == Adopt || d.Act == Fail) {
-				t.Fatalf("%s may have been in the gap, and is trusted: %s", d.ID, d.Act)
+			if known[d.ID] && (d.Action == AwaitResume || d.Action == AdoptCall || d.Action == FailCall) {
+				t.Fatalf("%s may have been in the gap, and is trusted: %s", d.ID, d.Action)
 			}
 		}
 	})
@@ -331,7 +331,7 @@
 
 // FuzzDecode: what can be read as an event can be written and read again, and no sequence of them breaks the Book.
 func FuzzDecode(f *testing.F) {
-	for _, e := range []Event{took("a", clock, time.Second), at(Sent, "a", clock), at(Over, "a", clock, cause(16, "ended"))} {
+	for _, e := range []Event{took("a", clock, time.Second), at(KindAttemptSent, "a", clock), at(KindTerminated, "a", clock, cause(16, "ended"))} {
 		text, err := e.Encode()
 		if err != nil {
 			f.Fatal(err)
@@ -339,7 +339,7 @@
 		f.Add(text, text)
 	}
 	f.Fuzz(func(t *testing.T, one, two []byte) {
-		b, _ := Read([][]byte{one, two}, nil)
+		b, _ := Replay([][]byte{one, two}, nil)
 		b.Plan(clock, rules)
 		for _, e := range b.Events() {
 			text, err := e.Encode()
@@ -361,7 +361,7 @@
 		var events []Event
 		for i := range n {
 			id := fmt.Sprintf("%016x", i)
-			events = append(events, took(id, clock, time.Minute), at(Sent, id, clock), at(Stood, id, clock, answer("y")))
+			events = append(events, took(id, clock, time.Minute), at(KindAttemptSent, id, clock), at(KindEstablished, id, clock, answer("y")))
 		}
 		for _, e := range events {
 			text, err := e.Encode()
@@ -371,7 +371,7 @@
 			records = append(records, text)
 		}
 		b.Run(fmt.Sprint("kept/", n), func(b *testing.B) {
-			book, err := Read(records, nil)
+			book, err := Replay(records, nil)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -382,13 +382,13 @@
 				if book.calls[id] == nil {
 					b.Fatal("lost")
 				}
-				book.Apply(at(Left, id, clock))
+				book.Apply(at(KindCancelled, id, clock))
 			}
 		})
 		b.Run(fmt.Sprint("rebuilt/", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				book, err := Read(records, nil)
+				book, err := Replay(records, nil)
 				if err != nil || len(book.calls) != n {
 					b.Fatal(err)
 				}
--- a/internal/decide/subset/subset.go
+++ b/internal/decide/subset/subset.go
@@ -21,8 +21,8 @@
 	// DefaultSize is the least size, rounded, at which hashing leaves no dispatcher with more than 1.5 times the mean number of
 	// controllers, at 3,000 of each: with a mean of n, the chance that one has more falls with exp(-0.108 n).
 	DefaultSize = 96
-	// DefaultQuiet is how long there must have been no need before a subset that has grown gives places back.
-	DefaultQuiet = time.Minute
+	// DefaultShrinkAfter is how long there must have been no need before a subset that has grown gives places back.
+	DefaultShrinkAfter = time.Minute
 	// MaxSize bounds sizes: each dispatcher in a subset is a connection.
 	MaxSize = 1 << 20
 	// defaultGrowth is how many times its size a subset may grow to.
@@ -35,18 +35,18 @@
 
 // Options say what one controller's subset is.
 type Options struct {
-	Identity string        // the controller's; it must be another's never, and the same after a restart
-	Zone     string        // whose dispatchers are preferred; empty for none
-	Size     int           // dispatchers in the subset; 0 for DefaultSize
-	Most     int           // as many after growth; 0 for eight times the size
-	Quiet    time.Duration // without need until a subset shrinks; 0 for DefaultQuiet
+	Identity    string        // the controller's; it must be another's never, and the same after a restart
+	Zone        string        // whose dispatchers are preferred; empty for none
+	Size        int           // dispatchers in the subset; 0 for DefaultSize
+	GrowthLimit int           // as many after growth; 0 for eight times the size
+	ShrinkAfter time.Duration // without need until a subset shrinks; 0 for DefaultShrinkAfter
 }
 
 // WithDefaults fills in what is not given.
 func (o Options) WithDefaults() Options {
 	o.Size = cmp.Or(o.Size, DefaultSize)
-	o.Most = cmp.Or(o.Most, min(defaultGrowth*o.Size, MaxSize))
-	o.Quiet = cmp.Or(o.Quiet, DefaultQuiet)
+	o.GrowthLimit = cmp.Or(o.GrowthLimit, min(defaultGrowth*o.Size, MaxSize))
+	o.ShrinkAfter = cmp.Or(o.ShrinkAfter, DefaultShrinkAfter)
 	return o
 }
 
@@ -56,10 +56,10 @@
 	switch {
 	case o.Size < 1 || o.Size > MaxSize:
 		return fmt.Errorf("size: %d is not from 1 to %d", o.Size, MaxSize)
-	case o.Most < o.Size || o.Most > MaxSize:
-		return fmt.Errorf("most: %d is not from the size, %d, to %d", o.Most, o.Size, MaxSize)
-	case o.Quiet < 0:
-		return fmt.Errorf("quiet_ms: %d is below 0", o.Quiet.Milliseconds())
+	case o.GrowthLimit < o.Size || o.GrowthLimit > MaxSize:
+		return fmt.Errorf("most: %d is not from the size, %d, to %d", o.GrowthLimit, o.Size, MaxSize)
+	case o.ShrinkAfter < 0:
+		return fmt.Errorf("quiet_ms: %d is below 0", o.ShrinkAfter.Milliseconds())
 	}
 	return nil
 }
@@ -213,9 +213,9 @@
 	s.far.resize(s.target - near)
 }
 
-// Use gives the dispatchers of a call's first choice places of their own, as many as the subset has at most: those that rank first.
+// UseCell gives the dispatchers of a call's first choice places of their own, as many as the subset has at most: those that rank first.
 // Where all groups in use would have more than the options' Most, the one that was used least lately gives its places back.
-func (s *Subset) Use(now time.Duration, group int) {
+func (s *Subset) UseCell(now time.Duration, group int) {
 	c := s.cells[group]
 	if c == nil {
 		return
@@ -227,7 +227,7 @@
 	c.used = true
 	s.used[group] = c
 	c.resize(s.target)
-	for s.extra() > s.options.Most && len(s.used) > 1 {
+	for s.extra() > s.options.GrowthLimit && len(s.used) > 1 {
 		s.disuse(s.stalest())
 	}
 }
@@ -267,8 +267,8 @@
 func (s *Subset) Grow(now time.Duration) bool {
 	s.needAt = now
 	before := s.chosen
-	for s.chosen == before && s.target < s.options.Most && s.target < s.Active() {
-		s.resize(min(s.target+s.options.Size, s.options.Most))
+	for s.chosen == before && s.target < s.options.GrowthLimit && s.target < s.Active() {
+		s.resize(min(s.target+s.options.Size, s.options.GrowthLimit))
 	}
 	if s.chosen == before {
 		return false
@@ -277,26 +277,26 @@
 	return true
 }
 
-// Rest gives back what has not been needed for long: what one growth has brought, and groups that no call has had as first choice. The
+// Shrink gives back what has not been needed for long: what one growth has brought, and groups that no call has had as first choice. The
 // places stay needed while those that would remain are scarce. Its cost goes by the subset and the groups in use.
-func (s *Subset) Rest(now time.Duration, sound func(control.ServerID) bool) {
+func (s *Subset) Shrink(now time.Duration, sound func(control.ServerID) bool) {
 	for group, c := range s.used {
-		if now-c.usedAt >= s.options.Quiet {
+		if now-c.usedAt >= s.options.ShrinkAfter {
 			s.disuse(group)
 		}
 	}
-	if s.target > s.options.Size && now-s.needAt >= s.options.Quiet {
+	if s.target > s.options.Size && now-s.needAt >= s.options.ShrinkAfter {
 		s.needAt = now
 		before := s.target
-		if s.resize(max(s.target-s.options.Size, s.options.Size)); s.Scarce(sound) {
+		if s.resize(max(s.target-s.options.Size, s.options.Size)); s.TooFewUsable(sound) {
 			s.resize(before)
 		}
 	}
 }
 
-// Scarce reports whether sound holds for less than half as many dispatchers as the subset has without need, or as are listed if that is
+// TooFewUsable reports whether sound holds for less than half as many dispatchers as the subset has without need, or as are listed if that is
 // less. Places of groups in use don't count. Its cost goes by the subset.
-func (s *Subset) Scarce(sound func(control.ServerID) bool) bool {
+func (s *Subset) TooFewUsable(sound func(control.ServerID) bool) bool {
 	n := 0
 	for _, r := range []*ranking{s.near, s.far} {
 		for _, o := range r.chosen.all {
@@ -308,8 +308,8 @@
 	return 2*n < min(s.options.Size, s.Active())
 }
 
-// Resting reports whether there is nothing to give back.
-func (s *Subset) Resting() bool { return s.target == s.options.Size && len(s.used) == 0 }
+// AtBaseSize reports whether there is nothing to give back.
+func (s *Subset) AtBaseSize() bool { return s.target == s.options.Size && len(s.used) == 0 }
 
 func (s *Subset) resize(target int) {
 	s.target = target
@@ -344,8 +344,8 @@
 	return m != nil && m.places > 0
 }
 
-// InCell is the number of dispatchers of the group that are in the subset.
-func (s *Subset) InCell(group int) int {
+// CountInCell is the number of dispatchers of the group that are in the subset.
+func (s *Subset) CountInCell(group int) int {
 	if c := s.cells[group]; c != nil {
 		return c.inSubset
 	}
--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -145,8 +145,8 @@
 // one dispatcher moves at most one other into the subset or out of it, and Changes tells what differs.
 func TestAnyHistoryLeadsToTheSameSubset(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := Options{Identity: rapid.StringN(1, 8, 16).Draw(t, "identity"), Size: rapid.IntRange(1, 20).Draw(t, "size"), Quiet: time.Second}
-		o.Most = o.Size * rapid.IntRange(1, 5).Draw(t, "growth")
+		o := Options{Identity: rapid.StringN(1, 8, 16).Draw(t, "identity"), Size: rapid.IntRange(1, 20).Draw(t, "size"), ShrinkAfter: time.Second}
+		o.GrowthLimit = o.Size * rapid.IntRange(1, 5).Draw(t, "growth")
 		zones := rapid.IntRange(1, 4).Draw(t, "zones")
 		if rapid.Bool().Draw(t, "zoned") {
 			o.Zone = "zone-0"
@@ -169,7 +169,7 @@
 				s.Grow(now)
 			case 9:
 				now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
-				s.Rest(now, anyone)
+				s.Shrink(now, anyone)
 			}
 			after := s.all()
 			if want := slices.Sorted(slices.Values(wanted(s, slices.Collect(maps.Values(s.members))))); !slices.Equal(after, want) {
@@ -234,7 +234,7 @@
 
 // TestGrowthIsBoundedAndGoesBack follows needs over time.
 func TestGrowthIsBoundedAndGoesBack(t *testing.T) {
-	s := filled(Options{Identity: "a", Size: 10, Most: 35, Quiet: time.Minute}, 300, 1)
+	s := filled(Options{Identity: "a", Size: 10, GrowthLimit: 35, ShrinkAfter: time.Minute}, 300, 1)
 	now := time.Hour
 	for i, want := range []int{20, 30, 35, 35} {
 		if grew := s.Grow(now); s.Len() != want || grew != (i < 3) {
@@ -248,7 +248,7 @@
 		want  int
 	}{{59 * time.Second, 35}, {time.Second, 25}, {59 * time.Second, 25}, {time.Second, 15}, {time.Minute, 10}, {time.Hour, 10}} {
 		now += step.after
-		if s.Rest(now, anyone); s.Len() != step.want {
+		if s.Shrink(now, anyone); s.Len() != step.want {
 			t.Fatalf("%v later %d in the subset, not %d", step.after, s.Len(), step.want)
 		}
 	}
@@ -256,34 +256,34 @@
 	s.Changes()
 	now += time.Hour
 	nobody := func(control.ServerID) bool { return false }
-	if s.Rest(now, nobody); s.Len() != 20 {
+	if s.Shrink(now, nobody); s.Len() != 20 {
 		t.Errorf("%d in the subset, though those that remain refuse", s.Len())
 	}
 	if joined, left := s.Changes(); len(joined)+len(left) > 0 {
 		t.Errorf("%v joined and %v left", joined, left)
 	}
-	s.Rest(now+time.Hour, anyone)
-	if !s.Resting() || s.Growths() != 4 {
-		t.Fatalf("resting %v, %d growths", s.Resting(), s.Growths())
+	s.Shrink(now+time.Hour, anyone)
+	if !s.AtBaseSize() || s.Growths() != 4 {
+		t.Fatalf("resting %v, %d growths", s.AtBaseSize(), s.Growths())
 	}
 }
 
 // TestFirstChoicesHavePlaces has every dispatcher be some call's first choice.
 func TestFirstChoicesHavePlaces(t *testing.T) {
 	const most = 30
-	s := filled(Options{Identity: "a", Size: 10, Most: most, Quiet: time.Minute}, 300, 1)
+	s := filled(Options{Identity: "a", Size: 10, GrowthLimit: most, ShrinkAfter: time.Minute}, 300, 1)
 	now := time.Duration(0)
 	for i := range 300 {
 		now += time.Millisecond
-		if s.Use(now, i); !s.Has(entry(i, 1).ID) || s.InCell(i) != 1 {
+		if s.UseCell(now, i); !s.Has(entry(i, 1).ID) || s.CountInCell(i) != 1 {
 			t.Fatalf("dispatcher %d is out of reach", i)
 		}
 		if s.Len() > 10+most {
 			t.Fatalf("%d in the subset", s.Len())
 		}
 	}
-	s.Use(now, 12345) // nobody's group
-	if s.Rest(now+time.Minute, anyone); s.Len() != 10 || !s.Resting() {
+	s.UseCell(now, 12345) // nobody's group
+	if s.Shrink(now+time.Minute, anyone); s.Len() != 10 || !s.AtBaseSize() {
 		t.Fatalf("%d in the subset after the quiet", s.Len())
 	}
 }
@@ -296,9 +296,9 @@
 		"defaults":         {good: true},
 		"a size":           {Options: Options{Size: 7}, good: true},
 		"a size below one": {Options: Options{Size: -1}},
-		"most below size":  {Options: Options{Size: 20, Most: 10}},
+		"most below size":  {Options: Options{Size: 20, GrowthLimit: 10}},
 		"no such size":     {Options: Options{Size: MaxSize + 1}},
-		"quiet below zero": {Options: Options{Quiet: -1}},
+		"quiet below zero": {Options: Options{ShrinkAfter: -1}},
 	} {
 		if err := test.Check(); (err == nil) != test.good {
 			t.Errorf("%s: %v", name, err)
--- a/internal/decide/takeover/detector.go
+++ b/internal/decide/takeover/detector.go
@@ -15,23 +15,23 @@
 	maxRank = 8
 )
 
-// Life is one incarnation of a fleet member, with the id of the store that counted it.
-type Life struct {
-	Store       uint64 `json:"store"`
-	Incarnation int64  `json:"incarnation"`
+// IncarnationID is one incarnation of a fleet member, with the id of the store that counted it.
+type IncarnationID struct {
+	Store  uint64 `json:"store"`
+	Number int64  `json:"incarnation"`
 }
 
 // Observation is the state of a controller's ledger as another one sees it.
 type Observation struct {
 	Name   string
-	Locked bool // a process holds its lock
-	Owner  Life // the owner's incarnation as a fleet member; zero if it was none
+	Locked bool          // a process holds its lock
+	Owner  IncarnationID // the owner's incarnation as a fleet member; zero if it was none
 }
 
 // Membership is the view of the fleet's members.
 type Membership interface {
 	// HasEnded reports whether an incarnation has certainly ended and no member has its name now.
-	HasEnded(name string, l Life) bool
+	HasEnded(name string, l IncarnationID) bool
 }
 
 // FailureDetector decides which ledgers one controller is to seal. Use NewFailureDetector.
@@ -78,7 +78,7 @@
 
 // mayBeAlive reports whether the owner may still be at work.
 func (o *Observation) mayBeAlive(m Membership) bool {
-	return o.Locked && (o.Owner == (Life{}) || !m.HasEnded(o.Name, o.Owner))
+	return o.Locked && (o.Owner == (IncarnationID{}) || !m.HasEnded(o.Name, o.Owner))
 }
 
 // sealDelay is how long a suspicion must last before this controller seals the ledger.
--- a/internal/decide/takeover/lookup.go
+++ b/internal/decide/takeover/lookup.go
@@ -9,7 +9,7 @@
 
 const (
 	// callerReturnWindow is how long an unpacked call waits for its caller before the claimant of its ledger claims it.
-	callerReturnWindow = recovery.ResumeWithin
+	callerReturnWindow = recovery.PendingResumeTimeout
 	// lookupGrace is how long beyond a lease a lookup waits for a call that may be in a ledger which is not sealed yet.
 	lookupGrace = 2 * time.Second
 	// QueryAnswerWindow is how long after its owner has read a query a call may take to be transferred: some scans, and a commit.
@@ -50,11 +50,11 @@
 // QueryExpired reports whether a query that has been there for so long is older than any lookup: the controller that wrote it has failed.
 func QueryExpired(age, lease time.Duration) bool { return age > lease+lookupGrace+QueryAnswerWindow }
 
-// Found adjusts the recovery decision on a claimed call. A call whose owner may live is not tried again while an attempt may be in progress:
+// AdjustForLiveOwner adjusts the recovery decision on a claimed call. A call whose owner may live is not tried again while an attempt may be in progress:
 // what the owner has sent cannot be recalled.
-func Found(d recovery.Decision, ownerMayLive bool) recovery.Decision {
-	if ownerMayLive && d.Act == recovery.Await && d.Call.Out {
-		d.Act, d.Why = recovery.Fail, "its attempt may still be out"
+func AdjustForLiveOwner(d recovery.Decision, ownerMayLive bool) recovery.Decision {
+	if ownerMayLive && d.Action == recovery.AwaitResume && d.Call.AttemptInProgress {
+		d.Action, d.Why = recovery.FailCall, "its attempt may still be out"
 	}
 	return d
 }
--- a/internal/dispatchers/after_attempt_test.go
+++ b/internal/dispatchers/after_attempt_test.go
@@ -16,7 +16,7 @@
 			s.pool.SetUp("first", attemptOf(otherID, 0))
 			s.pool.SetUp("first", attemptOf(orderedID, 0))
 		})
-		s.do(func() { s.pool.Withdraw("first", orderedID, 0) })
+		s.do(func() { s.pool.CancelAttempt("first", orderedID, 0) })
 		s.do(func() {
 			c := s.first.all[0]
 			c.flight = nil // the withdrawn attempt has no final answer yet
--- a/internal/dispatchers/budget.go
+++ b/internal/dispatchers/budget.go
@@ -13,7 +13,7 @@
 // decided in decide/links.
 type sockets struct {
 	budget   links.Budget
-	pace     links.Pace
+	pace     links.DialLimiter
 	dials    int       // since the start
 	held     int       // open connections, half-closed ones, and those being dialled
 	evicted  int       // of them, closed to make room and not told to have ended yet
@@ -22,15 +22,15 @@
 	countAt  time.Time // when standing was counted
 }
 
-// Budget sets how many sockets the connections to all dispatchers may hold together; 0 is no bound. Beyond it, those are closed that no
+// SetSocketBudget sets how many sockets the connections to all dispatchers may hold together; 0 is no bound. Beyond it, those are closed that no
 // set-up is open on.
-func (p *Pool) Budget(sockets int) {
+func (p *Pool) SetSocketBudget(sockets int) {
 	p.sockets.budget = links.Budget(sockets)
 	p.keepToBudget()
 }
 
-// Held is how many sockets the connections to all dispatchers hold.
-func (p *Pool) Held() int { return p.sockets.held }
+// SocketCount is how many sockets the connections to all dispatchers hold.
+func (p *Pool) SocketCount() int { return p.sockets.held }
 
 // keepToBudget closes connections while there are more than there may be.
 func (p *Pool) keepToBudget() {
@@ -50,7 +50,7 @@
 		return false
 	}
 	if plenty || p.sockets.budget.Allows(purpose, p.sockets.held) {
-		return purpose >= links.Standing || !s.backoff.Failed() || p.sockets.pace.Take(now)
+		return purpose >= links.ActiveCalls || !s.backoff.Failed() || p.sockets.pace.Allow(now)
 	}
 	p.makeRoom(s, purpose, now)
 	return false
@@ -65,7 +65,7 @@
 		return
 	}
 	unclaimed := len(p.sockets.starved) < p.sockets.evicted
-	if purpose >= links.Standing && unclaimed || p.evict(purpose, s.without(now)) {
+	if purpose >= links.ActiveCalls && unclaimed || p.evict(purpose, s.without(now)) {
 		s.starved = true
 		p.sockets.starved = append(p.sockets.starved, s)
 	}
@@ -85,13 +85,13 @@
 	case len(s.waiting) > 0:
 		return links.SetUp
 	case (len(s.links) == 0 || s.renewal.Pending() || now.Sub(s.heardAt) > silence) && s.pool.standingAt(s.ID, now) > 0:
-		return links.Standing
-	case links.Doubtful(s.oldestUnheard(now)), len(s.links) == 0 && s.hasRelease():
-		return links.Standing
+		return links.ActiveCalls
+	case links.IsSuspect(s.oldestUnheard(now)), len(s.links) == 0 && s.hasRelease():
+		return links.ActiveCalls
 	case s.Status != control.Active:
 		return links.Draining
 	}
-	return links.Ahead
+	return links.Preconnect
 }
 
 // hasRelease reports whether the release of a call at this dispatcher waits for a connection: until then the call keeps its line.
@@ -111,7 +111,7 @@
 		return
 	}
 	p.sockets.standing, p.sockets.countAt = map[control.ServerID]int{}, now
-	p.core.EachStanding(func(server control.ServerID) { p.sockets.standing[server]++ })
+	p.core.EachEstablished(func(server control.ServerID) { p.sockets.standing[server]++ })
 }
 
 // evict closes the connection that is missed least, if the purpose is worth it.
@@ -139,9 +139,9 @@
 func (l *link) counts(now time.Time) links.Connection {
 	s := l.server
 	return links.Connection{
-		Drains: s.Status != control.Active || s.replaced, Sole: len(s.links) == 1, HalfClosed: l.givenUp(),
-		Heard: l.heardAt.After(l.openedAt), SetUps: len(l.invites),
-		Standing: s.pool.standingAt(s.ID, now) > 0 || l.owesRelease(), Since: l.since, UsedAt: l.usedAt,
+		Draining: s.Status != control.Active || s.replaced, Sole: len(s.links) == 1, HalfClosed: l.givenUp(),
+		HasReceived: l.heardAt.After(l.openedAt), PendingSetUps: len(l.invites),
+		HasCalls: s.pool.standingAt(s.ID, now) > 0 || l.owesRelease(), Since: l.since, UsedAt: l.usedAt,
 	}
 }
 
@@ -149,7 +149,7 @@
 // opens: an open one is read for a moment more, in which its dispatcher closes it too.
 func (l *link) evict() {
 	l.evicted = true
-	if s := l.server; l.state == linkOpen && s.pool.core.Standing(s.ID) > 0 {
+	if s := l.server; l.state == linkOpen && s.pool.core.EstablishedCount(s.ID) > 0 {
 		l.retireWithin(conn.ErrClosedHere, evictedFor)
 		return
 	}
--- a/internal/dispatchers/budget_test.go
+++ b/internal/dispatchers/budget_test.go
@@ -19,8 +19,8 @@
 	at map[control.ServerID][]string // calls that stand
 }
 
-func (s *standings) Standing(id control.ServerID) int { return len(s.at[id]) }
-func (s *standings) StandAt(id control.ServerID) iter.Seq[string] {
+func (s *standings) EstablishedCount(id control.ServerID) int { return len(s.at[id]) }
+func (s *standings) EstablishedAt(id control.ServerID) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for _, call := range s.at[id] {
 			if !yield(call) {
@@ -30,7 +30,7 @@
 	}
 }
 
-func (s *standings) EachStanding(f func(control.ServerID)) {
+func (s *standings) EachEstablished(f func(control.ServerID)) {
 	for id, calls := range s.at {
 		for range calls {
 			f(id)
@@ -59,12 +59,12 @@
 	for range n {
 		b.lists(dispatcherAt(t, "tcp", "127.0.0.1:0"))
 	}
-	b.list.Whole = true
+	b.list.Complete = true
 	go b.loop.Run()
 	t.Cleanup(b.loop.Quit)
 	b.do(func() {
 		b.pool = New(b.loop, b.core, Options{ConnectTimeout: 10 * time.Second, Log: slog.New(slog.DiscardHandler)})
-		b.pool.Budget(budget)
+		b.pool.SetSocketBudget(budget)
 	})
 	return b
 }
--- a/internal/dispatchers/busy_test.go
+++ b/internal/dispatchers/busy_test.go
@@ -21,7 +21,7 @@
 				s.do(func() {
 					id := fmt.Sprintf("%016x", offered)
 					s.calls[id] = &orderedCall{}
-					s.pool.SetUp("first", call.SetUp{ID: id, Limit: orderDeadline})
+					s.pool.SetUp("first", call.SetUp{ID: id, Timeout: orderDeadline})
 				})
 				s.do(func() { s.first.finalAnswer(fmt.Sprintf("%016x", offered-open), 504) })
 				s.pass(step / 2)
--- a/internal/dispatchers/check.go
+++ b/internal/dispatchers/check.go
@@ -68,13 +68,13 @@
 	case silent > deadAfter && s.dialTimedOut && s.holds(): // also where all connections were given up before: as each was unresponsive
 		s.pool.Log.Warn("dispatcher is silent", "server", s.ID, "for", silent)
 		s.drop(errors.New("dispatcher is silent"))
-		s.pool.core.Died(s.ID)
+		s.pool.core.DispatcherFailed(s.ID)
 		return
 	case s.refuses && len(s.links) > 0 && silent > silence && s.holds() && s.quietForGood(now):
 		s.stopped()
 		return
 	case len(s.links) == 0:
-		if s.purpose(now) >= links.Standing {
+		if s.purpose(now) >= links.ActiveCalls {
 			s.connect()
 		}
 	case len(s.links) < s.wanted(now) && silent <= silence: // also to one that drains: a new one brings the releases of a lost one
@@ -109,8 +109,8 @@
 	case s.heardAt.Sub(l.heardAt) <= deadAfter:
 	case l.open() == 0:
 		s.letGo(l) // the others are alive, and this one has nothing to do
-	case s.pool.core.Standing(s.ID) > 0: // its set-ups may have their answers yet, but ends may be told here in vain
-		s.renewal.Repeat(now)
+	case s.pool.core.EstablishedCount(s.ID) > 0: // its set-ups may have their answers yet, but ends may be told here in vain
+		s.renewal.RequestPeriodic(now)
 	}
 }
 
@@ -159,7 +159,7 @@
 	if s.queued || len(s.links) > 0 || s.dialing || s.gone() {
 		return
 	}
-	s.queued, s.due = true, s.backoff.Next(links.Ahead)
+	s.queued, s.due = true, s.backoff.NextDial(links.Preconnect)
 	heap.Push(&p.ahead, s)
 }
 
@@ -172,7 +172,7 @@
 			switch s.connect(); {
 			case s.dialing, s.starved:
 			case !s.backoff.Due(now, purpose):
-				s.due = s.backoff.Next(purpose)
+				s.due = s.backoff.NextDial(purpose)
 				heap.Fix(&p.ahead, 0)
 				continue
 			case purpose == links.Draining:
--- a/internal/dispatchers/closed_in_order_test.go
+++ b/internal/dispatchers/closed_in_order_test.go
@@ -11,7 +11,7 @@
 
 // closingWire is that of a dispatcher that answers the end of the other side with a close in good order, inside the connection.
 type closingWire struct {
-	Wire
+	Protocol
 	on *standInConnection
 }
 
@@ -20,7 +20,7 @@
 	if w.on.finished {
 		return nil, io.EOF
 	}
-	return w.Wire.Next(in)
+	return w.Protocol.Next(in)
 }
 
 // closesInOrder gives a connection such a wire.
@@ -51,14 +51,14 @@
 			}
 		})
 		for range 2 {
-			s.do(func() { s.pool.Renew("first") })
+			s.do(func() { s.pool.Reconnect("first") })
 			time.Sleep(3 * checkEvery)
 		}
 		ended := map[*standInConnection]bool{}
 		before := 0
 		s.do(func() {
 			before = len(s.first.all)
-			s.pool.Renew("first")
+			s.pool.Reconnect("first")
 		})
 		for range 10 * time.Second / (dialTime / 2) {
 			time.Sleep(dialTime / 2) // before the next one is up
--- a/internal/dispatchers/dial.go
+++ b/internal/dispatchers/dial.go
@@ -19,7 +19,7 @@
 	s.pool.sockets.held++
 	s.pool.sockets.dials++
 	address := s.Address
-	dial, wire := Place(address, &s.pool.Fields)
+	dial, wire := ParseAddress(address, &s.pool.ReportFields)
 	var l *link
 	handler := func(c connection) conn.Handler {
 		now := time.Now()
@@ -46,16 +46,16 @@
 
 // reachable reports whether connections to the dispatcher are of use.
 func (s *server) reachable(now time.Time) bool {
-	return !s.gone() || s.mayRelease(now) || (s.renewal.Missing() || s.renewal.Pending()) && !s.replaced && s.pool.core.Standing(s.ID) > 0
+	return !s.gone() || s.mayRelease(now) || (s.renewal.EndsMissing() || s.renewal.Pending()) && !s.replaced && s.pool.core.EstablishedCount(s.ID) > 0
 }
 
 func (s *server) refused(err error) {
 	if errors.Is(err, conn.ErrNoSocket) { // says nothing of the dispatcher
-		s.backoff.Fail(time.Now(), rand.Float64())
+		s.backoff.RecordFailure(time.Now(), rand.Float64())
 		s.pool.Log.Warn("no descriptor for a connection", "server", s.ID, "err", err)
 		return
 	}
-	s.backoff.Fail(time.Now(), rand.Float64())
+	s.backoff.RecordFailure(time.Now(), rand.Float64())
 	s.refuses = errors.Is(err, conn.ErrRefused)
 	s.dialTimedOut = !s.refuses
 	s.pool.Log.Info("no connection", "server", s.ID, "err", err)
@@ -79,7 +79,7 @@
 	s.log(endlog.Stopped, nil)
 	s.drop(errors.New("dispatcher has stopped"))
 	s.releases = nil // there is no way to send them
-	s.pool.core.Died(s.ID)
+	s.pool.core.DispatcherFailed(s.ID)
 }
 
 // track notes whether the dispatcher has connections.
@@ -94,11 +94,11 @@
 func (s *server) opened(l *link, dialedAt time.Time) {
 	s.backoff.Reset()
 	s.dialTimedOut, s.refuses = false, false
-	s.renewal.Opened(dialedAt)
+	s.renewal.RecordOpened(dialedAt)
 	s.links = append(s.links, l)
 	s.track()
 	l.log(endlog.LinkOpened, nil)
-	l.send(l.wire.Hello())
+	l.send(l.wire.Handshake())
 	l.conn.Flush()
 	if l.ready() {
 		s.ready(l) // it goes out at the end of the turn: who has left meanwhile is seen before
@@ -107,6 +107,6 @@
 
 // ready tells that calls can be placed.
 func (s *server) ready(l *link) {
-	s.pool.core.Reached()
+	s.pool.core.DispatcherReached()
 	s.serve(l)
 }
--- a/internal/dispatchers/dispatchers.go
+++ b/internal/dispatchers/dispatchers.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// MaxLinks is how many connections a dispatcher is given at most; it takes four. How many it is worth by now
+	// MaxConnections is how many connections a dispatcher is given at most; it takes four. How many it is worth by now
 	// is decided in decide/links.
-	MaxLinks = 4
+	MaxConnections = 4
 	// checkEvery is the pace at which dispatchers are looked at that something is to be done for.
 	checkEvery = 100 * time.Millisecond
 	// wholeWithin is how long a message may take to become whole: a dispatcher writes it in one go.
@@ -60,29 +60,29 @@
 
 // Core is what the connections report to; *call.Core is one.
 type Core interface {
-	// Reached tells that calls can be placed at some dispatcher.
-	Reached()
-	// Written tells that all of a set-up has gone to a dispatcher.
-	Written()
+	// DispatcherReached tells that calls can be placed at some dispatcher.
+	DispatcherReached()
+	// SetUpWritten tells that all of a set-up has gone to a dispatcher.
+	SetUpWritten()
 	// Answered reports whether the call is established by the answer.
 	Answered(server control.ServerID, id string, attempt int, description string) bool
-	Ended(server control.ServerID, id string, attempt int, o control.Outcome, noLine bool, report []float64)
+	AttemptEnded(server control.ServerID, id string, attempt int, o control.Outcome, noLine bool, report []float64)
 	Released(server control.ServerID, id string, attempt, cause int, report []float64)
-	// ReleasedBeside is Released on another connection than that of the answer. It reports whether the call goes on there.
-	ReleasedBeside(server control.ServerID, id string, cause int, report []float64) (goesOn bool)
-	Reported(server control.ServerID, report []float64)
-	Died(server control.ServerID)
-	Standing(server control.ServerID) int
-	// StandAt names those calls.
-	StandAt(server control.ServerID) iter.Seq[string]
-	// EachStanding calls f for each call that stands, in no order.
-	EachStanding(f func(server control.ServerID))
+	// ReleasedOnOtherConnection is Released on another connection than that of the answer. It reports whether the call goes on there.
+	ReleasedOnOtherConnection(server control.ServerID, id string, cause int, report []float64) (goesOn bool)
+	LoadReported(server control.ServerID, report []float64)
+	DispatcherFailed(server control.ServerID)
+	EstablishedCount(server control.ServerID) int
+	// EstablishedAt names those calls.
+	EstablishedAt(server control.ServerID) iter.Seq[string]
+	// EachEstablished calls f for each call that stands, in no order.
+	EachEstablished(f func(server control.ServerID))
 }
 
 // Options are the settings of a Pool.
 type Options struct {
 	ConnectTimeout time.Duration
-	Fields         []string // of load reports
+	ReportFields   []string // of load reports
 	Log            *slog.Logger
 }
 
@@ -107,18 +107,18 @@
 
 // New returns an empty Pool.
 func New(loop *call.Loop, core Core, o Options) *Pool {
-	p := &Pool{Options: o, core: core, loop: loop, dial: dialTCP(loop), servers: map[control.ServerID]*server{}, at: map[string][]*server{}, linked: map[*server]struct{}{}, links: MaxLinks}
+	p := &Pool{Options: o, core: core, loop: loop, dial: dialTCP(loop), servers: map[control.ServerID]*server{}, at: map[string][]*server{}, linked: map[*server]struct{}{}, links: MaxConnections}
 	p.check()
 	return p
 }
 
-// Retune gives the pool, and the connections it has, other settings.
-func (p *Pool) Retune(connectTimeout time.Duration, fields []string) {
-	p.ConnectTimeout, p.Fields = connectTimeout, fields
+// Reconfigure gives the pool, and the connections it has, other settings.
+func (p *Pool) Reconfigure(connectTimeout time.Duration, fields []string) {
+	p.ConnectTimeout, p.ReportFields = connectTimeout, fields
 }
 
-// Limit sets how many connections each dispatcher may be given. Beyond them, those go that have nothing to do.
-func (p *Pool) Limit(links int) {
+// SetMaxConnections sets how many connections each dispatcher may be given. Beyond them, those go that have nothing to do.
+func (p *Pool) SetMaxConnections(links int) {
 	p.links = links
 	for s := range p.linked {
 		s.trim()
@@ -129,10 +129,10 @@
 func (p *Pool) SetUp(id control.ServerID, a call.SetUp) {
 	s := p.servers[id]
 	if s == nil || s.replaced {
-		p.core.Ended(id, a.ID, a.Attempt, control.Unreachable, false, nil)
+		p.core.AttemptEnded(id, a.ID, a.Attempt, control.Unreachable, false, nil)
 		return
 	}
-	s.demand.Note(time.Now(), s.openSetUps()+len(s.waiting)+1)
+	s.demand.Observe(time.Now(), s.openSetUps()+len(s.waiting)+1)
 	if l := s.releasing(a.ID); l != nil && len(s.releases) == 0 {
 		l.setUp(a)
 		return
@@ -148,8 +148,8 @@
 	s.connect()
 }
 
-// Withdraw gives up an attempt.
-func (p *Pool) Withdraw(id control.ServerID, callID string, attempt int) {
+// CancelAttempt gives up an attempt.
+func (p *Pool) CancelAttempt(id control.ServerID, callID string, attempt int) {
 	s := p.servers[id]
 	if s == nil {
 		return
@@ -162,17 +162,17 @@
 	}
 }
 
-// Renew opens one more connection to a dispatcher, soon: others that ask meanwhile are served by the same. Where there are as many as there
+// Reconnect opens one more connection to a dispatcher, soon: others that ask meanwhile are served by the same. Where there are as many as there
 // may be, one that has nothing to do makes room.
-func (p *Pool) Renew(id control.ServerID) {
+func (p *Pool) Reconnect(id control.ServerID) {
 	if s := p.servers[id]; s != nil {
 		s.wantRenewal()
 	}
 }
 
-// Heard reports whether all that dispatchers have sent is with the loop, as far as it may be. Those at which nothing stands and nothing is
+// NoUnreadInput reports whether all that dispatchers have sent is with the loop, as far as it may be. Those at which nothing stands and nothing is
 // open have nothing to say that could be waited for.
-func (p *Pool) Heard() bool {
+func (p *Pool) NoUnreadInput() bool {
 	return !slices.ContainsFunc(p.active, func(s *server) bool {
 		return slices.ContainsFunc(s.links, func(l *link) bool { return l.conn.Unread() })
 	})
--- a/internal/dispatchers/earlier_test.go
+++ b/internal/dispatchers/earlier_test.go
@@ -20,8 +20,8 @@
 	r.attempts = append(r.attempts, attempt)
 }
 
-// ReleasedBeside records a release without an attempt.
-func (r *releaseLog) ReleasedBeside(control.ServerID, string, int, []float64) (goesOn bool) {
+// ReleasedOnOtherConnection records a release without an attempt.
+func (r *releaseLog) ReleasedOnOtherConnection(control.ServerID, string, int, []float64) (goesOn bool) {
 	r.attempts = append(r.attempts, noAttempt)
 	return false
 }
@@ -100,7 +100,7 @@
 	b.setUp(0, id)
 	first = b.comes(0, "setup")
 	b.do(func() {
-		b.pool.Withdraw(name(0), id, 0)
+		b.pool.CancelAttempt(name(0), id, 0)
 		b.pool.SetUp(name(0), attemptOf(id, 1))
 	})
 	b.comes(0, "opened")
--- a/internal/dispatchers/early_test.go
+++ b/internal/dispatchers/early_test.go
@@ -61,7 +61,7 @@
 		s.calls[orderedID] = &orderedCall{}
 		s.pool.SetUp("first", attemptOf(orderedID, 0))
 	})
-	s.do(func() { s.pool.Withdraw("first", orderedID, 0) })
+	s.do(func() { s.pool.CancelAttempt("first", orderedID, 0) })
 	s.do(func() {
 		c := s.first.all[0]
 		c.flight = nil
@@ -78,7 +78,7 @@
 	s.do(func() { s.pool.SetUp("first", attemptOf(orderedID, 1)) })
 	time.Sleep(time.Second)
 	s.do(func() { s.first.finalAnswer(orderedID, 200); s.first.all[1].deliver() })
-	s.do(func() { s.pool.Renew("first") })
+	s.do(func() { s.pool.Reconnect("first") })
 	time.Sleep(time.Second)
 	s.do(s.releasedOnTheFirst)
 	return s, core, quit
@@ -151,7 +151,7 @@
 				s, core, quit := siteWithWithdrawnAttempt(t)
 				defer quit()
 				for range 2 {
-					s.do(func() { s.pool.Renew("first") })
+					s.do(func() { s.pool.Reconnect("first") })
 					time.Sleep(time.Second)
 				}
 				closes, c := goesOn(t, s), s.connectionWithSetUp(t)
--- a/internal/dispatchers/ends_lost_test.go
+++ b/internal/dispatchers/ends_lost_test.go
@@ -66,12 +66,12 @@
 	resetsUndialled := event("the first connection is reset as two are wanted for the last time, and a dial is refused", 0, func(s *orderSite) {
 		server := s.pool.servers["first"]
 		server.demand = links.Demand{}
-		server.demand.Note(time.Now().Add(-wantedFor), 2)
+		server.demand.Observe(time.Now().Add(-wantedFor), 2)
 		s.first.listens = false
 		s.first.all[0].reset()
 	})
 	listens := event("it listens again", 0, func(s *orderSite) { s.first.listens = true })
-	more := event("a third connection is opened", time.Second, func(s *orderSite) { s.pool.Renew("first") })
+	more := event("a third connection is opened", time.Second, func(s *orderSite) { s.pool.Reconnect("first") })
 	otherDies := event("the second connection is dead", 0, func(s *orderSite) { s.first.all[1].deaden() })
 	answers := event("it answers", 0, func(s *orderSite) {
 		s.first.finalAnswer(orderedID, 200)
--- a/internal/dispatchers/evict_test.go
+++ b/internal/dispatchers/evict_test.go
@@ -106,7 +106,7 @@
 			if !s.knows(otherID, "second") {
 				t.Error("no call stands at the other dispatcher")
 			}
-			s.pool.Budget(1)
+			s.pool.SetSocketBudget(1)
 		})
 		time.Sleep(evictedFor + checkEvery)
 		s.do(func() {
@@ -137,7 +137,7 @@
 			if !s.knows(otherID, "second") || s.first.all[0].Unsent() == 0 {
 				t.Error("no call stands at the other dispatcher, or no release waits")
 			}
-			s.pool.Budget(1)
+			s.pool.SetSocketBudget(1)
 		})
 		time.Sleep(evictedFor + checkEvery)
 		s.do(s.first.all[0].flows)
--- a/internal/dispatchers/gone.go
+++ b/internal/dispatchers/gone.go
@@ -16,12 +16,12 @@
 func (s *server) checkGone(now time.Time) {
 	if len(s.links) == 0 || now.Sub(s.heardAt) > silence && s.quietForGood(now) {
 		s.drop(errors.New("dispatcher is gone"))
-		s.pool.core.Died(s.ID)
+		s.pool.core.DispatcherFailed(s.ID)
 	}
 	if !s.mayRelease(now) {
 		s.releases = nil
 	}
-	if len(s.links) == 0 || s.renewal.Missing() {
+	if len(s.links) == 0 || s.renewal.EndsMissing() {
 		s.connect()
 	}
 	for _, l := range slices.Clone(s.links) {
@@ -37,7 +37,7 @@
 // endStranded ends the calls at a dispatcher whose place is another's, and to which no connection is open that its process had. Those that have been
 // opened since under its name lead to whoever has the address. Should that be its process all the same, the calls are released there.
 func (s *server) endStranded() {
-	for _, id := range slices.Sorted(s.pool.core.StandAt(s.ID)) {
+	for _, id := range slices.Sorted(s.pool.core.EstablishedAt(s.ID)) {
 		answered := s.standing[id]
 		if answered == nil || answered.generation == s.generation {
 			continue
@@ -51,7 +51,7 @@
 // quietForGood reports whether a silent dispatcher counts as no more: it leaves a probe unanswered, or ends of its calls may have been lost and it
 // can't be connected to for what it would tell again. The end of a call whose own connection is open comes there.
 func (s *server) quietForGood(now time.Time) bool {
-	return s.renewal.Missing() && s.hasEndsAtRisk() && (s.refuses || s.dialTimedOut || s.replaced) || s.probeUnanswered(now)
+	return s.renewal.EndsMissing() && s.hasEndsAtRisk() && (s.refuses || s.dialTimedOut || s.replaced) || s.probeUnanswered(now)
 }
 
 // probeUnanswered reports whether the dispatcher leaves a probe unanswered for probeWithin on the connection that was heard from last. It sends
--- a/internal/dispatchers/link.go
+++ b/internal/dispatchers/link.go
@@ -53,7 +53,7 @@
 	process int // of those that have run under the server's name
 	*lifetime
 	conn    connection
-	wire    Wire
+	wire    Protocol
 	state   linkState
 	evicted bool // closed to make room
 	suspect bool // given up as dead, or with a dispatcher that counts as gone
@@ -72,7 +72,7 @@
 	pings       []ping // whose replies have not come, in the order of their numbers
 }
 
-func (l *link) ready() bool { return l.state == linkOpen && l.wire.Greeted() }
+func (l *link) ready() bool { return l.state == linkOpen && l.wire.HandshakeDone() }
 
 // writable reports whether messages can go out.
 func (l *link) writable() bool { return l.state == linkOpen || l.state == linkDraining }
@@ -101,7 +101,7 @@
 	l.invites[a.ID] = i
 	i.ticket = l.conn.WriteThen(l.wire.SetUp(a), func() {
 		i.left = true
-		l.server.pool.core.Written()
+		l.server.pool.core.SetUpWritten()
 	})
 	l.written()
 	l.server.pool.touch(l.server)
@@ -136,7 +136,7 @@
 			return conn.ErrClosedHere
 		}
 		if err != nil {
-			l.send(l.wire.Bye(err))
+			l.send(l.wire.ClosingMessage(err))
 			return err
 		}
 		if m == nil {
@@ -145,7 +145,7 @@
 		}
 		l.partial = time.Time{}
 		if err := l.take(m); err != nil {
-			l.send(l.wire.Bye(err))
+			l.send(l.wire.ClosingMessage(err))
 			return err
 		}
 	}
--- a/internal/dispatchers/link_end.go
+++ b/internal/dispatchers/link_end.go
@@ -49,7 +49,7 @@
 	l.state, l.invites, l.since = state, invites, time.Now()
 	l.log(endlog.LinkGivenUp, reason)
 	s.pool.touch(s)
-	if s.givenUp = append(s.givenUp, l); len(s.givenUp) > MaxLinks { // of one dispatcher, so many are held at most
+	if s.givenUp = append(s.givenUp, l); len(s.givenUp) > MaxConnections { // of one dispatcher, so many are held at most
 		s.givenUp[0].log(endlog.LinkPushedOut, reason)
 		s.givenUp[0].conn.Abort(conn.ErrClosedHere)
 		s.givenUp = s.givenUp[1:]
@@ -65,7 +65,7 @@
 		s.noteLostEnds()
 	}
 	if l.state != linkClosed && closedForFault(reason) {
-		s.renewal.SetUnread(true) // its dispatcher may tell ends here until it sees the close
+		s.renewal.SetUnreadConnection(true) // its dispatcher may tell ends here until it sees the close
 	}
 	if l.state == linkOpen {
 		l.end(reason)
@@ -96,7 +96,7 @@
 func (l *link) ended(reason error) {
 	s := l.server
 	if errors.Is(reason, conn.ErrClosedHere) && !l.closedInOrder && (l.givenUp() || !l.evicted) {
-		s.renewal.SetUnread(true) // its dispatcher may hold it for open still
+		s.renewal.SetUnreadConnection(true) // its dispatcher may hold it for open still
 	}
 	if l.suspect && s.hasEndsAtRisk() {
 		s.wantRenewal() // its dispatcher may have told ends here until now, and reset it as it saw the close
@@ -125,7 +125,7 @@
 		s.generation++
 	}
 	if now := time.Now(); now.Sub(l.openedAt) < endsAtOnce {
-		s.backoff.Fail(now, rand.Float64())
+		s.backoff.RecordFailure(now, rand.Float64())
 	}
 	if len(s.links) == 0 || len(s.links) < s.wanted(time.Now()) {
 		s.connect()
@@ -142,7 +142,7 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		if i := l.invites[id]; i.withdrawn.IsZero() {
-			s.pool.core.Ended(s.ID, id, i.attempt, control.Reset, false, nil)
+			s.pool.core.AttemptEnded(s.ID, id, i.attempt, control.Reset, false, nil)
 		}
 	}
 	l.invites = nil
--- a/internal/dispatchers/list.go
+++ b/internal/dispatchers/list.go
@@ -46,7 +46,7 @@
 			s.drop(errors.New("dispatcher began anew"))
 			s.releases = nil
 			s.process++
-			p.core.Died(s.ID)
+			p.core.DispatcherFailed(s.ID)
 		}
 		if entry.Status != control.Removed {
 			for _, o := range p.at[s.Address] { // a new dispatcher may have the address of one that has gone
@@ -61,7 +61,7 @@
 			}
 		}
 	}
-	if u.Whole {
+	if u.Complete {
 		for _, s := range p.order {
 			if !named[s.ID] {
 				s.Status = control.Removed
@@ -90,13 +90,13 @@
 	waited := s.waiting
 	s.waiting = nil
 	for _, w := range waited {
-		s.pool.core.Ended(s.ID, w.ID, w.Attempt, control.NotSent, false, nil)
+		s.pool.core.AttemptEnded(s.ID, w.ID, w.Attempt, control.NotSent, false, nil)
 	}
 	for _, l := range s.links {
 		for _, id := range slices.Sorted(maps.Keys(l.invites)) {
 			if i := l.invites[id]; i.withdrawn.IsZero() && l.conn.Recall(i.ticket) {
 				delete(l.invites, id)
-				s.pool.core.Ended(s.ID, id, i.attempt, control.NotSent, false, nil)
+				s.pool.core.AttemptEnded(s.ID, id, i.attempt, control.NotSent, false, nil)
 			}
 		}
 	}
--- a/internal/dispatchers/messages.go
+++ b/internal/dispatchers/messages.go
@@ -49,16 +49,16 @@
 	case answer:
 		l.takeAnswer(m, attempt)
 	case refusal:
-		core.Ended(s.ID, m.id, attempt, m.outcome, m.noLine, m.report)
+		core.AttemptEnded(s.ID, m.id, attempt, m.outcome, m.noLine, m.report)
 	case released:
 		l.takeRelease(m, i, attempt)
 	case confirmation:
 		l.confirmed(m.id)
 		if m.report != nil {
-			core.Reported(s.ID, m.report)
+			core.LoadReported(s.ID, m.report)
 		}
 	case report:
-		core.Reported(s.ID, m.report)
+		core.LoadReported(s.ID, m.report)
 	}
 	return nil
 }
@@ -134,7 +134,7 @@
 
 // takeReleaseBeside takes in the end of a call that came on another connection than that of its answer.
 func (s *server) takeReleaseBeside(m *Message) {
-	if !s.pool.core.ReleasedBeside(s.ID, m.id, m.cause, m.report) {
+	if !s.pool.core.ReleasedOnOtherConnection(s.ID, m.id, m.cause, m.report) {
 		delete(s.standing, m.id)
 	}
 }
--- a/internal/dispatchers/orders_events_test.go
+++ b/internal/dispatchers/orders_events_test.go
@@ -54,10 +54,10 @@
 		{'r', "the oldest connection is reset", func(s *orderSite) bool { return s.onOldest((*standInConnection).reset) }, 0, false},
 		{'h', "it closes the oldest connection in good order", func(s *orderSite) bool { return s.onOldest((*standInConnection).close) }, 0, false},
 		{'n', "one more connection is opened", func(s *orderSite) bool {
-			if len(s.first.connections) >= MaxLinks {
+			if len(s.first.connections) >= MaxConnections {
 				return false
 			}
-			s.pool.Renew("first")
+			s.pool.Reconnect("first")
 			return true
 		}, 2 * checkEvery, false},
 		{'c', "the caller cancels", func(s *orderSite) bool { return s.cancel(orderedID) }, 0, false},
@@ -66,7 +66,7 @@
 				return false
 			}
 			s.left = true
-			s.core.CallerClosed(s)
+			s.core.CallerDisconnected(s)
 			return true
 		}, 0, false},
 		{'g', "the first dispatcher drains", func(s *orderSite) bool { s.list(control.Draining, "first"); return true }, 0, false},
@@ -164,8 +164,8 @@
 		}, 0, false},
 		{'V', "a connection is closed for its descriptor", func(s *orderSite) bool {
 			before := s.pool.sockets.evicted
-			s.pool.Budget(s.pool.Held() - 1)
-			s.pool.Budget(0)
+			s.pool.SetSocketBudget(s.pool.SocketCount() - 1)
+			s.pool.SetSocketBudget(0)
 			s.first.reset = s.first.reset || s.pool.sockets.evicted > before
 			return s.pool.sockets.evicted > before
 		}, 0, false},
--- a/internal/dispatchers/orders_site_test.go
+++ b/internal/dispatchers/orders_site_test.go
@@ -73,11 +73,11 @@
 // End is the final answer.
 func (s *orderSite) End(id string, _ call.End) { s.calls[id].finals++ }
 
-// Left reports whether the caller has gone.
-func (s *orderSite) Left() bool { return s.left }
+// Disconnected reports whether the caller has gone.
+func (s *orderSite) Disconnected() bool { return s.left }
 
-// Over tells the caller the end of the call.
-func (s *orderSite) Over(id string, _ call.End) {
+// NotifyTerminated tells the caller the end of the call.
+func (s *orderSite) NotifyTerminated(id string, _ call.End) {
 	c := s.calls[id]
 	_, holds := s.first.established[id]
 	holds = holds && !s.first.ambiguous[id]                            // nobody can tell whose end it is
@@ -93,13 +93,13 @@
 type orderFront struct{ *orderSite }
 
 // Release tells the caller the end of the call on another connection.
-func (f orderFront) Release(id string, end call.End) { f.Over(id, end) }
+func (f orderFront) Release(id string, end call.End) { f.NotifyTerminated(id, end) }
 
-// Open is the number of connections.
-func (f orderFront) Open() int { return 1 }
+// Connections is the number of connections.
+func (f orderFront) Connections() int { return 1 }
 
-// Quiet reports that nothing waits.
-func (f orderFront) Quiet() bool { return true }
+// Idle reports that nothing waits.
+func (f orderFront) Idle() bool { return true }
 
 // attempted takes in the arrival of an attempt at a dispatcher. One that nothing reaches can't be told that an earlier attempt is given up.
 func (s *orderSite) attempted(id string) {
@@ -137,12 +137,12 @@
 		t.Fatal(err)
 	}
 	s := &orderSite{orderStart: start, core: core, network: &standInNetwork{loop: loop, processes: map[string]*process{}}, calls: map[string]*orderedCall{}}
-	s.pool = New(loop, core, Options{ConnectTimeout: 500 * time.Millisecond, Fields: []string{"idle"}, Log: log})
+	s.pool = New(loop, core, Options{ConnectTimeout: 500 * time.Millisecond, ReportFields: []string{"idle"}, Log: log})
 	s.pool.dial = s.network.dial
 	if start.most > 0 {
-		s.pool.Limit(start.most)
+		s.pool.SetMaxConnections(start.most)
 	}
-	core.Serve(s.pool)
+	core.SetDispatchers(s.pool)
 	core.AddFront(orderFront{s})
 	core.OnFlush(s.pool.Flush)
 	s.first = newProcess(s)
@@ -219,7 +219,7 @@
 		return false
 	}
 	c.cancelled = true
-	s.core.GiveUp(s, id, call.CauseNormal)
+	s.core.CallerReleased(s, id, call.CauseNormal)
 	return true
 }
 
@@ -235,7 +235,7 @@
 	})
 	time.Sleep(time.Second)
 	for range s.links - 1 {
-		s.do(func() { s.pool.Renew("first") })
+		s.do(func() { s.pool.Reconnect("first") })
 		time.Sleep(3 * checkEvery)
 	}
 	if s.doubted {
@@ -326,7 +326,7 @@
 
 // knows reports whether a call is known to be established at a dispatcher.
 func (s *orderSite) knows(id, dispatcher string) bool {
-	for known := range s.core.StandAt(control.ServerID(dispatcher)) {
+	for known := range s.core.EstablishedAt(control.ServerID(dispatcher)) {
 		if known == id {
 			return true
 		}
--- a/internal/dispatchers/orders_test.go
+++ b/internal/dispatchers/orders_test.go
@@ -15,7 +15,7 @@
 	second      bool   // there is another dispatcher, which answers by itself
 	links       int    // connections to the first one that are open, where it is more than one
 	called      bool   // the call is established, and its caller knows
-	most        int    // connections to one dispatcher; 0 for MaxLinks
+	most        int    // connections to one dispatcher; 0 for MaxConnections
 	again       bool   // the first dispatcher answers each attempt of a call after the first one by itself
 	keeps       bool   // it never closes its side of a connection that was closed here
 	resets      bool   // it resets a connection as it sees that it was closed here
@@ -79,7 +79,7 @@
 	for _, start := range []orderStart{{name: "an open set-up", links: 2, again: true}, {name: "an established call", links: 2, called: true, chats: true},
 		{name: "no connection is closed there", links: 2, called: true, keeps: true, chats: true},
 		{name: "connections are reset there", links: 2, called: true, resets: true, chats: true},
-		{name: "as many connections as there may be", links: MaxLinks, called: true, chats: true}} {
+		{name: "as many connections as there may be", links: MaxConnections, called: true, chats: true}} {
 		start.search(t, spelledOrder("zZAjaedDucmtTqnH"))
 	}
 }
--- a/internal/dispatchers/queue_test.go
+++ b/internal/dispatchers/queue_test.go
@@ -21,16 +21,16 @@
 	told map[string]control.Outcome
 }
 
-func (e *ends) Standing(control.ServerID) int       { return 0 }
-func (e *ends) EachStanding(func(control.ServerID)) {}
-func (e *ends) StandAt(control.ServerID) iter.Seq[string] {
+func (e *ends) EstablishedCount(control.ServerID) int  { return 0 }
+func (e *ends) EachEstablished(func(control.ServerID)) {}
+func (e *ends) EstablishedAt(control.ServerID) iter.Seq[string] {
 	return func(func(string) bool) {}
 }
-func (e *ends) Reached()                             {}
-func (e *ends) Written()                             {}
-func (e *ends) Reported(control.ServerID, []float64) {}
-func (e *ends) Died(control.ServerID)                {}
-func (e *ends) Ended(_ control.ServerID, id string, _ int, o control.Outcome, _ bool, _ []float64) {
+func (e *ends) DispatcherReached()                       {}
+func (e *ends) SetUpWritten()                            {}
+func (e *ends) LoadReported(control.ServerID, []float64) {}
+func (e *ends) DispatcherFailed(control.ServerID)        {}
+func (e *ends) AttemptEnded(_ control.ServerID, id string, _ int, o control.Outcome, _ bool, _ []float64) {
 	e.told[id] = o
 }
 
@@ -55,8 +55,8 @@
 	server := call.Server{ServerEntry: control.ServerEntry{ID: "d"}, Address: ln.Addr().String()}
 	do(func() {
 		p = New(loop, core, Options{ConnectTimeout: 10 * time.Second, Log: slog.New(slog.DiscardHandler)})
-		p.Limit(1)
-		p.Update(call.Update{Servers: []call.Server{server}, Whole: true})
+		p.SetMaxConnections(1)
+		p.Update(call.Update{Servers: []call.Server{server}, Complete: true})
 	})
 	peer, err := ln.Accept()
 	if err != nil {
@@ -64,7 +64,7 @@
 	}
 	defer peer.Close()
 	setUp := func(id, description string) {
-		p.SetUp("d", call.SetUp{ID: id, Class: "c", Called: "k", Description: description, Limit: time.Minute})
+		p.SetUp("d", call.SetUp{ID: id, Class: "c", Called: "k", Description: description, Timeout: time.Minute})
 	}
 	links := func() (n int) { do(func() { n = len(p.servers["d"].links) }); return n }
 	for links() == 0 {
@@ -87,10 +87,10 @@
 		setUp("left", "its caller leaves")
 		setUp("moved", "it goes elsewhere")
 		p.Flush()
-		p.Withdraw("d", "left", 0)
+		p.CancelAttempt("d", "left", 0)
 		server.Status = control.Draining
 		p.Update(call.Update{Servers: []call.Server{server}})
-		p.Withdraw("d", last, 0)
+		p.CancelAttempt("d", last, 0)
 		setUp("end", "nothing comes behind it")
 		p.Flush()
 		if diff := cmp.Diff(want, core.told); diff != "" {
--- a/internal/dispatchers/release.go
+++ b/internal/dispatchers/release.go
@@ -105,7 +105,7 @@
 func (s *server) takeReleases() []release {
 	taken := slices.DeleteFunc(s.releases, func(r release) bool { return !r.here })
 	s.releases = nil
-	for _, id := range slices.Sorted(s.pool.core.StandAt(s.ID)) {
+	for _, id := range slices.Sorted(s.pool.core.EstablishedAt(s.ID)) {
 		taken = append(taken, release{id, call.CauseTemporary, true})
 	}
 	return taken
--- a/internal/dispatchers/release_test.go
+++ b/internal/dispatchers/release_test.go
@@ -21,7 +21,7 @@
 		b.pool.Update(b.list)
 		s := b.pool.servers[name(0)]
 		for range refusals {
-			s.backoff.Fail(time.Now(), 1)
+			s.backoff.RecordFailure(time.Now(), 1)
 		}
 	})
 	waitOnLoop(b, func() bool { return !b.pool.servers[name(0)].dialing })
@@ -60,7 +60,7 @@
 func TestReleasesAreConfirmed(t *testing.T) {
 	const id = "00000000000000b3"
 	fields := []string{"idle"}
-	confirmedBy := func(w Wire, p []byte) {
+	confirmedBy := func(w Protocol, p []byte) {
 		t.Helper()
 		in := ring.New(1 << 10)
 		in.Write(p)
--- a/internal/dispatchers/releases_lost_test.go
+++ b/internal/dispatchers/releases_lost_test.go
@@ -34,7 +34,7 @@
 			first := b.comes(0, "setup")
 			var earlier *lifetime
 			b.do(func() { earlier = b.pool.servers[name(0)].links[0].lifetime })
-			b.do(func() { b.pool.Withdraw(name(0), id, 0) })
+			b.do(func() { b.pool.CancelAttempt(name(0), id, 0) })
 			b.comes(0, "release") // the set-up is cancelled
 			b.do(func() {
 				b.pool.SetUp(name(0), attemptOf(id, 1))
--- a/internal/dispatchers/renew_test.go
+++ b/internal/dispatchers/renew_test.go
@@ -25,7 +25,7 @@
 		return dials, dialing
 	}
 	before, _ := dialled()
-	b.do(func() { b.pool.Renew(name(0)) })
+	b.do(func() { b.pool.Reconnect(name(0)) })
 	speak := func(until func() bool) {
 		t.Helper()
 		for begun := time.Now(); !until(); <-speaks.C {
--- a/internal/dispatchers/renewal.go
+++ b/internal/dispatchers/renewal.go
@@ -27,14 +27,14 @@
 // wantRenewal asks for a connection on which the ends are repeated that were told until now.
 func (s *server) wantRenewal() {
 	s.log(endlog.RenewalAsked, nil)
-	s.renewal.Want(time.Now())
+	s.renewal.Request(time.Now())
 	s.pool.touch(s)
 }
 
 // noteLostEnds takes in that ends which were told until now may have been lost.
 func (s *server) noteLostEnds() {
 	s.log(endlog.RenewalAsked, nil)
-	s.renewal.Lost(time.Now())
+	s.renewal.RecordLoss(time.Now())
 	s.pool.touch(s)
 }
 
@@ -43,7 +43,7 @@
 	if !endlog.Enabled(s.pool.Log) {
 		return
 	}
-	for id := range s.pool.core.StandAt(s.ID) {
+	for id := range s.pool.core.EstablishedAt(s.ID) {
 		endlog.Call(s.pool.Log, endlog.InDoubt, id, endlog.Server(s.ID))
 	}
 }
@@ -52,18 +52,18 @@
 // any more.
 func (s *server) repeatEnds(now time.Time) {
 	if s.holdsUnread(now) && s.hasEndsAtRisk() {
-		s.renewal.Repeat(now)
+		s.renewal.RequestPeriodic(now)
 	}
 }
 
 // holdsUnread reports whether the dispatcher may hold a connection for open that was given up: one that lives closes it soon.
 func (s *server) holdsUnread(now time.Time) bool {
-	return s.renewal.Unread() || slices.ContainsFunc(s.givenUp, func(l *link) bool { return now.Sub(l.since) > closesWithin })
+	return s.renewal.HasUnreadConnection() || slices.ContainsFunc(s.givenUp, func(l *link) bool { return now.Sub(l.since) > closesWithin })
 }
 
 // hasEndsAtRisk reports whether a call stands whose own connection is open no more: its end may come on any other.
 func (s *server) hasEndsAtRisk() bool {
-	for id := range s.pool.core.StandAt(s.ID) {
+	for id := range s.pool.core.EstablishedAt(s.ID) {
 		if answered := s.standing[id]; answered == nil || answered.over {
 			return true
 		}
@@ -106,7 +106,7 @@
 	if s.renewal.Pending() {
 		s.log(endlog.RenewalFailed, nil)
 	}
-	if s.pool.core.Standing(s.ID) == 0 {
+	if s.pool.core.EstablishedCount(s.ID) == 0 {
 		s.renewal.Cancel()
 	}
 }
--- a/internal/dispatchers/server.go
+++ b/internal/dispatchers/server.go
@@ -28,7 +28,7 @@
 // which it closes: while calls stand, another connection brings what has been told since.
 func (s *server) letGo(l *link) {
 	reason := conn.ErrClosedHere
-	if s.pool.core.Standing(s.ID) > 0 {
+	if s.pool.core.EstablishedCount(s.ID) > 0 {
 		reason = errDead
 	}
 	l.retire(reason)
@@ -41,7 +41,7 @@
 	links        []*link
 	renewal      links.Renewal // of connections, for ends that may have been lost
 	vacated      *link         // to make room for one, if one is due; nil if none is
-	givenUp      []*link       // that are still read; MaxLinks at most
+	givenUp      []*link       // that are still read; MaxConnections at most
 	dialing      bool
 	backoff      links.Backoff
 	waiting      []waiting
@@ -77,8 +77,8 @@
 // and the next attempt would come before the end of the guard.
 func (w *waiting) due(now time.Time) (a call.SetUp, ok bool) {
 	a = w.SetUp
-	a.Limit -= max(now.Sub(w.since), 0)
-	return a, a.Limit > 0
+	a.Timeout -= max(now.Sub(w.since), 0)
+	return a, a.Timeout > 0
 }
 
 // expire tells of attempts that no connection came up for: they never ran.
@@ -86,19 +86,19 @@
 	for len(s.waiting) > 0 && (now.After(s.waiting[0].until) || now.IsZero()) {
 		w := s.waiting[0]
 		s.waiting = s.waiting[1:]
-		s.pool.core.Ended(s.ID, w.ID, w.Attempt, control.Unreachable, false, nil)
+		s.pool.core.AttemptEnded(s.ID, w.ID, w.Attempt, control.Unreachable, false, nil)
 	}
 }
 
 // gone reports whether nothing is to be expected of a dispatcher any more: its place is another's, or it is off the list. One
 // that people left out, and whose calls may go on, is kept until they have ended.
 func (s *server) gone() bool {
-	return s.replaced || s.Status == control.Removed && !(s.Lingers && s.pool.core.Standing(s.ID) > 0)
+	return s.replaced || s.Status == control.Removed && !(s.CallsContinue && s.pool.core.EstablishedCount(s.ID) > 0)
 }
 
 // wanted is how many connections there should be.
 func (s *server) wanted(now time.Time) int {
-	return s.demand.Wanted(now, s.oldestUnheard(now), s.pool.links)
+	return s.demand.Target(now, s.oldestUnheard(now), s.pool.links)
 }
 
 // oldestUnheard is the age of the oldest open set-up since which nothing has come on its connection.
@@ -136,7 +136,7 @@
 		if a, ok := w.due(time.Now()); ok {
 			s.behindRelease(a.ID, l).setUp(a)
 		} else {
-			s.pool.core.Ended(s.ID, w.ID, w.Attempt, control.Unreachable, false, nil)
+			s.pool.core.AttemptEnded(s.ID, w.ID, w.Attempt, control.Unreachable, false, nil)
 		}
 	}
 }
@@ -165,7 +165,7 @@
 		s.releases = append(s.releases, pending...)
 	}
 	s.expire(time.Time{})
-	s.renewal.SetUnread(false)
+	s.renewal.SetUnreadConnection(false)
 	clear(s.standing)
 }
 
--- a/internal/dispatchers/sip.go
+++ b/internal/dispatchers/sip.go
@@ -24,14 +24,14 @@
 	probes uint32
 }
 
-// Hello is not needed.
-func (w *SIP) Hello() []byte { return nil }
+// Handshake is not needed.
+func (w *SIP) Handshake() []byte { return nil }
 
-// Greeted is always so.
-func (w *SIP) Greeted() bool { return true }
+// HandshakeDone is always so.
+func (w *SIP) HandshakeDone() bool { return true }
 
-// Bye has no form.
-func (w *SIP) Bye(error) []byte { return nil }
+// ClosingMessage has no form.
+func (w *SIP) ClosingMessage(error) []byte { return nil }
 
 func uri(called string) string { return "sip:" + called + "@net" }
 
@@ -42,7 +42,7 @@
 		Method: "INVITE", URI: uri(a.Called), CallID: a.ID, Seq: uint32(a.Attempt) + 1, SeqOf: "INVITE",
 		Headers: []sip.Header{
 			{Name: "P-Kind", Value: a.Class},
-			{Name: "P-Time-Left", Value: strconv.FormatInt(a.Limit.Milliseconds(), 10)},
+			{Name: "P-Time-Left", Value: strconv.FormatInt(a.Timeout.Milliseconds(), 10)},
 		},
 		Body: []byte(a.Description),
 	})
--- a/internal/dispatchers/site_play_test.go
+++ b/internal/dispatchers/site_play_test.go
@@ -33,7 +33,7 @@
 		s.do(func() { s.list(control.Active, "first") })
 		time.Sleep(time.Second)
 		for range start.links - 1 {
-			s.do(func() { s.pool.Renew("first") })
+			s.do(func() { s.pool.Reconnect("first") })
 			time.Sleep(time.Second)
 		}
 		test(s)
@@ -50,7 +50,7 @@
 
 // attemptOf is a call's attempt of a number, for which a dispatcher has a minute.
 func attemptOf(id string, number int) call.SetUp {
-	return call.SetUp{ID: id, Attempt: number, Class: "c", Called: "k", Description: "x", Limit: time.Minute}
+	return call.SetUp{ID: id, Attempt: number, Class: "c", Called: "k", Description: "x", Timeout: time.Minute}
 }
 
 // setsUp has the caller set a call up, and waits until the set-up is out.
--- a/internal/dispatchers/vanished_test.go
+++ b/internal/dispatchers/vanished_test.go
@@ -20,20 +20,20 @@
 	gone bool
 }
 
-func (h *holding) Standing(control.ServerID) int {
+func (h *holding) EstablishedCount(control.ServerID) int {
 	if h.gone {
 		return 0
 	}
 	return 1
 }
 
-func (h *holding) EachStanding(f func(control.ServerID)) {
+func (h *holding) EachEstablished(f func(control.ServerID)) {
 	if !h.gone {
 		f("d")
 	}
 }
 
-func (h *holding) StandAt(control.ServerID) iter.Seq[string] {
+func (h *holding) EstablishedAt(control.ServerID) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		if !h.gone {
 			yield("a call")
@@ -41,9 +41,9 @@
 	}
 }
 
-func (h *holding) Reached() {}
+func (h *holding) DispatcherReached() {}
 
-func (h *holding) Died(id control.ServerID) {
+func (h *holding) DispatcherFailed(id control.ServerID) {
 	if !h.gone {
 		h.gone = true
 		h.died <- id
@@ -100,7 +100,7 @@
 	begun := time.Now()
 	loop.Post(func() {
 		p := New(loop, core, Options{ConnectTimeout: 200 * time.Millisecond, Log: slog.New(slog.DiscardHandler)})
-		p.Update(call.Update{Servers: []call.Server{{ServerEntry: control.ServerEntry{ID: "d"}, Address: address}}, Whole: true})
+		p.Update(call.Update{Servers: []call.Server{{ServerEntry: control.ServerEntry{ID: "d"}, Address: address}}, Complete: true})
 	})
 	go loop.Run()
 	t.Cleanup(loop.Quit)
--- a/internal/dispatchers/waiting_test.go
+++ b/internal/dispatchers/waiting_test.go
@@ -18,10 +18,10 @@
 		0: 400 * time.Millisecond, 153 * time.Millisecond: 247 * time.Millisecond, 400 * time.Millisecond: 0, time.Second: 0,
 		-time.Second: 400 * time.Millisecond, // a clock that was set back
 	} {
-		w := waiting{SetUp: call.SetUp{ID: "1", Limit: 400 * time.Millisecond}, since: start}
+		w := waiting{SetUp: call.SetUp{ID: "1", Timeout: 400 * time.Millisecond}, since: start}
 		a, ok := w.due(start.Add(waited))
-		if ok != (want > 0) || ok && a.Limit != want {
-			t.Errorf("after %v: %v, %v, want %v", waited, a.Limit, ok, want)
+		if ok != (want > 0) || ok && a.Timeout != want {
+			t.Errorf("after %v: %v, %v, want %v", waited, a.Timeout, ok, want)
 		}
 	}
 }
@@ -41,11 +41,11 @@
 	const many = 6000 // about a megabyte
 	loop.Post(func() {
 		p := New(loop, &ends{told: map[string]control.Outcome{}}, Options{ConnectTimeout: time.Minute, Log: slog.New(slog.DiscardHandler)})
-		p.Limit(1)
+		p.SetMaxConnections(1)
 		var turn func()
 		turn = func() { p.Flush(); loop.After(time.Millisecond, turn) } // as the core's
 		turn()
-		p.Update(call.Update{Servers: []call.Server{{ServerEntry: control.ServerEntry{ID: "d"}, Address: d.Address()}}, Whole: true})
+		p.Update(call.Update{Servers: []call.Server{{ServerEntry: control.ServerEntry{ID: "d"}, Address: d.Address()}}, Complete: true})
 		for n := range many {
 			p.Release("d", fmt.Sprint("stood-", n), 31)
 		}
--- a/internal/dispatchers/websocket.go
+++ b/internal/dispatchers/websocket.go
@@ -26,9 +26,9 @@
 	replies    uint32 // to them, which come in their order
 }
 
-// Place tells where an address of the list leads and in which form to speak there: "host:port" is SIP over TCP,
+// ParseAddress tells where an address of the list leads and in which form to speak there: "host:port" is SIP over TCP,
 // "ws://host:port/path" the call-control API.
-func Place(address string, fields *[]string) (dial string, w Wire) {
+func ParseAddress(address string, fields *[]string) (dial string, w Protocol) {
 	if !strings.HasPrefix(address, "ws://") {
 		return address, &SIP{fields: fields}
 	}
@@ -43,14 +43,14 @@
 	return u.Host, &WebSocket{fields: fields, host: u.Host, path: path}
 }
 
-// Hello is the opening request.
-func (w *WebSocket) Hello() []byte { return w.opening.Request(w.host, w.path) }
+// Handshake is the opening request.
+func (w *WebSocket) Handshake() []byte { return w.opening.Request(w.host, w.path) }
 
-// Greeted reports whether the dispatcher has taken the connection.
-func (w *WebSocket) Greeted() bool { return w.open }
+// HandshakeDone reports whether the dispatcher has taken the connection.
+func (w *WebSocket) HandshakeDone() bool { return w.open }
 
-// Bye closes in good order.
-func (w *WebSocket) Bye(err error) []byte {
+// ClosingMessage closes in good order.
+func (w *WebSocket) ClosingMessage(err error) []byte {
 	if !w.open {
 		return nil
 	}
@@ -69,7 +69,7 @@
 func (w *WebSocket) SetUp(a call.SetUp) []byte {
 	return frame(jsonl.Message{Type: "setup", ID: a.ID, SDP: &a.Description, Fields: map[string]jsonl.Value{
 		"class": jsonl.Value(a.Class), "key": jsonl.Value(a.Called),
-		"left": jsonl.Value(strconv.FormatInt(a.Limit.Milliseconds(), 10)),
+		"left": jsonl.Value(strconv.FormatInt(a.Timeout.Milliseconds(), 10)),
 	}})
 }
 
--- a/internal/dispatchers/wire.go
+++ b/internal/dispatchers/wire.go
@@ -37,12 +37,12 @@
 	probe       uint32                     // the number of the probe that it is the reply to; 0 for none
 }
 
-// Wire is the form in which one connection speaks to a dispatcher.
-type Wire interface {
-	// Hello opens the conversation; nil if the wire has no such thing.
-	Hello() []byte
-	// Greeted reports whether calls can be placed.
-	Greeted() bool
+// Protocol is the form in which one connection speaks to a dispatcher.
+type Protocol interface {
+	// Handshake opens the conversation; nil if the wire has no such thing.
+	Handshake() []byte
+	// HandshakeDone reports whether calls can be placed.
+	HandshakeDone() bool
 	SetUp(call.SetUp) []byte
 	Cancel(id string, attempt int, called string) []byte
 	Release(id string, cause int) []byte
@@ -50,6 +50,6 @@
 	Probe() (message []byte, number uint32)
 	// Next takes one message off the ring; nil if none is whole yet.
 	Next(*ring.Buffer) (*Message, error)
-	// Bye are the last words before the connection is closed for an error.
-	Bye(err error) []byte
+	// ClosingMessage are the last words before the connection is closed for an error.
+	ClosingMessage(err error) []byte
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -350,7 +350,7 @@
 func (w *world) replace(i int) {
 	old := w.dispatchers[i]
 	old.draining = true
-	d := &dispatcher{w: w, index: i, id: name(i, old.life+1), life: old.life + 1, coldFrom: w.now, warmAt: w.now + w.Settings.ColdFor}
+	d := &dispatcher{w: w, index: i, id: name(i, old.life+1), life: old.life + 1, coldFrom: w.now, warmAt: w.now + w.Settings.WarmUpTime}
 	w.dispatchers[i] = d
 	w.after(time.Second, func() {
 		for _, c := range w.controllers {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -18,9 +18,9 @@
 func settings(controllers int) control.Settings {
 	return control.Settings{
 		Classes: []control.Class{{Name: "c", Aim: 1500 * time.Millisecond, Deadline: 9 * time.Second, Worth: 1, LateShare: 0.25}},
-		Peers:   controllers, OwnCell: -1, Tick: tick, ReleaseGuard: 500 * time.Millisecond, AnswerGrace: 20 * time.Millisecond,
-		StartShare: 0.28, ColdFor: 15 * time.Second, TipMultiple: 2, MaxAttempts: 5, HoldOff: true, MaxHoldOff: 2 * time.Second,
-		MayCancel: true, Report: []control.ReportField{control.FreeLines, control.Lines, control.Wait},
+		Nodes:   controllers, OwnCell: -1, Tick: tick, ReleaseGuard: 500 * time.Millisecond, AnswerGrace: 20 * time.Millisecond,
+		ColdCapacity: 0.28, WarmUpTime: 15 * time.Second, ColdOverloadFactor: 2, MaxAttempts: 5, MayHoldOff: true, MaxHoldOff: 2 * time.Second,
+		MayCancel: true, ReportFields: []control.ReportField{control.FreeLines, control.Lines, control.QueueWait},
 	}
 }
 
--- a/internal/fleet/parts.go
+++ b/internal/fleet/parts.go
@@ -249,8 +249,8 @@
 func (d *dispatcher) speed() float64 {
 	speed := 1.0
 	if d.w.now < d.warmAt {
-		share := d.w.Settings.StartShare
-		speed = share + (1-share)*float64(d.w.now-d.coldFrom)/float64(d.w.Settings.ColdFor)
+		share := d.w.Settings.ColdCapacity
+		speed = share + (1-share)*float64(d.w.now-d.coldFrom)/float64(d.w.Settings.WarmUpTime)
 	}
 	if d.slow > 0 {
 		speed /= d.slow
@@ -316,7 +316,7 @@
 	since := d.w.now - d.seenAt
 	d.seenAt = d.w.now
 	d.pressure = d.pressure*max(0, 1-since.Seconds()) + 1
-	if d.w.now >= d.warmAt || d.pressure <= d.w.Settings.TipMultiple*d.w.Rate*d.speed() {
+	if d.w.now >= d.warmAt || d.pressure <= d.w.Settings.ColdOverloadFactor*d.w.Rate*d.speed() {
 		d.pressed = 0
 		return
 	}
--- a/internal/ledger/disk.go
+++ b/internal/ledger/disk.go
@@ -43,15 +43,15 @@
 	lock   *os.File
 }
 
-// ErrTaken is the error of a directory that is not at its path any more: another process has sealed it.
-var ErrTaken = errors.New("ledger: another controller has taken it")
+// ErrSealed is the error of a directory that is not at its path any more: another process has sealed it.
+var ErrSealed = errors.New("ledger: another controller has taken it")
 
 // The fcntl(2) commands for locks of open file descriptions, which package syscall lacks. Unlike flock(2), they can be tested without being
 // acquired.
 const ofdGetLock, ofdSetLock = 36, 37
 
-// Directory opens and locks a directory, and creates it if need be. ErrOwned says that another process holds the lock.
-func Directory(path string) (Disk, error) {
+// OpenDirectory opens and locks a directory, and creates it if need be. ErrLocked says that another process holds the lock.
+func OpenDirectory(path string) (Disk, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("ledger: %w", err)
 	}
@@ -68,7 +68,7 @@
 	}
 	if err := syscall.Flock(int(d.lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		if errors.Is(err, syscall.EWOULDBLOCK) {
-			err = ErrOwned
+			err = ErrLocked
 		}
 		return nil, errors.Join(fmt.Errorf("%w: %s", err, path), d.Close())
 	}
@@ -81,8 +81,8 @@
 	return d, nil
 }
 
-// Held reports whether a process holds the lock of a directory. It does not acquire the lock, which would keep an owner from it.
-func Held(path string) (bool, error) {
+// IsLocked reports whether a process holds the lock of a directory. It does not acquire the lock, which would keep an owner from it.
+func IsLocked(path string) (bool, error) {
 	lock, err := os.OpenFile(filepath.Join(path, lockName), os.O_RDWR, 0)
 	if errors.Is(err, os.ErrNotExist) {
 		_, err = os.Stat(path)
@@ -102,8 +102,8 @@
 	return l.Type != syscall.F_UNLCK, nil
 }
 
-// Still checks that a directory is still at its path; ErrTaken says that it is not.
-func Still(d Disk) error {
+// VerifyPath checks that a directory is still at its path; ErrSealed says that it is not.
+func VerifyPath(d Disk) error {
 	if dir, is := d.(*directory); is {
 		return dir.checkPath()
 	}
@@ -114,15 +114,15 @@
 	there, err := os.Stat(d.path)
 	switch {
 	case errors.Is(err, os.ErrNotExist) || err == nil && !os.SameFile(d.opened, there):
-		return fmt.Errorf("%w: %s", ErrTaken, d.path)
+		return fmt.Errorf("%w: %s", ErrSealed, d.path)
 	case err != nil:
 		return fmt.Errorf("ledger: %w", err)
 	}
 	return nil
 }
 
-// ReadOnly opens a directory for reading, also while another process holds its lock.
-func ReadOnly(path string) (Disk, error) {
+// OpenReadOnly opens a directory for reading, also while another process holds its lock.
+func OpenReadOnly(path string) (Disk, error) {
 	root, err := os.OpenRoot(path)
 	if err != nil {
 		return nil, fmt.Errorf("ledger: %w", err)
--- a/internal/ledger/frame.go
+++ b/internal/ledger/frame.go
@@ -20,8 +20,8 @@
 	headerSize, frameSize = 48, 20
 	// macSize is the size of the MAC after a record, if there is a key.
 	macSize = 16
-	// MaxRecord bounds the size of a record, in bytes.
-	MaxRecord = 256 << 10
+	// MaxRecordSize bounds the size of a record, in bytes.
+	MaxRecordSize = 256 << 10
 )
 
 // The magic numbers of the kinds of files.
@@ -69,7 +69,7 @@
 	h := header{magic: string(body[:8]), owner: binary.LittleEndian.Uint64(body[16:]), mac: body[12]&1 != 0, first: binary.LittleEndian.Uint64(body[24:]),
 		epoch: binary.LittleEndian.Uint64(body[32:])}
 	if v := binary.LittleEndian.Uint32(body[8:]); v != version {
-		return h, fmt.Errorf("%w: form %d, %d is known here", ErrForm, v, version)
+		return h, fmt.Errorf("%w: form %d, %d is known here", ErrFormat, v, version)
 	}
 	return h, nil
 }
@@ -120,7 +120,7 @@
 	}
 	length := binary.LittleEndian.Uint32(text)
 	end := frameSize + int(length)
-	if length > MaxRecord || end > len(text) {
+	if length > MaxRecordSize || end > len(text) {
 		return 0, nil, 0
 	}
 	record = text[frameSize:end]
@@ -174,7 +174,7 @@
 // resync returns the offset of the next valid frame; -1 if there is none.
 func (f framer) resync(text []byte) int {
 	for at := 1; at+frameSize <= len(text); at++ {
-		if binary.LittleEndian.Uint32(text[at:]) > MaxRecord {
+		if binary.LittleEndian.Uint32(text[at:]) > MaxRecordSize {
 			continue
 		}
 		if _, _, size := f.next(text[at:]); size > 0 {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -30,7 +30,7 @@
 	results    chan writeResult
 	generation int
 	done       chan struct{}
-	figures    Figures
+	figures    Metrics
 	totalBytes atomic.Int64
 	snapshots  atomic.Uint64
 	timer      *time.Timer
@@ -55,7 +55,7 @@
 }
 
 // New returns a Ledger that is disabled until Begin. Found is what was read in the directory.
-func New(d Disk, o Options, found *Found) *Ledger {
+func New(d Disk, o Options, found *Contents) *Ledger {
 	l := &Ledger{
 		options:  o.withDefaults(),
 		disk:     d,
@@ -77,9 +77,9 @@
 // Append adds a record to the next commit.
 func (l *Ledger) Append(record []byte) error {
 	if !l.on {
-		return ErrOff
+		return ErrDisabled
 	}
-	if len(record) == 0 || len(record) > MaxRecord {
+	if len(record) == 0 || len(record) > MaxRecordSize {
 		return ErrTooLarge
 	}
 	l.batch = l.framer.append(l.batch, l.seq, record)
@@ -88,14 +88,14 @@
 	return nil
 }
 
-// Pending reports whether records wait for a commit.
-func (l *Ledger) Pending() bool { return l.pending > 0 }
+// HasPending reports whether records wait for a commit.
+func (l *Ledger) HasPending() bool { return l.pending > 0 }
 
 // Commit writes the appended records and waits until they are written. An error means that they may not be, and that the ledger is disabled
 // until the next Begin.
 func (l *Ledger) Commit() error {
 	if !l.on {
-		return ErrOff
+		return ErrDisabled
 	}
 	if l.pending == 0 {
 		return nil
@@ -106,10 +106,10 @@
 	l.figures.Bytes += uint64(len(batch))
 	l.figures.Commits++
 	l.batch, l.spare, l.pending = l.spare[:0], nil, 0
-	err := l.submit(request{generation: l.generation, batch: batch, nextSeq: l.seq}, l.options.Patience)
+	err := l.submit(request{generation: l.generation, batch: batch, nextSeq: l.seq}, l.options.CommitTimeout)
 	took := time.Since(begun)
-	l.figures.Waited += took
-	l.figures.Worst = max(l.figures.Worst, took)
+	l.figures.TotalCommitWait += took
+	l.figures.LongestCommitWait = max(l.figures.LongestCommitWait, took)
 	if err != nil {
 		l.disable()
 		return err
@@ -123,7 +123,7 @@
 	select {
 	case l.requests <- r:
 	default:
-		return ErrSlow
+		return ErrTimeout
 	}
 	l.timer.Reset(timeout)
 	defer l.timer.Stop()
@@ -134,7 +134,7 @@
 				return res.err
 			}
 		case <-l.timer.C:
-			return ErrSlow
+			return ErrTimeout
 		}
 	}
 }
@@ -148,18 +148,18 @@
 
 func (l *Ledger) enable() { l.on, l.framer = true, framer{l.options.Key, l.seq} }
 
-// On reports whether records are written.
-func (l *Ledger) On() bool { return l.on }
+// Enabled reports whether records are written.
+func (l *Ledger) Enabled() bool { return l.on }
 
-// Begin starts a new epoch: a snapshot of the state is written, and records after it. It does not wait; Begun returns the result. Until then
+// BeginEpoch starts a new epoch: a snapshot of the state is written, and records after it. It does not wait; Begun returns the result. Until then
 // nothing may be appended; if the state changes before that, call Begin again.
-func (l *Ledger) Begin(state [][]byte) error {
+func (l *Ledger) BeginEpoch(state [][]byte) error {
 	l.on, l.batch, l.pending = false, nil, 0
 	select {
 	case l.requests <- l.epochRequest(state):
 		return nil
 	default:
-		return ErrSlow
+		return ErrTimeout
 	}
 }
 
@@ -169,8 +169,8 @@
 	return request{generation: l.generation, newEpoch: true, state: state, nextSeq: l.seq}
 }
 
-// Begun returns the result of Begin; done is false while there is none.
-func (l *Ledger) Begun() (done bool, err error) {
+// EpochResult returns the result of Begin; done is false while there is none.
+func (l *Ledger) EpochResult() (done bool, err error) {
 	for {
 		select {
 		case res := <-l.results:
@@ -187,8 +187,8 @@
 	}
 }
 
-// BeginAndWait is Begin for a start, where the process has nothing else to do.
-func (l *Ledger) BeginAndWait(state [][]byte, timeout time.Duration) error {
+// BeginEpochAndWait is Begin for a start, where the process has nothing else to do.
+func (l *Ledger) BeginEpochAndWait(state [][]byte, timeout time.Duration) error {
 	if err := l.submit(l.epochRequest(state), timeout); err != nil {
 		l.generation++
 		return err
@@ -197,10 +197,10 @@
 	return nil
 }
 
-// Figures returns the current metrics.
-func (l *Ledger) Figures() Figures {
+// Metrics returns the current metrics.
+func (l *Ledger) Metrics() Metrics {
 	f := l.figures
-	f.Files, f.Snapshots, f.On = l.totalBytes.Load(), l.snapshots.Load(), l.on
+	f.FileBytes, f.Snapshots, f.Enabled = l.totalBytes.Load(), l.snapshots.Load(), l.on
 	return f
 }
 
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -125,17 +125,17 @@
 // long is a patience that only what has gone wrong wears out.
 const long = 20 * time.Second
 
-func options() Options { return Options{Name: "n1", Patience: long} }
+func options() Options { return Options{Name: "n1", CommitTimeout: long} }
 
 // begin opens a ledger on a disk, with what is there as its state.
-func begin(t testing.TB, d Disk, o Options) (*Ledger, *Found) {
+func begin(t testing.TB, d Disk, o Options) (*Ledger, *Contents) {
 	t.Helper()
 	found, err := Read(d, o.Name, o.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := New(d, o, found)
-	if err := l.BeginAndWait(found.Records, long); err != nil {
+	if err := l.BeginEpochAndWait(found.Records, long); err != nil {
 		t.Fatal(err)
 	}
 	return l, found
@@ -153,7 +153,7 @@
 	}
 }
 
-func read(t testing.TB, d Disk, o Options) *Found {
+func read(t testing.TB, d Disk, o Options) *Contents {
 	t.Helper()
 	found, err := Read(d, o.Name, o.Key)
 	if err != nil {
@@ -166,10 +166,10 @@
 
 func TestReadsCommittedRecords(t *testing.T) {
 	for name, o := range map[string]Options{
-		"plain": options(), "keyed": {Name: "n1", Patience: long, Key: []byte("a key")}, "synced": {Name: "n1", Patience: long, Sync: SyncAlways},
+		"plain": options(), "keyed": {Name: "n1", CommitTimeout: long, Key: []byte("a key")}, "synced": {Name: "n1", CommitTimeout: long, Sync: SyncAlways},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d, err := Directory(t.TempDir() + "/ledger")
+			d, err := OpenDirectory(t.TempDir() + "/ledger")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -177,7 +177,7 @@
 			want := ""
 			for life := range 4 {
 				if life > 0 {
-					if d, err = Directory(path); err != nil {
+					if d, err = OpenDirectory(path); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -191,7 +191,7 @@
 				if err := l.Append([]byte("never committed")); err != nil {
 					t.Fatal(err)
 				}
-				if _, err := Directory(path); !errors.Is(err, ErrOwned) {
+				if _, err := OpenDirectory(path); !errors.Is(err, ErrLocked) {
 					t.Fatalf("a second owner gets in: %v", err)
 				}
 				if err := l.Close(); err != nil {
@@ -210,7 +210,7 @@
 	l, _ := begin(t, d, o)
 	commit(t, l, "a")
 	for name, other := range map[string]Options{"another name": {Name: "n2", Key: o.Key}, "no key": {Name: "n1"}} {
-		if _, err := Read(d, other.Name, other.Key); !errors.Is(err, ErrName) && !errors.Is(err, ErrKey) {
+		if _, err := Read(d, other.Name, other.Key); !errors.Is(err, ErrWrongOwner) && !errors.Is(err, ErrWrongKey) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -224,7 +224,7 @@
 		h = h[:headerSize-8]
 		later.files[name] = append(h, sumOf(h)...)
 	}
-	if _, err := Read(later, o.Name, o.Key); !errors.Is(err, ErrForm) {
+	if _, err := Read(later, o.Name, o.Key); !errors.Is(err, ErrFormat) {
 		t.Errorf("a later form: %v", err)
 	}
 }
@@ -263,7 +263,7 @@
 // TestFlippedBits: no record is read that was not written, and where one is missing before others, a gap is reported.
 func TestFlippedBits(t *testing.T) {
 	o := options()
-	o.Segment = 150 // so that there are several
+	o.SegmentSize = 150 // so that there are several
 	d := newMemory()
 	l, _ := begin(t, d, o)
 	var all []string
@@ -278,7 +278,7 @@
 			c.files[name][at] ^= 1 << (at % 8)
 			found, err := Read(c, o.Name, o.Key)
 			if err != nil {
-				if errors.Is(err, ErrForm) || errors.Is(err, ErrName) || errors.Is(err, ErrKey) {
+				if errors.Is(err, ErrFormat) || errors.Is(err, ErrWrongOwner) || errors.Is(err, ErrWrongKey) {
 					t.Errorf("%s, byte %d: damage taken for another ledger: %v", name, at, err)
 				}
 				continue
@@ -303,7 +303,7 @@
 
 func TestLostSegmentAndTornSnapshot(t *testing.T) {
 	o := options()
-	o.Segment = 150
+	o.SegmentSize = 150
 	d := newMemory()
 	l, _ := begin(t, d, o)
 	for i := range 12 {
@@ -362,7 +362,7 @@
 // take no more than a few segments, and what is read is the least of what was written.
 func TestCompaction(t *testing.T) {
 	o := options()
-	o.Segment = 2000
+	o.SegmentSize = 2000
 	o.Compact = latest
 	d := newMemory()
 	l, _ := begin(t, d, o)
@@ -374,19 +374,19 @@
 	for n < 5000 {
 		next()
 	}
-	for until := time.Now().Add(long); n%10 != 0 || l.Figures().Files > 5*o.Segment || l.Figures().Snapshots < 3; next() {
+	for until := time.Now().Add(long); n%10 != 0 || l.Metrics().FileBytes > 5*o.SegmentSize || l.Metrics().Snapshots < 3; next() {
 		if time.Now().After(until) {
-			t.Fatalf("not cut: %+v", l.Figures())
+			t.Fatalf("not cut: %+v", l.Metrics())
 		}
 		time.Sleep(time.Millisecond) // a writer that leaves snapshots the time to catch up
 	}
-	f := l.Figures()
+	f := l.Metrics()
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
 	found := read(t, d, o)
-	if found.Bytes > f.Files || found.Gapped() || f.Records != uint64(n) || f.Commits != uint64(n) {
-		t.Errorf("%d bytes in %d files, figures %+v, damage %v", found.Bytes, found.Files, f, found.Damage)
+	if found.Bytes > f.FileBytes || found.Gapped() || f.Records != uint64(n) || f.Commits != uint64(n) {
+		t.Errorf("%d bytes in %d files, figures %+v, damage %v", found.Bytes, found.FileCount, f, found.Damage)
 	}
 	least, err := o.Compact(found.Records, nil)
 	want := make([]string, 10)
@@ -402,7 +402,7 @@
 // goes on when it has come; with no end in sight the ledger is off, and begins anew in little space.
 func TestSlowCompaction(t *testing.T) {
 	o := options()
-	o.Segment, o.Most = 1000, 8000
+	o.SegmentSize, o.MaxSize = 1000, 8000
 	var disk sync.Mutex // snapshots are written while it is free
 	going := make(chan struct{}, 100)
 	o.Compact = func(records [][]byte, gaps map[int]bool) ([][]byte, error) {
@@ -414,7 +414,7 @@
 	disk.Lock()
 	d := newMemory()
 	l, _ := begin(t, d, o)
-	l.options.Patience = long
+	l.options.CommitTimeout = long
 	record := func(i int) []byte { return []byte(fmt.Sprintf("k%d=%d", i%10, i)) }
 	most := int64(0)
 	push := func(i int) error {
@@ -422,11 +422,11 @@
 			return err
 		}
 		err := l.Commit()
-		most = max(most, l.Figures().Files)
+		most = max(most, l.Metrics().FileBytes)
 		return err
 	}
 	i := 0
-	for ; l.Figures().Files < o.Most-100; i++ {
+	for ; l.Metrics().FileBytes < o.MaxSize-100; i++ {
 		if err := push(i); err != nil {
 			t.Fatal(err)
 		}
@@ -435,27 +435,27 @@
 	time.AfterFunc(20*time.Millisecond, disk.Unlock)
 	for end := i + 1000; i < end; i++ {
 		if err := push(i); err != nil {
-			t.Fatalf("record %d: %v with %+v", i, err, l.Figures())
+			t.Fatalf("record %d: %v with %+v", i, err, l.Metrics())
 		}
 	}
-	if most > o.Most {
-		t.Errorf("%d bytes, %d allowed", most, o.Most)
+	if most > o.MaxSize {
+		t.Errorf("%d bytes, %d allowed", most, o.MaxSize)
 	}
 	disk.Lock() // no further one ends in time
-	l.options.Patience = 20 * time.Millisecond
+	l.options.CommitTimeout = 20 * time.Millisecond
 	var err error
 	for end := i + 10000; err == nil && i < end; i++ {
 		err = push(i)
 	}
-	if !errors.Is(err, ErrSlow) || l.On() {
-		t.Fatalf("%v with %+v", err, l.Figures())
+	if !errors.Is(err, ErrTimeout) || l.Enabled() {
+		t.Fatalf("%v with %+v", err, l.Metrics())
 	}
 	disk.Unlock()
-	l.options.Patience = long
-	if err := l.BeginAndWait([][]byte{record(0)}, long); err != nil {
+	l.options.CommitTimeout = long
+	if err := l.BeginEpochAndWait([][]byte{record(0)}, long); err != nil {
 		t.Fatal(err)
 	}
-	if f := l.Figures(); f.Files > o.Segment || !f.On {
+	if f := l.Metrics(); f.FileBytes > o.SegmentSize || !f.Enabled {
 		t.Errorf("%+v", f)
 	}
 	if err := l.Close(); err != nil {
@@ -472,28 +472,28 @@
 	}{
 		"full":      {func(m *memory) { m.room = 10 }, func(m *memory) { m.room = -1 }, long, nil},
 		"read-only": {func(m *memory) { m.err = errors.New("read-only file system") }, func(m *memory) { m.err = nil }, long, nil},
-		"slow":      {func(m *memory) { m.stall = 200 * time.Millisecond }, func(m *memory) { m.stall = 0 }, 20 * time.Millisecond, ErrSlow},
+		"slow":      {func(m *memory) { m.stall = 200 * time.Millisecond }, func(m *memory) { m.stall = 0 }, 20 * time.Millisecond, ErrTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newMemory()
 			o := options()
 			l, _ := begin(t, d, o)
 			commit(t, l, "before")
-			l.options.Patience = test.patience
+			l.options.CommitTimeout = test.patience
 			d.set(func() { test.fail(d) })
 			if err := l.Append([]byte("a record that does not fit")); err != nil {
 				t.Fatal(err)
 			}
 			err := l.Commit()
-			if err == nil || test.want != nil && !errors.Is(err, test.want) || l.On() {
-				t.Fatalf("commit: %v, on %v", err, l.On())
+			if err == nil || test.want != nil && !errors.Is(err, test.want) || l.Enabled() {
+				t.Fatalf("commit: %v, on %v", err, l.Enabled())
 			}
-			if err := l.Append([]byte("x")); !errors.Is(err, ErrOff) || !errors.Is(l.Commit(), ErrOff) {
+			if err := l.Append([]byte("x")); !errors.Is(err, ErrDisabled) || !errors.Is(l.Commit(), ErrDisabled) {
 				t.Errorf("off, and appended to: %v", err)
 			}
 			// A Begin on a disk that still fails is told, too.
 			if name != "slow" {
-				if err := l.Begin([][]byte{[]byte("too early, and far too long for the room that is left")}); err != nil {
+				if err := l.BeginEpoch([][]byte{[]byte("too early, and far too long for the room that is left")}); err != nil {
 					t.Fatal(err)
 				}
 				if err := begun(t, l); err == nil {
@@ -501,8 +501,8 @@
 				}
 			}
 			d.set(func() { test.heal(d) })
-			l.options.Patience = long
-			if err := l.Begin([][]byte{[]byte("state")}); err != nil {
+			l.options.CommitTimeout = long
+			if err := l.BeginEpoch([][]byte{[]byte("state")}); err != nil {
 				t.Fatal(err)
 			}
 			if err := begun(t, l); err != nil {
@@ -512,7 +512,7 @@
 			if found := read(t, d, o); text(found.Records) != "state after" || found.Gapped() {
 				t.Errorf("read %q, %+v", text(found.Records), found)
 			}
-			if f := l.Figures(); f.Failures != 1 || !f.On {
+			if f := l.Metrics(); f.Failures != 1 || !f.Enabled {
 				t.Errorf("figures %+v", f)
 			}
 		})
@@ -522,7 +522,7 @@
 func begun(t *testing.T, l *Ledger) error {
 	t.Helper()
 	for until := time.Now().Add(long); time.Now().Before(until); time.Sleep(time.Millisecond) {
-		if done, err := l.Begun(); done {
+		if done, err := l.EpochResult(); done {
 			return err
 		}
 	}
@@ -534,7 +534,7 @@
 // reads all that was committed before it, and of what was not, only a beginning.
 func TestCrashAtAnyPoint(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := Options{Name: "n1", Patience: long, Segment: int64(rapid.IntRange(100, 1000).Draw(t, "segment"))}
+		o := Options{Name: "n1", CommitTimeout: long, SegmentSize: int64(rapid.IntRange(100, 1000).Draw(t, "segment"))}
 		if rapid.Bool().Draw(t, "keyed") {
 			o.Key = []byte("key")
 		}
@@ -561,7 +561,7 @@
 				_ = l.Close()
 				continue
 			}
-			if err := l.BeginAndWait(found.Records, long); err != nil {
+			if err := l.BeginEpochAndWait(found.Records, long); err != nil {
 				t.Fatal(err)
 			}
 			for i := range rapid.IntRange(0, 12).Draw(t, "commits") {
@@ -629,7 +629,7 @@
 	record := bytes.Repeat([]byte("r"), 300)
 	for name, each := range map[string]bool{"batch": false, "single": true} {
 		b.Run(name, func(b *testing.B) {
-			d, err := Directory(b.TempDir())
+			d, err := OpenDirectory(b.TempDir())
 			if err != nil {
 				b.Fatal(err)
 			}
