--- a/internal/ledger/read.go
+++ b/internal/ledger/read.go
@@ -9,35 +9,35 @@
 )
 
 var (
-	// ErrOwned is the error of a directory that another process holds.
-	ErrOwned = errors.New("ledger: another process holds the directory")
+	// ErrLocked is the error of a directory that another process holds.
+	ErrLocked = errors.New("ledger: another process holds the directory")
 	// ErrDamaged is the error of a file that is not what was written.
 	ErrDamaged = errors.New("ledger: damaged")
-	// ErrForm is the error of a file of another version of the format, as a later program writes it.
-	ErrForm = errors.New("ledger: another form")
-	// ErrName is the error of a ledger whose owner is another controller.
-	ErrName = errors.New("ledger: it is another controller's")
-	// ErrKey is the error of a ledger that was written with another key than the configured one, or without a key.
-	ErrKey = errors.New("ledger: it was not written with the key that is configured")
+	// ErrFormat is the error of a file of another version of the format, as a later program writes it.
+	ErrFormat = errors.New("ledger: another form")
+	// ErrWrongOwner is the error of a ledger whose owner is another controller.
+	ErrWrongOwner = errors.New("ledger: it is another controller's")
+	// ErrWrongKey is the error of a ledger that was written with another key than the configured one, or without a key.
+	ErrWrongKey = errors.New("ledger: it was not written with the key that is configured")
 )
 
-// Found is the content of a ledger.
-type Found struct {
+// Contents is the content of a ledger.
+type Contents struct {
 	Records [][]byte
 	// Gaps holds the indexes in Records before which records may be missing; len(Records) is the end.
 	Gaps map[int]bool
 	// Damage describes what is wrong, for operators. A torn end is no damage: a crash leaves one.
-	Damage   []string
-	Torn     bool // the last segment has a torn end
-	Files    int
-	Bytes    int64
-	Snapshot int // number of Records that are the snapshot's
-	lastSeq  uint64
-	files    []string // the files that were read
+	Damage          []string
+	Torn            bool // the last segment has a torn end
+	FileCount       int
+	Bytes           int64
+	SnapshotRecords int // number of Records that are the snapshot's
+	lastSeq         uint64
+	files           []string // the files that were read
 }
 
 // Gapped reports whether records may be missing.
-func (f *Found) Gapped() bool { return len(f.Gaps) > 0 }
+func (f *Contents) Gapped() bool { return len(f.Gaps) > 0 }
 
 // The suffixes of file names. The number before them is the first sequence number of a segment, the last one of a snapshot.
 const (
@@ -59,7 +59,7 @@
 }
 
 // Read reads a ledger without changing it. An empty name accepts any owner.
-func Read(d Disk, name string, key []byte) (*Found, error) {
+func Read(d Disk, name string, key []byte) (*Contents, error) {
 	r := newReader(d, name, key)
 	names, err := d.List()
 	if err != nil {
@@ -90,12 +90,12 @@
 			return nil, err
 		}
 	}
-	return r.Found, nil
+	return r.Contents, nil
 }
 
 // reader reads the files of a ledger in order.
 type reader struct {
-	*Found
+	*Contents
 	disk     Disk
 	name     string
 	key      []byte
@@ -103,7 +103,7 @@
 }
 
 func newReader(d Disk, name string, key []byte) *reader {
-	return &reader{Found: &Found{Gaps: map[int]bool{}}, disk: d, name: name, key: key}
+	return &reader{Contents: &Contents{Gaps: map[int]bool{}}, disk: d, name: name, key: key}
 }
 
 func (r *reader) addDamage(format string, args ...any) {
@@ -124,7 +124,7 @@
 	if err != nil {
 		return nil, f, fmt.Errorf("ledger: %w", err)
 	}
-	r.Files++
+	r.FileCount++
 	r.Bytes += int64(len(text))
 	h, err := decodeHeader(text)
 	switch {
@@ -135,9 +135,9 @@
 	case h.magic != magic || h.first != first: // it has been renamed
 		return nil, f, nil
 	case r.name != "" && h.owner != ownerHash(r.name):
-		return nil, f, fmt.Errorf("%s: %w", name, ErrName)
+		return nil, f, fmt.Errorf("%s: %w", name, ErrWrongOwner)
 	case h.mac != (r.key != nil):
-		return nil, f, fmt.Errorf("%s: %w", name, ErrKey)
+		return nil, f, fmt.Errorf("%s: %w", name, ErrWrongKey)
 	}
 	return text[headerSize:], framer{r.key, h.epoch}, nil
 }
@@ -151,7 +151,7 @@
 		}
 		if text != nil {
 			if s := f.scan(text); s.complete && len(s.gaps) == 0 && !s.torn {
-				r.Records, r.Snapshot, r.lastSeq, r.numbered = s.records, len(s.records), last, true
+				r.Records, r.SnapshotRecords, r.lastSeq, r.numbered = s.records, len(s.records), last, true
 				if i < len(all)-1 {
 					r.addGap("an older snapshot is used")
 				}
--- a/internal/ledger/snapshot.go
+++ b/internal/ledger/snapshot.go
@@ -66,7 +66,7 @@
 	if err = errors.Join(err, s.file.Close()); err != nil {
 		return err
 	}
-	if s.size > w.options.Most {
+	if s.size > w.options.MaxSize {
 		return ErrFull
 	}
 	if err := w.disk.Rename(temp, name); err != nil {
--- a/internal/ledger/writer.go
+++ b/internal/ledger/writer.go
@@ -49,8 +49,8 @@
 // serve executes one request and reports its result.
 func (w *writer) serve(r request) {
 	err := w.execute(r)
-	if err == nil && w.options.Look != nil {
-		err = w.options.Look()
+	if err == nil && w.options.AfterWrite != nil {
+		err = w.options.AfterWrite()
 	}
 	w.failed = err != nil
 	w.totalBytes.Store(w.totalSize)
@@ -66,9 +66,9 @@
 		}
 		return w.beginEpoch(r)
 	case w.failed:
-		return ErrOff
+		return ErrDisabled
 	}
-	if w.compactions != nil && w.totalSize+int64(len(r.batch)) > w.options.Most {
+	if w.compactions != nil && w.totalSize+int64(len(r.batch)) > w.options.MaxSize {
 		// Compaction lags behind the writes. The bound on the size holds: the commit waits for the compaction, and its owner no longer than
 		// its timeout.
 		w.awaitCompaction()
@@ -110,7 +110,7 @@
 
 // write appends a batch to the open segment, and opens the next one when it is large enough.
 func (w *writer) write(r request) error {
-	if w.totalSize+int64(len(r.batch)) > w.options.Most {
+	if w.totalSize+int64(len(r.batch)) > w.options.MaxSize {
 		return ErrFull
 	}
 	n, err := w.file.Write(r.batch)
@@ -122,7 +122,7 @@
 	if err != nil {
 		return fmt.Errorf("ledger: %w", err)
 	}
-	if w.currentSize < w.options.Segment {
+	if w.currentSize < w.options.SegmentSize {
 		return nil
 	}
 	w.closed, w.lastClosed = append(w.closed, w.current), r.nextSeq-1
--- a/internal/lists/coordinator/coordinator.go
+++ b/internal/lists/coordinator/coordinator.go
@@ -64,7 +64,7 @@
 	if e.Endpoints == nil {
 		return u, nil
 	}
-	u.Whole = e.Endpoints.Snapshot
+	u.Complete = e.Endpoints.Snapshot
 	for _, p := range e.Endpoints.Endpoints {
 		s, err := p.Server()
 		if err != nil {
@@ -77,7 +77,7 @@
 
 // Server translates one dispatcher.
 func (p *Endpoint) Server() (call.Server, error) {
-	status, err := settings.Status(p.Status)
+	status, err := settings.ParseStatus(p.Status)
 	if err != nil {
 		return call.Server{}, fmt.Errorf("dispatcher %q: %w", p.Name, err)
 	}
--- a/internal/lists/coordinator/coordinator_test.go
+++ b/internal/lists/coordinator/coordinator_test.go
@@ -115,7 +115,7 @@
 	updates := make(chan call.Update, 8)
 	s := New(old, 3, slog.New(slog.DiscardHandler), func(u call.Update) { updates <- u })
 	go s.Run(t.Context())
-	if diff := cmp.Diff(call.Update{Whole: true}, <-updates); diff != "" {
+	if diff := cmp.Diff(call.Update{Complete: true}, <-updates); diff != "" {
 		t.Errorf("the first that is new (-want +got):\n%s", diff)
 	}
 	<-half
--- a/internal/lists/etcd/etcd.go
+++ b/internal/lists/etcd/etcd.go
@@ -123,7 +123,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("etcd: reading %s: %w", l.prefix, err)
 	}
-	u := call.Update{Whole: true}
+	u := call.Update{Complete: true}
 	before := l.known
 	l.known = map[string]call.Server{}
 	for _, kv := range resp.Kvs {
--- a/internal/lists/etcd/etcd_test.go
+++ b/internal/lists/etcd/etcd_test.go
@@ -56,7 +56,7 @@
 		}
 	}
 	a := server("a", "127.0.0.1:1", control.Active)
-	expect("first read", call.Update{Whole: true, Servers: []call.Server{a}})
+	expect("first read", call.Update{Complete: true, Servers: []call.Server{a}})
 
 	s.Put("/other/c", value("127.0.0.1:3", "active"))
 	s.Put(prefix+"d", value("127.0.0.1:4", "active"))
@@ -82,5 +82,5 @@
 	s.Put(prefix+"e", "")
 	s.Compact()
 	again()
-	expect("read after the compaction", call.Update{Whole: true, Servers: []call.Server{a}})
+	expect("read after the compaction", call.Update{Complete: true, Servers: []call.Server{a}})
 }
--- a/internal/lists/files/files.go
+++ b/internal/lists/files/files.go
@@ -69,19 +69,19 @@
 
 // First reads the file at a start. One that may be on its way still is waited for, for a moment.
 func (w *Watcher) First() pool.Candidate {
-	looks := pool.NewLooks(w.now(), false)
+	looks := pool.NewFilePoller(w.now(), false)
 	for {
-		if f := w.look(); looks.Looked(w.now(), f.Sight) {
+		if f := w.look(); looks.Observe(w.now(), f.Observation) {
 			w.judge(f)
 			return f.candidate()
 		}
-		time.Sleep(max(looks.Due()-w.now(), 0))
+		time.Sleep(max(looks.NextPoll()-w.now(), 0))
 	}
 }
 
 // found is what a look has found.
 type found struct {
-	pool.Sight
+	pool.Observation
 	stamp
 	text, key []byte
 	err       error
@@ -111,7 +111,7 @@
 	}
 	if s, ok := stampOf(w.File, f.key); f.err == nil && ok && w.read.digest != "" {
 		if s.digest = w.read.digest; s == w.read {
-			f.stamp, f.Sight = s, pool.Sight{Digest: s.digest}
+			f.stamp, f.Observation = s, pool.Observation{Digest: s.digest}
 			return f
 		}
 	}
@@ -126,7 +126,7 @@
 		return f
 	}
 	f.text = text
-	f.Sight = pool.Sight{Digest: poolfile.Digest(append(slices.Clone(f.key), text...)), Unfinished: poolfile.Unfinished(text), InPlace: id == w.last}
+	f.Observation = pool.Observation{Digest: poolfile.Digest(append(slices.Clone(f.key), text...)), Unfinished: poolfile.Unfinished(text), InPlace: id == w.last}
 	w.last = id
 	if s, ok := stampOf(w.File, f.key); ok && begun.Sub(s.changed) > settled && s.size == int64(len(text)) && s.identity == id {
 		f.stamp = s
@@ -261,7 +261,7 @@
 		signs, faults = notify.Signs(), notify.Faults()
 	}
 	watched := map[string]identity{}
-	looks := pool.NewLooks(w.now(), false)
+	looks := pool.NewFilePoller(w.now(), false)
 	due := time.NewTimer(0)
 	defer due.Stop()
 	for {
@@ -269,12 +269,12 @@
 		case <-ctx.Done():
 			return
 		case <-w.nudge:
-			looks.Stirred(w.now())
+			looks.NoteChange(w.now())
 		case _, ok := <-signs:
 			if !ok {
 				signs = nil
 			}
-			looks.Stirred(w.now())
+			looks.NoteChange(w.now())
 		case err, ok := <-faults:
 			if !ok {
 				faults = nil
@@ -282,18 +282,18 @@
 			}
 			// An overflow among them: whatever it dropped may have been a change.
 			w.log.Warn("the watch on the pool file missed something", "err", err)
-			looks.Stirred(w.now())
+			looks.NoteChange(w.now())
 		case <-due.C:
 			// First the watch: what changes between the two is seen by the look or by the watch.
 			if notify != nil {
-				looks.Watched(w.now(), w.watch(notify, watched))
+				looks.SetWatched(w.now(), w.watch(notify, watched))
 			}
-			if f := w.look(); looks.Looked(w.now(), f.Sight) {
+			if f := w.look(); looks.Observe(w.now(), f.Observation) {
 				w.judge(f)
 				w.take(f.candidate())
 			}
 		}
-		due.Reset(max(looks.Due()-w.now(), 0))
+		due.Reset(max(looks.NextPoll()-w.now(), 0))
 	}
 }
 
--- a/internal/lists/lists.go
+++ b/internal/lists/lists.go
@@ -13,7 +13,7 @@
 
 // Store keeps sets for a later process.
 type Store interface {
-	Keep(pool.Memory)
+	Keep(pool.Snapshot)
 	// Failed is why the last set was not kept.
 	Failed() error
 }
@@ -37,7 +37,7 @@
 func (k *Keeper) StoreIn(s Store) { k.store = s }
 
 // Bound sets the most dispatchers that a set may have. It comes before the first set.
-func (k *Keeper) Bound(servers int) { k.pool.Bound(servers) }
+func (k *Keeper) Bound(servers int) { k.pool.SetLimit(servers) }
 
 // now is the Unix clock.
 func now() time.Duration { return time.Duration(time.Now().UnixNano()) }
@@ -52,20 +52,20 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	before := k.pool.Current().Number
-	v := k.pool.Take(now(), c)
+	v := k.pool.Apply(now(), c)
 	k.carry(v)
-	if v.Taken && c.Source == pool.FromFile {
+	if v.Accepted && c.Source == pool.FromFile {
 		if v.Number != before {
 			k.log.Info("pool file in force", "version", v.Label, "digest", v.Digest, "servers", v.Servers, "change", v.Change.String())
 		}
 		if k.store != nil && (v.Changed || v.Number != before) {
-			k.store.Keep(k.pool.Remember())
+			k.store.Keep(k.pool.Snapshot())
 		}
 	}
-	if !v.Taken && v.Again == 0 {
+	if !v.Accepted && v.Repeats == 0 {
 		for i, f := range v.Faults {
 			if i == maxLogged {
-				k.log.Error("pool refused: further faults", "source", v.Source, "digest", v.Digest, "faults", v.Found-i)
+				k.log.Error("pool refused: further faults", "source", v.Source, "digest", v.Digest, "faults", v.FaultCount-i)
 				break
 			}
 			k.log.Error("pool refused, the set in force stays", "source", v.Source, "digest", v.Digest, "fault", f.String())
@@ -78,10 +78,10 @@
 const maxLogged = 5
 
 // Recall puts in force what an earlier process has kept.
-func (k *Keeper) Recall(m pool.Memory) pool.Verdict {
+func (k *Keeper) Recall(m pool.Snapshot) pool.Verdict {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	v := k.pool.Recall(now(), m)
+	v := k.pool.Restore(now(), m)
 	k.carry(v)
 	return v
 }
@@ -96,5 +96,5 @@
 func (k *Keeper) Listed() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.pool.Listed()
+	return k.pool.HasSet()
 }
--- a/internal/lists/poolfile/poolfile.go
+++ b/internal/lists/poolfile/poolfile.go
@@ -73,7 +73,7 @@
 // Read reads a file. All that is wrong with it is in the candidate's faults. With a key, the file must carry the MAC that
 // the key gives; without one, it must carry none, as nobody could tell whether it is right.
 func Read(text, key []byte) pool.Candidate {
-	c := pool.Candidate{Source: pool.FromFile, Digest: Digest(text), Update: pool.Update{Whole: true}}
+	c := pool.Candidate{Source: pool.FromFile, Digest: Digest(text), Update: pool.Update{Complete: true}}
 	r := &reader{c: &c}
 	switch {
 	case len(text) > MaxBytes:
@@ -89,7 +89,7 @@
 	}
 	f, faults := inifile.Parse(body)
 	for _, fault := range faults {
-		r.fault(pool.BadForm, fault.Line, "", "%s", fault.Text)
+		r.fault(pool.BadFormat, fault.Line, "", "%s", fault.Text)
 	}
 	if f == nil {
 		return c
@@ -119,7 +119,7 @@
 	case len(tail) == 0:
 		r.fault(pool.BadMAC, line-1, "mac", "missing: the file must be sealed")
 	case !is || !assigned:
-		r.fault(pool.BadForm, line, "", "only mac = ... may follow [end]")
+		r.fault(pool.BadFormat, line, "", "only mac = ... may follow [end]")
 	case key == nil:
 		r.fault(pool.BadMAC, line, "mac", "the file is sealed, and no key is configured to check it with")
 	case err != nil || !hmac.Equal(got, sum(body, key)):
@@ -142,13 +142,13 @@
 // file reads the sections.
 func (r *reader) file(f *inifile.File) {
 	if len(f.Sections) == 0 || f.Sections[0].Name != "pool" {
-		r.fault(pool.BadForm, 0, "", "the first section must be [pool]")
+		r.fault(pool.BadFormat, 0, "", "the first section must be [pool]")
 		return
 	}
 	head := &f.Sections[0]
 	r.keys(head, poolKeys)
 	if key := head.Get("format"); key != nil && key.Value != strconv.Itoa(Format) {
-		r.fault(pool.BadForm, key.Line, key.Name, "%.40q is not known here, %d is", key.Value, Format)
+		r.fault(pool.BadFormat, key.Line, key.Name, "%.40q is not known here, %d is", key.Value, Format)
 		return // what follows may mean anything
 	}
 	if key := head.Get("version"); key != nil {
@@ -165,11 +165,11 @@
 		}
 		switch s.Name {
 		case "pool":
-			r.fault(pool.BadForm, s.Line, "", "a second [pool]")
+			r.fault(pool.BadFormat, s.Line, "", "a second [pool]")
 		case "end":
-			r.fault(pool.BadForm, s.Line, "", "[end] is not last")
+			r.fault(pool.BadFormat, s.Line, "", "[end] is not last")
 		default:
-			r.fault(pool.BadForm, s.Line, "", "unknown section [%.80s]", s.Name)
+			r.fault(pool.BadFormat, s.Line, "", "unknown section [%.80s]", s.Name)
 		}
 	}
 	if key := head.Get("servers"); key != nil {
@@ -183,12 +183,12 @@
 func (r *reader) keys(s *inifile.Section, known map[string]bool) {
 	for _, k := range s.Keys {
 		if _, ok := known[k.Name]; !ok {
-			r.fault(pool.BadForm, k.Line, "", "unknown key %.40q in [%.80s]", k.Name, s.Name)
+			r.fault(pool.BadFormat, k.Line, "", "unknown key %.40q in [%.80s]", k.Name, s.Name)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(known)) {
 		if known[name] && s.Get(name) == nil {
-			r.fault(pool.BadForm, s.Line, "", "[%.80s] lacks the key %s", s.Name, name)
+			r.fault(pool.BadFormat, s.Line, "", "[%.80s] lacks the key %s", s.Name, name)
 		}
 	}
 }
@@ -219,12 +219,12 @@
 			n, ok := r.number(key, 0, pool.MaxWeight)
 			switch {
 			case ok && n == 0:
-				m.Weight = pool.Idle
+				m.Weight = pool.NoNewCalls
 			case ok:
 				m.Weight = n
 			}
 		case "status":
-			status, err := settings.Status(key.Value)
+			status, err := settings.ParseStatus(key.Value)
 			if err != nil {
 				r.fault(pool.BadValue, key.Line, key.Name, "%.40q is none of active, leaving and left", key.Value)
 			}
@@ -277,7 +277,7 @@
 			fmt.Fprintf(&b, "zone = %s\n", m.Zone)
 		}
 		if m.Status != control.Active {
-			fmt.Fprintf(&b, "status = %s\n", settings.StatusWord(m.Status))
+			fmt.Fprintf(&b, "status = %s\n", settings.StatusName(m.Status))
 		}
 		if m.StartedAt > 0 {
 			fmt.Fprintf(&b, "since = %s\n", time.Unix(0, int64(m.StartedAt)).UTC().Format(time.RFC3339Nano))
--- a/internal/lists/poolfile/poolfile_test.go
+++ b/internal/lists/poolfile/poolfile_test.go
@@ -54,7 +54,7 @@
 	c := Read([]byte(whole), nil)
 	want := []pool.Member{
 		{Address: "127.0.0.1:7001", ServerEntry: control.ServerEntry{ID: "s-1", Zone: "tallinn", Weight: 100}},
-		{Address: "ws://127.0.0.1:7002/v1/calls", ServerEntry: control.ServerEntry{ID: "s-2", Cell: 1, Weight: pool.Idle, Status: control.Draining,
+		{Address: "ws://127.0.0.1:7002/v1/calls", ServerEntry: control.ServerEntry{ID: "s-2", Cell: 1, Weight: pool.NoNewCalls, Status: control.Draining,
 			StartedAt: time.Duration(time.Date(2026, 9, 1, 10, 0, 0, 0, time.UTC).UnixNano())}},
 	}
 	if diff := cmp.Diff(want, c.Servers); diff != "" || c.Label != "spring-42" || len(c.Faults) > 0 {
@@ -168,7 +168,7 @@
 		for i := range rapid.IntRange(1, 6).Draw(t, "servers") {
 			members = append(members, pool.Member{Address: fmt.Sprint("127.0.0.1:", 7000+i), ServerEntry: control.ServerEntry{
 				ID: control.ServerID(fmt.Sprint("s-", i)), Cell: rapid.IntRange(0, 9).Draw(t, "group"),
-				Zone: rapid.SampledFrom([]string{"", "tartu"}).Draw(t, "zone"), Weight: rapid.SampledFrom([]int{pool.Idle, 1, 1000}).Draw(t, "weight"),
+				Zone: rapid.SampledFrom([]string{"", "tartu"}).Draw(t, "zone"), Weight: rapid.SampledFrom([]int{pool.NoNewCalls, 1, 1000}).Draw(t, "weight"),
 				Status:    control.ServerStatus(rapid.IntRange(0, 2).Draw(t, "status")),
 				StartedAt: time.Duration(rapid.Int64Range(0, int64(clock)).Draw(t, "since")),
 			}})
--- a/internal/lists/report.go
+++ b/internal/lists/report.go
@@ -92,7 +92,7 @@
 	if v := k.pool.Current(); v.Number > 0 {
 		s.Version, s.AgeMs = &v, (now() - v.At).Milliseconds()
 	}
-	if v, is := k.pool.Trouble(); is {
+	if v, is := k.pool.LastRefused(); is {
 		s.Trouble = &v
 	}
 	if k.store != nil {
@@ -114,7 +114,7 @@
 		if string(m.ID) <= after {
 			continue
 		}
-		s := ServerState{Name: string(m.ID), Address: m.Address, Zone: m.Zone, Group: m.Cell, Status: settings.StatusWord(m.Status), Weight: max(m.Weight, 0)}
+		s := ServerState{Name: string(m.ID), Address: m.Address, Zone: m.Zone, Group: m.Cell, Status: settings.StatusName(m.Status), Weight: max(m.Weight, 0)}
 		if m.StartedAt > 0 {
 			s.Since = time.Unix(0, int64(m.StartedAt)).UTC()
 		}
--- a/internal/lists/stored/stored.go
+++ b/internal/lists/stored/stored.go
@@ -39,56 +39,56 @@
 
 // kept is what the file holds after its first line.
 type kept struct {
-	File string      `json:"file"` // the pool file that the set came from
-	Set  pool.Memory `json:"set"`
+	File string        `json:"file"` // the pool file that the set came from
+	Set  pool.Snapshot `json:"set"`
 }
 
 var api = jsoniter.ConfigCompatibleWithStandardLibrary
 
 // Load reads the set that was kept for a pool file.
-func Load(directory, file string) (pool.Memory, error) {
+func Load(directory, file string) (pool.Snapshot, error) {
 	path := filepath.Join(directory, Name)
 	info, err := os.Stat(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		return pool.Memory{}, ErrNone
+		return pool.Snapshot{}, ErrNone
 	case err != nil:
-		return pool.Memory{}, fmt.Errorf("stored set: %w", err)
+		return pool.Snapshot{}, fmt.Errorf("stored set: %w", err)
 	case !info.Mode().IsRegular() || info.Size() > maxBytes:
-		return pool.Memory{}, fmt.Errorf("%w: %s is no file of at most %d bytes", ErrTorn, path, maxBytes)
+		return pool.Snapshot{}, fmt.Errorf("%w: %s is no file of at most %d bytes", ErrTorn, path, maxBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return pool.Memory{}, fmt.Errorf("stored set: %w", err)
+		return pool.Snapshot{}, fmt.Errorf("stored set: %w", err)
 	}
 	return decode(text, file)
 }
 
-func decode(text []byte, file string) (pool.Memory, error) {
+func decode(text []byte, file string) (pool.Snapshot, error) {
 	head, body, whole := bytes.Cut(text, []byte("\n"))
 	if !whole {
-		return pool.Memory{}, fmt.Errorf("%w: it has no first line", ErrTorn)
+		return pool.Snapshot{}, fmt.Errorf("%w: it has no first line", ErrTorn)
 	}
 	form, rest, _ := bytes.Cut(head, []byte(": "))
 	if string(form) != format {
-		return pool.Memory{}, fmt.Errorf("%w: it begins with %.40q", ErrOther, head)
+		return pool.Snapshot{}, fmt.Errorf("%w: it begins with %.40q", ErrOther, head)
 	}
 	if want := check(body); string(rest) != want {
-		return pool.Memory{}, fmt.Errorf("%w: checksum %.40q, that of what it holds is %q", ErrTorn, rest, want)
+		return pool.Snapshot{}, fmt.Errorf("%w: checksum %.40q, that of what it holds is %q", ErrTorn, rest, want)
 	}
 	var k kept
 	if err := api.Unmarshal(body, &k); err != nil {
-		return pool.Memory{}, fmt.Errorf("%w: %w", ErrTorn, err)
+		return pool.Snapshot{}, fmt.Errorf("%w: %w", ErrTorn, err)
 	}
 	if k.File != file {
-		return pool.Memory{}, fmt.Errorf("%w: it was kept for %s", ErrOther, k.File)
+		return pool.Snapshot{}, fmt.Errorf("%w: it was kept for %s", ErrOther, k.File)
 	}
 	return k.Set, nil
 }
 
 func check(body []byte) string { return fmt.Sprintf("%d bytes, %016x", len(body), xxhash.Sum64(body)) }
 
-func encode(file string, m pool.Memory) ([]byte, error) {
+func encode(file string, m pool.Snapshot) ([]byte, error) {
 	body, err := api.Marshal(kept{file, m})
 	if err != nil {
 		return nil, fmt.Errorf("stored set: %w", err)
@@ -97,7 +97,7 @@
 }
 
 // Save writes a set in the place of the last one.
-func Save(directory, file string, m pool.Memory) (err error) {
+func Save(directory, file string, m pool.Snapshot) (err error) {
 	text, err := encode(file, m)
 	if err != nil {
 		return err
@@ -138,7 +138,7 @@
 type Store struct {
 	directory, file string
 	log             *slog.Logger
-	sets            chan pool.Memory // the newest alone
+	sets            chan pool.Snapshot // the newest alone
 	ended           chan struct{}
 
 	mu     sync.Mutex
@@ -148,7 +148,7 @@
 
 // Open returns a Store for the sets of a pool file.
 func Open(directory, file string, log *slog.Logger) *Store {
-	s := &Store{directory: directory, file: file, log: log, sets: make(chan pool.Memory, 1), ended: make(chan struct{})}
+	s := &Store{directory: directory, file: file, log: log, sets: make(chan pool.Snapshot, 1), ended: make(chan struct{})}
 	go func() {
 		defer close(s.ended)
 		for m := range s.sets {
@@ -158,7 +158,7 @@
 	return s
 }
 
-func (s *Store) save(m pool.Memory) {
+func (s *Store) save(m pool.Snapshot) {
 	err := Save(s.directory, s.file, m)
 	if err != nil {
 		s.log.Error("the set in force is not stored: a start with a broken file would fail", "err", err)
@@ -176,7 +176,7 @@
 }
 
 // Keep has a set written soon, in the place of one that still waits.
-func (s *Store) Keep(m pool.Memory) {
+func (s *Store) Keep(m pool.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
--- a/internal/lists/stored/stored_test.go
+++ b/internal/lists/stored/stored_test.go
@@ -13,8 +13,8 @@
 	"cherryrelay/internal/decide/pool"
 )
 
-var set = pool.Memory{Label: "v1", Digest: "d", Members: []pool.Remembered{
-	{Name: "a", Address: "127.0.0.1:1", Weight: 3, StartedUs: 5, SeenUs: 7}, {Name: "b", Address: "127.0.0.1:2", Weight: pool.Idle, Group: 1, Zone: "z"},
+var set = pool.Snapshot{Label: "v1", Digest: "d", Members: []pool.SnapshotMember{
+	{Name: "a", Address: "127.0.0.1:1", Weight: 3, StartedUs: 5, FirstSeenUs: 7}, {Name: "b", Address: "127.0.0.1:2", Weight: pool.NoNewCalls, Group: 1, Zone: "z"},
 }}
 
 func TestKeptAndTakenUp(t *testing.T) {
@@ -30,7 +30,7 @@
 	}
 	s.Keep(set)
 	s.Close()
-	s.Keep(pool.Memory{}) // too late, and no harm
+	s.Keep(pool.Snapshot{}) // too late, and no harm
 	s.Close()
 	got, err := Load(directory, "f")
 	if diff := cmp.Diff(set, got); diff != "" || err != nil {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -99,7 +99,7 @@
 	f.mu.Lock()
 	now := f.now()
 	update(now, f.view)
-	f.view.Certain(now)
+	f.view.HoldsLease(now)
 	var fresh []members.Event
 	fresh, f.loggedEvents = f.view.History(f.loggedEvents)
 	f.mu.Unlock()
@@ -113,7 +113,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	incarnation, until, ok := f.view.Certain(now)
+	incarnation, until, ok := f.view.HoldsLease(now)
 	return incarnation, until - now, ok
 }
 
@@ -121,8 +121,8 @@
 func (f *Fleet) Life() (store uint64, incarnation int64, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	incarnation, _, ok = f.view.Certain(f.now())
-	return f.view.Cluster(), incarnation, ok
+	incarnation, _, ok = f.view.HoldsLease(f.now())
+	return f.view.StoreID(), incarnation, ok
 }
 
 // HasEnded reports whether an incarnation has certainly ended and no member has its name, by a view that is fresh enough to act on.
@@ -152,7 +152,7 @@
 // checkStore records which store answered. It returns false if it is another one than before.
 func (f *Fleet) checkStore(h *etcdserverpb.ResponseHeader) bool {
 	same := true
-	f.updateView(func(now time.Duration, v *members.View) { same = v.Store(now, h.ClusterId, h.Revision) })
+	f.updateView(func(now time.Duration, v *members.View) { same = v.ObserveStore(now, h.ClusterId, h.Revision) })
 	if !same {
 		select {
 		case f.storeChanged <- struct{}{}:
--- a/internal/membership/page.go
+++ b/internal/membership/page.go
@@ -74,10 +74,10 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	incarnation, until, certain := f.view.Certain(now)
+	incarnation, until, certain := f.view.HoldsLease(now)
 	age, known := f.view.Age(now)
 	s := Shown{Name: f.options.Name, State: f.state, Incarnation: incarnation, Certain: certain, Holder: f.holder, Known: known,
-		AgeMs: age.Milliseconds(), Actable: f.view.Actable(now), Store: f.view.Cluster(), Revision: f.view.Revision(), LeaseMs: f.options.Lease.Milliseconds(),
+		AgeMs: age.Milliseconds(), Actable: f.view.Actable(now), Store: f.view.StoreID(), Revision: f.view.Revision(), LeaseMs: f.options.Lease.Milliseconds(),
 		Counts: f.counts, Members: []ShownMember{}, Gone: []ShownMember{}}
 	if certain {
 		s.LeftMs = (until - now).Milliseconds()
@@ -94,9 +94,9 @@
 }
 
 func pageMember(m *members.Member, now time.Duration) ShownMember {
-	s := ShownMember{Name: m.Name, Store: m.Store, Incarnation: m.Incarnation, State: m.State, Address: m.Address, KnownMs: (now - m.Since).Milliseconds()}
+	s := ShownMember{Name: m.Name, Store: m.Store, Incarnation: m.Incarnation, State: m.State, Address: m.Address, KnownMs: (now - m.FirstSeenAt).Milliseconds()}
 	if m.State == members.Gone {
-		s.GoneMs = (now - m.Ended).Milliseconds()
+		s.GoneMs = (now - m.EndedAt).Milliseconds()
 	}
 	return s
 }
--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -93,7 +93,7 @@
 	}
 	f.keepAlive(ctx, id, incarnation)
 	// Whether or not the store answers, this process no longer holds its name.
-	f.updateView(func(now time.Duration, v *members.View) { v.Ended(now, "left") })
+	f.updateView(func(now time.Duration, v *members.View) { v.RecordLeaseEnd(now, "left") })
 	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), revokeTimeout)
 	defer cancel()
 	if err := f.revoke(last, id); err != nil {
@@ -129,7 +129,7 @@
 			}
 			incarnation = kvs[0].CreateRevision
 		}
-		f.updateView(func(now time.Duration, v *members.View) { v.Held(now, sent, incarnation) })
+		f.updateView(func(now time.Duration, v *members.View) { v.RecordOwnKey(now, sent, incarnation) })
 		f.mu.Lock()
 		f.counts.Joins++
 		f.mu.Unlock()
@@ -158,15 +158,15 @@
 		}
 		sent := f.now()
 		if renewed := f.renewLease(ctx, id); renewed == nil {
-			f.updateView(func(now time.Duration, v *members.View) { v.Renewed(now, sent, incarnation) })
+			f.updateView(func(now time.Duration, v *members.View) { v.RecordRenewal(now, sent, incarnation) })
 		} else if err = renewed; errors.Is(err, rpctypes.ErrLeaseNotFound) {
-			f.updateView(func(now time.Duration, v *members.View) { v.Ended(now, "the store has ended the lease") })
+			f.updateView(func(now time.Duration, v *members.View) { v.RecordLeaseEnd(now, "the store has ended the lease") })
 			return
 		}
 		if err == nil && turn%2 == 0 {
 			var there bool
 			if there, err = f.verifyKey(ctx, incarnation); err == nil && !there {
-				f.updateView(func(now time.Duration, v *members.View) { v.Ended(now, "the own key is gone") })
+				f.updateView(func(now time.Duration, v *members.View) { v.RecordLeaseEnd(now, "the own key is gone") })
 				return
 			}
 		}
@@ -211,7 +211,7 @@
 	}
 	behind := false
 	f.updateView(func(_ time.Duration, v *members.View) {
-		v.Looked(sent, resp.Header.Revision)
+		v.RecordRevision(sent, resp.Header.Revision)
 		behind = v.Behind()
 	})
 	if behind {
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -42,7 +42,7 @@
 	for _, kv := range resp.Kvs {
 		entries = append(entries, f.decodeEntry(kv))
 	}
-	f.updateView(func(now time.Duration, v *members.View) { v.Read(now, sent, resp.Header.Revision, entries) })
+	f.updateView(func(now time.Duration, v *members.View) { v.ApplyRead(now, sent, resp.Header.Revision, entries) })
 	f.mu.Lock()
 	f.counts.Reads++
 	f.mu.Unlock()
@@ -52,7 +52,7 @@
 // decodeEntry decodes a member's key. One with an invalid value still holds its name.
 func (f *Fleet) decodeEntry(kv *mvccpb.KeyValue) members.Entry {
 	var v record
-	if err := jsoniter.ConfigDefault.Unmarshal(kv.Value, &v); err != nil || !v.State.Known() {
+	if err := jsoniter.ConfigDefault.Unmarshal(kv.Value, &v); err != nil || !v.State.SelfReported() {
 		f.log.Error("fleet: a member's key that cannot be read", "key", string(kv.Key), "err", err)
 		v = record{State: members.Joining}
 	}
@@ -97,7 +97,7 @@
 			}
 			if len(resp.Events) > 0 || resp.IsProgressNotify() {
 				complete, changes := f.decodeChanges(&resp)
-				f.updateView(func(now time.Duration, v *members.View) { v.Watched(now, complete, changes) })
+				f.updateView(func(now time.Duration, v *members.View) { v.ApplyChanges(now, complete, changes) })
 			}
 		}
 	}
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -74,10 +74,10 @@
 	if h.core, err = call.New(h.loop, logger, c.Settings, uint64(time.Now().UnixNano())); err != nil {
 		return nil, err //nolint:wrapcheck // it says what it is
 	}
-	h.pool = dispatchers.New(h.loop, h.core, dispatchers.Options{ConnectTimeout: c.Settings.ConnectTimeout(), Fields: c.Settings.Report.Fields, Log: logger})
-	h.core.Serve(h.pool)
+	h.pool = dispatchers.New(h.loop, h.core, dispatchers.Options{ConnectTimeout: c.Settings.ConnectTimeout(), ReportFields: c.Settings.Report.Fields, Log: logger})
+	h.core.SetDispatchers(h.pool)
 	h.core.OnFlush(h.pool.Flush)
-	h.loop.OnPause(h.pool.Heard)
+	h.loop.AddIdleCheck(h.pool.NoUnreadInput)
 	keeper := lists.New(logger, func(u pool.Update) { h.loop.Post(func() { h.update(u) }) })
 	if h.client, err = etcd.Dial([]string{s.Store}); err != nil {
 		return nil, err //nolint:wrapcheck // it says what it is
@@ -85,7 +85,7 @@
 	var ctx context.Context
 	ctx, h.cancel = context.WithCancel(context.Background())
 	stream := coordinator.New("", 0, logger, keeper.Stream(pool.FromCoordinator))
-	h.loop.OnPause(stream.Quiet)
+	h.loop.AddIdleCheck(stream.Quiet)
 	go stream.Run(ctx)
 	h.fleet = membership.Start(h.client, membership.Options{Name: s.Name, Address: "hollow", Prefix: strings.TrimSuffix(c.Fleet.Prefix, "/") + "/",
 		Lease: c.Fleet.Lease()}, logger)
@@ -122,7 +122,7 @@
 		}
 		h.applied(Applied{Controller: h.name, Kind: Change, Scope: scope, Number: entry.Cell - markerGroup, AtNs: now, First: !h.known})
 	}
-	h.known = h.known || u.Whole
+	h.known = h.known || u.Complete
 }
 
 // Reload takes the settings of a file, as the program does at SIGHUP.
@@ -132,10 +132,10 @@
 		return err
 	}
 	h.loop.Post(func() {
-		if err := h.core.Retune(fresh.Settings); err != nil {
+		if err := h.core.Reconfigure(fresh.Settings); err != nil {
 			return // the end of the run finds that it has not the last settings
 		}
-		h.pool.Retune(fresh.Settings.ConnectTimeout(), fresh.Settings.Report.Fields)
+		h.pool.Reconfigure(fresh.Settings.ConnectTimeout(), fresh.Settings.Report.Fields)
 		h.applied(Applied{Controller: h.name, Kind: Settings, Number: settingsNumber(fresh), AtNs: time.Now().UnixNano()})
 	})
 	return nil
@@ -174,7 +174,7 @@
 
 // unlist has the pool close its connections, and ends the loop after that.
 func (h *Hollow) unlist() {
-	h.loop.Post(func() { h.pool.Update(pool.Update{Whole: true}) })
+	h.loop.Post(func() { h.pool.Update(pool.Update{Complete: true}) })
 	time.AfterFunc(closeConnectionsWithin, h.loop.Quit)
 }
 
@@ -195,7 +195,7 @@
 // marker is the entry of a scope whose changes are timed: every change turns its status round, which the program logs.
 func marker(scope, address string, number int) (name string, entry coordinator.Endpoint) {
 	name = markerPrefix + scope
-	return name, coordinator.Endpoint{Name: name, Address: address, Group: markerGroup + number, Status: settings.StatusWord(statusOf(number)), SinceMs: longRunning}
+	return name, coordinator.Endpoint{Name: name, Address: address, Group: markerGroup + number, Status: settings.StatusName(statusOf(number)), SinceMs: longRunning}
 }
 
 // longRunning is the start of the dispatchers, as the list has it, in Unix milliseconds: long ago.
--- a/internal/scale/world.go
+++ b/internal/scale/world.go
@@ -25,7 +25,7 @@
 	// linksEach is how many connections to a dispatcher a controller without calls holds.
 	linksEach = 1
 	// linksOfReal is how many a real one may hold.
-	linksOfReal = dispatchers.MaxLinks
+	linksOfReal = dispatchers.MaxConnections
 )
 
 // Options say with what a scenario is played.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -72,7 +72,7 @@
 		}
 		names[c.Name] = true
 	}
-	decisions, err := f.Control()
+	decisions, err := f.ControlSettings()
 	if err != nil {
 		return err
 	}
@@ -92,16 +92,16 @@
 }
 
 var (
-	effects = map[string]control.Effect{
-		"read_like":       control.Safe,
-		"idempotency_key": control.Keyed,
-		"non_idempotent":  control.Unsafe,
+	effects = map[string]control.Idempotency{
+		"read_like":       control.Idempotent,
+		"idempotency_key": control.IdempotentByKey,
+		"non_idempotent":  control.NonIdempotent,
 	}
-	scopes = map[string]control.Scope{
-		"":     control.ScopeAll,
-		"all":  control.ScopeAll,
-		"zone": control.ScopeZone,
-		"cell": control.ScopeCell,
+	scopes = map[string]control.DedupScope{
+		"":     control.DedupAll,
+		"all":  control.DedupAll,
+		"zone": control.DedupZone,
+		"cell": control.DedupCell,
 	}
 	layouts  = map[string]control.Layout{"skills": control.Pools, "network": control.Network}
 	modes    = map[string]bool{"pushed": false, "on_request": true}
@@ -119,27 +119,27 @@
 		"idle":     control.FreeLines,
 		"circuits": control.Lines,
 		"cpu":      control.Utilisation,
-		"waiting":  control.Queue,
-		"avg_ms":   control.Wait,
-		"max_rate": control.Rate,
+		"waiting":  control.QueueLength,
+		"avg_ms":   control.QueueWait,
+		"max_rate": control.MaxRate,
 	}
 )
 
-// Control translates the settings for the decision module.
-func (f *Settings) Control() (control.Settings, error) {
+// ControlSettings translates the settings for the decision module.
+func (f *Settings) ControlSettings() (control.Settings, error) {
 	s := control.Settings{
-		Peers:        f.PeersTotal,
-		OwnCell:      f.FamilyInfo.ThisNode,
-		Tick:         micros(f.ResolutionUs),
-		ReleaseGuard: micros(f.FamilyInfo.GuardUs),
-		AnswerGrace:  micros(f.Rules.GraceToAnswerUs),
-		StartShare:   f.Rules.StartCapacity,
-		ColdFor:      micros(f.Rules.ColdUs),
-		TipMultiple:  f.Rules.TipMultiple,
-		MaxAttempts:  f.Caps.SendCap,
-		HoldOff:      f.Caps.RetryAfter,
-		MaxHoldOff:   micros(f.Caps.MaxRetryAfterUs),
-		MayCancel:    f.Caps.MayCancel,
+		Nodes:              f.PeersTotal,
+		OwnCell:            f.FamilyInfo.ThisNode,
+		Tick:               micros(f.ResolutionUs),
+		ReleaseGuard:       micros(f.FamilyInfo.GuardUs),
+		AnswerGrace:        micros(f.Rules.GraceToAnswerUs),
+		ColdCapacity:       f.Rules.StartCapacity,
+		WarmUpTime:         micros(f.Rules.ColdUs),
+		ColdOverloadFactor: f.Rules.TipMultiple,
+		MaxAttempts:        f.Caps.SendCap,
+		MayHoldOff:         f.Caps.RetryAfter,
+		MaxHoldOff:         micros(f.Caps.MaxRetryAfterUs),
+		MayCancel:          f.Caps.MayCancel,
 	}
 	var err error
 	if s.Layout, err = word("layout", f.FamilyInfo.Layout, layouts); err != nil {
@@ -152,21 +152,21 @@
 		if w, ok := words[name]; ok {
 			name = w
 		}
-		s.Report = append(s.Report, figures[name])
+		s.ReportFields = append(s.ReportFields, figures[name])
 	}
 	for k, c := range f.RequestClasses {
 		class := control.Class{
-			Name:      c.Name,
-			Aim:       micros(c.AimUs),
-			Deadline:  micros(c.DeadlineUs),
-			Worth:     c.Worth,
-			LateShare: c.LateValue,
-			Window:    micros(c.WindowUs),
+			Name:        c.Name,
+			Aim:         micros(c.AimUs),
+			Deadline:    micros(c.DeadlineUs),
+			Worth:       c.Worth,
+			LateShare:   c.LateValue,
+			DedupWindow: micros(c.WindowUs),
 		}
-		if class.Effect, err = word("semantics", c.Semantics, effects); err != nil {
+		if class.Idempotency, err = word("semantics", c.Semantics, effects); err != nil {
 			return s, err
 		}
-		if class.Scope, err = word("group", c.Group, scopes); err != nil {
+		if class.DedupScope, err = word("group", c.Group, scopes); err != nil {
 			return s, err
 		}
 		if k < len(f.FamilyInfo.AllowedPools) {
@@ -177,8 +177,8 @@
 	return s, nil
 }
 
-// Report puts named figures into the order of the settings.
-func Report(stats map[string]float64, fields []string) []float64 {
+// OrderReport puts named figures into the order of the settings.
+func OrderReport(stats map[string]float64, fields []string) []float64 {
 	if len(stats) == 0 {
 		return nil
 	}
@@ -214,11 +214,11 @@
 			stats[name] = v
 		}
 	}
-	return Report(stats, fields)
+	return OrderReport(stats, fields)
 }
 
-// Status translates the state of a server, in the words that the bench and the register share.
-func Status(name string) (control.ServerStatus, error) {
+// ParseStatus translates the state of a server, in the words that the bench and the register share.
+func ParseStatus(name string) (control.ServerStatus, error) {
 	status, ok := statuses[name]
 	if !ok {
 		return 0, fmt.Errorf("unknown status %q", name)
@@ -226,8 +226,8 @@
 	return status, nil
 }
 
-// StatusWord is the word for the state of a server.
-func StatusWord(status control.ServerStatus) string {
+// StatusName is the word for the state of a server.
+func StatusName(status control.ServerStatus) string {
 	for word, s := range statuses {
 		if s == status {
 			return word
--- a/internal/takeover/call.go
+++ b/internal/takeover/call.go
@@ -59,12 +59,12 @@
 }
 
 // Book returns the state of the call, replayed from its events.
-func (c *Call) Book() *recovery.Book {
-	b := recovery.NewBook()
+func (c *Call) Book() *recovery.CallTable {
+	b := recovery.NewCallTable()
 	for _, e := range c.Events {
 		b.Apply(e)
 	}
-	b.Alive(time.Duration(c.LastUs) * time.Microsecond)
+	b.MarkAlive(time.Duration(c.LastUs) * time.Microsecond)
 	return b
 }
 
--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -85,7 +85,7 @@
 			r.recordFailure(r.files.Remove(path))
 		}
 	}
-	r.options.Post(func() { r.core.Arrived(c, cause) })
+	r.options.Post(func() { r.core.CallReceived(c, cause) })
 }
 
 // recoverInbox delivers the calls in the own inbox that the core does not know of: an earlier process of this name claimed them.
--- a/internal/takeover/lookup.go
+++ b/internal/takeover/lookup.go
@@ -47,7 +47,7 @@
 		case outcome != decide.LookupPending:
 			r.endLookup(id)
 			r.updateStatus(func(s *Shown) { s.Unknown++ })
-			r.options.Post(func() { r.core.Missing(id, outcome == decide.LookupImpossible) })
+			r.options.Post(func() { r.core.CallNotFound(id, outcome == decide.LookupImpossible) })
 		case queriedAt.IsZero() || r.queryLost(id):
 			r.query(id, l.token)
 		}
@@ -72,7 +72,7 @@
 		if err != nil {
 			return time.Time{}
 		}
-		if held, err := ledger.Held(filepath.Join(r.options.Ledgers, name)); err != nil || !held {
+		if held, err := ledger.IsLocked(filepath.Join(r.options.Ledgers, name)); err != nil || !held {
 			return time.Time{} // it is about to be sealed
 		}
 		if at := info.ModTime(); i == 0 || at.Before(earliest) {
--- a/internal/takeover/queries.go
+++ b/internal/takeover/queries.go
@@ -62,7 +62,7 @@
 		return
 	}
 	r.options.Post(func() {
-		r.core.Wanted(queries)
+		r.core.TransferRequested(queries)
 		r.queriesDelivered.Store(true) // set on the event loop: one that is blocked has not answered
 	})
 }
--- a/internal/takeover/queries_test.go
+++ b/internal/takeover/queries_test.go
@@ -34,7 +34,7 @@
 	site := t.TempDir()
 	a, _ := controller(t, site, "a", nil, "01")
 	query := filepath.Join(site, decide.QueriesDir, "01")
-	if err := os.WriteFile(query, []byte(hex.EncodeToString(recovery.Hash("t"))), 0o600); err != nil {
+	if err := os.WriteFile(query, []byte(hex.EncodeToString(recovery.HashToken("t"))), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	a.heard(t, "given 01")                     // to nobody
@@ -50,7 +50,7 @@
 	controller(t, site, "a", nil)
 	b, _ := controller(t, site, "bb", nil)
 	query := filepath.Join(site, decide.QueriesDir, "03")
-	b.room.Want("03", recovery.Hash("t"))
+	b.room.Lookup("03", recovery.HashToken("t"))
 	awaitFile(t, query, true)
 	if err := os.Remove(query); err != nil {
 		t.Fatal(err)
--- a/internal/takeover/read.go
+++ b/internal/takeover/read.go
@@ -23,11 +23,11 @@
 		}
 		for _, c := range book.Calls() {
 			events := c.Events()
-			forgotten := c.State >= recovery.Answered && book.Last()-c.At > recovery.Remember
+			forgotten := c.State >= recovery.StateRejected && book.LastAlive()-c.LastEventAt > recovery.RetentionPeriod
 			if forgotten || len(events) == 0 {
 				continue
 			}
-			text, err := encode(&Call{Events: events, LastUs: book.Last().Microseconds(), MayLive: ownerMayLive}, r.options.Key)
+			text, err := encode(&Call{Events: events, LastUs: book.LastAlive().Microseconds(), MayLive: ownerMayLive}, r.options.Key)
 			if err != nil {
 				return nil, err
 			}
@@ -38,8 +38,8 @@
 }
 
 // replay reads the records of a ledger into a book. Damage is logged.
-func (r *Room) replay(dir string) (*recovery.Book, error) {
-	d, err := ledger.ReadOnly(filepath.Join(r.options.Ledgers, dir))
+func (r *Room) replay(dir string) (*recovery.CallTable, error) {
+	d, err := ledger.OpenReadOnly(filepath.Join(r.options.Ledgers, dir))
 	if err != nil {
 		return nil, wrap(err)
 	}
@@ -47,7 +47,7 @@
 	if err := errors.Join(err, d.Close()); err != nil {
 		return nil, err //nolint:wrapcheck // its error names the path
 	}
-	book, unreadable := recovery.Read(found.Records, found.Gaps)
+	book, unreadable := recovery.Replay(found.Records, found.Gaps)
 	if unreadable != nil {
 		found.Damage = append(found.Damage, unreadable.Error())
 	}
--- a/internal/takeover/room.go
+++ b/internal/takeover/room.go
@@ -24,16 +24,16 @@
 
 // Core receives the results of the room, on its event loop.
 type Core interface {
-	// Arrived delivers a claimed call, and the cause of its end if a dispatcher has reported that already (-1 if not).
-	Arrived(c *Call, over int)
-	// Missing reports that a call asked for with Want cannot be found; cut means that no controller can hold it.
-	Missing(id string, cut bool)
-	// Elsewhere delivers ends of calls that dispatchers reported to other controllers; it returns the ids of the calls held here.
-	Elsewhere(ends map[string]int) (mine []string)
-	// Wanted delivers the calls that callers ask other controllers for.
-	Wanted(calls map[string]Query)
-	// Given reports that the file of a call passed to Give is written: the call may be removed from the own ledger.
-	Given(id string)
+	// CallReceived delivers a claimed call, and the cause of its end if a dispatcher has reported that already (-1 if not).
+	CallReceived(c *Call, over int)
+	// CallNotFound reports that a call asked for with Want cannot be found; cut means that no controller can hold it.
+	CallNotFound(id string, cut bool)
+	// ApplyRemoteEnds delivers ends of calls that dispatchers reported to other controllers; it returns the ids of the calls held here.
+	ApplyRemoteEnds(ends map[string]int) (mine []string)
+	// TransferRequested delivers the calls that callers ask other controllers for.
+	TransferRequested(calls map[string]Query)
+	// TransferWritten reports that the file of a call passed to Give is written: the call may be removed from the own ledger.
+	TransferWritten(id string)
 }
 
 // Options configure a Room.
@@ -46,7 +46,7 @@
 	Still   func() error  // whether the own ledger still belongs to this process
 	Taken   func(error)   // called when it does not: this process must drop all its calls
 	// Certain returns the incarnation under which this process holds its lease, if it is certain to; nil without a fleet.
-	Certain func() (decide.Life, bool)
+	Certain func() (decide.IncarnationID, bool)
 	Fleet   decide.Membership
 }
 
@@ -76,7 +76,7 @@
 	// Used by the scanning goroutine only.
 	owners       *decide.FailureDetector // of the owners of ledgers
 	claimants    *decide.FailureDetector // of the claimants of sealed ledgers
-	incarnation  decide.Life             // as written to OwnerName
+	incarnation  decide.IncarnationID    // as written to OwnerName
 	certainSince time.Duration
 	inbox        map[string]bool                       // calls in the own inbox that the core knows of
 	unpackedAt   map[decide.SealedLedger]time.Duration // of the own sealed ledgers with unclaimed calls
@@ -138,8 +138,8 @@
 	return decide.SealedLedger{Name: r.options.Name, Number: transferNumber, Claimant: r.options.Name}
 }
 
-// Want starts the lookup of a call for a caller that came back with a token. It returns false if too many lookups are pending.
-func (r *Room) Want(id string, token []byte) bool {
+// Lookup starts the lookup of a call for a caller that came back with a token. It returns false if too many lookups are pending.
+func (r *Room) Lookup(id string, token []byte) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, pending := r.lookups[id]; !pending {
@@ -152,16 +152,16 @@
 	return true
 }
 
-// Kept reports that claimed calls are persisted in the own ledger.
-func (r *Room) Kept(ids ...string) {
+// Persisted reports that claimed calls are persisted in the own ledger.
+func (r *Room) Persisted(ids ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.persisted = append(r.persisted, ids...)
 	r.scanSoon()
 }
 
-// Ended reports the end of a call that is not held here.
-func (r *Room) Ended(id string, cause int) {
+// Terminated reports the end of a call that is not held here.
+func (r *Room) Terminated(id string, cause int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.terminations) < maxLookups {
@@ -170,8 +170,8 @@
 	r.scanSoon()
 }
 
-// Give starts the transfer of a call to another controller. Core.Given follows once the call's file is written.
-func (r *Room) Give(c *Call) error {
+// Transfer starts the transfer of a call to another controller. Core.TransferWritten follows once the call's file is written.
+func (r *Room) Transfer(c *Call) error {
 	text, err := encode(c, r.options.Key)
 	if err != nil {
 		return err
@@ -183,8 +183,8 @@
 	return nil
 }
 
-// Gone reports that transferred calls are removed from the own ledger: other controllers may claim them.
-func (r *Room) Gone(ids ...string) {
+// Transferred reports that transferred calls are removed from the own ledger: other controllers may claim them.
+func (r *Room) Transferred(ids ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.released = append(r.released, ids...)
--- a/internal/takeover/room_test.go
+++ b/internal/takeover/room_test.go
@@ -32,12 +32,12 @@
 	c.said = append(c.said, fmt.Sprintf(format, args...))
 }
 
-func (c *core) Arrived(call *Call, over int) {
+func (c *core) CallReceived(call *Call, over int) {
 	c.say("arrived %s %d may live %v", call.ID(), over, call.MayLive)
-	c.room.Kept(call.ID())
+	c.room.Persisted(call.ID())
 }
-func (c *core) Missing(id string, cut bool) { c.say("missing %s cut %v", id, cut) }
-func (c *core) Elsewhere(ends map[string]int) (mine []string) {
+func (c *core) CallNotFound(id string, cut bool) { c.say("missing %s cut %v", id, cut) }
+func (c *core) ApplyRemoteEnds(ends map[string]int) (mine []string) {
 	for id, cause := range ends {
 		if c.has[id] {
 			c.say("elsewhere %s %d", id, cause)
@@ -46,18 +46,18 @@
 	}
 	return mine
 }
-func (c *core) Wanted(calls map[string]Query) {
+func (c *core) TransferRequested(calls map[string]Query) {
 	for id := range calls {
 		if c.has[id] {
 			delete(c.has, id)
 			c.say("wanted %s", id)
-			if err := c.room.Give(&Call{Events: events(id)}); err != nil {
+			if err := c.room.Transfer(&Call{Events: events(id)}); err != nil {
 				c.say("%v", err)
 			}
 		}
 	}
 }
-func (c *core) Given(id string) { c.say("given %s", id); c.room.Gone(id) }
+func (c *core) TransferWritten(id string) { c.say("given %s", id); c.room.Transferred(id) }
 
 // words returns all reports to some cores.
 func words(cores ...*core) (all []string) {
@@ -83,18 +83,18 @@
 
 func events(id string) []recovery.Event {
 	now := time.Now().UnixMicro()
-	return []recovery.Event{{Kind: recovery.Took, ID: id, AtUs: now, DeadlineUs: now + 9e6, Class: "c", Token: recovery.Hash("a token of a caller")}}
+	return []recovery.Event{{Kind: recovery.KindAccepted, ID: id, AtUs: now, DeadlineUs: now + 9e6, Class: "c", Token: recovery.HashToken("a token of a caller")}}
 }
 
 // owner opens a ledger with some calls.
 func owner(t *testing.T, site, name string, ids ...string) (ledger.Disk, *ledger.Ledger) {
 	t.Helper()
-	d, err := ledger.Directory(filepath.Join(site, name))
+	d, err := ledger.OpenDirectory(filepath.Join(site, name))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := ledger.New(d, ledger.Options{Name: name, Look: func() error { return ledger.Still(d) }}, nil)
-	if err := l.BeginAndWait(nil, patience); err != nil {
+	l := ledger.New(d, ledger.Options{Name: name, AfterWrite: func() error { return ledger.VerifyPath(d) }}, nil)
+	if err := l.BeginEpochAndWait(nil, patience); err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range ids {
@@ -125,8 +125,10 @@
 	}()
 	ready := make(chan struct{})
 	room, err := Open(c, Options{Ledgers: site, Name: name, Lease: time.Second, Fleet: fleet, Post: func(f func()) { <-ready; posts <- f },
-		Still: func() error { return ledger.Still(d) }, Taken: func(err error) { c.say("taken %v", errors.Is(err, ledger.ErrTaken)) },
-		Certain: func() (decide.Life, bool) { return decide.Life{Store: 1, Incarnation: int64(len(name))}, true }}, slog.New(slog.DiscardHandler))
+		Still: func() error { return ledger.VerifyPath(d) }, Taken: func(err error) { c.say("taken %v", errors.Is(err, ledger.ErrSealed)) },
+		Certain: func() (decide.IncarnationID, bool) {
+			return decide.IncarnationID{Store: 1, Number: int64(len(name))}, true
+		}}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -146,14 +148,14 @@
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	b.room.Want("01", recovery.Hash("t"))
+	b.room.Lookup("01", recovery.HashToken("t"))
 	b.heard(t, "arrived 01 -1 may live false")
-	a.room.Ended("02", 41) // told here, of a call that nobody has yet
+	a.room.Terminated("02", 41) // told here, of a call that nobody has yet
 	heard(t, "arrived 02 41 may live false", a, b)
 	if left := a.room.Show().Left + b.room.Show().Left; left != 1 {
 		t.Errorf("%d calls were left over", left)
 	}
-	b.room.Want("03", recovery.Hash("t"))
+	b.room.Lookup("03", recovery.HashToken("t"))
 	b.heard(t, "missing 03 cut false")
 	for begun := time.Now(); ; time.Sleep(time.Millisecond) {
 		sealed, _ := filepath.Glob(filepath.Join(site, decide.SealedDir, "lost@*"))
@@ -170,7 +172,7 @@
 // ended is a membership in which some incarnations have ended, by name.
 type ended map[string]int64
 
-func (e ended) HasEnded(name string, l decide.Life) bool { return e[name] == l.Incarnation }
+func (e ended) HasEnded(name string, l decide.IncarnationID) bool { return e[name] == l.Number }
 
 // TestSealsLedgerOfEndedMember: the ledger of a live owner is sealed once its incarnation has ended; its next commit fails and its room stops.
 func TestSealsLedgerOfEndedMember(t *testing.T) {
@@ -178,10 +180,10 @@
 	site := t.TempDir()
 	lost, l := controller(t, site, "lost", nil, "01")
 	a, _ := controller(t, site, "a", ended{"lost": 4})
-	a.room.Want("01", recovery.Hash("t"))
+	a.room.Lookup("01", recovery.HashToken("t"))
 	a.heard(t, "arrived 01 -1 may live true")
 	lost.heard(t, "taken true")
-	if err := errors.Join(l.Append([]byte("x")), l.Commit()); !errors.Is(err, ledger.ErrTaken) {
+	if err := errors.Join(l.Append([]byte("x")), l.Commit()); !errors.Is(err, ledger.ErrSealed) {
 		t.Errorf("a commit after that: %v", err)
 	}
 }
@@ -192,10 +194,10 @@
 	site := t.TempDir()
 	a, _ := controller(t, site, "a", nil, "01", "02")
 	b, _ := controller(t, site, "bb", nil)
-	b.room.Want("01", recovery.Hash("t"))
+	b.room.Lookup("01", recovery.HashToken("t"))
 	a.heard(t, "given 01")
 	b.heard(t, "arrived 01 -1 may live false")
-	b.room.Ended("02", 16)
+	b.room.Terminated("02", 16)
 	a.heard(t, "elsewhere 02 16")
 }
 
--- a/internal/takeover/scan.go
+++ b/internal/takeover/scan.go
@@ -31,7 +31,7 @@
 		}
 		begun := time.Now()
 		if err := r.options.Still(); err != nil {
-			if errors.Is(err, ledger.ErrTaken) {
+			if errors.Is(err, ledger.ErrSealed) {
 				r.options.Taken(err)
 				return
 			}
--- a/internal/takeover/seal.go
+++ b/internal/takeover/seal.go
@@ -47,7 +47,7 @@
 func (r *Room) observe(name string) decide.Observation {
 	o := decide.Observation{Name: name}
 	var err error
-	if o.Locked, err = ledger.Held(filepath.Join(r.options.Ledgers, name)); err != nil {
+	if o.Locked, err = ledger.IsLocked(filepath.Join(r.options.Ledgers, name)); err != nil {
 		r.recordFailure(err)
 		o.Locked = true // nothing is known of it
 	}
@@ -70,13 +70,13 @@
 // noMembership knows of no incarnation that has ended.
 type noMembership struct{}
 
-func (noMembership) HasEnded(string, decide.Life) bool { return false }
+func (noMembership) HasEnded(string, decide.IncarnationID) bool { return false }
 
 // membership is the fleet's, once this process has held its lease for long enough.
 func (r *Room) membership() decide.Membership {
 	// A store that was lost for long has ended everybody's lease: the first process to return must not seal the ledgers of others that
 	// are about to return.
-	if r.options.Fleet == nil || r.incarnation == (decide.Life{}) || r.now()-r.certainSince < settledLeases*r.options.Lease {
+	if r.options.Fleet == nil || r.incarnation == (decide.IncarnationID{}) || r.now()-r.certainSince < settledLeases*r.options.Lease {
 		return noMembership{}
 	}
 	return r.options.Fleet
--- a/internal/takeover/terminations.go
+++ b/internal/takeover/terminations.go
@@ -10,7 +10,7 @@
 )
 
 // terminationTTL is how long a termination file is kept for the holder of the call: as long as a call that has ended is remembered.
-const terminationTTL = recovery.Remember
+const terminationTTL = recovery.RetentionPeriod
 
 // exchangeTerminations publishes the ends reported here of calls that other controllers hold, and delivers those that they published.
 func (r *Room) exchangeTerminations() {
@@ -18,7 +18,7 @@
 	r.expireTerminations()
 	if published := r.readTerminations(); len(published) > 0 {
 		r.options.Post(func() {
-			if held := r.core.Elsewhere(published); len(held) > 0 {
+			if held := r.core.ApplyRemoteEnds(published); len(held) > 0 {
 				go r.removeTerminations(held) // the event loop does no I/O
 			}
 		})
--- a/internal/takeover/transfer.go
+++ b/internal/takeover/transfer.go
@@ -18,7 +18,7 @@
 			r.recordFailure(err)
 			continue
 		}
-		r.options.Post(func() { r.core.Given(id) })
+		r.options.Post(func() { r.core.TransferWritten(id) })
 	}
 	for _, id := range released {
 		r.recordFailure(decide.TransferCall(r.files, r.transferLedger(), id))
--- a/internal/wire/serve.go
+++ b/internal/wire/serve.go
@@ -95,7 +95,7 @@
 	for _, m := range b.News {
 		switch {
 		case m.DefineList != nil:
-			entries, err := Entries(m.DefineList.Rows)
+			entries, err := ServerEntries(m.DefineList.Rows)
 			if err != nil {
 				return nil, err
 			}
@@ -104,7 +104,7 @@
 			drop(m.Init.I)
 			inst, err := start(m.Init)
 			if err != nil {
-				output = append(output, Fault(m.Init.I, err.Error()))
+				output = append(output, EncodeFault(m.Init.I, err.Error()))
 				continue
 			}
 			h.instances[m.Init.I] = inst
@@ -143,17 +143,17 @@
 	case m.Accept != nil:
 		name = m.Accept.I
 		if inst := h.instances[name]; inst != nil {
-			e, err = m.Accept.Offered(inst.classes)
+			e, err = m.Accept.CallOffered(inst.classes)
 		}
 	case m.Returned != nil:
 		name = m.Returned.I
-		e, err = m.Returned.Ended(fields(name))
+		e, err = m.Returned.AttemptEnded(fields(name))
 	case m.PingResult != nil:
 		name = m.PingResult.I
-		e, err = m.PingResult.Received(fields(name))
+		e, err = m.PingResult.ReportReceived(fields(name))
 	case m.AckFirst != nil:
 		name = m.AckFirst.I
-		e = m.AckFirst.Stands()
+		e = m.AckFirst.CallStands()
 	case m.Gone != nil:
 		name = m.Gone.I
 		e = control.CallerLeft{ID: control.CallID(m.Gone.RequestID)}
@@ -183,7 +183,7 @@
 }
 
 func start(m *Init) (*instance, error) {
-	decisions, err := m.Facts.Control()
+	decisions, err := m.Facts.ControlSettings()
 	if err != nil {
 		return nil, err
 	}
@@ -202,7 +202,7 @@
 func (inst *instance) step(name string, now time.Duration, events []control.Event) (output []map[string]any) {
 	defer func() {
 		if r := recover(); r != nil {
-			output = []map[string]any{Fault(name, fmt.Sprint("panic: ", r))}
+			output = []map[string]any{EncodeFault(name, fmt.Sprint("panic: ", r))}
 		}
 	}()
 	for _, a := range inst.module.Step(now, events) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -227,11 +227,11 @@
 	7: control.NotSent,
 }
 
-// Entries translates the rows of a list.
-func Entries(rows []Row) ([]control.ServerEntry, error) {
+// ServerEntries translates the rows of a list.
+func ServerEntries(rows []Row) ([]control.ServerEntry, error) {
 	entries := make([]control.ServerEntry, 0, len(rows))
 	for _, r := range rows {
-		status, err := settings.Status(r.Status)
+		status, err := settings.ParseStatus(r.Status)
 		if err != nil {
 			return nil, fmt.Errorf("list: server %q: %w", r.Server, err)
 		}
@@ -244,8 +244,8 @@
 	return entries, nil
 }
 
-// Offered translates a call; classes are the names of the classes in order.
-func (a *Accept) Offered(classes []string) (control.CallOffered, error) {
+// CallOffered translates a call; classes are the names of the classes in order.
+func (a *Accept) CallOffered(classes []string) (control.CallOffered, error) {
 	for k, name := range classes {
 		if name == a.Type {
 			return control.CallOffered{
@@ -270,31 +270,31 @@
 	return o, nil
 }
 
-// Ended translates an outcome.
-func (r *Returned) Ended(fields []string) (control.AttemptEnded, error) {
+// AttemptEnded translates an outcome.
+func (r *Returned) AttemptEnded(fields []string) (control.AttemptEnded, error) {
 	o, err := outcome(r.Outcome)
 	if err != nil {
 		return control.AttemptEnded{}, fmt.Errorf("Returned: %w", err)
 	}
 	return control.AttemptEnded{
 		ID: control.CallID(r.RequestID), Server: control.ServerID(r.Server), Attempt: r.SeqNo, Outcome: o,
-		NoLine: r.Note%16 == noteNoLine, Elapsed: micros(r.RttUs), CallOver: r.Over, Report: settings.Report(r.Stats, fields),
+		NoLine: r.Note%16 == noteNoLine, Elapsed: micros(r.RttUs), CallOver: r.Over, Report: settings.OrderReport(r.Stats, fields),
 	}, nil
 }
 
-// Received translates a load report.
-func (p *PingResult) Received(fields []string) (control.ReportReceived, error) {
+// ReportReceived translates a load report.
+func (p *PingResult) ReportReceived(fields []string) (control.ReportReceived, error) {
 	o, err := outcome(p.Outcome)
 	if err != nil {
 		return control.ReportReceived{}, fmt.Errorf("PingResult: %w", err)
 	}
 	return control.ReportReceived{
-		Server: control.ServerID(p.Server), OK: o == control.Completed, Report: settings.Report(p.Stats, fields),
+		Server: control.ServerID(p.Server), OK: o == control.Completed, Report: settings.OrderReport(p.Stats, fields),
 	}, nil
 }
 
-// Stands translates the message that a call stands.
-func (a *AckFirst) Stands() control.CallStands {
+// CallStands translates the message that a call stands.
+func (a *AckFirst) CallStands() control.CallStands {
 	return control.CallStands{
 		ID: control.CallID(a.RequestID), Server: control.ServerID(a.Server), Attempt: a.SeqNo,
 		Elapsed: micros(a.RttUs),
@@ -340,12 +340,12 @@
 		name = "SayLog"
 		body["noteText"] = a.Text
 	default:
-		return Fault(instance, fmt.Sprintf("no wire form for %T", action))
+		return EncodeFault(instance, fmt.Sprintf("no wire form for %T", action))
 	}
 	return map[string]any{name: body}
 }
 
-// Fault encodes the failure of an instance's decision code.
-func Fault(instance, text string) map[string]any {
+// EncodeFault encodes the failure of an instance's decision code.
+func EncodeFault(instance, text string) map[string]any {
 	return map[string]any{"GiveIn": map[string]any{"i": instance, "noteText": text}}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -53,7 +53,7 @@
 	if err := json.Unmarshal([]byte(facts), &f); err != nil {
 		t.Fatal(err)
 	}
-	got, err := f.Control()
+	got, err := f.ControlSettings()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,22 +62,22 @@
 			{Name: "low", Aim: 1200 * time.Millisecond, Deadline: 9 * time.Second, Worth: 1, LateShare: 0.25,
 				Cells: []int{0, 1}},
 			{Name: "high", Aim: 1500 * time.Millisecond, Deadline: 9 * time.Second, Worth: 3, LateShare: 0.5,
-				Effect: control.Keyed, Scope: control.ScopeCell, Window: 5 * time.Second, Cells: []int{1}},
+				Idempotency: control.IdempotentByKey, DedupScope: control.DedupCell, DedupWindow: 5 * time.Second, Cells: []int{1}},
 		},
-		Layout:       control.Pools,
-		Peers:        4,
-		OwnCell:      -1,
-		Tick:         5 * time.Millisecond,
-		ReleaseGuard: 300 * time.Millisecond,
-		AnswerGrace:  20 * time.Millisecond,
-		StartShare:   0.3,
-		ColdFor:      15 * time.Second,
-		TipMultiple:  2,
-		MaxAttempts:  4,
-		HoldOff:      true,
-		MaxHoldOff:   2 * time.Second,
-		MayCancel:    true,
-		Report:       []control.ReportField{control.FreeLines, control.Lines, control.Utilisation, control.Unknown},
+		Layout:             control.Pools,
+		Nodes:              4,
+		OwnCell:            -1,
+		Tick:               5 * time.Millisecond,
+		ReleaseGuard:       300 * time.Millisecond,
+		AnswerGrace:        20 * time.Millisecond,
+		ColdCapacity:       0.3,
+		WarmUpTime:         15 * time.Second,
+		ColdOverloadFactor: 2,
+		MaxAttempts:        4,
+		MayHoldOff:         true,
+		MaxHoldOff:         2 * time.Second,
+		MayCancel:          true,
+		ReportFields:       []control.ReportField{control.FreeLines, control.Lines, control.Utilisation, control.UnknownField},
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
