--- a/internal/decide/recovery/event.go
+++ b/internal/decide/recovery/event.go
@@ -1,5 +1,6 @@
-// Package recovery decides what becomes of calls when a controller restarts after it was killed. A Book replays the logged events into calls;
-// its Plan decides on each. There is no I/O here, and the clock is an argument: Unix time, as a duration since 1970.
+// Package recovery decides how a controller that restarts after a crash continues the calls of the previous process. A CallTable replays
+// the logged events into calls, and its Plan method decides on each call. The package does no I/O, and the current time is an argument: Unix
+// time, as a duration since 1970.
 package recovery
 
 import (
@@ -12,7 +13,7 @@
 // Kind is the kind of an event.
 type Kind uint8
 
-// The kinds. Their numbers are on disk: new ones may be added, none may be reused.
+// The kinds of events. Their numbers are stored on disk: new ones may be added, but none may be changed or reused.
 const (
 	KindAccepted      Kind = 1 // a set-up was accepted: its caller waits for a final answer
 	KindAttemptSent   Kind = 2 // an attempt was sent
@@ -20,7 +21,7 @@
 	KindEstablished   Kind = 4 // the call was established
 	KindRejected      Kind = 5 // the call was rejected
 	KindTerminated    Kind = 6 // the established call was terminated
-	KindCancelled     Kind = 7 // the caller gave the set-up up: it needs no answer
+	KindCancelled     Kind = 7 // the caller cancelled the set-up: it needs no answer
 )
 
 // Event is an event of a call. Times are Unix times in microseconds.
@@ -29,35 +30,36 @@
 	ID   string `cbor:"2,keyasint"`
 	AtUs int64  `cbor:"3,keyasint"`
 
-	// Took.
+	// Fields of KindAccepted.
 	Class       string `cbor:"4,keyasint,omitempty"`
 	Called      string `cbor:"5,keyasint,omitempty"`
 	FirstCell   int    `cbor:"6,keyasint,omitempty"`
 	Redial      bool   `cbor:"7,keyasint,omitempty"`
-	Description string `cbor:"8,keyasint,omitempty"` // of the set-up; of the answer in Stood
+	Description string `cbor:"8,keyasint,omitempty"` // of the set-up; in KindEstablished, of the answer
 	DeadlineUs  int64  `cbor:"9,keyasint,omitempty"`
-	Token       []byte `cbor:"10,keyasint,omitempty"` // hash of the token that its caller can claim it with
+	Token       []byte `cbor:"10,keyasint,omitempty"` // hash of the token with which the caller can resume the call
 
-	// Sent, Back and Stood.
+	// Fields of KindAttemptSent, KindAttemptFailed and KindEstablished.
 	Attempt         int    `cbor:"11,keyasint,omitempty"`
 	Server          string `cbor:"12,keyasint,omitempty"`
 	Address         string `cbor:"13,keyasint,omitempty"`
-	ServerStartedUs int64  `cbor:"14,keyasint,omitempty"` // of the server
-	NotBeforeUs     int64  `cbor:"15,keyasint,omitempty"` // Back: no attempt before that
+	ServerStartedUs int64  `cbor:"14,keyasint,omitempty"` // start time of the server
+	NotBeforeUs     int64  `cbor:"15,keyasint,omitempty"` // in KindAttemptFailed: earliest time of the next attempt
 
-	// Final and Over.
+	// Fields of KindRejected and KindTerminated.
 	Cause     int    `cbor:"16,keyasint,omitempty"`
 	Reason    string `cbor:"17,keyasint,omitempty"`
 	HoldOffUs int64  `cbor:"18,keyasint,omitempty"`
 }
 
-// maxID and maxText bound the sizes in an event; a larger one was not written by this program.
+// maxIDLength and maxDescriptionLength are the largest sizes of an id and a description in an event, in bytes. This program writes no larger
+// ones.
 const (
-	maxID   = 64
-	maxText = 64 << 10
+	maxIDLength          = 64
+	maxDescriptionLength = 64 << 10
 )
 
-// The modes of the encoding, which is deterministic.
+// The CBOR modes. The encoding is deterministic.
 var (
 	encoder = must(cbor.CoreDetEncOptions().EncMode())
 	decoder = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 4, MaxMapPairs: 64, MaxArrayElements: 64}.DecMode())
@@ -65,31 +67,31 @@
 
 func must[T any](v T, err error) T {
 	if err != nil {
-		panic(err) // the options above are constant
+		panic(err) // cannot happen: the options above are constant
 	}
 	return v
 }
 
 // Encode encodes an event as CBOR.
 func (e *Event) Encode() ([]byte, error) {
-	text, err := encoder.Marshal(e)
+	data, err := encoder.Marshal(e)
 	if err != nil {
 		return nil, fmt.Errorf("event: %w", err)
 	}
-	return text, nil
+	return data, nil
 }
 
 // Decode decodes an event. Unknown keys are ignored; an unknown kind is an error.
-func Decode(text []byte) (Event, error) {
+func Decode(data []byte) (Event, error) {
 	var e Event
-	if err := decoder.Unmarshal(text, &e); err != nil {
+	if err := decoder.Unmarshal(data, &e); err != nil {
 		return e, fmt.Errorf("event: %w", err)
 	}
 	switch {
 	case e.Kind < KindAccepted || e.Kind > KindCancelled:
-		return e, fmt.Errorf("event of the unknown kind %d", e.Kind)
-	case e.ID == "" || len(e.ID) > maxID || len(e.Description) > maxText || e.Attempt < 0 || e.AtUs < 0 || e.DeadlineUs < 0:
-		return e, fmt.Errorf("event of kind %d that makes no sense", e.Kind)
+		return e, fmt.Errorf("event has the unknown kind %d", e.Kind)
+	case e.ID == "" || len(e.ID) > maxIDLength || len(e.Description) > maxDescriptionLength || e.Attempt < 0 || e.AtUs < 0 || e.DeadlineUs < 0:
+		return e, fmt.Errorf("event of kind %d has a missing, too long or negative field", e.Kind)
 	}
 	return e, nil
 }
