--- a/internal/decide/takeover/layout.go
+++ b/internal/decide/takeover/layout.go
@@ -6,35 +6,36 @@
 	"strings"
 )
 
-// The directories beside those of the controllers, whose names do not begin with a dot. The names on disk are fixed.
+// The directories next to those of the controllers, whose names do not begin with a dot. The names are part of the format on disk.
 const (
 	// SealedDir holds sealed ledgers.
 	SealedDir = ".sealed"
-	// TerminationsDir holds the causes of ends that were reported to controllers which do not hold the call.
+	// TerminationsDir holds the causes of the ends that dispatchers reported to controllers which do not hold the call.
 	TerminationsDir = ".ends"
-	// QueriesDir holds the ids of calls that controllers ask the others for.
+	// QueriesDir holds the ids of the calls that controllers look up at the other controllers.
 	QueriesDir = ".wanted"
-	// TrashDir holds sealed ledgers that are being deleted.
+	// TrashDir holds the sealed ledgers that are being deleted.
 	TrashDir = ".done"
 )
 
-// The directories in a ledger's.
+// The directories inside the directory of a ledger.
 const (
 	inboxDir      = "in"
 	unpackedDir   = "open"
 	unpackTempDir = "open.new"
 )
 
-// InboxDir holds the calls that a controller has claimed and not yet persisted.
+// InboxDir returns the directory of the calls that a controller has claimed and not yet persisted.
 func InboxDir(name string) string { return path.Join(name, inboxDir) }
 
-// separator parts the fields of a sealed ledger's directory name, which are escaped.
+// separator separates the escaped fields in the directory name of a sealed ledger.
 const separator = "@"
 
-// SealedLedger is the ledger of a failed controller, with the controller that claimed it. The number tells it from others of the same name.
+// SealedLedger identifies the ledger of a failed controller and the controller that claimed it. The number distinguishes it from other ledgers
+// of the same name.
 type SealedLedger struct{ Name, Number, Claimant string }
 
-// Path is its directory.
+// Path returns the directory of the sealed ledger.
 func (s SealedLedger) Path() string {
 	base := strings.Join([]string{url.QueryEscape(s.Name), s.Number, url.QueryEscape(s.Claimant)}, separator)
 	return path.Join(SealedDir, base)
@@ -42,7 +43,7 @@
 
 func (s SealedLedger) unpackedPath() string { return path.Join(s.Path(), unpackedDir) }
 
-// parseSealedName reads the name of a sealed ledger's directory.
+// parseSealedName parses the directory name of a sealed ledger.
 func parseSealedName(base string) (s SealedLedger, ok bool) {
 	parts := strings.Split(base, separator)
 	if len(parts) != 3 {
--- a/internal/decide/takeover/model_test.go
+++ b/internal/decide/takeover/model_test.go
@@ -14,13 +14,13 @@
 	"cherryrelay/internal/modelcheck"
 )
 
-// node is a file or directory. Like an open descriptor, a reference to it stays valid when it is renamed.
+// node is a file or directory. A pointer to it stays valid when it is renamed, as an open descriptor does.
 type node struct {
 	dir  map[string]*node // nil for a file
 	text string
 }
 
-func (n *node) at(p string) *node {
+func (n *node) find(p string) *node {
 	for part := range strings.SplitSeq(path.Clean(p), "/") {
 		if part == "." {
 			continue
@@ -44,25 +44,25 @@
 	return "{" + strings.Join(all, ",") + "}"
 }
 
-// stepped implements Files in memory. Each operation is one step of a process.
-type stepped struct {
+// steppedFiles implements Files in memory. Each operation is one step of a process.
+type steppedFiles struct {
 	root *node
 	t    *modelcheck.Stepper
 }
 
-func (f stepped) List(dir string) ([]string, error) {
+func (f steppedFiles) List(dir string) ([]string, error) {
 	f.t.Step()
 	var names []string
-	if n := f.root.at(dir); n != nil {
+	if n := f.root.find(dir); n != nil {
 		names = slices.Sorted(maps.Keys(n.dir))
 	}
 	f.t.Observe(names)
 	return names, nil
 }
 
-func (f stepped) Read(file string) ([]byte, error) {
+func (f steppedFiles) Read(file string) ([]byte, error) {
 	f.t.Step()
-	n := f.root.at(file)
+	n := f.root.find(file)
 	f.t.Observe(n)
 	if n == nil {
 		return nil, ErrNotFound
@@ -70,13 +70,15 @@
 	return []byte(n.text), nil
 }
 
-func (f stepped) Write(file string, text []byte) error { return f.put(file, &node{text: string(text)}) }
+func (f steppedFiles) Write(file string, data []byte) error {
+	return f.put(file, &node{text: string(data)})
+}
 
-func (f stepped) Mkdir(dir string) error { return f.put(dir, &node{dir: map[string]*node{}}) }
+func (f steppedFiles) Mkdir(dir string) error { return f.put(dir, &node{dir: map[string]*node{}}) }
 
-func (f stepped) put(p string, n *node) error {
+func (f steppedFiles) put(p string, n *node) error {
 	f.t.Step()
-	parent := f.root.at(path.Dir(p))
+	parent := f.root.find(path.Dir(p))
 	f.t.Observe(parent != nil)
 	if parent == nil {
 		return ErrNotFound
@@ -85,36 +87,36 @@
 	return nil
 }
 
-func (f stepped) Rename(from, to string) error {
+func (f steppedFiles) Rename(from, to string) error {
 	f.t.Step()
-	n, parent := f.root.at(from), f.root.at(path.Dir(to))
+	n, parent := f.root.find(from), f.root.find(path.Dir(to))
 	f.t.Observe(n != nil, parent != nil)
 	if n == nil || parent == nil {
 		return ErrNotFound
 	}
-	delete(f.root.at(path.Dir(from)).dir, path.Base(from))
+	delete(f.root.find(path.Dir(from)).dir, path.Base(from))
 	parent.dir[path.Base(to)] = n
 	return nil
 }
 
-func (f stepped) Remove(p string) error {
+func (f steppedFiles) Remove(p string) error {
 	f.t.Step()
 	f.t.Observe()
-	if parent := f.root.at(path.Dir(p)); parent != nil {
+	if parent := f.root.find(path.Dir(p)); parent != nil {
 		delete(parent.dir, path.Base(p))
 	}
 	return nil
 }
 
-// readLedger reads the one call c from the records of a ledger, or else from its inbox.
-func (f stepped) readLedger(dir string) (map[string][]byte, error) {
+// readLedger reads the call c from the records of a ledger, or from its inbox if there are none.
+func (f steppedFiles) readLedger(dir string) (map[string][]byte, error) {
 	f.t.Step()
-	n := f.root.at(dir)
+	n := f.root.find(dir)
 	if n == nil {
 		return nil, ErrNotFound
 	}
 	calls := map[string][]byte{}
-	for name, file := range n.at(inboxDir).dir {
+	for name, file := range n.find(inboxDir).dir {
 		calls[name] = []byte(file.text)
 	}
 	if records := n.dir["records"]; records != nil && records.text != "" {
@@ -129,16 +131,16 @@
 
 const (
 	noMutation             mutation = ""
-	noOwnershipCheck       mutation = "a message is sent without a check of the ownership"
-	checkBeforeWrite       mutation = "the ownership is checked before the write"
-	copiedNotMoved         mutation = "a claimed call is copied"
+	noOwnershipCheck       mutation = "a message is sent without checking the ownership"
+	checkBeforeWrite       mutation = "the ownership is checked before the message is written"
+	copiedNotMoved         mutation = "a claimed call is copied instead of moved"
 	deletedBeforePersisted mutation = "a claimed call is deleted before it is persisted"
 	unpackedInPlace        mutation = "a ledger is unpacked in place"
 	droppedBeforeWritten   mutation = "a call is dropped before its file is written"
 	claimableBeforeDropped mutation = "a call is claimable before it is dropped"
 )
 
-// scenario is a model of one call c that n1 holds, of n2 and n3 that claim it, and of the messages that each has sent about it.
+// scenario is the shared state of a model: the files, and the messages sent about the call c, which n1 holds and n2 and n3 claim.
 type scenario struct {
 	root      *node
 	mutation  mutation
@@ -146,10 +148,10 @@
 	violation error
 }
 
-// message is one about the call that a process has sent, with what the process knew to have been sent before.
+// message is a message about the call that a process has sent.
 type message struct {
 	sender, text string
-	known        string
+	known        string // all messages that the sender knew of, this one included
 }
 
 func (sc *scenario) controller(name string) *node {
@@ -158,68 +160,68 @@
 	return own
 }
 
-// sendMessage has a process write a message about the call to its ledger, check that it owns the ledger, and send it. It returns false if the
-// process does not own its ledger any more.
-func (sc *scenario) sendMessage(t *modelcheck.Stepper, name string, own *node, word string) bool {
+// sendMessage lets a process write a message about the call to its ledger, check that it still owns the ledger, and send the message. It
+// returns false if the process does not own the ledger any more.
+func (sc *scenario) sendMessage(t *modelcheck.Stepper, name string, own *node, text string) bool {
 	known := own.dir["records"].text
 	write := func() {
 		t.Step()
-		own.dir["records"].text += word
+		own.dir["records"].text += text
 		t.Observe()
 	}
 	if sc.mutation != checkBeforeWrite {
 		write()
 	}
 	t.Step()
-	mine := sc.root.at(name) == own
-	t.Observe(mine)
+	owned := sc.root.find(name) == own
+	t.Observe(owned)
 	if sc.mutation == checkBeforeWrite {
 		write()
 	}
-	if !mine && sc.mutation != noOwnershipCheck {
+	if !owned && sc.mutation != noOwnershipCheck {
 		return false
 	}
-	t.Step() // the protocol allows nothing between the check and the send but steps of other processes
+	t.Step() // between the check and the send, only other processes can make steps
 	for _, s := range sc.sent {
-		// Of two messages from different processes, the sender of one must have known the other.
-		if s.sender != name && !strings.Contains(s.known, word) && !strings.Contains(known, s.text) {
-			sc.violation = fmt.Errorf("%s sends %s, of which %s knew nothing when it sent %s", name, word, s.sender, s.text)
+		// Of two messages from different processes, the sender of one must have known the other message.
+		if s.sender != name && !strings.Contains(s.known, text) && !strings.Contains(known, s.text) {
+			sc.violation = fmt.Errorf("%s sends %s, unaware of a conflicting message of %s: %s", name, text, s.sender, s.text)
 		}
 	}
-	sc.sent = append(sc.sent, message{name, word, known + word})
+	sc.sent = append(sc.sent, message{name, text, known + text})
 	t.Observe()
 	return true
 }
 
-// claim has a process claim the call wherever it is, persist it, and continue with it.
-func (sc *scenario) claim(t *modelcheck.Stepper, name string, own *node, lost ...string) {
-	f := stepped{sc.root, t}
-	for _, l := range lost {
-		s, err := Seal(f, l, "1", name)
+// claim lets a process seal the ledgers of failed controllers, claim the call, persist it, and send a message about it.
+func (sc *scenario) claim(t *modelcheck.Stepper, name string, own *node, failed ...string) {
+	f := steppedFiles{sc.root, t}
+	for _, owner := range failed {
+		s, err := Seal(f, owner, "1", name)
 		if err == nil {
 			sc.unpack(f, s)
 		}
 	}
 	all, _ := SealedLedgers(f)
 	for _, s := range all {
-		if slices.Contains(lost, s.Claimant) {
-			if mine, err := Reclaim(f, s, name); err == nil {
-				sc.unpack(f, mine)
+		if slices.Contains(failed, s.Claimant) {
+			if reclaimed, err := Reclaim(f, s, name); err == nil {
+				sc.unpack(f, reclaimed)
 			}
 		}
 	}
-	text, s, err := FindAndClaim(f, "c", name)
+	data, s, err := FindAndClaim(f, "c", name)
 	if err != nil {
 		return
 	}
-	if sc.mutation == copiedNotMoved { // left for the next claimant, as a copy would
-		_ = f.Write(path.Join(s.unpackedPath(), "c"), text)
+	if sc.mutation == copiedNotMoved { // leaves a copy for the next claimant
+		_ = f.Write(path.Join(s.unpackedPath(), "c"), data)
 	}
 	if sc.mutation == deletedBeforePersisted {
 		_ = Acknowledge(f, "c", name)
 	}
 	t.Step()
-	own.dir["records"].text = string(text)
+	own.dir["records"].text = string(data)
 	t.Observe()
 	if sc.sendMessage(t, name, own, name+".") && sc.mutation != deletedBeforePersisted {
 		_ = Acknowledge(f, "c", name)
@@ -227,7 +229,7 @@
 }
 
 // unpack unpacks a sealed ledger.
-func (sc *scenario) unpack(f stepped, s SealedLedger) {
+func (sc *scenario) unpack(f steppedFiles, s SealedLedger) {
 	if sc.mutation == unpackedInPlace {
 		calls, _ := f.readLedger(s.Path())
 		_ = f.Mkdir(s.unpackedPath())
@@ -241,13 +243,13 @@
 
 func (sc *scenario) check() error { return sc.violation }
 
-// copies counts the places that hold the call: the records of a ledger, or a file.
+// copies returns the number of places that hold the call: the records of a ledger, or a file.
 func (sc *scenario) copies() int {
 	count := 0
 	var visit func(name string, n *node)
 	visit = func(name string, n *node) {
 		if name == unpackTempDir || name == TrashDir {
-			return // nobody reads it
+			return // no process reads it
 		}
 		if unpacked := n.dir[unpackedDir]; unpacked != nil && n.dir["records"] == nil { // a transfer ledger
 			count += len(unpacked.dir)
@@ -263,15 +265,15 @@
 			}
 			return
 		}
-		for name, in := range n.dir {
-			visit(name, in)
+		for name, child := range n.dir {
+			visit(name, child)
 		}
 	}
 	visit("", sc.root)
 	return count
 }
 
-// newScenario returns a scenario in which n1 holds the call, and the ledger of n1.
+// newScenario returns a scenario in which n1 holds the call, and the directory of n1's ledger.
 func newScenario(m mutation) (sc *scenario, own *node) {
 	dir := func() *node { return &node{dir: map[string]*node{}} }
 	sc = &scenario{root: &node{dir: map[string]*node{SealedDir: dir(), TrashDir: dir()}}, mutation: m}
@@ -280,8 +282,8 @@
 	return sc, own
 }
 
-// model returns the model of the processes, with the invariants of the protocol: no message contradicts another, and in the end the call is
-// in one place.
+// model returns the model of the processes, with the invariants of the protocol: no two processes send messages without knowledge of each
+// other's, and in the end the call is in one place.
 func (sc *scenario) model(processes ...*modelcheck.Process) modelcheck.Model {
 	return modelcheck.Model{
 		Processes: processes,
@@ -296,15 +298,15 @@
 	}
 }
 
-// newTakeoverModel is the model in which n1 sends messages while n2 and n3 take its ledger over.
-func newTakeoverModel(bad mutation, words ...string) func() modelcheck.Model {
+// newTakeoverModel returns the model in which n1 sends messages while n2 and n3 take over its ledger.
+func newTakeoverModel(m mutation, messages ...string) func() modelcheck.Model {
 	return func() modelcheck.Model {
-		sc, own := newScenario(bad)
+		sc, own := newScenario(m)
 		n2, n3 := sc.controller("n2"), sc.controller("n3")
 		return sc.model(
 			&modelcheck.Process{Name: "n1", Crashes: true, Run: func(t *modelcheck.Stepper) {
-				for _, word := range words {
-					if !sc.sendMessage(t, "n1", own, word) {
+				for _, text := range messages {
+					if !sc.sendMessage(t, "n1", own, text) {
 						return
 					}
 				}
@@ -315,8 +317,8 @@
 	}
 }
 
-// TestTakeoverModel: an owner that sends messages, a controller that takes over its ledger and one that takes over those of both, in every
-// interleaving, with one crash: each knows the messages of the earlier ones, and in the end the call is in one place.
+// TestTakeoverModel checks the takeover in every interleaving, with one crash: an owner sends messages, a second controller takes over its
+// ledger, and a third one takes over those of both. Each must know the messages of the earlier ones, and in the end the call is in one place.
 func TestTakeoverModel(t *testing.T) { searchTakeover(t, 1, "a.") }
 
 // TestSoakTakeoverModel is TestTakeoverModel with two crashes and two messages of the owner.
@@ -327,31 +329,31 @@
 	searchTakeover(t, 2, "a.", "b.")
 }
 
-func searchTakeover(t *testing.T, crashes int, words ...string) {
-	r, err := modelcheck.Explore(newTakeoverModel(noMutation, words...), modelcheck.Bounds{Crashes: crashes})
+func searchTakeover(t *testing.T, crashes int, messages ...string) {
+	r, err := modelcheck.Explore(newTakeoverModel(noMutation, messages...), modelcheck.Bounds{Crashes: crashes})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("%+v", r)
 	if !r.Complete || r.States < 1000 {
-		t.Errorf("searched %+v", r)
+		t.Errorf("incomplete search: %+v", r)
 	}
 }
 
-// transfer has a live owner transfer its call: its file is written, the ledger drops it, and then it is claimable.
+// transfer lets a live owner transfer its call: it writes the call's file, drops the call from its ledger, and then makes it claimable.
 func (sc *scenario) transfer(t *modelcheck.Stepper, name string, own *node) {
-	f := stepped{sc.root, t}
+	f := steppedFiles{sc.root, t}
 	ledger := SealedLedger{name, "handed", name}
 	if !sc.sendMessage(t, name, own, "a.") {
 		return
 	}
-	drop := func() bool { // written, and looked at, as every turn of the ledger is
+	drop := func() bool { // a commit, and the check of the ownership after it
 		t.Step()
 		own.dir["records"].text = ""
 		t.Step()
-		mine := sc.root.at(name) == own
-		t.Observe(mine)
-		return mine
+		owned := sc.root.find(name) == own
+		t.Observe(owned)
+		return owned
 	}
 	text := own.dir["records"].text
 	if sc.mutation == droppedBeforeWritten && !drop() {
@@ -371,12 +373,12 @@
 	}
 }
 
-// newTransferModel is the model in which n1 transfers its call, n2 claims it, and n3 takes over what n1 holds.
-func newTransferModel(bad mutation) func() modelcheck.Model {
+// newTransferModel returns the model in which n1 transfers its call, n2 claims it, and n3 takes over the ledgers of n1.
+func newTransferModel(m mutation) func() modelcheck.Model {
 	return func() modelcheck.Model {
-		sc, own := newScenario(bad)
+		sc, own := newScenario(m)
 		n2, n3 := sc.controller("n2"), sc.controller("n3")
-		sc.root.at(SealedDir).dir[path.Base(SealedLedger{"n1", "handed", "n1"}.Path())] = &node{dir: map[string]*node{unpackedDir: {dir: map[string]*node{}}}}
+		sc.root.find(SealedDir).dir[path.Base(SealedLedger{"n1", "handed", "n1"}.Path())] = &node{dir: map[string]*node{unpackedDir: {dir: map[string]*node{}}}}
 		return sc.model(
 			&modelcheck.Process{Name: "n1", Crashes: true, Run: func(t *modelcheck.Stepper) { sc.transfer(t, "n1", own) }},
 			&modelcheck.Process{Name: "n2", Crashes: true, Run: func(t *modelcheck.Stepper) { sc.claim(t, "n2", n2) }},
@@ -385,42 +387,43 @@
 	}
 }
 
-// TestTransferModel: in every interleaving, with one crash, a transferred call is in one place in the end.
+// TestTransferModel checks in every interleaving, with one crash, that a transferred call is in one place in the end. The model checker must
+// find a violation for each mutation of the transfer.
 func TestTransferModel(t *testing.T) {
 	r, err := modelcheck.Explore(newTransferModel(noMutation), modelcheck.Bounds{Crashes: 1})
 	if err != nil || !r.Complete {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	t.Logf("%+v", r)
-	for _, bad := range []mutation{droppedBeforeWritten, claimableBeforeDropped} {
-		if r, err := modelcheck.Explore(newTransferModel(bad), modelcheck.Bounds{Crashes: 1}); err == nil {
-			t.Errorf("%s: not found in %+v", bad, r)
+	for _, m := range []mutation{droppedBeforeWritten, claimableBeforeDropped} {
+		if r, err := modelcheck.Explore(newTransferModel(m), modelcheck.Bounds{Crashes: 1}); err == nil {
+			t.Errorf("%s: not found in %+v", m, r)
 		} else {
-			t.Logf("%s: %v", bad, err)
+			t.Logf("%s: %v", m, err)
 		}
 	}
 }
 
-// TestMutationsAreFound: the model checker finds a violation for each mutation of the takeover.
+// TestMutationsAreFound checks that the model checker finds a violation for each mutation of the takeover.
 func TestMutationsAreFound(t *testing.T) {
-	for _, bad := range []mutation{noOwnershipCheck, checkBeforeWrite, copiedNotMoved, deletedBeforePersisted, unpackedInPlace} {
+	for _, m := range []mutation{noOwnershipCheck, checkBeforeWrite, copiedNotMoved, deletedBeforePersisted, unpackedInPlace} {
 		var f *modelcheck.Violation
-		if r, err := modelcheck.Explore(newTakeoverModel(bad, "a.", "b."), modelcheck.Bounds{Crashes: 1}); !errors.As(err, &f) {
-			t.Errorf("%s: not found in %+v: %v", bad, r, err)
+		if r, err := modelcheck.Explore(newTakeoverModel(m, "a.", "b."), modelcheck.Bounds{Crashes: 1}); !errors.As(err, &f) {
+			t.Errorf("%s: not found in %+v: %v", m, r, err)
 		} else {
-			t.Logf("%s: %v", bad, f)
+			t.Logf("%s: %v", m, f)
 		}
 	}
 }
 
-// TestSealedLedgerNames: the directory name of a sealed ledger is parsed back, whatever the controllers' names.
+// TestSealedLedgerNames checks that the directory name of a sealed ledger is parsed back, whatever the names of the controllers are.
 func TestSealedLedgerNames(t *testing.T) {
 	for _, s := range []SealedLedger{{"n1", "7", "n2"}, {"a@b", "00c", "d e%"}, {"ü", "1", "@"}} {
 		if got, ok := parseSealedName(path.Base(s.Path())); !ok || got != s {
-			t.Errorf("%+v is read as %+v", s, got)
+			t.Errorf("%+v is parsed as %+v", s, got)
 		}
 	}
 	if _, ok := parseSealedName("n1@2"); ok || bytes.Contains([]byte(SealedLedger{"a", "1", "b@"}.Path()), []byte("b@")) {
-		t.Error("a name is taken apart wrongly")
+		t.Error("an invalid name is parsed, or a name is not escaped")
 	}
 }
--- a/internal/decide/takeover/protocol.go
+++ b/internal/decide/takeover/protocol.go
@@ -1,6 +1,6 @@
-// Package takeover decides how the calls of a failed controller pass to others: the protocol on the directory that all controllers of a site
-// share, and its timing. It does no I/O: the files are behind an interface, and the clock is an argument.
-// docs/takeover.md has the argument for its correctness; the model checker in the tests runs this very code.
+// Package takeover implements the protocol by which other controllers take over the calls of a failed one, and its timing. The protocol works
+// on a directory that all controllers of a site share. The package does no I/O: the files are behind an interface, and the current time is an
+// argument. docs/takeover.md argues why the protocol is correct; the tests run this code in a model checker.
 package takeover
 
 import (
@@ -11,25 +11,25 @@
 	"slices"
 )
 
-// Files is the directory that all controllers of a site share. Paths are relative to it. Every method is atomic to other processes, but for
-// Write and Remove, which are used where no other process reads.
+// Files is the directory that all controllers of a site share. Paths are relative to it. Every method is atomic to other processes except Write
+// and Remove, which are only used where no other process reads.
 type Files interface {
-	// List returns the sorted names in a directory; none if it does not exist.
+	// List returns the sorted names in a directory; it returns none if the directory does not exist.
 	List(dir string) ([]string, error)
 	Read(file string) ([]byte, error)
-	Write(file string, text []byte) error
-	// Mkdir makes a directory whose parent exists.
+	Write(file string, data []byte) error
+	// Mkdir creates a directory whose parent exists.
 	Mkdir(dir string) error
-	// Rename moves a file or directory. ErrNotFound says that it does not exist any more, or its new parent does not.
+	// Rename moves a file or directory. It returns ErrNotFound if that or its new parent directory does not exist.
 	Rename(from, to string) error
-	// Remove removes a file, or a directory with its content; it is no error if there is none.
+	// Remove removes a file, or a directory with its content. It returns no error if the path does not exist.
 	Remove(path string) error
 }
 
-// ErrNotFound is the error of a file or directory that does not exist: another process has claimed it.
-var ErrNotFound = errors.New("takeover: it is not there any more")
+// ErrNotFound is returned for a file or directory that does not exist, usually because another process has claimed it.
+var ErrNotFound = errors.New("takeover: the file or directory does not exist")
 
-// CreateSharedDirs makes the directories beside those of the controllers.
+// CreateSharedDirs creates the directories next to those of the controllers.
 func CreateSharedDirs(f Files) error {
 	for _, dir := range []string{SealedDir, TerminationsDir, QueriesDir, TrashDir} {
 		if err := ensureDir(f, dir); err != nil {
@@ -39,22 +39,22 @@
 	return nil
 }
 
-// CreateInbox makes the inbox in a controller's own ledger.
+// CreateInbox creates the inbox in a controller's own ledger.
 func CreateInbox(f Files, name string) error { return ensureDir(f, InboxDir(name)) }
 
-// ensureDir makes a directory unless it exists.
+// ensureDir creates a directory unless it exists.
 func ensureDir(f Files, dir string) error {
 	exists := func() (bool, error) {
 		names, err := f.List(path.Dir(dir))
 		return slices.Contains(names, path.Base(dir)), err //nolint:wrapcheck // the caller's Files wrap it
 	}
-	if there, err := exists(); there || err != nil {
+	if found, err := exists(); found || err != nil {
 		return err
 	}
 	err := f.Mkdir(dir)
 	if err != nil {
-		if there, _ := exists(); there {
-			return nil // another process was quicker
+		if found, _ := exists(); found {
+			return nil // another process created it first
 		}
 	}
 	return err //nolint:wrapcheck // the caller's Files wrap it
@@ -75,8 +75,8 @@
 	return all, nil
 }
 
-// Seal claims the ledger of a failed controller. From then on its owner, if it lives, sends nothing that is not in the ledger. ErrNotFound
-// says that another process has claimed it.
+// Seal claims the ledger of a failed controller. From then on the owner, if it is still running, sends no message that is not in the ledger.
+// Seal returns ErrNotFound if another process has claimed the ledger.
 func Seal(f Files, name, number, claimant string) (SealedLedger, error) {
 	s := SealedLedger{name, number, claimant}
 	return s, f.Rename(name, s.Path()) //nolint:wrapcheck // the caller's Files wrap it
@@ -87,7 +87,7 @@
 	return ReclaimAs(f, s, s.Number, claimant)
 }
 
-// ReclaimAs is Reclaim under another number.
+// ReclaimAs is like Reclaim, but gives the sealed ledger another number.
 func ReclaimAs(f Files, s SealedLedger, number, claimant string) (SealedLedger, error) {
 	reclaimed := SealedLedger{s.Name, number, claimant}
 	if reclaimed == s {
@@ -96,11 +96,11 @@
 	return reclaimed, f.Rename(s.Path(), reclaimed.Path()) //nolint:wrapcheck // the caller's Files wrap it
 }
 
-// LedgerReader reads the calls of a ledger's directory, by id, each as the content of a call's file. The records of the ledger take
-// precedence over its inbox.
+// LedgerReader reads the calls in a ledger's directory. It returns the contents of a call file for each, by call id. The records of the ledger
+// take precedence over its inbox.
 type LedgerReader func(dir string) (map[string][]byte, error)
 
-// Unpack writes the calls of a sealed ledger to files, one each, for others to claim. It is idempotent, also after a partial run.
+// Unpack writes each call of a sealed ledger to a file of its own, for any controller to claim. It is idempotent, also after a partial run.
 func Unpack(f Files, s SealedLedger, read LedgerReader) error {
 	names, err := f.List(s.Path())
 	if err != nil || slices.Contains(names, unpackedDir) {
@@ -125,8 +125,8 @@
 	return f.Rename(temp, s.unpackedPath()) //nolint:wrapcheck // the caller's Files wrap it
 }
 
-// ClaimCall moves one call to the inbox of its claimant. ErrNotFound says that it is not in this ledger, or that another process has claimed
-// it. The claimant persists the call in its own ledger before it sends anything about it, and then calls Acknowledge.
+// ClaimCall moves a call to the inbox of its claimant. It returns ErrNotFound if the call is not in this ledger or another process has claimed
+// it. The claimant must persist the call in its own ledger before it sends any message about it, and then call Acknowledge.
 func ClaimCall(f Files, s SealedLedger, id, claimant string) ([]byte, error) {
 	claimed := path.Join(InboxDir(claimant), id)
 	if err := f.Rename(path.Join(s.unpackedPath(), id), claimed); err != nil {
@@ -140,12 +140,12 @@
 	return f.Remove(path.Join(InboxDir(claimant), id)) //nolint:wrapcheck // the caller's Files wrap it
 }
 
-// ClaimedCalls returns the calls that a controller has claimed and not yet persisted.
+// ClaimedCalls returns the ids of the calls that a controller has claimed and not yet acknowledged.
 func ClaimedCalls(f Files, claimant string) ([]string, error) {
 	return f.List(InboxDir(claimant)) //nolint:wrapcheck // the caller's Files wrap it
 }
 
-// UnclaimedCalls returns the calls of a sealed ledger that nobody has claimed; unpacked is false before Unpack.
+// UnclaimedCalls returns the ids of the calls in a sealed ledger that no controller has claimed; unpacked is false before Unpack.
 func UnclaimedCalls(f Files, s SealedLedger) (ids []string, unpacked bool, err error) {
 	names, err := f.List(s.Path())
 	if err != nil || !slices.Contains(names, unpackedDir) {
@@ -155,21 +155,22 @@
 	return ids, true, err //nolint:wrapcheck // the caller's Files wrap it
 }
 
-// CreateTransferLedger makes the ledger of a live controller that holds the calls which it transfers to others: it is sealed and unpacked
-// from the start, with no call.
+// CreateTransferLedger creates the transfer ledger of a live controller, which holds the calls that it transfers to others. It is sealed and
+// unpacked from the start, and empty.
 func CreateTransferLedger(f Files, s SealedLedger) error {
 	return errors.Join(ensureDir(f, s.Path()), ensureDir(f, s.unpackedPath()))
 }
 
-// TransferCall makes a call claimable that its controller gives away. Its file is in the controller's inbox, and its own ledger has dropped
-// it. Before that the records count, afterwards the file: it is in one place at any time.
+// TransferCall makes a call of a live controller claimable by others. The call's file must be in the controller's inbox, and the controller's
+// ledger must have dropped the call already: the records take precedence before that and the file after it, so the call is in one place at any
+// time.
 func TransferCall(f Files, transfer SealedLedger, id string) error {
 	from := path.Join(InboxDir(transfer.Claimant), id)
 	return f.Rename(from, path.Join(transfer.unpackedPath(), id)) //nolint:wrapcheck // the caller's Files wrap it
 }
 
-// Delete deletes a sealed ledger whose calls are all claimed. It is for the claimant that saw it empty after Unpack: nothing is added to it
-// from then on. A call that is claimed concurrently would be lost with it.
+// Delete deletes a sealed ledger whose calls are all claimed. Only its claimant may call it, after it has seen the ledger empty after Unpack:
+// no call is added from then on. A call that was still unclaimed would be deleted with the ledger.
 func Delete(f Files, s SealedLedger) error {
 	trash := path.Join(TrashDir, path.Base(s.Path()))
 	if err := f.Rename(s.Path(), trash); err != nil {
@@ -178,16 +179,16 @@
 	return f.Remove(trash) //nolint:wrapcheck // the caller's Files wrap it
 }
 
-// FindAndClaim claims a call from whichever sealed ledger holds it; ErrNotFound says that none does.
+// FindAndClaim claims a call from the sealed ledger that holds it. It returns ErrNotFound if none does.
 func FindAndClaim(f Files, id, claimant string) ([]byte, SealedLedger, error) {
 	all, err := SealedLedgers(f)
 	if err != nil {
 		return nil, SealedLedger{}, err
 	}
 	for _, s := range all {
-		text, err := ClaimCall(f, s, id, claimant)
+		data, err := ClaimCall(f, s, id, claimant)
 		if err == nil || !errors.Is(err, ErrNotFound) {
-			return text, s, err
+			return data, s, err
 		}
 	}
 	return nil, SealedLedger{}, fmt.Errorf("%w: call %s", ErrNotFound, id)
