--- a/internal/ledger/disk.go
+++ b/internal/ledger/disk.go
@@ -10,18 +10,18 @@
 	"syscall"
 )
 
-// Disk is the directory of one ledger. Tests inject faults with their own.
+// Disk is the directory of one ledger. Tests have an implementation that injects faults.
 type Disk interface {
 	// List returns the sorted names of the files.
 	List() ([]string, error)
 	Read(name string) ([]byte, error)
-	// Create creates a file, or truncates the one of that name.
+	// Create creates a file, or truncates an existing one.
 	Create(name string) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	// Sync makes creations, renames and removals survive a crash of the machine.
+	// Sync syncs the directory, so that creations, renames and removals survive a crash of the machine.
 	Sync() error
-	// Close releases the directory to the next owner.
+	// Close releases the lock of the directory.
 	Close() error
 }
 
@@ -35,22 +35,22 @@
 // lockName is the file whose lock the owner of a ledger holds. The kernel releases it when the process ends.
 const lockName = "lock"
 
-// directory implements Disk. It refers to the directory that was opened, also after that is renamed.
+// directory implements Disk. It refers to the directory that was opened, even after it is renamed.
 type directory struct {
 	path   string
 	root   *os.Root
-	opened os.FileInfo // of the directory that was opened
+	opened os.FileInfo // identifies the directory that was opened
 	lock   *os.File
 }
 
-// ErrSealed is the error of a directory that is not at its path any more: another process has sealed it.
-var ErrSealed = errors.New("ledger: another controller has taken it")
+// ErrSealed is returned if a directory is not at its path any more: another process has sealed it.
+var ErrSealed = errors.New("ledger: another controller has sealed the directory")
 
-// The fcntl(2) commands for locks of open file descriptions, which package syscall lacks. Unlike flock(2), they can be tested without being
-// acquired.
+// The fcntl(2) commands F_OFD_GETLK and F_OFD_SETLK, which package syscall lacks. Unlike flock(2) locks, locks of open file descriptions can be
+// tested without acquiring them.
 const ofdGetLock, ofdSetLock = 36, 37
 
-// OpenDirectory opens and locks a directory, and creates it if need be. ErrLocked says that another process holds the lock.
+// OpenDirectory opens and locks a directory, and creates it if it does not exist. It returns ErrLocked if another process holds the lock.
 func OpenDirectory(path string) (Disk, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("ledger: %w", err)
@@ -75,13 +75,13 @@
 	if err := syscall.FcntlFlock(d.lock.Fd(), ofdSetLock, &syscall.Flock_t{Type: syscall.F_WRLCK}); err != nil {
 		return nil, errors.Join(fmt.Errorf("ledger: locking %s: %w", path, err), d.Close())
 	}
-	if err := d.checkPath(); err != nil { // sealed while it was opened
+	if err := d.checkPath(); err != nil { // it may have been sealed while it was opened
 		return nil, errors.Join(err, d.Close())
 	}
 	return d, nil
 }
 
-// IsLocked reports whether a process holds the lock of a directory. It does not acquire the lock, which would keep an owner from it.
+// IsLocked reports whether a process holds the lock of a directory. It does not acquire the lock, as that could make an owner fail to acquire it.
 func IsLocked(path string) (bool, error) {
 	lock, err := os.OpenFile(filepath.Join(path, lockName), os.O_RDWR, 0)
 	if errors.Is(err, os.ErrNotExist) {
@@ -89,7 +89,7 @@
 		if errors.Is(err, os.ErrNotExist) {
 			return false, nil
 		}
-		return true, nil // a directory without a lock file is no ledger: it is not to be sealed
+		return true, nil // a directory without a lock file is not a ledger and must not be sealed
 	}
 	if err != nil {
 		return false, fmt.Errorf("ledger: %w", err)
@@ -97,23 +97,23 @@
 	defer lock.Close()
 	l := syscall.Flock_t{Type: syscall.F_WRLCK}
 	if err := syscall.FcntlFlock(lock.Fd(), ofdGetLock, &l); err != nil {
-		return false, fmt.Errorf("ledger: looking at %s: %w", path, err)
+		return false, fmt.Errorf("ledger: testing the lock of %s: %w", path, err)
 	}
 	return l.Type != syscall.F_UNLCK, nil
 }
 
-// VerifyPath checks that a directory is still at its path; ErrSealed says that it is not.
+// VerifyPath checks that a directory is still at its path, and returns ErrSealed if it is not.
 func VerifyPath(d Disk) error {
-	if dir, is := d.(*directory); is {
+	if dir, ok := d.(*directory); ok {
 		return dir.checkPath()
 	}
 	return nil
 }
 
 func (d *directory) checkPath() error {
-	there, err := os.Stat(d.path)
+	current, err := os.Stat(d.path)
 	switch {
-	case errors.Is(err, os.ErrNotExist) || err == nil && !os.SameFile(d.opened, there):
+	case errors.Is(err, os.ErrNotExist) || err == nil && !os.SameFile(d.opened, current):
 		return fmt.Errorf("%w: %s", ErrSealed, d.path)
 	case err != nil:
 		return fmt.Errorf("ledger: %w", err)
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// OpenReadOnly opens a directory for reading, also while another process holds its lock.
+// OpenReadOnly opens a directory for reading without locking it, so that it can be read while another process holds the lock.
 func OpenReadOnly(path string) (Disk, error) {
 	root, err := os.OpenRoot(path)
 	if err != nil {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -17,100 +17,100 @@
 	"pgregory.net/rapid"
 )
 
-// memory is a disk that can fail, stall, and be cut off as by a crash.
-type memory struct {
-	mu    sync.Mutex
-	files map[string][]byte
-	err   error         // of every write
-	stall time.Duration // of every write
-	room  int           // bytes that still fit; below 0 is no bound
+// memoryDisk is a Disk in memory that injects faults: failing, slow and truncated writes.
+type memoryDisk struct {
+	mu         sync.Mutex
+	files      map[string][]byte
+	writeErr   error         // of every write
+	writeDelay time.Duration // of every write
+	freeSpace  int           // bytes that can still be written; negative for no limit
 }
 
-func newMemory() *memory { return &memory{files: map[string][]byte{}, room: -1} }
+func newMemoryDisk() *memoryDisk { return &memoryDisk{files: map[string][]byte{}, freeSpace: -1} }
 
-func (m *memory) set(f func()) {
+func (m *memoryDisk) withLock(f func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f()
 }
 
-// copy is the disk as a process finds it that starts now.
-func (m *memory) copy() *memory {
+// copy returns a copy of the disk, as a process that starts now would find it.
+func (m *memoryDisk) copy() *memoryDisk {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c := newMemory()
-	for name, text := range m.files {
-		c.files[name] = bytes.Clone(text)
+	c := newMemoryDisk()
+	for name, data := range m.files {
+		c.files[name] = bytes.Clone(data)
 	}
 	return c
 }
 
-func (m *memory) List() ([]string, error) {
+func (m *memoryDisk) List() ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Sorted(maps.Keys(m.files)), nil
 }
 
-func (m *memory) Read(name string) ([]byte, error) {
+func (m *memoryDisk) Read(name string) ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	text, ok := m.files[name]
+	data, ok := m.files[name]
 	if !ok {
 		return nil, fmt.Errorf("no file %s", name)
 	}
-	return bytes.Clone(text), nil
+	return bytes.Clone(data), nil
 }
 
-func (m *memory) Create(name string) (File, error) {
+func (m *memoryDisk) Create(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.err != nil {
-		return nil, m.err
+	if m.writeErr != nil {
+		return nil, m.writeErr
 	}
 	m.files[name] = nil
 	return &memoryFile{m, name}, nil
 }
 
-func (m *memory) Rename(from, to string) error {
+func (m *memoryDisk) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.err != nil {
-		return m.err
+	if m.writeErr != nil {
+		return m.writeErr
 	}
 	m.files[to] = m.files[from]
 	delete(m.files, from)
 	return nil
 }
 
-func (m *memory) Remove(name string) error {
+func (m *memoryDisk) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.files, name)
 	return nil
 }
 
-func (m *memory) Sync() error  { return nil }
-func (m *memory) Close() error { return nil }
+func (m *memoryDisk) Sync() error  { return nil }
+func (m *memoryDisk) Close() error { return nil }
 
 type memoryFile struct {
-	m    *memory
+	m    *memoryDisk
 	name string
 }
 
 func (f *memoryFile) Write(p []byte) (int, error) {
 	f.m.mu.Lock()
-	stall := f.m.stall
+	delay := f.m.writeDelay
 	f.m.mu.Unlock()
-	time.Sleep(stall)
+	time.Sleep(delay)
 	f.m.mu.Lock()
 	defer f.m.mu.Unlock()
-	if f.m.err != nil {
-		return 0, f.m.err
+	if f.m.writeErr != nil {
+		return 0, f.m.writeErr
 	}
 	n := len(p)
-	if f.m.room >= 0 {
-		n = min(n, f.m.room)
-		f.m.room -= n
+	if f.m.freeSpace >= 0 {
+		n = min(n, f.m.freeSpace)
+		f.m.freeSpace -= n
 	}
 	f.m.files[f.name] = append(f.m.files[f.name], p[:n]...)
 	if n < len(p) {
@@ -122,26 +122,26 @@
 func (f *memoryFile) Sync() error  { return nil }
 func (f *memoryFile) Close() error { return nil }
 
-// long is a patience that only what has gone wrong wears out.
-const long = 20 * time.Second
+// testTimeout is a timeout that only expires if something is wrong.
+const testTimeout = 20 * time.Second
 
-func options() Options { return Options{Name: "n1", CommitTimeout: long} }
+func testOptions() Options { return Options{Name: "n1", CommitTimeout: testTimeout} }
 
-// begin opens a ledger on a disk, with what is there as its state.
-func begin(t testing.TB, d Disk, o Options) (*Ledger, *Contents) {
+// openLedger opens a ledger on a disk and begins an epoch with the records on it.
+func openLedger(t testing.TB, d Disk, o Options) (*Ledger, *Contents) {
 	t.Helper()
 	found, err := Read(d, o.Name, o.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := New(d, o, found)
-	if err := l.BeginEpochAndWait(found.Records, long); err != nil {
+	if err := l.BeginEpochAndWait(found.Records, testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	return l, found
 }
 
-func commit(t testing.TB, l *Ledger, records ...string) {
+func mustCommit(t testing.TB, l *Ledger, records ...string) {
 	t.Helper()
 	for _, r := range records {
 		if err := l.Append([]byte(r)); err != nil {
@@ -153,7 +153,7 @@
 	}
 }
 
-func read(t testing.TB, d Disk, o Options) *Contents {
+func mustRead(t testing.TB, d Disk, o Options) *Contents {
 	t.Helper()
 	found, err := Read(d, o.Name, o.Key)
 	if err != nil {
@@ -162,11 +162,11 @@
 	return found
 }
 
-func text(records [][]byte) string { return string(bytes.Join(records, []byte(" "))) }
+func joinRecords(records [][]byte) string { return string(bytes.Join(records, []byte(" "))) }
 
 func TestReadsCommittedRecords(t *testing.T) {
 	for name, o := range map[string]Options{
-		"plain": options(), "keyed": {Name: "n1", CommitTimeout: long, Key: []byte("a key")}, "synced": {Name: "n1", CommitTimeout: long, Sync: SyncAlways},
+		"plain": testOptions(), "keyed": {Name: "n1", CommitTimeout: testTimeout, Key: []byte("a key")}, "synced": {Name: "n1", CommitTimeout: testTimeout, Sync: SyncAlways},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d, err := OpenDirectory(t.TempDir() + "/ledger")
@@ -175,111 +175,112 @@
 			}
 			path := d.(*directory).path
 			want := ""
-			for life := range 4 {
-				if life > 0 {
+			for process := range 4 {
+				if process > 0 {
 					if d, err = OpenDirectory(path); err != nil {
 						t.Fatal(err)
 					}
 				}
-				l, found := begin(t, d, o)
-				if got := text(found.Records); got != want || found.Gapped() || found.Torn || len(found.Damage) > 0 {
-					t.Fatalf("life %d: %q, want %q; %+v", life, got, want, found)
+				l, found := openLedger(t, d, o)
+				if got := joinRecords(found.Records); got != want || found.Gapped() || found.Torn || len(found.Damage) > 0 {
+					t.Fatalf("process %d: %q, want %q; %+v", process, got, want, found)
 				}
-				commit(t, l, fmt.Sprint("a", life), fmt.Sprint("b", life))
-				commit(t, l)
-				commit(t, l, fmt.Sprint("c", life))
+				mustCommit(t, l, fmt.Sprint("a", process), fmt.Sprint("b", process))
+				mustCommit(t, l)
+				mustCommit(t, l, fmt.Sprint("c", process))
 				if err := l.Append([]byte("never committed")); err != nil {
 					t.Fatal(err)
 				}
 				if _, err := OpenDirectory(path); !errors.Is(err, ErrLocked) {
-					t.Fatalf("a second owner gets in: %v", err)
+					t.Fatalf("a second owner opens the directory: %v", err)
 				}
 				if err := l.Close(); err != nil {
 					t.Fatal(err)
 				}
-				want = strings.TrimSpace(fmt.Sprintf("%s a%d b%d c%d", want, life, life, life))
+				want = strings.TrimSpace(fmt.Sprintf("%s a%d b%d c%d", want, process, process, process))
 			}
 		})
 	}
 }
 
 func TestOwnerAndKeyAreChecked(t *testing.T) {
-	d := newMemory()
-	o := options()
+	d := newMemoryDisk()
+	o := testOptions()
 	o.Key = []byte("a key")
-	l, _ := begin(t, d, o)
-	commit(t, l, "a")
+	l, _ := openLedger(t, d, o)
+	mustCommit(t, l, "a")
 	for name, other := range map[string]Options{"another name": {Name: "n2", Key: o.Key}, "no key": {Name: "n1"}} {
 		if _, err := Read(d, other.Name, other.Key); !errors.Is(err, ErrWrongOwner) && !errors.Is(err, ErrWrongKey) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if found := read(t, d, Options{Name: "n1", Key: []byte("another")}); len(found.Records) > 0 || !found.Torn && !found.Gapped() {
-		t.Errorf("another key reads %q", text(found.Records))
+	if found := mustRead(t, d, Options{Name: "n1", Key: []byte("another")}); len(found.Records) > 0 || !found.Torn && !found.Gapped() {
+		t.Errorf("read with another key: %q", joinRecords(found.Records))
 	}
 	later := d.copy()
 	for name := range later.files {
 		h := header{segmentMagic, ownerHash("n1"), true, 1, 1}.append(nil)
 		copy(h[8:], []byte{version + 1})
 		h = h[:headerSize-8]
-		later.files[name] = append(h, sumOf(h)...)
+		later.files[name] = append(h, checksumOf(h)...)
 	}
 	if _, err := Read(later, o.Name, o.Key); !errors.Is(err, ErrFormat) {
-		t.Errorf("a later form: %v", err)
+		t.Errorf("later format version: %v", err)
 	}
 }
 
-// sumOf is the checksum of a head.
-func sumOf(p []byte) []byte { return binary.LittleEndian.AppendUint64(nil, xxhash.Sum64(p)) }
+// checksumOf returns the encoded checksum of a header.
+func checksumOf(p []byte) []byte { return binary.LittleEndian.AppendUint64(nil, xxhash.Sum64(p)) }
 
-// TestTruncatedLastSegment: the records up to the cut are read, and no gap is reported.
+// TestTruncatedLastSegment checks that the records before the point of truncation are read, and that no gap is reported.
 func TestTruncatedLastSegment(t *testing.T) {
 	for _, key := range [][]byte{nil, []byte("a key")} {
-		o := options()
+		o := testOptions()
 		o.Key = key
-		d := newMemory()
-		l, _ := begin(t, d, o)
-		commit(t, l, "one", "two")
-		commit(t, l, "three")
+		d := newMemoryDisk()
+		l, _ := openLedger(t, d, o)
+		mustCommit(t, l, "one", "two")
+		mustCommit(t, l, "three")
 		name := segmentName(l.seq - 3)
-		whole := d.files[name]
-		for cut := range whole {
+		complete := d.files[name]
+		for length := range complete {
 			c := d.copy()
-			c.files[name] = whole[:cut]
-			found := read(t, c, o)
-			if !strings.HasPrefix("one two three", text(found.Records)) || found.Gapped() || len(found.Damage) > 0 {
-				t.Errorf("cut at %d: %q, %+v", cut, text(found.Records), found)
+			c.files[name] = complete[:length]
+			found := mustRead(t, c, o)
+			if !strings.HasPrefix("one two three", joinRecords(found.Records)) || found.Gapped() || len(found.Damage) > 0 {
+				t.Errorf("truncated at %d: %q, %+v", length, joinRecords(found.Records), found)
 			}
-			// And the next life goes on from there.
-			next, _ := begin(t, c, o)
-			commit(t, next, "four")
-			if again := read(t, c, o); text(again.Records) != strings.TrimSpace(text(found.Records)+" four") || again.Gapped() {
-				t.Errorf("cut at %d, and then: %q", cut, text(again.Records))
+			// The next process continues from there.
+			next, _ := openLedger(t, c, o)
+			mustCommit(t, next, "four")
+			if again := mustRead(t, c, o); joinRecords(again.Records) != strings.TrimSpace(joinRecords(found.Records)+" four") || again.Gapped() {
+				t.Errorf("truncated at %d, then appended to: %q", length, joinRecords(again.Records))
 			}
 		}
 	}
 }
 
-// TestFlippedBits: no record is read that was not written, and where one is missing before others, a gap is reported.
+// TestFlippedBits checks that a flipped bit never results in a record that was not written, and that a gap is reported where a record is missing
+// before others.
 func TestFlippedBits(t *testing.T) {
-	o := options()
-	o.SegmentSize = 150 // so that there are several
-	d := newMemory()
-	l, _ := begin(t, d, o)
+	o := testOptions()
+	o.SegmentSize = 150 // results in several segments
+	d := newMemoryDisk()
+	l, _ := openLedger(t, d, o)
 	var all []string
 	for i := range 12 {
 		all = append(all, fmt.Sprint("record", i))
-		commit(t, l, all[i])
+		mustCommit(t, l, all[i])
 	}
-	for name, whole := range d.files {
-		for at := range whole {
+	for name, complete := range d.files {
+		for at := range complete {
 			c := d.copy()
-			c.files[name] = bytes.Clone(whole)
+			c.files[name] = bytes.Clone(complete)
 			c.files[name][at] ^= 1 << (at % 8)
 			found, err := Read(c, o.Name, o.Key)
 			if err != nil {
 				if errors.Is(err, ErrFormat) || errors.Is(err, ErrWrongOwner) || errors.Is(err, ErrWrongKey) {
-					t.Errorf("%s, byte %d: damage taken for another ledger: %v", name, at, err)
+					t.Errorf("%s, byte %d: damage reported as another ledger: %v", name, at, err)
 				}
 				continue
 			}
@@ -290,24 +291,24 @@
 					t.Fatalf("%s, byte %d: read %q", name, at, r)
 				}
 				if k > next && !found.Gaps[i] {
-					t.Fatalf("%s, byte %d: %q follows number %d, and no gap is told", name, at, r, next)
+					t.Fatalf("%s, byte %d: %q follows record %d, and no gap is reported", name, at, r, next)
 				}
 				next = k + 1
 			}
 			if next < len(all) && !found.Torn && !found.Gapped() {
-				t.Fatalf("%s, byte %d: the end is missing, and nothing is told", name, at)
+				t.Fatalf("%s, byte %d: the end is missing, and nothing is reported", name, at)
 			}
 		}
 	}
 }
 
-func TestLostSegmentAndTornSnapshot(t *testing.T) {
-	o := options()
+func TestMissingSegmentAndTornSnapshot(t *testing.T) {
+	o := testOptions()
 	o.SegmentSize = 150
-	d := newMemory()
-	l, _ := begin(t, d, o)
+	d := newMemoryDisk()
+	l, _ := openLedger(t, d, o)
 	for i := range 12 {
-		commit(t, l, fmt.Sprint("record", i))
+		mustCommit(t, l, fmt.Sprint("record", i))
 	}
 	var segments []string
 	for name := range d.files {
@@ -322,28 +323,28 @@
 	for i, name := range segments[:len(segments)-1] {
 		c := d.copy()
 		delete(c.files, name)
-		if found := read(t, c, o); !found.Gapped() || len(found.Damage) == 0 {
-			t.Errorf("segment %d is gone, and nothing is told: %+v", i, found)
+		if found := mustRead(t, c, o); !found.Gapped() || len(found.Damage) == 0 {
+			t.Errorf("segment %d is missing, and nothing is reported: %+v", i, found)
 		}
 	}
-	// A snapshot that was not put in place, and one that was cut after it had been.
+	// A snapshot that was not renamed yet, and one that was truncated after that.
 	c := d.copy()
 	c.files[snapshotName(1<<40)+".new"] = []byte("half of")
-	if found := read(t, c, o); found.Gapped() || len(found.Records) != 12 {
-		t.Errorf("a snapshot on its way: %+v", found)
+	if found := mustRead(t, c, o); found.Gapped() || len(found.Records) != 12 {
+		t.Errorf("an unfinished snapshot: %+v", found)
 	}
-	for name, whole := range d.files {
+	for name, complete := range d.files {
 		if strings.HasSuffix(name, ".snapshot") {
-			c.files[name] = whole[:len(whole)-1]
+			c.files[name] = complete[:len(complete)-1]
 		}
 	}
-	if found := read(t, c, o); !found.Gaps[0] {
+	if found := mustRead(t, c, o); !found.Gaps[0] {
 		t.Errorf("a torn snapshot: %+v", found)
 	}
 }
 
-// latest keeps the last record of each key.
-func latest(records [][]byte, gaps map[int]bool) ([][]byte, error) {
+// keepLatest is a Compact function that keeps the last record of each key.
+func keepLatest(records [][]byte, gaps map[int]bool) ([][]byte, error) {
 	if len(gaps) > 0 {
 		return nil, fmt.Errorf("gaps %v", gaps)
 	}
@@ -358,71 +359,71 @@
 	return out, nil
 }
 
-// TestCompaction: once snapshots have caught up with the writer, however slow they are beside it, the files
-// take no more than a few segments, and what is read is the least of what was written.
+// TestCompaction checks that the files are no larger than a few segments once compaction has caught up with the writer, however slow it
+// is, and that the latest record of each key can be read.
 func TestCompaction(t *testing.T) {
-	o := options()
+	o := testOptions()
 	o.SegmentSize = 2000
-	o.Compact = latest
-	d := newMemory()
-	l, _ := begin(t, d, o)
+	o.Compact = keepLatest
+	d := newMemoryDisk()
+	l, _ := openLedger(t, d, o)
 	n := 0
 	next := func() {
-		commit(t, l, fmt.Sprintf("k%d=%d", n%10, n))
+		mustCommit(t, l, fmt.Sprintf("k%d=%d", n%10, n))
 		n++
 	}
 	for n < 5000 {
 		next()
 	}
-	for until := time.Now().Add(long); n%10 != 0 || l.Metrics().FileBytes > 5*o.SegmentSize || l.Metrics().Snapshots < 3; next() {
+	for until := time.Now().Add(testTimeout); n%10 != 0 || l.Metrics().FileBytes > 5*o.SegmentSize || l.Metrics().Snapshots < 3; next() {
 		if time.Now().After(until) {
-			t.Fatalf("not cut: %+v", l.Metrics())
+			t.Fatalf("not compacted: %+v", l.Metrics())
 		}
-		time.Sleep(time.Millisecond) // a writer that leaves snapshots the time to catch up
+		time.Sleep(time.Millisecond) // gives compaction the time to catch up
 	}
 	f := l.Metrics()
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	found := read(t, d, o)
+	found := mustRead(t, d, o)
 	if found.Bytes > f.FileBytes || found.Gapped() || f.Records != uint64(n) || f.Commits != uint64(n) {
-		t.Errorf("%d bytes in %d files, figures %+v, damage %v", found.Bytes, found.FileCount, f, found.Damage)
+		t.Errorf("%d bytes in %d files, metrics %+v, damage %v", found.Bytes, found.FileCount, f, found.Damage)
 	}
-	least, err := o.Compact(found.Records, nil)
+	compacted, err := o.Compact(found.Records, nil)
 	want := make([]string, 10)
 	for i := range want {
 		want[i] = fmt.Sprintf("k%d=%d", i, n-10+i)
 	}
-	if err != nil || text(least) != strings.Join(want, " ") {
-		t.Errorf("%s %v", text(least), err)
+	if err != nil || joinRecords(compacted) != strings.Join(want, " ") {
+		t.Errorf("%s %v", joinRecords(compacted), err)
 	}
 }
 
-// TestSlowCompaction: the bound on space holds while a snapshot takes its time. A commit that has no room waits for it, and
-// goes on when it has come; with no end in sight the ledger is off, and begins anew in little space.
+// TestSlowCompaction checks that the size limit holds while a compaction is slow. A commit that would exceed it waits for the compaction. If
+// that takes longer than the commit's timeout, the ledger is disabled, and a new epoch begins with little space used.
 func TestSlowCompaction(t *testing.T) {
-	o := options()
+	o := testOptions()
 	o.SegmentSize, o.MaxSize = 1000, 8000
-	var disk sync.Mutex // snapshots are written while it is free
-	going := make(chan struct{}, 100)
+	var blockCompaction sync.Mutex // while it is locked, compactions wait
+	compacting := make(chan struct{}, 100)
 	o.Compact = func(records [][]byte, gaps map[int]bool) ([][]byte, error) {
-		going <- struct{}{}
-		disk.Lock()
-		defer disk.Unlock()
-		return latest(records, gaps)
-	}
-	disk.Lock()
-	d := newMemory()
-	l, _ := begin(t, d, o)
-	l.options.CommitTimeout = long
+		compacting <- struct{}{}
+		blockCompaction.Lock()
+		defer blockCompaction.Unlock()
+		return keepLatest(records, gaps)
+	}
+	blockCompaction.Lock()
+	d := newMemoryDisk()
+	l, _ := openLedger(t, d, o)
+	l.options.CommitTimeout = testTimeout
 	record := func(i int) []byte { return []byte(fmt.Sprintf("k%d=%d", i%10, i)) }
-	most := int64(0)
+	largest := int64(0)
 	push := func(i int) error {
 		if err := l.Append(record(i)); err != nil {
 			return err
 		}
 		err := l.Commit()
-		most = max(most, l.Metrics().FileBytes)
+		largest = max(largest, l.Metrics().FileBytes)
 		return err
 	}
 	i := 0
@@ -431,28 +432,28 @@
 			t.Fatal(err)
 		}
 	}
-	<-going // one snapshot is under way, and all that was written since is still there
-	time.AfterFunc(20*time.Millisecond, disk.Unlock)
+	<-compacting // one compaction is running, and the files that it replaces still exist
+	time.AfterFunc(20*time.Millisecond, blockCompaction.Unlock)
 	for end := i + 1000; i < end; i++ {
 		if err := push(i); err != nil {
-			t.Fatalf("record %d: %v with %+v", i, err, l.Metrics())
+			t.Fatalf("record %d: %v, metrics %+v", i, err, l.Metrics())
 		}
 	}
-	if most > o.MaxSize {
-		t.Errorf("%d bytes, %d allowed", most, o.MaxSize)
+	if largest > o.MaxSize {
+		t.Errorf("%d bytes, limit %d", largest, o.MaxSize)
 	}
-	disk.Lock() // no further one ends in time
+	blockCompaction.Lock() // no further compaction ends in time
 	l.options.CommitTimeout = 20 * time.Millisecond
 	var err error
 	for end := i + 10000; err == nil && i < end; i++ {
 		err = push(i)
 	}
 	if !errors.Is(err, ErrTimeout) || l.Enabled() {
-		t.Fatalf("%v with %+v", err, l.Metrics())
+		t.Fatalf("%v, metrics %+v", err, l.Metrics())
 	}
-	disk.Unlock()
-	l.options.CommitTimeout = long
-	if err := l.BeginEpochAndWait([][]byte{record(0)}, long); err != nil {
+	blockCompaction.Unlock()
+	l.options.CommitTimeout = testTimeout
+	if err := l.BeginEpochAndWait([][]byte{record(0)}, testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	if f := l.Metrics(); f.FileBytes > o.SegmentSize || !f.Enabled {
@@ -463,78 +464,78 @@
 	}
 }
 
-// TestDiskFaults: the ledger is off at once, says why, and begins anew with a state that stands for all.
+// TestDiskFaults checks that a fault of the disk disables the ledger at once and is reported, and that the ledger works again in a new epoch.
 func TestDiskFaults(t *testing.T) {
 	for name, test := range map[string]struct {
-		fail, heal func(*memory)
-		patience   time.Duration
+		fail, heal func(*memoryDisk)
+		timeout    time.Duration
 		want       error
 	}{
-		"full":      {func(m *memory) { m.room = 10 }, func(m *memory) { m.room = -1 }, long, nil},
-		"read-only": {func(m *memory) { m.err = errors.New("read-only file system") }, func(m *memory) { m.err = nil }, long, nil},
-		"slow":      {func(m *memory) { m.stall = 200 * time.Millisecond }, func(m *memory) { m.stall = 0 }, 20 * time.Millisecond, ErrTimeout},
+		"full":      {func(m *memoryDisk) { m.freeSpace = 10 }, func(m *memoryDisk) { m.freeSpace = -1 }, testTimeout, nil},
+		"read-only": {func(m *memoryDisk) { m.writeErr = errors.New("read-only file system") }, func(m *memoryDisk) { m.writeErr = nil }, testTimeout, nil},
+		"slow":      {func(m *memoryDisk) { m.writeDelay = 200 * time.Millisecond }, func(m *memoryDisk) { m.writeDelay = 0 }, 20 * time.Millisecond, ErrTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newMemory()
-			o := options()
-			l, _ := begin(t, d, o)
-			commit(t, l, "before")
-			l.options.CommitTimeout = test.patience
-			d.set(func() { test.fail(d) })
+			d := newMemoryDisk()
+			o := testOptions()
+			l, _ := openLedger(t, d, o)
+			mustCommit(t, l, "before")
+			l.options.CommitTimeout = test.timeout
+			d.withLock(func() { test.fail(d) })
 			if err := l.Append([]byte("a record that does not fit")); err != nil {
 				t.Fatal(err)
 			}
 			err := l.Commit()
 			if err == nil || test.want != nil && !errors.Is(err, test.want) || l.Enabled() {
-				t.Fatalf("commit: %v, on %v", err, l.Enabled())
+				t.Fatalf("commit: %v, enabled %v", err, l.Enabled())
 			}
 			if err := l.Append([]byte("x")); !errors.Is(err, ErrDisabled) || !errors.Is(l.Commit(), ErrDisabled) {
-				t.Errorf("off, and appended to: %v", err)
+				t.Errorf("append to a disabled ledger: %v", err)
 			}
-			// A Begin on a disk that still fails is told, too.
+			// BeginEpoch on a disk that still fails reports an error, too.
 			if name != "slow" {
-				if err := l.BeginEpoch([][]byte{[]byte("too early, and far too long for the room that is left")}); err != nil {
+				if err := l.BeginEpoch([][]byte{[]byte("longer than the free space on the disk that still fails")}); err != nil {
 					t.Fatal(err)
 				}
-				if err := begun(t, l); err == nil {
-					t.Error("it began on a disk that fails")
+				if err := waitForEpoch(t, l); err == nil {
+					t.Error("an epoch begins on a disk that fails")
 				}
 			}
-			d.set(func() { test.heal(d) })
-			l.options.CommitTimeout = long
+			d.withLock(func() { test.heal(d) })
+			l.options.CommitTimeout = testTimeout
 			if err := l.BeginEpoch([][]byte{[]byte("state")}); err != nil {
 				t.Fatal(err)
 			}
-			if err := begun(t, l); err != nil {
+			if err := waitForEpoch(t, l); err != nil {
 				t.Fatal(err)
 			}
-			commit(t, l, "after")
-			if found := read(t, d, o); text(found.Records) != "state after" || found.Gapped() {
-				t.Errorf("read %q, %+v", text(found.Records), found)
+			mustCommit(t, l, "after")
+			if found := mustRead(t, d, o); joinRecords(found.Records) != "state after" || found.Gapped() {
+				t.Errorf("read %q, %+v", joinRecords(found.Records), found)
 			}
 			if f := l.Metrics(); f.Failures != 1 || !f.Enabled {
-				t.Errorf("figures %+v", f)
+				t.Errorf("metrics %+v", f)
 			}
 		})
 	}
 }
 
-func begun(t *testing.T, l *Ledger) error {
+func waitForEpoch(t *testing.T, l *Ledger) error {
 	t.Helper()
-	for until := time.Now().Add(long); time.Now().Before(until); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(testTimeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		if done, err := l.EpochResult(); done {
 			return err
 		}
 	}
-	t.Fatal("it never began")
+	t.Fatal("no result of BeginEpoch")
 	return nil
 }
 
-// TestCrashAtAnyPoint: whatever was appended and committed, over several lives, cut after any byte of the last write: each life
-// reads all that was committed before it, and of what was not, only a beginning.
+// TestCrashAtAnyPoint checks that each of several processes reads all records that were committed before it, and of the others only the first
+// ones. The last write of a process may be truncated after any byte.
 func TestCrashAtAnyPoint(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := Options{Name: "n1", CommitTimeout: long, SegmentSize: int64(rapid.IntRange(100, 1000).Draw(t, "segment"))}
+		o := Options{Name: "n1", CommitTimeout: testTimeout, SegmentSize: int64(rapid.IntRange(100, 1000).Draw(t, "segment"))}
 		if rapid.Bool().Draw(t, "keyed") {
 			o.Key = []byte("key")
 		}
@@ -544,31 +545,31 @@
 			}
 			return r, nil
 		}
-		d := newMemory()
-		var sure, maybe []string
-		for life := range rapid.IntRange(1, 4).Draw(t, "lives") {
+		d := newMemoryDisk()
+		var committed, uncommitted []string
+		for process := range rapid.IntRange(1, 4).Draw(t, "processes") {
 			found, err := Read(d, o.Name, o.Key)
 			if err != nil {
 				t.Fatal(err)
 			}
-			got := strings.Fields(text(found.Records))
-			if len(got) < len(sure) || !slices.Equal(got[:len(sure)], sure) || len(got) > len(sure)+len(maybe) || !slices.Equal(got[len(sure):], maybe[:len(got)-len(sure)]) || found.Gapped() {
-				t.Fatalf("life %d reads %q, sure are %q, maybe %q; %+v", life, got, sure, maybe, found)
+			got := strings.Fields(joinRecords(found.Records))
+			if len(got) < len(committed) || !slices.Equal(got[:len(committed)], committed) || len(got) > len(committed)+len(uncommitted) || !slices.Equal(got[len(committed):], uncommitted[:len(got)-len(committed)]) || found.Gapped() {
+				t.Fatalf("process %d reads %q, committed are %q, uncommitted %q; %+v", process, got, committed, uncommitted, found)
 			}
-			sure, maybe = got, nil
+			committed, uncommitted = got, nil
 			l := New(d, o, found)
-			if rapid.IntRange(0, 4).Draw(t, "die at once") == 0 {
+			if rapid.IntRange(0, 4).Draw(t, "crash at start") == 0 {
 				_ = l.Close()
 				continue
 			}
-			if err := l.BeginEpochAndWait(found.Records, long); err != nil {
+			if err := l.BeginEpochAndWait(found.Records, testTimeout); err != nil {
 				t.Fatal(err)
 			}
 			for i := range rapid.IntRange(0, 12).Draw(t, "commits") {
-				maybe = nil
+				uncommitted = nil
 				for j := range rapid.IntRange(1, 3).Draw(t, "records") {
-					maybe = append(maybe, fmt.Sprintf("%d.%d.%d", life, i, j))
-					if err := l.Append([]byte(maybe[j])); err != nil {
+					uncommitted = append(uncommitted, fmt.Sprintf("%d.%d.%d", process, i, j))
+					if err := l.Append([]byte(uncommitted[j])); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -577,16 +578,16 @@
 					t.Fatal(err)
 				}
 				if rapid.IntRange(0, 9).Draw(t, "crash") > 0 {
-					sure, maybe = append(sure, maybe...), nil
+					committed, uncommitted = append(committed, uncommitted...), nil
 					continue
 				}
-				// The crash comes in the middle of that commit's write.
+				// The process crashes during the write of that commit.
 				if err := l.Close(); err != nil {
 					t.Fatal(err)
 				}
-				for name, text := range d.files {
-					if old := before.files[name]; len(text) > len(old) && len(old) > 0 && strings.HasSuffix(name, ".segment") {
-						before.files[name] = text[:rapid.IntRange(len(old), len(text)).Draw(t, "cut")]
+				for name, data := range d.files {
+					if old := before.files[name]; len(data) > len(old) && len(old) > 0 && strings.HasSuffix(name, ".segment") {
+						before.files[name] = data[:rapid.IntRange(len(old), len(data)).Draw(t, "cut")]
 					}
 				}
 				d = before
@@ -602,47 +603,47 @@
 	})
 }
 
-// FuzzRead: whatever a segment holds, reading it ends, and changes nothing.
+// FuzzRead checks that reading a segment with any content ends and changes nothing: a second read has the same result.
 func FuzzRead(f *testing.F) {
-	d := newMemory()
-	l, _ := begin(f, d, options())
-	commit(f, l, "one", "two")
-	for name, text := range d.files {
+	d := newMemoryDisk()
+	l, _ := openLedger(f, d, testOptions())
+	mustCommit(f, l, "one", "two")
+	for name, data := range d.files {
 		if strings.HasSuffix(name, ".segment") {
-			f.Add(text)
-			f.Add(text[:len(text)-1])
+			f.Add(data)
+			f.Add(data[:len(data)-1])
 		}
 	}
-	f.Fuzz(func(t *testing.T, text []byte) {
-		d := newMemory()
-		d.files[segmentName(1)] = text
+	f.Fuzz(func(t *testing.T, data []byte) {
+		d := newMemoryDisk()
+		d.files[segmentName(1)] = data
 		first, err := Read(d, "n1", nil)
 		again, errAgain := Read(d, "n1", nil)
 		if (err == nil) != (errAgain == nil) || err == nil && !cmp.Equal(first.Records, again.Records) {
-			t.Error("read twice, and not the same")
+			t.Error("the second read differs from the first")
 		}
 	})
 }
 
-// BenchmarkCommit writes 32 records as one batch, as a turn does, and one by one.
+// BenchmarkCommit commits 32 records as one batch, as an event loop iteration does, and one by one.
 func BenchmarkCommit(b *testing.B) {
 	record := bytes.Repeat([]byte("r"), 300)
-	for name, each := range map[string]bool{"batch": false, "single": true} {
+	for name, commitEach := range map[string]bool{"batch": false, "single": true} {
 		b.Run(name, func(b *testing.B) {
 			d, err := OpenDirectory(b.TempDir())
 			if err != nil {
 				b.Fatal(err)
 			}
-			o := options()
+			o := testOptions()
 			o.Compact = func([][]byte, map[int]bool) ([][]byte, error) { return nil, nil }
-			l, _ := begin(b, d, o)
+			l, _ := openLedger(b, d, o)
 			b.SetBytes(32 * 300)
 			for b.Loop() {
 				for range 32 {
 					if err := l.Append(record); err != nil {
 						b.Fatal(err)
 					}
-					if each {
+					if commitEach {
 						if err := l.Commit(); err != nil {
 							b.Fatal(err)
 						}
--- a/internal/ledger/options.go
+++ b/internal/ledger/options.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Sync says when written records are synced, so that they survive a crash of the machine. They survive one of the process either way.
+// Sync determines when written records are synced to the disk, so that they survive a crash of the machine. They survive a crash of the process
+// in every mode.
 type Sync int
 
 // The sync modes.
@@ -18,36 +19,36 @@
 const (
 	// syncInterval is the period of SyncInterval.
 	syncInterval = 100 * time.Millisecond
-	// DefaultCommitTimeout is the timeout of a commit, after which the ledger is disabled: calls wait for it.
+	// DefaultCommitTimeout is the default timeout of a commit, after which the ledger is disabled. Calls wait for commits.
 	DefaultCommitTimeout = 50 * time.Millisecond
-	// DefaultSegmentSize is the size at which a segment is closed; two closed ones are compacted into a snapshot.
+	// DefaultSegmentSize is the default size at which a segment is closed, in bytes. At least two closed segments are compacted at a time.
 	DefaultSegmentSize = 16 << 20
-	// DefaultMaxSize is the bound on the size of all files.
+	// DefaultMaxSize is the default limit of the size of all files, in bytes.
 	DefaultMaxSize = 256 << 20
 )
 
 var (
-	// ErrTimeout is the error of a commit that timed out.
-	ErrTimeout = errors.New("ledger: the disk does not take it in time")
-	// ErrDisabled is the error of an operation on a disabled ledger.
-	ErrDisabled = errors.New("ledger: nothing is written")
-	// ErrFull is the error of a write that would exceed Options.MaxSize.
-	ErrFull = errors.New("ledger: the bound on its size is reached")
-	// ErrTooLarge is the error of a record over MaxRecordSize.
-	ErrTooLarge = errors.New("ledger: a record is too large")
+	// ErrTimeout is returned by a commit that timed out.
+	ErrTimeout = errors.New("ledger: write timed out")
+	// ErrDisabled is returned by operations on a disabled ledger.
+	ErrDisabled = errors.New("ledger: disabled")
+	// ErrFull is returned by a write that would exceed Options.MaxSize.
+	ErrFull = errors.New("ledger: size limit reached")
+	// ErrTooLarge is returned for a record that is empty or larger than MaxRecordSize.
+	ErrTooLarge = errors.New("ledger: record is empty or too large")
 )
 
-// Options configure a Ledger. Zero values stand for the defaults.
+// Options configures a Ledger. Zero values select the defaults.
 type Options struct {
-	Name          string // of the owner: the ledger of another is not read
-	Key           []byte // of the MAC; nil for none
+	Name          string // of the owner; a ledger of another owner is not read
+	Key           []byte // of the MAC of each record; nil for no MAC
 	Sync          Sync
 	CommitTimeout time.Duration // timeout of a commit
-	SegmentSize   int64         // bytes at which a segment is closed
-	MaxSize       int64         // bound on the bytes of all files
-	// Compact reduces records to the fewest with the same meaning; it runs concurrently with the owner. Gaps are those of Found.
+	SegmentSize   int64         // size at which a segment is closed, in bytes
+	MaxSize       int64         // limit of the size of all files, in bytes
+	// Compact reduces records to the fewest with the same meaning. It runs in another goroutine than the owner's. Gaps is as in Contents.
 	Compact func(records [][]byte, gaps map[int]bool) ([][]byte, error)
-	// AfterWrite runs after each write, before its commit returns; its error is the commit's. Nil for none.
+	// AfterWrite is called after each write, before the commit returns. Its error fails the commit. It may be nil.
 	AfterWrite func() error
 }
 
@@ -64,15 +65,15 @@
 	return o
 }
 
-// Metrics are the metrics of a ledger, counted from the start of the process.
+// Metrics holds the metrics of a ledger. Its counters begin at the start of the process.
 type Metrics struct {
 	Records           uint64
 	Bytes             uint64 // written to segments
 	Commits           uint64
-	Failures          uint64        // times that the ledger was disabled
-	Snapshots         uint64        // written
-	FileBytes         int64         // bytes of all files
-	TotalCommitWait   time.Duration // total wait of commits
-	LongestCommitWait time.Duration // longest wait of a commit
-	Enabled           bool          // records are written
+	Failures          uint64        // number of times that the ledger was disabled by a failure
+	Snapshots         uint64        // number of snapshots written
+	FileBytes         int64         // size of all files, in bytes
+	TotalCommitWait   time.Duration // total time that commits waited for their writes
+	LongestCommitWait time.Duration // longest time that a commit waited for its write
+	Enabled           bool          // the ledger accepts records
 }
--- a/internal/ledger/snapshot.go
+++ b/internal/ledger/snapshot.go
@@ -5,22 +5,22 @@
 	"fmt"
 )
 
-// tempSuffix ends the name of a snapshot that is being written.
+// tempSuffix is the suffix of a snapshot that is being written.
 const tempSuffix = ".new"
 
-// snapshotWriter encodes a snapshot and writes it in pieces.
+// snapshotWriter encodes a snapshot and writes it in chunks.
 type snapshotWriter struct {
 	file   File
 	framer framer
 	buffer []byte
-	size   int64 // written
+	size   int64 // bytes written
 	err    error
 }
 
-// append adds a frame.
+// append adds the frame of a record.
 func (s *snapshotWriter) append(seq uint64, record []byte) {
-	const pieceSize = 1 << 20
-	if s.buffer = s.framer.append(s.buffer, seq, record); len(s.buffer) > pieceSize {
+	const chunkSize = 1 << 20
+	if s.buffer = s.framer.append(s.buffer, seq, record); len(s.buffer) > chunkSize {
 		s.flush()
 	}
 }
@@ -34,8 +34,8 @@
 	s.buffer = s.buffer[:0]
 }
 
-// writeSnapshot writes a snapshot that replaces the records up to a sequence number, under a temporary name, and renames it. It is safe for
-// concurrent use with the writer's other methods.
+// writeSnapshot writes a snapshot that replaces the records up to a sequence number. It uses a temporary name until the snapshot is complete.
+// It may run concurrently with the writer's other methods.
 func (w *writer) writeSnapshot(last uint64, records [][]byte) (size int64, err error) {
 	name := snapshotName(last)
 	temp := name + tempSuffix
@@ -47,7 +47,7 @@
 	for i, record := range records {
 		s.append(uint64(i+1), record)
 	}
-	s.buffer = s.framer.append(s.buffer, uint64(len(records)+1), nil) // the end mark
+	s.buffer = s.framer.append(s.buffer, uint64(len(records)+1), nil) // end mark
 	s.flush()
 	if err := w.finishSnapshot(s, temp, name); err != nil {
 		_ = w.disk.Remove(temp)
@@ -57,7 +57,7 @@
 	return s.size, nil
 }
 
-// finishSnapshot closes a snapshot and renames it.
+// finishSnapshot closes a snapshot and gives it its final name.
 func (w *writer) finishSnapshot(s *snapshotWriter, temp, name string) error {
 	err := s.err
 	if w.options.Sync != SyncNone {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// compaction is the result of compacting closed segments into a snapshot.
+// compaction is the result of compacting a snapshot and closed segments into a new snapshot.
 type compaction struct {
 	snapshot string
 	replaced []string
@@ -86,8 +86,8 @@
 	err      error
 }
 
-// shouldCompact reports whether the closed segments are at least as large as the last snapshot: so the cost of writing snapshots stays in
-// proportion to that of writing records, however large the state is.
+// shouldCompact reports whether to start a compaction. It waits until the closed segments are at least as large as the last snapshot, so that
+// the cost of writing snapshots stays proportional to that of writing records, however large the state is.
 func (w *writer) shouldCompact() bool {
 	if w.compactions != nil || w.failed || w.options.Compact == nil || len(w.closed) < 2 {
 		return false
@@ -96,21 +96,21 @@
 	for _, name := range w.closed {
 		size += w.sizes[name]
 	}
-	return size >= w.sizes[w.base]
+	return size >= w.sizes[w.lastSnapshot]
 }
 
-// startCompaction compacts the closed segments in the background.
+// startCompaction starts to compact the closed segments in the background.
 func (w *writer) startCompaction() {
 	w.compactions = make(chan compaction, 1)
-	base, closed, last := w.base, append([]string(nil), w.closed...), w.lastClosed
-	go func(results chan<- compaction) { results <- w.compactSegments(base, closed, last) }(w.compactions)
+	previous, closed, last := w.lastSnapshot, append([]string(nil), w.closed...), w.lastClosed
+	go func(results chan<- compaction) { results <- w.compactSegments(previous, closed, last) }(w.compactions)
 }
 
-// compactSegments writes one snapshot of the last one and the closed segments. It does not touch the writer's state.
-func (w *writer) compactSegments(base string, closed []string, last uint64) compaction {
-	c := compaction{snapshot: snapshotName(last), replaced: append(closed, base)}
+// compactSegments writes a snapshot that replaces the previous snapshot and the closed segments. It does not access the writer's state.
+func (w *writer) compactSegments(previous string, closed []string, last uint64) compaction {
+	c := compaction{snapshot: snapshotName(last), replaced: append(closed, previous)}
 	r := newReader(w.disk, w.options.Name, w.options.Key)
-	if n, ok := parseFileNumber(base, snapshotSuffix); ok {
+	if n, ok := parseFileNumber(previous, snapshotSuffix); ok {
 		c.err = r.readSnapshots([]uint64{n})
 	}
 	for _, name := range closed {
@@ -128,7 +128,7 @@
 	return c
 }
 
-// pollCompaction installs the result of a compaction that has ended.
+// pollCompaction installs the result of the running compaction if that has ended.
 func (w *writer) pollCompaction() {
 	select {
 	case c := <-w.compactions:
@@ -140,8 +140,8 @@
 // awaitCompaction waits for the running compaction and installs its result.
 func (w *writer) awaitCompaction() { w.installCompaction(<-w.compactions) }
 
-// installCompaction replaces the compacted files by their snapshot. If compacting failed, the files stay, and it is tried again with the next
-// segment.
+// installCompaction replaces the compacted files by their snapshot. If the compaction failed, the files stay, and it is retried after the
+// next request.
 func (w *writer) installCompaction(c compaction) {
 	w.compactions = nil
 	if c.err != nil {
@@ -156,6 +156,6 @@
 	w.removeFiles(c.replaced)
 	w.totalSize += c.size - freed
 	w.closed = w.closed[len(c.replaced)-1:]
-	w.base = c.snapshot
+	w.lastSnapshot = c.snapshot
 	w.totalBytes.Store(w.totalSize)
 }
--- a/internal/ledger/writer.go
+++ b/internal/ledger/writer.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// writer owns the files of a ledger. It runs in a goroutine of its own.
+// writer writes the files of a ledger, in a goroutine of its own.
 type writer struct {
 	*Ledger
-	epoch       uint64 // first sequence number of the current epoch
-	sizes       map[string]int64
-	currentSize int64    // of the open segment
-	totalSize   int64    // of all files
-	closed      []string // closed segments since the last snapshot
-	lastClosed  uint64   // last sequence number of those
-	base        string   // the snapshot before them
-	obsolete    []string // files of earlier processes, replaced by the first snapshot
-	failed      bool
-	compactions chan compaction // nil while none is running
+	epoch        uint64           // first sequence number of the current epoch
+	sizes        map[string]int64 // bytes of closed files, by name
+	currentSize  int64            // bytes of the open segment
+	totalSize    int64            // bytes of all files
+	closed       []string         // closed segments since the last snapshot
+	lastClosed   uint64           // last sequence number in the closed segments
+	lastSnapshot string           // name of the last snapshot
+	obsolete     []string         // files of previous processes, which the first snapshot replaces
+	failed       bool             // the last request failed
+	compactions  chan compaction  // nil while none is running
 }
 
-// run serves requests until the ledger is closed.
+// run executes requests until the ledger is closed.
 func (w *writer) run() {
 	defer close(w.done)
 	stop := make(chan struct{})
@@ -46,7 +46,7 @@
 	w.closeSegment()
 }
 
-// serve executes one request and reports its result.
+// serve executes a request and reports its result.
 func (w *writer) serve(r request) {
 	err := w.execute(r)
 	if err == nil && w.options.AfterWrite != nil {
@@ -60,7 +60,7 @@
 func (w *writer) execute(r request) error {
 	switch {
 	case r.newEpoch:
-		if w.compactions != nil { // it reads files that are about to be removed
+		if w.compactions != nil { // wait for it, as it reads files that beginEpoch removes
 			<-w.compactions
 			w.compactions = nil
 		}
@@ -69,14 +69,14 @@
 		return ErrDisabled
 	}
 	if w.compactions != nil && w.totalSize+int64(len(r.batch)) > w.options.MaxSize {
-		// Compaction lags behind the writes. The bound on the size holds: the commit waits for the compaction, and its owner no longer than
-		// its timeout.
+		// Compaction lags behind the writes. To keep within the size limit, the write waits for the compaction. The owner waits for the
+		// commit no longer than its timeout.
 		w.awaitCompaction()
 	}
 	return w.write(r)
 }
 
-// report sends a result. If nobody has received the earlier ones, the oldest is dropped.
+// report sends a result to the owner. If the queue is full, the oldest result is dropped.
 func (w *writer) report(r writeResult) {
 	for {
 		select {
@@ -91,7 +91,7 @@
 	}
 }
 
-// syncPeriodically syncs the open segment concurrently with the writer: commits do not wait for it.
+// syncPeriodically syncs the open segment concurrently with the writer, so that commits do not wait for it.
 func (w *writer) syncPeriodically(stop chan struct{}) {
 	for {
 		select {
@@ -102,13 +102,13 @@
 			f := w.file
 			w.mu.Unlock()
 			if f != nil {
-				_ = f.Sync() // the next write fails as well
+				_ = f.Sync() // an error shows at the next write as well
 			}
 		}
 	}
 }
 
-// write appends a batch to the open segment, and opens the next one when it is large enough.
+// write appends a batch to the open segment. If the segment is then large enough, it is closed and the next one is opened.
 func (w *writer) write(r request) error {
 	if w.totalSize+int64(len(r.batch)) > w.options.MaxSize {
 		return ErrFull
@@ -125,12 +125,12 @@
 	if w.currentSize < w.options.SegmentSize {
 		return nil
 	}
-	w.closed, w.lastClosed = append(w.closed, w.current), r.nextSeq-1
-	w.sizes[w.current] = w.currentSize
+	w.closed, w.lastClosed = append(w.closed, w.currentName), r.nextSeq-1
+	w.sizes[w.currentName] = w.currentSize
 	return w.openSegment(r.nextSeq)
 }
 
-// openSegment closes the open segment and opens one that begins with a sequence number.
+// openSegment closes the open segment and opens one that begins with the given sequence number.
 func (w *writer) openSegment(first uint64) error {
 	w.closeSegment()
 	name := segmentName(first)
@@ -142,7 +142,7 @@
 	w.mu.Lock()
 	w.file = f
 	w.mu.Unlock()
-	w.current, w.currentSize = name, int64(n)
+	w.currentName, w.currentSize = name, int64(n)
 	w.totalSize += int64(n)
 	if err == nil && w.options.Sync != SyncNone {
 		err = errors.Join(f.Sync(), w.disk.Sync())
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// header encodes the header of one of this ledger's files.
+// header encodes the header of a file of this ledger.
 func (w *writer) header(magic string, first, epoch uint64) []byte {
 	h := header{magic: magic, owner: ownerHash(w.options.Name), mac: w.options.Key != nil, first: first, epoch: epoch}
 	return h.append(nil)
@@ -169,7 +169,7 @@
 	}
 }
 
-// beginEpoch replaces all files by a snapshot of a state, and opens a segment.
+// beginEpoch replaces all files by a snapshot of the request's state, and opens a segment.
 func (w *writer) beginEpoch(r request) error {
 	last := r.nextSeq - 1
 	size, err := w.writeSnapshot(last, r.state)
@@ -177,19 +177,19 @@
 		return err
 	}
 	replaced := slices.Concat(w.obsolete, w.closed)
-	for _, name := range []string{w.current, w.base} {
+	for _, name := range []string{w.currentName, w.lastSnapshot} {
 		if name != "" {
 			replaced = append(replaced, name)
 		}
 	}
 	w.closeSegment()
-	w.obsolete, w.closed, w.current, w.base = nil, nil, "", snapshotName(last)
+	w.obsolete, w.closed, w.currentName, w.lastSnapshot = nil, nil, "", snapshotName(last)
 	w.removeFiles(replaced)
-	w.totalSize, w.epoch, w.sizes = size, r.nextSeq, map[string]int64{w.base: size}
+	w.totalSize, w.epoch, w.sizes = size, r.nextSeq, map[string]int64{w.lastSnapshot: size}
 	return w.openSegment(r.nextSeq)
 }
 
-// removeFiles removes files that a snapshot replaces. One that cannot be removed does no harm.
+// removeFiles removes files that a snapshot replaces. It ignores errors, as the reader ignores files that a snapshot replaces.
 func (w *writer) removeFiles(names []string) {
 	for _, name := range names {
 		_ = w.disk.Remove(name)
