--- a/internal/decide/links/redial_test.go
+++ b/internal/decide/links/backoff_test.go
@@ -13,7 +13,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var b Backoff
 		now := start
-		bounds := map[Purpose]time.Duration{Draining: redialAhead, Preconnect: redialAhead, ActiveCalls: redialStanding, SetUp: redialLeast}
+		bounds := map[Purpose]time.Duration{Draining: maxRedialPause, Preconnect: maxRedialPause, ActiveCalls: maxRedialPauseActiveCalls, SetUp: minRedialPause}
 		for p := range bounds {
 			if !b.Due(now, p) {
 				t.Fatalf("one that did not fail is not due for purpose %d", p)
@@ -22,7 +22,7 @@
 		for n := range rapid.IntRange(1, 30).Draw(t, "failures") {
 			b.RecordFailure(now, rapid.Float64Range(0, 1).Draw(t, "jitter"))
 			for p, most := range bounds {
-				least := min(redialLeast<<min(n, 20), most)
+				least := min(minRedialPause<<min(n, 20), most)
 				if p <= Preconnect {
 					least /= 2
 				}
@@ -33,7 +33,7 @@
 					t.Fatalf("a clock that was set back holds up purpose %d", p)
 				}
 			}
-			now = now.Add(redialAhead)
+			now = now.Add(maxRedialPause)
 		}
 		if b.Reset(); b.Failed() || !b.Due(now.Add(-time.Hour), Preconnect) || !b.Due(now, Preconnect) {
 			t.Fatal("what is reset is not due at once")
@@ -41,8 +41,8 @@
 	})
 }
 
-// TestPace: in any stretch of time there are no more dials than seconds, and one more; and there is one each second if they are asked for.
-func TestPace(t *testing.T) {
+// TestDialLimiter: in any stretch of time there are no more dials than seconds, and one more; and there is one each second if they are asked for.
+func TestDialLimiter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var p DialLimiter
 		var taken []time.Time
@@ -51,12 +51,12 @@
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(1500*time.Millisecond)).Draw(t, "gap")))
 			if p.Allow(now) {
 				taken = append(taken, now)
-			} else if now.Sub(taken[len(taken)-1]) >= aheadEvery {
+			} else if now.Sub(taken[len(taken)-1]) >= redialInterval {
 				t.Fatal("none is allowed after a second without")
 			}
 		}
 		for i := range taken[1:] {
-			if taken[i+1].Sub(taken[i]) < aheadEvery {
+			if taken[i+1].Sub(taken[i]) < redialInterval {
 				t.Fatalf("two within %v", taken[i+1].Sub(taken[i]))
 			}
 		}
--- a/internal/decide/links/budget.go
+++ b/internal/decide/links/budget.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// settled is how long a connection must have been open before it makes room while calls stand at its dispatcher: by then the dispatcher
-// has repeated on it the ends that it told since the connection before. settledHeard is the same where something has come on it: a
+// settleTime is how long a connection must have been open before it makes room while calls stand at its dispatcher: by then the dispatcher
+// has repeated on it the ends that it told since the connection before. settleTimeReceived is the same where something has come on it: a
 // dispatcher tells its state first, and those ends right after it.
-const settled, settledHeard = time.Second, 100 * time.Millisecond
+const settleTime, settleTimeReceived = time.Second, 100 * time.Millisecond
 
-// withoutFor is how long a dispatcher with calls standing stays without a connection before the connection of another such dispatcher
+// maxUnconnected is how long a dispatcher with calls standing stays without a connection before the connection of another such dispatcher
 // makes room for it. An end is repeated on the next connection that opens and must reach its caller within 8 s.
-const withoutFor = 2 * time.Second
+const maxUnconnected = 2 * time.Second
 
 // Purpose is what a connection is opened for, in rising order of need.
 type Purpose int
@@ -63,7 +63,7 @@
 // rank orders connections by how little is lost with them; ok is false for those that must stay.
 func (c Connection) rank(now time.Time) (rank int, ok bool) {
 	open := now.Sub(c.Since)
-	rested := open >= settled || c.HasReceived && !c.HalfClosed && open >= settledHeard
+	rested := open >= settleTime || c.HasReceived && !c.HalfClosed && open >= settleTimeReceived
 	switch {
 	case c.HalfClosed && !c.HasCalls:
 		return 0, true
@@ -83,11 +83,11 @@
 	return 5, rested
 }
 
-// highest is the highest rank of connections that make room for the purpose. The dispatcher that asks has been without a connection for
+// maxEvictionRank is the highest rank of connections that make room for the purpose. The dispatcher that asks has been without a connection for
 // so long.
-func (p Purpose) highest(without time.Duration) int {
+func (p Purpose) maxEvictionRank(without time.Duration) int {
 	switch {
-	case p == SetUp, p == ActiveCalls && without >= withoutFor:
+	case p == SetUp, p == ActiveCalls && without >= maxUnconnected:
 		return 6
 	case p == ActiveCalls:
 		return 3
@@ -100,7 +100,7 @@
 // Evict is the index of the connection that is closed so that another can be opened for the purpose, to a dispatcher that has been without
 // one for so long; -1 if none may be. Of equals it is the one that was used least recently. One with set-ups open is never closed.
 func Evict(now time.Time, p Purpose, without time.Duration, connections []Connection) int {
-	least, leastRank := -1, p.highest(without)+1
+	least, leastRank := -1, p.maxEvictionRank(without)+1
 	for i, c := range connections {
 		rank, ok := c.rank(now)
 		if !ok || rank > leastRank || rank == leastRank && (least < 0 || !c.UsedAt.Before(connections[least].UsedAt)) {
--- a/internal/decide/links/budget_test.go
+++ b/internal/decide/links/budget_test.go
@@ -32,24 +32,24 @@
 		{Since: now, UsedAt: now},
 		{Sole: true, UsedAt: now.Add(-time.Minute)},
 		{Sole: true, UsedAt: now.Add(-time.Second)},
-		{HalfClosed: true, HasCalls: true, Since: now.Add(-settled), UsedAt: start},
-		{Sole: true, HasCalls: true, Since: now.Add(-settled), UsedAt: now.Add(-time.Second)},
-		{Sole: true, HasCalls: true, HasReceived: true, Since: now.Add(-settledHeard), UsedAt: now},
-		{Draining: true, Sole: true, HasCalls: true, Since: now.Add(-settled), UsedAt: start},
+		{HalfClosed: true, HasCalls: true, Since: now.Add(-settleTime), UsedAt: start},
+		{Sole: true, HasCalls: true, Since: now.Add(-settleTime), UsedAt: now.Add(-time.Second)},
+		{Sole: true, HasCalls: true, HasReceived: true, Since: now.Add(-settleTimeReceived), UsedAt: now},
+		{Draining: true, Sole: true, HasCalls: true, Since: now.Add(-settleTime), UsedAt: start},
 	}
 	kept := []Connection{
 		{PendingSetUps: 1}, {Sole: true, PendingSetUps: 2, HasCalls: true}, {Draining: true, PendingSetUps: 1},
-		{Sole: true, HasCalls: true, Since: now.Add(-settled + 1)},
-		{HalfClosed: true, HasCalls: true, HasReceived: true, Since: now.Add(-settled + 1)},
-		{Sole: true, HasCalls: true, HasReceived: true, Since: now.Add(-settledHeard + 1)},
-		{Draining: true, Sole: true, HasCalls: true, Since: now.Add(-settled + 1)},
+		{Sole: true, HasCalls: true, Since: now.Add(-settleTime + 1)},
+		{HalfClosed: true, HasCalls: true, HasReceived: true, Since: now.Add(-settleTime + 1)},
+		{Sole: true, HasCalls: true, HasReceived: true, Since: now.Add(-settleTimeReceived + 1)},
+		{Draining: true, Sole: true, HasCalls: true, Since: now.Add(-settleTime + 1)},
 	}
 	for _, test := range []struct {
 		purpose Purpose
 		without time.Duration
 		may     int // so many of the connections
 	}{
-		{Draining, time.Hour, 0}, {Preconnect, time.Hour, 2}, {ActiveCalls, 0, 5}, {ActiveCalls, withoutFor, len(connections)}, {SetUp, 0, len(connections)},
+		{Draining, time.Hour, 0}, {Preconnect, time.Hour, 2}, {ActiveCalls, 0, 5}, {ActiveCalls, maxUnconnected, len(connections)}, {SetUp, 0, len(connections)},
 	} {
 		for i, c := range connections {
 			if got := Evict(now, test.purpose, test.without, append(kept, c)); got >= 0 != (i < test.may) || got >= 0 && got != len(kept) {
@@ -70,9 +70,9 @@
 	}
 }
 
-// TestEvictBounds: whatever the connections, none with a set-up open is closed, none where calls stand before it is settled or while
+// TestEvictInvariants: whatever the connections, none with a set-up open is closed, none where calls stand before it is settled or while
 // another can make room, and a set-up finds one wherever one is idle and settled.
-func TestEvictBounds(t *testing.T) {
+func TestEvictInvariants(t *testing.T) {
 	now := start.Add(time.Hour)
 	ago := rapid.Map(rapid.Int64Range(-int64(time.Second), int64(5*time.Second)), func(d int64) time.Time { return now.Add(-time.Duration(d)) })
 	connection := rapid.Custom(func(t *rapid.T) Connection {
@@ -85,13 +85,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		connections := rapid.SliceOfN(connection, 0, 12).Draw(t, "connections")
 		purpose := Purpose(rapid.IntRange(int(Draining), int(SetUp)).Draw(t, "purpose"))
-		without := time.Duration(rapid.Int64Range(0, int64(2*withoutFor)).Draw(t, "without"))
+		without := time.Duration(rapid.Int64Range(0, int64(2*maxUnconnected)).Draw(t, "without"))
 		i := Evict(now, purpose, without, connections)
 		free, settledIdle := false, false
 		for _, c := range connections {
 			idle := c.HalfClosed || c.PendingSetUps == 0
 			free = free || idle && !c.HasCalls
-			settledIdle = settledIdle || idle && now.Sub(c.Since) >= settled
+			settledIdle = settledIdle || idle && now.Sub(c.Since) >= settleTime
 		}
 		if i < 0 {
 			if purpose == SetUp && (free || settledIdle) {
@@ -103,7 +103,7 @@
 		switch {
 		case !c.HalfClosed && c.PendingSetUps > 0:
 			t.Fatal("one with a set-up open is closed")
-		case c.HasCalls && c.Sole && !c.HalfClosed && (now.Sub(c.Since) < settledHeard || !c.HasReceived && now.Sub(c.Since) < settled || purpose <= Preconnect || free):
+		case c.HasCalls && c.Sole && !c.HalfClosed && (now.Sub(c.Since) < settleTimeReceived || !c.HasReceived && now.Sub(c.Since) < settleTime || purpose <= Preconnect || free):
 			t.Fatalf("the only one to a dispatcher with calls is closed for purpose %d", purpose)
 		case purpose == Preconnect && !c.Draining && !c.HalfClosed:
 			t.Fatal("a live dispatcher's makes room for what nobody needs yet")
--- a/internal/decide/links/links_test.go
+++ b/internal/decide/links/links_test.go
@@ -9,7 +9,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestWanted(t *testing.T) {
+func TestTarget(t *testing.T) {
 	for name, test := range map[string]struct {
 		open   []int // a second apart
 		after  time.Duration
@@ -22,9 +22,9 @@
 		"three at once":                    {open: []int{1, 3, 1}, most: 4, want: 3},
 		"more than there may be":           {open: []int{9}, most: 4, want: 4},
 		"a burst of long ago":              {open: []int{4}, after: time.Minute, most: 4, want: 1},
-		"a burst of one half-life ago":     {open: []int{4}, after: halfLife, most: 4, want: 2},
-		"without a word":                   {open: []int{1}, oldest: doubtful, most: 4, want: 2},
-		"without a word, and room for one": {open: []int{1}, oldest: doubtful, most: 1, want: 1},
+		"a burst of one half-life ago":     {open: []int{4}, after: demandHalfLife, most: 4, want: 2},
+		"without a word":                   {open: []int{1}, oldest: suspectAfter, most: 4, want: 2},
+		"without a word, and room for one": {open: []int{1}, oldest: suspectAfter, most: 1, want: 1},
 		"a clock that was set back":        {open: []int{3}, after: -time.Hour, most: 4, want: 3},
 	} {
 		var d Demand
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestBounds: whatever came before, there is one at least, never more than there may be, and at once as many as set-ups are
+// TestTargetInvariants: whatever came before, there is one at least, never more than there may be, and at once as many as set-ups are
 // open, if there may be; what is not needed any more is forgotten within a minute.
-func TestBounds(t *testing.T) {
+func TestTargetInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var d Demand
 		now := start
--- a/internal/decide/links/share_test.go
+++ b/internal/decide/links/socket_quota_test.go
@@ -6,9 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestShare: both parts together never exceed what there is, callers have what is kept for them and what they hold, up to their bound, and
+// TestSocketQuota: both parts together never exceed what there is, callers have what is kept for them and what they hold, up to their bound, and
 // dispatchers have the rest.
-func TestShare(t *testing.T) {
+func TestSocketQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := SocketQuota{Sockets: rapid.IntRange(2, 2000).Draw(t, "sockets")}
 		s.MaxCallers = rapid.IntRange(1, s.Sockets-1).Draw(t, "callers")
--- a/internal/decide/members/members.go
+++ b/internal/decide/members/members.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// driftPart of a lease is what its owner gives up for clocks whose rates differ.
-	driftPart = 8
-	// staleLeases is the age in leases beyond which a view is not acted on.
-	staleLeases = 2
-	// keepHistory bounds what is told of changes: some minutes of a release of 300 controllers.
-	keepHistory = 1024
-	// keepGone bounds the members that are told as gone, the latest ones.
-	keepGone = 512
+	// leaseMarginDivisor of a lease is what its owner gives up for clocks whose rates differ.
+	leaseMarginDivisor = 8
+	// maxViewAgeLeases is the age in leases beyond which a view is not acted on.
+	maxViewAgeLeases = 2
+	// maxHistory bounds what is told of changes: some minutes of a release of 300 controllers.
+	maxHistory = 1024
+	// maxGone bounds the members that are told as gone, the latest ones.
+	maxGone = 512
 )
 
 // Margin is the part of a lease that its owner does not count on.
-func Margin(lease time.Duration) time.Duration { return lease / driftPart }
+func Margin(lease time.Duration) time.Duration { return lease / leaseMarginDivisor }
 
 // State is what a member says of itself; Gone is what the store says.
 type State string
@@ -62,7 +62,7 @@
 	FirstSeenAt time.Duration // when this process first heard of the incarnation
 	EndedAt     time.Duration // when it heard of its end; 0 while there is none
 	WasLeaving  bool          // it said that it was leaving before it went
-	last        State
+	lastState   State
 }
 
 // Kind says what happened to a member.
@@ -90,25 +90,25 @@
 	self  string
 	lease time.Duration
 
-	cluster  uint64
-	highest  int64 // the highest revision that a linearizable answer has told
-	revision int64 // up to which the view is whole; 0 before the first read
-	asOf     time.Duration
-	known    bool
-	looks    []look // those that the watch has not caught up with, oldest first
+	storeID         uint64
+	highestRevision int64 // the highest revision that a linearizable answer has told
+	revision        int64 // up to which the view is whole; 0 before the first read
+	asOf            time.Duration
+	loaded          bool
+	samples         []revisionSample // those that the watch has not caught up with, oldest first
 
 	incarnation int64 // of the own key; 0 without one
-	rightUntil  time.Duration
-	certain     bool // at the last turn, for the history
+	leaseUntil  time.Duration
+	heldLease   bool // at the last turn, for the history
 
-	members map[string]*Member
-	gone    []*Member
-	history []Event
-	dropped int // events that the history has lost
+	members       map[string]*Member
+	gone          []*Member
+	history       []Event
+	droppedEvents int // events that the history has lost
 }
 
-// look is a linearizable answer: the store was at a revision at some time after it was asked.
-type look struct {
+// revisionSample is a linearizable answer: the store was at a revision at some time after it was asked.
+type revisionSample struct {
 	sent     time.Duration
 	revision int64
 }
@@ -118,10 +118,10 @@
 	return &View{self: self, lease: lease, members: map[string]*Member{}}
 }
 
-func (v *View) note(at time.Duration, k Kind, e Entry, cause string) {
-	if len(v.history) == keepHistory {
-		v.history = slices.Delete(v.history, 0, keepHistory/4)
-		v.dropped += keepHistory / 4
+func (v *View) recordEvent(at time.Duration, k Kind, e Entry, cause string) {
+	if len(v.history) == maxHistory {
+		v.history = slices.Delete(v.history, 0, maxHistory/4)
+		v.droppedEvents += maxHistory / 4
 	}
 	v.history = append(v.history, Event{at, k, e.Name, e.Incarnation, e.State, cause})
 }
@@ -135,48 +135,48 @@
 		return
 	}
 	if incarnation != v.incarnation {
-		v.incarnation, v.rightUntil = incarnation, 0
+		v.incarnation, v.leaseUntil = incarnation, 0
 	}
-	v.extend(now, sent)
+	v.extendLease(now, sent)
 }
 
 // RecordRenewal takes in the answer to a renewal of the own lease. It counts from when the request was sent: however late the answer, the
 // store had it no sooner.
 func (v *View) RecordRenewal(now, sent time.Duration, incarnation int64) {
 	if incarnation == v.incarnation && incarnation != 0 {
-		v.extend(now, sent)
+		v.extendLease(now, sent)
 	}
 }
 
-func (v *View) extend(now, sent time.Duration) {
-	v.rightUntil = max(v.rightUntil, sent+v.lease-Margin(v.lease))
-	v.turn(now, "")
+func (v *View) extendLease(now, sent time.Duration) {
+	v.leaseUntil = max(v.leaseUntil, sent+v.lease-Margin(v.lease))
+	v.updateLeaseState(now, "")
 }
 
 // RecordLeaseEnd takes in that the own lease or key is no more, for all that the store says, or that this process gives it up.
 func (v *View) RecordLeaseEnd(now time.Duration, cause string) {
-	v.rightUntil = 0
-	v.turn(now, cause)
+	v.leaseUntil = 0
+	v.updateLeaseState(now, cause)
 	v.incarnation = 0
 }
 
-// turn notes a change of the own certainty.
-func (v *View) turn(now time.Duration, cause string) {
-	if is := v.incarnation != 0 && now < v.rightUntil; is != v.certain {
-		v.certain = is
+// updateLeaseState notes a change of the own certainty.
+func (v *View) updateLeaseState(now time.Duration, cause string) {
+	if is := v.incarnation != 0 && now < v.leaseUntil; is != v.heldLease {
+		v.heldLease = is
 		kind := LeaseLost
 		if is {
 			kind = LeaseGained
 		}
-		v.note(now, kind, Entry{Name: v.self, Incarnation: v.incarnation}, cause)
+		v.recordEvent(now, kind, Entry{Name: v.self, Incarnation: v.incarnation}, cause)
 	}
 }
 
 // HoldsLease reports whether this process has its name for itself now, as which incarnation, and until when if nothing more is heard.
 // Whoever acts on it must act before then.
 func (v *View) HoldsLease(now time.Duration) (incarnation int64, until time.Duration, ok bool) {
-	v.turn(now, "no renewal was answered in time")
-	return v.incarnation, v.rightUntil, v.certain
+	v.updateLeaseState(now, "no renewal was answered in time")
+	return v.incarnation, v.leaseUntil, v.heldLease
 }
 
 // --- The others ---
@@ -185,40 +185,40 @@
 // another store, or the same one put back to an earlier state: then no key that is missing there says that anybody has ended, and the
 // own key must be made anew. The revision need not be that of this request's keys.
 func (v *View) ObserveStore(now time.Duration, cluster uint64, revision int64) bool {
-	same := v.cluster == 0 || cluster == v.cluster && revision >= v.highest
+	same := v.storeID == 0 || cluster == v.storeID && revision >= v.highestRevision
 	if !same {
 		cause := "the store went back"
-		if cluster != v.cluster {
+		if cluster != v.storeID {
 			cause = "another store"
 		}
-		v.note(now, StoreReplaced, Entry{Name: v.self, Incarnation: v.incarnation}, cause)
+		v.recordEvent(now, StoreReplaced, Entry{Name: v.self, Incarnation: v.incarnation}, cause)
 		v.RecordLeaseEnd(now, cause)
 		// Who lives is not known any more. Nobody has ended.
-		v.members, v.known, v.revision, v.looks = map[string]*Member{}, false, 0, nil
-		v.highest = 0
+		v.members, v.loaded, v.revision, v.samples = map[string]*Member{}, false, 0, nil
+		v.highestRevision = 0
 	}
-	v.cluster, v.highest = cluster, max(v.highest, revision)
+	v.storeID, v.highestRevision = cluster, max(v.highestRevision, revision)
 	return same
 }
 
 // RecordRevision takes in a linearizable answer that was asked for then: the view is as old as that once it is whole up to the revision.
 func (v *View) RecordRevision(sent time.Duration, revision int64) {
-	if n := len(v.looks); n > 0 && v.looks[n-1].sent >= sent {
+	if n := len(v.samples); n > 0 && v.samples[n-1].sent >= sent {
 		return
 	}
-	if len(v.looks) == 8 { // the watch is behind; the oldest that it has yet to reach tells most
-		v.looks = v.looks[:7]
+	if len(v.samples) == 8 { // the watch is behind; the oldest that it has yet to reach tells most
+		v.samples = v.samples[:7]
 	}
-	v.looks = append(v.looks, look{sent, revision})
-	v.reach(v.revision)
+	v.samples = append(v.samples, revisionSample{sent, revision})
+	v.advanceRevision(v.revision)
 }
 
-// reach is called when the view is whole up to a revision.
-func (v *View) reach(revision int64) {
+// advanceRevision is called when the view is whole up to a revision.
+func (v *View) advanceRevision(revision int64) {
 	v.revision = max(v.revision, revision)
-	for len(v.looks) > 0 && v.known && v.looks[0].revision <= v.revision {
-		v.asOf = max(v.asOf, v.looks[0].sent)
-		v.looks = v.looks[1:]
+	for len(v.samples) > 0 && v.loaded && v.samples[0].revision <= v.revision {
+		v.asOf = max(v.asOf, v.samples[0].sent)
+		v.samples = v.samples[1:]
 	}
 }
 
@@ -235,14 +235,14 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
 		if m := v.members[name]; !there[name] && m.Revision <= revision {
-			v.end(now, m, "missing from a whole read")
+			v.recordEnd(now, m, "missing from a whole read")
 		}
 	}
-	if !v.known || sent > v.asOf {
+	if !v.loaded || sent > v.asOf {
 		v.asOf = sent
 	}
-	v.known = true
-	v.reach(revision)
+	v.loaded = true
+	v.advanceRevision(revision)
 	return true
 }
 
@@ -254,10 +254,10 @@
 			continue
 		}
 		if m := v.members[c.Name]; m != nil && m.Revision < c.Revision {
-			v.end(now, m, "its key was deleted")
+			v.recordEnd(now, m, "its key was deleted")
 		}
 	}
-	v.reach(revision)
+	v.advanceRevision(revision)
 }
 
 func (v *View) put(now time.Duration, e Entry) {
@@ -267,26 +267,26 @@
 	case e.Revision <= m.Revision:
 		return // told before
 	case e.Incarnation > m.Incarnation:
-		v.end(now, m, "its name was taken anew")
+		v.recordEnd(now, m, "its name was taken anew")
 	default:
 		if m.State != e.State {
-			v.note(now, MemberStateChanged, e, "")
+			v.recordEvent(now, MemberStateChanged, e, "")
 		}
 		m.Entry = e
 		return
 	}
-	v.members[e.Name] = &Member{Entry: e, Store: v.cluster, FirstSeenAt: now}
-	v.note(now, MemberAppeared, e, "")
+	v.members[e.Name] = &Member{Entry: e, Store: v.storeID, FirstSeenAt: now}
+	v.recordEvent(now, MemberAppeared, e, "")
 }
 
-// end is the one way for a member to be gone.
-func (v *View) end(now time.Duration, m *Member, cause string) {
+// recordEnd is the one way for a member to be gone.
+func (v *View) recordEnd(now time.Duration, m *Member, cause string) {
 	delete(v.members, m.Name)
 	m.WasLeaving, m.EndedAt = m.State == Leaving, now
-	m.last, m.State = m.State, Gone
-	v.note(now, MemberEnded, m.Entry, cause)
-	if len(v.gone) == keepGone {
-		v.gone = slices.Delete(v.gone, 0, keepGone/4)
+	m.lastState, m.State = m.State, Gone
+	v.recordEvent(now, MemberEnded, m.Entry, cause)
+	if len(v.gone) == maxGone {
+		v.gone = slices.Delete(v.gone, 0, maxGone/4)
 	}
 	v.gone = append(v.gone, m)
 }
@@ -312,7 +312,7 @@
 }
 
 // StoreID is the number of the store whose revisions the incarnations are; 0 before it has answered.
-func (v *View) StoreID() uint64 { return v.cluster }
+func (v *View) StoreID() uint64 { return v.storeID }
 
 // Gone are those that have ended, the latest last.
 func (v *View) Gone() []Member {
@@ -325,25 +325,25 @@
 
 // Age is how old the view is at most; false before the first whole read.
 func (v *View) Age(now time.Duration) (time.Duration, bool) {
-	return max(0, now-v.asOf), v.known
+	return max(0, now-v.asOf), v.loaded
 }
 
 // Actable reports whether the view is young enough to act on, for one whose own membership is certain.
 func (v *View) Actable(now time.Duration) bool {
 	age, known := v.Age(now)
 	_, _, certain := v.HoldsLease(now)
-	return known && certain && age <= staleLeases*v.lease
+	return known && certain && age <= maxViewAgeLeases*v.lease
 }
 
 // Revision up to which the view is whole, and Behind what a look has told beyond it.
 func (v *View) Revision() int64 { return v.revision }
 
 // Behind reports whether the store has told of a revision that the watch has not reached.
-func (v *View) Behind() bool { return len(v.looks) > 0 }
+func (v *View) Behind() bool { return len(v.samples) > 0 }
 
 // History is what has happened from the event of that number on, oldest first, as far as it is kept, and the number of the next one.
 // Events are numbered from 0.
 func (v *View) History(from int) (events []Event, next int) {
-	next = v.dropped + len(v.history)
-	return slices.Clone(v.history[min(max(from-v.dropped, 0), len(v.history)):]), next
+	next = v.droppedEvents + len(v.history)
+	return slices.Clone(v.history[min(max(from-v.droppedEvents, 0), len(v.history)):]), next
 }
--- a/internal/decide/members/members_test.go
+++ b/internal/decide/members/members_test.go
@@ -11,18 +11,20 @@
 
 const lease = 3 * time.Second
 
-// usual is a world with a bit of everything; its clocks differ by as much as the margin allows.
-func usual() odds { return odds{lease: lease, drift: 0.06, lost: 0.2, delay: lease / 4} }
+// defaultOptions is a world with a bit of everything; its clocks differ by as much as the margin allows.
+func defaultOptions() simulationOptions {
+	return simulationOptions{lease: lease, maxDrift: 0.06, lossRate: 0.2, maxDelay: lease / 4}
+}
 
-// TestNeverTwo plays processes, a store and a network that loses, delays, pauses, cuts, crashes and goes back: whatever the order, no two
+// TestOneHolderPerName plays processes, a store and a network that loses, delays, pauses, cuts, crashes and goes back: whatever the order, no two
 // processes are certain of one name, and none is that has ended for another.
-func TestNeverTwo(t *testing.T) {
+func TestOneHolderPerName(t *testing.T) {
 	joins := 0
 	rapid.Check(t, func(t *rapid.T) {
-		o := usual()
-		o.lost = rapid.Float64Range(0, 0.5).Draw(t, "lost")
-		o.delay = time.Duration(rapid.IntRange(1, 3000).Draw(t, "delay")) * time.Millisecond
-		faults, n := play(rapid.Uint64().Draw(t, "seed"), o, 40)
+		o := defaultOptions()
+		o.lossRate = rapid.Float64Range(0, 0.5).Draw(t, "lost")
+		o.maxDelay = time.Duration(rapid.IntRange(1, 3000).Draw(t, "delay")) * time.Millisecond
+		faults, n := runSimulation(rapid.Uint64().Draw(t, "seed"), o, 40)
 		if joins += n; faults != "" {
 			t.Fatal(faults)
 		}
@@ -32,19 +34,19 @@
 	}
 }
 
-// TestOffencesAreFound: each of these is wrong by the note, and the world shows it.
-func TestOffencesAreFound(t *testing.T) {
-	for name, plant := range map[string]func(*odds){
-		"clocks beyond the margin":           func(o *odds) { o.drift = 0.3 },
-		"counted from the answer":            func(o *odds) { o.fromAnswer = true },
-		"a silent view ends its members":     func(o *odds) { o.silence = true },
-		"a store that went back is not seen": func(o *odds) { o.keepThrough = true },
+// TestSimulationDetectsViolations: each of these is wrong by the note, and the world shows it.
+func TestSimulationDetectsViolations(t *testing.T) {
+	for name, plant := range map[string]func(*simulationOptions){
+		"clocks beyond the margin":           func(o *simulationOptions) { o.maxDrift = 0.3 },
+		"counted from the answer":            func(o *simulationOptions) { o.leaseFromAnswer = true },
+		"a silent view ends its members":     func(o *simulationOptions) { o.endOnOldView = true },
+		"a store that went back is not seen": func(o *simulationOptions) { o.ignoreRestore = true },
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := usual()
+			o := defaultOptions()
 			plant(&o)
 			for seed := range uint64(400) {
-				if faults, _ := play(seed, o, 40); faults != "" {
+				if faults, _ := runSimulation(seed, o, 40); faults != "" {
 					t.Logf("found by seed %d: %s", seed, faults)
 					return
 				}
@@ -58,7 +60,7 @@
 	return Entry{Name: name, Incarnation: incarnation, Revision: revision, State: s}
 }
 
-func TestOwnCertainty(t *testing.T) {
+func TestHoldsLease(t *testing.T) {
 	v := New("a", lease)
 	certain := func(at time.Duration, want bool) {
 		t.Helper()
@@ -86,7 +88,7 @@
 	certain(7*time.Second, true)
 }
 
-func TestEndsAreOnlyThoseThatTheStoreTells(t *testing.T) {
+func TestMembersEndOnlyByTheStore(t *testing.T) {
 	v := New("a", lease)
 	v.ObserveStore(0, 1, 10)
 	v.ApplyRead(0, 0, 10, []Entry{entry("a", 2, 2, Serving), entry("b", 3, 9, Serving), entry("c", 4, 4, Serving)})
@@ -126,7 +128,7 @@
 	}
 }
 
-func TestAgeOfTheView(t *testing.T) {
+func TestViewAge(t *testing.T) {
 	v := New("a", lease)
 	if _, known := v.Age(0); known {
 		t.Error("a view that was never read is known")
@@ -147,8 +149,8 @@
 	}
 }
 
-// TestBounds: names come and go a thousand times and more; what is kept of them does not grow.
-func TestBounds(t *testing.T) {
+// TestMemoryIsBounded: names come and go a thousand times and more; what is kept of them does not grow.
+func TestMemoryIsBounded(t *testing.T) {
 	v := New("a", lease)
 	v.ApplyRead(0, 0, 1, nil)
 	for i := range int64(5000) {
@@ -156,8 +158,8 @@
 			{entry(fmt.Sprint("n", i), 2+2*i, 2+2*i, Serving), false}, {Entry{Name: fmt.Sprint("n", i), Revision: 3 + 2*i}, true}})
 		v.RecordRevision(time.Duration(i), 1<<40+i)
 	}
-	if len(v.members) > 0 || len(v.gone) > keepGone || len(v.history) > keepHistory || len(v.looks) > 8 {
-		t.Errorf("%d members, %d gone, %d lines of history, %d looks", len(v.members), len(v.gone), len(v.history), len(v.looks))
+	if len(v.members) > 0 || len(v.gone) > maxGone || len(v.history) > maxHistory || len(v.samples) > 8 {
+		t.Errorf("%d members, %d gone, %d lines of history, %d looks", len(v.members), len(v.gone), len(v.history), len(v.samples))
 	}
 	events, next := v.History(9995)
 	if len(events) != 5 || next != 10000 {
--- a/internal/decide/pool/bench_test.go
+++ b/internal/decide/pool/bench_test.go
@@ -8,8 +8,8 @@
 	"cherryrelay/control"
 )
 
-// large is a set of n servers, one of which has a weight that changes.
-func large(n, weight int) Candidate {
+// largeSet is a set of n servers, one of which has a weight that changes.
+func largeSet(n, weight int) Candidate {
 	c := Candidate{Source: FromFile, Digest: fmt.Sprint(weight), Update: Update{Complete: true}}
 	for i := range n {
 		c.Servers = append(c.Servers, Member{Address: fmt.Sprintf("127.0.%d.%d:7000", i/250, i%250), ServerEntry: control.ServerEntry{
@@ -19,8 +19,8 @@
 	return c
 }
 
-// plain is the way without an index: names are looked up in a list, and every server of the new set is told anew.
-func plain(inForce []Member, c *Candidate) (next, told []Member, twice bool) {
+// applyWithoutIndex is the way without an index: names are looked up in a list, and every server of the new set is told anew.
+func applyWithoutIndex(inForce []Member, c *Candidate) (next, told []Member, twice bool) {
 	for i, m := range c.Servers {
 		for _, o := range c.Servers[:i] {
 			twice = twice || o.ID == m.ID || o.Address == m.Address
@@ -36,10 +36,10 @@
 	return c.Servers, told, twice
 }
 
-// BenchmarkTake checks a set in which one weight changes and puts it in force.
-func BenchmarkTake(b *testing.B) {
+// BenchmarkApply checks a set in which one weight changes and puts it in force.
+func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{10, 1000, 10_000} {
-		sets := [2]Candidate{large(n, 1), large(n, 2)}
+		sets := [2]Candidate{largeSet(n, 1), largeSet(n, 2)}
 		b.Run(fmt.Sprint("pool/", n), func(b *testing.B) {
 			p := New()
 			p.Apply(clock, sets[1])
@@ -51,13 +51,13 @@
 			}
 		})
 		b.Run(fmt.Sprint("plain/", n), func(b *testing.B) {
-			inForce, told, twice := plain(nil, &sets[1])
+			inForce, told, twice := applyWithoutIndex(nil, &sets[1])
 			if twice || len(told) != n {
 				b.Fatal(twice, len(told))
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				if inForce, told, twice = plain(inForce, &sets[i%2]); twice || len(told) != n {
+				if inForce, told, twice = applyWithoutIndex(inForce, &sets[i%2]); twice || len(told) != n {
 					b.Fatal(twice, len(told))
 				}
 			}
--- a/internal/decide/pool/change.go
+++ b/internal/decide/pool/change.go
@@ -18,8 +18,8 @@
 	Updated    []control.ServerID `json:"restated,omitempty"`  // another status, zone or group
 }
 
-// compare notes how a member differs from the one in force.
-func (c *Change) compare(old, e *entry) {
+// addDifference notes how a member differs from the one in force.
+func (c *Change) addDifference(old, e *entry) {
 	id := e.ID
 	if old == nil {
 		c.Added = append(c.Added, id)
@@ -64,16 +64,16 @@
 	return !slices.ContainsFunc(c.lists(), func(l *[]control.ServerID) bool { return len(*l) > 0 })
 }
 
-// maxNames bounds how many names of each kind a kept change has: a set of 10,000 may change as a whole, and 64 such
+// maxChangeNames bounds how many names of each kind a kept change has: a set of 10,000 may change as a whole, and 64 such
 // changes are kept.
-const maxNames = 20
+const maxChangeNames = 20
 
-// cut is a copy with few names of each kind, to be kept, and the number of all.
-func (c *Change) cut() (Change, int) {
+// truncated is a copy with few names of each kind, to be kept, and the number of all.
+func (c *Change) truncated() (Change, int) {
 	var short Change
 	to := short.lists()
 	for i, l := range c.lists() {
-		if n := min(len(*l), maxNames); n > 0 {
+		if n := min(len(*l), maxChangeNames); n > 0 {
 			*to[i] = slices.Clone((*l)[:n])
 		}
 	}
@@ -92,7 +92,7 @@
 		}
 		names := ""
 		for j, id := range *l {
-			if j == maxNames {
+			if j == maxChangeNames {
 				names += fmt.Sprintf(" and %d more", len(*l)-j)
 				break
 			}
@@ -116,7 +116,7 @@
 		if m.Status == control.Removed {
 			continue
 		}
-		change.compare(old[m.ID], &entry{Member: m})
+		change.addDifference(old[m.ID], &entry{Member: m})
 		delete(old, m.ID)
 	}
 	for id := range old {
--- a/internal/decide/pool/check.go
+++ b/internal/decide/pool/check.go
@@ -21,10 +21,10 @@
 	MaxNameLength = 64
 	// MaxGroup bounds groups; first choices name them.
 	MaxGroup = 1 << 20
-	// maxAddress bounds addresses.
-	maxAddress = 256
-	// maxSkew is how far in the future a start may lie: clocks differ, but not by more.
-	maxSkew = time.Minute
+	// maxAddressLength bounds addresses.
+	maxAddressLength = 256
+	// maxClockSkew is how far in the future a start may lie: clocks differ, but not by more.
+	maxClockSkew = time.Minute
 )
 
 // Reason is the kind of a fault, of which there are few: figures are counted by it.
@@ -87,24 +87,24 @@
 	addresses := make(map[string]int, len(c.Servers))
 	takes := false
 	for i, m := range c.Servers {
-		if text := badName(string(m.ID)); text != "" {
+		if text := nameProblem(string(m.ID)); text != "" {
 			add(i, BadValue, "server", "the name %.80q %s", m.ID, text)
 		}
 		if first, twice := names[m.ID]; twice {
-			add(i, Duplicate, "server", "%q is named twice%s", m.ID, c.at(first))
+			add(i, Duplicate, "server", "%q is named twice%s", m.ID, c.firstLineNote(first))
 		} else {
 			names[m.ID] = i
 		}
 		gone := m.Status == control.Removed
-		if text := badAddress(m.Address); text != "" {
+		if text := addressProblem(m.Address); text != "" {
 			add(i, BadValue, "address", "%.80q of server %q %s", m.Address, m.ID, text)
-		} else if first, twice := addresses[host(m.Address)]; twice && !gone {
-			add(i, Duplicate, "address", "%q of server %q is that of server %q%s, too", m.Address, m.ID, c.Servers[first].ID, c.at(first))
+		} else if first, twice := addresses[hostPort(m.Address)]; twice && !gone {
+			add(i, Duplicate, "address", "%q of server %q is that of server %q%s, too", m.Address, m.ID, c.Servers[first].ID, c.firstLineNote(first))
 		} else if !gone {
-			addresses[host(m.Address)] = i
+			addresses[hostPort(m.Address)] = i
 		}
 		if m.Zone != "" {
-			if text := badName(m.Zone); text != "" {
+			if text := nameProblem(m.Zone); text != "" {
 				add(i, BadValue, "zone", "%.80q of server %q %s", m.Zone, m.ID, text)
 			}
 		}
@@ -117,7 +117,7 @@
 		if m.Status < control.Active || m.Status > control.Removed {
 			add(i, BadValue, "status", "%d of server %q is none", m.Status, m.ID)
 		}
-		if m.StartedAt < 0 || m.StartedAt > now+maxSkew {
+		if m.StartedAt < 0 || m.StartedAt > now+maxClockSkew {
 			add(i, BadValue, "since", "server %q would start in the future, or before 1970", m.ID)
 		}
 		takes = takes || m.Status == control.Active && m.Weight != NoNewCalls
@@ -128,16 +128,16 @@
 	return faults
 }
 
-// at tells the line of a server, if it is known.
-func (c *Candidate) at(i int) string {
+// firstLineNote tells the line of a server, if it is known.
+func (c *Candidate) firstLineNote(i int) string {
 	if i < len(c.Lines) && c.Lines[i] > 0 {
 		return fmt.Sprintf(", first in line %d", c.Lines[i])
 	}
 	return ""
 }
 
-// badName says what is wrong with a name; nothing if it is one. Names go into logs, figures and the protocols of others.
-func badName(name string) string {
+// nameProblem says what is wrong with a name; nothing if it is one. Names go into logs, figures and the protocols of others.
+func nameProblem(name string) string {
 	switch {
 	case name == "":
 		return "is empty"
@@ -151,10 +151,10 @@
 	return ""
 }
 
-// badAddress says what is wrong with an address; nothing if it is host:port or ws://host:port/path.
-func badAddress(address string) string {
-	if len(address) > maxAddress {
-		return fmt.Sprintf("is longer than %d bytes", maxAddress)
+// addressProblem says what is wrong with an address; nothing if it is host:port or ws://host:port/path.
+func addressProblem(address string) string {
+	if len(address) > maxAddressLength {
+		return fmt.Sprintf("is longer than %d bytes", maxAddressLength)
 	}
 	u, err := url.Parse("tcp://" + address)
 	if strings.HasPrefix(address, "ws://") {
@@ -174,8 +174,8 @@
 	return ""
 }
 
-// host is the part of an address that two processes can't share.
-func host(address string) string {
+// hostPort is the part of an address that two processes can't share.
+func hostPort(address string) string {
 	address = strings.TrimPrefix(address, "ws://")
 	address, _, _ = strings.Cut(address, "/")
 	return address
--- a/internal/decide/pool/pool.go
+++ b/internal/decide/pool/pool.go
@@ -59,43 +59,43 @@
 	Faults []Fault
 }
 
-// byPeople reports whether the candidate is checked closely.
-func (c *Candidate) byPeople() bool { return c.Source == FromFile || c.Source == FromSnapshot }
+// fromOperator reports whether the candidate is checked closely.
+func (c *Candidate) fromOperator() bool { return c.Source == FromFile || c.Source == FromSnapshot }
 
 // entry is a member in force.
 type entry struct {
-	Member               // as the rest of the program is told, but for an Idle one
-	given  time.Duration // StartedAt as the source gives it
-	seen   time.Duration // since when this process, by name and address, has been in force
+	Member                      // as the rest of the program is told, but for an Idle one
+	reportedStart time.Duration // StartedAt as the source gives it
+	firstSeenAt   time.Duration // since when this process, by name and address, has been in force
 }
 
 // Pool is the set in force and how it came to be. It is not safe for concurrent use.
 type Pool struct {
-	entries  map[control.ServerID]*entry
-	listed   bool // a whole set has come
-	current  Version
-	trouble  *Version // the last candidate of people, if it was refused
-	history  []Version
-	versions int
-	files    int // most servers in a set of people
-	streams  int // as many in one of streams; 0 for any number
-	taken    int
-	refused  map[Reason]int
+	entries         map[control.ServerID]*entry
+	hasSet          bool // a whole set has come
+	current         Version
+	lastRefused     *Version // the last candidate of people, if it was refused
+	history         []Version
+	lastNumber      int
+	fileLimit       int // most servers in a set of people
+	streamLimit     int // as many in one of streams; 0 for any number
+	acceptedCount   int
+	refusedByReason map[Reason]int
 }
 
 // New returns a Pool without a set.
 func New() *Pool {
-	return &Pool{entries: map[control.ServerID]*entry{}, refused: map[Reason]int{}, files: DefaultLimit}
+	return &Pool{entries: map[control.ServerID]*entry{}, refusedByReason: map[Reason]int{}, fileLimit: DefaultLimit}
 }
 
 // SetLimit sets the most servers that a set may have, whoever it comes from: what the memory bears. What is over it is refused whole.
-func (p *Pool) SetLimit(servers int) { p.files, p.streams = min(servers, MaxServers), servers }
+func (p *Pool) SetLimit(servers int) { p.fileLimit, p.streamLimit = min(servers, MaxServers), servers }
 
-// over tells of a candidate with more servers than are taken.
-func (p *Pool) over(c *Candidate) []Fault {
-	n, most := 0, p.files
-	if !c.byPeople() {
-		most = p.streams
+// checkLimit tells of a candidate with more servers than are taken.
+func (p *Pool) checkLimit(c *Candidate) []Fault {
+	n, most := 0, p.fileLimit
+	if !c.fromOperator() {
+		most = p.streamLimit
 		if !c.Complete {
 			n = len(p.entries)
 		}
@@ -126,35 +126,35 @@
 
 // Apply judges a candidate.
 func (p *Pool) Apply(now time.Duration, c Candidate) Verdict {
-	if !c.byPeople() {
-		return p.follow(now, c)
+	if !c.fromOperator() {
+		return p.applyStream(now, c)
 	}
-	faults := p.over(&c)
+	faults := p.checkLimit(&c)
 	if len(faults) == 0 {
 		faults = Check(now, &c)
 	}
 	if len(faults) > 0 {
 		return p.refuse(now, &c, faults)
 	}
-	next, change, left := p.plan(now, &c)
-	first := !p.listed
+	next, change, left := p.merge(now, &c)
+	first := !p.hasSet
 	u := Update{Complete: first}
 	for _, id := range change.ids() {
 		if e := next[id]; e != nil {
-			u.Servers = append(u.Servers, e.told())
+			u.Servers = append(u.Servers, e.published())
 			continue
 		}
-		gone := p.entries[id].told()
+		gone := p.entries[id].published()
 		gone.Status, gone.CallsContinue = control.Removed, !left[id]
 		u.Servers = append(u.Servers, gone)
 	}
-	p.entries, p.listed = next, true
+	p.entries, p.hasSet = next, true
 	v := p.accept(now, &c, change)
 	return Verdict{Version: v, Update: u, Changed: first || len(u.Servers) > 0}
 }
 
-// told is the member as the module and the connections know it: to them, one that gets nothing new is draining.
-func (e *entry) told() Member {
+// published is the member as the module and the connections know it: to them, one that gets nothing new is draining.
+func (e *entry) published() Member {
 	m := e.Member
 	if m.Weight == NoNewCalls {
 		m.Weight = 0
@@ -165,9 +165,9 @@
 	return m
 }
 
-// plan lays the candidate over the set in force. Both stay as they are. Those that the candidate names as having left are told
+// merge lays the candidate over the set in force. Both stay as they are. Those that the candidate names as having left are told
 // beside it.
-func (p *Pool) plan(now time.Duration, c *Candidate) (next map[control.ServerID]*entry, change Change, left map[control.ServerID]bool) {
+func (p *Pool) merge(now time.Duration, c *Candidate) (next map[control.ServerID]*entry, change Change, left map[control.ServerID]bool) {
 	next, left = make(map[control.ServerID]*entry, len(c.Servers)), map[control.ServerID]bool{}
 	for _, m := range c.Servers {
 		if m.Status == control.Removed {
@@ -175,9 +175,9 @@
 			continue
 		}
 		old := p.entries[m.ID]
-		e := p.join(now, m, old)
+		e := p.newEntry(now, m, old)
 		next[m.ID] = e
-		change.compare(old, e)
+		change.addDifference(old, e)
 	}
 	for id := range p.entries {
 		if next[id] == nil {
@@ -188,13 +188,13 @@
 	return next, change, left
 }
 
-// join decides since when a member runs. Who comes to a set that is in force already, or comes back to it, or has another
+// newEntry decides since when a member runs. Who comes to a set that is in force already, or comes back to it, or has another
 // address, is taken for a process that has just started unless it is said to run since earlier: one that is taken for warm
 // and is not would be pushed over.
-func (p *Pool) join(now time.Duration, m Member, old *entry) *entry {
-	e := &entry{Member: m, given: m.StartedAt, seen: now}
+func (p *Pool) newEntry(now time.Duration, m Member, old *entry) *entry {
+	e := &entry{Member: m, reportedStart: m.StartedAt, firstSeenAt: now}
 	switch {
-	case old == nil && p.listed && m.StartedAt == 0:
+	case old == nil && p.hasSet && m.StartedAt == 0:
 		e.StartedAt = now
 	case old == nil:
 	case old.Address != m.Address:
@@ -202,34 +202,34 @@
 			e.StartedAt = now // nothing is said of the new process, or only what was said of the old one
 		}
 	default:
-		e.seen = old.seen
-		if !old.begins(m.StartedAt) {
+		e.firstSeenAt = old.firstSeenAt
+		if !old.isRestart(m.StartedAt) {
 			e.StartedAt = old.StartedAt
 			break
 		}
-		e.seen = now
+		e.firstSeenAt = now
 	}
 	return e
 }
 
-// begins reports whether a start that is given now tells of another process than the one in force. A start that lies before
+// isRestart reports whether a start that is given now tells of another process than the one in force. A start that lies before
 // that one was first seen, where none was given, only says more of it.
-func (e *entry) begins(given time.Duration) bool {
-	if given <= max(e.StartedAt, e.given) {
+func (e *entry) isRestart(given time.Duration) bool {
+	if given <= max(e.StartedAt, e.reportedStart) {
 		return false
 	}
-	return e.given != 0 || given > e.seen
+	return e.reportedStart != 0 || given > e.firstSeenAt
 }
 
-// follow takes in what a stream says, as it says it.
-func (p *Pool) follow(now time.Duration, c Candidate) Verdict {
-	if faults := append(c.Faults, p.over(&c)...); len(faults) > 0 {
+// applyStream takes in what a stream says, as it says it.
+func (p *Pool) applyStream(now time.Duration, c Candidate) Verdict {
+	if faults := append(c.Faults, p.checkLimit(&c)...); len(faults) > 0 {
 		return p.refuse(now, &c, faults)
 	}
 	next := p.entries
 	if c.Complete {
 		next = make(map[control.ServerID]*entry, len(c.Servers))
-		p.listed = true
+		p.hasSet = true
 	}
 	var change Change
 	for _, m := range c.Servers {
@@ -241,15 +241,15 @@
 			}
 			continue
 		}
-		e := &entry{Member: m, given: m.StartedAt, seen: now}
+		e := &entry{Member: m, reportedStart: m.StartedAt, firstSeenAt: now}
 		if m.Address == "" && old != nil {
 			e.Address = old.Address // a change may leave it out
 		}
 		if old != nil && old.Address == e.Address && old.StartedAt == m.StartedAt {
-			e.seen = old.seen
+			e.firstSeenAt = old.firstSeenAt
 		}
 		next[m.ID] = e
-		change.compare(old, e)
+		change.addDifference(old, e)
 	}
 	if c.Complete {
 		for id := range p.entries {
@@ -275,7 +275,7 @@
 }
 
 // HasSet reports whether any set is in force.
-func (p *Pool) HasSet() bool { return p.listed }
+func (p *Pool) HasSet() bool { return p.hasSet }
 
 // Snapshot is a set in force in a form that can be kept and taken up again by a later process.
 type Snapshot struct {
@@ -304,7 +304,7 @@
 		e := p.entries[id]
 		m.Members = append(m.Members, SnapshotMember{
 			Name: string(id), Address: e.Address, Zone: e.Zone, Group: e.Cell, Status: int(e.Status), Weight: e.Weight,
-			StartedUs: e.StartedAt.Microseconds(), ReportedStartUs: e.given.Microseconds(), FirstSeenUs: e.seen.Microseconds(),
+			StartedUs: e.StartedAt.Microseconds(), ReportedStartUs: e.reportedStart.Microseconds(), FirstSeenUs: e.firstSeenAt.Microseconds(),
 		})
 	}
 	return m
@@ -317,7 +317,7 @@
 	for _, r := range m.Members {
 		c.Servers = append(c.Servers, Member{Address: r.Address, ServerEntry: control.ServerEntry{
 			ID: control.ServerID(r.Name), Zone: r.Zone, Cell: r.Group, Status: control.ServerStatus(r.Status), Weight: r.Weight,
-			StartedAt: min(micros(r.StartedUs), now+maxSkew), // the clock may have been set back since
+			StartedAt: min(microseconds(r.StartedUs), now+maxClockSkew), // the clock may have been set back since
 		}})
 	}
 	v := p.Apply(now, c)
@@ -326,10 +326,10 @@
 	}
 	for _, r := range m.Members {
 		if e := p.entries[control.ServerID(r.Name)]; e != nil {
-			e.given, e.seen = min(micros(r.ReportedStartUs), now+maxSkew), min(micros(r.FirstSeenUs), now)
+			e.reportedStart, e.firstSeenAt = min(microseconds(r.ReportedStartUs), now+maxClockSkew), min(microseconds(r.FirstSeenUs), now)
 		}
 	}
 	return v
 }
 
-func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+func microseconds(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
--- a/internal/decide/pool/pool_test.go
+++ b/internal/decide/pool/pool_test.go
@@ -25,8 +25,8 @@
 	return m
 }
 
-// file is a candidate of people; its digest is made of what it holds.
-func file(members ...Member) Candidate {
+// fileCandidate is a candidate of people; its digest is made of what it holds.
+func fileCandidate(members ...Member) Candidate {
 	return Candidate{Source: FromFile, Digest: fmt.Sprint(members), Update: Update{Servers: members, Complete: true}}
 }
 
@@ -38,7 +38,7 @@
 	return strings.Join(text, " ")
 }
 
-func TestEachFaultIsNamedAndNothingChanges(t *testing.T) {
+func TestRefusedCandidateReportsFaultsAndChangesNothing(t *testing.T) {
 	good := []Member{member("a", "1", 1), member("b", "2", 3)}
 	for name, test := range map[string]struct {
 		servers []Member
@@ -62,9 +62,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := New()
-			p.Apply(clock, file(good...))
+			p.Apply(clock, fileCandidate(good...))
 			before := p.Members()
-			c := file(test.servers...)
+			c := fileCandidate(test.servers...)
 			for i := range test.servers {
 				c.Lines = append(c.Lines, 10*(i+1))
 			}
@@ -82,7 +82,7 @@
 			if trouble, is := p.LastRefused(); !is || trouble.Number != 2 {
 				t.Errorf("trouble %v %+v", is, trouble)
 			}
-			if p.Apply(clock+2*time.Second, file(good...)); func() bool { _, is := p.LastRefused(); return is }() {
+			if p.Apply(clock+2*time.Second, fileCandidate(good...)); func() bool { _, is := p.LastRefused(); return is }() {
 				t.Error("the good set has come back, and the trouble is still told")
 			}
 		})
@@ -95,14 +95,14 @@
 		"": false, ":7001": false, "127.0.0.1": false, "127.0.0.1:0": false, "127.0.0.1:7001/x": false, "ws://127.0.0.1:80": false,
 		"wss://127.0.0.1:80/x": false, "ws://127.0.0.1/x": false, "user@127.0.0.1:1": false, "127.0.0.1:1?x": false, strings.Repeat("a", 300) + ":1": false,
 	} {
-		if text := badAddress(address); (text == "") != good {
+		if text := addressProblem(address); (text == "") != good {
 			t.Errorf("%q: %q", address, text)
 		}
 	}
 }
 
-// TestWhoStartsCold: a dispatcher that is taken for warm and is not would be pushed over.
-func TestWhoStartsCold(t *testing.T) {
+// TestStartTimes: a dispatcher that is taken for warm and is not would be pushed over.
+func TestStartTimes(t *testing.T) {
 	const seen = clock + 100*time.Second
 	since := func(d time.Duration) func(*Member) { return func(m *Member) { m.StartedAt = d } }
 	for name, test := range map[string]struct {
@@ -132,7 +132,7 @@
 			p := New()
 			var v Verdict
 			for i, set := range test.sets {
-				if v = p.Apply(seen+time.Duration(i)*time.Second, file(set...)); !v.Accepted {
+				if v = p.Apply(seen+time.Duration(i)*time.Second, fileCandidate(set...)); !v.Accepted {
 					t.Fatalf("refused: %v", v.Faults)
 				}
 			}
@@ -146,13 +146,13 @@
 	}
 }
 
-func TestOnlyWhatChangesIsTold(t *testing.T) {
+func TestOnlyChangesArePublished(t *testing.T) {
 	p := New()
-	first := p.Apply(clock, file(member("a", "1", 1), member("b", "2", 1), member("c", "3", 1)))
+	first := p.Apply(clock, fileCandidate(member("a", "1", 1), member("b", "2", 1), member("c", "3", 1)))
 	if !first.Update.Complete || len(first.Update.Servers) != 3 {
 		t.Fatalf("first: %+v", first.Update)
 	}
-	v := p.Apply(clock+time.Second, file(member("a", "1", 1), member("b", "2", NoNewCalls), member("d", "4", 2),
+	v := p.Apply(clock+time.Second, fileCandidate(member("a", "1", 1), member("b", "2", NoNewCalls), member("d", "4", 2),
 		with(member("e", "5", 1), func(m *Member) { m.Status = control.Removed })))
 	want := Update{Servers: []Member{
 		with(member("b", "2", 0), func(m *Member) { m.Status = control.Draining }),
@@ -165,7 +165,7 @@
 	if got := v.Change.String(); got != "added d; removed c; weighed b" {
 		t.Errorf("change %q", got)
 	}
-	v = p.Apply(clock+2*time.Second, file(member("a", "1", 1), member("b", "2", 9),
+	v = p.Apply(clock+2*time.Second, fileCandidate(member("a", "1", 1), member("b", "2", 9),
 		with(member("d", "4", 2), func(m *Member) { m.Status = control.Removed })))
 	gone := with(member("d", "4", 2), func(m *Member) { m.Status, m.StartedAt = control.Removed, clock+time.Second })
 	if diff := cmp.Diff(Update{Servers: []Member{member("b", "2", 9), gone}}, v.Update); diff != "" {
@@ -173,8 +173,8 @@
 	}
 }
 
-// TestStreamsStand: what the coordinator and etcd say goes on unchanged, as it did before there was a pool.
-func TestStreamsStand(t *testing.T) {
+// TestStreamUpdatesAreNotChanged: what the coordinator and etcd say goes on unchanged, as it did before there was a pool.
+func TestStreamUpdatesAreNotChanged(t *testing.T) {
 	p := New()
 	odd := []Member{member("a", "1", 0), member("b", "1", 0), {ServerEntry: control.ServerEntry{ID: "c"}}}
 	for i, u := range []Update{
@@ -197,17 +197,17 @@
 	}
 }
 
-func TestTheHistoryIsBounded(t *testing.T) {
+func TestHistoryIsBounded(t *testing.T) {
 	p := New()
-	p.Apply(clock, file(member("a", "1", 1)))
+	p.Apply(clock, fileCandidate(member("a", "1", 1)))
 	for i := range 3 * maxHistory {
-		p.Apply(clock+time.Duration(i), file(member("a", "1", NoNewCalls)))
+		p.Apply(clock+time.Duration(i), fileCandidate(member("a", "1", NoNewCalls)))
 	}
 	if trouble, _ := p.LastRefused(); trouble.Repeats != 3*maxHistory-1 || len(p.History()) != 2 {
 		t.Errorf("the same refused often: again %d, %d versions", trouble.Repeats, len(p.History()))
 	}
 	for i := range 3 * maxHistory {
-		p.Apply(clock+time.Duration(i), file(member("a", "1", i+1)))
+		p.Apply(clock+time.Duration(i), fileCandidate(member("a", "1", i+1)))
 	}
 	if h := p.History(); len(h) != maxHistory || h[0].Number != 2+3*maxHistory-1 {
 		t.Errorf("%d versions, the newest number %d", len(h), h[0].Number)
@@ -217,8 +217,8 @@
 	}
 }
 
-// candidates draws sets as people might write them: few names, so that they meet again, and some sets that are bad.
-func candidates(t *rapid.T) Candidate {
+// drawCandidate draws sets as people might write them: few names, so that they meet again, and some sets that are bad.
+func drawCandidate(t *rapid.T) Candidate {
 	n := rapid.IntRange(0, 5).Draw(t, "servers")
 	var members []Member
 	for range n {
@@ -229,12 +229,12 @@
 		m.StartedAt = rapid.SampledFrom([]time.Duration{0, 0, clock - time.Hour, clock + time.Second, clock + 5*time.Second}).Draw(t, "since")
 		members = append(members, m)
 	}
-	return file(members...)
+	return fileCandidate(members...)
 }
 
-// TestTheSetInForceIsAlwaysOneWholeValidCandidate takes any sequence of candidates. A follower that applies the updates must
+// TestActiveSetIsAlwaysOneValidCandidate takes any sequence of candidates. A follower that applies the updates must
 // see the same set as one that looks at the pool.
-func TestTheSetInForceIsAlwaysOneWholeValidCandidate(t *testing.T) {
+func TestActiveSetIsAlwaysOneValidCandidate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New()
 		now := clock
@@ -242,7 +242,7 @@
 		told := map[control.ServerID]Member{}
 		for range rapid.IntRange(1, 12).Draw(t, "sets") {
 			now += time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond
-			c := candidates(t)
+			c := drawCandidate(t)
 			valid := len(Check(now, &c)) == 0
 			v := p.Apply(now, c)
 			if v.Accepted != valid {
@@ -276,10 +276,10 @@
 				if !ok || m != want {
 					t.Fatalf("in force: %+v, the candidate has %+v", m, want)
 				}
-				if m.StartedAt > now+maxSkew {
+				if m.StartedAt > now+maxClockSkew {
 					t.Fatalf("%s has started in the future", m.ID)
 				}
-				if heard := told[m.ID]; heard != p.entries[m.ID].told() {
+				if heard := told[m.ID]; heard != p.entries[m.ID].published() {
 					t.Fatalf("told %+v, in force %+v", heard, m)
 				}
 			}
@@ -307,8 +307,8 @@
 	})
 }
 
-// TestLooks: however the signs of changes fall, whole files are judged soon and once, and half ones only when they stay.
-func TestLooks(t *testing.T) {
+// TestFilePoller: however the signs of changes fall, whole files are judged soon and once, and half ones only when they stay.
+func TestFilePoller(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(0)
 		l := NewFilePoller(now, rapid.Bool().Draw(t, "watched"))
@@ -332,10 +332,10 @@
 					if judged == sight.Digest {
 						t.Fatal("judged twice")
 					}
-					if sight.Unfinished && now-changed < settle {
+					if sight.Unfinished && now-changed < stableTimeUnfinished {
 						t.Fatalf("an unfinished file is judged %v after it changed", now-changed)
 					}
-					if sight.InPlace && now-changed < calm {
+					if sight.InPlace && now-changed < stableTimeInPlace {
 						t.Fatalf("a file that was written in place is judged %v after it changed", now-changed)
 					}
 					judged = sight.Digest
@@ -352,8 +352,8 @@
 	})
 }
 
-// TestABoundHoldsForAllSources: what is over it is refused whole, be it a file, a list of a stream or a change to one.
-func TestABoundHoldsForAllSources(t *testing.T) {
+// TestLimitAppliesToAllSources: what is over it is refused whole, be it a file, a list of a stream or a change to one.
+func TestLimitAppliesToAllSources(t *testing.T) {
 	p := New()
 	p.SetLimit(3)
 	members := func(from, to int) (all []Member) {
@@ -372,8 +372,8 @@
 		taken bool
 		left  int
 	}{
-		{file(members(0, 4)...), false, 0},
-		{file(members(0, 3)...), true, 3},
+		{fileCandidate(members(0, 4)...), false, 0},
+		{fileCandidate(members(0, 3)...), true, 3},
 		{stream(true, members(0, 4)...), false, 3},
 		{stream(false, members(2, 4)...), false, 3},
 		{stream(false, members(0, 3)...), true, 3},
--- a/internal/decide/subset/subset.go
+++ b/internal/decide/subset/subset.go
@@ -25,12 +25,12 @@
 	DefaultShrinkAfter = time.Minute
 	// MaxSize bounds sizes: each dispatcher in a subset is a connection.
 	MaxSize = 1 << 20
-	// defaultGrowth is how many times its size a subset may grow to.
-	defaultGrowth = 8
-	// spareShare of the places go to other zones than the own one, so that the own one can be lost while it is still listed.
-	spareShare = 1.0 / 8
-	// grownShare is as much of the places that need has added: what refuses is more likely to be one zone than the rest.
-	grownShare = 1.0 / 2
+	// defaultGrowthFactor is how many times its size a subset may grow to.
+	defaultGrowthFactor = 8
+	// otherZoneShare of the places go to other zones than the own one, so that the own one can be lost while it is still listed.
+	otherZoneShare = 1.0 / 8
+	// otherZoneGrowthShare is as much of the places that need has added: what refuses is more likely to be one zone than the rest.
+	otherZoneGrowthShare = 1.0 / 2
 )
 
 // Options say what one controller's subset is.
@@ -45,7 +45,7 @@
 // WithDefaults fills in what is not given.
 func (o Options) WithDefaults() Options {
 	o.Size = cmp.Or(o.Size, DefaultSize)
-	o.GrowthLimit = cmp.Or(o.GrowthLimit, min(defaultGrowth*o.Size, MaxSize))
+	o.GrowthLimit = cmp.Or(o.GrowthLimit, min(defaultGrowthFactor*o.Size, MaxSize))
 	o.ShrinkAfter = cmp.Or(o.ShrinkAfter, DefaultShrinkAfter)
 	return o
 }
@@ -75,16 +75,16 @@
 // member is an entry with its places in the rankings.
 type member struct {
 	Entry
-	score uint64
-	zone  *ranking // the own zone's or the others'
-	inZone,
-	inCell *slot
-	places   int  // in how many rankings it is chosen
-	reported bool // it is in the subset as far as Changes has told
+	score       uint64
+	zoneRanking *ranking // the own zone's or the others'
+	zoneSlot,
+	cellSlot *slot
+	selectedBy int  // in how many rankings it is chosen
+	reported   bool // it is in the subset as far as Changes has told
 }
 
-// before reports whether a member ranks before another one.
-func (m *member) before(o *member) bool {
+// ranksBefore reports whether a member ranks before another one.
+func (m *member) ranksBefore(o *member) bool {
 	if m.score != o.score {
 		return m.score > o.score
 	}
@@ -94,47 +94,47 @@
 // cell is a group of dispatchers; it has places of its own while calls have it as their first choice.
 type cell struct {
 	*ranking
-	inSubset int // its dispatchers in the subset, by whatever ranking
-	usedAt   time.Duration
-	used     bool
+	inSubset   int // its dispatchers in the subset, by whatever ranking
+	lastUsedAt time.Duration
+	inUse      bool
 }
 
 // Subset is one controller's. It is not safe for concurrent use. Times are on any clock that does not go back.
 type Subset struct {
-	options Options
-	seed    uint64
-	members map[control.ServerID]*member
-	near    *ranking // of the own zone, or of all if no zone is preferred
-	far     *ranking // of the other zones
-	cells   map[int]*cell
-	used    map[int]*cell // those with places of their own
-	target  int           // size by now
-	needAt  time.Duration // when more was last needed, or the size last changed
-	touched map[*member]bool
-	onMoved func(*member, int)
-	chosen  int // members in the subset
-	growths int
+	options    Options
+	seed       uint64
+	members    map[control.ServerID]*member
+	ownZone    *ranking // of the own zone, or of all if no zone is preferred
+	otherZones *ranking // of the other zones
+	cells      map[int]*cell
+	usedCells  map[int]*cell // those with places of their own
+	targetSize int           // size by now
+	lastNeedAt time.Duration // when more was last needed, or the size last changed
+	changed    map[*member]bool
+	onChange   func(*member, int)
+	size       int // members in the subset
+	growths    int
 }
 
 // New returns the subset of an empty list. The options must pass Check.
 func New(o Options) *Subset {
 	o = o.WithDefaults()
 	s := &Subset{
-		options: o, seed: xxhash.Sum64String(o.Identity), target: o.Size, touched: map[*member]bool{},
-		members: map[control.ServerID]*member{}, cells: map[int]*cell{}, used: map[int]*cell{},
+		options: o, seed: xxhash.Sum64String(o.Identity), targetSize: o.Size, changed: map[*member]bool{},
+		members: map[control.ServerID]*member{}, cells: map[int]*cell{}, usedCells: map[int]*cell{},
 	}
-	s.onMoved = s.moved
-	s.near, s.far = newRanking(s.onMoved), newRanking(s.onMoved)
+	s.onChange = s.updateSelection
+	s.ownZone, s.otherZones = newRanking(s.onChange), newRanking(s.onChange)
 	return s
 }
 
-// moved counts the places of a member.
-func (s *Subset) moved(m *member, by int) {
-	before := m.places > 0
-	m.places += by
-	if after := m.places > 0; before != after {
-		s.touched[m] = true
-		s.chosen += by
+// updateSelection counts the places of a member.
+func (s *Subset) updateSelection(m *member, by int) {
+	before := m.selectedBy > 0
+	m.selectedBy += by
+	if after := m.selectedBy > 0; before != after {
+		s.changed[m] = true
+		s.size += by
 		s.cells[m.Cell].inSubset += by
 	}
 }
@@ -170,7 +170,7 @@
 	}
 	s.unrank(m)
 	delete(s.members, id)
-	delete(s.touched, m)
+	delete(s.changed, m)
 	s.balance()
 }
 
@@ -180,37 +180,37 @@
 	}
 	c := s.cells[m.Cell]
 	if c == nil {
-		c = &cell{ranking: newRanking(s.onMoved)}
+		c = &cell{ranking: newRanking(s.onChange)}
 		s.cells[m.Cell] = c
 	}
-	m.inCell = c.add(m)
-	m.zone = s.near
+	m.cellSlot = c.add(m)
+	m.zoneRanking = s.ownZone
 	if s.options.Zone != "" && m.Zone != s.options.Zone {
-		m.zone = s.far
+		m.zoneRanking = s.otherZones
 	}
-	m.inZone = m.zone.add(m)
+	m.zoneSlot = m.zoneRanking.add(m)
 }
 
 func (s *Subset) unrank(m *member) {
-	if m.inZone == nil {
+	if m.zoneSlot == nil {
 		return
 	}
-	m.zone.remove(m.inZone)
+	m.zoneRanking.remove(m.zoneSlot)
 	c := s.cells[m.Cell]
-	c.remove(m.inCell)
-	m.zone, m.inZone, m.inCell = nil, nil, nil
-	if c.len() == 0 && !c.used {
+	c.remove(m.cellSlot)
+	m.zoneRanking, m.zoneSlot, m.cellSlot = nil, nil, nil
+	if c.len() == 0 && !c.inUse {
 		delete(s.cells, m.Cell)
 	}
 }
 
 // balance shares the places out between the own zone and the others: what one can't fill, the other may.
 func (s *Subset) balance() {
-	grown := float64(s.target - s.options.Size)
-	spare := int(math.Ceil(spareShare*float64(s.options.Size) + grownShare*grown))
-	near := min(s.near.len(), s.target-min(spare, s.far.len()))
-	s.near.resize(near)
-	s.far.resize(s.target - near)
+	grown := float64(s.targetSize - s.options.Size)
+	spare := int(math.Ceil(otherZoneShare*float64(s.options.Size) + otherZoneGrowthShare*grown))
+	near := min(s.ownZone.len(), s.targetSize-min(spare, s.otherZones.len()))
+	s.ownZone.setQuota(near)
+	s.otherZones.setQuota(s.targetSize - near)
 }
 
 // UseCell gives the dispatchers of a call's first choice places of their own, as many as the subset has at most: those that rank first.
@@ -220,43 +220,43 @@
 	if c == nil {
 		return
 	}
-	c.usedAt = now
-	if c.used {
+	c.lastUsedAt = now
+	if c.inUse {
 		return
 	}
-	c.used = true
-	s.used[group] = c
-	c.resize(s.target)
-	for s.extra() > s.options.GrowthLimit && len(s.used) > 1 {
-		s.disuse(s.stalest())
+	c.inUse = true
+	s.usedCells[group] = c
+	c.setQuota(s.targetSize)
+	for s.usedCellPlaces() > s.options.GrowthLimit && len(s.usedCells) > 1 {
+		s.releaseCell(s.leastRecentlyUsedCell())
 	}
 }
 
-// extra is the number of places that groups in use have.
-func (s *Subset) extra() int {
+// usedCellPlaces is the number of places that groups in use have.
+func (s *Subset) usedCellPlaces() int {
 	n := 0
-	for _, c := range s.used {
-		n += c.chosen.Len()
+	for _, c := range s.usedCells {
+		n += c.selected.Len()
 	}
 	return n
 }
 
-// stalest is the group whose last use is the longest ago.
-func (s *Subset) stalest() int {
+// leastRecentlyUsedCell is the group whose last use is the longest ago.
+func (s *Subset) leastRecentlyUsedCell() int {
 	stalest, found := 0, false
-	for group, c := range s.used {
-		if !found || c.usedAt < s.used[stalest].usedAt || c.usedAt == s.used[stalest].usedAt && group < stalest {
+	for group, c := range s.usedCells {
+		if !found || c.lastUsedAt < s.usedCells[stalest].lastUsedAt || c.lastUsedAt == s.usedCells[stalest].lastUsedAt && group < stalest {
 			stalest, found = group, true
 		}
 	}
 	return stalest
 }
 
-func (s *Subset) disuse(group int) {
-	c := s.used[group]
-	c.used = false
-	delete(s.used, group)
-	c.resize(0)
+func (s *Subset) releaseCell(group int) {
+	c := s.usedCells[group]
+	c.inUse = false
+	delete(s.usedCells, group)
+	c.setQuota(0)
 	if c.len() == 0 {
 		delete(s.cells, group)
 	}
@@ -265,12 +265,12 @@
 // Grow gives the subset as many more places as it has without need, as it has dispatchers that refuse or are full. It reports whether that
 // brought any dispatcher.
 func (s *Subset) Grow(now time.Duration) bool {
-	s.needAt = now
-	before := s.chosen
-	for s.chosen == before && s.target < s.options.GrowthLimit && s.target < s.Active() {
-		s.resize(min(s.target+s.options.Size, s.options.GrowthLimit))
+	s.lastNeedAt = now
+	before := s.size
+	for s.size == before && s.targetSize < s.options.GrowthLimit && s.targetSize < s.Active() {
+		s.setTargetSize(min(s.targetSize+s.options.Size, s.options.GrowthLimit))
 	}
-	if s.chosen == before {
+	if s.size == before {
 		return false
 	}
 	s.growths++
@@ -280,16 +280,16 @@
 // Shrink gives back what has not been needed for long: what one growth has brought, and groups that no call has had as first choice. The
 // places stay needed while those that would remain are scarce. Its cost goes by the subset and the groups in use.
 func (s *Subset) Shrink(now time.Duration, sound func(control.ServerID) bool) {
-	for group, c := range s.used {
-		if now-c.usedAt >= s.options.ShrinkAfter {
-			s.disuse(group)
+	for group, c := range s.usedCells {
+		if now-c.lastUsedAt >= s.options.ShrinkAfter {
+			s.releaseCell(group)
 		}
 	}
-	if s.target > s.options.Size && now-s.needAt >= s.options.ShrinkAfter {
-		s.needAt = now
-		before := s.target
-		if s.resize(max(s.target-s.options.Size, s.options.Size)); s.TooFewUsable(sound) {
-			s.resize(before)
+	if s.targetSize > s.options.Size && now-s.lastNeedAt >= s.options.ShrinkAfter {
+		s.lastNeedAt = now
+		before := s.targetSize
+		if s.setTargetSize(max(s.targetSize-s.options.Size, s.options.Size)); s.TooFewUsable(sound) {
+			s.setTargetSize(before)
 		}
 	}
 }
@@ -298,8 +298,8 @@
 // less. Places of groups in use don't count. Its cost goes by the subset.
 func (s *Subset) TooFewUsable(sound func(control.ServerID) bool) bool {
 	n := 0
-	for _, r := range []*ranking{s.near, s.far} {
-		for _, o := range r.chosen.all {
+	for _, r := range []*ranking{s.ownZone, s.otherZones} {
+		for _, o := range r.selected.slots {
 			if sound(o.member.ID) {
 				n++
 			}
@@ -309,21 +309,21 @@
 }
 
 // AtBaseSize reports whether there is nothing to give back.
-func (s *Subset) AtBaseSize() bool { return s.target == s.options.Size && len(s.used) == 0 }
+func (s *Subset) AtBaseSize() bool { return s.targetSize == s.options.Size && len(s.usedCells) == 0 }
 
-func (s *Subset) resize(target int) {
-	s.target = target
+func (s *Subset) setTargetSize(target int) {
+	s.targetSize = target
 	s.balance()
-	for _, c := range s.used {
-		c.resize(target)
+	for _, c := range s.usedCells {
+		c.setQuota(target)
 	}
 }
 
 // Changes are the dispatchers that have joined and left the subset since it was last asked, by name. One that drains has left; one
 // that was removed is not named.
 func (s *Subset) Changes() (joined, left []control.ServerID) {
-	for m := range s.touched {
-		in := m.places > 0
+	for m := range s.changed {
+		in := m.selectedBy > 0
 		switch {
 		case in && !m.reported:
 			joined = append(joined, m.ID)
@@ -332,7 +332,7 @@
 		}
 		m.reported = in
 	}
-	clear(s.touched)
+	clear(s.changed)
 	slices.Sort(joined)
 	slices.Sort(left)
 	return joined, left
@@ -341,7 +341,7 @@
 // Has reports whether a dispatcher is in the subset.
 func (s *Subset) Has(id control.ServerID) bool {
 	m := s.members[id]
-	return m != nil && m.places > 0
+	return m != nil && m.selectedBy > 0
 }
 
 // CountInCell is the number of dispatchers of the group that are in the subset.
@@ -353,10 +353,10 @@
 }
 
 // Active is the number of listed dispatchers that can fill a place.
-func (s *Subset) Active() int { return s.near.len() + s.far.len() }
+func (s *Subset) Active() int { return s.ownZone.len() + s.otherZones.len() }
 
 // Len is the number of dispatchers in the subset.
-func (s *Subset) Len() int { return s.chosen }
+func (s *Subset) Len() int { return s.size }
 
 // Growths is how often it has grown.
 func (s *Subset) Growths() int { return s.growths }
--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -15,26 +15,26 @@
 	"cherryrelay/control"
 )
 
-func entry(i int, zones int) Entry {
+func newEntry(i int, zones int) Entry {
 	return Entry{ID: control.ServerID(fmt.Sprintf("dispatcher-%d", i)), Zone: fmt.Sprint("zone-", i%zones), Cell: i, Active: true}
 }
 
-func filled(o Options, n, zones int) *Subset {
+func newFilledSubset(o Options, n, zones int) *Subset {
 	s := New(o)
 	for i := range n {
-		s.Put(entry(i, zones))
+		s.Put(newEntry(i, zones))
 	}
 	return s
 }
 
-// anyone is sound.
-func anyone(control.ServerID) bool { return true }
+// allUsable is sound.
+func allUsable(control.ServerID) bool { return true }
 
 // members of the subset, by name.
 func (s *Subset) all() []control.ServerID {
 	var ids []control.ServerID
 	for id, m := range s.members {
-		if m.places > 0 {
+		if m.selectedBy > 0 {
 			ids = append(ids, id)
 		}
 	}
@@ -42,9 +42,9 @@
 	return ids
 }
 
-// TestNoDispatcherHasMuchMoreThanItsShare counts, at 3,000 dispatchers and as many controllers, how many controllers connect to each. It
-// goes by the definition, as TestAnyHistoryLeadsToTheSameSubset holds the rest to it.
-func TestNoDispatcherHasMuchMoreThanItsShare(t *testing.T) {
+// TestLoadPerDispatcher counts, at 3,000 dispatchers and as many controllers, how many controllers connect to each. It
+// goes by the definition, as TestSubsetMatchesDefinition holds the rest to it.
+func TestLoadPerDispatcher(t *testing.T) {
 	const n, zones = 3000, 3
 	for _, zoned := range []bool{false, true} {
 		users := map[control.ServerID]int{}
@@ -52,7 +52,7 @@
 		var wait sync.WaitGroup
 		for w := range runtime.GOMAXPROCS(0) {
 			wait.Go(func() {
-				list := members(n, zones)
+				list := newMembers(n, zones)
 				for i := w; i < n; i += runtime.GOMAXPROCS(0) {
 					o := Options{Identity: fmt.Sprintf("controller-%d", i)}
 					if zoned {
@@ -62,8 +62,8 @@
 					for _, m := range list {
 						m.score = s.score(m.ID)
 					}
-					ids := wanted(s, list)
-					if i < 10 && !slices.Equal(slices.Sorted(slices.Values(ids)), filled(o, n, zones).all()) {
+					ids := subsetByDefinition(s, list)
+					if i < 10 && !slices.Equal(slices.Sorted(slices.Values(ids)), newFilledSubset(o, n, zones).all()) {
 						t.Errorf("controller %d has another subset than the definition says", i)
 					}
 					mu.Lock()
@@ -77,7 +77,7 @@
 		wait.Wait()
 		most, least := 0, n
 		for i := range n {
-			of := users[entry(i, zones).ID]
+			of := users[newEntry(i, zones).ID]
 			most, least = max(most, of), min(least, of)
 		}
 		t.Logf("own zone preferred %v: mean %d, from %d to %d", zoned, DefaultSize, least, most)
@@ -87,16 +87,16 @@
 	}
 }
 
-func members(n, zones int) []*member {
+func newMembers(n, zones int) []*member {
 	var list []*member
 	for i := range n {
-		list = append(list, &member{Entry: entry(i, zones)})
+		list = append(list, &member{Entry: newEntry(i, zones)})
 	}
 	return list
 }
 
-// differ counts the names that are in one of two sorted lists alone.
-func differ(a, b []control.ServerID, but control.ServerID) int {
+// countDifferences counts the names that are in one of two sorted lists alone.
+func countDifferences(a, b []control.ServerID, but control.ServerID) int {
 	n := 0
 	for _, lists := range [][2][]control.ServerID{{a, b}, {b, a}} {
 		for _, id := range lists[0] {
@@ -108,8 +108,8 @@
 	return n
 }
 
-// wanted is the subset by its definition, computed from the whole list, without groups, in no order.
-func wanted(s *Subset, list []*member) (ids []control.ServerID) {
+// subsetByDefinition is the subset by its definition, computed from the whole list, without groups, in no order.
+func subsetByDefinition(s *Subset, list []*member) (ids []control.ServerID) {
 	var near, far []uint64
 	isNear := func(m *member) bool { return s.options.Zone == "" || m.Zone == s.options.Zone }
 	for _, m := range list {
@@ -121,9 +121,9 @@
 			far = append(far, m.score)
 		}
 	}
-	spare := (s.options.Size + 4*(s.target-s.options.Size) + 7) / 8
-	n := min(len(near), s.target-min(spare, len(far)))
-	leastNear, leastFar := least(near, n), least(far, min(len(far), s.target-n))
+	spare := (s.options.Size + 4*(s.targetSize-s.options.Size) + 7) / 8
+	n := min(len(near), s.targetSize-min(spare, len(far)))
+	leastNear, leastFar := lowestOfBest(near, n), lowestOfBest(far, min(len(far), s.targetSize-n))
 	for _, m := range list {
 		if m.Active && (isNear(m) && m.score >= leastNear || !isNear(m) && m.score >= leastFar) {
 			ids = append(ids, m.ID)
@@ -132,8 +132,8 @@
 	return ids
 }
 
-// least is the lowest of the n highest scores.
-func least(scores []uint64, n int) uint64 {
+// lowestOfBest is the lowest of the n highest scores.
+func lowestOfBest(scores []uint64, n int) uint64 {
 	if n == 0 {
 		return math.MaxUint64
 	}
@@ -141,9 +141,9 @@
 	return scores[len(scores)-n]
 }
 
-// TestAnyHistoryLeadsToTheSameSubset plays lists that change and needs that come and go, and holds each step against the definition:
+// TestSubsetMatchesDefinition plays lists that change and needs that come and go, and holds each step against the definition:
 // one dispatcher moves at most one other into the subset or out of it, and Changes tells what differs.
-func TestAnyHistoryLeadsToTheSameSubset(t *testing.T) {
+func TestSubsetMatchesDefinition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := Options{Identity: rapid.StringN(1, 8, 16).Draw(t, "identity"), Size: rapid.IntRange(1, 20).Draw(t, "size"), ShrinkAfter: time.Second}
 		o.GrowthLimit = o.Size * rapid.IntRange(1, 5).Draw(t, "growth")
@@ -154,8 +154,8 @@
 		s, now := New(o), time.Duration(0)
 		told := map[control.ServerID]bool{}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			before, target := s.all(), s.target
-			e := entry(rapid.IntRange(0, 60).Draw(t, "dispatcher"), zones)
+			before, target := s.all(), s.targetSize
+			e := newEntry(rapid.IntRange(0, 60).Draw(t, "dispatcher"), zones)
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			default:
 				s.Put(e)
@@ -169,13 +169,13 @@
 				s.Grow(now)
 			case 9:
 				now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
-				s.Shrink(now, anyone)
+				s.Shrink(now, allUsable)
 			}
 			after := s.all()
-			if want := slices.Sorted(slices.Values(wanted(s, slices.Collect(maps.Values(s.members))))); !slices.Equal(after, want) {
+			if want := slices.Sorted(slices.Values(subsetByDefinition(s, slices.Collect(maps.Values(s.members))))); !slices.Equal(after, want) {
 				t.Fatalf("the subset is %v, by its definition %v", after, want)
 			}
-			if n := differ(before, after, e.ID); s.target == target && n > 1 {
+			if n := countDifferences(before, after, e.ID); s.targetSize == target && n > 1 {
 				t.Fatalf("%d others moved", n)
 			}
 			joined, left := s.Changes()
@@ -195,9 +195,9 @@
 	})
 }
 
-// TestALostZone: the subset of a controller that prefers a zone has some of others, for when that zone is lost while it is listed; and with
+// TestZoneFailure: the subset of a controller that prefers a zone has some of others, for when that zone is lost while it is listed; and with
 // a zone off the list, the places are filled by what is left.
-func TestALostZone(t *testing.T) {
+func TestZoneFailure(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(30, 400).Draw(t, "dispatchers")
 		zones := rapid.IntRange(2, 5).Draw(t, "zones")
@@ -205,7 +205,7 @@
 		if rapid.Bool().Draw(t, "zoned") {
 			o.Zone = "zone-0"
 		}
-		s := filled(o, n, zones)
+		s := newFilledSubset(o, n, zones)
 		others := 0
 		for _, id := range s.all() {
 			if s.members[id].Zone != "zone-0" {
@@ -221,7 +221,7 @@
 		left := 0
 		for i := range n {
 			if i%zones == 0 {
-				s.Remove(entry(i, zones).ID)
+				s.Remove(newEntry(i, zones).ID)
 			} else {
 				left++
 			}
@@ -232,9 +232,9 @@
 	})
 }
 
-// TestGrowthIsBoundedAndGoesBack follows needs over time.
-func TestGrowthIsBoundedAndGoesBack(t *testing.T) {
-	s := filled(Options{Identity: "a", Size: 10, GrowthLimit: 35, ShrinkAfter: time.Minute}, 300, 1)
+// TestGrowAndShrink follows needs over time.
+func TestGrowAndShrink(t *testing.T) {
+	s := newFilledSubset(Options{Identity: "a", Size: 10, GrowthLimit: 35, ShrinkAfter: time.Minute}, 300, 1)
 	now := time.Hour
 	for i, want := range []int{20, 30, 35, 35} {
 		if grew := s.Grow(now); s.Len() != want || grew != (i < 3) {
@@ -248,7 +248,7 @@
 		want  int
 	}{{59 * time.Second, 35}, {time.Second, 25}, {59 * time.Second, 25}, {time.Second, 15}, {time.Minute, 10}, {time.Hour, 10}} {
 		now += step.after
-		if s.Shrink(now, anyone); s.Len() != step.want {
+		if s.Shrink(now, allUsable); s.Len() != step.want {
 			t.Fatalf("%v later %d in the subset, not %d", step.after, s.Len(), step.want)
 		}
 	}
@@ -262,20 +262,20 @@
 	if joined, left := s.Changes(); len(joined)+len(left) > 0 {
 		t.Errorf("%v joined and %v left", joined, left)
 	}
-	s.Shrink(now+time.Hour, anyone)
+	s.Shrink(now+time.Hour, allUsable)
 	if !s.AtBaseSize() || s.Growths() != 4 {
 		t.Fatalf("resting %v, %d growths", s.AtBaseSize(), s.Growths())
 	}
 }
 
-// TestFirstChoicesHavePlaces has every dispatcher be some call's first choice.
-func TestFirstChoicesHavePlaces(t *testing.T) {
+// TestUseCell has every dispatcher be some call's first choice.
+func TestUseCell(t *testing.T) {
 	const most = 30
-	s := filled(Options{Identity: "a", Size: 10, GrowthLimit: most, ShrinkAfter: time.Minute}, 300, 1)
+	s := newFilledSubset(Options{Identity: "a", Size: 10, GrowthLimit: most, ShrinkAfter: time.Minute}, 300, 1)
 	now := time.Duration(0)
 	for i := range 300 {
 		now += time.Millisecond
-		if s.UseCell(now, i); !s.Has(entry(i, 1).ID) || s.CountInCell(i) != 1 {
+		if s.UseCell(now, i); !s.Has(newEntry(i, 1).ID) || s.CountInCell(i) != 1 {
 			t.Fatalf("dispatcher %d is out of reach", i)
 		}
 		if s.Len() > 10+most {
@@ -283,12 +283,12 @@
 		}
 	}
 	s.UseCell(now, 12345) // nobody's group
-	if s.Shrink(now+time.Minute, anyone); s.Len() != 10 || !s.AtBaseSize() {
+	if s.Shrink(now+time.Minute, allUsable); s.Len() != 10 || !s.AtBaseSize() {
 		t.Fatalf("%d in the subset after the quiet", s.Len())
 	}
 }
 
-func TestOptionsAreChecked(t *testing.T) {
+func TestOptionsCheck(t *testing.T) {
 	for name, test := range map[string]struct {
 		Options
 		good bool
@@ -310,9 +310,9 @@
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{3000, 37000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := filled(Options{Identity: "a"}, n, 18)
+			s := newFilledSubset(Options{Identity: "a"}, n, 18)
 			for i := 0; b.Loop(); i++ {
-				e := entry(i%n, 18)
+				e := newEntry(i%n, 18)
 				s.Remove(e.ID)
 				s.Put(e)
 				s.Changes()
