--- a/internal/decide/links/backoff.go
+++ b/internal/decide/links/backoff.go
@@ -3,26 +3,27 @@
 import "time"
 
 const (
-	// minRedialPause is the least pause between a dial that failed, or a connection that ended at once, and the next dial. It is what a
-	// set-up that waits is held up by.
+	// minRedialPause is the minimum pause between a failed dial, or a connection that ended at once, and the next dial. A
+	// waiting set-up is delayed by no more than this.
 	minRedialPause = 100 * time.Millisecond
-	// maxRedialPauseActiveCalls bounds the pause, which doubles, while calls stand at the dispatcher: their ends must be told within 8 s.
+	// maxRedialPauseActiveCalls limits the doubling pause while the dispatcher has established calls: their ends must be
+	// reported within 8 s.
 	maxRedialPauseActiveCalls = time.Second
-	// maxRedialPause bounds it while no call needs the dispatcher.
+	// maxRedialPause limits the pause while no call needs the dispatcher.
 	maxRedialPause = 8 * time.Second
-	// redialInterval is the pace of dials that no call needs, over all dispatchers together.
+	// redialInterval is the minimum time between two redials that no call needs, over all dispatchers together.
 	redialInterval = time.Second
 )
 
-// Backoff is when a dispatcher may be dialled after dials that failed. The zero value is that of one whose last dial did not fail.
+// Backoff decides when a dispatcher may be dialled again after failed dials. The zero value has no failures.
 type Backoff struct {
 	failures int
-	failedAt time.Time // of the last failure
+	failedAt time.Time
 	jitter   float64
 }
 
-// RecordFailure takes in that a dial failed, or that a connection ended as soon as it was open. The jitter is a number from 0 to 1, drawn anew each
-// time, so that the dials of many controllers spread.
+// RecordFailure records a failed dial, or a connection that ended as soon as it was open. The jitter is a new random number
+// from 0 to 1 each time. It spreads the dials of many controllers.
 func (b *Backoff) RecordFailure(now time.Time, jitter float64) {
 	b.failures, b.failedAt, b.jitter = b.failures+1, now, min(max(jitter, 0), 1)
 }
@@ -30,32 +31,32 @@
 // Failed reports whether the last dial failed.
 func (b *Backoff) Failed() bool { return b.failures > 0 }
 
-// Reset forgets the failures: a connection came up, or the dispatcher is said to have begun anew.
+// Reset clears the failures, after a connection was established or the dispatcher is reported to have restarted.
 func (b *Backoff) Reset() { *b = Backoff{} }
 
-// pause is the time from the last failure to the next dial for the purpose.
+// pause returns the time from the last failure to the next dial for the purpose.
 func (b *Backoff) pause(p Purpose) time.Duration {
-	most := maxRedialPause
+	limit := maxRedialPause
 	switch {
 	case b.failures == 0:
 		return 0
 	case p == SetUp:
 		return minRedialPause
 	case p == ActiveCalls:
-		most = maxRedialPauseActiveCalls
+		limit = maxRedialPauseActiveCalls
 	}
 	pause := minRedialPause
-	for n := 1; n < b.failures && pause < most; n++ {
+	for n := 1; n < b.failures && pause < limit; n++ {
 		pause *= 2
 	}
-	pause = min(pause, most)
+	pause = min(pause, limit)
 	if p == ActiveCalls {
 		return pause
 	}
 	return pause/2 + time.Duration(b.jitter*float64(pause/2))
 }
 
-// NextDial is when the dispatcher may be dialled for the purpose; zero if at any time.
+// NextDial returns when the dispatcher may be dialled for the purpose. The zero time means at any time.
 func (b *Backoff) NextDial(p Purpose) time.Time {
 	if b.failures == 0 {
 		return time.Time{}
@@ -63,21 +64,21 @@
 	return b.failedAt.Add(b.pause(p))
 }
 
-// Due reports whether the dispatcher may be dialled for the purpose. A clock that was set back holds nothing up.
+// Due reports whether the dispatcher may be dialled for the purpose now. A clock that was set back causes no wait.
 func (b *Backoff) Due(now time.Time, p Purpose) bool {
-	since := now.Sub(b.failedAt)
-	return since < 0 || since >= b.pause(p)
+	elapsed := now.Sub(b.failedAt)
+	return elapsed < 0 || elapsed >= b.pause(p)
 }
 
-// DialLimiter bounds the dials of a whole process that no call needs and that follow on one that failed: of very many dispatchers that refuse,
-// each is dialled rarely.
+// DialLimiter limits the rate of dials that follow a failed one and that no call needs, over the whole process. With very many
+// dispatchers that refuse connections, each is dialled rarely.
 type DialLimiter struct{ lastDialAt time.Time }
 
 // Allow reports whether such a dial may begin now, and counts it if so.
-func (p *DialLimiter) Allow(now time.Time) bool {
-	if since := now.Sub(p.lastDialAt); since >= 0 && since < redialInterval {
+func (l *DialLimiter) Allow(now time.Time) bool {
+	if elapsed := now.Sub(l.lastDialAt); elapsed >= 0 && elapsed < redialInterval {
 		return false
 	}
-	p.lastDialAt = now
+	l.lastDialAt = now
 	return true
 }
--- a/internal/decide/links/budget.go
+++ b/internal/decide/links/budget.go
@@ -2,73 +2,75 @@
 
 import "time"
 
-// settleTime is how long a connection must have been open before it makes room while calls stand at its dispatcher: by then the dispatcher
-// has repeated on it the ends that it told since the connection before. settleTimeReceived is the same where something has come on it: a
-// dispatcher tells its state first, and those ends right after it.
+// settleTime is how long the connection of a dispatcher with established calls must have been open before it may be evicted. By
+// then the dispatcher has repeated on it the ends that it sent since the previous connection. settleTimeReceived is the same
+// for a connection on which something has been received: a dispatcher sends its state first, and repeats those ends right after
+// it.
 const settleTime, settleTimeReceived = time.Second, 100 * time.Millisecond
 
-// maxUnconnected is how long a dispatcher with calls standing stays without a connection before the connection of another such dispatcher
-// makes room for it. An end is repeated on the next connection that opens and must reach its caller within 8 s.
+// maxUnconnected is how long a dispatcher with established calls stays without a connection before the connection of another
+// such dispatcher is evicted for it. An end is repeated on the next connection that opens and must reach its caller within 8 s.
 const maxUnconnected = 2 * time.Second
 
-// Purpose is what a connection is opened for, in rising order of need.
+// Purpose is the reason for opening a connection. Higher values are more urgent.
 type Purpose int
 
 const (
-	// Draining connections go to dispatchers that drain and have no call.
+	// Draining connections go to draining dispatchers without established calls.
 	Draining Purpose = iota
 	// Preconnect connections are opened before a call needs them.
 	Preconnect
-	// ActiveCalls connections go to dispatchers at which calls stand or set-ups are open.
+	// ActiveCalls connections go to dispatchers with established calls or pending set-ups.
 	ActiveCalls
-	// SetUp connections are waited for by a set-up.
+	// SetUp connections are needed by a set-up that waits for one.
 	SetUp
 )
 
-// Budget is how many sockets connections to dispatchers may hold together: open ones, those being dialled, and half-closed ones. 0 is no
-// bound.
+// Budget is the maximum number of sockets that the connections to all dispatchers hold together: open connections, half-closed
+// ones and those being dialled. 0 means no limit.
 type Budget int
 
-// Allows reports whether a connection may be opened for the purpose while so many sockets are held. An eighth is reserved for calls, and
-// dispatchers that drain get half of the rest of the others.
+// Allows reports whether a connection may be opened for the purpose while held sockets are in use. An eighth of the budget is
+// reserved for calls. Draining connections are allowed up to half of the budget.
 func (b Budget) Allows(p Purpose, held int) bool {
 	if b <= 0 {
 		return true
 	}
-	most := int(b)
+	limit := int(b)
 	switch p {
 	case Draining:
-		most /= 2
+		limit /= 2
 	case Preconnect:
-		most -= (most + 7) / 8
+		limit -= (limit + 7) / 8
 	}
-	return held < max(most, 1)
+	return held < max(limit, 1)
 }
 
-// Exceeded reports whether more sockets are held than there may be.
+// Exceeded reports whether more sockets are held than the budget allows.
 func (b Budget) Exceeded(held int) bool { return b > 0 && held > int(b) }
 
-// Connection is an open or half-closed connection, as it counts when one must be closed to make room.
+// Connection describes an open or half-closed connection as a candidate for eviction.
 type Connection struct {
-	Draining      bool      // its dispatcher drains or is gone
+	Draining      bool      // its dispatcher is draining or was removed
 	Sole          bool      // its dispatcher has no other open connection
-	HalfClosed    bool      // given up, and still read
-	HasCalls      bool      // calls stand at its dispatcher
-	HasReceived   bool      // something has come on it
-	PendingSetUps int       // that had no final answer here, withdrawn ones among them
-	Since         time.Time // when it was opened or, if it is, half-closed
-	UsedAt        time.Time // when a set-up was sent on it last; that of its opening if none was
+	HalfClosed    bool      // closed for writing, still read
+	HasCalls      bool      // its dispatcher has established calls
+	HasReceived   bool      // something has been received on it
+	PendingSetUps int       // set-ups sent on it without a final answer, including cancelled ones
+	Since         time.Time // when it was opened or, if it is half-closed, when it was half-closed
+	UsedAt        time.Time // when a set-up was last sent on it, or when it was opened if none was
 }
 
-// rank orders connections by how little is lost with them; ok is false for those that must stay.
+// rank orders connections by what their eviction costs, the cheapest first. ok is false for a connection that must not be
+// evicted.
 func (c Connection) rank(now time.Time) (rank int, ok bool) {
-	open := now.Sub(c.Since)
-	rested := open >= settleTime || c.HasReceived && !c.HalfClosed && open >= settleTimeReceived
+	age := now.Sub(c.Since)
+	settled := age >= settleTime || c.HasReceived && !c.HalfClosed && age >= settleTimeReceived
 	switch {
 	case c.HalfClosed && !c.HasCalls:
 		return 0, true
 	case c.HalfClosed:
-		return 4, rested
+		return 4, settled
 	case c.PendingSetUps > 0:
 		return 0, false
 	case c.Draining && !c.HasCalls:
@@ -77,17 +79,17 @@
 		return 2, true
 	case !c.HasCalls:
 		return 3, true
-	case c.Draining: // one that drains may take no new connection, and there would be no way to its calls
-		return 6, rested
+	case c.Draining: // a draining dispatcher may refuse a new connection, which would cut off its calls
+		return 6, settled
 	}
-	return 5, rested
+	return 5, settled
 }
 
-// maxEvictionRank is the highest rank of connections that make room for the purpose. The dispatcher that asks has been without a connection for
-// so long.
-func (p Purpose) maxEvictionRank(without time.Duration) int {
+// maxEvictionRank returns the highest rank that may be evicted for the purpose. The dispatcher to connect to has had no
+// connection for the given time.
+func (p Purpose) maxEvictionRank(unconnected time.Duration) int {
 	switch {
-	case p == SetUp, p == ActiveCalls && without >= maxUnconnected:
+	case p == SetUp, p == ActiveCalls && unconnected >= maxUnconnected:
 		return 6
 	case p == ActiveCalls:
 		return 3
@@ -97,16 +99,17 @@
 	return -1
 }
 
-// Evict is the index of the connection that is closed so that another can be opened for the purpose, to a dispatcher that has been without
-// one for so long; -1 if none may be. Of equals it is the one that was used least recently. One with set-ups open is never closed.
-func Evict(now time.Time, p Purpose, without time.Duration, connections []Connection) int {
-	least, leastRank := -1, p.maxEvictionRank(without)+1
+// Evict returns the index of the connection to close so that another can be opened for the purpose, or -1 if none may be
+// closed. The dispatcher to connect to has had no connection for the given time. Of connections of equal rank, Evict picks the
+// least recently used one. An open connection with pending set-ups is never evicted.
+func Evict(now time.Time, p Purpose, unconnected time.Duration, connections []Connection) int {
+	victim, victimRank := -1, p.maxEvictionRank(unconnected)+1
 	for i, c := range connections {
 		rank, ok := c.rank(now)
-		if !ok || rank > leastRank || rank == leastRank && (least < 0 || !c.UsedAt.Before(connections[least].UsedAt)) {
+		if !ok || rank > victimRank || rank == victimRank && (victim < 0 || !c.UsedAt.Before(connections[victim].UsedAt)) {
 			continue
 		}
-		least, leastRank = i, rank
+		victim, victimRank = i, rank
 	}
-	return least
+	return victim
 }
--- a/internal/decide/links/budget_test.go
+++ b/internal/decide/links/budget_test.go
@@ -10,20 +10,20 @@
 
 func TestAllows(t *testing.T) {
 	const budget = 16
-	for purpose, most := range map[Purpose]int{Draining: 8, Preconnect: 14, ActiveCalls: 16, SetUp: 16} {
+	for purpose, limit := range map[Purpose]int{Draining: 8, Preconnect: 14, ActiveCalls: 16, SetUp: 16} {
 		for held := range 2 * budget {
-			if got := Budget(budget).Allows(purpose, held); got != (held < most) {
-				t.Errorf("purpose %d with %d held: %v", purpose, held, got)
+			if got := Budget(budget).Allows(purpose, held); got != (held < limit) {
+				t.Errorf("purpose %d with %d sockets held: allowed %v", purpose, held, got)
 			}
 		}
 		if !Budget(0).Allows(purpose, 1<<20) {
-			t.Errorf("purpose %d is bounded where there is no bound", purpose)
+			t.Errorf("purpose %d is limited without a budget", purpose)
 		}
 	}
 }
 
-// TestEvict: the connections are given by names in the order of what is closed first. Each one alone must go where it may, and of all of
-// them the first.
+// TestEvict lists connections in the order in which they are to be evicted. Each one alone must be evicted exactly for the
+// purposes that may evict it, and of several the first one must go.
 func TestEvict(t *testing.T) {
 	now := start.Add(time.Hour)
 	connections := []Connection{
@@ -37,7 +37,7 @@
 		{Sole: true, HasCalls: true, HasReceived: true, Since: now.Add(-settleTimeReceived), UsedAt: now},
 		{Draining: true, Sole: true, HasCalls: true, Since: now.Add(-settleTime), UsedAt: start},
 	}
-	kept := []Connection{
+	protected := []Connection{
 		{PendingSetUps: 1}, {Sole: true, PendingSetUps: 2, HasCalls: true}, {Draining: true, PendingSetUps: 1},
 		{Sole: true, HasCalls: true, Since: now.Add(-settleTime + 1)},
 		{HalfClosed: true, HasCalls: true, HasReceived: true, Since: now.Add(-settleTime + 1)},
@@ -45,75 +45,76 @@
 		{Draining: true, Sole: true, HasCalls: true, Since: now.Add(-settleTime + 1)},
 	}
 	for _, test := range []struct {
-		purpose Purpose
-		without time.Duration
-		may     int // so many of the connections
+		purpose     Purpose
+		unconnected time.Duration
+		evictable   int // the number of connections, from the first, that may be evicted
 	}{
 		{Draining, time.Hour, 0}, {Preconnect, time.Hour, 2}, {ActiveCalls, 0, 5}, {ActiveCalls, maxUnconnected, len(connections)}, {SetUp, 0, len(connections)},
 	} {
 		for i, c := range connections {
-			if got := Evict(now, test.purpose, test.without, append(kept, c)); got >= 0 != (i < test.may) || got >= 0 && got != len(kept) {
-				t.Errorf("purpose %d, connection %d: %d makes room", test.purpose, i, got)
+			if got := Evict(now, test.purpose, test.unconnected, append(protected, c)); got >= 0 != (i < test.evictable) || got >= 0 && got != len(protected) {
+				t.Errorf("purpose %d, connection %d: evicted %d", test.purpose, i, got)
 			}
 			want := i
-			if i >= test.may {
+			if i >= test.evictable {
 				want = -1
 			}
-			backwards := append([]Connection(nil), kept...)
+			reversed := append([]Connection(nil), protected...)
 			for j := len(connections) - 1; j >= i; j-- {
-				backwards = append(backwards, connections[j])
+				reversed = append(reversed, connections[j])
 			}
-			if got := Evict(now, test.purpose, test.without, backwards); got >= 0 != (want >= 0) || got >= 0 && backwards[got] != connections[want] {
-				t.Errorf("purpose %d, of those from %d: %d makes room", test.purpose, i, got)
+			if got := Evict(now, test.purpose, test.unconnected, reversed); got >= 0 != (want >= 0) || got >= 0 && reversed[got] != connections[want] {
+				t.Errorf("purpose %d, connections from %d on: evicted %d", test.purpose, i, got)
 			}
 		}
 	}
 }
 
-// TestEvictInvariants: whatever the connections, none with a set-up open is closed, none where calls stand before it is settled or while
-// another can make room, and a set-up finds one wherever one is idle and settled.
+// TestEvictInvariants checks that no open connection with a pending set-up is evicted, that the only connection to a dispatcher
+// with established calls is evicted neither before it has settled nor while a cheaper one is available, and that a set-up can
+// evict any connection that is idle and settled.
 func TestEvictInvariants(t *testing.T) {
 	now := start.Add(time.Hour)
-	ago := rapid.Map(rapid.Int64Range(-int64(time.Second), int64(5*time.Second)), func(d int64) time.Time { return now.Add(-time.Duration(d)) })
-	connection := rapid.Custom(func(t *rapid.T) Connection {
+	pastTime := rapid.Map(rapid.Int64Range(-int64(time.Second), int64(5*time.Second)), func(d int64) time.Time { return now.Add(-time.Duration(d)) })
+	anyConnection := rapid.Custom(func(t *rapid.T) Connection {
 		return Connection{
 			Draining: rapid.Bool().Draw(t, "drains"), Sole: rapid.Bool().Draw(t, "sole"), HalfClosed: rapid.Bool().Draw(t, "half-closed"),
-			HasCalls: rapid.Bool().Draw(t, "standing"), HasReceived: rapid.Bool().Draw(t, "heard"), PendingSetUps: rapid.IntRange(0, 2).Draw(t, "set-ups"), Since: ago.Draw(t, "since"),
-			UsedAt: ago.Draw(t, "used"),
+			HasCalls: rapid.Bool().Draw(t, "standing"), HasReceived: rapid.Bool().Draw(t, "heard"), PendingSetUps: rapid.IntRange(0, 2).Draw(t, "set-ups"), Since: pastTime.Draw(t, "since"),
+			UsedAt: pastTime.Draw(t, "used"),
 		}
 	})
 	rapid.Check(t, func(t *rapid.T) {
-		connections := rapid.SliceOfN(connection, 0, 12).Draw(t, "connections")
+		connections := rapid.SliceOfN(anyConnection, 0, 12).Draw(t, "connections")
 		purpose := Purpose(rapid.IntRange(int(Draining), int(SetUp)).Draw(t, "purpose"))
-		without := time.Duration(rapid.Int64Range(0, int64(2*maxUnconnected)).Draw(t, "without"))
-		i := Evict(now, purpose, without, connections)
-		free, settledIdle := false, false
+		unconnected := time.Duration(rapid.Int64Range(0, int64(2*maxUnconnected)).Draw(t, "without"))
+		i := Evict(now, purpose, unconnected, connections)
+		idleWithoutCalls, settledIdle := false, false
 		for _, c := range connections {
 			idle := c.HalfClosed || c.PendingSetUps == 0
-			free = free || idle && !c.HasCalls
+			idleWithoutCalls = idleWithoutCalls || idle && !c.HasCalls
 			settledIdle = settledIdle || idle && now.Sub(c.Since) >= settleTime
 		}
 		if i < 0 {
-			if purpose == SetUp && (free || settledIdle) {
-				t.Fatal("a set-up finds no room")
+			if purpose == SetUp && (idleWithoutCalls || settledIdle) {
+				t.Fatal("no connection is evicted for a set-up")
 			}
 			return
 		}
 		c := connections[i]
 		switch {
 		case !c.HalfClosed && c.PendingSetUps > 0:
-			t.Fatal("one with a set-up open is closed")
-		case c.HasCalls && c.Sole && !c.HalfClosed && (now.Sub(c.Since) < settleTimeReceived || !c.HasReceived && now.Sub(c.Since) < settleTime || purpose <= Preconnect || free):
-			t.Fatalf("the only one to a dispatcher with calls is closed for purpose %d", purpose)
+			t.Fatal("an open connection with a pending set-up is evicted")
+		case c.HasCalls && c.Sole && !c.HalfClosed && (now.Sub(c.Since) < settleTimeReceived || !c.HasReceived && now.Sub(c.Since) < settleTime || purpose <= Preconnect || idleWithoutCalls):
+			t.Fatalf("the only connection to a dispatcher with calls is evicted for purpose %d", purpose)
 		case purpose == Preconnect && !c.Draining && !c.HalfClosed:
-			t.Fatal("a live dispatcher's makes room for what nobody needs yet")
+			t.Fatal("an active dispatcher's connection is evicted for one that no call needs")
 		}
 		others := slices.Delete(slices.Clone(connections), i, i+1)
-		if j := Evict(now, purpose, without, others); j >= 0 {
+		if j := Evict(now, purpose, unconnected, others); j >= 0 {
 			other := others[j]
 			a, _ := c.rank(now)
 			if b, _ := other.rank(now); b < a || b == a && other.UsedAt.Before(c.UsedAt) {
-				t.Fatal("one that is missed less is kept")
+				t.Fatal("a connection of lower rank or less recent use is kept")
 			}
 		}
 	})
--- a/internal/decide/links/links.go
+++ b/internal/decide/links/links.go
@@ -1,5 +1,5 @@
-// Package links decides how many connections a dispatcher is worth to one controller. It does no I/O, and the clock is an
-// argument; docs/links.md weighs the rules.
+// Package links decides how many connections a controller keeps to each dispatcher, when it dials them, and which one it evicts
+// when sockets run out. It does no I/O, and the time is an argument; docs/links.md explains the rules.
 package links
 
 import (
@@ -8,42 +8,43 @@
 )
 
 const (
-	// demandHalfLife is how long a number of set-ups that were open at once counts for half: bursts come again within some tens
-	// of seconds, and a connection that is opened ahead must not be opened for nothing.
+	// demandHalfLife is the half-life of a peak of concurrent set-ups. Bursts recur within some tens of seconds; a longer
+	// half-life would open connections that are never needed.
 	demandHalfLife = 10 * time.Second
-	// suspectAfter is the age of a set-up without a word at which one more connection is worth its cost, if there is but one: only
-	// by another can a dead connection be told from a slow dispatcher. It is some times what an answer takes in calm, and
-	// well before a call is given up.
+	// suspectAfter is the age of an unanswered set-up at which a second connection is opened. Only another connection can tell
+	// a dead connection from a slow dispatcher. It is several times the usual answer time, and well below the time after which
+	// a call is cancelled.
 	suspectAfter = 400 * time.Millisecond
 )
 
-// Demand follows what one dispatcher's connections have been needed for. The zero value is that of a new one.
+// Demand tracks how many connections to one dispatcher are needed. The zero value is ready to use.
 type Demand struct {
-	peak float64 // of set-ups open at once
+	peak float64 // concurrent set-ups, as of at
 	at   time.Time
 }
 
-// Observe takes in how many set-ups are open at once.
+// Observe records the number of set-ups that are open at once.
 func (d *Demand) Observe(now time.Time, open int) {
 	d.peak, d.at = max(d.decayedPeak(now), float64(open)), now
 }
 
-// decayedPeak is the peak as it counts by now. A clock that is set back takes nothing from it.
+// decayedPeak returns the peak, reduced by its age. A clock that was set back reduces nothing.
 func (d *Demand) decayedPeak(now time.Time) float64 {
 	age := max(now.Sub(d.at), 0)
 	return d.peak * math.Exp2(-float64(age)/float64(demandHalfLife))
 }
 
-// Target is how many connections there should be, from 1 to most: one, so that no call has to wait for a handshake and what
-// the dispatcher tells unasked arrives; as many as set-ups were open at once lately, since one that breaks takes those on it
-// along; and one beside a single one on which a set-up has been without a word for so long.
-func (d *Demand) Target(now time.Time, oldest time.Duration, most int) int {
-	wanted := int(math.Ceil(d.decayedPeak(now) - 0.5)) // half of a set-up is what is left of one after a half-life
-	if IsSuspect(oldest) {
-		wanted = max(wanted, 2)
+// Target returns how many connections to keep, from 1 to limit. There is always one, so that no call waits for a handshake and
+// unsolicited messages of the dispatcher arrive. There are as many as set-ups were recently open at once, since a connection
+// that breaks takes its set-ups with it. There is a second one if a set-up has been unanswered for long enough to make the only
+// connection suspect.
+func (d *Demand) Target(now time.Time, oldestUnanswered time.Duration, limit int) int {
+	target := int(math.Ceil(d.decayedPeak(now) - 0.5)) // after one half-life, a single set-up counts as half and is rounded down
+	if IsSuspect(oldestUnanswered) {
+		target = max(target, 2)
 	}
-	return max(1, min(wanted, most))
+	return max(1, min(target, limit))
 }
 
-// IsSuspect reports whether a set-up of that age, without a word since, has its connection in doubt.
-func IsSuspect(oldest time.Duration) bool { return oldest >= suspectAfter }
+// IsSuspect reports whether a set-up that has been unanswered for the given time makes its connection suspect.
+func IsSuspect(unanswered time.Duration) bool { return unanswered >= suspectAfter }
--- a/internal/decide/links/renewal_test.go
+++ b/internal/decide/links/renewal_test.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// TestRenewal guards against ends of calls that go down with a connection and are never asked for again.
+// TestRenewal guards against ends of calls that are lost with a connection and never requested again.
 func TestRenewal(t *testing.T) {
 	t.Parallel()
 	start := time.Now()
 	at := func(d time.Duration) time.Time { return start.Add(d) }
 	for name, test := range map[string]struct {
-		happens            func(r *Renewal)
-		now                time.Duration
-		due, pending, lost bool
+		apply                 func(r *Renewal)
+		now                   time.Duration
+		due, pending, missing bool
 	}{
-		"nothing has been lost":                   {func(*Renewal) {}, time.Minute, false, false, false},
-		"a loss":                                  {func(r *Renewal) { r.RecordLoss(at(0)) }, 0, false, true, true},
-		"a loss, a moment later":                  {func(r *Renewal) { r.RecordLoss(at(0)) }, renewalDelay, true, true, true},
-		"losses that come together":               {func(r *Renewal) { r.RecordLoss(at(0)); r.RecordLoss(at(renewalDelay / 2)) }, renewalDelay, true, true, true},
-		"a connection is wanted, none is lost":    {func(r *Renewal) { r.Request(at(0)) }, renewalDelay, true, true, false},
-		"a connection that was dialled after it":  {func(r *Renewal) { r.RecordLoss(at(0)); r.RecordOpened(at(renewalDelay)) }, time.Minute, false, false, false},
-		"a connection that was dialled before it": {func(r *Renewal) { r.RecordLoss(at(1)); r.RecordOpened(at(0)) }, renewalDelay + 1, true, true, true},
-		"a loss while the next is being dialled": {func(r *Renewal) {
+		"no loss":                            {func(*Renewal) {}, time.Minute, false, false, false},
+		"loss, before the delay":             {func(r *Renewal) { r.RecordLoss(at(0)) }, 0, false, true, true},
+		"loss, after the delay":              {func(r *Renewal) { r.RecordLoss(at(0)) }, renewalDelay, true, true, true},
+		"two losses within the delay":        {func(r *Renewal) { r.RecordLoss(at(0)); r.RecordLoss(at(renewalDelay / 2)) }, renewalDelay, true, true, true},
+		"request without a loss":             {func(r *Renewal) { r.Request(at(0)) }, renewalDelay, true, true, false},
+		"connection dialled after the loss":  {func(r *Renewal) { r.RecordLoss(at(0)); r.RecordOpened(at(renewalDelay)) }, time.Minute, false, false, false},
+		"connection dialled before the loss": {func(r *Renewal) { r.RecordLoss(at(1)); r.RecordOpened(at(0)) }, renewalDelay + 1, true, true, true},
+		"loss during the next dial": {func(r *Renewal) {
 			r.RecordLoss(at(0))
 			r.RecordLoss(at(renewalDelay + 1))
 			r.RecordOpened(at(renewalDelay))
 		},
 			time.Second, true, true, true},
-		"a dial that failed":                     {func(r *Renewal) { r.RecordLoss(at(0)) }, time.Minute, true, true, true},
-		"a dial that failed, and no call stands": {func(r *Renewal) { r.RecordLoss(at(0)); r.Cancel() }, time.Minute, false, false, true},
-		"the next loss after that":               {func(r *Renewal) { r.RecordLoss(at(0)); r.Cancel(); r.RecordLoss(at(time.Second)) }, time.Minute, true, true, true},
-		"a repetition, too early":                {func(r *Renewal) { r.RecordOpened(at(0)); r.RequestPeriodic(at(renewalInterval - 1)) }, time.Minute, false, false, false},
-		"a repetition":                           {func(r *Renewal) { r.RecordOpened(at(0)); r.RequestPeriodic(at(renewalInterval)) }, time.Minute, true, true, false},
-		"a repetition, while one is due": {func(r *Renewal) {
+		"failed dial":                           {func(r *Renewal) { r.RecordLoss(at(0)) }, time.Minute, true, true, true},
+		"failed dial without established calls": {func(r *Renewal) { r.RecordLoss(at(0)); r.Cancel() }, time.Minute, false, false, true},
+		"loss after a cancelled dial":           {func(r *Renewal) { r.RecordLoss(at(0)); r.Cancel(); r.RecordLoss(at(time.Second)) }, time.Minute, true, true, true},
+		"periodic request before the interval":  {func(r *Renewal) { r.RecordOpened(at(0)); r.RequestPeriodic(at(renewalInterval - 1)) }, time.Minute, false, false, false},
+		"periodic request after the interval":   {func(r *Renewal) { r.RecordOpened(at(0)); r.RequestPeriodic(at(renewalInterval)) }, time.Minute, true, true, false},
+		"periodic request while one is pending": {func(r *Renewal) {
 			r.RecordOpened(at(0))
 			r.Request(at(renewalInterval))
 			r.RequestPeriodic(at(renewalInterval + time.Second))
@@ -43,9 +43,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var r Renewal
-			test.happens(&r)
-			if due, pending, lost := r.Due(at(test.now)), r.Pending(), r.EndsMissing(); due != test.due || pending != test.pending || lost != test.lost {
-				t.Errorf("due %v, pending %v, missing %v; want %v, %v, %v", due, pending, lost, test.due, test.pending, test.lost)
+			test.apply(&r)
+			if due, pending, missing := r.Due(at(test.now)), r.Pending(), r.EndsMissing(); due != test.due || pending != test.pending || missing != test.missing {
+				t.Errorf("due %v, pending %v, missing %v; want %v, %v, %v", due, pending, missing, test.due, test.pending, test.missing)
 			}
 		})
 	}
--- a/internal/decide/links/socket_quota.go
+++ b/internal/decide/links/socket_quota.go
@@ -1,23 +1,23 @@
 package links
 
-// SocketQuota divides the descriptors of a process, beside those that it needs itself, between callers and connections to dispatchers.
+// SocketQuota divides the sockets of a process between callers and connections to dispatchers.
 type SocketQuota struct {
-	Sockets    int // that there are for both
-	MaxCallers int // that callers may hold at most, for a moment
-	Reserved   int // that are kept for callers, whether they come or not
-	Headroom   int // that are kept beyond the callers that there are: so many may come before idle connections to dispatchers have made room
+	Sockets    int // for both together
+	MaxCallers int // the most that callers may hold
+	Reserved   int // kept for callers even when unused
+	Headroom   int // free for new callers beyond those connected, until idle connections to dispatchers are closed
 }
 
-// Divide is what callers and dispatchers may hold while so many callers are connected: what callers do not use is the dispatchers', but for
-// what is kept. One connection to a dispatcher there may be in any case.
+// Divide returns how many sockets callers and dispatchers may hold while the given number of callers is connected. Dispatchers
+// get what callers neither use nor have reserved, and at least one connection.
 func (s SocketQuota) Divide(connected int) (callers, dispatchers int) {
 	callers = min(max(s.Reserved, connected)+s.Headroom, s.MaxCallers)
 	dispatchers = max(s.Sockets-callers, 1)
 	return callers, dispatchers
 }
 
-// CallerLimit is how many callers may be connected while connections to dispatchers hold so many sockets: until those that are beyond their part
-// have ended, their sockets are not there.
+// CallerLimit returns how many callers may be connected while connections to dispatchers hold the given number of sockets.
+// Sockets that dispatchers hold beyond their part are not available to callers until they are closed.
 func (s SocketQuota) CallerLimit(connected, held int) int {
 	callers, dispatchers := s.Divide(connected)
 	return max(callers-max(held-dispatchers, 0), 1)
--- a/internal/decide/links/socket_quota_test.go
+++ b/internal/decide/links/socket_quota_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestSocketQuota: both parts together never exceed what there is, callers have what is kept for them and what they hold, up to their bound, and
-// dispatchers have the rest.
+// TestSocketQuota checks that both parts together never exceed the total, that callers get what is reserved for them and what
+// they hold, up to their limit, and that dispatchers get the rest.
 func TestSocketQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := SocketQuota{Sockets: rapid.IntRange(2, 2000).Draw(t, "sockets")}
@@ -17,14 +17,14 @@
 		connected := rapid.IntRange(0, s.MaxCallers).Draw(t, "connected")
 		callers, dispatchers := s.Divide(connected)
 		if callers+dispatchers != s.Sockets || callers > s.MaxCallers || callers < s.Reserved || callers < connected || dispatchers < 1 {
-			t.Fatalf("%d and %d of %d", callers, dispatchers, s.Sockets)
+			t.Fatalf("%d sockets for callers and %d for dispatchers, %d in total", callers, dispatchers, s.Sockets)
 		}
 		if callers < min(connected+s.Headroom, s.MaxCallers) {
-			t.Fatalf("%d are connected, and %d may be", connected, callers)
+			t.Fatalf("%d callers are connected, the limit is %d", connected, callers)
 		}
-		held := rapid.IntRange(0, s.Sockets).Draw(t, "held")
-		if accept := s.CallerLimit(connected, held); accept > callers || accept > 1 && accept+held > s.Sockets || held <= dispatchers && accept != callers {
-			t.Fatalf("with %d sockets to dispatchers %d callers may be connected", held, accept)
+		heldByDispatchers := rapid.IntRange(0, s.Sockets).Draw(t, "held")
+		if accept := s.CallerLimit(connected, heldByDispatchers); accept > callers || accept > 1 && accept+heldByDispatchers > s.Sockets || heldByDispatchers <= dispatchers && accept != callers {
+			t.Fatalf("with %d sockets held for dispatchers, %d callers may be connected", heldByDispatchers, accept)
 		}
 	})
 }
--- a/internal/decide/members/members.go
+++ b/internal/decide/members/members.go
@@ -1,5 +1,6 @@
-// Package members says who lives in the fleet and how far that is certain, from what the store of the fleet answered and when. It does
-// no I/O; every clock reading is an argument, on one monotonic clock of the process. docs/fleet-members.md has the argument.
+// Package members derives the members of the fleet, and how certain that knowledge is, from the answers of the fleet's store
+// and their times. It does no I/O; all times are arguments, readings of one monotonic clock of the process.
+// docs/fleet-members.md gives the proof.
 package members
 
 import (
@@ -10,72 +11,72 @@
 )
 
 const (
-	// leaseMarginDivisor of a lease is what its owner gives up for clocks whose rates differ.
+	// leaseMarginDivisor is the divisor of a lease that gives its margin, which covers clocks that run at different rates.
 	leaseMarginDivisor = 8
 	// maxViewAgeLeases is the age in leases beyond which a view is not acted on.
 	maxViewAgeLeases = 2
-	// maxHistory bounds what is told of changes: some minutes of a release of 300 controllers.
+	// maxHistory limits the events in the history, to some minutes of a rolling upgrade of 300 controllers.
 	maxHistory = 1024
-	// maxGone bounds the members that are told as gone, the latest ones.
+	// maxGone limits the ended members that are kept. The latest ones are kept.
 	maxGone = 512
 )
 
-// Margin is the part of a lease that its owner does not count on.
+// Margin returns the final part of a lease that its owner does not rely on.
 func Margin(lease time.Duration) time.Duration { return lease / leaseMarginDivisor }
 
-// State is what a member says of itself; Gone is what the store says.
+// State is the state that a member reports of itself, or Gone, which is derived from the store.
 type State string
 
 const (
 	// Joining members have their key and do not serve yet.
 	Joining State = "joining"
-	// Serving members take calls.
+	// Serving members accept calls.
 	Serving State = "serving"
-	// Leaving members serve out what they have.
+	// Leaving members finish their calls and accept no new ones.
 	Leaving State = "leaving"
-	// Gone members have certainly ended: their key went, and with it their right to the name.
+	// Gone members have certainly ended: their key was deleted, and with it their right to the name.
 	Gone State = "gone"
 )
 
-// SelfReported reports whether a member may say so of itself.
+// SelfReported reports whether a member may report this state of itself.
 func (s State) SelfReported() bool { return s == Joining || s == Serving || s == Leaving }
 
-// Entry is a member's key as the store has it.
+// Entry is the key of a member as stored.
 type Entry struct {
 	Name        string
-	Incarnation int64 // the revision at which the key was made
-	Revision    int64 // the revision of this value
+	Incarnation int64 // revision at which the key was created
+	Revision    int64 // revision of this value
 	State       State
 	Address     string
 }
 
-// Change is a key that was put, or one that went.
+// Change is a key that was written or deleted.
 type Change struct {
 	Entry
-	Deleted bool // Revision is that of the deletion; of the rest, the name alone counts
+	Deleted bool // if set, Revision is that of the deletion, and of the other fields only Name is valid
 }
 
-// Member is one controller as this one knows it.
+// Member is a controller as known to this process.
 type Member struct {
 	Entry
-	Store       uint64        // the store whose revisions these are: one that was put back has them again, for others
-	FirstSeenAt time.Duration // when this process first heard of the incarnation
-	EndedAt     time.Duration // when it heard of its end; 0 while there is none
-	WasLeaving  bool          // it said that it was leaving before it went
+	Store       uint64        // store that assigned the revisions; a restored store may assign the same ones again
+	FirstSeenAt time.Duration // when this process first learned of the incarnation
+	EndedAt     time.Duration // when it learned that the incarnation had ended; 0 before
+	WasLeaving  bool          // its last reported state was Leaving
 	lastState   State
 }
 
-// Kind says what happened to a member.
+// Kind is the type of an event.
 type Kind string
 
 const (
-	// MemberAppeared tells of a new incarnation, Turned of another state, Went of a certain end.
+	// MemberAppeared reports a new incarnation, MemberStateChanged a new state, MemberEnded a certain end.
 	MemberAppeared, MemberStateChanged, MemberEnded Kind = "came", "turned", "went"
-	// LeaseGained and Parted are this process's own certainty, gained and lost; Moved is another store in the place of the one that was.
+	// LeaseGained and LeaseLost report whether this process holds its lease. StoreReplaced reports that another store answers.
 	LeaseGained, LeaseLost, StoreReplaced Kind = "joined", "parted", "store moved"
 )
 
-// Event is one line of the history.
+// Event is one event of the history.
 type Event struct {
 	At          time.Duration `json:"at"`
 	Kind        Kind          `json:"kind"`
@@ -85,51 +86,52 @@
 	Cause       string        `json:"cause,omitempty"`
 }
 
-// View is what one process knows. It is not safe for concurrent use.
+// View is what one process knows about the fleet. It is not safe for concurrent use.
 type View struct {
 	self  string
 	lease time.Duration
 
 	storeID         uint64
-	highestRevision int64 // the highest revision that a linearizable answer has told
-	revision        int64 // up to which the view is whole; 0 before the first read
+	highestRevision int64 // highest revision in any linearizable answer
+	revision        int64 // revision up to which the view is complete; 0 before the first read
 	asOf            time.Duration
 	loaded          bool
-	samples         []revisionSample // those that the watch has not caught up with, oldest first
+	samples         []revisionSample // samples that the watch has not reached, oldest first
 
 	incarnation int64 // of the own key; 0 without one
 	leaseUntil  time.Duration
-	heldLease   bool // at the last turn, for the history
+	heldLease   bool // whether the lease was held at the last update, for the history
 
 	members       map[string]*Member
 	gone          []*Member
 	history       []Event
-	droppedEvents int // events that the history has lost
+	droppedEvents int // number of events dropped from the history
 }
 
-// revisionSample is a linearizable answer: the store was at a revision at some time after it was asked.
+// revisionSample is a linearizable answer: the store was at the revision at some time after the request was sent.
 type revisionSample struct {
 	sent     time.Duration
 	revision int64
 }
 
-// New returns the view of a process that knows nothing yet. The lease must be above 0.
+// New returns an empty View. The lease must be above 0.
 func New(self string, lease time.Duration) *View {
 	return &View{self: self, lease: lease, members: map[string]*Member{}}
 }
 
-func (v *View) recordEvent(at time.Duration, k Kind, e Entry, cause string) {
+func (v *View) recordEvent(at time.Duration, kind Kind, e Entry, cause string) {
 	if len(v.history) == maxHistory {
 		v.history = slices.Delete(v.history, 0, maxHistory/4)
 		v.droppedEvents += maxHistory / 4
 	}
-	v.history = append(v.history, Event{at, k, e.Name, e.Incarnation, e.State, cause})
+	v.history = append(v.history, Event{at, kind, e.Name, e.Incarnation, e.State, cause})
 }
 
-// --- The own membership ---
+// --- Own membership ---
 
-// RecordOwnKey takes in that the own key is there, made at a revision, under a lease that was granted or renewed by a request sent then.
-// A key made anew is a new incarnation; the old one's right does not pass on to it.
+// RecordOwnKey records that the own key exists, with the revision of its creation, under a lease that was granted or renewed by
+// a request sent at the given time. A key that was created again is a new incarnation, which does not inherit the lease of the
+// old one.
 func (v *View) RecordOwnKey(now, sent time.Duration, incarnation int64) {
 	if incarnation <= 0 || incarnation < v.incarnation {
 		return
@@ -140,8 +142,8 @@
 	v.extendLease(now, sent)
 }
 
-// RecordRenewal takes in the answer to a renewal of the own lease. It counts from when the request was sent: however late the answer, the
-// store had it no sooner.
+// RecordRenewal records the answer to a renewal of the own lease. The lease counts from the time at which the request was sent:
+// however late the answer, the store received the request after that time.
 func (v *View) RecordRenewal(now, sent time.Duration, incarnation int64) {
 	if incarnation == v.incarnation && incarnation != 0 {
 		v.extendLease(now, sent)
@@ -153,37 +155,38 @@
 	v.updateLeaseState(now, "")
 }
 
-// RecordLeaseEnd takes in that the own lease or key is no more, for all that the store says, or that this process gives it up.
+// RecordLeaseEnd records that the own lease or key no longer exists according to the store, or that this process gives it up.
 func (v *View) RecordLeaseEnd(now time.Duration, cause string) {
 	v.leaseUntil = 0
 	v.updateLeaseState(now, cause)
 	v.incarnation = 0
 }
 
-// updateLeaseState notes a change of the own certainty.
+// updateLeaseState records an event if the lease was gained or lost.
 func (v *View) updateLeaseState(now time.Duration, cause string) {
-	if is := v.incarnation != 0 && now < v.leaseUntil; is != v.heldLease {
-		v.heldLease = is
+	if holds := v.incarnation != 0 && now < v.leaseUntil; holds != v.heldLease {
+		v.heldLease = holds
 		kind := LeaseLost
-		if is {
+		if holds {
 			kind = LeaseGained
 		}
 		v.recordEvent(now, kind, Entry{Name: v.self, Incarnation: v.incarnation}, cause)
 	}
 }
 
-// HoldsLease reports whether this process has its name for itself now, as which incarnation, and until when if nothing more is heard.
-// Whoever acts on it must act before then.
+// HoldsLease reports whether this process holds its lease now, and so is the only one with its name. It also returns the
+// incarnation and the time until which the lease is held without another renewal. A caller that acts on the result must act
+// before that time.
 func (v *View) HoldsLease(now time.Duration) (incarnation int64, until time.Duration, ok bool) {
 	v.updateLeaseState(now, "no renewal was answered in time")
 	return v.incarnation, v.leaseUntil, v.heldLease
 }
 
-// --- The others ---
+// --- Other members ---
 
-// ObserveStore takes in which store answered and at which revision, of any answer that is linearizable. It reports false if this is
-// another store, or the same one put back to an earlier state: then no key that is missing there says that anybody has ended, and the
-// own key must be made anew. The revision need not be that of this request's keys.
+// ObserveStore records the store and the revision of a linearizable answer. It returns false if this is another store, or the
+// same one restored to an earlier state. A key that is missing there does not show that its member has ended, and the own key
+// must be created again. The revision need not be that of the requested keys.
 func (v *View) ObserveStore(now time.Duration, cluster uint64, revision int64) bool {
 	same := v.storeID == 0 || cluster == v.storeID && revision >= v.highestRevision
 	if !same {
@@ -193,7 +196,7 @@
 		}
 		v.recordEvent(now, StoreReplaced, Entry{Name: v.self, Incarnation: v.incarnation}, cause)
 		v.RecordLeaseEnd(now, cause)
-		// Who lives is not known any more. Nobody has ended.
+		// The members are unknown until the next complete read. None of them has ended.
 		v.members, v.loaded, v.revision, v.samples = map[string]*Member{}, false, 0, nil
 		v.highestRevision = 0
 	}
@@ -201,19 +204,20 @@
 	return same
 }
 
-// RecordRevision takes in a linearizable answer that was asked for then: the view is as old as that once it is whole up to the revision.
+// RecordRevision records a linearizable answer to a request sent at the given time. Once the view is complete up to the
+// revision, it is at least as recent as that time.
 func (v *View) RecordRevision(sent time.Duration, revision int64) {
 	if n := len(v.samples); n > 0 && v.samples[n-1].sent >= sent {
 		return
 	}
-	if len(v.samples) == 8 { // the watch is behind; the oldest that it has yet to reach tells most
+	if len(v.samples) == 8 { // the watch lags; the oldest samples that it has not reached yet bound the age best
 		v.samples = v.samples[:7]
 	}
 	v.samples = append(v.samples, revisionSample{sent, revision})
 	v.advanceRevision(v.revision)
 }
 
-// advanceRevision is called when the view is whole up to a revision.
+// advanceRevision is called when the view is complete up to a revision.
 func (v *View) advanceRevision(revision int64) {
 	v.revision = max(v.revision, revision)
 	for len(v.samples) > 0 && v.loaded && v.samples[0].revision <= v.revision {
@@ -222,19 +226,19 @@
 	}
 }
 
-// ApplyRead takes in a whole read that was asked for then. One from before what is known already is passed over, and reported as false:
-// a key that is missing from it may have been made since.
+// ApplyRead applies a complete read that was requested at the given time. A read older than the view is ignored and reported as
+// false: a key that is missing from it may have been created since.
 func (v *View) ApplyRead(now, sent time.Duration, revision int64, entries []Entry) bool {
 	if revision < v.revision {
 		return false
 	}
-	there := map[string]bool{}
+	present := map[string]bool{}
 	for _, e := range entries {
-		there[e.Name] = true
+		present[e.Name] = true
 		v.put(now, e)
 	}
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
-		if m := v.members[name]; !there[name] && m.Revision <= revision {
+		if m := v.members[name]; !present[name] && m.Revision <= revision {
 			v.recordEnd(now, m, "missing from a whole read")
 		}
 	}
@@ -246,7 +250,7 @@
 	return true
 }
 
-// ApplyChanges takes in what the watch told: all changes up to a revision, of which there may be none.
+// ApplyChanges applies all changes that the watch reported up to a revision. There may be none.
 func (v *View) ApplyChanges(now time.Duration, revision int64, changes []Change) {
 	for _, c := range changes {
 		if !c.Deleted {
@@ -265,7 +269,7 @@
 	switch {
 	case m == nil:
 	case e.Revision <= m.Revision:
-		return // told before
+		return // already applied
 	case e.Incarnation > m.Incarnation:
 		v.recordEnd(now, m, "its name was taken anew")
 	default:
@@ -279,7 +283,7 @@
 	v.recordEvent(now, MemberAppeared, e, "")
 }
 
-// recordEnd is the one way for a member to be gone.
+// recordEnd marks a member as gone. No other function does that.
 func (v *View) recordEnd(now time.Duration, m *Member, cause string) {
 	delete(v.members, m.Name)
 	m.WasLeaving, m.EndedAt = m.State == Leaving, now
@@ -291,7 +295,7 @@
 	v.gone = append(v.gone, m)
 }
 
-// Members are those that are not known to have ended, by name. They may have: ask Age.
+// Members returns the members that are not known to have ended, sorted by name. Some may have ended since: see Age.
 func (v *View) Members() []Member {
 	all := make([]Member, 0, len(v.members))
 	for _, m := range v.members {
@@ -301,7 +305,7 @@
 	return all
 }
 
-// HasEnded reports whether that incarnation of a name, by the revisions of that store, has certainly ended.
+// HasEnded reports whether an incarnation of a name, by the revisions of the given store, has certainly ended.
 func (v *View) HasEnded(store uint64, name string, incarnation int64) bool {
 	if m := v.members[name]; m != nil && m.Store == store {
 		return incarnation < m.Incarnation
@@ -311,10 +315,10 @@
 	})
 }
 
-// StoreID is the number of the store whose revisions the incarnations are; 0 before it has answered.
+// StoreID returns the id of the store that assigned the incarnations; 0 before its first answer.
 func (v *View) StoreID() uint64 { return v.storeID }
 
-// Gone are those that have ended, the latest last.
+// Gone returns the members that have ended, the latest last.
 func (v *View) Gone() []Member {
 	all := make([]Member, 0, len(v.gone))
 	for _, m := range v.gone {
@@ -323,26 +327,26 @@
 	return all
 }
 
-// Age is how old the view is at most; false before the first whole read.
+// Age returns the maximum age of the view. It returns false before the first complete read.
 func (v *View) Age(now time.Duration) (time.Duration, bool) {
 	return max(0, now-v.asOf), v.loaded
 }
 
-// Actable reports whether the view is young enough to act on, for one whose own membership is certain.
+// Actable reports whether this process may act on the view: it holds its lease, and the view is recent enough.
 func (v *View) Actable(now time.Duration) bool {
 	age, known := v.Age(now)
 	_, _, certain := v.HoldsLease(now)
 	return known && certain && age <= maxViewAgeLeases*v.lease
 }
 
-// Revision up to which the view is whole, and Behind what a look has told beyond it.
+// Revision returns the revision up to which the view is complete.
 func (v *View) Revision() int64 { return v.revision }
 
-// Behind reports whether the store has told of a revision that the watch has not reached.
+// Behind reports whether the store has answered with a revision that the watch has not reached.
 func (v *View) Behind() bool { return len(v.samples) > 0 }
 
-// History is what has happened from the event of that number on, oldest first, as far as it is kept, and the number of the next one.
-// Events are numbered from 0.
+// History returns the kept events from the given number on, oldest first, and the number of the next event. Events are numbered
+// from 0.
 func (v *View) History(from int) (events []Event, next int) {
 	next = v.droppedEvents + len(v.history)
 	return slices.Clone(v.history[min(max(from-v.droppedEvents, 0), len(v.history)):]), next
--- a/internal/decide/members/simulation_test.go
+++ b/internal/decide/members/simulation_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// simulation is a store, processes that each have a view, and a network between them, in simulated time. A seed decides all of it.
+// simulation has a store, processes with a view each, and a network between them, in simulated time. A seed determines
+// everything.
 type simulation struct {
 	*rand.Rand
 	now               time.Duration
@@ -19,25 +20,25 @@
 	store             fakeStore
 	processes         []*process
 	lastLeaseID       int
-	checksPausedUntil time.Duration // until then a store that was put back is being found out
+	checksPausedUntil time.Duration // no checks before this time, while the processes notice that the store was restored
 	violations        []string
 }
 
-// simulationOptions are what a world is like, and the offences that may be planted in it.
+// simulationOptions configure a simulation and the violations planted in it.
 type simulationOptions struct {
 	lease           time.Duration
-	maxDrift        float64 // the most by which a clock's rate is off
-	lossRate        float64 // of messages
+	maxDrift        float64 // maximum deviation of a clock rate
+	lossRate        float64 // share of messages that are lost
 	maxDelay        time.Duration
-	leaseFromAnswer bool // renewals are counted from their answers
-	endOnOldView    bool // a view that is old ends its members
-	ignoreRestore   bool // a store that went back is taken for the one before
+	leaseFromAnswer bool // leases count from the answer instead of the request
+	endOnOldView    bool // members of an old view count as ended
+	ignoreRestore   bool // a restored store is not noticed
 }
 
 type event struct {
 	at    time.Duration
 	order int
-	do    func()
+	run   func()
 }
 
 type eventQueue []event
@@ -59,7 +60,7 @@
 	heap.Push(&w.events, event{w.now + d, w.lastOrder, do})
 }
 
-// fakeStore is the store: keys under leases, by revision, with its own clock.
+// fakeStore has keys under leases, by revision, and its own clock.
 type fakeStore struct {
 	cluster  uint64
 	revision int64
@@ -71,20 +72,20 @@
 type heldKey struct {
 	Entry
 	leaseID  int
-	renewals int // of the lease's latest renewal
+	renewals int // number of renewals of the lease
 }
 
-// process is one that holds a name, or wants to. It may be paused, cut off and started anew.
+// process holds a name, or tries to. It may be paused, disconnected and restarted.
 type process struct {
 	w                 *simulation
 	name              string
-	leaseID           int // of its lease, one a life
+	leaseID           int // of its lease, a new one for each incarnation
 	rate              float64
 	offset            time.Duration
 	view              *View
-	pausedUntil       time.Duration // until then
-	disconnectedUntil time.Duration // until then nothing comes through
-	nextChange        int           // of the store's changes, what it is told next
+	pausedUntil       time.Duration // the process is paused before this time
+	disconnectedUntil time.Duration // no message is delivered before this time
+	nextChange        int           // index of the next change of the store to deliver
 	joined            bool
 	restarts          int
 	watchEnded        bool // its watch has ended: it must read first
@@ -94,36 +95,36 @@
 	return p.offset + time.Duration(float64(p.w.now)*p.rate)
 }
 
-// request has the store do something and the process hear what came of it. Either way may be lost, late, or meet a process that is paused or
-// another one by then.
-func (p *process) request(work func() func(now, sent time.Duration)) {
-	w, life, sent := p.w, p.restarts, p.clock()
+// request sends a request to the store and delivers the answer to the process. Both may be lost or delayed, and the process may
+// be paused or restarted by then.
+func (p *process) request(serve func() func(now, sent time.Duration)) {
+	w, restarts, sent := p.w, p.restarts, p.clock()
 	if w.now < p.disconnectedUntil || w.Float64() < w.options.lossRate {
 		return
 	}
 	w.after(time.Duration(w.Int64N(int64(w.options.maxDelay))), func() {
-		answer := work()
+		handle := serve()
 		if w.Float64() < w.options.lossRate {
 			return
 		}
 		var deliver func()
 		deliver = func() {
 			switch {
-			case p.restarts != life || w.now < p.disconnectedUntil:
+			case p.restarts != restarts || w.now < p.disconnectedUntil:
 			case w.now < p.pausedUntil:
 				w.after(p.pausedUntil-w.now, deliver)
 			default:
 				if w.options.leaseFromAnswer {
 					sent = p.clock()
 				}
-				answer(p.clock(), sent)
+				handle(p.clock(), sent)
 			}
 		}
 		w.after(time.Duration(w.Int64N(int64(w.options.maxDelay))), deliver)
 	})
 }
 
-// renew gives a key's lease its whole time again.
+// renew restarts the lease of a key.
 func (w *simulation) renew(h *heldKey) {
 	h.renewals++
 	epoch, cluster := h.renewals, w.store.cluster
@@ -140,27 +141,27 @@
 	w.store.changes = append(w.store.changes, Change{Entry{Name: h.Name, Revision: w.store.revision}, true})
 }
 
-// step is what a process does again and again.
+// step performs a random action of the process and schedules the next one.
 func (p *process) step() {
 	w := p.w
 	w.after(w.options.lease/6+time.Duration(w.Int64N(int64(w.options.lease/6))), p.step)
 	if w.now < p.pausedUntil {
 		return
 	}
-	life := p.leaseID
+	leaseID := p.leaseID
 	s := &w.store
 	switch w.IntN(4) {
-	case 0: // the own key: made where there is none, or renewed
+	case 0: // the own key: created if it does not exist, else renewed
 		p.request(func() func(now, sent time.Duration) {
 			h := s.keys[p.name]
 			if h == nil && !p.joined {
 				s.revision++
-				h = &heldKey{Entry: Entry{p.name, s.revision, s.revision, Serving, ""}, leaseID: life}
+				h = &heldKey{Entry: Entry{p.name, s.revision, s.revision, Serving, ""}, leaseID: leaseID}
 				s.keys[p.name] = h
 				s.changes = append(s.changes, Change{h.Entry, false})
 			}
 			cluster, revision := s.cluster, s.revision
-			if h == nil || h.leaseID != life {
+			if h == nil || h.leaseID != leaseID {
 				return func(now, _ time.Duration) {
 					p.observeStore(now, cluster, revision)
 					if p.joined {
@@ -182,7 +183,7 @@
 				p.view.RecordRenewal(now, sent, incarnation)
 			}
 		})
-	case 1: // a look
+	case 1: // read the revision
 		p.request(func() func(now, sent time.Duration) {
 			cluster, revision := s.cluster, s.revision
 			return func(now, sent time.Duration) {
@@ -191,7 +192,7 @@
 				}
 			}
 		})
-	default: // the others: a whole read, then changes in order
+	default: // the other members: a complete read, then changes in order
 		if p.watchEnded {
 			p.request(func() func(now, sent time.Duration) {
 				var entries []Entry
@@ -215,17 +216,17 @@
 			if s.cluster != cluster || from > len(s.changes) {
 				return func(now, _ time.Duration) { p.watchEnded = true }
 			}
-			told, revision := slices.Clone(s.changes[from:]), s.revision
+			changes, revision := slices.Clone(s.changes[from:]), s.revision
 			return func(now, _ time.Duration) {
 				if p.nextChange != from || p.watchEnded {
 					return
 				}
-				p.nextChange += len(told)
-				p.view.ApplyChanges(now, revision, told)
+				p.nextChange += len(changes)
+				p.view.ApplyChanges(now, revision, changes)
 			}
 		})
 		if w.options.endOnOldView {
-			if age, known := p.view.Age(p.clock()); known && age > w.options.lease {
+			if age, loaded := p.view.Age(p.clock()); loaded && age > w.options.lease {
 				for _, m := range p.view.Members() {
 					if m.Name != p.name {
 						p.view.ApplyChanges(p.clock(), 0, []Change{{Entry{Name: m.Name, Revision: 1 << 60}, true}})
@@ -236,7 +237,7 @@
 	}
 }
 
-// observeStore tells the view which store answers.
+// observeStore records in the view which store answers.
 func (p *process) observeStore(now time.Duration, cluster uint64, revision int64) bool {
 	if p.w.options.ignoreRestore {
 		return true
@@ -250,7 +251,7 @@
 	return false
 }
 
-// restart is a new process under the name.
+// restart starts a new process under the name.
 func (p *process) restart() {
 	w := p.w
 	w.lastLeaseID++
@@ -260,7 +261,7 @@
 	p.view, p.joined, p.watchEnded, p.pausedUntil = New(p.name, w.options.lease), false, true, 0
 }
 
-// injectFault happens now and then.
+// injectFault injects a random fault and schedules the next one.
 func (w *simulation) injectFault() {
 	w.after(time.Duration(w.Int64N(int64(2*w.options.lease))), w.injectFault)
 	p := w.processes[w.IntN(len(w.processes))]
@@ -273,7 +274,7 @@
 	case 4:
 		p.restart()
 	case 5:
-		if w.IntN(8) == 0 { // the store is put back, under another number
+		if w.IntN(8) == 0 { // the store is restored, under another id
 			w.store.cluster++
 			w.store.revision = w.Int64N(w.store.revision + 1)
 			w.store.keys, w.store.changes = map[string]*heldKey{}, nil
@@ -281,25 +282,26 @@
 	}
 }
 
-// checkInvariants holds all views against one another: no two are certain of a name, and nobody is who has ended for another. A store that was put
-// back makes its owner's certainty worthless until it hears of it; that is the argument's end, and such a moment is not judged.
+// checkInvariants compares all views: no two processes hold the lease of one name, and no holder has ended according to another
+// process. A lease is worthless once the store is restored, until its owner notices. The rules do not cover that time, so
+// nothing is checked then.
 func (w *simulation) checkInvariants() {
 	if w.now < w.checksPausedUntil {
 		return
 	}
-	sure := map[string]*process{}
+	holders := map[string]*process{}
 	for _, p := range w.processes {
-		if w.now < p.pausedUntil { // it does nothing; it is asked once it goes on, by a clock that has
+		if w.now < p.pausedUntil { // a paused process does nothing; it is checked once it goes on, with its clock of that time
 			continue
 		}
-		incarnation, _, certain := p.view.HoldsLease(p.clock())
-		if !certain {
+		incarnation, _, holds := p.view.HoldsLease(p.clock())
+		if !holds {
 			continue
 		}
-		if o := sure[p.name]; o != nil {
+		if o := holders[p.name]; o != nil {
 			w.recordViolation("two are certain of %s", p.name)
 		}
-		sure[p.name] = p
+		holders[p.name] = p
 		for _, o := range w.processes {
 			if o != p && o.view.HasEnded(p.view.StoreID(), p.name, incarnation) {
 				w.recordViolation("%s has ended as %d for another, and is certain of it", p.name, incarnation)
@@ -314,12 +316,12 @@
 	}
 }
 
-// runSimulation plays a world for so many leases, and heals it at the end: then all must know all within a bound.
-func runSimulation(seed uint64, o simulationOptions, leases int) (faults string, joins int) {
+// runSimulation runs a simulation for the given number of leases. It returns the violations and how often a lease was gained.
+func runSimulation(seed uint64, o simulationOptions, leases int) (faults string, leasesGained int) {
 	w := &simulation{Rand: rand.New(rand.NewPCG(seed, 7)), options: o}
 	w.store = fakeStore{cluster: 1, revision: 1, rate: 1 + o.maxDrift*(2*w.Float64()-1), keys: map[string]*heldKey{}}
 	for i := range 4 {
-		p := &process{w: w, name: []string{"a", "b", "c", "a"}[i]} // two want one name
+		p := &process{w: w, name: []string{"a", "b", "c", "a"}[i]} // two processes want the same name
 		w.processes = append(w.processes, p)
 		p.restart()
 		w.after(time.Duration(w.Int64N(int64(o.lease))), p.step)
@@ -330,7 +332,7 @@
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
 		w.checkInvariants()
-		e.do()
+		e.run()
 		if w.store.cluster != cluster {
 			cluster, w.checksPausedUntil = w.store.cluster, w.now+2*o.lease
 		}
@@ -339,9 +341,9 @@
 	for _, p := range w.processes {
 		for _, e := range p.view.history {
 			if e.Kind == LeaseGained {
-				joins++
+				leasesGained++
 			}
 		}
 	}
-	return strings.Join(w.violations, "; "), joins
+	return strings.Join(w.violations, "; "), leasesGained
 }
--- a/internal/decide/pool/bench_test.go
+++ b/internal/decide/pool/bench_test.go
@@ -8,7 +8,7 @@
 	"cherryrelay/control"
 )
 
-// largeSet is a set of n servers, one of which has a weight that changes.
+// largeSet returns a set of n servers, one of which has the given weight.
 func largeSet(n, weight int) Candidate {
 	c := Candidate{Source: FromFile, Digest: fmt.Sprint(weight), Update: Update{Complete: true}}
 	for i := range n {
@@ -19,24 +19,25 @@
 	return c
 }
 
-// applyWithoutIndex is the way without an index: names are looked up in a list, and every server of the new set is told anew.
-func applyWithoutIndex(inForce []Member, c *Candidate) (next, told []Member, twice bool) {
+// applyWithoutIndex is the baseline without an index: names are searched in a list, and every server of the new set is
+// published again.
+func applyWithoutIndex(active []Member, c *Candidate) (next, published []Member, duplicate bool) {
 	for i, m := range c.Servers {
 		for _, o := range c.Servers[:i] {
-			twice = twice || o.ID == m.ID || o.Address == m.Address
+			duplicate = duplicate || o.ID == m.ID || o.Address == m.Address
 		}
-		told = append(told, m)
+		published = append(published, m)
 	}
-	for _, m := range inForce {
+	for _, m := range active {
 		if !slices.ContainsFunc(c.Servers, func(o Member) bool { return o.ID == m.ID }) {
 			m.Status = control.Removed
-			told = append(told, m)
+			published = append(published, m)
 		}
 	}
-	return c.Servers, told, twice
+	return c.Servers, published, duplicate
 }
 
-// BenchmarkApply checks a set in which one weight changes and puts it in force.
+// BenchmarkApply checks a set in which one weight changes and makes it active.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{10, 1000, 10_000} {
 		sets := [2]Candidate{largeSet(n, 1), largeSet(n, 2)}
@@ -51,14 +52,14 @@
 			}
 		})
 		b.Run(fmt.Sprint("plain/", n), func(b *testing.B) {
-			inForce, told, twice := applyWithoutIndex(nil, &sets[1])
-			if twice || len(told) != n {
-				b.Fatal(twice, len(told))
+			active, published, duplicate := applyWithoutIndex(nil, &sets[1])
+			if duplicate || len(published) != n {
+				b.Fatal(duplicate, len(published))
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				if inForce, told, twice = applyWithoutIndex(inForce, &sets[i%2]); twice || len(told) != n {
-					b.Fatal(twice, len(told))
+				if active, published, duplicate = applyWithoutIndex(active, &sets[i%2]); duplicate || len(published) != n {
+					b.Fatal(duplicate, len(published))
 				}
 			}
 		})
--- a/internal/decide/pool/change.go
+++ b/internal/decide/pool/change.go
@@ -8,17 +8,17 @@
 	"cherryrelay/control"
 )
 
-// Change is what a set that comes into force changes, by name. A dispatcher may be in several of the lists.
+// Change lists the dispatchers that a new active set changes. A dispatcher may be in several of the lists.
 type Change struct {
 	Added      []control.ServerID `json:"added,omitempty"`
 	Removed    []control.ServerID `json:"removed,omitempty"`
-	Moved      []control.ServerID `json:"moved,omitempty"`     // another address: another process
-	Restarted  []control.ServerID `json:"restarted,omitempty"` // a later start at the same address
-	Reweighted []control.ServerID `json:"weighed,omitempty"`   // another weight
-	Updated    []control.ServerID `json:"restated,omitempty"`  // another status, zone or group
+	Moved      []control.ServerID `json:"moved,omitempty"`     // the address changed, so it is another process
+	Restarted  []control.ServerID `json:"restarted,omitempty"` // restarted at the same address
+	Reweighted []control.ServerID `json:"weighed,omitempty"`   // the weight changed
+	Updated    []control.ServerID `json:"restated,omitempty"`  // the status, zone or group changed
 }
 
-// addDifference notes how a member differs from the one in force.
+// addDifference adds the differences between an active entry and its replacement. old is nil for a new dispatcher.
 func (c *Change) addDifference(old, e *entry) {
 	id := e.ID
 	if old == nil {
@@ -44,16 +44,16 @@
 }
 
 func (c *Change) sort() {
-	for _, l := range c.lists() {
-		slices.Sort(*l)
+	for _, list := range c.lists() {
+		slices.Sort(*list)
 	}
 }
 
-// ids are all that the change names, each once, in order.
+// ids returns the sorted names of all changed dispatchers, each once.
 func (c *Change) ids() []control.ServerID {
 	var all []control.ServerID
-	for _, l := range c.lists() {
-		all = append(all, *l...)
+	for _, list := range c.lists() {
+		all = append(all, *list...)
 	}
 	slices.Sort(all)
 	return slices.Compact(all)
@@ -61,39 +61,39 @@
 
 // Empty reports whether nothing changes.
 func (c *Change) Empty() bool {
-	return !slices.ContainsFunc(c.lists(), func(l *[]control.ServerID) bool { return len(*l) > 0 })
+	return !slices.ContainsFunc(c.lists(), func(list *[]control.ServerID) bool { return len(*list) > 0 })
 }
 
-// maxChangeNames bounds how many names of each kind a kept change has: a set of 10,000 may change as a whole, and 64 such
-// changes are kept.
+// maxChangeNames limits the names of each kind in a stored or printed change. A set of 10,000 dispatchers may change as a
+// whole, and 64 such changes are kept.
 const maxChangeNames = 20
 
-// truncated is a copy with few names of each kind, to be kept, and the number of all.
+// truncated returns a copy with at most maxChangeNames names of each kind, and the number of all changed dispatchers.
 func (c *Change) truncated() (Change, int) {
-	var short Change
-	to := short.lists()
-	for i, l := range c.lists() {
-		if n := min(len(*l), maxChangeNames); n > 0 {
-			*to[i] = slices.Clone((*l)[:n])
+	var shortened Change
+	to := shortened.lists()
+	for i, list := range c.lists() {
+		if n := min(len(*list), maxChangeNames); n > 0 {
+			*to[i] = slices.Clone((*list)[:n])
 		}
 	}
-	return short, len(c.ids())
+	return shortened, len(c.ids())
 }
 
-// String is for people and logs.
+// String returns a text for logs and operators.
 func (c *Change) String() string {
 	if c.Empty() {
 		return "nothing changes"
 	}
 	var parts []string
-	for i, l := range c.lists() {
-		if len(*l) == 0 {
+	for i, list := range c.lists() {
+		if len(*list) == 0 {
 			continue
 		}
 		names := ""
-		for j, id := range *l {
+		for j, id := range *list {
 			if j == maxChangeNames {
-				names += fmt.Sprintf(" and %d more", len(*l)-j)
+				names += fmt.Sprintf(" and %d more", len(*list)-j)
 				break
 			}
 			names += " " + string(id)
@@ -103,7 +103,7 @@
 	return strings.Join(parts, "; ")
 }
 
-// Compare tells how one set differs from another, as if it came into force after it.
+// Compare returns how one set differs from another, as if it became active after it.
 func Compare(before, after []Member) Change {
 	old := make(map[control.ServerID]*entry, len(before))
 	for _, m := range before {
--- a/internal/decide/pool/check.go
+++ b/internal/decide/pool/check.go
@@ -13,48 +13,49 @@
 )
 
 const (
-	// MaxServers is the most that a set of people may name at all: 8 MiB hold about as many. What a process takes is bounded by Bound.
+	// MaxServers is the hard limit for sets from operators. A file of 8 MiB holds about as many servers. Pool.SetLimit sets the
+	// limit of a process.
 	MaxServers = 50_000
-	// DefaultLimit is what a process takes of people unless it is told otherwise: each dispatcher is a connection, at least.
+	// DefaultLimit is the default limit for sets from operators. Each dispatcher costs at least one connection.
 	DefaultLimit = 10_000
-	// MaxNameLength bounds names, zones and labels: they are on every line of a log.
+	// MaxNameLength limits names, zones and labels, in bytes. They are part of every log line.
 	MaxNameLength = 64
-	// MaxGroup bounds groups; first choices name them.
+	// MaxGroup limits group numbers.
 	MaxGroup = 1 << 20
-	// maxAddressLength bounds addresses.
+	// maxAddressLength limits addresses, in bytes.
 	maxAddressLength = 256
-	// maxClockSkew is how far in the future a start may lie: clocks differ, but not by more.
+	// maxClockSkew is how far in the future a start time may lie, to allow for clocks that differ.
 	maxClockSkew = time.Minute
 )
 
-// Reason is the kind of a fault, of which there are few: figures are counted by it.
+// Reason is the kind of a fault. Metrics count refused versions by reason.
 type Reason string
 
-// The reasons.
+// Reasons for refusing a candidate.
 const (
-	BadFormat  Reason = "form"       // it cannot be read, or has what it must not have
-	BadValue   Reason = "value"      // a value makes no sense
-	Unfinished Reason = "unfinished" // no end mark last: it may still be written
-	BadCount   Reason = "count"      // not as many servers as announced
+	BadFormat  Reason = "form"       // the file cannot be parsed or has unknown content
+	BadValue   Reason = "value"      // a value is invalid
+	Unfinished Reason = "unfinished" // the end mark is missing: the file may still be being written
+	BadCount   Reason = "count"      // the number of servers differs from the announced one
 	Duplicate  Reason = "twice"      // a name or an address is used twice
-	NoneActive Reason = "nobody"     // nobody would get calls
+	NoneActive Reason = "nobody"     // no server is active with a weight above 0
 	BadMAC     Reason = "mac"        // the MAC is wrong or missing
-	TooLarge   Reason = "size"       // it is over a bound
-	Missing    Reason = "missing"    // there is no file, or it cannot be opened
+	TooLarge   Reason = "size"       // a limit is exceeded
+	Missing    Reason = "missing"    // the file does not exist or cannot be opened
 )
 
-// Reasons are all of them.
+// Reasons lists all reasons.
 var Reasons = []Reason{BadFormat, BadValue, Unfinished, BadCount, Duplicate, NoneActive, BadMAC, TooLarge, Missing}
 
-// Fault is one thing that is wrong with a candidate, and where.
+// Fault describes one fault of a candidate and where it is.
 type Fault struct {
 	Reason Reason `json:"reason"`
-	Line   int    `json:"line,omitempty"` // 0 where there is none
+	Line   int    `json:"line,omitempty"` // 0 if unknown
 	Key    string `json:"key,omitempty"`
 	Text   string `json:"text"`
 }
 
-// String is one plain line.
+// String returns the fault as one line of text.
 func (f Fault) String() string {
 	text := f.Text
 	if f.Key != "" {
@@ -66,7 +67,7 @@
 	return text
 }
 
-// Check finds every fault of a set that people have made: those that its reader found, and those that only the whole shows.
+// Check returns all faults of a set from an operator: those that its reader found, and those that show only in the whole set.
 func Check(now time.Duration, c *Candidate) []Fault {
 	faults := c.Faults
 	add := func(i int, reason Reason, key, format string, args ...any) {
@@ -77,7 +78,7 @@
 		faults = append(faults, Fault{reason, line, key, fmt.Sprintf(format, args...)})
 	}
 	if len(c.Servers) > MaxServers {
-		add(-1, TooLarge, "", "%d servers, %d are allowed", len(c.Servers), MaxServers)
+		add(-1, TooLarge, "", "%d servers exceed the limit of %d", len(c.Servers), MaxServers)
 		return faults
 	}
 	if len(c.Label) > MaxNameLength {
@@ -85,22 +86,22 @@
 	}
 	names := make(map[control.ServerID]int, len(c.Servers))
 	addresses := make(map[string]int, len(c.Servers))
-	takes := false
+	anyActive := false
 	for i, m := range c.Servers {
 		if text := nameProblem(string(m.ID)); text != "" {
 			add(i, BadValue, "server", "the name %.80q %s", m.ID, text)
 		}
-		if first, twice := names[m.ID]; twice {
+		if first, duplicate := names[m.ID]; duplicate {
 			add(i, Duplicate, "server", "%q is named twice%s", m.ID, c.firstLineNote(first))
 		} else {
 			names[m.ID] = i
 		}
-		gone := m.Status == control.Removed
+		removed := m.Status == control.Removed
 		if text := addressProblem(m.Address); text != "" {
 			add(i, BadValue, "address", "%.80q of server %q %s", m.Address, m.ID, text)
-		} else if first, twice := addresses[hostPort(m.Address)]; twice && !gone {
-			add(i, Duplicate, "address", "%q of server %q is that of server %q%s, too", m.Address, m.ID, c.Servers[first].ID, c.firstLineNote(first))
-		} else if !gone {
+		} else if first, duplicate := addresses[hostPort(m.Address)]; duplicate && !removed {
+			add(i, Duplicate, "address", "%q of server %q is already used by server %q%s", m.Address, m.ID, c.Servers[first].ID, c.firstLineNote(first))
+		} else if !removed {
 			addresses[hostPort(m.Address)] = i
 		}
 		if m.Zone != "" {
@@ -115,20 +116,20 @@
 			add(i, BadValue, "weight", "%d of server %q is not from 0 to %d", m.Weight, m.ID, MaxWeight)
 		}
 		if m.Status < control.Active || m.Status > control.Removed {
-			add(i, BadValue, "status", "%d of server %q is none", m.Status, m.ID)
+			add(i, BadValue, "status", "%d of server %q is not a known status", m.Status, m.ID)
 		}
 		if m.StartedAt < 0 || m.StartedAt > now+maxClockSkew {
 			add(i, BadValue, "since", "server %q would start in the future, or before 1970", m.ID)
 		}
-		takes = takes || m.Status == control.Active && m.Weight != NoNewCalls
+		anyActive = anyActive || m.Status == control.Active && m.Weight != NoNewCalls
 	}
-	if !takes && len(faults) == 0 {
-		add(-1, NoneActive, "", "no server is active with a weight above 0: nobody would get calls")
+	if !anyActive && len(faults) == 0 {
+		add(-1, NoneActive, "", "no server is active with a weight above 0: no server would get calls")
 	}
 	return faults
 }
 
-// firstLineNote tells the line of a server, if it is known.
+// firstLineNote returns a note about the line of a server, or an empty string if the line is unknown.
 func (c *Candidate) firstLineNote(i int) string {
 	if i < len(c.Lines) && c.Lines[i] > 0 {
 		return fmt.Sprintf(", first in line %d", c.Lines[i])
@@ -136,7 +137,7 @@
 	return ""
 }
 
-// nameProblem says what is wrong with a name; nothing if it is one. Names go into logs, figures and the protocols of others.
+// nameProblem returns what is wrong with a name, or an empty string. Names are used in logs, metrics and external protocols.
 func nameProblem(name string) string {
 	switch {
 	case name == "":
@@ -144,14 +145,14 @@
 	case len(name) > MaxNameLength:
 		return fmt.Sprintf("is longer than %d bytes", MaxNameLength)
 	case !utf8.ValidString(name):
-		return "is no UTF-8"
+		return "is not valid UTF-8"
 	case strings.ContainsFunc(name, func(r rune) bool { return !unicode.IsPrint(r) || r == ' ' || r == '"' || r == '\\' }):
-		return "has spaces, quotes or characters that cannot be printed"
+		return "has spaces, quotes, backslashes or unprintable characters"
 	}
 	return ""
 }
 
-// addressProblem says what is wrong with an address; nothing if it is host:port or ws://host:port/path.
+// addressProblem returns what is wrong with an address, or an empty string for a valid host:port or ws://host:port/path.
 func addressProblem(address string) string {
 	if len(address) > maxAddressLength {
 		return fmt.Sprintf("is longer than %d bytes", maxAddressLength)
@@ -163,7 +164,7 @@
 			return "has no path"
 		}
 	} else if err == nil && u.Path != "" {
-		return "is no host:port"
+		return "is not host:port"
 	}
 	if err != nil || u.Hostname() == "" || u.User != nil || u.RawQuery != "" || u.Fragment != "" {
 		return "is neither host:port nor ws://host:port/path"
@@ -174,7 +175,7 @@
 	return ""
 }
 
-// hostPort is the part of an address that two processes can't share.
+// hostPort returns the part of an address that two processes cannot share.
 func hostPort(address string) string {
 	address = strings.TrimPrefix(address, "ws://")
 	address, _, _ = strings.Cut(address, "/")
--- a/internal/decide/pool/file_poller.go
+++ b/internal/decide/pool/file_poller.go
@@ -3,81 +3,85 @@
 import "time"
 
 const (
-	// burstDelay is how long the first sign of a change waits for the others of its burst: an editor makes several.
+	// burstDelay is the time from the first change notification to the next poll. An editor causes several notifications at
+	// once.
 	burstDelay = 20 * time.Millisecond
-	// stableTimeInPlace is how long a file that is written in place must stay as it is: a half that is new and a half that is old may
-	// look whole.
+	// stableTimeInPlace is how long a file that is written in place must stay unchanged. A mix of new and old content may look
+	// complete.
 	stableTimeInPlace = 25 * time.Millisecond
-	// stableTimeUnfinished is how long a file may be without its end, or away, until that is told: it may be on its way still.
+	// stableTimeUnfinished is how long a file may lack its end mark, or be missing, before that is reported. It may still be
+	// being written.
 	stableTimeUnfinished = 300 * time.Millisecond
-	// watchedInterval is the pace of looks that find what a watch missed.
+	// watchedInterval is the time between polls of a watched file. They find changes that the watch missed.
 	watchedInterval = 2 * time.Second
-	// unwatchedInterval is the pace where nothing can be watched: a change is to be in force within half a second all the same.
+	// unwatchedInterval is the time between polls of a file that cannot be watched. Changes must be active within half a second
+	// there, too.
 	unwatchedInterval = 150 * time.Millisecond
 )
 
-// Observation is what a look at a file found.
+// Observation is the result of polling a file.
 type Observation struct {
-	Digest     string // of its bytes; of the error, if it could not be read
-	Unfinished bool   // it may be on its way still: no end mark, or no file
-	InPlace    bool   // it is the same file as at the last look, with other bytes
+	Digest     string // digest of the content, or of the error if the file could not be read
+	Unfinished bool   // it may still be being written: the end mark or the file is missing
+	InPlace    bool   // the same file as in the previous poll, with other content
 }
 
-// FilePoller decides when a file is looked at and which sights are judged. It has no clock: times are on any one that does not
-// go back.
+// FilePoller decides when to poll a file and which observations to process. It has no clock: times are readings of any
+// monotonic clock.
 type FilePoller struct {
 	watched         bool
-	nextPoll        time.Duration // when to look next
-	processedDigest string        // the digest that was judged last
-	pendingDigest   string        // the digest of a sight that is not judged yet
-	pendingSince    time.Duration // when that was first seen
+	nextPoll        time.Duration
+	processedDigest string        // digest of the last processed observation
+	pendingDigest   string        // digest of an observation that is not processed yet
+	pendingSince    time.Duration // when pendingDigest was first observed
 }
 
-// NewFilePoller returns a Looks that is due at once.
+// NewFilePoller returns a FilePoller whose first poll is due at once.
 func NewFilePoller(now time.Duration, watched bool) *FilePoller {
 	return &FilePoller{watched: watched, nextPoll: now}
 }
 
-// SetWatched tells whether changes are told by a watch.
-func (l *FilePoller) SetWatched(now time.Duration, watched bool) {
-	l.watched = watched
-	l.nextPoll = min(l.nextPoll, now+l.interval())
+// SetWatched sets whether a watch reports changes of the file.
+func (p *FilePoller) SetWatched(now time.Duration, watched bool) {
+	p.watched = watched
+	p.nextPoll = min(p.nextPoll, now+p.interval())
 }
 
-func (l *FilePoller) interval() time.Duration {
-	if l.watched {
+func (p *FilePoller) interval() time.Duration {
+	if p.watched {
 		return watchedInterval
 	}
 	return unwatchedInterval
 }
 
-// NoteChange tells that something has changed on the way to the file. However many come, the look is not put off.
-func (l *FilePoller) NoteChange(now time.Duration) { l.nextPoll = min(l.nextPoll, now+burstDelay) }
+// NoteChange records a change notification for the file or a directory on its path. Further notifications do not delay the
+// poll.
+func (p *FilePoller) NoteChange(now time.Duration) { p.nextPoll = min(p.nextPoll, now+burstDelay) }
 
-// NextPoll is when to look next.
-func (l *FilePoller) NextPoll() time.Duration { return l.nextPoll }
+// NextPoll returns when to poll next.
+func (p *FilePoller) NextPoll() time.Duration { return p.nextPoll }
 
-// Observe tells what a look found, and reports whether that is to be judged now.
-func (l *FilePoller) Observe(now time.Duration, s Observation) bool {
-	l.nextPoll = now + l.interval()
-	if s.Digest == l.processedDigest {
-		l.pendingDigest = ""
+// Observe records the result of a poll and reports whether to process it now.
+func (p *FilePoller) Observe(now time.Duration, o Observation) bool {
+	p.nextPoll = now + p.interval()
+	if o.Digest == p.processedDigest {
+		p.pendingDigest = ""
 		return false
 	}
-	wait := time.Duration(0)
+	stableTime := time.Duration(0)
 	switch {
-	case s.Unfinished:
-		wait = stableTimeUnfinished
-	case s.InPlace:
-		wait = stableTimeInPlace
+	case o.Unfinished:
+		stableTime = stableTimeUnfinished
+	case o.InPlace:
+		stableTime = stableTimeInPlace
 	}
-	if l.pendingDigest != s.Digest {
-		l.pendingDigest, l.pendingSince = s.Digest, now
+	if p.pendingDigest != o.Digest {
+		p.pendingDigest, p.pendingSince = o.Digest, now
 	}
-	if left := l.pendingSince + wait - now; left > 0 {
-		l.nextPoll = min(l.nextPoll, now+left)
+	if remaining := p.pendingSince + stableTime - now; remaining > 0 {
+		p.nextPoll = min(p.nextPoll, now+remaining)
 		return false
 	}
-	l.processedDigest, l.pendingDigest = s.Digest, ""
+	p.processedDigest, p.pendingDigest = o.Digest, ""
 	return true
 }
--- a/internal/decide/pool/history.go
+++ b/internal/decide/pool/history.go
@@ -6,36 +6,37 @@
 )
 
 const (
-	// maxHistory is how many versions are kept: a busy day of an operator.
+	// maxHistory is the number of versions kept, enough for a busy day of an operator.
 	maxHistory = 64
-	// maxVersionFaults of each are kept: a file of 10,000 servers may have as many, and who mends 20 sees the next.
+	// maxVersionFaults limits the faults kept with a version. A file of 10,000 servers may have as many faults, and an operator
+	// who corrects 20 sees the next ones after that.
 	maxVersionFaults = 20
 )
 
-// Version is one candidate of people, or a change that a stream told, and what became of it.
+// Version records a candidate from an operator, or a change from a stream, and whether it was accepted.
 type Version struct {
-	Number         int           `json:"number"` // counts from 1
+	Number         int           `json:"number"` // starts at 1
 	Source         Source        `json:"source"`
 	Label          string        `json:"label,omitempty"`
 	Digest         string        `json:"digest,omitempty"`
-	At             time.Duration `json:"at"` // when it was first judged, ns of the Unix clock
+	At             time.Duration `json:"at"` // when it was first checked, in ns of Unix time
 	Accepted       bool          `json:"taken"`
-	Repeats        int           `json:"again,omitempty"` // how many times more the same was refused
+	Repeats        int           `json:"again,omitempty"` // how often the same candidate was refused again
 	Faults         []Fault       `json:"faults,omitempty"`
-	FaultCount     int           `json:"found,omitempty"` // faults in all
+	FaultCount     int           `json:"found,omitempty"` // total number of faults
 	Change         Change        `json:"change,omitzero"`
-	ChangedServers int           `json:"changed"` // servers that the change touches
-	Servers        int           `json:"servers"` // of the set in force after it
+	ChangedServers int           `json:"changed"` // number of servers changed
+	Servers        int           `json:"servers"` // number of servers in the active set after it
 }
 
-// refuse notes that a candidate is not taken. The set in force stays.
+// refuse records a refused candidate. The active set stays unchanged.
 func (p *Pool) refuse(now time.Duration, c *Candidate, faults []Fault) Verdict {
-	if t := p.lastRefused; t != nil && c.Digest != "" && t.Digest == c.Digest && t.Source == c.Source && c.fromOperator() && slices.Equal(t.Faults, firstFaults(faults)) {
-		t.Repeats++ // seen again, not news
-		if last := &p.history[len(p.history)-1]; last.Number == t.Number {
-			last.Repeats = t.Repeats
+	if previous := p.lastRefused; previous != nil && c.Digest != "" && previous.Digest == c.Digest && previous.Source == c.Source && c.fromOperator() && slices.Equal(previous.Faults, firstFaults(faults)) {
+		previous.Repeats++ // the same candidate again: no new version
+		if latest := &p.history[len(p.history)-1]; latest.Number == previous.Number {
+			latest.Repeats = previous.Repeats
 		}
-		return Verdict{Version: *t}
+		return Verdict{Version: *previous}
 	}
 	seen := map[Reason]bool{}
 	for _, f := range faults {
@@ -55,7 +56,7 @@
 	return slices.Clone(faults[:min(len(faults), maxVersionFaults)])
 }
 
-// accept notes that a candidate is in force. The same set again is no new version.
+// accept records that a candidate is active. The same set again creates no new version.
 func (p *Pool) accept(now time.Duration, c *Candidate, change Change) Version {
 	if c.fromOperator() {
 		p.lastRefused = nil
@@ -80,10 +81,10 @@
 	return v
 }
 
-// Current is the version in force; its Number is 0 before the first.
+// Current returns the active version. Its Number is 0 before the first one.
 func (p *Pool) Current() Version { return p.current }
 
-// LastRefused is the last candidate of people if that was refused, and nothing good has come since.
+// LastRefused returns the last candidate from an operator if it was refused and no valid one has followed.
 func (p *Pool) LastRefused() (Version, bool) {
 	if p.lastRefused == nil {
 		return Version{}, false
@@ -91,14 +92,15 @@
 	return *p.lastRefused, true
 }
 
-// History is the versions that are kept, the newest first.
+// History returns the kept versions, newest first.
 func (p *Pool) History() []Version {
-	h := slices.Clone(p.history)
-	slices.Reverse(h)
-	return h
+	versions := slices.Clone(p.history)
+	slices.Reverse(versions)
+	return versions
 }
 
-// Counts are how many versions were taken, and how many refused for each reason. One with several reasons counts for each.
+// Counts returns the number of accepted versions, and of refused ones by reason. A version with several reasons counts for
+// each.
 func (p *Pool) Counts() (taken int, refused map[Reason]int) {
 	return p.acceptedCount, p.refusedByReason
 }
--- a/internal/decide/pool/pool.go
+++ b/internal/decide/pool/pool.go
@@ -1,6 +1,6 @@
-// Package pool decides which set of dispatchers is in force. Candidates come from files, the coordinator or etcd; each is
-// taken whole or refused whole, with every fault that was found, and what a taken one changes is all that the rest of the
-// program is told. There is no I/O here, and the clock is an argument: the Unix clock, as a duration since 1970.
+// Package pool decides which set of dispatchers is active. Candidates come from files, the coordinator or etcd. Each is
+// accepted or refused as a whole, a refused one with all faults that were found, and the rest of the program is notified only
+// of what an accepted one changes. The package does no I/O, and the time is an argument: Unix time, as a duration since 1970.
 package pool
 
 import (
@@ -14,96 +14,97 @@
 )
 
 const (
-	// MaxWeight is the highest weight: enough for parts of a thousandth.
+	// MaxWeight is the highest weight. It allows shares of a thousandth.
 	MaxWeight = 1000
-	// NoNewCalls is the weight of a dispatcher that gets nothing new. In a file it is written 0; the zero value is that of lists
-	// that have no weights.
+	// NoNewCalls is the weight of a dispatcher that gets no new calls. Files write it as 0; in a Member, 0 stands for a list
+	// without weights.
 	NoNewCalls = -1
 )
 
-// Member is a line of a list of dispatchers. Its Weight is 0 in lists without weights, Idle, or 1 to MaxWeight.
+// Member is an entry of a list of dispatchers. Its Weight is 0 in lists without weights, NoNewCalls, or 1 to MaxWeight.
 type Member struct {
 	control.ServerEntry
 	Address string
-	// CallsContinue is for one that is Removed: people left it out of a set, so nothing new goes there, but nobody says that its
-	// process has ended, and its calls go on.
+	// CallsContinue applies to a Removed member that an operator left out of a set. It gets no new calls, but its process is
+	// not known to have ended, and its calls continue.
 	CallsContinue bool
 }
 
-// Update is a list of dispatchers, or changes to it.
+// Update is a complete list of dispatchers, or changes to it.
 type Update struct {
 	Servers  []Member
-	Complete bool // dispatchers that are not named are gone
+	Complete bool // dispatchers that are not in Servers are removed
 }
 
-// Source names where a candidate comes from.
+// Source is the origin of a candidate.
 type Source string
 
-// The sources.
+// Sources of candidates.
 const (
 	FromFile        Source = "file"
-	FromSnapshot    Source = "store" // the last good set of an earlier process
+	FromSnapshot    Source = "store" // the last accepted set of a previous process
 	FromCoordinator Source = "coordinator"
 	FromEtcd        Source = "etcd"
 	FromStart       Source = "known" // the platform's list at the start
 )
 
-// Candidate is a set that may come into force, or a change to the one that is. Sets of people are checked closely and
-// may be refused; streams are made by machines that this program must follow, so what they say stands.
+// Candidate is a set that may become active, or a change to the active set. Sets from operators are checked and may be refused.
+// Streams come from systems that this program must follow, so they are accepted without these checks.
 type Candidate struct {
 	Update
 	Source Source
-	Label  string // a version's name, for people
-	Digest string // of its bytes
-	Lines  []int  // where each of Servers is, if that is known
+	Label  string // the operator's name for the version
+	Digest string // of its content
+	Lines  []int  // line numbers of Servers, if known
 	Faults []Fault
 }
 
-// fromOperator reports whether the candidate is checked closely.
+// fromOperator reports whether the candidate is checked like a set from an operator.
 func (c *Candidate) fromOperator() bool { return c.Source == FromFile || c.Source == FromSnapshot }
 
-// entry is a member in force.
+// entry is a member of the active set.
 type entry struct {
-	Member                      // as the rest of the program is told, but for an Idle one
-	reportedStart time.Duration // StartedAt as the source gives it
-	firstSeenAt   time.Duration // since when this process, by name and address, has been in force
+	Member                      // as published, except that Weight may be NoNewCalls
+	reportedStart time.Duration // StartedAt as reported by the source
+	firstSeenAt   time.Duration // when this process, by name and address, became part of the active set
 }
 
-// Pool is the set in force and how it came to be. It is not safe for concurrent use.
+// Pool holds the active set and the history of its versions. It is not safe for concurrent use.
 type Pool struct {
 	entries         map[control.ServerID]*entry
-	hasSet          bool // a whole set has come
+	hasSet          bool // a complete set has been accepted
 	current         Version
-	lastRefused     *Version // the last candidate of people, if it was refused
+	lastRefused     *Version // the last candidate from an operator, if it was refused
 	history         []Version
 	lastNumber      int
-	fileLimit       int // most servers in a set of people
-	streamLimit     int // as many in one of streams; 0 for any number
+	fileLimit       int // maximum servers in a set from an operator
+	streamLimit     int // maximum servers in a set from a stream; 0 for no limit
 	acceptedCount   int
 	refusedByReason map[Reason]int
 }
 
-// New returns a Pool without a set.
+// New returns a Pool without an active set.
 func New() *Pool {
 	return &Pool{entries: map[control.ServerID]*entry{}, refusedByReason: map[Reason]int{}, fileLimit: DefaultLimit}
 }
 
-// SetLimit sets the most servers that a set may have, whoever it comes from: what the memory bears. What is over it is refused whole.
+// SetLimit sets the maximum number of servers in a set from any source, according to the available memory. A larger set is
+// refused as a whole.
 func (p *Pool) SetLimit(servers int) { p.fileLimit, p.streamLimit = min(servers, MaxServers), servers }
 
-// checkLimit tells of a candidate with more servers than are taken.
+// checkLimit returns a fault if the candidate has more servers than the limit allows.
 func (p *Pool) checkLimit(c *Candidate) []Fault {
-	n, most := 0, p.fileLimit
+	n, limit := 0, p.fileLimit
 	if !c.fromOperator() {
-		most = p.streamLimit
+		limit = p.streamLimit
 		if !c.Complete {
 			n = len(p.entries)
 		}
 	}
-	if most == 0 || n+len(c.Servers) <= most {
+	if limit == 0 || n+len(c.Servers) <= limit {
 		return nil
 	}
-	for _, m := range c.Servers { // a change may name what is in force
+	for _, m := range c.Servers { // a change may name servers of the active set
 		switch old := p.entries[m.ID]; {
 		case m.Status != control.Removed && (c.Complete || old == nil):
 			n++
@@ -111,20 +112,20 @@
 			n--
 		}
 	}
-	if n <= most {
+	if n <= limit {
 		return nil
 	}
-	return []Fault{{Reason: TooLarge, Text: fmt.Sprintf("%d servers, %d are allowed", n, most)}}
+	return []Fault{{Reason: TooLarge, Text: fmt.Sprintf("%d servers exceed the limit of %d", n, limit)}}
 }
 
-// Verdict is what became of a candidate.
+// Verdict is the decision about a candidate.
 type Verdict struct {
 	Version
-	Update  Update // what the rest of the program is to be told; empty if nothing changes
-	Changed bool   // Update has something to tell
+	Update  Update // the changes to publish; empty if nothing changes
+	Changed bool   // Update is to be published
 }
 
-// Apply judges a candidate.
+// Apply checks a candidate and makes it the active set if it is accepted.
 func (p *Pool) Apply(now time.Duration, c Candidate) Verdict {
 	if !c.fromOperator() {
 		return p.applyStream(now, c)
@@ -136,7 +137,7 @@
 	if len(faults) > 0 {
 		return p.refuse(now, &c, faults)
 	}
-	next, change, left := p.merge(now, &c)
+	next, change, departed := p.merge(now, &c)
 	first := !p.hasSet
 	u := Update{Complete: first}
 	for _, id := range change.ids() {
@@ -144,16 +145,17 @@
 			u.Servers = append(u.Servers, e.published())
 			continue
 		}
-		gone := p.entries[id].published()
-		gone.Status, gone.CallsContinue = control.Removed, !left[id]
-		u.Servers = append(u.Servers, gone)
+		removed := p.entries[id].published()
+		removed.Status, removed.CallsContinue = control.Removed, !departed[id]
+		u.Servers = append(u.Servers, removed)
 	}
 	p.entries, p.hasSet = next, true
 	v := p.accept(now, &c, change)
 	return Verdict{Version: v, Update: u, Changed: first || len(u.Servers) > 0}
 }
 
-// published is the member as the module and the connections know it: to them, one that gets nothing new is draining.
+// published returns the member as the decision module and the connections see it. A member with the weight NoNewCalls is
+// draining to them.
 func (e *entry) published() Member {
 	m := e.Member
 	if m.Weight == NoNewCalls {
@@ -165,13 +167,13 @@
 	return m
 }
 
-// merge lays the candidate over the set in force. Both stay as they are. Those that the candidate names as having left are told
-// beside it.
-func (p *Pool) merge(now time.Duration, c *Candidate) (next map[control.ServerID]*entry, change Change, left map[control.ServerID]bool) {
-	next, left = make(map[control.ServerID]*entry, len(c.Servers)), map[control.ServerID]bool{}
+// merge computes the set that the candidate makes of the active one, and the changes, without modifying either. departed has
+// the members that the candidate lists as Removed.
+func (p *Pool) merge(now time.Duration, c *Candidate) (next map[control.ServerID]*entry, change Change, departed map[control.ServerID]bool) {
+	next, departed = make(map[control.ServerID]*entry, len(c.Servers)), map[control.ServerID]bool{}
 	for _, m := range c.Servers {
 		if m.Status == control.Removed {
-			left[m.ID] = true
+			departed[m.ID] = true
 			continue
 		}
 		old := p.entries[m.ID]
@@ -185,12 +187,12 @@
 		}
 	}
 	change.sort()
-	return next, change, left
+	return next, change, departed
 }
 
-// newEntry decides since when a member runs. Who comes to a set that is in force already, or comes back to it, or has another
-// address, is taken for a process that has just started unless it is said to run since earlier: one that is taken for warm
-// and is not would be pushed over.
+// newEntry decides since when a member has been running. A member that is added to an active set, added again, or moved to
+// another address counts as a process that has just started, unless it is reported to have started earlier. A dispatcher that
+// is treated as warm although it has just started would be overloaded.
 func (p *Pool) newEntry(now time.Duration, m Member, old *entry) *entry {
 	e := &entry{Member: m, reportedStart: m.StartedAt, firstSeenAt: now}
 	switch {
@@ -199,7 +201,7 @@
 	case old == nil:
 	case old.Address != m.Address:
 		if m.StartedAt <= old.StartedAt {
-			e.StartedAt = now // nothing is said of the new process, or only what was said of the old one
+			e.StartedAt = now // no start time is reported for the new process, or only that of the old one
 		}
 	default:
 		e.firstSeenAt = old.firstSeenAt
@@ -212,16 +214,16 @@
 	return e
 }
 
-// isRestart reports whether a start that is given now tells of another process than the one in force. A start that lies before
-// that one was first seen, where none was given, only says more of it.
-func (e *entry) isRestart(given time.Duration) bool {
-	if given <= max(e.StartedAt, e.reportedStart) {
+// isRestart reports whether a reported start time means another process than the active one. If no start time was reported
+// before, a start before the member was first seen only adds detail about the same process.
+func (e *entry) isRestart(reportedStart time.Duration) bool {
+	if reportedStart <= max(e.StartedAt, e.reportedStart) {
 		return false
 	}
-	return e.reportedStart != 0 || given > e.firstSeenAt
+	return e.reportedStart != 0 || reportedStart > e.firstSeenAt
 }
 
-// applyStream takes in what a stream says, as it says it.
+// applyStream applies an update from a stream unchanged.
 func (p *Pool) applyStream(now time.Duration, c Candidate) Verdict {
 	if faults := append(c.Faults, p.checkLimit(&c)...); len(faults) > 0 {
 		return p.refuse(now, &c, faults)
@@ -243,7 +245,7 @@
 		}
 		e := &entry{Member: m, reportedStart: m.StartedAt, firstSeenAt: now}
 		if m.Address == "" && old != nil {
-			e.Address = old.Address // a change may leave it out
+			e.Address = old.Address // a change may omit it
 		}
 		if old != nil && old.Address == e.Address && old.StartedAt == m.StartedAt {
 			e.firstSeenAt = old.firstSeenAt
@@ -264,7 +266,7 @@
 	return Verdict{Version: v, Update: c.Update, Changed: true}
 }
 
-// Members are the set in force, by name, as its source gives it but for the times of starts that were decided here.
+// Members returns the active set, sorted by name, as reported by its source except for the start times that were decided here.
 func (p *Pool) Members() []Member {
 	members := make([]Member, 0, len(p.entries))
 	for _, e := range p.entries {
@@ -274,17 +276,17 @@
 	return members
 }
 
-// HasSet reports whether any set is in force.
+// HasSet reports whether any set is active.
 func (p *Pool) HasSet() bool { return p.hasSet }
 
-// Snapshot is a set in force in a form that can be kept and taken up again by a later process.
+// Snapshot is an active set in a form that can be stored and restored by a later process.
 type Snapshot struct {
 	Label   string           `json:"label"`
 	Digest  string           `json:"digest"`
 	Members []SnapshotMember `json:"members"`
 }
 
-// SnapshotMember is one member of a Memory. Times are microseconds of the Unix clock.
+// SnapshotMember is one member of a Snapshot. Times are in microseconds of Unix time.
 type SnapshotMember struct {
 	Name            string `json:"name"`
 	Address         string `json:"address"`
@@ -297,7 +299,7 @@
 	FirstSeenUs     int64  `json:"seen_us"`
 }
 
-// Snapshot gives the set in force.
+// Snapshot returns the active set.
 func (p *Pool) Snapshot() Snapshot {
 	m := Snapshot{Label: p.current.Label, Digest: p.current.Digest}
 	for _, id := range slices.Sorted(maps.Keys(p.entries)) {
@@ -310,8 +312,8 @@
 	return m
 }
 
-// Restore takes up what an earlier process remembered, before any other set. It is checked as a file is: what was kept may
-// be of a version whose limits were others.
+// Restore makes the snapshot of a previous process the active set, before any other set. It is checked like a file, since the
+// snapshot may come from a version with other limits.
 func (p *Pool) Restore(now time.Duration, m Snapshot) Verdict {
 	c := Candidate{Source: FromSnapshot, Label: m.Label, Digest: m.Digest, Update: Update{Complete: true}}
 	for _, r := range m.Members {
--- a/internal/decide/pool/pool_test.go
+++ b/internal/decide/pool/pool_test.go
@@ -13,19 +13,19 @@
 	"cherryrelay/control"
 )
 
-// clock is some time of the Unix clock.
+// clock is an arbitrary Unix time.
 const clock = 1_790_000_000 * time.Second
 
 func member(name, port string, weight int) Member {
 	return Member{Address: "127.0.0.1:" + port, ServerEntry: control.ServerEntry{ID: control.ServerID(name), Weight: weight}}
 }
 
-func with(m Member, f func(*Member)) Member {
-	f(&m)
+func with(m Member, modify func(*Member)) Member {
+	modify(&m)
 	return m
 }
 
-// fileCandidate is a candidate of people; its digest is made of what it holds.
+// fileCandidate returns a candidate from a file. Its digest is made of its members.
 func fileCandidate(members ...Member) Candidate {
 	return Candidate{Source: FromFile, Digest: fmt.Sprint(members), Update: Update{Servers: members, Complete: true}}
 }
@@ -44,21 +44,21 @@
 		servers []Member
 		want    []string
 	}{
-		"a name twice":       {append(slices.Clone(good), member("a", "3", 1)), []string{`twice: line 30: server: "a" is named twice, first in line 10`}},
-		"an address twice":   {append(slices.Clone(good), member("c", "2", 1)), []string{`twice: line 30: address: "127.0.0.1:2" of server "c" is that of server "b", first in line 20, too`}},
-		"every weight zero":  {[]Member{member("a", "1", NoNewCalls), member("b", "2", NoNewCalls)}, []string{"nobody: no server is active with a weight above 0: nobody would get calls"}},
-		"nobody active":      {[]Member{with(member("a", "1", 1), func(m *Member) { m.Status = control.Draining })}, []string{"nobody: no server is active with a weight above 0: nobody would get calls"}},
-		"nobody at all":      {nil, []string{"nobody: no server is active with a weight above 0: nobody would get calls"}},
-		"a weight too high":  {[]Member{member("a", "1", 1001)}, []string{`value: line 10: weight: 1001 of server "a" is not from 0 to 1000`}},
-		"no weight":          {[]Member{member("a", "1", 0)}, []string{`value: line 10: weight: 0 of server "a" is not from 0 to 1000`}},
-		"no port":            {[]Member{member("a", "", 1)}, []string{`value: line 10: address: "127.0.0.1:" of server "a" has no port from 1 to 65535`}},
-		"a port too high":    {[]Member{member("a", "65536", 1)}, []string{`value: line 10: address: "127.0.0.1:65536" of server "a" has no port from 1 to 65535`}},
-		"a name with spaces": {[]Member{member("a b", "1", 1)}, []string{`value: line 10: server: the name "a b" has spaces, quotes or characters that cannot be printed`}},
-		"a group below zero": {[]Member{with(member("a", "1", 1), func(m *Member) { m.Cell = -1 })}, []string{`value: line 10: group: -1 of server "a" is not from 0 to 1048576`}},
-		"a start to come":    {[]Member{with(member("a", "1", 1), func(m *Member) { m.StartedAt = clock + time.Hour })}, []string{`value: line 10: since: server "a" would start in the future, or before 1970`}},
-		"two faults at once": {[]Member{member("", "1", 1), member("b", "x", 1)}, []string{
+		"duplicate name":      {append(slices.Clone(good), member("a", "3", 1)), []string{`twice: line 30: server: "a" is named twice, first in line 10`}},
+		"duplicate address":   {append(slices.Clone(good), member("c", "2", 1)), []string{`twice: line 30: address: "127.0.0.1:2" of server "c" is already used by server "b", first in line 20`}},
+		"all weights zero":    {[]Member{member("a", "1", NoNewCalls), member("b", "2", NoNewCalls)}, []string{"nobody: no server is active with a weight above 0: no server would get calls"}},
+		"no active server":    {[]Member{with(member("a", "1", 1), func(m *Member) { m.Status = control.Draining })}, []string{"nobody: no server is active with a weight above 0: no server would get calls"}},
+		"no server":           {nil, []string{"nobody: no server is active with a weight above 0: no server would get calls"}},
+		"weight too high":     {[]Member{member("a", "1", 1001)}, []string{`value: line 10: weight: 1001 of server "a" is not from 0 to 1000`}},
+		"no weight":           {[]Member{member("a", "1", 0)}, []string{`value: line 10: weight: 0 of server "a" is not from 0 to 1000`}},
+		"no port":             {[]Member{member("a", "", 1)}, []string{`value: line 10: address: "127.0.0.1:" of server "a" has no port from 1 to 65535`}},
+		"port too high":       {[]Member{member("a", "65536", 1)}, []string{`value: line 10: address: "127.0.0.1:65536" of server "a" has no port from 1 to 65535`}},
+		"name with spaces":    {[]Member{member("a b", "1", 1)}, []string{`value: line 10: server: the name "a b" has spaces, quotes, backslashes or unprintable characters`}},
+		"negative group":      {[]Member{with(member("a", "1", 1), func(m *Member) { m.Cell = -1 })}, []string{`value: line 10: group: -1 of server "a" is not from 0 to 1048576`}},
+		"start in the future": {[]Member{with(member("a", "1", 1), func(m *Member) { m.StartedAt = clock + time.Hour })}, []string{`value: line 10: since: server "a" would start in the future, or before 1970`}},
+		"two faults": {[]Member{member("", "1", 1), member("b", "x", 1)}, []string{
 			`value: line 10: server: the name "" is empty`, `value: line 20: address: "127.0.0.1:x" of server "b" is neither host:port nor ws://host:port/path`}},
-		"far too many": {make([]Member, DefaultLimit+1), []string{"size: 10001 servers, 10000 are allowed"}},
+		"too many servers": {make([]Member, DefaultLimit+1), []string{"size: 10001 servers exceed the limit of 10000"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := New()
@@ -74,16 +74,16 @@
 				got = append(got, string(f.Reason)+": "+f.String())
 			}
 			if diff := cmp.Diff(test.want, got); diff != "" || v.Accepted || v.Changed {
-				t.Errorf("taken %v, faults (-want +got):\n%s", v.Accepted, diff)
+				t.Errorf("accepted %v, faults (-want +got):\n%s", v.Accepted, diff)
 			}
 			if diff := cmp.Diff(before, p.Members()); diff != "" {
-				t.Errorf("the set in force changed:\n%s", diff)
+				t.Errorf("the active set changed:\n%s", diff)
 			}
 			if trouble, is := p.LastRefused(); !is || trouble.Number != 2 {
-				t.Errorf("trouble %v %+v", is, trouble)
+				t.Errorf("last refused: %v, %+v", is, trouble)
 			}
 			if p.Apply(clock+2*time.Second, fileCandidate(good...)); func() bool { _, is := p.LastRefused(); return is }() {
-				t.Error("the good set has come back, and the trouble is still told")
+				t.Error("a valid set was applied, and the refused one is still reported")
 			}
 		})
 	}
@@ -101,43 +101,44 @@
 	}
 }
 
-// TestStartTimes: a dispatcher that is taken for warm and is not would be pushed over.
+// TestStartTimes checks the start time that is assumed for a dispatcher. One that is treated as warm although it has just
+// started would be overloaded.
 func TestStartTimes(t *testing.T) {
-	const seen = clock + 100*time.Second
+	const firstSeenAt = clock + 100*time.Second
 	since := func(d time.Duration) func(*Member) { return func(m *Member) { m.StartedAt = d } }
 	for name, test := range map[string]struct {
-		sets      [][]Member // a second apart
-		starts    time.Duration
+		sets      [][]Member // applied a second apart
+		start     time.Duration
 		restarted string
 		moved     string
 	}{
-		"in the first set, nothing said":                    {[][]Member{{member("a", "1", 1)}}, 0, "", ""},
-		"in the first set, said":                            {[][]Member{{with(member("a", "1", 1), since(seen-time.Second))}}, seen - time.Second, "", ""},
-		"a newcomer, nothing said":                          {[][]Member{{member("b", "2", 1)}, {member("a", "1", 1), member("b", "2", 1)}}, seen + time.Second, "", ""},
-		"a newcomer that runs for long":                     {[][]Member{{member("b", "2", 1)}, {with(member("a", "1", 1), since(5)), member("b", "2", 1)}}, 5, "", ""},
-		"under another name at the same address":            {[][]Member{{member("b", "1", 1)}, {member("a", "1", 1)}}, seen + time.Second, "", ""},
-		"the same again":                                    {[][]Member{{member("a", "1", 1)}, {member("a", "1", 1)}}, 0, "", ""},
-		"only another weight":                               {[][]Member{{member("a", "1", 1)}, {member("a", "1", 7)}}, 0, "", ""},
-		"another address":                                   {[][]Member{{member("a", "1", 1)}, {member("a", "2", 1)}}, seen + time.Second, "", "a"},
-		"another address, and what was said of the old one": {[][]Member{{with(member("a", "1", 1), since(5))}, {with(member("a", "2", 1), since(5))}}, seen + time.Second, "", "a"},
-		"another address, said":                             {[][]Member{{with(member("a", "1", 1), since(5))}, {with(member("a", "2", 1), since(9))}}, 9, "", "a"},
-		"a later start":                                     {[][]Member{{with(member("a", "1", 1), since(5))}, {with(member("a", "1", 1), since(9))}}, 9, "a", ""},
-		"an earlier start":                                  {[][]Member{{with(member("a", "1", 1), since(9))}, {with(member("a", "1", 1), since(5))}}, 9, "", ""},
-		"a start told later, of before it was seen":         {[][]Member{{member("a", "1", 1)}, {with(member("a", "1", 1), since(seen-time.Hour))}}, 0, "", ""},
-		"a start told later, of after it was seen":          {[][]Member{{member("a", "1", 1)}, {with(member("a", "1", 1), since(seen+time.Second))}}, seen + time.Second, "a", ""},
-		"a start told no more":                              {[][]Member{{with(member("a", "1", 1), since(5))}, {member("a", "1", 1)}}, 5, "", ""},
-		"back after a time away":                            {[][]Member{{member("a", "1", 1)}, {member("b", "2", 1)}, {member("a", "1", 1), member("b", "2", 1)}}, seen + 2*time.Second, "", ""},
+		"first set, no start reported":              {[][]Member{{member("a", "1", 1)}}, 0, "", ""},
+		"first set, start reported":                 {[][]Member{{with(member("a", "1", 1), since(firstSeenAt-time.Second))}}, firstSeenAt - time.Second, "", ""},
+		"added, no start reported":                  {[][]Member{{member("b", "2", 1)}, {member("a", "1", 1), member("b", "2", 1)}}, firstSeenAt + time.Second, "", ""},
+		"added, early start reported":               {[][]Member{{member("b", "2", 1)}, {with(member("a", "1", 1), since(5)), member("b", "2", 1)}}, 5, "", ""},
+		"another name at the same address":          {[][]Member{{member("b", "1", 1)}, {member("a", "1", 1)}}, firstSeenAt + time.Second, "", ""},
+		"the same set again":                        {[][]Member{{member("a", "1", 1)}, {member("a", "1", 1)}}, 0, "", ""},
+		"another weight only":                       {[][]Member{{member("a", "1", 1)}, {member("a", "1", 7)}}, 0, "", ""},
+		"another address, no start reported":        {[][]Member{{member("a", "1", 1)}, {member("a", "2", 1)}}, firstSeenAt + time.Second, "", "a"},
+		"another address, start of the old process": {[][]Member{{with(member("a", "1", 1), since(5))}, {with(member("a", "2", 1), since(5))}}, firstSeenAt + time.Second, "", "a"},
+		"another address, later start":              {[][]Member{{with(member("a", "1", 1), since(5))}, {with(member("a", "2", 1), since(9))}}, 9, "", "a"},
+		"later start":                               {[][]Member{{with(member("a", "1", 1), since(5))}, {with(member("a", "1", 1), since(9))}}, 9, "a", ""},
+		"earlier start":                             {[][]Member{{with(member("a", "1", 1), since(9))}, {with(member("a", "1", 1), since(5))}}, 9, "", ""},
+		"start reported later, before first seen":   {[][]Member{{member("a", "1", 1)}, {with(member("a", "1", 1), since(firstSeenAt-time.Hour))}}, 0, "", ""},
+		"start reported later, after first seen":    {[][]Member{{member("a", "1", 1)}, {with(member("a", "1", 1), since(firstSeenAt+time.Second))}}, firstSeenAt + time.Second, "a", ""},
+		"start no longer reported":                  {[][]Member{{with(member("a", "1", 1), since(5))}, {member("a", "1", 1)}}, 5, "", ""},
+		"added again":                               {[][]Member{{member("a", "1", 1)}, {member("b", "2", 1)}, {member("a", "1", 1), member("b", "2", 1)}}, firstSeenAt + 2*time.Second, "", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := New()
 			var v Verdict
 			for i, set := range test.sets {
-				if v = p.Apply(seen+time.Duration(i)*time.Second, fileCandidate(set...)); !v.Accepted {
+				if v = p.Apply(firstSeenAt+time.Duration(i)*time.Second, fileCandidate(set...)); !v.Accepted {
 					t.Fatalf("refused: %v", v.Faults)
 				}
 			}
-			if got := p.entries["a"].StartedAt; got != test.starts {
-				t.Errorf("a has started at %v, want %v", got-seen, test.starts-seen)
+			if got := p.entries["a"].StartedAt; got != test.start {
+				t.Errorf("start of a at %v, want %v", got-firstSeenAt, test.start-firstSeenAt)
 			}
 			if r, m := names(v.Change.Restarted), names(v.Change.Moved); r != test.restarted || m != test.moved {
 				t.Errorf("restarted %q, moved %q", r, m)
@@ -167,18 +168,18 @@
 	}
 	v = p.Apply(clock+2*time.Second, fileCandidate(member("a", "1", 1), member("b", "2", 9),
 		with(member("d", "4", 2), func(m *Member) { m.Status = control.Removed })))
-	gone := with(member("d", "4", 2), func(m *Member) { m.Status, m.StartedAt = control.Removed, clock+time.Second })
-	if diff := cmp.Diff(Update{Servers: []Member{member("b", "2", 9), gone}}, v.Update); diff != "" {
-		t.Errorf("back to work, and one that has left (-want +got):\n%s", diff)
+	removed := with(member("d", "4", 2), func(m *Member) { m.Status, m.StartedAt = control.Removed, clock+time.Second })
+	if diff := cmp.Diff(Update{Servers: []Member{member("b", "2", 9), removed}}, v.Update); diff != "" {
+		t.Errorf("weight raised again, and one Removed (-want +got):\n%s", diff)
 	}
 }
 
-// TestStreamUpdatesAreNotChanged: what the coordinator and etcd say goes on unchanged, as it did before there was a pool.
+// TestStreamUpdatesAreNotChanged checks that updates from the coordinator and etcd are published as they came.
 func TestStreamUpdatesAreNotChanged(t *testing.T) {
 	p := New()
-	odd := []Member{member("a", "1", 0), member("b", "1", 0), {ServerEntry: control.ServerEntry{ID: "c"}}}
+	invalid := []Member{member("a", "1", 0), member("b", "1", 0), {ServerEntry: control.ServerEntry{ID: "c"}}}
 	for i, u := range []Update{
-		{Servers: odd, Complete: true},
+		{Servers: invalid, Complete: true},
 		{Servers: []Member{with(member("a", "1", 0), func(m *Member) { m.Status = control.Draining })}},
 		{Servers: []Member{with(member("b", "1", 0), func(m *Member) { m.Status = control.Removed })}},
 		{Servers: nil, Complete: true},
@@ -204,7 +205,7 @@
 		p.Apply(clock+time.Duration(i), fileCandidate(member("a", "1", NoNewCalls)))
 	}
 	if trouble, _ := p.LastRefused(); trouble.Repeats != 3*maxHistory-1 || len(p.History()) != 2 {
-		t.Errorf("the same refused often: again %d, %d versions", trouble.Repeats, len(p.History()))
+		t.Errorf("same candidate refused repeatedly: %d repeats, %d versions", trouble.Repeats, len(p.History()))
 	}
 	for i := range 3 * maxHistory {
 		p.Apply(clock+time.Duration(i), fileCandidate(member("a", "1", i+1)))
@@ -213,11 +214,11 @@
 		t.Errorf("%d versions, the newest number %d", len(h), h[0].Number)
 	}
 	if taken, refused := p.Counts(); taken != 3*maxHistory || refused[NoneActive] != 1 {
-		t.Errorf("taken %d, refused %v", taken, refused)
+		t.Errorf("accepted %d, refused %v", taken, refused)
 	}
 }
 
-// drawCandidate draws sets as people might write them: few names, so that they meet again, and some sets that are bad.
+// drawCandidate draws a set like those that operators write. It has few names, so that they recur, and some sets are invalid.
 func drawCandidate(t *rapid.T) Candidate {
 	n := rapid.IntRange(0, 5).Draw(t, "servers")
 	var members []Member
@@ -232,21 +233,21 @@
 	return fileCandidate(members...)
 }
 
-// TestActiveSetIsAlwaysOneValidCandidate takes any sequence of candidates. A follower that applies the updates must
-// see the same set as one that looks at the pool.
+// TestActiveSetIsAlwaysOneValidCandidate applies random sequences of candidates. A subscriber that applies the published
+// updates must end up with the same set as the pool.
 func TestActiveSetIsAlwaysOneValidCandidate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New()
 		now := clock
 		var last *Candidate
-		told := map[control.ServerID]Member{}
+		published := map[control.ServerID]Member{}
 		for range rapid.IntRange(1, 12).Draw(t, "sets") {
 			now += time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond
 			c := drawCandidate(t)
 			valid := len(Check(now, &c)) == 0
 			v := p.Apply(now, c)
 			if v.Accepted != valid {
-				t.Fatalf("taken %v, valid %v: %v", v.Accepted, valid, v.Faults)
+				t.Fatalf("accepted %v, valid %v: %v", v.Accepted, valid, v.Faults)
 			}
 			if valid {
 				last = &c
@@ -254,105 +255,107 @@
 				t.Fatalf("a refused set changes %+v", v.Update)
 			}
 			for _, m := range v.Update.Servers {
-				if told[m.ID] = m; m.Status == control.Removed {
-					delete(told, m.ID)
+				if published[m.ID] = m; m.Status == control.Removed {
+					delete(published, m.ID)
 				}
 			}
 			if last == nil {
 				if len(p.Members()) > 0 {
-					t.Fatal("a set is in force before the first valid one")
+					t.Fatal("a set is active before the first valid one")
 				}
 				continue
 			}
-			in := map[control.ServerID]Member{}
+			expected := map[control.ServerID]Member{}
 			for _, m := range last.Servers {
 				if m.Status != control.Removed {
-					in[m.ID] = m
+					expected[m.ID] = m
 				}
 			}
 			for _, m := range p.Members() {
-				want, ok := in[m.ID]
-				want.StartedAt = m.StartedAt // decided here
+				want, ok := expected[m.ID]
+				want.StartedAt = m.StartedAt // decided by the pool
 				if !ok || m != want {
-					t.Fatalf("in force: %+v, the candidate has %+v", m, want)
+					t.Fatalf("active: %+v, the candidate has %+v", m, want)
 				}
 				if m.StartedAt > now+maxClockSkew {
 					t.Fatalf("%s has started in the future", m.ID)
 				}
-				if heard := told[m.ID]; heard != p.entries[m.ID].published() {
-					t.Fatalf("told %+v, in force %+v", heard, m)
+				if got := published[m.ID]; got != p.entries[m.ID].published() {
+					t.Fatalf("published %+v, active %+v", got, m)
 				}
 			}
-			if len(p.Members()) != len(in) || len(told) != len(in) {
-				t.Fatalf("%d in force, %d told, %d in the candidate", len(p.Members()), len(told), len(in))
+			if len(p.Members()) != len(expected) || len(published) != len(expected) {
+				t.Fatalf("%d active, %d published, %d in the candidate", len(p.Members()), len(published), len(expected))
 			}
 			before := p.Current()
 			if again := p.Apply(now, *last); again.Changed && len(again.Update.Servers) > 0 || p.Current().Number != before.Number {
 				t.Fatalf("the same set again changes %+v", again.Update)
 			}
 		}
-		// And a later process that recalls it has the same.
-		q := New()
+		// A later process that restores the snapshot must have the same set.
+		restored := New()
 		if last != nil {
-			if v := q.Restore(now, p.Snapshot()); !v.Accepted {
-				t.Fatalf("what was remembered is refused: %v", v.Faults)
+			if v := restored.Restore(now, p.Snapshot()); !v.Accepted {
+				t.Fatalf("the snapshot is refused: %v", v.Faults)
 			}
-			if diff := cmp.Diff(p.Members(), q.Members()); diff != "" {
-				t.Fatalf("recalled (-want +got):\n%s", diff)
+			if diff := cmp.Diff(p.Members(), restored.Members()); diff != "" {
+				t.Fatalf("restored (-want +got):\n%s", diff)
 			}
-			if v := q.Apply(now, *last); len(v.Update.Servers) > 0 {
-				t.Fatalf("the set that was recalled, again, changes %+v", v.Update)
+			if v := restored.Apply(now, *last); len(v.Update.Servers) > 0 {
+				t.Fatalf("applying the restored set again changes %+v", v.Update)
 			}
 		}
 	})
 }
 
-// TestFilePoller: however the signs of changes fall, whole files are judged soon and once, and half ones only when they stay.
+// TestFilePoller checks that complete files are processed soon and once, and unfinished ones only after they have stayed
+// unchanged, whatever the order of change notifications.
 func TestFilePoller(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(0)
-		l := NewFilePoller(now, rapid.Bool().Draw(t, "watched"))
-		judged := ""
-		sight, changed := Observation{Digest: "0"}, now // what is in the file, and since when
+		poller := NewFilePoller(now, rapid.Bool().Draw(t, "watched"))
+		processed := ""
+		current, changedAt := Observation{Digest: "0"}, now // content of the file, and when it was written
 		for i := range rapid.IntRange(1, 30).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "write") {
-				sight = Observation{Digest: fmt.Sprint(i), Unfinished: rapid.Bool().Draw(t, "unfinished"), InPlace: rapid.Bool().Draw(t, "in place")}
-				changed = now
-				if l.watched {
-					l.NoteChange(now)
+				current = Observation{Digest: fmt.Sprint(i), Unfinished: rapid.Bool().Draw(t, "unfinished"), InPlace: rapid.Bool().Draw(t, "in place")}
+				changedAt = now
+				if poller.watched {
+					poller.NoteChange(now)
 				}
 			}
 			until := now + time.Duration(rapid.IntRange(0, 700).Draw(t, "ms"))*time.Millisecond
-			for looks := 0; l.NextPoll() <= until; looks++ {
-				if looks > 60 {
-					t.Fatal("it never stops looking")
+			for polls := 0; poller.NextPoll() <= until; polls++ {
+				if polls > 60 {
+					t.Fatal("too many polls")
 				}
-				now = max(now, l.NextPoll())
-				if l.Observe(now, sight) {
-					if judged == sight.Digest {
-						t.Fatal("judged twice")
+				now = max(now, poller.NextPoll())
+				if poller.Observe(now, current) {
+					if processed == current.Digest {
+						t.Fatal("processed twice")
 					}
-					if sight.Unfinished && now-changed < stableTimeUnfinished {
-						t.Fatalf("an unfinished file is judged %v after it changed", now-changed)
+					if current.Unfinished && now-changedAt < stableTimeUnfinished {
+						t.Fatalf("an unfinished file is processed %v after it changed", now-changedAt)
 					}
-					if sight.InPlace && now-changed < stableTimeInPlace {
-						t.Fatalf("a file that was written in place is judged %v after it changed", now-changed)
+					if current.InPlace && now-changedAt < stableTimeInPlace {
+						t.Fatalf("a file that was written in place is processed %v after it changed", now-changedAt)
 					}
-					judged = sight.Digest
+					processed = current.Digest
 				}
-				if l.NextPoll() <= now {
-					t.Fatal("the next look is due at once")
+				if poller.NextPoll() <= now {
+					t.Fatal("the next poll is due at once")
 				}
 			}
 			now = until
-			if age := now - changed; !sight.Unfinished && age > 450*time.Millisecond && judged != sight.Digest {
-				t.Fatalf("not judged %v after it was written", age)
+			if age := now - changedAt; !current.Unfinished && age > 450*time.Millisecond && processed != current.Digest {
+				t.Fatalf("not processed %v after it was written", age)
 			}
 		}
 	})
 }
 
-// TestLimitAppliesToAllSources: what is over it is refused whole, be it a file, a list of a stream or a change to one.
+// TestLimitAppliesToAllSources checks that a set above the limit is refused as a whole, whether it comes from a file, as a
+// complete list of a stream or as a change.
 func TestLimitAppliesToAllSources(t *testing.T) {
 	p := New()
 	p.SetLimit(3)
@@ -362,29 +365,29 @@
 		}
 		return all
 	}
-	gone := member("s0", "1000", 1)
-	gone.Status = control.Removed
+	removed := member("s0", "1000", 1)
+	removed.Status = control.Removed
 	stream := func(whole bool, all ...Member) Candidate {
 		return Candidate{Source: FromCoordinator, Update: Update{Complete: whole, Servers: all}}
 	}
 	for i, test := range []struct {
 		Candidate
-		taken bool
-		left  int
+		accepted bool
+		servers  int
 	}{
 		{fileCandidate(members(0, 4)...), false, 0},
 		{fileCandidate(members(0, 3)...), true, 3},
 		{stream(true, members(0, 4)...), false, 3},
 		{stream(false, members(2, 4)...), false, 3},
 		{stream(false, members(0, 3)...), true, 3},
-		{stream(false, append(members(3, 4), gone)...), true, 3},
+		{stream(false, append(members(3, 4), removed)...), true, 3},
 		{stream(true, members(5, 7)...), true, 2},
 	} {
 		v := p.Apply(clock+time.Duration(i), test.Candidate)
-		if v.Accepted != test.taken || len(p.Members()) != test.left {
-			t.Errorf("step %d: taken %v, %d in force: %v", i, v.Accepted, len(p.Members()), v.Faults)
+		if v.Accepted != test.accepted || len(p.Members()) != test.servers {
+			t.Errorf("step %d: accepted %v, %d active: %v", i, v.Accepted, len(p.Members()), v.Faults)
 		}
-		if !v.Accepted && (len(v.Faults) != 1 || v.Faults[0].String() != "4 servers, 3 are allowed") {
+		if !v.Accepted && (len(v.Faults) != 1 || v.Faults[0].String() != "4 servers exceed the limit of 3") {
 			t.Errorf("step %d: %v", i, v.Faults)
 		}
 	}
--- a/internal/decide/subset/ranking.go
+++ b/internal/decide/subset/ranking.go
@@ -2,13 +2,13 @@
 
 import "container/heap"
 
-// slot is a dispatcher's place in one ranking.
+// slot is the place of a dispatcher in one ranking.
 type slot struct {
 	member *member
-	index  int // in the heap that it is in
+	index  int // in the heap that holds it
 }
 
-// slotHeap is a heap of slots: the best one is at its root or, with worstFirst, the worst one.
+// slotHeap is a heap of slots with the best one at its root or, with worstFirst, the worst one.
 type slotHeap struct {
 	slots      []*slot
 	worstFirst bool
@@ -28,7 +28,7 @@
 	h.slots[i].index, h.slots[j].index = i, j
 }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (h *slotHeap) Push(x any) {
 	s, ok := x.(*slot)
 	if !ok {
@@ -38,7 +38,7 @@
 	h.slots = append(h.slots, s)
 }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (h *slotHeap) Pop() any {
 	last := h.slots[len(h.slots)-1]
 	h.slots[len(h.slots)-1] = nil
@@ -49,13 +49,13 @@
 // contains reports whether the slot is in this heap.
 func (h *slotHeap) contains(s *slot) bool { return s.index < len(h.slots) && h.slots[s.index] == s }
 
-// ranking keeps the best of its dispatchers chosen, as many as its quota. A change of one dispatcher, or of the quota by one, costs the
-// logarithm of their number.
+// ranking selects the best of its dispatchers, as many as its quota. Changing one dispatcher, or the quota by one, takes time
+// logarithmic in their number.
 type ranking struct {
 	selected   slotHeap // the worst one at the root
 	unselected slotHeap // the best one at the root
 	quota      int
-	onChange   func(m *member, by int) // told of each that is chosen (1), and each that no longer is (-1)
+	onChange   func(m *member, by int) // called for each that becomes selected (1) and each that no longer is (-1)
 }
 
 func newRanking(moved func(m *member, by int)) *ranking {
@@ -87,7 +87,7 @@
 	r.rebalance()
 }
 
-// rebalance fills the quota, and no more.
+// rebalance moves slots between the heaps until exactly the quota is selected, as far as there are enough.
 func (r *ranking) rebalance() {
 	for r.selected.Len() > r.quota {
 		r.moveRoot(&r.selected, &r.unselected, -1)
--- a/internal/decide/subset/subset.go
+++ b/internal/decide/subset/subset.go
@@ -1,8 +1,8 @@
-// Package subset decides which of the listed dispatchers one controller connects to: a deterministic subset by rendezvous hashing
-// (Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998), its own zone first. Each controller ranks all
-// dispatchers by a hash of its own identity and theirs, and takes the first ones; so no controller needs to know of another, a restarted
-// one finds the same dispatchers, and one that comes or goes moves no others' places. There is no I/O here, and the clock is an
-// argument. docs/subset.md weighs the alternatives.
+// Package subset decides which of the listed dispatchers a controller connects to: a deterministic subset by rendezvous hashing
+// (Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998), which prefers the controller's own zone.
+// Each controller ranks all dispatchers by a hash of its own identity and theirs, and selects the first ones. So controllers
+// need not know of each other, a restarted one selects the same dispatchers, and adding or removing a dispatcher does not
+// change the rank of any other. The package does no I/O, and the time is an argument. docs/subset.md compares the alternatives.
 package subset
 
 import (
@@ -18,31 +18,34 @@
 )
 
 const (
-	// DefaultSize is the least size, rounded, at which hashing leaves no dispatcher with more than 1.5 times the mean number of
-	// controllers, at 3,000 of each: with a mean of n, the chance that one has more falls with exp(-0.108 n).
+	// DefaultSize is the smallest size, rounded, at which hashing leaves no dispatcher with more than 1.5 times the mean number
+	// of controllers, at 3,000 of each. With a mean of n, the probability that a dispatcher exceeds that falls with exp(-0.108
+	// n).
 	DefaultSize = 96
-	// DefaultShrinkAfter is how long there must have been no need before a subset that has grown gives places back.
+	// DefaultShrinkAfter is how long a grown subset must not have been needed before it shrinks.
 	DefaultShrinkAfter = time.Minute
-	// MaxSize bounds sizes: each dispatcher in a subset is a connection.
+	// MaxSize limits sizes: each dispatcher in a subset is a connection.
 	MaxSize = 1 << 20
-	// defaultGrowthFactor is how many times its size a subset may grow to.
+	// defaultGrowthFactor is how many times its base size a subset may grow to.
 	defaultGrowthFactor = 8
-	// otherZoneShare of the places go to other zones than the own one, so that the own one can be lost while it is still listed.
+	// otherZoneShare is the share of places for dispatchers of other zones, so that the own zone may fail while its dispatchers
+	// are still listed.
 	otherZoneShare = 1.0 / 8
-	// otherZoneGrowthShare is as much of the places that need has added: what refuses is more likely to be one zone than the rest.
+	// otherZoneGrowthShare is the same share of the places added by growth: dispatchers that refuse are more likely to be those
+	// of one zone than the others.
 	otherZoneGrowthShare = 1.0 / 2
 )
 
-// Options say what one controller's subset is.
+// Options configure the subset of one controller.
 type Options struct {
-	Identity    string        // the controller's; it must be another's never, and the same after a restart
-	Zone        string        // whose dispatchers are preferred; empty for none
-	Size        int           // dispatchers in the subset; 0 for DefaultSize
-	GrowthLimit int           // as many after growth; 0 for eight times the size
-	ShrinkAfter time.Duration // without need until a subset shrinks; 0 for DefaultShrinkAfter
+	Identity    string        // identity of the controller, unique and the same after a restart
+	Zone        string        // zone whose dispatchers are preferred; empty for none
+	Size        int           // number of dispatchers before growth; 0 for DefaultSize
+	GrowthLimit int           // maximum after growth; 0 for eight times Size
+	ShrinkAfter time.Duration // how long growth must not have been needed before the subset shrinks; 0 for DefaultShrinkAfter
 }
 
-// WithDefaults fills in what is not given.
+// WithDefaults replaces zero values by defaults.
 func (o Options) WithDefaults() Options {
 	o.Size = cmp.Or(o.Size, DefaultSize)
 	o.GrowthLimit = cmp.Or(o.GrowthLimit, min(defaultGrowthFactor*o.Size, MaxSize))
@@ -50,16 +53,16 @@
 	return o
 }
 
-// Check reports what a subset could not be made by.
+// Check returns an error if an option is out of range. It names the setting.
 func (o Options) Check() error {
 	o = o.WithDefaults()
 	switch {
 	case o.Size < 1 || o.Size > MaxSize:
 		return fmt.Errorf("size: %d is not from 1 to %d", o.Size, MaxSize)
 	case o.GrowthLimit < o.Size || o.GrowthLimit > MaxSize:
-		return fmt.Errorf("most: %d is not from the size, %d, to %d", o.GrowthLimit, o.Size, MaxSize)
+		return fmt.Errorf("most: %d is not from %d (the size) to %d", o.GrowthLimit, o.Size, MaxSize)
 	case o.ShrinkAfter < 0:
-		return fmt.Errorf("quiet_ms: %d is below 0", o.ShrinkAfter.Milliseconds())
+		return fmt.Errorf("quiet_ms: %d is negative", o.ShrinkAfter.Milliseconds())
 	}
 	return nil
 }
@@ -69,54 +72,54 @@
 	ID     control.ServerID
 	Zone   string
 	Cell   int  // the group that a call's first choice names
-	Active bool // false: it drains, and fills no place
+	Active bool // false if it is draining; it fills no place then
 }
 
-// member is an entry with its places in the rankings.
+// member is an entry with its slots in the rankings.
 type member struct {
 	Entry
 	score       uint64
-	zoneRanking *ranking // the own zone's or the others'
+	zoneRanking *ranking // ownZone or otherZones of the Subset
 	zoneSlot,
 	cellSlot *slot
-	selectedBy int  // in how many rankings it is chosen
-	reported   bool // it is in the subset as far as Changes has told
+	selectedBy int  // number of rankings that select it
+	reported   bool // it was in the subset at the last call of Changes
 }
 
 // ranksBefore reports whether a member ranks before another one.
-func (m *member) ranksBefore(o *member) bool {
-	if m.score != o.score {
-		return m.score > o.score
+func (m *member) ranksBefore(other *member) bool {
+	if m.score != other.score {
+		return m.score > other.score
 	}
-	return m.ID < o.ID
+	return m.ID < other.ID
 }
 
-// cell is a group of dispatchers; it has places of its own while calls have it as their first choice.
+// cell is a group of dispatchers. It has places of its own while calls have it as their first choice.
 type cell struct {
 	*ranking
-	inSubset   int // its dispatchers in the subset, by whatever ranking
+	inSubset   int // its dispatchers in the subset, by any ranking
 	lastUsedAt time.Duration
 	inUse      bool
 }
 
-// Subset is one controller's. It is not safe for concurrent use. Times are on any clock that does not go back.
+// Subset is the subset of one controller. It is not safe for concurrent use. Times are readings of any monotonic clock.
 type Subset struct {
 	options    Options
 	seed       uint64
 	members    map[control.ServerID]*member
-	ownZone    *ranking // of the own zone, or of all if no zone is preferred
-	otherZones *ranking // of the other zones
+	ownZone    *ranking // dispatchers of the own zone, or all if no zone is preferred
+	otherZones *ranking // dispatchers of the other zones
 	cells      map[int]*cell
-	usedCells  map[int]*cell // those with places of their own
-	targetSize int           // size by now
-	lastNeedAt time.Duration // when more was last needed, or the size last changed
+	usedCells  map[int]*cell // cells with places of their own
+	targetSize int           // current size without the places of cells
+	lastNeedAt time.Duration // when growth was last needed, or the subset last shrunk
 	changed    map[*member]bool
 	onChange   func(*member, int)
 	size       int // members in the subset
 	growths    int
 }
 
-// New returns the subset of an empty list. The options must pass Check.
+// New returns a Subset of an empty list. The options must pass Check.
 func New(o Options) *Subset {
 	o = o.WithDefaults()
 	s := &Subset{
@@ -128,7 +131,7 @@
 	return s
 }
 
-// updateSelection counts the places of a member.
+// updateSelection updates the number of rankings that select a member, and the counts that depend on it.
 func (s *Subset) updateSelection(m *member, by int) {
 	before := m.selectedBy > 0
 	m.selectedBy += by
@@ -139,14 +142,14 @@
 	}
 }
 
-// score is the weight of a dispatcher for this controller, as rendezvous hashing has it.
+// score returns the rendezvous hash of a dispatcher for this controller.
 func (s *Subset) score(id control.ServerID) uint64 {
 	d := xxhash.NewWithSeed(s.seed)
-	_, _ = d.WriteString(string(id)) // it never fails
+	_, _ = d.WriteString(string(id)) // Digest.WriteString never fails
 	return d.Sum64()
 }
 
-// Put takes in a dispatcher, or what has changed of it.
+// Put adds a dispatcher or updates it.
 func (s *Subset) Put(e Entry) {
 	m := s.members[e.ID]
 	switch {
@@ -162,7 +165,7 @@
 	s.balance()
 }
 
-// Remove forgets a dispatcher that is listed no more. Changes does not tell of it.
+// Remove removes a dispatcher that is no longer listed. Changes does not report it.
 func (s *Subset) Remove(id control.ServerID) {
 	m := s.members[id]
 	if m == nil {
@@ -204,19 +207,19 @@
 	}
 }
 
-// balance shares the places out between the own zone and the others: what one can't fill, the other may.
+// balance divides the places between the own zone and the others. Places that one cannot fill go to the other.
 func (s *Subset) balance() {
 	grown := float64(s.targetSize - s.options.Size)
-	spare := int(math.Ceil(otherZoneShare*float64(s.options.Size) + otherZoneGrowthShare*grown))
-	near := min(s.ownZone.len(), s.targetSize-min(spare, s.otherZones.len()))
-	s.ownZone.setQuota(near)
-	s.otherZones.setQuota(s.targetSize - near)
+	minOtherZones := int(math.Ceil(otherZoneShare*float64(s.options.Size) + otherZoneGrowthShare*grown))
+	ownZone := min(s.ownZone.len(), s.targetSize-min(minOtherZones, s.otherZones.len()))
+	s.ownZone.setQuota(ownZone)
+	s.otherZones.setQuota(s.targetSize - ownZone)
 }
 
-// UseCell gives the dispatchers of a call's first choice places of their own, as many as the subset has at most: those that rank first.
-// Where all groups in use would have more than the options' Most, the one that was used least lately gives its places back.
-func (s *Subset) UseCell(now time.Duration, group int) {
-	c := s.cells[group]
+// UseCell gives the first choice of a call places of its own, for its best-ranked dispatchers, up to the current target size.
+// If the cells in use then have more than GrowthLimit places together, the least recently used ones lose theirs.
+func (s *Subset) UseCell(now time.Duration, number int) {
+	c := s.cells[number]
 	if c == nil {
 		return
 	}
@@ -225,14 +228,14 @@
 		return
 	}
 	c.inUse = true
-	s.usedCells[group] = c
+	s.usedCells[number] = c
 	c.setQuota(s.targetSize)
 	for s.usedCellPlaces() > s.options.GrowthLimit && len(s.usedCells) > 1 {
 		s.releaseCell(s.leastRecentlyUsedCell())
 	}
 }
 
-// usedCellPlaces is the number of places that groups in use have.
+// usedCellPlaces returns the number of places that the cells in use have.
 func (s *Subset) usedCellPlaces() int {
 	n := 0
 	for _, c := range s.usedCells {
@@ -241,29 +244,29 @@
 	return n
 }
 
-// leastRecentlyUsedCell is the group whose last use is the longest ago.
+// leastRecentlyUsedCell returns the cell in use that was used least recently.
 func (s *Subset) leastRecentlyUsedCell() int {
-	stalest, found := 0, false
-	for group, c := range s.usedCells {
-		if !found || c.lastUsedAt < s.usedCells[stalest].lastUsedAt || c.lastUsedAt == s.usedCells[stalest].lastUsedAt && group < stalest {
-			stalest, found = group, true
+	oldest, found := 0, false
+	for number, c := range s.usedCells {
+		if !found || c.lastUsedAt < s.usedCells[oldest].lastUsedAt || c.lastUsedAt == s.usedCells[oldest].lastUsedAt && number < oldest {
+			oldest, found = number, true
 		}
 	}
-	return stalest
+	return oldest
 }
 
-func (s *Subset) releaseCell(group int) {
-	c := s.usedCells[group]
+func (s *Subset) releaseCell(number int) {
+	c := s.usedCells[number]
 	c.inUse = false
-	delete(s.usedCells, group)
+	delete(s.usedCells, number)
 	c.setQuota(0)
 	if c.len() == 0 {
-		delete(s.cells, group)
+		delete(s.cells, number)
 	}
 }
 
-// Grow gives the subset as many more places as it has without need, as it has dispatchers that refuse or are full. It reports whether that
-// brought any dispatcher.
+// Grow adds as many places as the base size, because dispatchers refuse calls or are at capacity. It reports whether that added
+// any dispatcher.
 func (s *Subset) Grow(now time.Duration) bool {
 	s.lastNeedAt = now
 	before := s.size
@@ -277,30 +280,31 @@
 	return true
 }
 
-// Shrink gives back what has not been needed for long: what one growth has brought, and groups that no call has had as first choice. The
-// places stay needed while those that would remain are scarce. Its cost goes by the subset and the groups in use.
-func (s *Subset) Shrink(now time.Duration, sound func(control.ServerID) bool) {
-	for group, c := range s.usedCells {
+// Shrink removes what has not been needed for ShrinkAfter: the places of one growth step, and the places of cells that no call
+// had as first choice. The places of growth stay while too few of the remaining dispatchers would be usable. It takes time
+// proportional to the subset and the cells in use.
+func (s *Subset) Shrink(now time.Duration, usable func(control.ServerID) bool) {
+	for number, c := range s.usedCells {
 		if now-c.lastUsedAt >= s.options.ShrinkAfter {
-			s.releaseCell(group)
+			s.releaseCell(number)
 		}
 	}
 	if s.targetSize > s.options.Size && now-s.lastNeedAt >= s.options.ShrinkAfter {
 		s.lastNeedAt = now
 		before := s.targetSize
-		if s.setTargetSize(max(s.targetSize-s.options.Size, s.options.Size)); s.TooFewUsable(sound) {
+		if s.setTargetSize(max(s.targetSize-s.options.Size, s.options.Size)); s.TooFewUsable(usable) {
 			s.setTargetSize(before)
 		}
 	}
 }
 
-// TooFewUsable reports whether sound holds for less than half as many dispatchers as the subset has without need, or as are listed if that is
-// less. Places of groups in use don't count. Its cost goes by the subset.
-func (s *Subset) TooFewUsable(sound func(control.ServerID) bool) bool {
+// TooFewUsable reports whether fewer dispatchers are usable than half of the base size, or half of the listed dispatchers if
+// that is less. Places of cells in use do not count. It takes time proportional to the subset.
+func (s *Subset) TooFewUsable(usable func(control.ServerID) bool) bool {
 	n := 0
 	for _, r := range []*ranking{s.ownZone, s.otherZones} {
-		for _, o := range r.selected.slots {
-			if sound(o.member.ID) {
+		for _, place := range r.selected.slots {
+			if usable(place.member.ID) {
 				n++
 			}
 		}
@@ -308,7 +312,7 @@
 	return 2*n < min(s.options.Size, s.Active())
 }
 
-// AtBaseSize reports whether there is nothing to give back.
+// AtBaseSize reports whether there is nothing to shrink: no growth, and no cell in use.
 func (s *Subset) AtBaseSize() bool { return s.targetSize == s.options.Size && len(s.usedCells) == 0 }
 
 func (s *Subset) setTargetSize(target int) {
@@ -319,18 +323,18 @@
 	}
 }
 
-// Changes are the dispatchers that have joined and left the subset since it was last asked, by name. One that drains has left; one
-// that was removed is not named.
+// Changes returns the sorted dispatchers that have joined and left the subset since its last call. A dispatcher that is
+// draining has left. One that was removed is not included.
 func (s *Subset) Changes() (joined, left []control.ServerID) {
 	for m := range s.changed {
-		in := m.selectedBy > 0
+		selected := m.selectedBy > 0
 		switch {
-		case in && !m.reported:
+		case selected && !m.reported:
 			joined = append(joined, m.ID)
-		case !in && m.reported:
+		case !selected && m.reported:
 			left = append(left, m.ID)
 		}
-		m.reported = in
+		m.reported = selected
 	}
 	clear(s.changed)
 	slices.Sort(joined)
@@ -344,19 +348,19 @@
 	return m != nil && m.selectedBy > 0
 }
 
-// CountInCell is the number of dispatchers of the group that are in the subset.
-func (s *Subset) CountInCell(group int) int {
-	if c := s.cells[group]; c != nil {
+// CountInCell returns the number of dispatchers of the cell that are in the subset.
+func (s *Subset) CountInCell(number int) int {
+	if c := s.cells[number]; c != nil {
 		return c.inSubset
 	}
 	return 0
 }
 
-// Active is the number of listed dispatchers that can fill a place.
+// Active returns the number of listed dispatchers that can fill a place.
 func (s *Subset) Active() int { return s.ownZone.len() + s.otherZones.len() }
 
-// Len is the number of dispatchers in the subset.
+// Len returns the number of dispatchers in the subset.
 func (s *Subset) Len() int { return s.size }
 
-// Growths is how often it has grown.
+// Growths returns how often the subset has grown.
 func (s *Subset) Growths() int { return s.growths }
--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -27,10 +27,10 @@
 	return s
 }
 
-// allUsable is sound.
+// allUsable regards every dispatcher as usable.
 func allUsable(control.ServerID) bool { return true }
 
-// members of the subset, by name.
+// all returns the sorted dispatchers of the subset.
 func (s *Subset) all() []control.ServerID {
 	var ids []control.ServerID
 	for id, m := range s.members {
@@ -42,18 +42,18 @@
 	return ids
 }
 
-// TestLoadPerDispatcher counts, at 3,000 dispatchers and as many controllers, how many controllers connect to each. It
-// goes by the definition, as TestSubsetMatchesDefinition holds the rest to it.
+// TestLoadPerDispatcher counts how many controllers connect to each dispatcher, with 3,000 of each. It computes the subsets by
+// their definition; TestSubsetMatchesDefinition checks the implementation against it.
 func TestLoadPerDispatcher(t *testing.T) {
 	const n, zones = 3000, 3
 	for _, zoned := range []bool{false, true} {
 		users := map[control.ServerID]int{}
 		var mu sync.Mutex
-		var wait sync.WaitGroup
-		for w := range runtime.GOMAXPROCS(0) {
-			wait.Go(func() {
+		var workers sync.WaitGroup
+		for worker := range runtime.GOMAXPROCS(0) {
+			workers.Go(func() {
 				list := newMembers(n, zones)
-				for i := w; i < n; i += runtime.GOMAXPROCS(0) {
+				for i := worker; i < n; i += runtime.GOMAXPROCS(0) {
 					o := Options{Identity: fmt.Sprintf("controller-%d", i)}
 					if zoned {
 						o.Zone = fmt.Sprint("zone-", i%zones)
@@ -64,7 +64,7 @@
 					}
 					ids := subsetByDefinition(s, list)
 					if i < 10 && !slices.Equal(slices.Sorted(slices.Values(ids)), newFilledSubset(o, n, zones).all()) {
-						t.Errorf("controller %d has another subset than the definition says", i)
+						t.Errorf("controller %d: the subset differs from its definition", i)
 					}
 					mu.Lock()
 					for _, id := range ids {
@@ -74,15 +74,15 @@
 				}
 			})
 		}
-		wait.Wait()
-		most, least := 0, n
+		workers.Wait()
+		highest, lowest := 0, n
 		for i := range n {
-			of := users[newEntry(i, zones).ID]
-			most, least = max(most, of), min(least, of)
+			count := users[newEntry(i, zones).ID]
+			highest, lowest = max(highest, count), min(lowest, count)
 		}
-		t.Logf("own zone preferred %v: mean %d, from %d to %d", zoned, DefaultSize, least, most)
-		if float64(most) > 1.5*DefaultSize {
-			t.Errorf("own zone preferred %v: %d controllers connect to one dispatcher, the mean is %d", zoned, most, DefaultSize)
+		t.Logf("own zone preferred %v: mean %d controllers per dispatcher, from %d to %d", zoned, DefaultSize, lowest, highest)
+		if float64(highest) > 1.5*DefaultSize {
+			t.Errorf("own zone preferred %v: %d controllers connect to one dispatcher, the mean is %d", zoned, highest, DefaultSize)
 		}
 	}
 }
@@ -95,12 +95,12 @@
 	return list
 }
 
-// countDifferences counts the names that are in one of two sorted lists alone.
-func countDifferences(a, b []control.ServerID, but control.ServerID) int {
+// countDifferences counts the names that are in only one of two sorted lists, except for one name.
+func countDifferences(a, b []control.ServerID, except control.ServerID) int {
 	n := 0
 	for _, lists := range [][2][]control.ServerID{{a, b}, {b, a}} {
 		for _, id := range lists[0] {
-			if _, both := slices.BinarySearch(lists[1], id); !both && id != but {
+			if _, both := slices.BinarySearch(lists[1], id); !both && id != except {
 				n++
 			}
 		}
@@ -108,31 +108,31 @@
 	return n
 }
 
-// subsetByDefinition is the subset by its definition, computed from the whole list, without groups, in no order.
+// subsetByDefinition computes the unsorted subset from the whole list by its definition, without cells in use.
 func subsetByDefinition(s *Subset, list []*member) (ids []control.ServerID) {
-	var near, far []uint64
-	isNear := func(m *member) bool { return s.options.Zone == "" || m.Zone == s.options.Zone }
+	var ownZone, otherZones []uint64
+	inOwnZone := func(m *member) bool { return s.options.Zone == "" || m.Zone == s.options.Zone }
 	for _, m := range list {
 		switch {
 		case !m.Active:
-		case isNear(m):
-			near = append(near, m.score)
+		case inOwnZone(m):
+			ownZone = append(ownZone, m.score)
 		default:
-			far = append(far, m.score)
+			otherZones = append(otherZones, m.score)
 		}
 	}
-	spare := (s.options.Size + 4*(s.targetSize-s.options.Size) + 7) / 8
-	n := min(len(near), s.targetSize-min(spare, len(far)))
-	leastNear, leastFar := lowestOfBest(near, n), lowestOfBest(far, min(len(far), s.targetSize-n))
+	minOtherZones := (s.options.Size + 4*(s.targetSize-s.options.Size) + 7) / 8
+	n := min(len(ownZone), s.targetSize-min(minOtherZones, len(otherZones)))
+	lowestOwnZone, lowestOtherZones := lowestOfBest(ownZone, n), lowestOfBest(otherZones, min(len(otherZones), s.targetSize-n))
 	for _, m := range list {
-		if m.Active && (isNear(m) && m.score >= leastNear || !isNear(m) && m.score >= leastFar) {
+		if m.Active && (inOwnZone(m) && m.score >= lowestOwnZone || !inOwnZone(m) && m.score >= lowestOtherZones) {
 			ids = append(ids, m.ID)
 		}
 	}
 	return ids
 }
 
-// lowestOfBest is the lowest of the n highest scores.
+// lowestOfBest returns the lowest of the n highest scores.
 func lowestOfBest(scores []uint64, n int) uint64 {
 	if n == 0 {
 		return math.MaxUint64
@@ -141,8 +141,8 @@
 	return scores[len(scores)-n]
 }
 
-// TestSubsetMatchesDefinition plays lists that change and needs that come and go, and holds each step against the definition:
-// one dispatcher moves at most one other into the subset or out of it, and Changes tells what differs.
+// TestSubsetMatchesDefinition applies random changes of the list and of the size, and compares each result with the definition.
+// A change of one dispatcher moves at most one other into or out of the subset, and Changes reports all differences.
 func TestSubsetMatchesDefinition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := Options{Identity: rapid.StringN(1, 8, 16).Draw(t, "identity"), Size: rapid.IntRange(1, 20).Draw(t, "size"), ShrinkAfter: time.Second}
@@ -152,7 +152,7 @@
 			o.Zone = "zone-0"
 		}
 		s, now := New(o), time.Duration(0)
-		told := map[control.ServerID]bool{}
+		reported := map[control.ServerID]bool{}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			before, target := s.all(), s.targetSize
 			e := newEntry(rapid.IntRange(0, 60).Draw(t, "dispatcher"), zones)
@@ -164,7 +164,7 @@
 				s.Put(e)
 			case 6, 7:
 				s.Remove(e.ID)
-				delete(told, e.ID)
+				delete(reported, e.ID)
 			case 8:
 				s.Grow(now)
 			case 9:
@@ -173,30 +173,30 @@
 			}
 			after := s.all()
 			if want := slices.Sorted(slices.Values(subsetByDefinition(s, slices.Collect(maps.Values(s.members))))); !slices.Equal(after, want) {
-				t.Fatalf("the subset is %v, by its definition %v", after, want)
+				t.Fatalf("the subset is %v, by definition %v", after, want)
 			}
 			if n := countDifferences(before, after, e.ID); s.targetSize == target && n > 1 {
-				t.Fatalf("%d others moved", n)
+				t.Fatalf("%d other dispatchers joined or left", n)
 			}
 			joined, left := s.Changes()
 			for _, id := range joined {
-				told[id] = true
+				reported[id] = true
 			}
 			for _, id := range left {
-				delete(told, id)
+				delete(reported, id)
 			}
-			if len(told) != len(after) || s.Len() != len(after) {
-				t.Fatalf("told of %d, counted %d, there are %d", len(told), s.Len(), len(after))
+			if len(reported) != len(after) || s.Len() != len(after) {
+				t.Fatalf("Changes reported %d dispatchers, Len is %d, the subset has %d", len(reported), s.Len(), len(after))
 			}
 			if len(s.members) <= o.Size && len(after) != s.Active() {
-				t.Fatalf("%d of %d are in the subset, though the size is %d", len(after), s.Active(), o.Size)
+				t.Fatalf("%d of %d dispatchers are in the subset of size %d", len(after), s.Active(), o.Size)
 			}
 		}
 	})
 }
 
-// TestZoneFailure: the subset of a controller that prefers a zone has some of others, for when that zone is lost while it is listed; and with
-// a zone off the list, the places are filled by what is left.
+// TestZoneFailure checks that a subset that prefers a zone also has dispatchers of other zones, in case that zone fails while
+// it is listed, and that the other zones fill its places once it is off the list.
 func TestZoneFailure(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(30, 400).Draw(t, "dispatchers")
@@ -213,100 +213,100 @@
 			}
 		}
 		if o.Zone != "" && others == 0 {
-			t.Fatal("nobody of another zone is in the subset")
+			t.Fatal("no dispatcher of another zone is in the subset")
 		}
 		if o.Zone != "" && others > (o.Size+7)/8 && n/zones >= o.Size {
-			t.Fatalf("%d of %d are of other zones", others, o.Size)
+			t.Fatalf("%d of %d dispatchers are of other zones", others, o.Size)
 		}
-		left := 0
+		listed := 0
 		for i := range n {
 			if i%zones == 0 {
 				s.Remove(newEntry(i, zones).ID)
 			} else {
-				left++
+				listed++
 			}
 		}
-		if s.Len() != min(left, o.Size) {
-			t.Fatalf("%d in the subset, %d are left", s.Len(), left)
+		if s.Len() != min(listed, o.Size) {
+			t.Fatalf("%d dispatchers in the subset, %d are listed", s.Len(), listed)
 		}
 	})
 }
 
-// TestGrowAndShrink follows needs over time.
+// TestGrowAndShrink checks that growth is bounded and that the subset shrinks step by step once growth is no longer needed.
 func TestGrowAndShrink(t *testing.T) {
 	s := newFilledSubset(Options{Identity: "a", Size: 10, GrowthLimit: 35, ShrinkAfter: time.Minute}, 300, 1)
 	now := time.Hour
 	for i, want := range []int{20, 30, 35, 35} {
 		if grew := s.Grow(now); s.Len() != want || grew != (i < 3) {
-			t.Fatalf("growth %d: %d in the subset, grew %v", i, s.Len(), grew)
+			t.Fatalf("growth %d: %d dispatchers in the subset, grew %v", i, s.Len(), grew)
 		}
 	}
 	now += 50 * time.Second
-	s.Grow(now) // which it can't, but the need is noted
+	s.Grow(now) // at its limit, but the need is recorded
 	for _, step := range []struct {
 		after time.Duration
 		want  int
 	}{{59 * time.Second, 35}, {time.Second, 25}, {59 * time.Second, 25}, {time.Second, 15}, {time.Minute, 10}, {time.Hour, 10}} {
 		now += step.after
 		if s.Shrink(now, allUsable); s.Len() != step.want {
-			t.Fatalf("%v later %d in the subset, not %d", step.after, s.Len(), step.want)
+			t.Fatalf("after %v: %d dispatchers in the subset, want %d", step.after, s.Len(), step.want)
 		}
 	}
 	s.Grow(now)
 	s.Changes()
 	now += time.Hour
-	nobody := func(control.ServerID) bool { return false }
-	if s.Shrink(now, nobody); s.Len() != 20 {
-		t.Errorf("%d in the subset, though those that remain refuse", s.Len())
+	noneUsable := func(control.ServerID) bool { return false }
+	if s.Shrink(now, noneUsable); s.Len() != 20 {
+		t.Errorf("shrunk to %d although no dispatcher is usable", s.Len())
 	}
 	if joined, left := s.Changes(); len(joined)+len(left) > 0 {
 		t.Errorf("%v joined and %v left", joined, left)
 	}
 	s.Shrink(now+time.Hour, allUsable)
 	if !s.AtBaseSize() || s.Growths() != 4 {
-		t.Fatalf("resting %v, %d growths", s.AtBaseSize(), s.Growths())
+		t.Fatalf("at base size %v, %d growths", s.AtBaseSize(), s.Growths())
 	}
 }
 
-// TestUseCell has every dispatcher be some call's first choice.
+// TestUseCell uses every dispatcher as the first choice of a call.
 func TestUseCell(t *testing.T) {
-	const most = 30
-	s := newFilledSubset(Options{Identity: "a", Size: 10, GrowthLimit: most, ShrinkAfter: time.Minute}, 300, 1)
+	const growthLimit = 30
+	s := newFilledSubset(Options{Identity: "a", Size: 10, GrowthLimit: growthLimit, ShrinkAfter: time.Minute}, 300, 1)
 	now := time.Duration(0)
 	for i := range 300 {
 		now += time.Millisecond
 		if s.UseCell(now, i); !s.Has(newEntry(i, 1).ID) || s.CountInCell(i) != 1 {
-			t.Fatalf("dispatcher %d is out of reach", i)
+			t.Fatalf("dispatcher %d is not in the subset", i)
 		}
-		if s.Len() > 10+most {
-			t.Fatalf("%d in the subset", s.Len())
+		if s.Len() > 10+growthLimit {
+			t.Fatalf("%d dispatchers in the subset", s.Len())
 		}
 	}
-	s.UseCell(now, 12345) // nobody's group
+	s.UseCell(now, 12345) // a cell without dispatchers
 	if s.Shrink(now+time.Minute, allUsable); s.Len() != 10 || !s.AtBaseSize() {
-		t.Fatalf("%d in the subset after the quiet", s.Len())
+		t.Fatalf("%d dispatchers in the subset after shrinking", s.Len())
 	}
 }
 
 func TestOptionsCheck(t *testing.T) {
 	for name, test := range map[string]struct {
 		Options
-		good bool
+		valid bool
 	}{
-		"defaults":         {good: true},
-		"a size":           {Options: Options{Size: 7}, good: true},
-		"a size below one": {Options: Options{Size: -1}},
-		"most below size":  {Options: Options{Size: 20, GrowthLimit: 10}},
-		"no such size":     {Options: Options{Size: MaxSize + 1}},
-		"quiet below zero": {Options: Options{ShrinkAfter: -1}},
+		"defaults":                {valid: true},
+		"size":                    {Options: Options{Size: 7}, valid: true},
+		"size below one":          {Options: Options{Size: -1}},
+		"growth limit below size": {Options: Options{Size: 20, GrowthLimit: 10}},
+		"size too large":          {Options: Options{Size: MaxSize + 1}},
+		"negative shrink time":    {Options: Options{ShrinkAfter: -1}},
 	} {
-		if err := test.Check(); (err == nil) != test.good {
+		if err := test.Check(); (err == nil) != test.valid {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// BenchmarkChange has one dispatcher go and come back.
+// BenchmarkChange removes and adds one dispatcher.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{3000, 37000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/lists/poolfile/poolfile_test.go
+++ b/internal/lists/poolfile/poolfile_test.go
@@ -80,7 +80,7 @@
 		{"servers = 2", "servers = two", `value: line 5: servers: "two" is no whole number from 0 to 50000`},
 		{"servers = 2\n", "", "form: line 2: [pool] lacks the key servers"},
 		{"server s-2", "server s-1", `twice: line 14: server: "s-1" is named twice, first in line 7`},
-		{"ws://127.0.0.1:7002", "ws://127.0.0.1:7001", `twice: line 14: address: "ws://127.0.0.1:7001/v1/calls" of server "s-2" is that of server "s-1"`},
+		{"ws://127.0.0.1:7002", "ws://127.0.0.1:7001", `twice: line 14: address: "ws://127.0.0.1:7001/v1/calls" of server "s-2" is already used by server "s-1"`},
 		{"zone = tallinn", "zones = tallinn", `form: line 9: unknown key "zones" in [server s-1]`},
 		{"group = 1\n", "", "form: line 14: [server s-2] lacks the key group"},
 		{"group = 1", "group = -1", `value: line 16: group: "-1" is no whole number from 0 to 1048576`},
