--- a/internal/decide/links/budget_test.go
+++ b/internal/decide/links/budget_test.go
@@ -78,15 +78,15 @@
 	pastTime := rapid.Map(rapid.Int64Range(-int64(time.Second), int64(5*time.Second)), func(d int64) time.Time { return now.Add(-time.Duration(d)) })
 	anyConnection := rapid.Custom(func(t *rapid.T) Connection {
 		return Connection{
-			Draining: rapid.Bool().Draw(t, "drains"), Sole: rapid.Bool().Draw(t, "sole"), HalfClosed: rapid.Bool().Draw(t, "half-closed"),
-			HasCalls: rapid.Bool().Draw(t, "standing"), HasReceived: rapid.Bool().Draw(t, "heard"), PendingSetUps: rapid.IntRange(0, 2).Draw(t, "set-ups"), Since: pastTime.Draw(t, "since"),
+			Draining: rapid.Bool().Draw(t, "draining"), Sole: rapid.Bool().Draw(t, "sole"), HalfClosed: rapid.Bool().Draw(t, "half-closed"),
+			HasCalls: rapid.Bool().Draw(t, "has calls"), HasReceived: rapid.Bool().Draw(t, "has received"), PendingSetUps: rapid.IntRange(0, 2).Draw(t, "pending set-ups"), Since: pastTime.Draw(t, "since"),
 			UsedAt: pastTime.Draw(t, "used"),
 		}
 	})
 	rapid.Check(t, func(t *rapid.T) {
 		connections := rapid.SliceOfN(anyConnection, 0, 12).Draw(t, "connections")
 		purpose := Purpose(rapid.IntRange(int(Draining), int(SetUp)).Draw(t, "purpose"))
-		unconnected := time.Duration(rapid.Int64Range(0, int64(2*maxUnconnected)).Draw(t, "without"))
+		unconnected := time.Duration(rapid.Int64Range(0, int64(2*maxUnconnected)).Draw(t, "unconnected"))
 		i := Evict(now, purpose, unconnected, connections)
 		idleWithoutCalls, settledIdle := false, false
 		for _, c := range connections {
--- a/internal/decide/links/links_test.go
+++ b/internal/decide/links/links_test.go
@@ -48,12 +48,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var d Demand
 		now := start
-		limit := rapid.IntRange(1, 8).Draw(t, "most")
+		limit := rapid.IntRange(1, 8).Draw(t, "limit")
 		for range rapid.IntRange(0, 30).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "gap")))
 			open := rapid.IntRange(0, 12).Draw(t, "open")
 			d.Observe(now, open)
-			oldestUnanswered := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "oldest"))
+			oldestUnanswered := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "oldest unanswered"))
 			if got := d.Target(now, oldestUnanswered, limit); got < 1 || got > limit || got < min(open, limit) {
 				t.Fatalf("target %d with %d open set-ups, limit %d", got, open, limit)
 			}
--- a/internal/decide/links/socket_quota.go
+++ b/internal/decide/links/socket_quota.go
@@ -1,9 +1,10 @@
 package links
 
-// SocketQuota divides the sockets of a process between callers and connections to dispatchers.
+// SocketQuota divides the sockets of a process between callers and connections to dispatchers. It does not include the
+// descriptors that the process needs for itself.
 type SocketQuota struct {
 	Sockets    int // for both together
-	MaxCallers int // the most that callers may hold
+	MaxCallers int // the most that callers may hold at a time
 	Reserved   int // kept for callers even when unused
 	Headroom   int // free for new callers beyond those connected, until idle connections to dispatchers are closed
 }
--- a/internal/decide/links/socket_quota_test.go
+++ b/internal/decide/links/socket_quota_test.go
@@ -11,9 +11,9 @@
 func TestSocketQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := SocketQuota{Sockets: rapid.IntRange(2, 2000).Draw(t, "sockets")}
-		s.MaxCallers = rapid.IntRange(1, s.Sockets-1).Draw(t, "callers")
-		s.Reserved = rapid.IntRange(0, s.MaxCallers).Draw(t, "kept")
-		s.Headroom = rapid.IntRange(1, 64).Draw(t, "ahead")
+		s.MaxCallers = rapid.IntRange(1, s.Sockets-1).Draw(t, "max callers")
+		s.Reserved = rapid.IntRange(0, s.MaxCallers).Draw(t, "reserved")
+		s.Headroom = rapid.IntRange(1, 64).Draw(t, "headroom")
 		connected := rapid.IntRange(0, s.MaxCallers).Draw(t, "connected")
 		callers, dispatchers := s.Divide(connected)
 		if callers+dispatchers != s.Sockets || callers > s.MaxCallers || callers < s.Reserved || callers < connected || dispatchers < 1 {
--- a/internal/decide/members/members.go
+++ b/internal/decide/members/members.go
@@ -1,6 +1,6 @@
 // Package members derives the members of the fleet, and how certain that knowledge is, from the answers of the fleet's store
 // and their times. It does no I/O; all times are arguments, readings of one monotonic clock of the process.
-// docs/fleet-members.md gives the proof.
+// docs/fleet-members.md explains why the rules are safe.
 package members
 
 import (
@@ -11,7 +11,7 @@
 )
 
 const (
-	// leaseMarginDivisor is the divisor of a lease that gives its margin, which covers clocks that run at different rates.
+	// leaseMarginDivisor divides a lease to get its margin, which allows for clocks that run at different rates.
 	leaseMarginDivisor = 8
 	// maxViewAgeLeases is the age in leases beyond which a view is not acted on.
 	maxViewAgeLeases = 2
@@ -187,11 +187,11 @@
 // ObserveStore records the store and the revision of a linearizable answer. It returns false if this is another store, or the
 // same one restored to an earlier state. A key that is missing there does not show that its member has ended, and the own key
 // must be created again. The revision need not be that of the requested keys.
-func (v *View) ObserveStore(now time.Duration, cluster uint64, revision int64) bool {
-	same := v.storeID == 0 || cluster == v.storeID && revision >= v.highestRevision
+func (v *View) ObserveStore(now time.Duration, storeID uint64, revision int64) bool {
+	same := v.storeID == 0 || storeID == v.storeID && revision >= v.highestRevision
 	if !same {
 		cause := "the store went back"
-		if cluster != v.storeID {
+		if storeID != v.storeID {
 			cause = "another store"
 		}
 		v.recordEvent(now, StoreReplaced, Entry{Name: v.self, Incarnation: v.incarnation}, cause)
@@ -200,7 +200,7 @@
 		v.members, v.loaded, v.revision, v.samples = map[string]*Member{}, false, 0, nil
 		v.highestRevision = 0
 	}
-	v.storeID, v.highestRevision = cluster, max(v.highestRevision, revision)
+	v.storeID, v.highestRevision = storeID, max(v.highestRevision, revision)
 	return same
 }
 
@@ -334,9 +334,9 @@
 
 // Actable reports whether this process may act on the view: it holds its lease, and the view is recent enough.
 func (v *View) Actable(now time.Duration) bool {
-	age, known := v.Age(now)
-	_, _, certain := v.HoldsLease(now)
-	return known && certain && age <= maxViewAgeLeases*v.lease
+	age, loaded := v.Age(now)
+	_, _, holds := v.HoldsLease(now)
+	return loaded && holds && age <= maxViewAgeLeases*v.lease
 }
 
 // Revision returns the revision up to which the view is complete.
--- a/internal/decide/members/members_test.go
+++ b/internal/decide/members/members_test.go
@@ -22,8 +22,8 @@
 	leasesGained := 0
 	rapid.Check(t, func(t *rapid.T) {
 		o := defaultOptions()
-		o.lossRate = rapid.Float64Range(0, 0.5).Draw(t, "lost")
-		o.maxDelay = time.Duration(rapid.IntRange(1, 3000).Draw(t, "delay")) * time.Millisecond
+		o.lossRate = rapid.Float64Range(0, 0.5).Draw(t, "loss rate")
+		o.maxDelay = time.Duration(rapid.IntRange(1, 3000).Draw(t, "max delay")) * time.Millisecond
 		violations, gained := runSimulation(rapid.Uint64().Draw(t, "seed"), o, 40)
 		if leasesGained += gained; violations != "" {
 			t.Fatal(violations)
@@ -71,17 +71,17 @@
 	}
 	checkHoldsLease(0, false)
 	v.RecordOwnKey(time.Second, 0, 7) // requested at 0, answered at 1 s
-	counted := lease - Margin(lease)
-	checkHoldsLease(counted-1, true)
-	checkHoldsLease(counted, false)
-	v.RecordRenewal(counted+time.Second, time.Second, 7) // a late answer counts from the time of its request
-	checkHoldsLease(time.Second+counted-1, true)
-	checkHoldsLease(time.Second+counted, false)
+	effectiveLease := lease - Margin(lease)
+	checkHoldsLease(effectiveLease-1, true)
+	checkHoldsLease(effectiveLease, false)
+	v.RecordRenewal(effectiveLease+time.Second, time.Second, 7) // a late answer counts from the time of its request
+	checkHoldsLease(time.Second+effectiveLease-1, true)
+	checkHoldsLease(time.Second+effectiveLease, false)
 	v.RecordRenewal(5*time.Second, 5*time.Second, 6) // of another incarnation
 	checkHoldsLease(5*time.Second, false)
 	v.RecordRenewal(5*time.Second, 5*time.Second, 7)
 	checkHoldsLease(5*time.Second, true)
-	v.RecordLeaseEnd(6*time.Second, "told")
+	v.RecordLeaseEnd(6*time.Second, "revoked")
 	checkHoldsLease(6*time.Second, false)
 	v.RecordRenewal(6*time.Second, 6*time.Second, 7) // an ended lease is not renewed
 	checkHoldsLease(6*time.Second, false)
@@ -89,7 +89,7 @@
 	checkHoldsLease(7*time.Second, true)
 }
 
-func TestMembersEndOnlyByTheStore(t *testing.T) {
+func TestHasEnded(t *testing.T) {
 	v := New("a", lease)
 	v.ObserveStore(0, 1, 10)
 	v.ApplyRead(0, 0, 10, []Entry{entry("a", 2, 2, Serving), entry("b", 3, 9, Serving), entry("c", 4, 4, Serving)})
@@ -116,10 +116,10 @@
 	}
 	// In another store, or one restored to an earlier state, a missing member has not ended.
 	for i, replacement := range []struct {
-		cluster  uint64
+		storeID  uint64
 		revision int64
 	}{{2, 20}, {2, 5}} {
-		if v.ObserveStore(4, replacement.cluster, replacement.revision) {
+		if v.ObserveStore(4, replacement.storeID, replacement.revision) {
 			t.Errorf("store %d was not recognised as another one", i)
 		}
 		v.ApplyRead(5, 5, replacement.revision, nil)
@@ -146,7 +146,7 @@
 	}
 	v.RecordRenewal(8*time.Second, 8*time.Second, 1)
 	if !v.Actable(8*time.Second) || v.Actable(8*time.Second+1) {
-		t.Error("a view is not actable exactly until it is two leases old")
+		t.Error("the view must be actable until it is two leases old, and not after that")
 	}
 }
 
--- a/internal/decide/pool/check.go
+++ b/internal/decide/pool/check.go
@@ -20,7 +20,7 @@
 	DefaultLimit = 10_000
 	// MaxNameLength limits names, zones and labels, in bytes. They are part of every log line.
 	MaxNameLength = 64
-	// MaxGroup limits group numbers.
+	// MaxGroup limits group numbers, by which calls name their first choice.
 	MaxGroup = 1 << 20
 	// maxAddressLength limits addresses, in bytes.
 	maxAddressLength = 256
--- a/internal/decide/pool/history.go
+++ b/internal/decide/pool/history.go
@@ -101,6 +101,6 @@
 
 // Counts returns the number of accepted versions, and of refused ones by reason. A version with several reasons counts for
 // each.
-func (p *Pool) Counts() (taken int, refused map[Reason]int) {
+func (p *Pool) Counts() (accepted int, refused map[Reason]int) {
 	return p.acceptedCount, p.refusedByReason
 }
--- a/internal/decide/pool/pool.go
+++ b/internal/decide/pool/pool.go
@@ -88,8 +88,8 @@
 	return &Pool{entries: map[control.ServerID]*entry{}, refusedByReason: map[Reason]int{}, fileLimit: DefaultLimit}
 }
 
-// SetLimit sets the maximum number of servers in a set from any source, according to the available memory. A larger set is
-// refused as a whole.
+// SetLimit sets the maximum number of servers in a set from any source, so that memory suffices. A larger set is refused as a
+// whole.
 func (p *Pool) SetLimit(servers int) { p.fileLimit, p.streamLimit = min(servers, MaxServers), servers }
 
 // checkLimit returns a fault if the candidate has more servers than the limit allows.
@@ -167,8 +167,8 @@
 	return m
 }
 
-// merge computes the set that the candidate makes of the active one, and the changes, without modifying either. departed has
-// the members that the candidate lists as Removed.
+// merge returns the set that is active after the candidate, and what changes. It modifies neither the candidate nor the active
+// set. departed holds the members that the candidate lists as Removed.
 func (p *Pool) merge(now time.Duration, c *Candidate) (next map[control.ServerID]*entry, change Change, departed map[control.ServerID]bool) {
 	next, departed = make(map[control.ServerID]*entry, len(c.Servers)), map[control.ServerID]bool{}
 	for _, m := range c.Servers {
@@ -190,9 +190,9 @@
 	return next, change, departed
 }
 
-// newEntry decides since when a member has been running. A member that is added to an active set, added again, or moved to
-// another address counts as a process that has just started, unless it is reported to have started earlier. A dispatcher that
-// is treated as warm although it has just started would be overloaded.
+// newEntry returns the entry of a member and decides its start time. A member that is added to an active set, added again, or
+// moved to another address counts as a process that has just started, unless it is reported to have started earlier. A
+// dispatcher that is treated as warm although it has just started would be overloaded.
 func (p *Pool) newEntry(now time.Duration, m Member, old *entry) *entry {
 	e := &entry{Member: m, reportedStart: m.StartedAt, firstSeenAt: now}
 	switch {
@@ -301,22 +301,22 @@
 
 // Snapshot returns the active set.
 func (p *Pool) Snapshot() Snapshot {
-	m := Snapshot{Label: p.current.Label, Digest: p.current.Digest}
+	s := Snapshot{Label: p.current.Label, Digest: p.current.Digest}
 	for _, id := range slices.Sorted(maps.Keys(p.entries)) {
 		e := p.entries[id]
-		m.Members = append(m.Members, SnapshotMember{
+		s.Members = append(s.Members, SnapshotMember{
 			Name: string(id), Address: e.Address, Zone: e.Zone, Group: e.Cell, Status: int(e.Status), Weight: e.Weight,
 			StartedUs: e.StartedAt.Microseconds(), ReportedStartUs: e.reportedStart.Microseconds(), FirstSeenUs: e.firstSeenAt.Microseconds(),
 		})
 	}
-	return m
+	return s
 }
 
 // Restore makes the snapshot of a previous process the active set, before any other set. It is checked like a file, since the
 // snapshot may come from a version with other limits.
-func (p *Pool) Restore(now time.Duration, m Snapshot) Verdict {
-	c := Candidate{Source: FromSnapshot, Label: m.Label, Digest: m.Digest, Update: Update{Complete: true}}
-	for _, r := range m.Members {
+func (p *Pool) Restore(now time.Duration, s Snapshot) Verdict {
+	c := Candidate{Source: FromSnapshot, Label: s.Label, Digest: s.Digest, Update: Update{Complete: true}}
+	for _, r := range s.Members {
 		c.Servers = append(c.Servers, Member{Address: r.Address, ServerEntry: control.ServerEntry{
 			ID: control.ServerID(r.Name), Zone: r.Zone, Cell: r.Group, Status: control.ServerStatus(r.Status), Weight: r.Weight,
 			StartedAt: min(microseconds(r.StartedUs), now+maxClockSkew), // the clock may have been set back since
@@ -326,7 +326,7 @@
 	if !v.Accepted {
 		return v
 	}
-	for _, r := range m.Members {
+	for _, r := range s.Members {
 		if e := p.entries[control.ServerID(r.Name)]; e != nil {
 			e.reportedStart, e.firstSeenAt = min(microseconds(r.ReportedStartUs), now+maxClockSkew), min(microseconds(r.FirstSeenUs), now)
 		}
--- a/internal/decide/pool/pool_test.go
+++ b/internal/decide/pool/pool_test.go
@@ -20,7 +20,7 @@
 	return Member{Address: "127.0.0.1:" + port, ServerEntry: control.ServerEntry{ID: control.ServerID(name), Weight: weight}}
 }
 
-func with(m Member, modify func(*Member)) Member {
+func modified(m Member, modify func(*Member)) Member {
 	modify(&m)
 	return m
 }
@@ -39,30 +39,30 @@
 }
 
 func TestRefusedCandidateReportsFaultsAndChangesNothing(t *testing.T) {
-	good := []Member{member("a", "1", 1), member("b", "2", 3)}
+	valid := []Member{member("a", "1", 1), member("b", "2", 3)}
 	for name, test := range map[string]struct {
 		servers []Member
 		want    []string
 	}{
-		"duplicate name":      {append(slices.Clone(good), member("a", "3", 1)), []string{`twice: line 30: server: "a" is named twice, first in line 10`}},
-		"duplicate address":   {append(slices.Clone(good), member("c", "2", 1)), []string{`twice: line 30: address: "127.0.0.1:2" of server "c" is already used by server "b", first in line 20`}},
+		"duplicate name":      {append(slices.Clone(valid), member("a", "3", 1)), []string{`twice: line 30: server: "a" is named twice, first in line 10`}},
+		"duplicate address":   {append(slices.Clone(valid), member("c", "2", 1)), []string{`twice: line 30: address: "127.0.0.1:2" of server "c" is already used by server "b", first in line 20`}},
 		"all weights zero":    {[]Member{member("a", "1", NoNewCalls), member("b", "2", NoNewCalls)}, []string{"nobody: no server is active with a weight above 0: no server would get calls"}},
-		"no active server":    {[]Member{with(member("a", "1", 1), func(m *Member) { m.Status = control.Draining })}, []string{"nobody: no server is active with a weight above 0: no server would get calls"}},
+		"no active server":    {[]Member{modified(member("a", "1", 1), func(m *Member) { m.Status = control.Draining })}, []string{"nobody: no server is active with a weight above 0: no server would get calls"}},
 		"no server":           {nil, []string{"nobody: no server is active with a weight above 0: no server would get calls"}},
 		"weight too high":     {[]Member{member("a", "1", 1001)}, []string{`value: line 10: weight: 1001 of server "a" is not from 0 to 1000`}},
 		"no weight":           {[]Member{member("a", "1", 0)}, []string{`value: line 10: weight: 0 of server "a" is not from 0 to 1000`}},
 		"no port":             {[]Member{member("a", "", 1)}, []string{`value: line 10: address: "127.0.0.1:" of server "a" has no port from 1 to 65535`}},
 		"port too high":       {[]Member{member("a", "65536", 1)}, []string{`value: line 10: address: "127.0.0.1:65536" of server "a" has no port from 1 to 65535`}},
 		"name with spaces":    {[]Member{member("a b", "1", 1)}, []string{`value: line 10: server: the name "a b" has spaces, quotes, backslashes or unprintable characters`}},
-		"negative group":      {[]Member{with(member("a", "1", 1), func(m *Member) { m.Cell = -1 })}, []string{`value: line 10: group: -1 of server "a" is not from 0 to 1048576`}},
-		"start in the future": {[]Member{with(member("a", "1", 1), func(m *Member) { m.StartedAt = clock + time.Hour })}, []string{`value: line 10: since: server "a" would start in the future, or before 1970`}},
+		"negative group":      {[]Member{modified(member("a", "1", 1), func(m *Member) { m.Cell = -1 })}, []string{`value: line 10: group: -1 of server "a" is not from 0 to 1048576`}},
+		"start in the future": {[]Member{modified(member("a", "1", 1), func(m *Member) { m.StartedAt = clock + time.Hour })}, []string{`value: line 10: since: server "a" would start in the future, or before 1970`}},
 		"two faults": {[]Member{member("", "1", 1), member("b", "x", 1)}, []string{
 			`value: line 10: server: the name "" is empty`, `value: line 20: address: "127.0.0.1:x" of server "b" is neither host:port nor ws://host:port/path`}},
 		"too many servers": {make([]Member, DefaultLimit+1), []string{"size: 10001 servers exceed the limit of 10000"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := New()
-			p.Apply(clock, fileCandidate(good...))
+			p.Apply(clock, fileCandidate(valid...))
 			before := p.Members()
 			c := fileCandidate(test.servers...)
 			for i := range test.servers {
@@ -79,10 +79,10 @@
 			if diff := cmp.Diff(before, p.Members()); diff != "" {
 				t.Errorf("the active set changed:\n%s", diff)
 			}
-			if trouble, is := p.LastRefused(); !is || trouble.Number != 2 {
-				t.Errorf("last refused: %v, %+v", is, trouble)
+			if refused, ok := p.LastRefused(); !ok || refused.Number != 2 {
+				t.Errorf("last refused: %v, %+v", ok, refused)
 			}
-			if p.Apply(clock+2*time.Second, fileCandidate(good...)); func() bool { _, is := p.LastRefused(); return is }() {
+			if p.Apply(clock+2*time.Second, fileCandidate(valid...)); func() bool { _, ok := p.LastRefused(); return ok }() {
 				t.Error("a valid set was applied, and the refused one is still reported")
 			}
 		})
@@ -90,12 +90,12 @@
 }
 
 func TestAddresses(t *testing.T) {
-	for address, good := range map[string]bool{
+	for address, valid := range map[string]bool{
 		"127.0.0.1:7001": true, "[::1]:7001": true, "dispatch.example:1": true, "ws://127.0.0.1:80/v1/calls": true,
 		"": false, ":7001": false, "127.0.0.1": false, "127.0.0.1:0": false, "127.0.0.1:7001/x": false, "ws://127.0.0.1:80": false,
 		"wss://127.0.0.1:80/x": false, "ws://127.0.0.1/x": false, "user@127.0.0.1:1": false, "127.0.0.1:1?x": false, strings.Repeat("a", 300) + ":1": false,
 	} {
-		if text := addressProblem(address); (text == "") != good {
+		if text := addressProblem(address); (text == "") != valid {
 			t.Errorf("%q: %q", address, text)
 		}
 	}
@@ -113,20 +113,20 @@
 		moved     string
 	}{
 		"first set, no start reported":              {[][]Member{{member("a", "1", 1)}}, 0, "", ""},
-		"first set, start reported":                 {[][]Member{{with(member("a", "1", 1), since(firstSeenAt-time.Second))}}, firstSeenAt - time.Second, "", ""},
+		"first set, start reported":                 {[][]Member{{modified(member("a", "1", 1), since(firstSeenAt-time.Second))}}, firstSeenAt - time.Second, "", ""},
 		"added, no start reported":                  {[][]Member{{member("b", "2", 1)}, {member("a", "1", 1), member("b", "2", 1)}}, firstSeenAt + time.Second, "", ""},
-		"added, early start reported":               {[][]Member{{member("b", "2", 1)}, {with(member("a", "1", 1), since(5)), member("b", "2", 1)}}, 5, "", ""},
+		"added, early start reported":               {[][]Member{{member("b", "2", 1)}, {modified(member("a", "1", 1), since(5)), member("b", "2", 1)}}, 5, "", ""},
 		"another name at the same address":          {[][]Member{{member("b", "1", 1)}, {member("a", "1", 1)}}, firstSeenAt + time.Second, "", ""},
 		"the same set again":                        {[][]Member{{member("a", "1", 1)}, {member("a", "1", 1)}}, 0, "", ""},
 		"another weight only":                       {[][]Member{{member("a", "1", 1)}, {member("a", "1", 7)}}, 0, "", ""},
 		"another address, no start reported":        {[][]Member{{member("a", "1", 1)}, {member("a", "2", 1)}}, firstSeenAt + time.Second, "", "a"},
-		"another address, start of the old process": {[][]Member{{with(member("a", "1", 1), since(5))}, {with(member("a", "2", 1), since(5))}}, firstSeenAt + time.Second, "", "a"},
-		"another address, later start":              {[][]Member{{with(member("a", "1", 1), since(5))}, {with(member("a", "2", 1), since(9))}}, 9, "", "a"},
-		"later start":                               {[][]Member{{with(member("a", "1", 1), since(5))}, {with(member("a", "1", 1), since(9))}}, 9, "a", ""},
-		"earlier start":                             {[][]Member{{with(member("a", "1", 1), since(9))}, {with(member("a", "1", 1), since(5))}}, 9, "", ""},
-		"start reported later, before first seen":   {[][]Member{{member("a", "1", 1)}, {with(member("a", "1", 1), since(firstSeenAt-time.Hour))}}, 0, "", ""},
-		"start reported later, after first seen":    {[][]Member{{member("a", "1", 1)}, {with(member("a", "1", 1), since(firstSeenAt+time.Second))}}, firstSeenAt + time.Second, "a", ""},
-		"start no longer reported":                  {[][]Member{{with(member("a", "1", 1), since(5))}, {member("a", "1", 1)}}, 5, "", ""},
+		"another address, start of the old process": {[][]Member{{modified(member("a", "1", 1), since(5))}, {modified(member("a", "2", 1), since(5))}}, firstSeenAt + time.Second, "", "a"},
+		"another address, later start":              {[][]Member{{modified(member("a", "1", 1), since(5))}, {modified(member("a", "2", 1), since(9))}}, 9, "", "a"},
+		"later start":                               {[][]Member{{modified(member("a", "1", 1), since(5))}, {modified(member("a", "1", 1), since(9))}}, 9, "a", ""},
+		"earlier start":                             {[][]Member{{modified(member("a", "1", 1), since(9))}, {modified(member("a", "1", 1), since(5))}}, 9, "", ""},
+		"start reported later, before first seen":   {[][]Member{{member("a", "1", 1)}, {modified(member("a", "1", 1), since(firstSeenAt-time.Hour))}}, 0, "", ""},
+		"start reported later, after first seen":    {[][]Member{{member("a", "1", 1)}, {modified(member("a", "1", 1), since(firstSeenAt+time.Second))}}, firstSeenAt + time.Second, "a", ""},
+		"start no longer reported":                  {[][]Member{{modified(member("a", "1", 1), since(5))}, {member("a", "1", 1)}}, 5, "", ""},
 		"added again":                               {[][]Member{{member("a", "1", 1)}, {member("b", "2", 1)}, {member("a", "1", 1), member("b", "2", 1)}}, firstSeenAt + 2*time.Second, "", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -154,11 +154,11 @@
 		t.Fatalf("first: %+v", first.Update)
 	}
 	v := p.Apply(clock+time.Second, fileCandidate(member("a", "1", 1), member("b", "2", NoNewCalls), member("d", "4", 2),
-		with(member("e", "5", 1), func(m *Member) { m.Status = control.Removed })))
+		modified(member("e", "5", 1), func(m *Member) { m.Status = control.Removed })))
 	want := Update{Servers: []Member{
-		with(member("b", "2", 0), func(m *Member) { m.Status = control.Draining }),
-		with(member("c", "3", 1), func(m *Member) { m.Status, m.CallsContinue = control.Removed, true }),
-		with(member("d", "4", 2), func(m *Member) { m.StartedAt = clock + time.Second }),
+		modified(member("b", "2", 0), func(m *Member) { m.Status = control.Draining }),
+		modified(member("c", "3", 1), func(m *Member) { m.Status, m.CallsContinue = control.Removed, true }),
+		modified(member("d", "4", 2), func(m *Member) { m.StartedAt = clock + time.Second }),
 	}}
 	if diff := cmp.Diff(want, v.Update); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
@@ -167,8 +167,8 @@
 		t.Errorf("change %q", got)
 	}
 	v = p.Apply(clock+2*time.Second, fileCandidate(member("a", "1", 1), member("b", "2", 9),
-		with(member("d", "4", 2), func(m *Member) { m.Status = control.Removed })))
-	removed := with(member("d", "4", 2), func(m *Member) { m.Status, m.StartedAt = control.Removed, clock+time.Second })
+		modified(member("d", "4", 2), func(m *Member) { m.Status = control.Removed })))
+	removed := modified(member("d", "4", 2), func(m *Member) { m.Status, m.StartedAt = control.Removed, clock+time.Second })
 	if diff := cmp.Diff(Update{Servers: []Member{member("b", "2", 9), removed}}, v.Update); diff != "" {
 		t.Errorf("weight raised again, and one Removed (-want +got):\n%s", diff)
 	}
@@ -180,8 +180,8 @@
 	invalid := []Member{member("a", "1", 0), member("b", "1", 0), {ServerEntry: control.ServerEntry{ID: "c"}}}
 	for i, u := range []Update{
 		{Servers: invalid, Complete: true},
-		{Servers: []Member{with(member("a", "1", 0), func(m *Member) { m.Status = control.Draining })}},
-		{Servers: []Member{with(member("b", "1", 0), func(m *Member) { m.Status = control.Removed })}},
+		{Servers: []Member{modified(member("a", "1", 0), func(m *Member) { m.Status = control.Draining })}},
+		{Servers: []Member{modified(member("b", "1", 0), func(m *Member) { m.Status = control.Removed })}},
 		{Servers: nil, Complete: true},
 	} {
 		v := p.Apply(clock+time.Duration(i)*time.Second, Candidate{Source: FromCoordinator, Update: u})
@@ -204,17 +204,17 @@
 	for i := range 3 * maxHistory {
 		p.Apply(clock+time.Duration(i), fileCandidate(member("a", "1", NoNewCalls)))
 	}
-	if trouble, _ := p.LastRefused(); trouble.Repeats != 3*maxHistory-1 || len(p.History()) != 2 {
-		t.Errorf("same candidate refused repeatedly: %d repeats, %d versions", trouble.Repeats, len(p.History()))
+	if refused, _ := p.LastRefused(); refused.Repeats != 3*maxHistory-1 || len(p.History()) != 2 {
+		t.Errorf("same candidate refused repeatedly: %d repeats, %d versions", refused.Repeats, len(p.History()))
 	}
 	for i := range 3 * maxHistory {
 		p.Apply(clock+time.Duration(i), fileCandidate(member("a", "1", i+1)))
 	}
-	if h := p.History(); len(h) != maxHistory || h[0].Number != 2+3*maxHistory-1 {
-		t.Errorf("%d versions, the newest number %d", len(h), h[0].Number)
+	if versions := p.History(); len(versions) != maxHistory || versions[0].Number != 2+3*maxHistory-1 {
+		t.Errorf("%d versions, the newest number %d", len(versions), versions[0].Number)
 	}
-	if taken, refused := p.Counts(); taken != 3*maxHistory || refused[NoneActive] != 1 {
-		t.Errorf("accepted %d, refused %v", taken, refused)
+	if accepted, refused := p.Counts(); accepted != 3*maxHistory || refused[NoneActive] != 1 {
+		t.Errorf("accepted %d, refused %v", accepted, refused)
 	}
 }
 
@@ -367,8 +367,8 @@
 	}
 	removed := member("s0", "1000", 1)
 	removed.Status = control.Removed
-	stream := func(whole bool, all ...Member) Candidate {
-		return Candidate{Source: FromCoordinator, Update: Update{Complete: whole, Servers: all}}
+	stream := func(complete bool, all ...Member) Candidate {
+		return Candidate{Source: FromCoordinator, Update: Update{Complete: complete, Servers: all}}
 	}
 	for i, test := range []struct {
 		Candidate
--- a/internal/decide/subset/ranking.go
+++ b/internal/decide/subset/ranking.go
@@ -58,8 +58,8 @@
 	onChange   func(m *member, by int) // called for each that becomes selected (1) and each that no longer is (-1)
 }
 
-func newRanking(moved func(m *member, by int)) *ranking {
-	return &ranking{selected: slotHeap{worstFirst: true}, onChange: moved}
+func newRanking(onChange func(m *member, by int)) *ranking {
+	return &ranking{selected: slotHeap{worstFirst: true}, onChange: onChange}
 }
 
 func (r *ranking) len() int { return r.selected.Len() + r.unselected.Len() }
--- a/internal/decide/subset/subset.go
+++ b/internal/decide/subset/subset.go
@@ -19,8 +19,8 @@
 
 const (
 	// DefaultSize is the smallest size, rounded, at which hashing leaves no dispatcher with more than 1.5 times the mean number
-	// of controllers, at 3,000 of each. With a mean of n, the probability that a dispatcher exceeds that falls with exp(-0.108
-	// n).
+	// of controllers, at 3,000 of each. With a mean of n, the probability that a dispatcher exceeds that falls with
+	// exp(-0.108 n).
 	DefaultSize = 96
 	// DefaultShrinkAfter is how long a grown subset must not have been needed before it shrinks.
 	DefaultShrinkAfter = time.Minute
@@ -31,8 +31,8 @@
 	// otherZoneShare is the share of places for dispatchers of other zones, so that the own zone may fail while its dispatchers
 	// are still listed.
 	otherZoneShare = 1.0 / 8
-	// otherZoneGrowthShare is the same share of the places added by growth: dispatchers that refuse are more likely to be those
-	// of one zone than the others.
+	// otherZoneGrowthShare is the share of the places added by growth that go to other zones. It is higher, since dispatchers
+	// that refuse calls are more likely to belong to one zone than to the others.
 	otherZoneGrowthShare = 1.0 / 2
 )
 
--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -100,7 +100,7 @@
 	n := 0
 	for _, lists := range [][2][]control.ServerID{{a, b}, {b, a}} {
 		for _, id := range lists[0] {
-			if _, both := slices.BinarySearch(lists[1], id); !both && id != except {
+			if _, found := slices.BinarySearch(lists[1], id); !found && id != except {
 				n++
 			}
 		}
@@ -268,7 +268,8 @@
 	}
 }
 
-// TestUseCell uses every dispatcher as the first choice of a call.
+// TestUseCell uses the cell of every dispatcher in turn. The dispatcher must then be in the subset, and the subset must stay
+// bounded.
 func TestUseCell(t *testing.T) {
 	const growthLimit = 30
 	s := newFilledSubset(Options{Identity: "a", Size: 10, GrowthLimit: growthLimit, ShrinkAfter: time.Minute}, 300, 1)
