--- a/internal/decide/links/backoff.go
+++ b/internal/decide/links/backoff.go
@@ -70,8 +70,8 @@
 	return elapsed < 0 || elapsed >= b.pause(p)
 }
 
-// DialLimiter limits the rate of dials that follow a failed one and that no call needs, over the whole process. With very many
-// dispatchers that refuse connections, each is dialled rarely.
+// DialLimiter limits the rate of redials that no call needs, over the whole process. Where very many dispatchers refuse
+// connections, each of them is dialled rarely.
 type DialLimiter struct{ lastDialAt time.Time }
 
 // Allow reports whether such a dial may begin now, and counts it if so.
--- a/internal/decide/links/backoff_test.go
+++ b/internal/decide/links/backoff_test.go
@@ -13,7 +13,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var b Backoff
 		now := start
-		limits := map[Purpose]time.Duration{Draining: maxRedialPause, Preconnect: maxRedialPause, ActiveCalls: maxRedialPauseActiveCalls, SetUp: minRedialPause}
+		limits := map[Purpose]time.Duration{
+			Draining: maxRedialPause, Preconnect: maxRedialPause, ActiveCalls: maxRedialPauseActiveCalls, SetUp: minRedialPause,
+		}
 		for p := range limits {
 			if !b.Due(now, p) {
 				t.Fatalf("not due for purpose %d without a failure", p)
--- a/internal/decide/links/budget_test.go
+++ b/internal/decide/links/budget_test.go
@@ -49,7 +49,8 @@
 		unconnected time.Duration
 		evictable   int // the number of connections, from the first, that may be evicted
 	}{
-		{Draining, time.Hour, 0}, {Preconnect, time.Hour, 2}, {ActiveCalls, 0, 5}, {ActiveCalls, maxUnconnected, len(connections)}, {SetUp, 0, len(connections)},
+		{Draining, time.Hour, 0}, {Preconnect, time.Hour, 2}, {ActiveCalls, 0, 5},
+		{ActiveCalls, maxUnconnected, len(connections)}, {SetUp, 0, len(connections)},
 	} {
 		for i, c := range connections {
 			if got := Evict(now, test.purpose, test.unconnected, append(protected, c)); got >= 0 != (i < test.evictable) || got >= 0 && got != len(protected) {
@@ -79,7 +80,8 @@
 	anyConnection := rapid.Custom(func(t *rapid.T) Connection {
 		return Connection{
 			Draining: rapid.Bool().Draw(t, "draining"), Sole: rapid.Bool().Draw(t, "sole"), HalfClosed: rapid.Bool().Draw(t, "half-closed"),
-			HasCalls: rapid.Bool().Draw(t, "has calls"), HasReceived: rapid.Bool().Draw(t, "has received"), PendingSetUps: rapid.IntRange(0, 2).Draw(t, "pending set-ups"), Since: pastTime.Draw(t, "since"),
+			HasCalls: rapid.Bool().Draw(t, "has calls"), HasReceived: rapid.Bool().Draw(t, "has received"),
+			PendingSetUps: rapid.IntRange(0, 2).Draw(t, "pending set-ups"), Since: pastTime.Draw(t, "since"),
 			UsedAt: pastTime.Draw(t, "used"),
 		}
 	})
@@ -104,7 +106,8 @@
 		switch {
 		case !c.HalfClosed && c.PendingSetUps > 0:
 			t.Fatal("an open connection with a pending set-up is evicted")
-		case c.HasCalls && c.Sole && !c.HalfClosed && (now.Sub(c.Since) < settleTimeReceived || !c.HasReceived && now.Sub(c.Since) < settleTime || purpose <= Preconnect || idleWithoutCalls):
+		case c.HasCalls && c.Sole && !c.HalfClosed && (now.Sub(c.Since) < settleTimeReceived ||
+			!c.HasReceived && now.Sub(c.Since) < settleTime || purpose <= Preconnect || idleWithoutCalls):
 			t.Fatalf("the only connection to a dispatcher with calls is evicted for purpose %d", purpose)
 		case purpose == Preconnect && !c.Draining && !c.HalfClosed:
 			t.Fatal("an active dispatcher's connection is evicted for one that no call needs")
--- a/internal/decide/links/links.go
+++ b/internal/decide/links/links.go
@@ -11,9 +11,9 @@
 	// demandHalfLife is the half-life of a peak of concurrent set-ups. Bursts recur within some tens of seconds; a longer
 	// half-life would open connections that are never needed.
 	demandHalfLife = 10 * time.Second
-	// suspectAfter is the age of an unanswered set-up at which a second connection is opened. Only another connection can tell
-	// a dead connection from a slow dispatcher. It is several times the usual answer time, and well below the time after which
-	// a call is cancelled.
+	// suspectAfter is the age of an unanswered set-up at which a second connection is opened. Only another connection can
+	// distinguish an unresponsive connection from a slow dispatcher. It is several times the usual answer time, and well below
+	// the time after which a call is cancelled.
 	suspectAfter = 400 * time.Millisecond
 )
 
--- a/internal/decide/links/renewal.go
+++ b/internal/decide/links/renewal.go
@@ -5,8 +5,8 @@
 const (
 	// renewalDelay is the time from a loss to the next dial. One connection serves all losses within it.
 	renewalDelay = 100 * time.Millisecond
-	// renewalInterval is the time between new connections to a dispatcher that may still send ends on a connection that nobody
-	// reads. It must be well below the 8 s within which an end must reach its caller.
+	// renewalInterval is the time between new connections to a dispatcher that may still send ends on a connection that is no
+	// longer read. It must be well below the 8 s within which an end must reach its caller.
 	renewalInterval = 5 * time.Second
 )
 
--- a/internal/decide/links/socket_quota_test.go
+++ b/internal/decide/links/socket_quota_test.go
@@ -23,7 +23,8 @@
 			t.Fatalf("%d callers are connected, the limit is %d", connected, callers)
 		}
 		heldByDispatchers := rapid.IntRange(0, s.Sockets).Draw(t, "held")
-		if accept := s.CallerLimit(connected, heldByDispatchers); accept > callers || accept > 1 && accept+heldByDispatchers > s.Sockets || heldByDispatchers <= dispatchers && accept != callers {
+		if accept := s.CallerLimit(connected, heldByDispatchers); accept > callers ||
+			accept > 1 && accept+heldByDispatchers > s.Sockets || heldByDispatchers <= dispatchers && accept != callers {
 			t.Fatalf("with %d sockets held for dispatchers, %d callers may be connected", heldByDispatchers, accept)
 		}
 	})
--- a/internal/decide/pool/change.go
+++ b/internal/decide/pool/change.go
@@ -80,7 +80,7 @@
 	return shortened, len(c.ids())
 }
 
-// String returns a text for logs and operators.
+// String describes the change for logs and operators.
 func (c *Change) String() string {
 	if c.Empty() {
 		return "nothing changes"
--- a/internal/decide/pool/history.go
+++ b/internal/decide/pool/history.go
@@ -31,7 +31,8 @@
 
 // refuse records a refused candidate. The active set stays unchanged.
 func (p *Pool) refuse(now time.Duration, c *Candidate, faults []Fault) Verdict {
-	if previous := p.lastRefused; previous != nil && c.Digest != "" && previous.Digest == c.Digest && previous.Source == c.Source && c.fromOperator() && slices.Equal(previous.Faults, firstFaults(faults)) {
+	if previous := p.lastRefused; previous != nil && c.Digest != "" && previous.Digest == c.Digest && previous.Source == c.Source &&
+		c.fromOperator() && slices.Equal(previous.Faults, firstFaults(faults)) {
 		previous.Repeats++ // the same candidate again: no new version
 		if latest := &p.history[len(p.history)-1]; latest.Number == previous.Number {
 			latest.Repeats = previous.Repeats
--- a/internal/decide/pool/pool_test.go
+++ b/internal/decide/pool/pool_test.go
@@ -112,22 +112,22 @@
 		restarted string
 		moved     string
 	}{
-		"first set, no start reported":              {[][]Member{{member("a", "1", 1)}}, 0, "", ""},
-		"first set, start reported":                 {[][]Member{{modified(member("a", "1", 1), since(firstSeenAt-time.Second))}}, firstSeenAt - time.Second, "", ""},
-		"added, no start reported":                  {[][]Member{{member("b", "2", 1)}, {member("a", "1", 1), member("b", "2", 1)}}, firstSeenAt + time.Second, "", ""},
-		"added, early start reported":               {[][]Member{{member("b", "2", 1)}, {modified(member("a", "1", 1), since(5)), member("b", "2", 1)}}, 5, "", ""},
-		"another name at the same address":          {[][]Member{{member("b", "1", 1)}, {member("a", "1", 1)}}, firstSeenAt + time.Second, "", ""},
-		"the same set again":                        {[][]Member{{member("a", "1", 1)}, {member("a", "1", 1)}}, 0, "", ""},
-		"another weight only":                       {[][]Member{{member("a", "1", 1)}, {member("a", "1", 7)}}, 0, "", ""},
-		"another address, no start reported":        {[][]Member{{member("a", "1", 1)}, {member("a", "2", 1)}}, firstSeenAt + time.Second, "", "a"},
-		"another address, start of the old process": {[][]Member{{modified(member("a", "1", 1), since(5))}, {modified(member("a", "2", 1), since(5))}}, firstSeenAt + time.Second, "", "a"},
-		"another address, later start":              {[][]Member{{modified(member("a", "1", 1), since(5))}, {modified(member("a", "2", 1), since(9))}}, 9, "", "a"},
-		"later start":                               {[][]Member{{modified(member("a", "1", 1), since(5))}, {modified(member("a", "1", 1), since(9))}}, 9, "a", ""},
-		"earlier start":                             {[][]Member{{modified(member("a", "1", 1), since(9))}, {modified(member("a", "1", 1), since(5))}}, 9, "", ""},
-		"start reported later, before first seen":   {[][]Member{{member("a", "1", 1)}, {modified(member("a", "1", 1), since(firstSeenAt-time.Hour))}}, 0, "", ""},
-		"start reported later, after first seen":    {[][]Member{{member("a", "1", 1)}, {modified(member("a", "1", 1), since(firstSeenAt+time.Second))}}, firstSeenAt + time.Second, "a", ""},
-		"start no longer reported":                  {[][]Member{{modified(member("a", "1", 1), since(5))}, {member("a", "1", 1)}}, 5, "", ""},
-		"added again":                               {[][]Member{{member("a", "1", 1)}, {member("b", "2", 1)}, {member("a", "1", 1), member("b", "2", 1)}}, firstSeenAt + 2*time.Second, "", ""},
+		"first set, no start reported":        {[][]Member{{member("a", "1", 1)}}, 0, "", ""},
+		"first set, start reported":           {[][]Member{{modified(member("a", "1", 1), since(firstSeenAt-time.Second))}}, firstSeenAt - time.Second, "", ""},
+		"added, no start reported":            {[][]Member{{member("b", "2", 1)}, {member("a", "1", 1), member("b", "2", 1)}}, firstSeenAt + time.Second, "", ""},
+		"added, early start reported":         {[][]Member{{member("b", "2", 1)}, {modified(member("a", "1", 1), since(5)), member("b", "2", 1)}}, 5, "", ""},
+		"another name at the same address":    {[][]Member{{member("b", "1", 1)}, {member("a", "1", 1)}}, firstSeenAt + time.Second, "", ""},
+		"the same set again":                  {[][]Member{{member("a", "1", 1)}, {member("a", "1", 1)}}, 0, "", ""},
+		"another weight only":                 {[][]Member{{member("a", "1", 1)}, {member("a", "1", 7)}}, 0, "", ""},
+		"another address, no start reported":  {[][]Member{{member("a", "1", 1)}, {member("a", "2", 1)}}, firstSeenAt + time.Second, "", "a"},
+		"another address, old start reported": {[][]Member{{modified(member("a", "1", 1), since(5))}, {modified(member("a", "2", 1), since(5))}}, firstSeenAt + time.Second, "", "a"},
+		"another address, later start":        {[][]Member{{modified(member("a", "1", 1), since(5))}, {modified(member("a", "2", 1), since(9))}}, 9, "", "a"},
+		"later start":                         {[][]Member{{modified(member("a", "1", 1), since(5))}, {modified(member("a", "1", 1), since(9))}}, 9, "a", ""},
+		"earlier start":                       {[][]Member{{modified(member("a", "1", 1), since(9))}, {modified(member("a", "1", 1), since(5))}}, 9, "", ""},
+		"later report, before first seen":     {[][]Member{{member("a", "1", 1)}, {modified(member("a", "1", 1), since(firstSeenAt-time.Hour))}}, 0, "", ""},
+		"later report, after first seen":      {[][]Member{{member("a", "1", 1)}, {modified(member("a", "1", 1), since(firstSeenAt+time.Second))}}, firstSeenAt + time.Second, "a", ""},
+		"start no longer reported":            {[][]Member{{modified(member("a", "1", 1), since(5))}, {member("a", "1", 1)}}, 5, "", ""},
+		"added again":                         {[][]Member{{member("a", "1", 1)}, {member("b", "2", 1)}, {member("a", "1", 1), member("b", "2", 1)}}, firstSeenAt + 2*time.Second, "", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := New()
--- a/internal/decide/subset/subset.go
+++ b/internal/decide/subset/subset.go
@@ -53,7 +53,7 @@
 	return o
 }
 
-// Check returns an error if an option is out of range. It names the setting.
+// Check returns an error that names the setting if an option is out of range.
 func (o Options) Check() error {
 	o = o.WithDefaults()
 	switch {
@@ -216,8 +216,9 @@
 	s.otherZones.setQuota(s.targetSize - ownZone)
 }
 
-// UseCell gives the first choice of a call places of its own, for its best-ranked dispatchers, up to the current target size.
-// If the cells in use then have more than GrowthLimit places together, the least recently used ones lose theirs.
+// UseCell gives the cell that is the first choice of a call places of its own, for its best-ranked dispatchers, up to the
+// current target size. If the cells in use then have more than GrowthLimit places together, the least recently used ones lose
+// theirs.
 func (s *Subset) UseCell(now time.Duration, number int) {
 	c := s.cells[number]
 	if c == nil {
