--- a/internal/decide/subset/subset.go
+++ b/internal/decide/subset/subset.go
@@ -1,8 +1,8 @@
-// Package subset decides which of the listed dispatchers one controller connects to: a deterministic subset by rendezvous hashing
-// (Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998), its own zone first. Each controller ranks all
-// dispatchers by a hash of its own identity and theirs, and takes the first ones; so no controller needs to know of another, a restarted
-// one finds the same dispatchers, and one that comes or goes moves no others' places. There is no I/O here, and the clock is an
-// argument. docs/subset.md weighs the alternatives.
+// Package subset decides which of the listed dispatchers a controller connects to: a deterministic subset by rendezvous hashing
+// (Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998), which prefers the controller's own zone.
+// Each controller ranks all dispatchers by a hash of its own identity and theirs, and selects the first ones. So controllers
+// need not know of each other, a restarted one selects the same dispatchers, and adding or removing a dispatcher does not
+// change the rank of any other. The package does no I/O, and the time is an argument. docs/subset.md compares the alternatives.
 package subset
 
 import (
@@ -18,48 +18,51 @@
 )
 
 const (
-	// DefaultSize is the least size, rounded, at which hashing leaves no dispatcher with more than 1.5 times the mean number of
-	// controllers, at 3,000 of each: with a mean of n, the chance that one has more falls with exp(-0.108 n).
+	// DefaultSize is the smallest size, rounded, at which hashing leaves no dispatcher with more than 1.5 times the mean number
+	// of controllers, at 3,000 of each. With a mean of n, the probability that a dispatcher exceeds that falls with
+	// exp(-0.108 n).
 	DefaultSize = 96
-	// DefaultShrinkAfter is how long there must have been no need before a subset that has grown gives places back.
+	// DefaultShrinkAfter is how long a grown subset must not have been needed before it shrinks.
 	DefaultShrinkAfter = time.Minute
-	// MaxSize bounds sizes: each dispatcher in a subset is a connection.
+	// MaxSize limits sizes: each dispatcher in a subset is a connection.
 	MaxSize = 1 << 20
-	// defaultGrowth is how many times its size a subset may grow to.
-	defaultGrowth = 8
-	// spareShare of the places go to other zones than the own one, so that the own one can be lost while it is still listed.
-	spareShare = 1.0 / 8
-	// grownShare is as much of the places that need has added: what refuses is more likely to be one zone than the rest.
-	grownShare = 1.0 / 2
+	// defaultGrowthFactor is how many times its base size a subset may grow to.
+	defaultGrowthFactor = 8
+	// otherZoneShare is the share of places for dispatchers of other zones, so that the own zone may fail while its dispatchers
+	// are still listed.
+	otherZoneShare = 1.0 / 8
+	// otherZoneGrowthShare is the share of the places added by growth that go to other zones. It is higher, since dispatchers
+	// that refuse calls are more likely to belong to one zone than to the others.
+	otherZoneGrowthShare = 1.0 / 2
 )
 
-// Options say what one controller's subset is.
+// Options configure the subset of one controller.
 type Options struct {
-	Identity    string        // the controller's; it must be another's never, and the same after a restart
-	Zone        string        // whose dispatchers are preferred; empty for none
-	Size        int           // dispatchers in the subset; 0 for DefaultSize
-	GrowthLimit int           // as many after growth; 0 for eight times the size
-	ShrinkAfter time.Duration // without need until a subset shrinks; 0 for DefaultShrinkAfter
+	Identity    string        // identity of the controller, unique and the same after a restart
+	Zone        string        // zone whose dispatchers are preferred; empty for none
+	Size        int           // number of dispatchers before growth; 0 for DefaultSize
+	GrowthLimit int           // maximum after growth; 0 for eight times Size
+	ShrinkAfter time.Duration // how long growth must not have been needed before the subset shrinks; 0 for DefaultShrinkAfter
 }
 
-// WithDefaults fills in what is not given.
+// WithDefaults replaces zero values by defaults.
 func (o Options) WithDefaults() Options {
 	o.Size = cmp.Or(o.Size, DefaultSize)
-	o.GrowthLimit = cmp.Or(o.GrowthLimit, min(defaultGrowth*o.Size, MaxSize))
+	o.GrowthLimit = cmp.Or(o.GrowthLimit, min(defaultGrowthFactor*o.Size, MaxSize))
 	o.ShrinkAfter = cmp.Or(o.ShrinkAfter, DefaultShrinkAfter)
 	return o
 }
 
-// Check reports what a subset could not be made by.
+// Check returns an error that names the setting if an option is out of range.
 func (o Options) Check() error {
 	o = o.WithDefaults()
 	switch {
 	case o.Size < 1 || o.Size > MaxSize:
 		return fmt.Errorf("size: %d is not from 1 to %d", o.Size, MaxSize)
 	case o.GrowthLimit < o.Size || o.GrowthLimit > MaxSize:
-		return fmt.Errorf("most: %d is not from the size, %d, to %d", o.GrowthLimit, o.Size, MaxSize)
+		return fmt.Errorf("most: %d is not from %d (the size) to %d", o.GrowthLimit, o.Size, MaxSize)
 	case o.ShrinkAfter < 0:
-		return fmt.Errorf("quiet_ms: %d is below 0", o.ShrinkAfter.Milliseconds())
+		return fmt.Errorf("quiet_ms: %d is negative", o.ShrinkAfter.Milliseconds())
 	}
 	return nil
 }
@@ -69,84 +72,84 @@
 	ID     control.ServerID
 	Zone   string
 	Cell   int  // the group that a call's first choice names
-	Active bool // false: it drains, and fills no place
+	Active bool // false if it is draining; it fills no place then
 }
 
-// member is an entry with its places in the rankings.
+// member is an entry with its slots in the rankings.
 type member struct {
 	Entry
-	score uint64
-	zone  *ranking // the own zone's or the others'
-	inZone,
-	inCell *slot
-	places   int  // in how many rankings it is chosen
-	reported bool // it is in the subset as far as Changes has told
+	score       uint64
+	zoneRanking *ranking // ownZone or otherZones of the Subset
+	zoneSlot,
+	cellSlot *slot
+	selectedBy int  // number of rankings that select it
+	reported   bool // it was in the subset at the last call of Changes
 }
 
-// before reports whether a member ranks before another one.
-func (m *member) before(o *member) bool {
-	if m.score != o.score {
-		return m.score > o.score
+// ranksBefore reports whether a member ranks before another one.
+func (m *member) ranksBefore(other *member) bool {
+	if m.score != other.score {
+		return m.score > other.score
 	}
-	return m.ID < o.ID
+	return m.ID < other.ID
 }
 
-// cell is a group of dispatchers; it has places of its own while calls have it as their first choice.
+// cell is a group of dispatchers. It has places of its own while calls have it as their first choice.
 type cell struct {
 	*ranking
-	inSubset int // its dispatchers in the subset, by whatever ranking
-	usedAt   time.Duration
-	used     bool
+	inSubset   int // its dispatchers in the subset, by any ranking
+	lastUsedAt time.Duration
+	inUse      bool
 }
 
-// Subset is one controller's. It is not safe for concurrent use. Times are on any clock that does not go back.
+// Subset is the subset of one controller. It is not safe for concurrent use. Times are readings of any monotonic clock.
 type Subset struct {
-	options Options
-	seed    uint64
-	members map[control.ServerID]*member
-	near    *ranking // of the own zone, or of all if no zone is preferred
-	far     *ranking // of the other zones
-	cells   map[int]*cell
-	used    map[int]*cell // those with places of their own
-	target  int           // size by now
-	needAt  time.Duration // when more was last needed, or the size last changed
-	touched map[*member]bool
-	onMoved func(*member, int)
-	chosen  int // members in the subset
-	growths int
+	options    Options
+	seed       uint64
+	members    map[control.ServerID]*member
+	ownZone    *ranking // dispatchers of the own zone, or all if no zone is preferred
+	otherZones *ranking // dispatchers of the other zones
+	cells      map[int]*cell
+	usedCells  map[int]*cell // cells with places of their own
+	targetSize int           // current size without the places of cells
+	lastNeedAt time.Duration // when growth was last needed, or the subset last shrunk
+	changed    map[*member]bool
+	onChange   func(*member, int)
+	size       int // members in the subset
+	growths    int
 }
 
-// New returns the subset of an empty list. The options must pass Check.
+// New returns a Subset of an empty list. The options must pass Check.
 func New(o Options) *Subset {
 	o = o.WithDefaults()
 	s := &Subset{
-		options: o, seed: xxhash.Sum64String(o.Identity), target: o.Size, touched: map[*member]bool{},
-		members: map[control.ServerID]*member{}, cells: map[int]*cell{}, used: map[int]*cell{},
+		options: o, seed: xxhash.Sum64String(o.Identity), targetSize: o.Size, changed: map[*member]bool{},
+		members: map[control.ServerID]*member{}, cells: map[int]*cell{}, usedCells: map[int]*cell{},
 	}
-	s.onMoved = s.moved
-	s.near, s.far = newRanking(s.onMoved), newRanking(s.onMoved)
+	s.onChange = s.updateSelection
+	s.ownZone, s.otherZones = newRanking(s.onChange), newRanking(s.onChange)
 	return s
 }
 
-// moved counts the places of a member.
-func (s *Subset) moved(m *member, by int) {
-	before := m.places > 0
-	m.places += by
-	if after := m.places > 0; before != after {
-		s.touched[m] = true
-		s.chosen += by
+// updateSelection updates the number of rankings that select a member, and the counts that depend on it.
+func (s *Subset) updateSelection(m *member, by int) {
+	before := m.selectedBy > 0
+	m.selectedBy += by
+	if after := m.selectedBy > 0; before != after {
+		s.changed[m] = true
+		s.size += by
 		s.cells[m.Cell].inSubset += by
 	}
 }
 
-// score is the weight of a dispatcher for this controller, as rendezvous hashing has it.
+// score returns the rendezvous hash of a dispatcher for this controller.
 func (s *Subset) score(id control.ServerID) uint64 {
 	d := xxhash.NewWithSeed(s.seed)
-	_, _ = d.WriteString(string(id)) // it never fails
+	_, _ = d.WriteString(string(id)) // Digest.WriteString never fails
 	return d.Sum64()
 }
 
-// Put takes in a dispatcher, or what has changed of it.
+// Put adds a dispatcher or updates it.
 func (s *Subset) Put(e Entry) {
 	m := s.members[e.ID]
 	switch {
@@ -162,7 +165,7 @@
 	s.balance()
 }
 
-// Remove forgets a dispatcher that is listed no more. Changes does not tell of it.
+// Remove removes a dispatcher that is no longer listed. Changes does not report it.
 func (s *Subset) Remove(id control.ServerID) {
 	m := s.members[id]
 	if m == nil {
@@ -170,7 +173,7 @@
 	}
 	s.unrank(m)
 	delete(s.members, id)
-	delete(s.touched, m)
+	delete(s.changed, m)
 	s.balance()
 }
 
@@ -180,127 +183,129 @@
 	}
 	c := s.cells[m.Cell]
 	if c == nil {
-		c = &cell{ranking: newRanking(s.onMoved)}
+		c = &cell{ranking: newRanking(s.onChange)}
 		s.cells[m.Cell] = c
 	}
-	m.inCell = c.add(m)
-	m.zone = s.near
+	m.cellSlot = c.add(m)
+	m.zoneRanking = s.ownZone
 	if s.options.Zone != "" && m.Zone != s.options.Zone {
-		m.zone = s.far
+		m.zoneRanking = s.otherZones
 	}
-	m.inZone = m.zone.add(m)
+	m.zoneSlot = m.zoneRanking.add(m)
 }
 
 func (s *Subset) unrank(m *member) {
-	if m.inZone == nil {
+	if m.zoneSlot == nil {
 		return
 	}
-	m.zone.remove(m.inZone)
+	m.zoneRanking.remove(m.zoneSlot)
 	c := s.cells[m.Cell]
-	c.remove(m.inCell)
-	m.zone, m.inZone, m.inCell = nil, nil, nil
-	if c.len() == 0 && !c.used {
+	c.remove(m.cellSlot)
+	m.zoneRanking, m.zoneSlot, m.cellSlot = nil, nil, nil
+	if c.len() == 0 && !c.inUse {
 		delete(s.cells, m.Cell)
 	}
 }
 
-// balance shares the places out between the own zone and the others: what one can't fill, the other may.
+// balance divides the places between the own zone and the others. Places that one cannot fill go to the other.
 func (s *Subset) balance() {
-	grown := float64(s.target - s.options.Size)
-	spare := int(math.Ceil(spareShare*float64(s.options.Size) + grownShare*grown))
-	near := min(s.near.len(), s.target-min(spare, s.far.len()))
-	s.near.resize(near)
-	s.far.resize(s.target - near)
+	grown := float64(s.targetSize - s.options.Size)
+	minOtherZones := int(math.Ceil(otherZoneShare*float64(s.options.Size) + otherZoneGrowthShare*grown))
+	ownZone := min(s.ownZone.len(), s.targetSize-min(minOtherZones, s.otherZones.len()))
+	s.ownZone.setQuota(ownZone)
+	s.otherZones.setQuota(s.targetSize - ownZone)
 }
 
-// UseCell gives the dispatchers of a call's first choice places of their own, as many as the subset has at most: those that rank first.
-// Where all groups in use would have more than the options' Most, the one that was used least lately gives its places back.
-func (s *Subset) UseCell(now time.Duration, group int) {
-	c := s.cells[group]
+// UseCell gives the cell that is the first choice of a call places of its own, for its best-ranked dispatchers, up to the
+// current target size. If the cells in use then have more than GrowthLimit places together, the least recently used ones lose
+// theirs.
+func (s *Subset) UseCell(now time.Duration, number int) {
+	c := s.cells[number]
 	if c == nil {
 		return
 	}
-	c.usedAt = now
-	if c.used {
+	c.lastUsedAt = now
+	if c.inUse {
 		return
 	}
-	c.used = true
-	s.used[group] = c
-	c.resize(s.target)
-	for s.extra() > s.options.GrowthLimit && len(s.used) > 1 {
-		s.disuse(s.stalest())
+	c.inUse = true
+	s.usedCells[number] = c
+	c.setQuota(s.targetSize)
+	for s.usedCellPlaces() > s.options.GrowthLimit && len(s.usedCells) > 1 {
+		s.releaseCell(s.leastRecentlyUsedCell())
 	}
 }
 
-// extra is the number of places that groups in use have.
-func (s *Subset) extra() int {
+// usedCellPlaces returns the number of places that the cells in use have.
+func (s *Subset) usedCellPlaces() int {
 	n := 0
-	for _, c := range s.used {
-		n += c.chosen.Len()
+	for _, c := range s.usedCells {
+		n += c.selected.Len()
 	}
 	return n
 }
 
-// stalest is the group whose last use is the longest ago.
-func (s *Subset) stalest() int {
-	stalest, found := 0, false
-	for group, c := range s.used {
-		if !found || c.usedAt < s.used[stalest].usedAt || c.usedAt == s.used[stalest].usedAt && group < stalest {
-			stalest, found = group, true
+// leastRecentlyUsedCell returns the cell in use that was used least recently.
+func (s *Subset) leastRecentlyUsedCell() int {
+	oldest, found := 0, false
+	for number, c := range s.usedCells {
+		if !found || c.lastUsedAt < s.usedCells[oldest].lastUsedAt || c.lastUsedAt == s.usedCells[oldest].lastUsedAt && number < oldest {
+			oldest, found = number, true
 		}
 	}
-	return stalest
+	return oldest
 }
 
-func (s *Subset) disuse(group int) {
-	c := s.used[group]
-	c.used = false
-	delete(s.used, group)
-	c.resize(0)
+func (s *Subset) releaseCell(number int) {
+	c := s.usedCells[number]
+	c.inUse = false
+	delete(s.usedCells, number)
+	c.setQuota(0)
 	if c.len() == 0 {
-		delete(s.cells, group)
+		delete(s.cells, number)
 	}
 }
 
-// Grow gives the subset as many more places as it has without need, as it has dispatchers that refuse or are full. It reports whether that
-// brought any dispatcher.
+// Grow adds as many places as the base size, because dispatchers refuse calls or are at capacity. It reports whether that added
+// any dispatcher.
 func (s *Subset) Grow(now time.Duration) bool {
-	s.needAt = now
-	before := s.chosen
-	for s.chosen == before && s.target < s.options.GrowthLimit && s.target < s.Active() {
-		s.resize(min(s.target+s.options.Size, s.options.GrowthLimit))
+	s.lastNeedAt = now
+	before := s.size
+	for s.size == before && s.targetSize < s.options.GrowthLimit && s.targetSize < s.Active() {
+		s.setTargetSize(min(s.targetSize+s.options.Size, s.options.GrowthLimit))
 	}
-	if s.chosen == before {
+	if s.size == before {
 		return false
 	}
 	s.growths++
 	return true
 }
 
-// Shrink gives back what has not been needed for long: what one growth has brought, and groups that no call has had as first choice. The
-// places stay needed while those that would remain are scarce. Its cost goes by the subset and the groups in use.
-func (s *Subset) Shrink(now time.Duration, sound func(control.ServerID) bool) {
-	for group, c := range s.used {
-		if now-c.usedAt >= s.options.ShrinkAfter {
-			s.disuse(group)
+// Shrink removes what has not been needed for ShrinkAfter: the places of one growth step, and the places of cells that no call
+// had as first choice. The places of growth stay while too few of the remaining dispatchers would be usable. It takes time
+// proportional to the subset and the cells in use.
+func (s *Subset) Shrink(now time.Duration, usable func(control.ServerID) bool) {
+	for number, c := range s.usedCells {
+		if now-c.lastUsedAt >= s.options.ShrinkAfter {
+			s.releaseCell(number)
 		}
 	}
-	if s.target > s.options.Size && now-s.needAt >= s.options.ShrinkAfter {
-		s.needAt = now
-		before := s.target
-		if s.resize(max(s.target-s.options.Size, s.options.Size)); s.TooFewUsable(sound) {
-			s.resize(before)
+	if s.targetSize > s.options.Size && now-s.lastNeedAt >= s.options.ShrinkAfter {
+		s.lastNeedAt = now
+		before := s.targetSize
+		if s.setTargetSize(max(s.targetSize-s.options.Size, s.options.Size)); s.TooFewUsable(usable) {
+			s.setTargetSize(before)
 		}
 	}
 }
 
-// TooFewUsable reports whether sound holds for less than half as many dispatchers as the subset has without need, or as are listed if that is
-// less. Places of groups in use don't count. Its cost goes by the subset.
-func (s *Subset) TooFewUsable(sound func(control.ServerID) bool) bool {
+// TooFewUsable reports whether fewer dispatchers are usable than half of the base size, or half of the listed dispatchers if
+// that is less. Places of cells in use do not count. It takes time proportional to the subset.
+func (s *Subset) TooFewUsable(usable func(control.ServerID) bool) bool {
 	n := 0
-	for _, r := range []*ranking{s.near, s.far} {
-		for _, o := range r.chosen.all {
-			if sound(o.member.ID) {
+	for _, r := range []*ranking{s.ownZone, s.otherZones} {
+		for _, place := range r.selected.slots {
+			if usable(place.member.ID) {
 				n++
 			}
 		}
@@ -308,31 +313,31 @@
 	return 2*n < min(s.options.Size, s.Active())
 }
 
-// AtBaseSize reports whether there is nothing to give back.
-func (s *Subset) AtBaseSize() bool { return s.target == s.options.Size && len(s.used) == 0 }
+// AtBaseSize reports whether there is nothing to shrink: no growth, and no cell in use.
+func (s *Subset) AtBaseSize() bool { return s.targetSize == s.options.Size && len(s.usedCells) == 0 }
 
-func (s *Subset) resize(target int) {
-	s.target = target
+func (s *Subset) setTargetSize(target int) {
+	s.targetSize = target
 	s.balance()
-	for _, c := range s.used {
-		c.resize(target)
+	for _, c := range s.usedCells {
+		c.setQuota(target)
 	}
 }
 
-// Changes are the dispatchers that have joined and left the subset since it was last asked, by name. One that drains has left; one
-// that was removed is not named.
+// Changes returns the sorted dispatchers that have joined and left the subset since its last call. A dispatcher that is
+// draining has left. One that was removed is not included.
 func (s *Subset) Changes() (joined, left []control.ServerID) {
-	for m := range s.touched {
-		in := m.places > 0
+	for m := range s.changed {
+		selected := m.selectedBy > 0
 		switch {
-		case in && !m.reported:
+		case selected && !m.reported:
 			joined = append(joined, m.ID)
-		case !in && m.reported:
+		case !selected && m.reported:
 			left = append(left, m.ID)
 		}
-		m.reported = in
+		m.reported = selected
 	}
-	clear(s.touched)
+	clear(s.changed)
 	slices.Sort(joined)
 	slices.Sort(left)
 	return joined, left
@@ -341,22 +346,22 @@
 // Has reports whether a dispatcher is in the subset.
 func (s *Subset) Has(id control.ServerID) bool {
 	m := s.members[id]
-	return m != nil && m.places > 0
+	return m != nil && m.selectedBy > 0
 }
 
-// CountInCell is the number of dispatchers of the group that are in the subset.
-func (s *Subset) CountInCell(group int) int {
-	if c := s.cells[group]; c != nil {
+// CountInCell returns the number of dispatchers of the cell that are in the subset.
+func (s *Subset) CountInCell(number int) int {
+	if c := s.cells[number]; c != nil {
 		return c.inSubset
 	}
 	return 0
 }
 
-// Active is the number of listed dispatchers that can fill a place.
-func (s *Subset) Active() int { return s.near.len() + s.far.len() }
+// Active returns the number of listed dispatchers that can fill a place.
+func (s *Subset) Active() int { return s.ownZone.len() + s.otherZones.len() }
 
-// Len is the number of dispatchers in the subset.
-func (s *Subset) Len() int { return s.chosen }
+// Len returns the number of dispatchers in the subset.
+func (s *Subset) Len() int { return s.size }
 
-// Growths is how often it has grown.
+// Growths returns how often the subset has grown.
 func (s *Subset) Growths() int { return s.growths }
