--- a/control/api.go
+++ b/control/api.go
@@ -2,10 +2,10 @@
 //
 // The interface (settings, events, actions) is in api.go; every decision is in control.go.
 //
-// The mechanism is Somoza's Dynamic Processor Overload Control, run at the sender: for each server a
-// window of N new set-ups a control period, resized each update interval by the clamped ratio of wanted
-// to seen occupancy. Calls that no window allows are held here. docs/design.md states what was kept of
-// the paper and what was changed.
+// The mechanism is Somoza's Dynamic Processor Overload Control, run at the sender. Each server has a
+// window of N new set-ups per control period. At the end of each update interval the window is resized
+// by the ratio of the target occupancy to the measured one, within limits. Calls that no window allows
+// are held. docs/design.md lists the differences from the paper.
 package control
 
 import (
@@ -16,13 +16,13 @@
 	"time"
 )
 
-// CallID names one try of a caller at this access node.
+// CallID identifies one try of a caller at this access node.
 type CallID string
 
-// ServerID names a core server. It is the same at every access node.
+// ServerID identifies a core server. It is the same at every access node.
 type ServerID string
 
-// Layout tells how access nodes and core servers are joined.
+// Layout is the topology of access nodes and core servers.
 type Layout int
 
 const (
@@ -32,48 +32,48 @@
 	Network
 )
 
-// Idempotency tells what a repeated set-up of a class can do.
+// Idempotency states when set-ups of a class may be repeated.
 type Idempotency int
 
 const (
 	// Idempotent set-ups may be repeated and refused freely.
 	Idempotent Idempotency = iota
-	// IdempotentByKey set-ups may be repeated where and while repeats are discarded.
+	// IdempotentByKey set-ups may be repeated within the scope and the time in which servers discard repeats.
 	IdempotentByKey
-	// NonIdempotent set-ups may be repeated only when none of the earlier ones ran.
+	// NonIdempotent set-ups may be repeated only if none of the earlier ones ran.
 	NonIdempotent
 )
 
-// DedupScope is the set of servers that discard repeats of a Keyed set-up.
+// DedupScope is the set of servers that discard repeats of an IdempotentByKey set-up.
 type DedupScope int
 
 const (
-	// DedupAll takes in every server.
+	// DedupAll means every server.
 	DedupAll DedupScope = iota
-	// DedupZone takes in the servers of one zone.
+	// DedupZone means the servers of the zone of the first attempt.
 	DedupZone
-	// DedupCell takes in the servers of one cell.
+	// DedupCell means the servers of the cell of the first attempt.
 	DedupCell
 )
 
 // Class describes one class of calls.
 type Class struct {
 	Name        string
-	Aim         time.Duration // a call that stands within it earns its full worth
-	Deadline    time.Duration // how long a caller keeps trying
+	Aim         time.Duration // time within which an answered call has its full worth
+	Deadline    time.Duration // time for which a caller keeps trying
 	Worth       float64
-	LateShare   float64 // share of the worth that a later call earns
+	LateShare   float64 // share of the worth of a call that is answered after its aim
 	Idempotency Idempotency
-	DedupScope  DedupScope    // Keyed: who discards repeats
-	DedupWindow time.Duration // Keyed: how long repeats are discarded
-	Cells       []int         // the pools that may take it; empty for all
+	DedupScope  DedupScope    // IdempotentByKey: servers that discard repeats
+	DedupWindow time.Duration // IdempotentByKey: time for which repeats are discarded
+	Cells       []int         // cells that may get its calls; empty for all
 }
 
-// ReportField says what one figure of a load report means.
+// ReportField is the meaning of one value of a load report.
 type ReportField int
 
 const (
-	// UnknownField figures are passed over.
+	// UnknownField values are ignored.
 	UnknownField ReportField = iota
 	// FreeLines is the number of free lines towards the server.
 	FreeLines
@@ -83,98 +83,98 @@
 	Utilisation
 	// QueueLength is the number of set-ups waiting at the processor.
 	QueueLength
-	// QueueWait is the wait at the processor, in milliseconds.
+	// QueueWait is the waiting time at the processor, in milliseconds.
 	QueueWait
-	// MaxRate is how many set-ups a second the server can take by now, from all nodes together.
+	// MaxRate is the number of set-ups per second that the server can process now, from all nodes together.
 	MaxRate
 )
 
-// Settings is all that a Controller is told at its start.
+// Settings holds the configuration of a Controller.
 type Settings struct {
 	Classes            []Class
-	Nodes              int // access nodes that share the servers, this one with them
+	Nodes              int // access nodes that share the servers, including this one
 	Layout             Layout
-	OwnCell            int // Network: the cell of the own exchange
-	Tick               time.Duration
-	ReleaseGuard       time.Duration // least gap after an attempt that may have left a trace
-	AnswerGrace        time.Duration // how long after a caller's limit an answer still counts
-	ColdCapacity       float64       // least share of its capacity that a cold server has
-	WarmUpTime         time.Duration // longest time until it is warm
-	ColdOverloadFactor float64       // a cold server sent more than this multiple falls over
-	MaxAttempts        int           // for each call; 0 for no limit
-	MayHoldOff         bool          // callers can be told when to come back
+	OwnCell            int           // Network: cell of the node's own exchange
+	Tick               time.Duration // resolution of the clock and of timers
+	ReleaseGuard       time.Duration // shortest gap after an attempt that may still run at its server
+	AnswerGrace        time.Duration // time after a caller's timeout in which an answer still counts
+	ColdCapacity       float64       // lowest share of its capacity that a cold server has
+	WarmUpTime         time.Duration // longest time until a cold server is warm
+	ColdOverloadFactor float64       // multiple of its capacity that makes a cold server fail
+	MaxAttempts        int           // per call; 0 for no limit
+	MayHoldOff         bool          // callers accept a hold-off with a refusal
 	MaxHoldOff         time.Duration
-	MayCancel          bool
-	ListOnDemand       bool // the server list comes only when asked for
-	ReportFields       []ReportField
+	MayCancel          bool          // attempts can be cancelled
+	ListOnDemand       bool          // the server list is sent only on request
+	ReportFields       []ReportField // meaning of the values of a load report, in order
 }
 
-// ServerStatus is what the server list says of a server.
+// ServerStatus is the status of a server in the server list.
 type ServerStatus int
 
 const (
-	// Active servers take calls.
+	// Active servers accept calls.
 	Active ServerStatus = iota
-	// Draining servers finish what they hold.
+	// Draining servers keep their calls but get no new ones.
 	Draining
-	// Removed servers are gone.
+	// Removed servers are no longer in the list.
 	Removed
 )
 
-// ServerEntry is one line of the server list.
+// ServerEntry is one entry of the server list.
 type ServerEntry struct {
 	ID        ServerID
 	Status    ServerStatus
 	Cell      int
 	Zone      string
 	StartedAt time.Duration // on the clock of Step; 0 for long ago
-	Weight    int           // its part of new set-ups against the others' weights; 0 for even parts
+	Weight    int           // share of new set-ups relative to other weights; 0 in all entries for equal shares
 }
 
-// Outcome is how an attempt ended.
+// Outcome is the result of an attempt.
 type Outcome int
 
 const (
-	// Completed calls stood and have ended.
+	// Completed calls were answered and have ended.
 	Completed Outcome = iota
-	// Failed attempts met a busy line or a signalling fault.
+	// Failed attempts ended with a busy line or a signalling error.
 	Failed
-	// Full attempts were turned away.
+	// Full attempts were refused for lack of capacity.
 	Full
-	// TimedOut attempts had no answer within their limit.
+	// TimedOut attempts had no answer within their timeout.
 	TimedOut
-	// Unreachable servers could not be connected to.
+	// Unreachable means that no connection to the server could be opened.
 	Unreachable
-	// Reset attempts, or calls that stood, were cut.
+	// Reset means that the connection of an attempt or of an established call was lost.
 	Reset
-	// Cancelled attempts were withdrawn by the node.
+	// Cancelled attempts were cancelled by the node.
 	Cancelled
 	// NotSent attempts never left the node.
 	NotSent
 )
 
-// mayHaveRun reports whether the server may have begun to do what was asked.
-func (o Outcome) mayHaveRun() bool { return o == Failed || o.mayLinger() }
+// mayHaveRun reports whether the server may have started to process the set-up.
+func (o Outcome) mayHaveRun() bool { return o == Failed || o.mayStillRun() }
 
-// mayLinger reports whether the server may still be at it, or hold something for it.
-func (o Outcome) mayLinger() bool { return o == TimedOut || o == Reset || o == Cancelled }
+// mayStillRun reports whether the server may still process the set-up or hold resources for it.
+func (o Outcome) mayStillRun() bool { return o == TimedOut || o == Reset || o == Cancelled }
 
-// ServerStats is what the node knows of a server that decides how much of it the node gets.
+// ServerStats holds the state that limits the set-ups of this node to a server.
 type ServerStats struct {
 	ID        ServerID
-	Lines     float64       // that it has; 1 if that is not told
-	FreeLines int           // lines that are free, as far as is known; -1 if that is not told
-	OwnLines  int           // lines that this node's calls have
-	BackOff   time.Duration // for which it gets no set-up from this node any more
-	Unlimited bool          // it has no window
-	Window    float64       // its window, in starts a control period
+	Lines     float64       // lines towards the server; 1 if unknown
+	FreeLines int           // free lines at the last report, less own starts since; -1 if unknown
+	OwnLines  int           // lines of this node's calls and attempts
+	BackOff   time.Duration // time left in which it gets no set-up from this node
+	Unlimited bool          // the server has no window yet
+	Window    float64       // starts per control period
 }
 
-// Stats of all servers, in the order in which they were first listed.
+// Stats returns the state of all servers, in the order in which they were first listed.
 func (c *Controller) Stats(now time.Duration) []ServerStats {
 	var all []ServerStats
 	for _, s := range c.servers {
-		all = append(all, ServerStats{ID: s.ID, Lines: s.lines, FreeLines: s.free, OwnLines: s.own, BackOff: max(s.restUntil-now, 0), Unlimited: s.open, Window: s.limit})
+		all = append(all, ServerStats{ID: s.ID, Lines: s.lines, FreeLines: s.freeLines, OwnLines: s.ownLines, BackOff: max(s.backOffUntil-now, 0), Unlimited: s.unlimited, Window: s.window})
 	}
 	return all
 }
@@ -182,27 +182,27 @@
 // Event is something that happened at the access node: one of the types below.
 type Event interface{ event() }
 
-// ListReceived brings the server list, or changes to it.
+// ListReceived delivers the server list, or changes to it.
 type ListReceived struct {
 	Entries []ServerEntry
-	Whole   bool // servers that are not named are gone
+	Whole   bool // the list is complete: servers without an entry are removed
 	Failed  bool // the request for the list, or the subscription, failed
 }
 
-// CallOffered brings a call that the node now owes a final answer.
+// CallOffered delivers a new pending call.
 type CallOffered struct {
 	ID        CallID
 	Class     int           // index in Settings.Classes
-	Budget    time.Duration // until the caller gives up on this try
-	Called    string        // the number called
-	FirstCell int           // cell of the server of first choice
-	Redial    bool          // the caller has been here before with it
+	Budget    time.Duration // time until the caller cancels this try
+	Called    string        // called number
+	FirstCell int           // cell of the servers of first choice
+	Redial    bool          // the caller has tried this call before
 	Transit   bool          // may only go to FirstCell
-	Attempts  int           // that it has had already, at an earlier process
-	NotBefore time.Duration // earliest time for the next one; 0 for at once
+	Attempts  int           // attempts made by the previous process
+	NotBefore time.Duration // earliest time of the next attempt; 0 for at once
 }
 
-// CallStands tells that the call's attempt was answered; nothing more is owed.
+// CallStands reports that the attempt was answered. The call is established and no longer pending.
 type CallStands struct {
 	ID      CallID
 	Server  ServerID
@@ -210,29 +210,29 @@
 	Elapsed time.Duration
 }
 
-// AttemptEnded tells the outcome of an attempt.
+// AttemptEnded reports the outcome of an attempt.
 type AttemptEnded struct {
 	ID       CallID
 	Server   ServerID
 	Attempt  int
 	Outcome  Outcome
 	Elapsed  time.Duration
-	NoLine   bool      // Full: for want of a line, not of the processor
-	CallOver bool      // nothing more is owed for the call
-	Report   []float64 // by Settings.ReportFields; may be empty
+	NoLine   bool      // Full: no line was free; otherwise the processor was overloaded
+	CallOver bool      // the call is no longer pending
+	Report   []float64 // values in the order of Settings.ReportFields; may be empty
 }
 
-// CallerLeft tells that the caller gave up early.
+// CallerLeft reports that the caller of a pending call cancelled it or disconnected.
 type CallerLeft struct{ ID CallID }
 
-// ReportReceived brings a load report outside an attempt.
+// ReportReceived delivers a load report outside an attempt.
 type ReportReceived struct {
 	Server ServerID
 	OK     bool
 	Report []float64
 }
 
-// Woken is the answer to a Wake.
+// Woken reports that the time of a Wake has passed.
 type Woken struct{}
 
 func (ListReceived) event()   {}
@@ -243,23 +243,23 @@
 func (ReportReceived) event() {}
 func (Woken) event()          {}
 
-// Action is something the access node shall do: one of the types below.
+// Action is an instruction to the access node: one of the types below.
 type Action interface{ action() }
 
 // SetUp starts an attempt. The attempts of a call are numbered 0, 1, 2, ...
 type SetUp struct {
 	ID     CallID
 	Server ServerID
-	Limit  time.Duration // time-out; 0 for the caller's own limit
+	Limit  time.Duration // timeout of the attempt; 0 for the caller's own timeout
 }
 
-// Cancel withdraws an attempt; its outcome still comes.
+// Cancel cancels an attempt; its outcome is still reported.
 type Cancel struct {
 	ID      CallID
 	Attempt int
 }
 
-// Refuse is a final answer: turned away, to come back after MayHoldOff if above 0.
+// Refuse is a final answer: the call is refused. The caller may call again after HoldOff if that is above 0.
 type Refuse struct {
 	ID      CallID
 	HoldOff time.Duration
@@ -271,10 +271,10 @@
 // Probe asks a server for a load report.
 type Probe struct{ Server ServerID }
 
-// Subscribe asks for the server list and its changes.
+// Subscribe requests the server list and its changes.
 type Subscribe struct{}
 
-// Wake asks for a Woken event after the given time.
+// Wake requests a Woken event after the given time.
 type Wake struct{ After time.Duration }
 
 // Log writes one line to the node's log.
@@ -289,31 +289,32 @@
 func (Wake) action()      {}
 func (Log) action()       {}
 
-// check reports what a Controller could not work with.
-func (s *Settings) check() error {
+// validate returns an error if a Controller can't work with the settings.
+func (s *Settings) validate() error {
 	if len(s.Classes) == 0 {
-		return errors.New("control: no classes")
+		return errors.New("control: settings have no classes")
 	}
 	for _, class := range s.Classes {
 		if class.Aim <= 0 || class.Deadline < class.Aim {
-			return fmt.Errorf("control: class %q: aim %v and deadline %v", class.Name, class.Aim, class.Deadline)
+			return fmt.Errorf("control: class %q: aim %v must be above 0 and deadline %v not below it", class.Name, class.Aim, class.Deadline)
 		}
 		if class.Worth < 0 || class.LateShare < 0 || class.LateShare > 1 {
-			return fmt.Errorf("control: class %q: worth %v, late %v", class.Name, class.Worth, class.LateShare)
+			return fmt.Errorf("control: class %q: worth %v must not be negative and late share %v must be from 0 to 1",
+				class.Name, class.Worth, class.LateShare)
 		}
 	}
 	switch {
 	case s.Tick <= 0:
-		return fmt.Errorf("control: tick %v", s.Tick)
+		return fmt.Errorf("control: tick %v must be above 0", s.Tick)
 	case s.ReleaseGuard < 0 || s.MaxHoldOff < 0 || s.AnswerGrace < 0 || s.MaxAttempts < 0:
-		return errors.New("control: a time or count is below zero")
+		return errors.New("control: release guard, hold-off, answer grace and attempts must not be negative")
 	case s.ColdCapacity < 0 || s.ColdCapacity > 1 || s.WarmUpTime < 0:
-		return fmt.Errorf("control: cold start from %v within %v", s.ColdCapacity, s.WarmUpTime)
+		return fmt.Errorf("control: cold capacity %v must be from 0 to 1 and warm-up time %v not negative", s.ColdCapacity, s.WarmUpTime)
 	}
 	return nil
 }
 
-// aim is the tightest one of the classes.
-func (s *Settings) aim() time.Duration {
+// tightestAim returns the shortest aim of all classes.
+func (s *Settings) tightestAim() time.Duration {
 	return slices.MinFunc(s.Classes, func(a, b Class) int { return cmp.Compare(a.Aim, b.Aim) }).Aim
 }
--- a/control/control.go
+++ b/control/control.go
@@ -10,147 +10,152 @@
 )
 
 const (
-	// controlPeriod is the paper's CCperiod. Troubles here last seconds; much less holds too few starts.
+	// controlPeriod is the paper's CCperiod. It is short because overloads last only seconds here; a much
+	// shorter one would contain too few starts.
 	controlPeriod = 700 * time.Millisecond
-	// ratePeriod is what a count must span to stand for a rate.
-	ratePeriod = 2 * time.Second
-	// minStarts is what an update interval (OPPUI) must hold: it is as many control periods as that takes.
-	minStarts = 2
-	// maxOccupancy, minOccupancy and tooHigh are the paper's max.occup, min.occup and occ.too.high.
-	maxOccupancy = 0.9
-	minOccupancy = 0.75
-	tooHigh      = 1.2
-	// minFraction is the paper's min.fraction.calls, with the value it names.
-	minFraction = 0.75
-	// maxIncrease, maxDecrease and extraDecrement bound one resizing.
+	// minRatePeriod is the shortest time over which a count is converted to a rate.
+	minRatePeriod = 2 * time.Second
+	// minIntervalStarts is the number of starts after which an update interval (OPPUI) ends. The interval
+	// lasts as many control periods as that takes.
+	minIntervalStarts = 2
+	// maxOccupancy, minOccupancy and tooHighOccupancy are max.occup, min.occup and occ.too.high of the paper.
+	maxOccupancy     = 0.9
+	minOccupancy     = 0.75
+	tooHighOccupancy = 1.2
+	// minFractionCalls is the paper's min.fraction.calls, with the paper's value.
+	minFractionCalls = 0.75
+	// maxIncrease, maxDecrease and extraDecrement are limits of one change of a window, as shares of it.
 	maxIncrease    = 0.5
 	maxDecrease    = 0.15
 	extraDecrement = 0.1
-	// leastShare of its part of the node's arrivals is what a window keeps, so that it can grow back.
-	leastShare = 0.4
-	// targetShare of the tightest aim is the wait that counts as full occupancy.
-	targetShare = 0.2
-	// suspectShare of the tightest aim without an answer makes a server suspect.
-	suspectShare = 0.45
-	// memory is the age at which a delay counts half against a new one: of few, the last is all that is known.
-	memory = time.Second
-	// fullRest is how long a server that answered full, or could not be reached, is left alone.
-	fullRest = 250 * time.Millisecond
-	// doubtShare of the tightest aim, doubtRest at most, is the first rest in doubt; mostRest the longest told.
-	doubtShare      = 0.33
-	doubtRest       = 500 * time.Millisecond
-	mostRest        = 4 * time.Second
-	unreachableRest = time.Second
-	// trialGap bounds a rest, which doubles each time in a row, to so many times the first.
-	trialGap = 16
-	// silenceCold is the silence after which a server that answers again is taken for a cold one.
-	silenceCold = 3 * time.Second
-	// firstRate is the least rate, in starts a second, that all nodes together are taken to have.
-	firstRate = 1.0
-	// listRetry is the wait before the server list is asked for again.
-	listRetry = time.Second
+	// minWindowShare is the smallest window, as a share of the node's arrivals for the server. It lets a
+	// window grow back.
+	minWindowShare = 0.4
+	// targetWaitShare is the wait that counts as full occupancy, as a share of the tightest aim.
+	targetWaitShare = 0.2
+	// suspectDelayShare is the delay that makes a server suspect, as a share of the tightest aim.
+	suspectDelayShare = 0.45
+	// delayHalfLife is the age at which the smoothed delay and a new delay have equal weight. The weight
+	// depends on age because with few calls the newest delay is all that is known.
+	delayHalfLife = time.Second
+	// fullBackOff is the back-off of a server that answered full, and the shortest one of a suspect server.
+	fullBackOff = 250 * time.Millisecond
+	// suspectBackOffShare is the first back-off of a suspect server, as a share of the tightest aim;
+	// maxFirstBackOff is its upper limit. maxReportedBackOff is the longest back-off for a reported wait.
+	suspectBackOffShare = 0.33
+	maxFirstBackOff     = 500 * time.Millisecond
+	maxReportedBackOff  = 4 * time.Second
+	unreachableBackOff  = time.Second
+	// maxBackOffFactor limits repeated back-offs, which double each time, to this multiple of the first.
+	maxBackOffFactor = 16
+	// coldSilence is the time without answers after which a server that answers again is treated as cold.
+	coldSilence = 3 * time.Second
+	// minTotalRate is the lowest rate that is assumed for all nodes together, in starts per second.
+	minTotalRate = 1.0
+	// listRetryDelay is the delay before the server list is requested again after a failure.
+	listRetryDelay = time.Second
 )
 
-// Controller decides for one access node. It is not safe for concurrent use.
+// Controller makes the decisions of one access node. It is not safe for concurrent use.
 type Controller struct {
-	settings  Settings
-	rng       *rand.Rand
-	now       time.Duration
-	actions   []Action
-	servers   []*server // in the order of their first appearance
-	byID      map[ServerID]*server
-	calls     map[CallID]*call
-	held      []*call               // waiting for a window, in order of arrival
-	last      map[string]*server    // by class
-	unserved  map[try]time.Duration // first tries of calls that did not stand
-	tries     []*call               // those calls, in order
-	aim       time.Duration         // the tightest aim
-	offers    int                   // calls offered since startedAt, the first turn
-	startedAt time.Duration
-	listAt    time.Duration // when to ask for the list; 0 for never
-	wakeAt    time.Duration // the Wake that is under way; 0 for none
-	perLine   float64       // rate that servers tell, for each of their lines
-	quickest  time.Duration // what a set-up takes at the server that answers fastest
-	quiet     time.Duration // lowest delay seen at any server
-}
-
-// call is a call that is owed a final answer.
+	settings      Settings
+	rng           *rand.Rand
+	now           time.Duration
+	actions       []Action
+	servers       []*server // in the order of their first appearance
+	byID          map[ServerID]*server
+	calls         map[CallID]*call
+	held          []*call                     // calls without an attempt in progress, in the order of their addition
+	lastByClass   map[string]*server          // last server selected, by the name of the class
+	firstTries    map[callerKey]time.Duration // times of the first tries of unserved calls
+	unservedCalls []*call                     // calls that were not answered, in the order of their removal
+	tightestAim   time.Duration               // the shortest aim of all classes
+	offeredCalls  int                         // calls offered since startedAt
+	startedAt     time.Duration               // time of the first step
+	listRequestAt time.Duration               // when to request the server list; 0 for never
+	wakeAt        time.Duration               // time of the pending Wake; 0 for none
+	ratePerLine   float64                     // mean reported rate per line
+	minSetUpTime  time.Duration               // expected set-up time at the fastest server
+	minDelay      time.Duration               // lowest delay of any server
+}
+
+// call is a pending call: one without a final answer.
 type call struct {
-	id       CallID
-	class    *Class // as it was when the call came
-	most     int    // attempts that it may have; 0 for no limit
-	first    int    // cell of the server of first choice
-	transit  bool
-	called   string
-	firstAt  time.Duration // the caller's first try
-	aimAt    time.Duration
-	deadline time.Duration
-	readyAt  time.Duration // not to be sent before
-	attempts int
-	at       *server // the attempt under way, if any
-	sentAt   time.Duration
-	undone   bool
-	ranAt    *server // first server that may have run it
-	ranSince time.Duration
-}
-
-// try is what the tries of one caller have in common.
-type try struct {
-	called string
-	class  string
-	first  int
-}
-
-// server is what the node knows of one core server.
+	id           CallID
+	class        *Class // as configured when the call arrived
+	maxAttempts  int    // 0 for no limit
+	firstCell    int    // cell of the servers of first choice
+	transit      bool   // may only go to firstCell
+	calledNumber string
+	firstTriedAt time.Duration // time of the caller's first try
+	aimDeadline  time.Duration // when the aim is missed
+	deadline     time.Duration // when the caller cancels
+	notBefore    time.Duration // earliest time of the next attempt
+	attempts     int           // attempts so far
+	server       *server       // server of the attempt in progress; nil for none
+	sentAt       time.Duration // start of the latest attempt
+	cancelSent   bool          // the attempt in progress has been cancelled
+	ranOn        *server       // first server that may have run the set-up; nil for none
+	ranSentAt    time.Duration // start of the attempt at ranOn
+}
+
+// callerKey identifies the repeated calls of one caller.
+type callerKey struct {
+	calledNumber string
+	class        string
+	firstCell    int
+}
+
+// server holds the state that the node keeps for one core server.
 type server struct {
 	ServerEntry
-	out       []*call       // attempts without an answer, oldest first
-	own       int           // lines that this node's calls have, those being set up included
-	shortAt   time.Duration // when it last had no line; 0 for never
-	restUntil time.Duration
-	restAt    time.Duration // when the last rest began
-	rest      time.Duration // how long that was; 0 once a call has stood
-	lines     float64       // its size; 1 if unknown
-	free      int           // lines free at the last report, less own starts since; -1 if unknown
-	spare     int           // this node's part of them, for calls of second choice; -1 if unknown
-	turn      float64       // how far it is behind its part by weight, in starts times weights
-	full      bool          // answered full in this update interval
-	suspect   bool
-	suspectAt time.Duration
-	goneAt    time.Duration // when the list last had it, if it is removed
-	heardAt   time.Duration // last answer, or first start after one
-	latest    time.Duration // when the latest set-up was sent that has stood
-	coldFrom  time.Duration // when it was seen to start
-	cold      bool
-	quiet     time.Duration // lowest delay seen
-	delay     time.Duration // smoothed delay of own set-ups beyond quiet
-	delayAt   time.Duration // when it was last seen
-
-	open     bool
-	limit    float64       // N, starts a control period
-	credit   float64       // starts that the window allows by now; what is not a whole one is carried on
-	periodAt time.Duration // start of this control period
-	rolledAt time.Duration // last turn
-	accepted int           // starts in this update interval
-	answers  int           // answers in this update interval
-	starts   float64       // starts while it was neither cold nor suspect, lately
-	stood    float64       // calls that stood promptly while the server was warm, lately
-	watched  time.Duration // the time in which they did, but for that in which it was suspect
-	overhead float64
-	util     float64 // sum of reported utilisations in this interval
-	reports  int
-	wait     time.Duration // last reported wait of this interval
-	able     float64       // last reported rate; 0 if unknown
+	inProgress         []*call       // attempts in progress, oldest first
+	ownLines           int           // lines of this node's calls and attempts
+	noLineAt           time.Duration // when it last had no line; 0 for never
+	backOffUntil       time.Duration // end of the back-off
+	backOffSince       time.Duration // start of the last back-off
+	backOff            time.Duration // length of the last back-off; 0 after a prompt answer
+	lines              float64       // 1 if unknown
+	freeLines          int           // lines free at the last report, less own starts since; -1 if unknown
+	overflowLines      int           // this node's share of freeLines, for overflow; -1 if unknown
+	currentWeight      float64       // balance of the weighted round-robin, in starts times weights
+	wasFull            bool          // answered full or became suspect in this update interval
+	suspect            bool          // gets trial calls only
+	suspectSince       time.Duration
+	lastListedAt       time.Duration // time of the last list in which it was not removed
+	lastAnswerAt       time.Duration // last answer, or first start after a time without attempts in progress
+	lastAnsweredSentAt time.Duration // start of the latest attempt that was answered
+	coldSince          time.Duration // start of the server that made it cold
+	cold               bool          // started recently, with reduced capacity
+	minDelay           time.Duration // lowest delay of an answer
+	excessDelay        time.Duration // smoothed delay of own set-ups beyond minDelay
+	excessDelayAt      time.Duration // time of the last update of excessDelay
+
+	unlimited       bool          // has no window yet
+	window          float64       // the paper's N, in starts per control period
+	credit          float64       // starts that the window allows now; fractions are carried over
+	periodStart     time.Duration // start of this control period
+	advancedAt      time.Duration // time of the last step
+	intervalStarts  int           // starts in this update interval
+	intervalAnswers int           // answers in this update interval
+	recentStarts    float64       // starts while neither cold nor suspect; halved at times
+	promptAnswers   float64       // prompt answers while warm; halved with recentStarts
+	observedTime    time.Duration // time while neither cold nor suspect; halved with recentStarts
+	overhead        float64       // lowest reported utilisation, the paper's overhead
+	utilSum         float64       // sum of the utilisations reported in this update interval
+	utilReports     int           // number of utilisations in utilSum
+	reportedWait    time.Duration // last wait reported in this update interval
+	reportedRate    float64       // last reported rate; 0 if unknown
 }
 
 // New returns a Controller for one access node that has just started.
 func New(s Settings, seed uint64) (*Controller, error) {
 	c := &Controller{
-		rng:      rand.New(rand.NewPCG(seed, seed)),
-		byID:     map[ServerID]*server{},
-		calls:    map[CallID]*call{},
-		last:     map[string]*server{},
-		unserved: map[try]time.Duration{},
+		rng:         rand.New(rand.NewPCG(seed, seed)),
+		byID:        map[ServerID]*server{},
+		calls:       map[CallID]*call{},
+		lastByClass: map[string]*server{},
+		firstTries:  map[callerKey]time.Duration{},
 	}
 	if err := c.UpdateSettings(s); err != nil {
 		return nil, err
@@ -158,25 +163,25 @@
 	return c, nil
 }
 
-// UpdateSettings gives the controller other settings; with an error, it keeps those it has. Calls keep the class
-// they came with and the fewer attempts, and all that is known of servers stays.
+// UpdateSettings replaces the settings, or returns an error and keeps the current ones. Pending calls keep
+// their class and the lower of the two limits on attempts. The state of all servers is kept.
 func (c *Controller) UpdateSettings(s Settings) error {
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return err
 	}
 	if s.ListOnDemand && !c.settings.ListOnDemand {
-		c.listAt = 1
+		c.listRequestAt = 1
 	}
 	for _, k := range c.calls {
-		if s.MaxAttempts > 0 && (k.most == 0 || s.MaxAttempts < k.most) {
-			k.most = s.MaxAttempts
+		if s.MaxAttempts > 0 && (k.maxAttempts == 0 || s.MaxAttempts < k.maxAttempts) {
+			k.maxAttempts = s.MaxAttempts
 		}
 	}
-	c.settings, c.aim = s, s.aim()
+	c.settings, c.tightestAim = s, s.tightestAim()
 	return nil
 }
 
-// Step takes what has happened by now and returns what to do, in order.
+// Step processes the events up to now and returns the actions to carry out, in order.
 func (c *Controller) Step(now time.Duration, events []Event) []Action {
 	c.now, c.actions = now, nil
 	if c.startedAt == 0 {
@@ -185,20 +190,20 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case ListReceived:
-			c.listReceived(e)
+			c.handleListReceived(e)
 		case CallOffered:
-			c.offered(e)
+			c.handleCallOffered(e)
 		case CallStands:
-			c.stands(e)
+			c.handleCallStands(e)
 		case AttemptEnded:
-			c.ended(e)
+			c.handleAttemptEnded(e)
 		case CallerLeft:
 			if k := c.calls[e.ID]; k != nil {
-				c.lose(k)
+				c.removeUnserved(k)
 			}
 		case ReportReceived:
 			if s := c.byID[e.Server]; s != nil && e.OK {
-				c.report(s, e.Report)
+				c.applyReport(s, e.Report)
 			}
 		case Woken:
 			if c.wakeAt <= now {
@@ -206,153 +211,161 @@
 			}
 		}
 	}
-	c.askForList()
+	c.requestList()
 	for _, s := range c.servers {
-		c.roll(s)
-		c.watch(s)
+		c.advanceWindow(s)
+		c.checkHealth(s)
 	}
-	c.lookAhead()
-	c.release()
-	c.giveUp()
-	c.planWake()
+	c.updateEstimates()
+	c.sendHeld()
+	c.refuseExpired()
+	c.scheduleWake()
 	return c.actions
 }
 
-func (c *Controller) do(a Action) { c.actions = append(c.actions, a) }
+func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
 
 // --- Windows ---
 
-// roll lets the window of a server allow what the time since the last turn is worth, and resizes it at the
-// end of an update interval. N may be much less than one, but not than the node's part of the rate that the
-// server tells. What gathers makes no more than the wanted wait, if all nodes send theirs at once.
-func (c *Controller) roll(s *server) {
-	since := c.now - s.rolledAt
-	s.rolledAt = c.now
-	if s.open {
-		s.limit = 0
-	}
-	s.limit = max(s.limit, c.able(s)/float64(max(c.settings.Nodes, 1))*controlPeriod.Seconds())
-	most := max(1, s.limit*targetShare*c.aim.Seconds()/controlPeriod.Seconds())
+// advanceWindow adds the credit for the time since the last step and resizes the window at the end of an
+// update interval. The window may be much less than one start per period, but not less than this node's
+// share of the reported rate. The credit is limited so that the queue stays within the target wait even if
+// all nodes spend theirs at once.
+func (c *Controller) advanceWindow(s *server) {
+	elapsed := c.now - s.advancedAt
+	s.advancedAt = c.now
+	if s.unlimited {
+		s.window = 0
+	}
+	s.window = max(s.window, c.capacityRate(s)/float64(max(c.settings.Nodes, 1))*controlPeriod.Seconds())
+	maxCredit := max(1, s.window*targetWaitShare*c.tightestAim.Seconds()/controlPeriod.Seconds())
 	if s.cold {
-		s.limit, most = c.coldRate(s)*controlPeriod.Seconds(), 1
+		s.window, maxCredit = c.coldRate(s)*controlPeriod.Seconds(), 1
 	}
-	s.credit = min(s.credit+s.limit*since.Seconds()/controlPeriod.Seconds(), most)
+	s.credit = min(s.credit+s.window*elapsed.Seconds()/controlPeriod.Seconds(), maxCredit)
 	if s.Status == Active && !s.cold && !s.suspect {
-		if s.watched += since; s.watched > ratePeriod && s.starts >= 4*minStarts {
-			s.watched, s.starts, s.stood = s.watched/2, s.starts/2, s.stood/2
+		if s.observedTime += elapsed; s.observedTime > minRatePeriod && s.recentStarts >= 4*minIntervalStarts {
+			s.observedTime, s.recentStarts, s.promptAnswers = s.observedTime/2, s.recentStarts/2, s.promptAnswers/2
 		}
 	}
-	for c.now-s.periodAt >= controlPeriod {
-		s.periodAt += controlPeriod
-		if !s.cold && s.answers > 0 && (s.accepted >= minStarts || c.occupancy(s) >= tooHigh) {
-			c.update(s)
+	for c.now-s.periodStart >= controlPeriod {
+		s.periodStart += controlPeriod
+		if !s.cold && s.intervalAnswers > 0 &&
+			(s.intervalStarts >= minIntervalStarts || c.occupancy(s) >= tooHighOccupancy) {
+			c.updateWindow(s)
 		}
 	}
 }
 
-// update closes an update interval.
-func (c *Controller) update(s *server) {
-	mean := perSecond(s.starts, s.watched) * controlPeriod.Seconds()
+// updateWindow resizes the window at the end of an update interval and starts the next interval.
+func (c *Controller) updateWindow(s *server) {
+	meanStarts := perSecond(s.recentStarts, s.observedTime) * controlPeriod.Seconds()
 	occupancy := c.occupancy(s)
-	past := s.limit
-	if s.open {
-		past = mean
-	}
-	mean = min(mean, past)
-	if occupancy >= minOccupancy || !s.open && mean >= minFraction*past {
-		s.limit = max(resize(past, mean, occupancy, s.overhead), leastShare*c.part(s)*controlPeriod.Seconds())
-		if s.open {
-			s.open, s.credit = false, c.rng.Float64()
+	previous := s.window
+	if s.unlimited {
+		previous = meanStarts
+	}
+	meanStarts = min(meanStarts, previous)
+	if occupancy >= minOccupancy || !s.unlimited && meanStarts >= minFractionCalls*previous {
+		s.window = max(resize(previous, meanStarts, occupancy, s.overhead),
+			minWindowShare*c.arrivalShare(s)*controlPeriod.Seconds())
+		if s.unlimited {
+			s.unlimited, s.credit = false, c.rng.Float64()
 		}
-	} // Else light traffic says nothing of what the server could do: the window stays as it is.
-	s.accepted, s.answers, s.util, s.reports, s.full, s.wait = 0, 0, 0, 0, false, 0
+	} // Otherwise traffic was too light to show what the server can process, and the window stays as it is.
+	s.intervalStarts, s.intervalAnswers, s.utilSum, s.utilReports, s.wasFull, s.reportedWait =
+		0, 0, 0, 0, false, 0
 }
 
-// occupancy of the update interval: the reported utilisation, or the delay of own set-ups over the target
-// wait if that is more. The age of a set-up without an answer is a lower bound on its delay.
+// occupancy returns the occupancy of a server in the update interval. It is the larger of the reported
+// utilisation (or the reported wait as a share of the target wait) and the delay of own set-ups as a share
+// of the target wait. The age of an attempt in progress is a lower bound of its delay.
 func (c *Controller) occupancy(s *server) float64 {
-	target := targetShare * float64(c.aim)
-	occupancy := float64(max(s.delay, c.age(s)-s.quiet)) / target
-	if s.full {
-		occupancy = max(occupancy, tooHigh)
+	target := targetWaitShare * float64(c.tightestAim)
+	occupancy := float64(max(s.excessDelay, c.oldestAge(s)-s.minDelay)) / target
+	if s.wasFull {
+		occupancy = max(occupancy, tooHighOccupancy)
 	}
-	return max(occupancy, cmp.Or(s.util/float64(max(s.reports, 1)), float64(s.wait)/target))
+	return max(occupancy, cmp.Or(s.utilSum/float64(max(s.utilReports, 1)), float64(s.reportedWait)/target))
 }
 
-// resize is the paper's rule for the next N: past is the last N, mean the starts a period while it held. It
-// is rounded down where it is used. The rise by one call makes up for that, so it is left out below one.
-func resize(past, mean, occupancy, overhead float64) float64 {
-	prelim := mean
+// resize applies the paper's rule for the next window N. previous is the last N, meanStarts the mean number
+// of starts per period under it. The paper rounds N down where it is used and increases a small N by a
+// whole call to compensate; below one, the increase is left out.
+func resize(previous, meanStarts, occupancy, overhead float64) float64 {
+	prelim := meanStarts
 	if occupancy > overhead {
-		prelim = (maxOccupancy - overhead) / (occupancy - overhead) * mean
+		prelim = (maxOccupancy - overhead) / (occupancy - overhead) * meanStarts
 	}
-	if occupancy >= tooHigh {
-		return max(prelim, past*(1-maxDecrease)) * (1 - extraDecrement)
+	if occupancy >= tooHighOccupancy {
+		return max(prelim, previous*(1-maxDecrease)) * (1 - extraDecrement)
 	}
-	if prelim-past >= 1 && maxIncrease*past < 1 && past >= 1 {
-		return past + 1
+	if prelim-previous >= 1 && maxIncrease*previous < 1 && previous >= 1 {
+		return previous + 1
 	}
-	return min(max(prelim, past*(1-maxDecrease)), past*(1+maxIncrease))
+	return min(max(prelim, previous*(1-maxDecrease)), previous*(1+maxIncrease))
 }
 
-// Avoids reports whether a listed server gets no calls now, or none but trial ones.
+// Avoids reports whether the server gets no calls at the moment, or only trial calls.
 func (c *Controller) Avoids(now time.Duration, id ServerID) bool {
 	s := c.byID[id]
-	return s == nil || s.Status != Active || s.suspect || now < s.restUntil
-}
-
-// allows reports whether the server can be sent one more set-up now, as first choice or not. Even an open
-// window holds those of second choice to the node's part of the rate that the server tells: what spills over
-// from large servers would jam small ones, with little from each of many nodes. So it is for calls of first
-// choice while lines are short and the node has its part of them.
-func (c *Controller) allows(s *server, first bool) bool {
-	if s.Status != Active || c.now < s.restUntil || s.free == 0 || s.spare == 0 && (!first || c.hasPart(s)) ||
-		s.rest > 0 && len(s.out) > 0 { // one at a time until a call has stood
+	return s == nil || s.Status != Active || s.suspect || now < s.backOffUntil
+}
+
+// allows reports whether the server may be sent one more set-up now, as first choice or as overflow.
+// Overflow goes to servers that are not the call's first choice. It is limited to this node's share of the
+// reported rate and of the free lines, even without a window: a little overflow from large servers, sent by
+// each of many nodes, would overload small ones. While a server is short of lines and this node has its
+// share of them, the limit on free lines applies to first-choice calls, too.
+func (c *Controller) allows(s *server, firstChoice bool) bool {
+	if s.Status != Active || c.now < s.backOffUntil || s.freeLines == 0 ||
+		s.overflowLines == 0 && (!firstChoice || c.hasLineShare(s)) ||
+		s.backOff > 0 && len(s.inProgress) > 0 { // one at a time until a call has been answered
 		return false
 	}
-	if s.suspect && !s.cold { // a trial call, of second choice only where none of first choice has come
-		return first || c.now-s.restUntil > trialGap*doubtRest
+	if s.suspect && !s.cold { // a trial call; overflow only if no first-choice call came for long
+		return firstChoice || c.now-s.backOffUntil > maxBackOffFactor*maxFirstBackOff
 	}
-	return s.credit >= 1 || s.open && (first || s.limit == 0)
+	return s.credit >= 1 || s.unlimited && (firstChoice || s.window == 0)
 }
 
-// --- Route ---
+// --- Selection of servers ---
 
-// permitted reports whether a set-up of the call may go to the server at all.
+// permitted reports whether the class of the call and the layout permit it to go to the server.
 func (c *Controller) permitted(k *call, s *server) bool {
 	class := k.class
 	if s.Status != Active || len(class.Cells) > 0 && !slices.Contains(class.Cells, s.Cell) {
 		return false
 	}
-	if c.settings.Layout == Network && (s.Cell == c.settings.OwnCell || k.transit && s.Cell != k.first) {
+	if c.settings.Layout == Network && (s.Cell == c.settings.OwnCell || k.transit && s.Cell != k.firstCell) {
 		return false
 	}
-	if k.ranAt == nil || class.Idempotency == Idempotent {
+	if k.ranOn == nil || class.Idempotency == Idempotent {
 		return true
 	}
-	if class.Idempotency == NonIdempotent || c.now-k.ranSince >= class.DedupWindow {
+	if class.Idempotency == NonIdempotent || c.now-k.ranSentAt >= class.DedupWindow {
 		return false
 	}
 	switch class.DedupScope {
 	case DedupZone:
-		return s.Zone == k.ranAt.Zone
+		return s.Zone == k.ranOn.Zone
 	case DedupCell:
-		return s.Cell == k.ranAt.Cell
+		return s.Cell == k.ranOn.Cell
 	}
 	return true
 }
 
-// route picks a server whose window allows the call: the one of first choice, else the one that last took its
-// class while no set-up waits there, else one at random, which then is kept. Where there are weights, those
-// of first choice, else all, take turns by them. It returns nil if the call has to wait.
-func (c *Controller) route(k *call) *server {
-	var allowed, first []*server
-	home := func(s *server) bool { return s.Cell == k.first && c.permitted(k, s) }
-	homeless := !slices.ContainsFunc(c.servers, home) // without a first choice, all are as good
+// selectServer picks a server whose window allows the call, or returns nil if the call has to wait. Servers
+// of first choice come first, and share calls by weight. Overflow is shared by weight if any server has one.
+// If not, a class stays with its last server while no set-up waits there, and then moves to a random one.
+func (c *Controller) selectServer(k *call) *server {
+	var allowed, firstChoice []*server
+	isFirstChoice := func(s *server) bool { return s.Cell == k.firstCell && c.permitted(k, s) }
+	noFirstChoice := !slices.ContainsFunc(c.servers, isFirstChoice) // then all servers are equal
 	for _, s := range c.servers {
-		if c.permitted(k, s) && c.allows(s, homeless || s.Cell == k.first) {
-			if s.Cell == k.first {
-				first = append(first, s)
+		if c.permitted(k, s) && c.allows(s, noFirstChoice || s.Cell == k.firstCell) {
+			if s.Cell == k.firstCell {
+				firstChoice = append(firstChoice, s)
 			}
 			allowed = append(allowed, s)
 		}
@@ -360,99 +373,100 @@
 	switch {
 	case len(allowed) == 0:
 		return nil
-	case len(first) > 0:
-		return inTurn(first)
+	case len(firstChoice) > 0:
+		return pickByWeight(firstChoice)
 	case slices.ContainsFunc(allowed, func(s *server) bool { return s.Weight > 0 }):
-		return inTurn(allowed)
+		return pickByWeight(allowed)
 	}
-	if last := c.last[k.class.Name]; !slices.Contains(allowed, last) || len(last.out) > 0 {
-		c.last[k.class.Name] = c.draw(allowed)
+	if last := c.lastByClass[k.class.Name]; !slices.Contains(allowed, last) || len(last.inProgress) > 0 {
+		c.lastByClass[k.class.Name] = c.pickRandom(allowed)
 	}
-	return c.last[k.class.Name]
+	return c.lastByClass[k.class.Name]
 }
 
-// hasPart reports whether the server was short of lines lately, and the node has its even part of them.
-func (c *Controller) hasPart(s *server) bool {
-	return s.shortAt > 0 && c.now-s.shortAt < mostRest && s.own*max(c.settings.Nodes, 1) >= int(s.lines)
+// hasLineShare reports whether the server was recently out of lines and this node uses its share of them.
+func (c *Controller) hasLineShare(s *server) bool {
+	return s.noLineAt > 0 && c.now-s.noLineAt < maxReportedBackOff &&
+		s.ownLines*max(c.settings.Nodes, 1) >= int(s.lines)
 }
 
-// draw picks a server at random, by what each can take.
-func (c *Controller) draw(from []*server) *server {
-	drawn, total := from[0], 0.0
-	for _, s := range from {
-		able := cmp.Or(c.able(s), s.lines)
-		if total += able; c.rng.Float64()*total < able {
-			drawn = s
+// pickRandom picks a server at random, in proportion to the rate of each.
+func (c *Controller) pickRandom(candidates []*server) *server {
+	picked, total := candidates[0], 0.0
+	for _, s := range candidates {
+		rate := cmp.Or(c.capacityRate(s), s.lines)
+		if total += rate; c.rng.Float64()*total < rate {
+			picked = s
 		}
 	}
-	return drawn
+	return picked
 }
 
-// inTurn picks the server that is furthest behind its part by weight; without weights, the first.
-func inTurn(allowed []*server) *server {
-	next, total := allowed[0], 0.0
-	for _, s := range allowed {
-		s.turn += float64(s.Weight)
+// pickByWeight picks by smooth weighted round-robin; without weights, it picks the first.
+func pickByWeight(candidates []*server) *server {
+	next, total := candidates[0], 0.0
+	for _, s := range candidates {
+		s.currentWeight += float64(s.Weight)
 		total += float64(s.Weight)
-		if s.turn > next.turn {
+		if s.currentWeight > next.currentWeight {
 			next = s
 		}
 	}
-	next.turn -= total
+	next.currentWeight -= total
 	return next
 }
 
 // --- Held calls ---
 
-func (c *Controller) offered(e CallOffered) {
+func (c *Controller) handleCallOffered(e CallOffered) {
 	if c.calls[e.ID] != nil || e.Class < 0 || e.Class >= len(c.settings.Classes) {
 		return
 	}
 	class := &c.settings.Classes[e.Class]
 	k := &call{
-		id: e.ID, class: class, most: c.settings.MaxAttempts, first: e.FirstCell, transit: e.Transit,
-		called: e.Called, firstAt: c.now,
-		deadline: c.now + e.Budget, readyAt: max(c.now, e.NotBefore), attempts: e.Attempts,
-	}
-	// The aim counts from the caller's first try. Not every caller says that it dials again, so calls to
-	// the same number are taken for the same caller's while one that was not served may still come back.
-	if t, ok := c.unserved[k.try()]; ok && c.now-t < class.Deadline {
-		k.firstAt = t
+		id: e.ID, class: class, maxAttempts: c.settings.MaxAttempts, firstCell: e.FirstCell, transit: e.Transit,
+		calledNumber: e.Called, firstTriedAt: c.now,
+		deadline: c.now + e.Budget, notBefore: max(c.now, e.NotBefore), attempts: e.Attempts,
+	}
+	// The aim counts from the caller's first try. Not every caller marks a redial, so a call to the number
+	// of an unserved call counts as a redial until the deadline of the first try.
+	if firstTry, ok := c.firstTries[k.callerKey()]; ok && c.now-firstTry < class.Deadline {
+		k.firstTriedAt = firstTry
 	} else if e.Redial {
-		k.firstAt = c.now - class.Aim
+		k.firstTriedAt = c.now - class.Aim
 	}
-	k.aimAt = k.firstAt + class.Aim
-	c.offers++
+	k.aimDeadline = k.firstTriedAt + class.Aim
+	c.offeredCalls++
 	c.calls[k.id] = k
 	c.held = append(c.held, k)
 }
 
-func (k *call) try() try { return try{k.called, k.class.Name, k.first} }
+func (k *call) callerKey() callerKey { return callerKey{k.calledNumber, k.class.Name, k.firstCell} }
 
-// lose forgets a call that did not stand, but for when its caller first tried.
-func (c *Controller) lose(k *call) {
-	c.forget(k)
-	if k.called == "" {
+// removeUnserved removes a call that was not answered and keeps the time of its caller's first try.
+func (c *Controller) removeUnserved(k *call) {
+	c.removeCall(k)
+	if k.calledNumber == "" {
 		return
 	}
-	c.unserved[k.try()] = k.firstAt
-	c.tries = append(c.tries, k)
-	for len(c.tries) > 0 && c.now-c.tries[0].firstAt > c.tries[0].class.Deadline {
-		if old := c.tries[0]; c.unserved[old.try()] == old.firstAt {
-			delete(c.unserved, old.try())
+	c.firstTries[k.callerKey()] = k.firstTriedAt
+	c.unservedCalls = append(c.unservedCalls, k)
+	for len(c.unservedCalls) > 0 && c.now-c.unservedCalls[0].firstTriedAt > c.unservedCalls[0].class.Deadline {
+		if old := c.unservedCalls[0]; c.firstTries[old.callerKey()] == old.firstTriedAt {
+			delete(c.firstTries, old.callerKey())
 		}
-		c.tries = c.tries[1:]
+		c.unservedCalls = c.unservedCalls[1:]
 	}
 }
 
-// forget ends the node's part in a call.
-func (c *Controller) forget(k *call) {
+// removeCall removes a call that is no longer pending.
+func (c *Controller) removeCall(k *call) {
 	delete(c.calls, k.id)
-	k.at.drop(k)
+	k.server.removeAttempt(k)
 	c.held = slices.DeleteFunc(c.held, func(o *call) bool { return o == k })
 }
 
-// value is what the call earns if it is sent to a server now.
+// value returns what the call is worth if it is sent now.
 func (c *Controller) value(k *call) float64 {
 	if c.late(k) {
 		return k.class.Worth * k.class.LateShare
@@ -460,62 +474,65 @@
 	return k.class.Worth
 }
 
-// late reports whether the call can no longer stand within its aim.
+// late reports whether the call can no longer be answered within its aim.
 func (c *Controller) late(k *call) bool {
-	return c.now+c.quickest > k.aimAt
+	return c.now+c.minSetUpTime > k.aimDeadline
 }
 
-// lookAhead sets quickest for this turn, 0 if no server is known to answer, and perLine.
-func (c *Controller) lookAhead() {
-	c.quickest = math.MaxInt64
-	able, lines := 0.0, 1.0
+// updateEstimates computes ratePerLine and minSetUpTime for this step. Without a healthy server,
+// minSetUpTime is 0.
+func (c *Controller) updateEstimates() {
+	c.minSetUpTime = math.MaxInt64
+	rate, lines := 0.0, 1.0
 	for _, s := range c.servers {
-		if s.able > 0 {
-			able, lines = able+s.able, lines+s.lines
+		if s.reportedRate > 0 {
+			rate, lines = rate+s.reportedRate, lines+s.lines
 		}
 		if s.Status == Active && !s.suspect {
-			c.quickest = min(c.quickest, s.quiet+s.delay)
+			c.minSetUpTime = min(c.minSetUpTime, s.minDelay+s.excessDelay)
 		}
 	}
-	c.perLine = able / lines
-	if c.quickest == math.MaxInt64 {
-		c.quickest = 0
+	c.ratePerLine = rate / lines
+	if c.minSetUpTime == math.MaxInt64 {
+		c.minSetUpTime = 0
 	}
 }
 
-// release sends held calls as far as the windows allow, those first that earn most, then the newest: in
-// a jam the oldest would all stand just too late.
-func (c *Controller) release() {
+// sendHeld sends held calls as far as the windows allow, in the order of their value. Among equals, the
+// newest comes first: in an overload, the oldest calls would all be answered just too late.
+func (c *Controller) sendHeld() {
 	queue := slices.Clone(c.held)
 	slices.Reverse(queue)
 	slices.SortStableFunc(queue, func(a, b *call) int { return cmp.Compare(c.value(b), c.value(a)) })
 	for _, k := range queue {
-		if k.readyAt <= c.now && c.now < k.deadline-2*c.settings.Tick && !k.spent() {
-			if s := c.route(k); s != nil {
+		if k.notBefore <= c.now && c.now < k.deadline-2*c.settings.Tick && !k.attemptsExhausted() {
+			if s := c.selectServer(k); s != nil {
 				c.send(k, s)
 			}
 		}
 	}
 }
 
-// giveUp answers the held calls that are out of time or attempts, or that are late while others wait.
-func (c *Controller) giveUp() {
-	pressed := false
+// refuseExpired refuses held calls without time, attempts or a permitted server left. It also refuses calls
+// that are late while others that are not late wait.
+func (c *Controller) refuseExpired() {
+	timelyHeld := false
 	for _, k := range c.held {
-		pressed = pressed || k.readyAt <= c.now && !c.late(k)
+		timelyHeld = timelyHeld || k.notBefore <= c.now && !c.late(k)
 	}
 	for _, k := range slices.Clone(c.held) {
-		if k.spent() || c.now >= k.deadline-2*c.settings.Tick || !c.possible(k) || pressed && c.late(k) {
+		if k.attemptsExhausted() || c.now >= k.deadline-2*c.settings.Tick || !c.hasPermittedServer(k) ||
+			timelyHeld && c.late(k) {
 			c.refuse(k)
 		}
 	}
 }
 
-// spent reports whether the call has had all its attempts.
-func (k *call) spent() bool { return k.most > 0 && k.attempts >= k.most }
+// attemptsExhausted reports whether the call has used all its attempts.
+func (k *call) attemptsExhausted() bool { return k.maxAttempts > 0 && k.attempts >= k.maxAttempts }
 
-// possible reports whether any server that is known may ever take the call.
-func (c *Controller) possible(k *call) bool {
+// hasPermittedServer reports whether any known server is permitted for the call.
+func (c *Controller) hasPermittedServer(k *call) bool {
 	for _, s := range c.servers {
 		if c.permitted(k, s) {
 			return true
@@ -524,157 +541,163 @@
 	return false
 }
 
-// refuse gives the call its final answer, with a time to come back where that does no harm.
+// refuse sends the final answer of the call. A call that may have run fails unless every server may get a
+// repetition of it. Other calls are refused, with a hold-off where callers support it.
 func (c *Controller) refuse(k *call) {
 	class := k.class
-	c.lose(k)
-	if k.ranAt != nil && (class.Idempotency == NonIdempotent || class.Idempotency == IdempotentByKey && class.DedupScope != DedupAll) {
-		c.do(Fail{ID: k.id})
+	c.removeUnserved(k)
+	if k.ranOn != nil && (class.Idempotency == NonIdempotent ||
+		class.Idempotency == IdempotentByKey && class.DedupScope != DedupAll) {
+		c.emit(Fail{ID: k.id})
 		return
 	}
 	refusal := Refuse{ID: k.id}
 	if c.settings.MayHoldOff {
 		refusal.HoldOff = c.settings.MaxHoldOff
 	}
-	c.do(refusal)
+	c.emit(refusal)
 }
 
 // --- Attempts ---
 
-// send starts an attempt.
+// send starts an attempt of the call at the server.
 func (c *Controller) send(k *call, s *server) {
 	c.held = slices.DeleteFunc(c.held, func(o *call) bool { return o == k })
 	k.attempts++
-	k.at, k.sentAt, k.undone = s, c.now, false
-	if len(s.out) == 0 {
-		s.heardAt = c.now
+	k.server, k.sentAt, k.cancelSent = s, c.now, false
+	if len(s.inProgress) == 0 {
+		s.lastAnswerAt = c.now
 	}
-	s.out = append(s.out, k)
-	s.accepted++
-	s.own++
+	s.inProgress = append(s.inProgress, k)
+	s.intervalStarts++
+	s.ownLines++
 	s.credit = max(0, s.credit-1)
 	if !s.cold && !s.suspect {
-		s.starts++
+		s.recentStarts++
 	}
-	if s.free > 0 {
-		s.free, s.spare = s.free-1, max(s.spare-1, 0)
+	if s.freeLines > 0 {
+		s.freeLines, s.overflowLines = s.freeLines-1, max(s.overflowLines-1, 0)
 	}
-	limit := time.Duration(0)
+	timeout := time.Duration(0)
 	if s.suspect {
-		limit = c.aim // a trial call that comes later tells nothing new, and its repeats feed the queue
+		// A later answer to a trial call tells nothing new, and repeated set-ups of it lengthen the queue.
+		timeout = c.tightestAim
 	}
-	c.do(SetUp{ID: k.id, Server: s.ID, Limit: limit})
+	c.emit(SetUp{ID: k.id, Server: s.ID, Limit: timeout})
 }
 
-func (c *Controller) stands(e CallStands) {
+func (c *Controller) handleCallStands(e CallStands) {
 	s := c.byID[e.Server]
 	if s != nil && c.overtaken(s, c.now-e.Elapsed) {
-		s.heardAt = c.now // what kept this answer was not the processor
-		s.answers++
+		s.lastAnswerAt = c.now // the processor did not cause this delay
+		s.intervalAnswers++
 	} else if s != nil {
-		s.latest = max(s.latest, c.now-e.Elapsed)
-		if s.quiet == 0 || e.Elapsed < s.quiet {
-			s.quiet = e.Elapsed
+		s.lastAnsweredSentAt = max(s.lastAnsweredSentAt, c.now-e.Elapsed)
+		if s.minDelay == 0 || e.Elapsed < s.minDelay {
+			s.minDelay = e.Elapsed
 		}
-		if c.quiet == 0 || e.Elapsed < c.quiet {
-			c.quiet = e.Elapsed
+		if c.minDelay == 0 || e.Elapsed < c.minDelay {
+			c.minDelay = e.Elapsed
 		}
-		if e.Elapsed-c.quiet <= c.patience() {
+		if e.Elapsed-c.minDelay <= c.suspectTimeout() {
 			if !s.cold {
-				s.stood++
+				s.promptAnswers++
 			}
-			c.heard(s)
+			c.markHealthy(s)
 		} else {
-			// Alive, but with a queue that trial calls must let drain.
-			s.heardAt = c.now
-			c.doubt(s, c.now-e.Elapsed)
+			// The server answers, but its queue is too long and has to drain.
+			s.lastAnswerAt = c.now
+			c.markSuspect(s, c.now-e.Elapsed)
 		}
-		gap := float64(c.now - s.delayAt)
-		s.delay += time.Duration(gap / (gap + float64(memory)) * float64(e.Elapsed-s.quiet-s.delay))
-		s.delayAt = c.now
-		s.answers++
+		sinceLast := float64(c.now - s.excessDelayAt)
+		s.excessDelay += time.Duration(sinceLast / (sinceLast + float64(delayHalfLife)) *
+			float64(e.Elapsed-s.minDelay-s.excessDelay))
+		s.excessDelayAt = c.now
+		s.intervalAnswers++
 	}
 	if k := c.calls[e.ID]; k != nil {
-		c.forget(k)
+		c.removeCall(k)
 	}
 }
 
-func (c *Controller) ended(e AttemptEnded) {
+func (c *Controller) handleAttemptEnded(e AttemptEnded) {
 	s, k := c.byID[e.Server], c.calls[e.ID]
 	if s != nil {
-		c.report(s, e.Report)
-		s.own = max(s.own-1, 0)
+		c.applyReport(s, e.Report)
+		s.ownLines = max(s.ownLines-1, 0)
 		switch e.Outcome {
 		case Completed:
-			if s.free >= 0 && !c.hasPart(s) { // else it is left to those that have fewer
-				s.free, s.spare = s.free+1, s.spare+1 // the call's own line
+			if s.freeLines >= 0 && !c.hasLineShare(s) { // otherwise it is left to nodes that have fewer
+				s.freeLines, s.overflowLines = s.freeLines+1, s.overflowLines+1 // the call's own line
 			}
 		case Full:
-			s.heardAt = c.now
+			s.lastAnswerAt = c.now
 			if e.NoLine {
-				s.shortAt = c.now
-				c.rest(s, fullRest, -1) // a longer one each time would leave the lines to whoever has them
+				s.noLineAt = c.now
+				// A doubled back-off would leave the lines to the nodes that already have them.
+				c.startBackOff(s, fullBackOff, -1)
 			} else {
-				// Its queue is at its limit: nothing sent now can stand in time.
-				c.doubt(s, c.now-e.Elapsed)
+				// Its queue is at its limit: no set-up that is sent now can be answered in time.
+				c.markSuspect(s, c.now-e.Elapsed)
 			}
-			c.unstick(s)
+			c.clearLastServer(s)
 		case Unreachable:
-			s.restUntil = max(s.restUntil, c.now+unreachableRest)
-			c.doubt(s, c.now-e.Elapsed)
+			s.backOffUntil = max(s.backOffUntil, c.now+unreachableBackOff)
+			c.markSuspect(s, c.now-e.Elapsed)
 		case TimedOut:
 			if !c.overtaken(s, c.now-e.Elapsed) {
-				c.doubt(s, c.now-e.Elapsed)
+				c.markSuspect(s, c.now-e.Elapsed)
 			}
 		}
 	}
-	if k == nil || k.at == nil || k.attempts-1 != e.Attempt {
+	if k == nil || k.server == nil || k.attempts-1 != e.Attempt {
 		return
 	}
-	k.at.drop(k)
-	if k.ranAt == nil && e.Outcome.mayHaveRun() {
-		k.ranAt, k.ranSince = k.at, k.sentAt
+	k.server.removeAttempt(k)
+	if k.ranOn == nil && e.Outcome.mayHaveRun() {
+		k.ranOn, k.ranSentAt = k.server, k.sentAt
 	}
-	k.at = nil
+	k.server = nil
 	if e.CallOver {
-		c.forget(k)
+		c.removeCall(k)
 		return
 	}
-	if e.Outcome.mayLinger() {
-		k.readyAt = c.now + c.settings.ReleaseGuard
+	if e.Outcome.mayStillRun() {
+		k.notBefore = c.now + c.settings.ReleaseGuard
 	}
 	if c.now >= k.deadline-2*c.settings.Tick {
-		c.lose(k)
-		c.do(Fail{ID: k.id})
+		c.removeUnserved(k)
+		c.emit(Fail{ID: k.id})
 		return
 	}
 	c.held = append(c.held, k)
 }
 
-// unstick has classes that keep to the server choose anew.
-func (c *Controller) unstick(s *server) {
-	maps.DeleteFunc(c.last, func(_ string, last *server) bool { return last == s })
+// clearLastServer makes the classes that stay with the server select another one.
+func (c *Controller) clearLastServer(s *server) {
+	maps.DeleteFunc(c.lastByClass, func(_ string, last *server) bool { return last == s })
 }
 
-// drop takes the attempt of a call off the list of those without an answer.
-func (s *server) drop(k *call) {
+// removeAttempt removes the call from the attempts in progress.
+func (s *server) removeAttempt(k *call) {
 	if s == nil {
 		return
 	}
-	s.out = slices.DeleteFunc(s.out, func(o *call) bool { return o == k })
+	s.inProgress = slices.DeleteFunc(s.inProgress, func(o *call) bool { return o == k })
 }
 
 // --- Server health ---
 
-// overtaken reports whether a later set-up has overtaken one that was sent to the server then. The processor
-// takes them in turn, so that one was lost, or its answer was: its age tells of no queue.
+// overtaken reports whether a set-up sent after sentAt was answered before the one sent at sentAt. The
+// processor works in order of arrival, so the earlier set-up or its answer was lost: its age does not
+// indicate a queue.
 func (c *Controller) overtaken(s *server, sentAt time.Duration) bool {
-	return s.latest-sentAt > max(s.quiet, 4*c.settings.Tick)
+	return s.lastAnsweredSentAt-sentAt > max(s.minDelay, 4*c.settings.Tick)
 }
 
-// age of the oldest set-up that waits at the server without an answer.
-func (c *Controller) age(s *server) time.Duration {
-	for _, k := range s.out {
+// oldestAge returns the age of the oldest attempt in progress at the server that was not overtaken.
+func (c *Controller) oldestAge(s *server) time.Duration {
+	for _, k := range s.inProgress {
 		if !c.overtaken(s, k.sentAt) {
 			return c.now - k.sentAt
 		}
@@ -682,135 +705,143 @@
 	return 0
 }
 
-// watch makes a server suspect when a set-up stays too long without an answer. It guards against every cause
-// of silence, and against feeding a queue that is too long already.
-func (c *Controller) watch(s *server) {
-	limit := c.patience()
-	if c.age(s)-c.quiet > limit && !s.suspect {
-		c.doubt(s, c.now-c.age(s))
+// checkHealth makes a server suspect when a set-up has no answer for too long. This covers every cause of
+// missing answers, and keeps calls away from a queue that is already too long.
+func (c *Controller) checkHealth(s *server) {
+	timeout := c.suspectTimeout()
+	if c.oldestAge(s)-c.minDelay > timeout && !s.suspect {
+		c.markSuspect(s, c.now-c.oldestAge(s))
 	}
-	if !s.suspect || c.now-s.heardAt < limit || !c.settings.MayCancel {
+	if !s.suspect || c.now-s.lastAnswerAt < timeout || !c.settings.MayCancel {
 		return
 	}
-	// Nothing at all comes back: take the calls that have time left to a server that answers.
+	// The server is unresponsive: move the calls with enough time left to a healthy server.
 	healthy := func(o *server) bool { return o.Status == Active && !o.suspect }
 	if !slices.ContainsFunc(c.servers, healthy) {
 		return
 	}
-	for _, k := range s.out {
-		trial := k == s.out[len(s.out)-1]
-		if !trial && !k.undone && c.now-k.sentAt >= limit && c.now+c.settings.ReleaseGuard < k.deadline {
-			k.undone = true
-			c.do(Cancel{ID: k.id, Attempt: k.attempts - 1})
+	for _, k := range s.inProgress {
+		trial := k == s.inProgress[len(s.inProgress)-1]
+		if !trial && !k.cancelSent && c.now-k.sentAt >= timeout && c.now+c.settings.ReleaseGuard < k.deadline {
+			k.cancelSent = true
+			c.emit(Cancel{ID: k.id, Attempt: k.attempts - 1})
 		}
 	}
 }
 
-// patience is how long a set-up may go without an answer before its server is suspect.
-func (c *Controller) patience() time.Duration { return time.Duration(suspectShare * float64(c.aim)) }
+// suspectTimeout returns how long a set-up may have no answer before its server becomes suspect.
+func (c *Controller) suspectTimeout() time.Duration {
+	return time.Duration(suspectDelayShare * float64(c.tightestAim))
+}
 
-// doubt makes a server suspect: it gets trial calls only, ever more seldom, until one stands promptly or it
-// tells of a short wait. A queue that is too long feeds itself, as every set-up that waits is repeated; only
-// a rest lets it drain. What became of set-ups sent before the server was suspect tells nothing new.
-func (c *Controller) doubt(s *server, sentAt time.Duration) {
-	if s.suspect && sentAt < s.suspectAt {
+// markSuspect makes a server suspect. It then gets only trial calls, at growing intervals, until one is
+// answered promptly or the server reports a short wait. A queue that is too long sustains itself, because
+// waiting set-ups are repeated; only a back-off lets it drain. Outcomes of set-ups sent before the server
+// became suspect are ignored, as they tell nothing new.
+func (c *Controller) markSuspect(s *server, sentAt time.Duration) {
+	if s.suspect && sentAt < s.suspectSince {
 		return
 	}
 	if !s.suspect {
-		s.suspect, s.suspectAt = true, c.now
-		s.full = true
-		c.update(s)
+		s.suspect, s.suspectSince = true, c.now
+		s.wasFull = true
+		c.updateWindow(s)
 	}
-	c.rest(s, min(doubtRest, max(fullRest, time.Duration(doubtShare*float64(c.aim)))), sentAt)
+	c.startBackOff(s, min(maxFirstBackOff,
+		max(fullBackOff, time.Duration(suspectBackOffShare*float64(c.tightestAim)))), sentAt)
 }
 
-// rest leaves a server alone for a while, which doubles each time in a row. The end of a set-up that was sent
-// before the last rest tells nothing new: many that were out at once end alike.
-func (c *Controller) rest(s *server, least, sentAt time.Duration) {
-	if sentAt >= s.restAt {
-		s.rest *= 2
+// startBackOff sends nothing to the server for a time that doubles with each repetition, plus up to half of
+// it at random. A set-up that was sent before the last back-off does not double it, because attempts that
+// were in progress together end alike.
+func (c *Controller) startBackOff(s *server, minBackOff, sentAt time.Duration) {
+	if sentAt >= s.backOffSince {
+		s.backOff *= 2
 	}
-	s.restAt = c.now
-	s.rest = min(max(s.rest, least), trialGap*least)
-	s.restUntil = max(s.restUntil, c.now+s.rest+time.Duration(c.rng.Int64N(int64(s.rest)/2+1)))
+	s.backOffSince = c.now
+	s.backOff = min(max(s.backOff, minBackOff), maxBackOffFactor*minBackOff)
+	s.backOffUntil = max(s.backOffUntil, c.now+s.backOff+time.Duration(c.rng.Int64N(int64(s.backOff)/2+1)))
 }
 
-// part is the part of the node's arrivals a second that falls to a server: by weight, or an even one.
-func (c *Controller) part(s *server) float64 {
-	weight, of := 1, len(c.servers)
+// arrivalShare returns the server's share of the node's arrivals per second: by weight, or an equal share.
+func (c *Controller) arrivalShare(s *server) float64 {
+	weight, total := 1, len(c.servers)
 	if s.Weight > 0 {
-		weight, of = s.Weight, 0
+		weight, total = s.Weight, 0
 		for _, o := range c.servers {
-			of += o.Weight
+			total += o.Weight
 		}
 	}
-	arrivals := perSecond(float64(c.offers), c.now-c.startedAt)
-	return max(arrivals*float64(weight)/float64(of), c.leastRate())
+	arrivalRate := perSecond(float64(c.offeredCalls), c.now-c.startedAt)
+	return max(arrivalRate*float64(weight)/float64(total), c.minRate())
 }
 
-// heard notes a prompt answer. A server that was silent for long may have started anew.
-func (c *Controller) heard(s *server) {
-	if s.suspect && c.now-s.heardAt >= silenceCold {
+// markHealthy records a prompt answer. A suspect server that had not answered for long may have restarted.
+func (c *Controller) markHealthy(s *server) {
+	if s.suspect && c.now-s.lastAnswerAt >= coldSilence {
 		c.startCold(s, c.now)
 	}
-	s.suspect, s.rest = false, 0
-	s.heardAt = c.now
+	s.suspect, s.backOff = false, 0
+	s.lastAnswerAt = c.now
 }
 
-func (c *Controller) report(s *server, figures []float64) {
-	fields, peers := c.settings.ReportFields, max(c.settings.Nodes, 1)
-	for i, v := range figures {
+func (c *Controller) applyReport(s *server, values []float64) {
+	fields, nodes := c.settings.ReportFields, max(c.settings.Nodes, 1)
+	for i, v := range values {
 		if i >= len(fields) || v < 0 {
 			continue
 		}
 		switch fields[i] {
 		case FreeLines:
-			// All nodes read this figure, and what their calls of second choice take must not exceed it.
-			s.free, s.spare = int(v), int(v/float64(peers)+c.rng.Float64())
+			// All nodes get this number, and their overflow together must not exceed it.
+			s.freeLines, s.overflowLines = int(v), int(v/float64(nodes)+c.rng.Float64())
 		case Lines:
 			s.lines = max(v, 1)
 		case QueueWait:
-			s.wait = max(0, time.Duration(v*float64(time.Millisecond)))
+			s.reportedWait = max(0, time.Duration(v*float64(time.Millisecond)))
 			if s.suspect {
-				c.relieve(s)
+				c.applyReportedWait(s)
 			}
 		case MaxRate:
-			s.able = v
+			s.reportedRate = v
 		case Utilisation:
-			s.util += v
-			s.reports++
+			s.utilSum += v
+			s.utilReports++
 			if v < minOccupancy && (s.overhead == 0 || v < s.overhead) {
-				s.overhead = v // the paper measures it in light traffic
+				s.overhead = v // the paper measures the overhead in light traffic
 			}
 		}
 	}
 }
 
-// relieve takes in the wait that a suspect server tells. A long one is the rest that it needs. A short one
-// ends the doubt after the rest; until a call has stood it gets one at a time, and the next rest is longer.
-func (c *Controller) relieve(s *server) {
-	over := s.wait - time.Duration(targetShare*float64(c.aim))
-	if over > 0 {
-		s.restUntil = max(s.restUntil, c.now+min(over, mostRest)+time.Duration(c.rng.Int64N(int64(fullRest))))
-	} else if c.now >= s.restUntil {
+// applyReportedWait applies the wait that a suspect server reports. The excess of a long wait becomes its
+// back-off. After a short one the server is no longer suspect once its back-off is over; until a call has
+// been answered it gets one call at a time, and the next back-off is longer.
+func (c *Controller) applyReportedWait(s *server) {
+	excess := s.reportedWait - time.Duration(targetWaitShare*float64(c.tightestAim))
+	if excess > 0 {
+		s.backOffUntil = max(s.backOffUntil,
+			c.now+min(excess, maxReportedBackOff)+time.Duration(c.rng.Int64N(int64(fullBackOff))))
+	} else if c.now >= s.backOffUntil {
 		s.suspect, s.credit = false, c.rng.Float64()
 	}
 }
 
-func (c *Controller) listReceived(e ListReceived) {
+func (c *Controller) handleListReceived(e ListReceived) {
 	if e.Failed {
-		c.listAt = c.now + listRetry
+		c.listRequestAt = c.now + listRetryDelay
 		return
 	}
-	named := map[ServerID]bool{}
+	listed := map[ServerID]bool{}
 	for _, entry := range e.Entries {
-		named[entry.ID] = true
+		listed[entry.ID] = true
 		s := c.byID[entry.ID]
 		if s == nil {
-			s = &server{open: true, heardAt: c.now, rolledAt: c.now, free: -1, spare: -1, lines: 1}
+			s = &server{unlimited: true, lastAnswerAt: c.now, advancedAt: c.now,
+				freeLines: -1, overflowLines: -1, lines: 1}
 			s.credit = c.rng.Float64()
-			s.periodAt = c.now - time.Duration(c.rng.Int64N(int64(controlPeriod)))
-			s.delayAt = s.periodAt
+			s.periodStart = c.now - time.Duration(c.rng.Int64N(int64(controlPeriod)))
+			s.excessDelayAt = s.periodStart
 			c.byID[entry.ID] = s
 			c.servers = append(c.servers, s)
 		}
@@ -821,109 +852,117 @@
 		}
 	}
 	for _, s := range c.servers {
-		if e.Whole && !named[s.ID] {
+		if e.Whole && !listed[s.ID] {
 			s.Status = Removed
 		}
 		if s.Status != Removed {
-			s.goneAt = c.now
+			s.lastListedAt = c.now
 		}
 	}
-	c.retire()
+	c.removeStaleServers()
 }
 
-// retire forgets servers that have long been gone. Until then one in its place learns from it what to expect.
-func (c *Controller) retire() {
+// removeStaleServers deletes servers that were removed long ago. Until then, a replacement in the same cell
+// starts from the rate of the removed server.
+func (c *Controller) removeStaleServers() {
 	c.servers = slices.DeleteFunc(c.servers, func(s *server) bool {
-		old := s.Status == Removed && len(s.out) == 0 && c.now-s.goneAt > 2*max(c.settings.WarmUpTime, controlPeriod)
-		if old {
+		stale := s.Status == Removed && len(s.inProgress) == 0 &&
+			c.now-s.lastListedAt > 2*max(c.settings.WarmUpTime, controlPeriod)
+		if stale {
 			delete(c.byID, s.ID)
-			c.unstick(s)
+			c.clearLastServer(s)
 		}
-		return old
+		return stale
 	})
 }
 
-func (c *Controller) askForList() {
-	if c.listAt > 0 && c.now >= c.listAt {
-		c.listAt = 0
-		c.do(Subscribe{})
+func (c *Controller) requestList() {
+	if c.listRequestAt > 0 && c.now >= c.listRequestAt {
+		c.listRequestAt = 0
+		c.emit(Subscribe{})
 	}
 }
 
 // --- Cold starts ---
 
-// startCold marks a server as started at the given time: coldRate makes its window until it is warm.
+// startCold marks a server as started at the given time. coldRate determines its window until it is warm.
 func (c *Controller) startCold(s *server, at time.Duration) {
-	s.cold, s.coldFrom, s.suspect = true, at, false
-	s.open, s.credit = false, c.rng.Float64()
-	s.delay = 0
-	c.do(Log{Text: "server " + string(s.ID) + " starts cold"})
+	s.cold, s.coldSince, s.suspect = true, at, false
+	s.unlimited, s.credit = false, c.rng.Float64()
+	s.excessDelay = 0
+	c.emit(Log{Text: "server " + string(s.ID) + " starts cold"})
 }
 
-// coldRate is how many starts a second a cold server is sent: this node's part of what a warm one gets, cut
-// to the share it can do by now, times half of the multiple that pushes it over. So the sum of all is safe.
+// coldRate returns how many starts per second this node sends to a cold server. It is the node's rate at
+// the warm server, reduced to the capacity reached so far, times half of the factor that overloads a cold
+// server. This keeps the sum over all nodes safe.
 func (c *Controller) coldRate(s *server) float64 {
-	since := float64(c.now-s.coldFrom) / float64(max(c.settings.WarmUpTime, 1))
-	s.cold = since < 1
-	share := c.settings.ColdCapacity + (1-c.settings.ColdCapacity)*min(max(0, since), 1)
-	return c.rate(s) * share * max(1, c.settings.ColdOverloadFactor/2)
-}
-
-// rate is how many starts a second this node makes to the server when it is warm. A new one gets what the one
-// in its place got, or its part by size of all that the node sends: that may have been nobody's first choice.
-// Others that are new have their parts as well; each reckoned as the only one, their sum was above the whole.
-func (c *Controller) rate(s *server) float64 {
-	if s.watched > 0 {
-		return max(s.ownRate(), c.leastRate())
-	}
-	rate, lines, known, others, before := 0.0, 0.0, 0.0, 0.0, 0.0
+	progress := float64(c.now-s.coldSince) / float64(max(c.settings.WarmUpTime, 1))
+	s.cold = progress < 1
+	share := c.settings.ColdCapacity + (1-c.settings.ColdCapacity)*min(max(0, progress), 1)
+	return c.warmRate(s) * share * max(1, c.settings.ColdOverloadFactor/2)
+}
+
+// warmRate returns how many starts per second this node sends to the server when it is warm. For a new
+// server it is the rate of the server that it replaces in its cell, or the new server's share of the node's
+// total rate by capacity if that is more: the replaced server may have been nobody's first choice. The
+// share allows for other new servers; when each was treated as the only one, the rates added up to more
+// than the total.
+func (c *Controller) warmRate(s *server) float64 {
+	if s.observedTime > 0 {
+		return max(s.ownRate(), c.minRate())
+	}
+	rate, lines, knownSizes, others, cellRate := 0.0, 0.0, 0.0, 0.0, 0.0
 	for _, o := range c.servers {
-		if o.watched > 0 && o.Cell == s.Cell && s.Weight == 0 {
-			before = max(before, o.ownRate())
+		if o.observedTime > 0 && o.Cell == s.Cell && s.Weight == 0 {
+			cellRate = max(cellRate, o.ownRate())
 		}
-		if o.watched > 0 && o.Status != Removed {
-			rate += o.ownRate() // what a draining one took, others take now
+		if o.observedTime > 0 && o.Status != Removed {
+			rate += o.ownRate() // other servers take over the rate of a draining one
 		}
 		if o != s && o.Status == Active {
-			if others++; o.watched > 0 || o.size() > 1 {
-				lines, known = lines+o.size(), known+1
+			if others++; o.observedTime > 0 || o.capacity() > 1 {
+				lines, knownSizes = lines+o.capacity(), knownSizes+1
 			}
 		}
 	}
-	mean, size := lines/max(known, 1), s.size()
-	if size <= 1 && s.Weight == 0 && known > 0 {
-		size = mean // its own is not told yet
+	mean, size := lines/max(knownSizes, 1), s.capacity()
+	if size <= 1 && s.Weight == 0 && knownSizes > 0 {
+		size = mean // its lines are not reported yet
 	}
-	return max(rate*size/(others*mean+size), before, c.leastRate())
+	return max(rate*size/(others*mean+size), cellRate, c.minRate())
 }
 
-// size is what a server can take against the others: its weight, or its lines.
-func (s *server) size() float64 {
+// capacity returns the size of a server relative to the others: its weight or else its lines.
+func (s *server) capacity() float64 {
 	return cmp.Or(float64(max(s.Weight, 0)), s.lines)
 }
 
-// able is how many set-ups a second the server can take from all nodes: as it told, or by what others tell
-// for a line; 0 if none does.
-func (c *Controller) able(s *server) float64 {
-	return cmp.Or(s.able, s.lines*c.perLine)
+// capacityRate returns how many set-ups per second the server can process from all nodes: the reported
+// rate, or an estimate from its lines and the rates of other servers. It is 0 if no server reports a rate.
+func (c *Controller) capacityRate(s *server) float64 {
+	return cmp.Or(s.reportedRate, s.lines*c.ratePerLine)
 }
 
-func (s *server) ownRate() float64 { return perSecond(s.stood, s.watched) }
+// ownRate returns how many calls of this node the server answers promptly per second.
+func (s *server) ownRate() float64 { return perSecond(s.promptAnswers, s.observedTime) }
 
-// perSecond is the rate of what was counted over a time. A few in less than a period may be chance.
-func perSecond(count float64, over time.Duration) float64 {
-	if count < 2*minStarts {
-		over = max(over, ratePeriod)
+// perSecond returns the rate of a count over a time span. A small count in a short span may be chance, so
+// it is spread over minRatePeriod.
+func perSecond(count float64, span time.Duration) float64 {
+	if count < 2*minIntervalStarts {
+		span = max(span, minRatePeriod)
 	}
-	return count / max(over, fullRest).Seconds()
+	return count / max(span, fullBackOff).Seconds()
 }
 
-// leastRate keeps this node informed, and all nodes together harmless.
-func (c *Controller) leastRate() float64 { return firstRate / float64(max(c.settings.Nodes, 1)) }
+// minRate returns this node's share of minTotalRate. It is enough to learn the state of a server, and
+// harmless even if all nodes send it.
+func (c *Controller) minRate() float64 { return minTotalRate / float64(max(c.settings.Nodes, 1)) }
 
-// planWake asks for a turn at the next time at which something may be due.
-func (c *Controller) planWake() {
-	if len(c.calls) == 0 && c.listAt == 0 {
+// scheduleWake requests a Woken event for the next time at which the controller may have to act.
+func (c *Controller) scheduleWake() {
+	if len(c.calls) == 0 && c.listRequestAt == 0 {
 		return
 	}
 	next := c.now + 10*c.settings.Tick
@@ -932,6 +971,6 @@
 	}
 	if c.wakeAt == 0 || next < c.wakeAt {
 		c.wakeAt = next
-		c.do(Wake{After: next - c.now})
+		c.emit(Wake{After: next - c.now})
 	}
 }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -56,8 +56,8 @@
 	return n.c.Step(n.now, events)
 }
 
-// until gives a turn each step until d has passed, and returns all actions.
-func (n *node) until(d, step time.Duration) []Action {
+// stepFor gives a turn each step until d has passed, and returns all actions.
+func (n *node) stepFor(d, step time.Duration) []Action {
 	var all []Action
 	for end := n.now + d; n.now < end; {
 		all = append(all, n.after(step)...)
@@ -65,7 +65,7 @@
 	return all
 }
 
-func list(status ServerStatus, ids ...ServerID) ListReceived {
+func newList(status ServerStatus, ids ...ServerID) ListReceived {
 	l := ListReceived{Whole: true}
 	for i, id := range ids {
 		l.Entries = append(l.Entries, ServerEntry{ID: id, Cell: i, Zone: "z", Status: status})
@@ -73,12 +73,12 @@
 	return l
 }
 
-func offer(id CallID, class, cell int) CallOffered {
+func newOffer(id CallID, class, cell int) CallOffered {
 	return CallOffered{ID: id, Class: class, Budget: 3 * time.Second, FirstCell: cell}
 }
 
-// of keeps the actions of one type.
-func of[T Action](actions []Action) []T {
+// actionsOf keeps the actions of one type.
+func actionsOf[T Action](actions []Action) []T {
 	var kept []T
 	for _, a := range actions {
 		if v, ok := a.(T); ok {
@@ -96,7 +96,7 @@
 	}{
 		{"at the wanted occupancy", 20, 20, maxOccupancy, 0, 20},
 		{"within the clamps", 20, 20, maxOccupancy * 20 / 18, 0, 18},
-		{"largest decrease", 20, 20, tooHigh - 0.01, 0, 20 * (1 - maxDecrease)},
+		{"largest decrease", 20, 20, tooHighOccupancy - 0.01, 0, 20 * (1 - maxDecrease)},
 		{"largest increase", 20, 20, 0.1, 0, 20 * (1 + maxIncrease)},
 		{"too high: extra decrement on the clamp", 20, 20, 9, 0, 20 * (1 - maxDecrease) * (1 - extraDecrement)},
 		{"overhead is left out of both sides", 20, 20, 0.9, 0.2, 20 * (maxOccupancy - 0.2) / 0.7},
@@ -142,8 +142,8 @@
 
 func TestFirstChoice(t *testing.T) {
 	n := newNode(t, settings())
-	n.after(0, list(Active, "a", "b", "c"))
-	sent := of[SetUp](n.after(ms, offer("1", 0, 1)))
+	n.after(0, newList(Active, "a", "b", "c"))
+	sent := actionsOf[SetUp](n.after(ms, newOffer("1", 0, 1)))
 	if len(sent) != 1 || sent[0].Server != "b" {
 		t.Fatalf("sent %v, want one set-up to b", sent)
 	}
@@ -152,15 +152,15 @@
 func TestFullRestsTheServer(t *testing.T) {
 	for _, noLine := range []bool{false, true} {
 		n := newNode(t, settings())
-		n.after(0, list(Active, "a"))
-		n.after(ms, offer("1", 0, 0))
+		n.after(0, newList(Active, "a"))
+		n.after(ms, newOffer("1", 0, 0))
 		full := AttemptEnded{ID: "1", Server: "a", Outcome: Full, NoLine: noLine}
-		early := n.after(ms, full, offer("2", 0, 0))
-		early = append(early, n.until(240*ms, 5*ms)...)
-		if sent := of[SetUp](early); len(sent) != 0 {
+		early := n.after(ms, full, newOffer("2", 0, 0))
+		early = append(early, n.stepFor(240*ms, 5*ms)...)
+		if sent := actionsOf[SetUp](early); len(sent) != 0 {
 			t.Errorf("noLine %v: sent %v within the rest", noLine, sent)
 		}
-		if sent := of[SetUp](n.until(3*time.Second, 5*ms)); len(sent) == 0 {
+		if sent := actionsOf[SetUp](n.stepFor(3*time.Second, 5*ms)); len(sent) == 0 {
 			t.Errorf("noLine %v: nothing was sent after the rest", noLine)
 		}
 	}
@@ -173,15 +173,15 @@
 	}{
 		{"no server known", nil},
 		{"empty list", []Event{ListReceived{Whole: true}}},
-		{"all servers gone", []Event{list(Active, "a"), ListReceived{Whole: true}}},
-		{"all servers draining", []Event{list(Draining, "a", "b")}},
-		{"silent server", []Event{list(Active, "a")}},
+		{"all servers gone", []Event{newList(Active, "a"), ListReceived{Whole: true}}},
+		{"all servers draining", []Event{newList(Draining, "a", "b")}},
+		{"silent server", []Event{newList(Active, "a")}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			n := newNode(t, settings())
 			n.after(0, tt.list...)
-			all := n.after(ms, offer("1", 0, 0), offer("2", 1, 0))
+			all := n.after(ms, newOffer("1", 0, 0), newOffer("2", 1, 0))
 			start := n.now
 			answered := map[CallID]int{}
 			out := map[CallID]int{}
@@ -223,12 +223,12 @@
 func TestCallerThatLeftFreesItsAttempt(t *testing.T) {
 	// A caller that left while its attempt was out must not block the trial calls of the server.
 	n := newNode(t, settings())
-	n.after(0, list(Active, "a"))
-	n.after(ms, offer("1", 0, 0))
-	n.until(900*ms, 5*ms)
+	n.after(0, newList(Active, "a"))
+	n.after(ms, newOffer("1", 0, 0))
+	n.stepFor(900*ms, 5*ms)
 	n.after(ms, CallerLeft{ID: "1"})
-	n.until(n.c.byID["a"].restUntil-n.now+ms, 5*ms)
-	if sent := of[SetUp](n.after(ms, offer("2", 0, 0))); len(sent) != 1 {
+	n.stepFor(n.c.byID["a"].backOffUntil-n.now+ms, 5*ms)
+	if sent := actionsOf[SetUp](n.after(ms, newOffer("2", 0, 0))); len(sent) != 1 {
 		t.Fatalf("sent %v, want the trial call", sent)
 	}
 }
@@ -236,9 +236,9 @@
 func TestDrainIsKeptInTheSameTurn(t *testing.T) {
 	for _, status := range []ServerStatus{Draining, Removed} {
 		n := newNode(t, settings())
-		n.after(0, list(Active, "a", "b"))
+		n.after(0, newList(Active, "a", "b"))
 		change := ListReceived{Entries: []ServerEntry{{ID: "a", Status: status}}}
-		for _, s := range of[SetUp](n.after(ms, offer("1", 0, 0), change, offer("2", 0, 0))) {
+		for _, s := range actionsOf[SetUp](n.after(ms, newOffer("1", 0, 0), change, newOffer("2", 0, 0))) {
 			if s.Server == "a" {
 				t.Errorf("status %v: set-up to a server that drains", status)
 			}
@@ -249,16 +249,16 @@
 func TestReleaseIsAwaited(t *testing.T) {
 	for _, outcome := range []Outcome{TimedOut, Reset, Cancelled} {
 		n := newNode(t, settings())
-		n.after(0, list(Active, "a", "b"))
-		n.after(ms, offer("1", 0, 0))
+		n.after(0, newList(Active, "a", "b"))
+		n.after(ms, newOffer("1", 0, 0))
 		n.after(ms, AttemptEnded{ID: "1", Server: "a", Outcome: outcome})
 		told := n.now
 		for n.now < told+295*ms {
-			if sent := of[SetUp](n.after(5 * ms)); len(sent) > 0 {
+			if sent := actionsOf[SetUp](n.after(5 * ms)); len(sent) > 0 {
 				t.Fatalf("outcome %v: sent again after %v", outcome, n.now-told)
 			}
 		}
-		if sent := of[SetUp](n.until(100*ms, 5*ms)); len(sent) != 1 {
+		if sent := actionsOf[SetUp](n.stepFor(100*ms, 5*ms)); len(sent) != 1 {
 			t.Errorf("outcome %v: %d attempts after the guard, want 1", outcome, len(sent))
 		}
 	}
@@ -268,26 +268,26 @@
 	s := settings()
 	s.Classes[0].Idempotency = NonIdempotent
 	n := newNode(t, s)
-	n.after(0, list(Active, "a", "b"))
-	n.after(ms, offer("1", 0, 0))
+	n.after(0, newList(Active, "a", "b"))
+	n.after(ms, newOffer("1", 0, 0))
 	all := n.after(ms, AttemptEnded{ID: "1", Server: "a", Outcome: Reset})
-	all = append(all, n.until(time.Second, 5*ms)...)
-	if sent, refused := of[SetUp](all), of[Refuse](all); len(sent)+len(refused) > 0 {
+	all = append(all, n.stepFor(time.Second, 5*ms)...)
+	if sent, refused := actionsOf[SetUp](all), actionsOf[Refuse](all); len(sent)+len(refused) > 0 {
 		t.Errorf("an unsafe call that may have run was sent %v or refused %v", sent, refused)
 	}
-	if failed := of[Fail](all); len(failed) != 1 {
+	if failed := actionsOf[Fail](all); len(failed) != 1 {
 		t.Errorf("%d failures, want 1", len(failed))
 	}
 }
 
 func TestColdServerIsNotPushedOver(t *testing.T) {
 	n := newNode(t, settings())
-	n.after(0, list(Active, "a"))
+	n.after(0, newList(Active, "a"))
 	cold := ListReceived{Entries: []ServerEntry{{ID: "b", Cell: 1, Status: Active, StartedAt: n.now}}}
 	n.after(0, cold)
 	sent := 0
 	for i := 0; i < 400; i++ { // 4 s at 100 calls a second, all of which want the cold server
-		for _, s := range of[SetUp](n.after(10*ms, offer(CallID(fmt.Sprint(i)), 0, 1))) {
+		for _, s := range actionsOf[SetUp](n.after(10*ms, newOffer(CallID(fmt.Sprint(i)), 0, 1))) {
 			if s.Server == "b" {
 				sent++
 			}
@@ -301,17 +301,17 @@
 func TestColdServerStartsAtItsShareOfTheWarmRate(t *testing.T) {
 	// A large server that died came back at one call a second from each node and took 25 s to be of use.
 	n := newNode(t, settings())
-	n.after(0, list(Active, "a"), ReportReceived{Server: "a", OK: true, Report: []float64{-1, 100}})
-	sends(n.c.byID["a"], 20)
+	n.after(0, newList(Active, "a"), ReportReceived{Server: "a", OK: true, Report: []float64{-1, 100}})
+	setWarmRate(n.c.byID["a"], 20)
 	n.after(0, ListReceived{Entries: []ServerEntry{{ID: "b", Cell: 1, StartedAt: n.now}}})
 	n.after(0, ReportReceived{Server: "b", OK: true, Report: []float64{-1, 50}})
 	sent, start := 0, n.now
 	for i := 0; n.now < start+time.Second; i++ {
-		events := []Event{offer(CallID(fmt.Sprint(i)), 0, 1)}
-		for _, k := range n.c.byID["b"].out {
+		events := []Event{newOffer(CallID(fmt.Sprint(i)), 0, 1)}
+		for _, k := range n.c.byID["b"].inProgress {
 			events = append(events, CallStands{ID: k.id, Server: "b", Elapsed: 10 * ms})
 		}
-		for _, s := range of[SetUp](n.after(10*ms, events...)) {
+		for _, s := range actionsOf[SetUp](n.after(10*ms, events...)) {
 			if s.Server == "b" {
 				sent++
 			}
@@ -324,7 +324,7 @@
 }
 
 func TestOccupancy(t *testing.T) {
-	target := targetShare * float64(time.Second) // of the aim in settings
+	target := targetWaitShare * float64(time.Second) // of the aim in settings
 	tests := []struct {
 		name   string
 		fields []ReportField
@@ -333,19 +333,19 @@
 		want   float64
 	}{
 		{"nothing known", nil, nil, nil, 0},
-		{"own delays", nil, nil, func(s *server) { s.delay = time.Duration(target / 2) }, 0.5},
+		{"own delays", nil, nil, func(s *server) { s.excessDelay = time.Duration(target / 2) }, 0.5},
 		{"reported utilisation", []ReportField{Utilisation}, []float64{0.7}, nil, 0.7},
 		{"reported wait", []ReportField{QueueWait}, []float64{target / 1e6}, nil, 1},
 		{"utilisation before wait", []ReportField{QueueWait, Utilisation}, []float64{target / 1e6, 0.7}, nil, 0.7},
 		{"missing figures", []ReportField{QueueWait, Utilisation}, []float64{-1, -1}, nil, 0},
-		{"a full of the processor", nil, nil, func(s *server) { s.full = true }, tooHigh},
+		{"a full of the processor", nil, nil, func(s *server) { s.wasFull = true }, tooHighOccupancy},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := settings()
 			s.ReportFields = tt.fields
 			n := newNode(t, s)
-			n.after(0, list(Active, "a"), ReportReceived{Server: "a", OK: true, Report: tt.report})
+			n.after(0, newList(Active, "a"), ReportReceived{Server: "a", OK: true, Report: tt.report})
 			server := n.c.byID["a"]
 			if tt.spoil != nil {
 				tt.spoil(server)
@@ -361,10 +361,10 @@
 	s := settings()
 	s.ListOnDemand = true
 	n := newNode(t, s)
-	if asked := of[Subscribe](n.after(0, list(Active, "a"))); len(asked) != 1 {
+	if asked := actionsOf[Subscribe](n.after(0, newList(Active, "a"))); len(asked) != 1 {
 		t.Fatalf("asked for the list %d times at the start, want once", len(asked))
 	}
-	if asked := of[Subscribe](append(n.after(ms, ListReceived{Failed: true}), n.until(2*time.Second, 5*ms)...)); len(asked) != 1 {
+	if asked := actionsOf[Subscribe](append(n.after(ms, ListReceived{Failed: true}), n.stepFor(2*time.Second, 5*ms)...)); len(asked) != 1 {
 		t.Errorf("asked %d times after a failure, want once", len(asked))
 	}
 }
@@ -373,15 +373,15 @@
 	s := settings()
 	s.Classes[0].Idempotency, s.Classes[0].DedupScope, s.Classes[0].DedupWindow = IdempotentByKey, DedupCell, 5*time.Second
 	n := newNode(t, s)
-	n.after(0, list(Active, "a", "b"))
-	n.after(ms, offer("1", 0, 0))
+	n.after(0, newList(Active, "a", "b"))
+	n.after(ms, newOffer("1", 0, 0))
 	all := n.after(ms, AttemptEnded{ID: "1", Server: "a", Outcome: Reset},
 		ListReceived{Entries: []ServerEntry{{ID: "a", Status: Draining}}})
-	all = append(all, n.until(time.Second, 5*ms)...)
-	if sent := of[SetUp](all); len(sent) != 0 {
+	all = append(all, n.stepFor(time.Second, 5*ms)...)
+	if sent := actionsOf[SetUp](all); len(sent) != 0 {
 		t.Errorf("sent %v outside the cell that discards repeats", sent)
 	}
-	if failed, refused := of[Fail](all), of[Refuse](all); len(failed) != 1 || len(refused) != 0 {
+	if failed, refused := actionsOf[Fail](all), actionsOf[Refuse](all); len(failed) != 1 || len(refused) != 0 {
 		t.Errorf("%d failures and %d refusals, want one failure", len(failed), len(refused))
 	}
 }
@@ -390,14 +390,14 @@
 	s := settings()
 	s.Layout, s.OwnCell = Network, 2
 	n := newNode(t, s)
-	n.after(0, list(Active, "a", "b", "c"))
-	transit := offer("1", 0, 1)
+	n.after(0, newList(Active, "a", "b", "c"))
+	transit := newOffer("1", 0, 1)
 	transit.Transit = true
-	if sent := of[SetUp](n.after(ms, transit)); len(sent) != 1 || sent[0].Server != "b" {
+	if sent := actionsOf[SetUp](n.after(ms, transit)); len(sent) != 1 || sent[0].Server != "b" {
 		t.Errorf("transit call: sent %v, want one set-up to b", sent)
 	}
 	for i := 0; i < 50; i++ {
-		for _, a := range of[SetUp](n.after(ms, offer(CallID(fmt.Sprint("x", i)), 0, 2))) {
+		for _, a := range actionsOf[SetUp](n.after(ms, newOffer(CallID(fmt.Sprint("x", i)), 0, 2))) {
 			if a.Server == "c" {
 				t.Fatal("set-up to the own exchange")
 			}
@@ -408,26 +408,26 @@
 func TestReplacementIsKnownByItsCell(t *testing.T) {
 	// The list names a new server before its lines are told; it must not be taken for a small one.
 	n := newNode(t, settings())
-	n.after(0, list(Active, "a", "b"))
-	sends(n.c.byID["a"], 40)
-	sends(n.c.byID["b"], 4)
+	n.after(0, newList(Active, "a", "b"))
+	setWarmRate(n.c.byID["a"], 40)
+	setWarmRate(n.c.byID["b"], 4)
 	n.after(0, ListReceived{Entries: []ServerEntry{{ID: "new", Cell: 0, StartedAt: n.now}}})
-	if got := n.c.rate(n.c.byID["new"]); got != 40 {
+	if got := n.c.warmRate(n.c.byID["new"]); got != 40 {
 		t.Errorf("warm rate %v, want that of the server in its place, 40", got)
 	}
 	// The one in its place may have been nobody's first choice; a new one that got as little was of no use in a rush.
 	n.after(0, ListReceived{Entries: []ServerEntry{{ID: "second", Cell: 1, StartedAt: n.now}, {ID: "b", Cell: 1, Status: Draining}}})
-	if got := n.c.rate(n.c.byID["second"]); got != 44.0/3 {
+	if got := n.c.warmRate(n.c.byID["second"]); got != 44.0/3 {
 		t.Errorf("warm rate %v, want a third of 44 beside a and new, as b drains", got)
 	}
 	n.c.byID["a"].lines = 300 // and its own are not told yet
-	if got := n.c.rate(n.c.byID["second"]); got != 44.0/3 {
+	if got := n.c.warmRate(n.c.byID["second"]); got != 44.0/3 {
 		t.Errorf("warm rate %v beside a server of many lines, want a third of 44", got)
 	}
 	n.c.byID["a"].lines = 1
 	n.after(0, ListReceived{Entries: []ServerEntry{{ID: "b", Cell: 1}}})
 	n.after(0, ListReceived{Entries: []ServerEntry{{ID: "other", Cell: 7, StartedAt: n.now}}})
-	if got := n.c.rate(n.c.byID["other"]); got != 44.0/5 {
+	if got := n.c.warmRate(n.c.byID["other"]); got != 44.0/5 {
 		t.Errorf("warm rate %v of a server of no known size, want a fifth of 44", got)
 	}
 }
@@ -443,7 +443,7 @@
 	n.after(0, ListReceived{Entries: old, Whole: true})
 	for _, s := range n.c.servers {
 		s.lines = 50
-		sends(s, 10)
+		setWarmRate(s, 10)
 	}
 	for i := range 6 {
 		old[i].Status = Draining
@@ -459,7 +459,7 @@
 			}
 		}
 		for _, e := range young {
-			sum += n.c.rate(n.c.byID[e.ID])
+			sum += n.c.warmRate(n.c.byID[e.ID])
 		}
 		if sum < 59 || sum > 61 {
 			t.Errorf("lines told %d: six new ones beside four are to have %.1f of 100 a second together, want 60", told, sum)
@@ -469,23 +469,23 @@
 
 func TestRestartUnderTheSameIdIsCold(t *testing.T) {
 	n := newNode(t, settings())
-	n.after(0, list(Active, "a"))
+	n.after(0, newList(Active, "a"))
 	n.after(time.Second, ListReceived{Entries: []ServerEntry{{ID: "a", StartedAt: n.now}}})
-	if s := n.c.byID["a"]; !s.cold || s.open {
-		t.Errorf("after a new start: cold %v, window open %v", s.cold, s.open)
+	if s := n.c.byID["a"]; !s.cold || s.unlimited {
+		t.Errorf("after a new start: cold %v, window open %v", s.cold, s.unlimited)
 	}
 }
 
 func TestALostSetUpIsNoQueue(t *testing.T) {
 	// One link in four that is open but dead kept a server that answered all others at once at a tenth of its calls.
 	n := newNode(t, settings())
-	n.after(time.Second, list(Active, "a"))
+	n.after(time.Second, newList(Active, "a"))
 	answer := func(id string) {
-		n.after(10*ms, offer(CallID(id), 0, 0))
+		n.after(10*ms, newOffer(CallID(id), 0, 0))
 		n.after(30*ms, CallStands{ID: CallID(id), Server: "a", Elapsed: 30 * ms})
 	}
 	answer("first")
-	n.after(10*ms, offer("lost", 0, 0), offer("late", 0, 0))
+	n.after(10*ms, newOffer("lost", 0, 0), newOffer("late", 0, 0))
 	for i := range 40 {
 		answer(fmt.Sprint(i))
 	}
@@ -498,8 +498,8 @@
 	if s.suspect {
 		t.Error("suspect for a set-up that was lost")
 	}
-	n.after(time.Second, offer("queued", 0, 0))
-	n.until(time.Second, 50*ms)
+	n.after(time.Second, newOffer("queued", 0, 0))
+	n.stepFor(time.Second, 50*ms)
 	if !s.suspect {
 		t.Error("not suspect though nothing comes back")
 	}
@@ -510,8 +510,8 @@
 	// that the arrivals were shared out to.
 	n := newNode(t, settings())
 	for i := range 200 {
-		n.after(time.Second, list(Active, "a", ServerID(fmt.Sprint("s", i))), offer(CallID(fmt.Sprint(i)), 0, 0))
-		n.until(2*time.Second, 500*ms)
+		n.after(time.Second, newList(Active, "a", ServerID(fmt.Sprint("s", i))), newOffer(CallID(fmt.Sprint(i)), 0, 0))
+		n.stepFor(2*time.Second, 500*ms)
 		n.after(0, CallerLeft{ID: CallID(fmt.Sprint(i))})
 	}
 	if kept := len(n.c.servers); kept > 12 || len(n.c.byID) != kept {
@@ -521,14 +521,14 @@
 
 func TestAttemptLimit(t *testing.T) {
 	n := newNode(t, settings())
-	n.after(0, list(Active, "a", "b", "c", "d"))
+	n.after(0, newList(Active, "a", "b", "c", "d"))
 	attempts, refused := 0, 0
-	events := []Event{offer("1", 0, 0)}
+	events := []Event{newOffer("1", 0, 0)}
 	for i := 0; i < 500; i++ {
 		all := n.after(5*ms, events...)
 		events = nil
-		refused += len(of[Refuse](all))
-		for _, s := range of[SetUp](all) {
+		refused += len(actionsOf[Refuse](all))
+		for _, s := range actionsOf[SetUp](all) {
 			events = append(events, AttemptEnded{ID: "1", Server: s.Server, Attempt: attempts, Outcome: Full})
 			attempts++
 		}
@@ -542,8 +542,8 @@
 // make no sense change nothing.
 func TestRetune(t *testing.T) {
 	n := newNode(t, settings())
-	n.after(0, list(Active, "a", "b"))
-	n.after(ms, offer("1", 0, 0), offer("2", 0, 0))
+	n.after(0, newList(Active, "a", "b"))
+	n.after(ms, newOffer("1", 0, 0), newOffer("2", 0, 0))
 	other := settings()
 	other.Classes = []Class{{Name: "only", Aim: time.Second, Deadline: 8 * time.Second, Worth: 1, Idempotency: NonIdempotent, Cells: []int{1}}}
 	other.MaxAttempts = 1
@@ -552,15 +552,15 @@
 	if err := n.c.UpdateSettings(bad); err == nil {
 		t.Fatal("a class without a deadline was taken")
 	}
-	all := n.after(ms, offer("3", 1, 0), AttemptEnded{ID: "1", Server: "a", Outcome: Failed})
-	if sent := of[SetUp](all); len(sent) != 2 {
+	all := n.after(ms, newOffer("3", 1, 0), AttemptEnded{ID: "1", Server: "a", Outcome: Failed})
+	if sent := actionsOf[SetUp](all); len(sent) != 2 {
 		t.Errorf("under the old settings %v are sent, want a second attempt of 1, and 3", sent)
 	}
 	if err := n.c.UpdateSettings(other); err != nil {
 		t.Fatal(err)
 	}
-	all = n.after(ms, offer("4", 0, 0), AttemptEnded{ID: "2", Server: "a", Outcome: Failed})
-	sent, refused := of[SetUp](all), of[Refuse](all)
+	all = n.after(ms, newOffer("4", 0, 0), AttemptEnded{ID: "2", Server: "a", Outcome: Failed})
+	sent, refused := actionsOf[SetUp](all), actionsOf[Refuse](all)
 	if len(sent) != 1 || sent[0].ID != "4" || sent[0].Server != "b" {
 		t.Errorf("under the new settings %v are sent, want 4 to b", sent)
 	}
@@ -571,7 +571,7 @@
 
 func TestUnknownIdsAreIgnored(t *testing.T) {
 	n := newNode(t, settings())
-	n.after(0, list(Active, "a"))
+	n.after(0, newList(Active, "a"))
 	all := n.after(ms,
 		CallStands{ID: "x", Server: "y"},
 		AttemptEnded{ID: "x", Server: "y", Outcome: Full},
@@ -589,10 +589,10 @@
 	run := func() []Action {
 		n := newNode(t, settings())
 		other := newNode(t, settings())
-		all := n.after(0, list(Active, "a", "b", "c"))
+		all := n.after(0, newList(Active, "a", "b", "c"))
 		for i := 0; i < 200; i++ {
-			other.after(3*ms, offer(CallID(fmt.Sprint("o", i)), 1, i%3))
-			all = append(all, n.after(10*ms, offer(CallID(fmt.Sprint(i)), i%2, i%3))...)
+			other.after(3*ms, newOffer(CallID(fmt.Sprint("o", i)), 1, i%3))
+			all = append(all, n.after(10*ms, newOffer(CallID(fmt.Sprint(i)), i%2, i%3))...)
 		}
 		return all
 	}
@@ -601,17 +601,17 @@
 	}
 }
 
-// sends has a node know that it makes so many starts a second to the server.
-func sends(s *server, perSecond float64) {
-	s.watched = 4 * time.Second
-	s.stood = perSecond * s.watched.Seconds()
+// setWarmRate has a node know that it makes so many starts a second to the server.
+func setWarmRate(s *server, perSecond float64) {
+	s.observedTime = 4 * time.Second
+	s.promptAnswers = perSecond * s.observedTime.Seconds()
 }
 
 func TestTrialCallsAreSpacedEverWider(t *testing.T) {
 	// Small servers stayed jammed for a whole day by one trial call of each node at a time, each repeated
 	// while it waited. Trials that fail must come ever more seldom.
 	n := newNode(t, settings())
-	n.after(0, list(Active, "a"))
+	n.after(0, newList(Active, "a"))
 	var trials []time.Duration
 	attempts := map[CallID]int{}
 	out := map[CallID]time.Duration{}
@@ -626,9 +626,9 @@
 			}
 		}
 		if i%10 == 0 {
-			events = append(events, offer(CallID(fmt.Sprint(i)), 0, 0))
+			events = append(events, newOffer(CallID(fmt.Sprint(i)), 0, 0))
 		}
-		for _, s := range of[SetUp](n.after(10*ms, events...)) {
+		for _, s := range actionsOf[SetUp](n.after(10*ms, events...)) {
 			attempts[s.ID]++
 			out[s.ID] = n.now + time.Second
 			if s.Limit > 0 {
@@ -640,7 +640,7 @@
 		t.Fatalf("%d trial calls in 20 s, want some", len(trials))
 	}
 	// Ten calls a second, so a rest of a tenth at first, that doubles to eight times the least one.
-	longest := trialGap * fullRest
+	longest := maxBackOffFactor * fullBackOff
 	first, last := trials[1]-trials[0], trials[len(trials)-1]-trials[len(trials)-2]
 	if last < first || last < longest {
 		t.Errorf("trials %v apart at first and %v at last, want %v or more at last", first, last, longest)
@@ -650,16 +650,16 @@
 func TestOldAnswersDoNotLengthenTheRest(t *testing.T) {
 	// After a burst each late answer of the calls sent before the server was suspect doubled its rest.
 	n := newNode(t, settings())
-	n.after(0, list(Active, "a"))
+	n.after(0, newList(Active, "a"))
 	var late []Event
 	for i := 0; i < 8; i++ {
 		id := CallID(fmt.Sprint(i))
-		n.after(ms, offer(id, 0, 0))
+		n.after(ms, newOffer(id, 0, 0))
 		late = append(late, CallStands{ID: id, Server: "a", Elapsed: 600 * ms})
 	}
-	n.until(600*ms, 5*ms)
+	n.stepFor(600*ms, 5*ms)
 	n.after(ms, late...)
-	if sent := of[SetUp](append(n.after(ms, offer("x", 0, 0)), n.until(600*ms, 5*ms)...)); len(sent) == 0 {
+	if sent := actionsOf[SetUp](append(n.after(ms, newOffer("x", 0, 0)), n.stepFor(600*ms, 5*ms)...)); len(sent) == 0 {
 		t.Error("no trial call within the first rest")
 	}
 }
@@ -668,18 +668,18 @@
 	// Half of an overloaded day's calls are further tries that nobody marks: fresh calls go before them.
 	for _, marked := range []bool{false, true} {
 		n := newNode(t, settings())
-		n.after(0, list(Draining, "a"))
-		old := offer("old", 0, 0)
+		n.after(0, newList(Draining, "a"))
+		old := newOffer("old", 0, 0)
 		old.Called = "tel-1"
 		n.after(ms, old) // refused: no server
-		n.after(3*time.Second, list(Active, "a"))
-		n.c.offers = 100 // a busy node, with short rests
+		n.after(3*time.Second, newList(Active, "a"))
+		n.c.offeredCalls = 100 // a busy node, with short rests
 		n.after(ms, AttemptEnded{ID: "none", Server: "a", Outcome: Full})
-		again, fresh := offer("again", 0, 0), offer("fresh", 0, 0)
+		again, fresh := newOffer("again", 0, 0), newOffer("fresh", 0, 0)
 		again.Called, fresh.Called = "tel-1", "tel-2"
 		again.Redial = marked
-		all := append(n.after(ms, fresh, again), n.until(time.Second, 5*ms)...)
-		if sent := of[SetUp](all); len(sent) == 0 || sent[0].ID != "fresh" {
+		all := append(n.after(ms, fresh, again), n.stepFor(time.Second, 5*ms)...)
+		if sent := actionsOf[SetUp](all); len(sent) == 0 || sent[0].ID != "fresh" {
 			t.Errorf("marked %v: sent %v, want the fresh call first", marked, sent)
 		}
 	}
@@ -690,19 +690,19 @@
 	for cell, want := range map[int][2]int{0: {8, 8}, 1: {2, 3}} {
 		n := newNode(t, settings())
 		n.after(0, ListReceived{Whole: true, Entries: []ServerEntry{{ID: "a"}, {ID: "b", Cell: 1, Status: Active}}})
-		n.c.byID["b"].free = 0
+		n.c.byID["b"].freeLines = 0
 		n.after(ms, ReportReceived{Server: "a", OK: true, Report: []float64{8, 100}})
 		sent := 0
 		for i := range 20 {
-			call := offer(CallID(fmt.Sprint(i)), 0, 0)
+			call := newOffer(CallID(fmt.Sprint(i)), 0, 0)
 			call.FirstCell = cell
-			sent += len(of[SetUp](n.after(ms, call)))
+			sent += len(actionsOf[SetUp](n.after(ms, call)))
 		}
 		if sent < want[0] || sent > want[1] {
 			t.Errorf("first choice %d: %d of 8 free lines taken by one of 4 nodes, want %v", cell, sent, want)
 		}
 		n.after(ms, ReportReceived{Server: "a", OK: true, Report: []float64{0, 100}})
-		if sent := of[SetUp](n.until(500*ms, 5*ms)); len(sent) > 1 {
+		if sent := actionsOf[SetUp](n.stepFor(500*ms, 5*ms)); len(sent) > 1 {
 			t.Errorf("sent %v where no line was free", sent)
 		}
 	}
@@ -710,22 +710,22 @@
 
 func TestClosedWindowHoldsAndSpreads(t *testing.T) {
 	n := newNode(t, settings())
-	n.after(0, list(Active, "a"))
+	n.after(0, newList(Active, "a"))
 	s := n.c.byID["a"]
-	s.limit, s.open, s.periodAt, s.credit = 4, false, n.now, 1
+	s.window, s.unlimited, s.periodStart, s.credit = 4, false, n.now, 1
 	sent := 0
 	for i := 0; i < 20; i++ {
-		sent += len(of[SetUp](n.after(ms, offer(CallID(fmt.Sprint(i)), 0, 0))))
+		sent += len(actionsOf[SetUp](n.after(ms, newOffer(CallID(fmt.Sprint(i)), 0, 0))))
 	}
 	if sent != 1 {
 		t.Errorf("%d starts at the begin of the period, want 1", sent)
 	}
 	for end := n.now + controlPeriod - 20*ms; n.now < end; {
 		events := []Event{}
-		for _, k := range s.out { // answer at once, so that the server stays clear of suspicion
+		for _, k := range s.inProgress { // answer at once, so that the server stays clear of suspicion
 			events = append(events, CallStands{ID: k.id, Server: "a", Elapsed: 10 * ms})
 		}
-		sent += len(of[SetUp](n.after(10*ms, append(events, offer(CallID(fmt.Sprint(n.now)), 0, 0))...)))
+		sent += len(actionsOf[SetUp](n.after(10*ms, append(events, newOffer(CallID(fmt.Sprint(n.now)), 0, 0))...)))
 	}
 	if sent != 4 && sent != 5 {
 		t.Errorf("%d starts in a period of a window of 4", sent)
@@ -735,52 +735,54 @@
 func TestWindowOfLessThanACall(t *testing.T) {
 	// With windows of a call a second at least, two hundred nodes sent a small server ten times its load.
 	n := newNode(t, settings())
-	n.after(0, list(Active, "a"))
+	n.after(0, newList(Active, "a"))
 	s := n.c.byID["a"]
-	s.limit, s.open = controlPeriod.Seconds()/8, false
+	s.window, s.unlimited = controlPeriod.Seconds()/8, false
 	sent := 0
 	for i := 0; i < 8000; i++ {
-		events := []Event{offer(CallID(fmt.Sprint(i)), 0, 0)}
-		for _, k := range s.out {
+		events := []Event{newOffer(CallID(fmt.Sprint(i)), 0, 0)}
+		for _, k := range s.inProgress {
 			events = append(events, CallStands{ID: k.id, Server: "a", Elapsed: 230 * ms})
 		}
-		sent += len(of[SetUp](n.after(10*ms, events...)))
-		s.limit = controlPeriod.Seconds() / 8
+		sent += len(actionsOf[SetUp](n.after(10*ms, events...)))
+		s.window = controlPeriod.Seconds() / 8
 	}
 	if sent != 9 && sent != 10 {
 		t.Errorf("%d starts in 80 s at an eighth of a call a second, want 10", sent)
 	}
 }
 
-// firstRest is the first rest of a server in doubt under the aim of the node's settings.
-func firstRest(n *node) time.Duration { return time.Duration(doubtShare * float64(n.c.aim)) }
+// firstBackOff is the first rest of a server in doubt under the aim of the node's settings.
+func firstBackOff(n *node) time.Duration {
+	return time.Duration(suspectBackOffShare * float64(n.c.tightestAim))
+}
 
 // TestEndsOfOneBurstAreOneRest: of what was out at a server at once, each end doubled its rest: sixteen calls that found no line
 // were told within 50 ms, and the largest server of a day rested 11 s while it told waits of 1 ms and 170 free lines.
 func TestEndsOfOneBurstAreOneRest(t *testing.T) {
 	for _, noLine := range []bool{true, false} {
 		n := newNode(t, settings())
-		n.after(0, list(Active, "a"))
+		n.after(0, newList(Active, "a"))
 		s := n.c.byID["a"]
 		var ids []CallID
 		for i := range 16 {
 			ids = append(ids, CallID(fmt.Sprint(i)))
-			n.after(ms, offer(ids[i], 0, 0))
+			n.after(ms, newOffer(ids[i], 0, 0))
 		}
-		if len(s.out) != len(ids) {
-			t.Fatalf("%d calls out, want %d", len(s.out), len(ids))
+		if len(s.inProgress) != len(ids) {
+			t.Fatalf("%d calls out, want %d", len(s.inProgress), len(ids))
 		}
-		first := s.out[0].sentAt
+		first := s.inProgress[0].sentAt
 		for _, id := range ids {
 			sent := n.c.calls[id].sentAt
 			n.after(ms, AttemptEnded{ID: id, Server: "a", Outcome: Full, NoLine: noLine, Elapsed: n.now + ms - sent})
 		}
-		if rest := s.restUntil - n.now; rest > fullRest*2 {
+		if rest := s.backOffUntil - n.now; rest > fullBackOff*2 {
 			t.Errorf("no line %v: after %d ends within %v a rest of %v", noLine, len(ids), n.now-first, rest)
 		}
-		n.c.rest(s, fullRest, n.now) // what was sent since doubles it
-		if s.rest < 2*fullRest {
-			t.Errorf("no line %v: the next rest is %v, want it doubled", noLine, s.rest)
+		n.c.startBackOff(s, fullBackOff, n.now) // what was sent since doubles it
+		if s.backOff < 2*fullBackOff {
+			t.Errorf("no line %v: the next rest is %v, want it doubled", noLine, s.backOff)
 		}
 	}
 }
@@ -789,21 +791,21 @@
 // one burst, made a queue of a third of the aim, and were the cause of the next rest.
 func TestWhatGathersMakesNoMoreThanTheWantedWait(t *testing.T) {
 	n := newNode(t, settings())
-	n.after(0, list(Active, "a"))
+	n.after(0, newList(Active, "a"))
 	s := n.c.byID["a"]
 	rate := 100.0 // starts a second
-	s.open, s.limit = false, rate*controlPeriod.Seconds()
-	s.restUntil = n.now + 2*controlPeriod
+	s.unlimited, s.window = false, rate*controlPeriod.Seconds()
+	s.backOffUntil = n.now + 2*controlPeriod
 	for i := range 200 {
-		n.after(ms, offer(CallID(fmt.Sprint(i)), 0, 0))
+		n.after(ms, newOffer(CallID(fmt.Sprint(i)), 0, 0))
 	}
 	n.after(2 * controlPeriod)
-	want := int(rate * targetShare * n.c.aim.Seconds())
-	if got := len(s.out); got > want+1 || got < want-1 {
+	want := int(rate * targetWaitShare * n.c.tightestAim.Seconds())
+	if got := len(s.inProgress); got > want+1 || got < want-1 {
 		t.Errorf("%d starts at once after a rest, want the %d that make the wanted wait", got, want)
 	}
-	s.limit = 0.1
-	if n.c.roll(s); s.credit > 1 {
+	s.window = 0.1
+	if n.c.advanceWindow(s); s.credit > 1 {
 		t.Errorf("a window of less than a call gathers %.2f starts", s.credit)
 	}
 }
@@ -815,21 +817,21 @@
 		many := settings()
 		many.Nodes = peers
 		n := newNode(t, many)
-		n.after(0, list(Active, "a"))
-		n.after(10*time.Second, offer("1", 0, 0))
+		n.after(0, newList(Active, "a"))
+		n.after(10*time.Second, newOffer("1", 0, 0))
 		s := n.c.byID["a"]
-		first := firstRest(n)
+		first := firstBackOff(n)
 		for _, least := range []time.Duration{first, 2 * first, 4 * first} {
-			n.c.doubt(s, n.now)
-			if rest := s.restUntil - n.now; rest < least || rest > least*3/2 {
+			n.c.markSuspect(s, n.now)
+			if rest := s.backOffUntil - n.now; rest < least || rest > least*3/2 {
 				t.Errorf("%d nodes: rest %v, want %v to half more", peers, rest, least)
 			}
 		}
 	}
 }
 
-// withRates is a node of twenty that is told free lines, lines, waits and rates.
-func withRates(t *testing.T, servers ...string) *node {
+// newRateNode is a node of twenty that is told free lines, lines, waits and rates.
+func newRateNode(t *testing.T, servers ...string) *node {
 	t.Helper()
 	s := settings()
 	s.Nodes, s.ReportFields = 20, []ReportField{FreeLines, Lines, QueueWait, MaxRate}
@@ -842,27 +844,27 @@
 	return n
 }
 
-func told(id string, free, wait, rate float64) Event {
+func newReport(id string, free, wait, rate float64) Event {
 	return ReportReceived{Server: ServerID(id), OK: true, Report: []float64{free, 100, wait, rate}}
 }
 
 // TestSecondChoicesKeepToTheRate: what spills over from a large server that is full goes to the others by the rate that they
 // tell, and to none faster than this node's part of it. Evenly spread, it jammed small ones that had no calls of their own.
 func TestSecondChoicesKeepToTheRate(t *testing.T) {
-	n := withRates(t, "full", "large", "small")
-	n.after(ms, told("full", 0, 0, 10), told("large", 100, 0, 40), told("small", 100, 0, 2))
+	n := newRateNode(t, "full", "large", "small")
+	n.after(ms, newReport("full", 0, 0, 10), newReport("large", 100, 0, 40), newReport("small", 100, 0, 2))
 	sent := map[ServerID]int{}
 	for i := range 4000 {
-		events := []Event{offer(CallID(fmt.Sprint(i)), 0, 0)}
+		events := []Event{newOffer(CallID(fmt.Sprint(i)), 0, 0)}
 		if i%10 == 0 {
-			events = append(events, told("full", 0, 0, 10), told("large", 100, 0, 40), told("small", 100, 0, 2))
+			events = append(events, newReport("full", 0, 0, 10), newReport("large", 100, 0, 40), newReport("small", 100, 0, 2))
 		}
 		for id, s := range n.c.byID {
-			for _, k := range s.out {
+			for _, k := range s.inProgress {
 				events = append(events, CallStands{ID: k.id, Server: id, Elapsed: 100 * ms})
 			}
 		}
-		for _, a := range of[SetUp](n.after(10*ms, events...)) {
+		for _, a := range actionsOf[SetUp](n.after(10*ms, events...)) {
 			sent[a.Server]++
 		}
 	}
@@ -875,72 +877,72 @@
 // TestReportsEndADoubt: a short wait that a server tells after its rest ends the doubt, with one call at a time until one has
 // stood; a long one is the rest that it needs. One that tells short waits and answers nothing rests for longer each time.
 func TestReportsEndADoubt(t *testing.T) {
-	n := withRates(t, "a", "b")
+	n := newRateNode(t, "a", "b")
 	s := n.c.byID["a"]
-	n.after(ms, told("a", 100, 0, 40))
+	n.after(ms, newReport("a", 100, 0, 40))
 	rests := []time.Duration{}
 	for round := range 3 {
-		n.c.doubt(s, n.now)
-		rests = append(rests, (s.restUntil - n.now).Truncate(firstRest(n)))
-		n.after(ms, told("a", 100, 0, 40))
+		n.c.markSuspect(s, n.now)
+		rests = append(rests, (s.backOffUntil - n.now).Truncate(firstBackOff(n)))
+		n.after(ms, newReport("a", 100, 0, 40))
 		if !s.suspect {
 			t.Fatal("a report inside the rest ended the doubt")
 		}
-		n.until(s.restUntil-n.now+ms, 5*ms)
-		n.after(ms, told("a", 100, 0, 40))
+		n.stepFor(s.backOffUntil-n.now+ms, 5*ms)
+		n.after(ms, newReport("a", 100, 0, 40))
 		if s.suspect {
 			t.Fatal("a short wait did not end the doubt")
 		}
 		s.credit = 5
-		if got := of[SetUp](n.after(ms, offer(CallID(fmt.Sprint("x", round)), 0, 0), offer(CallID(fmt.Sprint("y", round)), 0, 0))); len(got) == 0 {
+		if got := actionsOf[SetUp](n.after(ms, newOffer(CallID(fmt.Sprint("x", round)), 0, 0), newOffer(CallID(fmt.Sprint("y", round)), 0, 0))); len(got) == 0 {
 			t.Fatal("no call was sent")
-		} else if len(s.out) != 1 {
-			t.Fatalf("%d calls at a server that has not proven itself, want 1", len(s.out))
+		} else if len(s.inProgress) != 1 {
+			t.Fatalf("%d calls at a server that has not proven itself, want 1", len(s.inProgress))
 		}
 		n.after(ms, CallerLeft{ID: CallID(fmt.Sprint("x", round))}, CallerLeft{ID: CallID(fmt.Sprint("y", round))})
 	}
-	if first := firstRest(n); rests[0] < first || rests[1] < 2*rests[0] || rests[2] < 2*rests[1]-first {
+	if first := firstBackOff(n); rests[0] < first || rests[1] < 2*rests[0] || rests[2] < 2*rests[1]-first {
 		t.Errorf("rests %v, want each twice the last", rests)
 	}
-	n.c.doubt(s, n.now)
-	n.after(ms, told("a", 100, 3400, 1))
-	if wait, least := s.restUntil-n.now, 3400*ms-time.Duration(targetShare*float64(n.c.aim)); wait < least-ms {
+	n.c.markSuspect(s, n.now)
+	n.after(ms, newReport("a", 100, 3400, 1))
+	if wait, least := s.backOffUntil-n.now, 3400*ms-time.Duration(targetWaitShare*float64(n.c.tightestAim)); wait < least-ms {
 		t.Errorf("a server that tells a wait of 3.4 s rests %v, want %v", wait, least)
 	}
-	n.until(s.restUntil-n.now+ms, 5*ms)
+	n.stepFor(s.backOffUntil-n.now+ms, 5*ms)
 	n.after(ms, CallStands{ID: "none", Server: "a", Elapsed: 10 * ms})
-	if s.suspect || s.rest != 0 {
+	if s.suspect || s.backOff != 0 {
 		t.Error("a call that stood at once did not end the doubt")
 	}
 }
 
 // TestTrialsAreOfFirstChoice: a server in doubt gets nothing that spills over from others, unless calls have no first choice.
 func TestTrialsAreOfFirstChoice(t *testing.T) {
-	n := withRates(t, "a", "b")
+	n := newRateNode(t, "a", "b")
 	for _, s := range n.c.servers {
-		s.suspect, s.restUntil = true, n.now
+		s.suspect, s.backOffUntil = true, n.now
 	}
-	other, home := offer("other", 0, 0), offer("home", 0, 0)
+	other, home := newOffer("other", 0, 0), newOffer("home", 0, 0)
 	other.FirstCell, home.FirstCell = 1, 0
-	n.c.byID["b"].restUntil = time.Hour * 24 * 365
-	if sent := of[SetUp](n.after(ms, other)); len(sent) != 0 {
+	n.c.byID["b"].backOffUntil = time.Hour * 24 * 365
+	if sent := actionsOf[SetUp](n.after(ms, other)); len(sent) != 0 {
 		t.Errorf("sent %v to a server in doubt", sent)
 	}
-	if sent := of[SetUp](n.after(ms, home)); len(sent) != 1 || sent[0].ID != "home" || sent[0].Server != "a" {
+	if sent := actionsOf[SetUp](n.after(ms, home)); len(sent) != 1 || sent[0].ID != "home" || sent[0].Server != "a" {
 		t.Errorf("sent %v, want the call of first choice", sent)
 	}
 	// Nobody's first choice, and without calls to report on, it would be in doubt for ever.
-	n.c.byID["a"].drop(n.c.calls["home"])
-	n.after(trialGap*doubtRest, CallerLeft{ID: "other"}, CallerLeft{ID: "home"})
-	late := offer("late", 0, 0)
+	n.c.byID["a"].removeAttempt(n.c.calls["home"])
+	n.after(maxBackOffFactor*maxFirstBackOff, CallerLeft{ID: "other"}, CallerLeft{ID: "home"})
+	late := newOffer("late", 0, 0)
 	late.FirstCell = 1
-	if sent := of[SetUp](n.after(ms, late)); len(sent) != 1 || sent[0].Server != "a" {
+	if sent := actionsOf[SetUp](n.after(ms, late)); len(sent) != 1 || sent[0].Server != "a" {
 		t.Errorf("sent %v, want a trial call of second choice after a long time without any", sent)
 	}
-	n.c.byID["a"].drop(n.c.calls["late"])
-	none := offer("none", 0, 0)
+	n.c.byID["a"].removeAttempt(n.c.calls["late"])
+	none := newOffer("none", 0, 0)
 	none.FirstCell = 9
-	if sent := of[SetUp](n.after(ms, none)); len(sent) != 1 {
+	if sent := actionsOf[SetUp](n.after(ms, none)); len(sent) != 1 {
 		t.Errorf("sent %v, want the call that has no first choice", sent)
 	}
 }
@@ -959,16 +961,16 @@
 		ids = append(ids, ServerID(fmt.Sprint("server-", i)))
 	}
 	now := time.Hour
-	c.Step(now, []Event{list(Active, ids...)})
+	c.Step(now, []Event{newList(Active, ids...)})
 	var events []Event
 	for i := 0; b.Loop(); i++ {
 		now += 10 * ms
 		if i%3 == 0 { // some thirty calls a second, a burst after a stall
-			events = append(events, offer(CallID(fmt.Sprint(i)), i%2, i%12))
+			events = append(events, newOffer(CallID(fmt.Sprint(i)), i%2, i%12))
 		}
 		actions := c.Step(now, events)
 		events = events[:0]
-		for _, a := range of[SetUp](actions) {
+		for _, a := range actionsOf[SetUp](actions) {
 			events = append(events, CallStands{ID: a.ID, Server: a.Server, Elapsed: time.Duration(i%40) * 10 * ms})
 		}
 	}
@@ -1053,7 +1055,7 @@
 				owed[id] = &state{deadline: now + 3*time.Second}
 				order = append(order, id)
 				classOf[id] = int(b/8) % 2
-				play(offer(id, int(b/8)%2, int(b/16)%3))
+				play(newOffer(id, int(b/8)%2, int(b/16)%3))
 			case 3:
 				server := ids[int(b/8)%3]
 				status := ServerStatus(int(b/24) % 3)
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -9,18 +9,18 @@
 	"pgregory.net/rapid"
 )
 
-// fate is a world in which anything may happen, in any order, on a clock that stands still, creeps or leaps.
-type fate struct {
+// randomRun is a world in which anything may happen, in any order, on a clock that stands still, creeps or leaps.
+type randomRun struct {
 	*node
-	t     *rapid.T
-	next  int
-	out   map[CallID]SetUp
-	sent  map[CallID]int
-	open  map[CallID]bool
-	ended map[CallID]time.Duration // when an attempt ended that calls for the guard
+	t            *rapid.T
+	next         int
+	inProgress   map[CallID]SetUp
+	sent         map[CallID]int
+	pending      map[CallID]bool
+	guardedSince map[CallID]time.Duration // when an attempt ended that calls for the guard
 }
 
-func newFate(t *rapid.T) *fate {
+func newRandomRun(t *rapid.T) *randomRun {
 	s := Settings{
 		Classes: []Class{{Name: "c", Aim: 2 * time.Second, Deadline: 9 * time.Second, Worth: 1, LateShare: 0.25}},
 		Nodes:   rapid.SampledFrom([]int{1, 3, 20, 300}).Draw(t, "peers"), Tick: 5 * ms, ReleaseGuard: 500 * ms, ColdCapacity: 0.3,
@@ -31,27 +31,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fate{node: &node{c: c, now: time.Hour}, t: t, out: map[CallID]SetUp{}, sent: map[CallID]int{}, open: map[CallID]bool{}, ended: map[CallID]time.Duration{}}
+	f := &randomRun{node: &node{c: c, now: time.Hour}, t: t, inProgress: map[CallID]SetUp{}, sent: map[CallID]int{}, pending: map[CallID]bool{}, guardedSince: map[CallID]time.Duration{}}
 	list := ListReceived{Whole: true}
 	for i := range 3 {
 		list.Entries = append(list.Entries, ServerEntry{ID: ServerID(fmt.Sprint("s", i)), Cell: i})
 	}
-	f.step(0, list)
+	f.checkedStep(0, list)
 	return f
 }
 
-// step gives the module a turn, and holds what it says against the rules.
-func (f *fate) step(d time.Duration, events ...Event) {
+// checkedStep gives the module a turn, and holds what it says against the rules.
+func (f *randomRun) checkedStep(d time.Duration, events ...Event) {
 	for _, a := range f.after(d, events...) {
 		switch a := a.(type) {
 		case SetUp:
-			if _, out := f.out[a.ID]; out || !f.open[a.ID] {
+			if _, out := f.inProgress[a.ID]; out || !f.pending[a.ID] {
 				f.t.Fatalf("%s: a set-up while one is out, or of a call that is over", a.ID)
 			}
-			if at, ok := f.ended[a.ID]; ok && f.now-at < f.c.settings.ReleaseGuard {
+			if at, ok := f.guardedSince[a.ID]; ok && f.now-at < f.c.settings.ReleaseGuard {
 				f.t.Fatalf("%s: sent again %v after an end that calls for the guard", a.ID, f.now-at)
 			}
-			f.out[a.ID] = a
+			f.inProgress[a.ID] = a
 			f.sent[a.ID]++
 		case Refuse:
 			f.final(a.ID)
@@ -60,7 +60,7 @@
 		}
 	}
 	for id, s := range f.c.byID {
-		for name, v := range map[string]float64{"limit": s.limit, "credit": s.credit, "able": f.c.able(s), "occupancy": f.c.occupancy(s), "rate": f.c.rate(s)} {
+		for name, v := range map[string]float64{"limit": s.window, "credit": s.credit, "able": f.c.capacityRate(s), "occupancy": f.c.occupancy(s), "rate": f.c.warmRate(s)} {
 			if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 				f.t.Fatalf("%s of %s is %v", name, id, v)
 			}
@@ -68,30 +68,30 @@
 	}
 }
 
-func (f *fate) final(id CallID) {
-	if !f.open[id] {
+func (f *randomRun) final(id CallID) {
+	if !f.pending[id] {
 		f.t.Fatalf("%s has a second final answer", id)
 	}
-	delete(f.open, id)
-	delete(f.out, id)
+	delete(f.pending, id)
+	delete(f.inProgress, id)
 }
 
-func (f *fate) offer() Event {
+func (f *randomRun) offerCall() Event {
 	f.next++
 	id := CallID(fmt.Sprint(f.next))
-	f.open[id] = true
+	f.pending[id] = true
 	return CallOffered{ID: id, Budget: 4 * time.Second, Called: "n" + string(id), FirstCell: f.next % 3}
 }
 
-// stands has an attempt answered.
-func (f *fate) stands(a SetUp, after time.Duration) Event {
-	delete(f.out, a.ID)
-	delete(f.open, a.ID)
+// answer has an attempt answered.
+func (f *randomRun) answer(a SetUp, after time.Duration) Event {
+	delete(f.inProgress, a.ID)
+	delete(f.pending, a.ID)
 	return CallStands{ID: a.ID, Server: a.Server, Attempt: f.sent[a.ID] - 1, Elapsed: after}
 }
 
-// anything is an event of any kind.
-func (f *fate) anything() Event {
+// randomEvent is an event of any kind.
+func (f *randomRun) randomEvent() Event {
 	t := f.t
 	report := []float64{
 		float64(rapid.IntRange(-1, 9).Draw(t, "free")), 100, float64(rapid.IntRange(-1, 6000).Draw(t, "wait")),
@@ -99,48 +99,48 @@
 	}
 	server := ServerID(fmt.Sprint("s", rapid.IntRange(0, 3).Draw(t, "server")))
 	kind := rapid.IntRange(0, 6).Draw(t, "kind")
-	if kind >= 4 && len(f.out) > 0 {
+	if kind >= 4 && len(f.inProgress) > 0 {
 		id := CallID("")
-		for other := range f.out { // the first, whatever the order of the map
+		for other := range f.inProgress { // the first, whatever the order of the map
 			if id == "" || other < id {
 				id = other
 			}
 		}
-		a := f.out[id]
+		a := f.inProgress[id]
 		took := time.Duration(rapid.IntRange(0, 4000).Draw(t, "took")) * ms
 		if kind == 4 {
-			return f.stands(a, took)
+			return f.answer(a, took)
 		}
-		delete(f.out, id)
+		delete(f.inProgress, id)
 		o := rapid.SampledFrom([]Outcome{Failed, Full, TimedOut, Unreachable, Reset, Cancelled}).Draw(t, "outcome")
 		if o == TimedOut || o == Reset || o == Cancelled {
-			f.ended[id] = f.now
+			f.guardedSince[id] = f.now
 		}
 		return AttemptEnded{ID: id, Server: a.Server, Attempt: f.sent[id] - 1, Outcome: o, Elapsed: took, NoLine: kind == 6, Report: report}
 	}
 	switch kind {
 	case 0, 1:
-		return f.offer()
+		return f.offerCall()
 	case 2:
 		return ReportReceived{Server: server, OK: true, Report: report}
 	}
 	return Woken{}
 }
 
-// history is a random past: tens of events, on a clock that stands still, creeps or leaps.
-func (f *fate) history() {
+// run is a random past: tens of events, on a clock that stands still, creeps or leaps.
+func (f *randomRun) run() {
 	for range rapid.IntRange(0, 60).Draw(f.t, "events") {
 		gap := rapid.SampledFrom([]time.Duration{0, 0, ms, 5 * ms, 100 * ms, time.Second, 3 * time.Second}).Draw(f.t, "gap")
-		e := f.anything()
-		if a, ended := e.(AttemptEnded); ended && f.ended[a.ID] == f.now {
-			f.ended[a.ID] = f.now + gap
+		e := f.randomEvent()
+		if a, ended := e.(AttemptEnded); ended && f.guardedSince[a.ID] == f.now {
+			f.guardedSince[a.ID] = f.now + gap
 		}
-		f.step(gap, e)
+		f.checkedStep(gap, e)
 	}
 }
 
 // TestAnyPastOnAnyClock: no call is out twice, sent again inside the guard or answered twice, and no figure is lost to a
 // division, whatever came before and however the clock went.
 func TestAnyPastOnAnyClock(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { newFate(t).history() })
+	rapid.Check(t, func(t *rapid.T) { newRandomRun(t).run() })
 }
