--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings owns the settings of a call controller and what they mean to the decision module.
+// Package settings defines the settings of a call controller and converts them for the decision module.
 package settings
 
 import (
@@ -12,8 +12,8 @@
 	"cherryrelay/control"
 )
 
-// Settings is the object that a call controller is given at its start. Keys that are not named here are passed
-// over. The platform's file must have all of them; an operator's may lack those that are needed for the platform.
+// Settings is the settings object of a call controller. Unknown keys are ignored. The platform's file must have all
+// keys; an operator's file may omit those that only the platform needs.
 type Settings struct {
 	Caps struct {
 		ConnIdleUs       int64 `json:"connIdleUs"`
@@ -57,7 +57,7 @@
 	} `json:"rules"`
 }
 
-// Check reports whether a call controller can serve by the settings.
+// Check returns an error if a call controller can't work with the settings.
 func (f *Settings) Check() error {
 	switch {
 	case f.Caps.ConnectTimeoutUs <= 0:
@@ -68,7 +68,7 @@
 	names := map[string]bool{}
 	for _, c := range f.RequestClasses {
 		if c.Name == "" || names[c.Name] {
-			return fmt.Errorf("requestClasses: %q is no name, or comes twice", c.Name)
+			return fmt.Errorf("requestClasses: name %q is empty or not unique", c.Name)
 		}
 		names[c.Name] = true
 	}
@@ -77,22 +77,22 @@
 		return err
 	}
 	_, err = control.New(decisions, 0)
-	return err //nolint:wrapcheck // it says what it is
+	return err //nolint:wrapcheck // the error names its package
 }
 
 func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-// word translates a settings word, or names the one that is not known.
-func word[T any](kind, text string, words map[string]T) (T, error) {
-	v, ok := words[text]
+// lookupName returns the value of a name in the settings, or an error that states the unknown name.
+func lookupName[T any](key, name string, values map[string]T) (T, error) {
+	v, ok := values[name]
 	if !ok {
-		return v, fmt.Errorf("facts: unknown %s %q", kind, text)
+		return v, fmt.Errorf("settings: unknown %s %q", key, name)
 	}
 	return v, nil
 }
 
 var (
-	effects = map[string]control.Idempotency{
+	idempotencies = map[string]control.Idempotency{
 		"read_like":       control.Idempotent,
 		"idempotency_key": control.IdempotentByKey,
 		"non_idempotent":  control.NonIdempotent,
@@ -103,19 +103,19 @@
 		"zone": control.DedupZone,
 		"cell": control.DedupCell,
 	}
-	layouts  = map[string]control.Layout{"skills": control.Pools, "network": control.Network}
-	modes    = map[string]bool{"pushed": false, "on_request": true}
-	statuses = map[string]control.ServerStatus{
+	layouts        = map[string]control.Layout{"skills": control.Pools, "network": control.Network}
+	onDemandByMode = map[string]bool{"pushed": false, "on_request": true}
+	statuses       = map[string]control.ServerStatus{
 		"active":  control.Active,
 		"leaving": control.Draining,
 		"left":    control.Removed,
 	}
-	// words has the names of figures that reports on sockets use for those of the settings.
-	words = map[string]string{
+	// reportNames maps the names of values in reports on sockets to their names in the settings.
+	reportNames = map[string]string{
 		"x0": "idle", "x1": "circuits", "util": "cpu", "queue": "waiting", "inflight": "active",
 		"latency_ms": "avg_ms", "qps": "max_rate", "eps": "reduce",
 	}
-	figures = map[string]control.ReportField{
+	reportFields = map[string]control.ReportField{
 		"idle":     control.FreeLines,
 		"circuits": control.Lines,
 		"cpu":      control.Utilisation,
@@ -125,7 +125,7 @@
 	}
 )
 
-// ControlSettings translates the settings for the decision module.
+// ControlSettings converts the settings for the decision module.
 func (f *Settings) ControlSettings() (control.Settings, error) {
 	s := control.Settings{
 		Nodes:              f.PeersTotal,
@@ -142,19 +142,19 @@
 		MayCancel:          f.Caps.MayCancel,
 	}
 	var err error
-	if s.Layout, err = word("layout", f.FamilyInfo.Layout, layouts); err != nil {
+	if s.Layout, err = lookupName("layout", f.FamilyInfo.Layout, layouts); err != nil {
 		return s, err
 	}
-	if s.ListOnDemand, err = word("membershipMode", f.MembershipMode, modes); err != nil {
+	if s.ListOnDemand, err = lookupName("membershipMode", f.MembershipMode, onDemandByMode); err != nil {
 		return s, err
 	}
 	for _, name := range f.Report.Fields {
-		if w, ok := words[name]; ok {
-			name = w
+		if canonical, ok := reportNames[name]; ok {
+			name = canonical
 		}
-		s.ReportFields = append(s.ReportFields, figures[name])
+		s.ReportFields = append(s.ReportFields, reportFields[name])
 	}
-	for k, c := range f.RequestClasses {
+	for i, c := range f.RequestClasses {
 		class := control.Class{
 			Name:        c.Name,
 			Aim:         micros(c.AimUs),
@@ -163,61 +163,61 @@
 			LateShare:   c.LateValue,
 			DedupWindow: micros(c.WindowUs),
 		}
-		if class.Idempotency, err = word("semantics", c.Semantics, effects); err != nil {
+		if class.Idempotency, err = lookupName("semantics", c.Semantics, idempotencies); err != nil {
 			return s, err
 		}
-		if class.DedupScope, err = word("group", c.Group, scopes); err != nil {
+		if class.DedupScope, err = lookupName("group", c.Group, scopes); err != nil {
 			return s, err
 		}
-		if k < len(f.FamilyInfo.AllowedPools) {
-			class.Cells = f.FamilyInfo.AllowedPools[k]
+		if i < len(f.FamilyInfo.AllowedPools) {
+			class.Cells = f.FamilyInfo.AllowedPools[i]
 		}
 		s.Classes = append(s.Classes, class)
 	}
 	return s, nil
 }
 
-// OrderReport puts named figures into the order of the settings.
+// OrderReport returns the named values in the order of fields, with -1 for a missing one. It returns nil without values.
 func OrderReport(stats map[string]float64, fields []string) []float64 {
 	if len(stats) == 0 {
 		return nil
 	}
-	figures := make([]float64, len(fields))
-	for k, name := range fields {
+	values := make([]float64, len(fields))
+	for i, name := range fields {
 		v, ok := stats[name]
 		if !ok {
 			v = -1
 		}
-		figures[k] = v
+		values[i] = v
 	}
-	return figures
+	return values
 }
 
-// maxFigure is more than any figure of a report can be; what is beyond it, or no number, came spoilt.
-const maxFigure = 1e9
+// maxReportValue is above every valid value of a report. Larger values and NaN are treated as corrupt.
+const maxReportValue = 1e9
 
-// ParseReport reads a report as it comes on sockets, "x0:12;x1:40", into the order of the settings. What cannot be
-// read is left out.
+// ParseReport parses a report in the form used on sockets, "x0:12;x1:40", and returns its values in the order of
+// fields. Values that can't be parsed are treated as missing.
 func ParseReport(text string, fields []string) []float64 {
 	stats := map[string]float64{}
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), ":")
-		if v, err := strconv.ParseFloat(strings.TrimSpace(value), 64); err == nil && math.Abs(v) <= maxFigure {
+		if v, err := strconv.ParseFloat(strings.TrimSpace(value), 64); err == nil && math.Abs(v) <= maxReportValue {
 			stats[name] = v
-			if w, ok := words[name]; ok {
-				stats[w] = v
+			if canonical, ok := reportNames[name]; ok {
+				stats[canonical] = v
 			}
 		}
 	}
-	for name, w := range words { // the settings may use either name
-		if v, ok := stats[w]; ok {
+	for name, canonical := range reportNames { // fields may contain either name
+		if v, ok := stats[canonical]; ok {
 			stats[name] = v
 		}
 	}
 	return OrderReport(stats, fields)
 }
 
-// ParseStatus translates the state of a server, in the words that the bench and the register share.
+// ParseStatus returns the server status with the given name in server lists and in messages of the simulator.
 func ParseStatus(name string) (control.ServerStatus, error) {
 	status, ok := statuses[name]
 	if !ok {
@@ -226,18 +226,18 @@
 	return status, nil
 }
 
-// StatusName is the word for the state of a server.
+// StatusName returns the name of a server status in server lists, or "" if the status is unknown.
 func StatusName(status control.ServerStatus) string {
-	for word, s := range statuses {
+	for name, s := range statuses {
 		if s == status {
-			return word
+			return name
 		}
 	}
 	return ""
 }
 
-// ConnectTimeout is how long a connection to a server may take to come up.
+// ConnectTimeout returns the time within which a connection to a server must be established.
 func (f *Settings) ConnectTimeout() time.Duration { return micros(f.Caps.ConnectTimeoutUs) }
 
-// IdleTimeout is how long a connection without calls is kept.
+// IdleTimeout returns the time after which a connection without calls is closed.
 func (f *Settings) IdleTimeout() time.Duration { return micros(f.Caps.ConnIdleUs) }
