--- a/internal/wire/serve.go
+++ b/internal/wire/serve.go
@@ -12,22 +12,22 @@
 	"cherryrelay/control"
 )
 
-// instance is one access node: its decision module and the names its settings gave to classes and
-// report fields.
+// instance is one simulated access node: its decision module, and the names of the classes and report
+// fields in its settings.
 type instance struct {
 	module  *control.Controller
 	classes []string
 	fields  []string
 }
 
-// host keeps the instances of one process apart.
+// host holds the instances of one process and the server lists that were defined for them, by number.
 type host struct {
 	instances map[string]*instance
 	lists     map[int][]control.ServerEntry
 }
 
-// Serve answers every batch of in with one line on out until in ends. It returns an error for a
-// malformed line.
+// Serve reads batches from in, one per line, and writes one line with the reply to each to out, until in
+// ends. It returns an error for a malformed line.
 func Serve(in io.Reader, out io.Writer) error {
 	h := &host{instances: map[string]*instance{}, lists: map[int][]control.ServerEntry{}}
 	r := bufio.NewReaderSize(in, 1<<20)
@@ -38,8 +38,8 @@
 		if err != nil && !errors.Is(err, io.EOF) {
 			return fmt.Errorf("line %d: %w", n, err)
 		}
-		last := err != nil
-		if line = bytes.TrimSpace(line); len(line) == 0 && last {
+		atEnd := err != nil
+		if line = bytes.TrimSpace(line); len(line) == 0 && atEnd {
 			return nil
 		}
 		b, err := Decode(line)
@@ -56,24 +56,25 @@
 		if err := w.Flush(); err != nil {
 			return fmt.Errorf("line %d: writing the reply: %w", n, err)
 		}
-		if last {
+		if atEnd {
 			return nil
 		}
 	}
 }
 
-// turn is what one batch holds for one instance.
-type turn struct {
+// instanceEvents holds the events of one batch for one instance.
+type instanceEvents struct {
 	name   string
 	events []control.Event
 }
 
-// answer gives every instance of the batch its turn, in the order in which they first appear. A restart
-// ends the turn of the instance that was killed: what it would have done is void.
+// answer runs one step of every instance that has events in the batch, in the order in which they first
+// appear, and returns their actions. When an instance is restarted or shut down, its earlier events in the
+// batch are dropped.
 func (h *host) answer(b Batch) ([]map[string]any, error) {
 	output := []map[string]any{}
-	var turns []*turn
-	byName := map[string]*turn{}
+	var steps []*instanceEvents
+	byName := map[string]*instanceEvents{}
 	drop := func(name string) {
 		delete(h.instances, name)
 		if t := byName[name]; t != nil {
@@ -86,9 +87,9 @@
 		}
 		t := byName[name]
 		if t == nil {
-			t = &turn{name: name}
+			t = &instanceEvents{name: name}
 			byName[name] = t
-			turns = append(turns, t)
+			steps = append(steps, t)
 		}
 		t.events = append(t.events, e)
 	}
@@ -102,7 +103,7 @@
 			h.lists[m.DefineList.Buffer] = entries
 		case m.Init != nil:
 			drop(m.Init.I)
-			inst, err := start(m.Init)
+			inst, err := newInstance(m.Init)
 			if err != nil {
 				output = append(output, EncodeFault(m.Init.I, err.Error()))
 				continue
@@ -120,7 +121,7 @@
 			}
 		}
 	}
-	for _, t := range turns {
+	for _, t := range steps {
 		if inst := h.instances[t.name]; inst != nil && len(t.events) > 0 {
 			output = append(output, inst.step(t.name, micros(b.ClockUs), t.events)...)
 		}
@@ -128,7 +129,8 @@
 	return output, nil
 }
 
-// event translates a message for a running instance. It is nil for an instance that does not run.
+// event converts a message to an event and returns it with the name of its instance. The event is nil for
+// PeerData, and for a call that is offered to an instance that does not run.
 func (h *host) event(m Message) (name string, e control.Event, err error) {
 	fields := func(name string) []string {
 		if inst := h.instances[name]; inst != nil {
@@ -182,23 +184,24 @@
 	return control.ListReceived{Entries: entries, Whole: m.Scope != "delta"}, nil
 }
 
-func start(m *Init) (*instance, error) {
-	decisions, err := m.Facts.ControlSettings()
+func newInstance(m *Init) (*instance, error) {
+	moduleSettings, err := m.Facts.ControlSettings()
 	if err != nil {
 		return nil, err
 	}
-	module, err := control.New(decisions, m.Prng)
+	module, err := control.New(moduleSettings, m.Prng)
 	if err != nil {
 		return nil, err
 	}
 	inst := &instance{module: module, fields: m.Facts.Report.Fields}
-	for _, c := range decisions.Classes {
+	for _, c := range moduleSettings.Classes {
 		inst.classes = append(inst.classes, c.Name)
 	}
 	return inst, nil
 }
 
-// step gives the instance its turn. A panic of the module is reported in its place.
+// step runs one step of the decision module and encodes its actions. If the module panics, the output is
+// the fault instead.
 func (inst *instance) step(name string, now time.Duration, events []control.Event) (output []map[string]any) {
 	defer func() {
 		if r := recover(); r != nil {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,5 @@
-// Package wire decodes and encodes the JSON lines that the bench speaks.
+// Package wire implements the simulator's protocol, JSON lines with batches of events and replies, and runs
+// the decision module behind it.
 package wire
 
 import (
@@ -31,7 +32,7 @@
 	Ring       *Instance
 }
 
-// Instance is an event that matters only by the instance it is for.
+// Instance is an event without data apart from the instance that it is for.
 type Instance struct {
 	I string `json:"i"`
 }
@@ -43,13 +44,13 @@
 	Facts *settings.Settings `json:"facts"`
 }
 
-// DefineList carries a numbered server list.
+// DefineList defines a server list under a number.
 type DefineList struct {
 	Buffer int   `json:"buffer"`
 	Rows   []Row `json:"rows"`
 }
 
-// Row is one server of a list.
+// Row is one server of a list. Its zone is called "hall".
 type Row struct {
 	Server     string `json:"server"`
 	Status     string `json:"status"`
@@ -58,7 +59,7 @@
 	BootTimeUs *int64 `json:"bootTimeUs"`
 }
 
-// Members gives an instance a list that was defined before.
+// Members delivers to an instance the server list that was defined under the number in Buffer.
 type Members struct {
 	I      string `json:"i"`
 	Scope  string `json:"scope"`
@@ -95,10 +96,10 @@
 	Stats     map[string]float64 `json:"stats"`
 }
 
-// noteNoLine is the note of an outcome for want of a circuit or agent; higher bits carry a wait.
+// noteNoLine in the low four bits of a note means that no line was free. The higher bits contain a wait.
 const noteNoLine = 1
 
-// PingResult is a load report, asked for or not.
+// PingResult is a load report, whether it was requested or not.
 type PingResult struct {
 	I       string             `json:"i"`
 	Outcome *int               `json:"outcome"`
@@ -106,7 +107,7 @@
 	Stats   map[string]float64 `json:"stats"`
 }
 
-// AckFirst tells that a call stands.
+// AckFirst reports that an attempt was answered and its call is established.
 type AckFirst struct {
 	I         string `json:"i"`
 	RequestID string `json:"requestId"`
@@ -115,12 +116,12 @@
 	RttUs     int64  `json:"rttUs"`
 }
 
-// PeerData is a message of another instance.
+// PeerData is a message from another instance. It is ignored.
 type PeerData struct {
 	I string `json:"i"`
 }
 
-// Gone tells that the caller of a call has left.
+// Gone reports that the caller of a pending call cancelled it or disconnected.
 type Gone struct {
 	I         string `json:"i"`
 	RequestID string `json:"requestId"`
@@ -131,7 +132,7 @@
 	Output []map[string]any `json:"output"`
 }
 
-// Decode reads one line of input. Every message must be of one known kind and complete.
+// Decode parses one line of input. Every message must be of exactly one known kind and have all required fields.
 func Decode(line []byte) (Batch, error) {
 	var raw struct {
 		ClockUs *int64                       `json:"clockUs"`
@@ -147,14 +148,14 @@
 		return Batch{}, fmt.Errorf("batch: news is missing")
 	}
 	b := Batch{ClockUs: *raw.ClockUs, News: make([]Message, 0, len(raw.News))}
-	for k, tagged := range raw.News {
+	for i, tagged := range raw.News {
 		if len(tagged) != 1 {
-			return Batch{}, fmt.Errorf("event %d: has %d names, want one", k, len(tagged))
+			return Batch{}, fmt.Errorf("event %d: has %d names, want one", i, len(tagged))
 		}
 		for name, body := range tagged {
 			m, err := decodeMessage(name, body)
 			if err != nil {
-				return Batch{}, fmt.Errorf("event %d: %s: %w", k, name, err)
+				return Batch{}, fmt.Errorf("event %d: %s: %w", i, name, err)
 			}
 			b.News = append(b.News, m)
 		}
@@ -196,7 +197,7 @@
 	return m, err
 }
 
-// decodeBody reads one event's fields; those named in required must be there.
+// decodeBody parses the fields of one event. The fields in required must be present and not null.
 func decodeBody[T any](body json.RawMessage, required ...string) (*T, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
@@ -227,7 +228,7 @@
 	7: control.NotSent,
 }
 
-// ServerEntries translates the rows of a list.
+// ServerEntries converts the rows of a server list.
 func ServerEntries(rows []Row) ([]control.ServerEntry, error) {
 	entries := make([]control.ServerEntry, 0, len(rows))
 	for _, r := range rows {
@@ -244,13 +245,13 @@
 	return entries, nil
 }
 
-// CallOffered translates a call; classes are the names of the classes in order.
+// CallOffered converts the message to an event. classes has the names of the classes in the order of the settings.
 func (a *Accept) CallOffered(classes []string) (control.CallOffered, error) {
-	for k, name := range classes {
+	for i, name := range classes {
 		if name == a.Type {
 			return control.CallOffered{
 				ID:        control.CallID(a.RequestID),
-				Class:     k,
+				Class:     i,
 				Budget:    micros(a.BudgetUs),
 				Called:    a.Key,
 				FirstCell: int(a.Dest),
@@ -270,7 +271,7 @@
 	return o, nil
 }
 
-// AttemptEnded translates an outcome.
+// AttemptEnded converts the message to an event. fields has the names of the report fields in order.
 func (r *Returned) AttemptEnded(fields []string) (control.AttemptEnded, error) {
 	o, err := outcome(r.Outcome)
 	if err != nil {
@@ -282,7 +283,7 @@
 	}, nil
 }
 
-// ReportReceived translates a load report.
+// ReportReceived converts the message to an event. fields has the names of the report fields in order.
 func (p *PingResult) ReportReceived(fields []string) (control.ReportReceived, error) {
 	o, err := outcome(p.Outcome)
 	if err != nil {
@@ -293,7 +294,7 @@
 	}, nil
 }
 
-// CallStands translates the message that a call stands.
+// CallStands converts the message to an event.
 func (a *AckFirst) CallStands() control.CallStands {
 	return control.CallStands{
 		ID: control.CallID(a.RequestID), Server: control.ServerID(a.Server), Attempt: a.SeqNo,
@@ -301,7 +302,7 @@
 	}
 }
 
-// Encode translates an action of the given instance.
+// Encode returns the JSON object for an action of the given instance.
 func Encode(instance string, action control.Action) map[string]any {
 	body := map[string]any{"i": instance}
 	name := ""
@@ -340,12 +341,12 @@
 		name = "SayLog"
 		body["noteText"] = a.Text
 	default:
-		return EncodeFault(instance, fmt.Sprintf("no wire form for %T", action))
+		return EncodeFault(instance, fmt.Sprintf("no encoding for action %T", action))
 	}
 	return map[string]any{name: body}
 }
 
-// EncodeFault encodes the failure of an instance's decision code.
+// EncodeFault returns the JSON object that reports a failure of the instance's decision module.
 func EncodeFault(instance, text string) map[string]any {
 	return map[string]any{"GiveIn": map[string]any{"i": instance, "noteText": text}}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -22,23 +22,24 @@
 "resolutionUs":5000,"someNewKey":[1,2],
 "rules":{"coldUs":15000000,"drainGraceUs":1000000,"graceToAnswerUs":20000,"startCapacity":0.3,"tipMultiple":2}}`
 
-func oneLine(s string) string { return strings.ReplaceAll(s, "\n", "") }
+func joinLines(s string) string { return strings.ReplaceAll(s, "\n", "") }
 
-// initBatch starts an instance with two servers.
+// initBatch returns a batch that starts an instance and delivers a list of two servers to it.
 func initBatch(name string) string {
-	return oneLine(`{"clockUs":1000,"news":[{"Init":{"i":"` + name + `","prng":18446744073709551615,"facts":` + facts + `}},
+	return joinLines(`{"clockUs":1000,"news":[{"Init":{"i":"` + name + `","prng":18446744073709551615,"facts":` + facts + `}},
 {"DefineList":{"buffer":3,"rows":[
 {"units":1,"server":"s-a","status":"active","cell":0,"hall":"z","bootTimeUs":null,"sku":"k"},
 {"units":1,"server":"s-b","status":"active","cell":1,"hall":"z","bootTimeUs":null,"sku":"k"}]}},
 {"Members":{"i":"` + name + `","scope":"cached","rev":1,"buffer":3}}]}`)
 }
 
-func accept(name, id, dest string) string {
+// acceptEvent returns an Accept message of class low, marked as a redial.
+func acceptEvent(name, id, dest string) string {
 	return `{"Accept":{"i":"` + name + `","requestId":"` + id + `","type":"low","party":null,"key":"k","budgetUs":3000000,` +
 		`"costGuessUs":null,"dest":` + dest + `,"slotsNeeded":1,"tandem":-1,"options":2}}`
 }
 
-// serve runs lines through Serve and returns the replies.
+// serve runs Serve on the lines and returns the reply to each.
 func serve(t *testing.T, lines ...string) []string {
 	t.Helper()
 	var out bytes.Buffer
@@ -88,32 +89,32 @@
 	replies := serve(t,
 		`{"clockUs":0,"news":[]}`,
 		initBatch("node_0"),
-		`{"clockUs":9000,"news":[`+accept("node_0", "00ff", "1")+`]}`,
+		`{"clockUs":9000,"news":[`+acceptEvent("node_0", "00ff", "1")+`]}`,
 		`{"clockUs":60000,"news":[{"AckFirst":{"i":"node_0","requestId":"00ff","seqNo":0,"server":"s-b","rttUs":51000}}]}`,
-		`{"clockUs":90000,"news":[{"Shutdown":{"i":"node_0"}},`+accept("node_0", "00aa", "1")+`]}`,
+		`{"clockUs":90000,"news":[{"Shutdown":{"i":"node_0"}},`+acceptEvent("node_0", "00aa", "1")+`]}`,
 	)
 	if replies[0] != `{"output":[]}` {
-		t.Errorf("empty batch: %s", replies[0])
+		t.Errorf("reply to an empty batch: %s", replies[0])
 	}
 	if want := `{"Assign":{"i":"node_0","requestId":"00ff","server":"s-b"}}`; !strings.Contains(replies[2], want) {
-		t.Errorf("call: %s, want %s in it", replies[2], want)
+		t.Errorf("reply to an offered call: %s, want it to contain %s", replies[2], want)
 	}
 	if replies[4] != `{"output":[]}` {
-		t.Errorf("a killed instance acted: %s", replies[4])
+		t.Errorf("an instance that was shut down returned actions: %s", replies[4])
 	}
 }
 
-func TestInstancesAreKeptApart(t *testing.T) {
-	alone := serve(t, initBatch("node_0"), `{"clockUs":9000,"news":[`+accept("node_0", "00ff", "0")+`]}`)
-	var b strings.Builder
+func TestInstancesAreIndependent(t *testing.T) {
+	alone := serve(t, initBatch("node_0"), `{"clockUs":9000,"news":[`+acceptEvent("node_0", "00ff", "0")+`]}`)
+	var offers strings.Builder
 	for _, id := range []string{"01", "02", "03"} {
-		b.WriteString(accept("node_1", id, "0") + ",")
+		offers.WriteString(acceptEvent("node_1", id, "0") + ",")
 	}
-	both := serve(t, initBatch("node_1"), initBatch("node_0"),
-		`{"clockUs":8000,"news":[`+strings.TrimSuffix(b.String(), ",")+`]}`,
-		`{"clockUs":9000,"news":[`+accept("node_0", "00ff", "0")+`]}`)
-	if got, want := both[3], alone[1]; got != want {
-		t.Errorf("beside another instance %s, alone %s", got, want)
+	shared := serve(t, initBatch("node_1"), initBatch("node_0"),
+		`{"clockUs":8000,"news":[`+strings.TrimSuffix(offers.String(), ",")+`]}`,
+		`{"clockUs":9000,"news":[`+acceptEvent("node_0", "00ff", "0")+`]}`)
+	if got, want := shared[3], alone[1]; got != want {
+		t.Errorf("reply with another instance in the process: %s, without: %s", got, want)
 	}
 }
 
@@ -137,7 +138,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			err := Serve(strings.NewReader(tt.line+"\n"), &bytes.Buffer{})
 			if err == nil || !strings.Contains(err.Error(), "line 1") || !strings.Contains(err.Error(), tt.want) {
-				t.Errorf("error %v, want one on line 1 with %q", err, tt.want)
+				t.Errorf("error %v, want one that contains %q for line 1", err, tt.want)
 			}
 		})
 	}
@@ -147,15 +148,15 @@
 	bad := strings.Replace(initBatch("node_0"), `"resolutionUs":5000`, `"resolutionUs":0`, 1)
 	reply := serve(t, bad)[0]
 	if !strings.Contains(reply, `"GiveIn"`) || !strings.Contains(reply, "tick") {
-		t.Errorf("impossible settings: %s", reply)
+		t.Errorf("reply to invalid settings: %s", reply)
 	}
 }
 
 func TestModulePanicIsAFault(t *testing.T) {
-	inst := &instance{module: nil} // a nil module panics in its turn
+	inst := &instance{module: nil} // Step of a nil module panics
 	output := inst.step("node_0", 0, []control.Event{control.CallOffered{}})
 	if len(output) != 1 || output[0]["GiveIn"] == nil {
-		t.Errorf("a panic led to %v", output)
+		t.Errorf("output after a panic: %v, want one GiveIn", output)
 	}
 }
 
