--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost runs the decision module for the bench: it reads batches of events from standard
-// input and writes one reply a batch to standard output.
+// Command simhost runs the decision module for the simulator. It reads batches of events from standard
+// input and writes one reply per batch to standard output.
 package main
 
 import (
