--- a/control/property_test.go
+++ b/control/property_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// randomRun is a world in which anything may happen, in any order, on a clock that stands still, creeps or leaps.
+// randomRun sends random events to a Controller, on a clock that may stand still or jump, and checks invariants.
 type randomRun struct {
 	*node
 	t            *rapid.T
@@ -17,13 +17,13 @@
 	inProgress   map[CallID]SetUp
 	sent         map[CallID]int
 	pending      map[CallID]bool
-	guardedSince map[CallID]time.Duration // when an attempt ended that calls for the guard
+	guardedSince map[CallID]time.Duration // end of an attempt that requires the release guard
 }
 
 func newRandomRun(t *rapid.T) *randomRun {
 	s := Settings{
 		Classes: []Class{{Name: "c", Aim: 2 * time.Second, Deadline: 9 * time.Second, Worth: 1, LateShare: 0.25}},
-		Nodes:   rapid.SampledFrom([]int{1, 3, 20, 300}).Draw(t, "peers"), Tick: 5 * ms, ReleaseGuard: 500 * ms, ColdCapacity: 0.3,
+		Nodes:   rapid.SampledFrom([]int{1, 3, 20, 300}).Draw(t, "nodes"), Tick: 5 * ms, ReleaseGuard: 500 * ms, ColdCapacity: 0.3,
 		WarmUpTime: 10 * time.Second, ColdOverloadFactor: 2, MaxAttempts: 5, MayHoldOff: true, MaxHoldOff: 2 * time.Second, MayCancel: true,
 		ReportFields: []ReportField{FreeLines, Lines, QueueWait, MaxRate},
 	}
@@ -40,16 +40,16 @@
 	return f
 }
 
-// checkedStep gives the module a turn, and holds what it says against the rules.
+// checkedStep advances the clock, delivers the events and checks the actions and the state of the Controller.
 func (f *randomRun) checkedStep(d time.Duration, events ...Event) {
-	for _, a := range f.after(d, events...) {
+	for _, a := range f.step(d, events...) {
 		switch a := a.(type) {
 		case SetUp:
-			if _, out := f.inProgress[a.ID]; out || !f.pending[a.ID] {
-				f.t.Fatalf("%s: a set-up while one is out, or of a call that is over", a.ID)
+			if _, inProgress := f.inProgress[a.ID]; inProgress || !f.pending[a.ID] {
+				f.t.Fatalf("%s: set-up with an attempt in progress, or of a call that is not pending", a.ID)
 			}
 			if at, ok := f.guardedSince[a.ID]; ok && f.now-at < f.c.settings.ReleaseGuard {
-				f.t.Fatalf("%s: sent again %v after an end that calls for the guard", a.ID, f.now-at)
+				f.t.Fatalf("%s: sent again %v after an end that requires the release guard", a.ID, f.now-at)
 			}
 			f.inProgress[a.ID] = a
 			f.sent[a.ID]++
@@ -60,14 +60,15 @@
 		}
 	}
 	for id, s := range f.c.byID {
-		for name, v := range map[string]float64{"limit": s.window, "credit": s.credit, "able": f.c.capacityRate(s), "occupancy": f.c.occupancy(s), "rate": f.c.warmRate(s)} {
+		for name, v := range map[string]float64{"window": s.window, "credit": s.credit, "capacity rate": f.c.capacityRate(s), "occupancy": f.c.occupancy(s), "warm rate": f.c.warmRate(s)} {
 			if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
-				f.t.Fatalf("%s of %s is %v", name, id, v)
+				f.t.Fatalf("%s of server %s is %v", name, id, v)
 			}
 		}
 	}
 }
 
+// final records the final answer of a call.
 func (f *randomRun) final(id CallID) {
 	if !f.pending[id] {
 		f.t.Fatalf("%s has a second final answer", id)
@@ -76,6 +77,7 @@
 	delete(f.inProgress, id)
 }
 
+// offerCall returns the offer of a new call.
 func (f *randomRun) offerCall() Event {
 	f.next++
 	id := CallID(fmt.Sprint(f.next))
@@ -83,14 +85,14 @@
 	return CallOffered{ID: id, Budget: 4 * time.Second, Called: "n" + string(id), FirstCell: f.next % 3}
 }
 
-// answer has an attempt answered.
-func (f *randomRun) answer(a SetUp, after time.Duration) Event {
+// answer returns the answer to an attempt.
+func (f *randomRun) answer(a SetUp, elapsed time.Duration) Event {
 	delete(f.inProgress, a.ID)
 	delete(f.pending, a.ID)
-	return CallStands{ID: a.ID, Server: a.Server, Attempt: f.sent[a.ID] - 1, Elapsed: after}
+	return CallStands{ID: a.ID, Server: a.Server, Attempt: f.sent[a.ID] - 1, Elapsed: elapsed}
 }
 
-// randomEvent is an event of any kind.
+// randomEvent returns an event of a random kind.
 func (f *randomRun) randomEvent() Event {
 	t := f.t
 	report := []float64{
@@ -101,22 +103,22 @@
 	kind := rapid.IntRange(0, 6).Draw(t, "kind")
 	if kind >= 4 && len(f.inProgress) > 0 {
 		id := CallID("")
-		for other := range f.inProgress { // the first, whatever the order of the map
+		for other := range f.inProgress { // the lowest id, as the order of the map would not be reproducible
 			if id == "" || other < id {
 				id = other
 			}
 		}
 		a := f.inProgress[id]
-		took := time.Duration(rapid.IntRange(0, 4000).Draw(t, "took")) * ms
+		elapsed := time.Duration(rapid.IntRange(0, 4000).Draw(t, "elapsed")) * ms
 		if kind == 4 {
-			return f.answer(a, took)
+			return f.answer(a, elapsed)
 		}
 		delete(f.inProgress, id)
-		o := rapid.SampledFrom([]Outcome{Failed, Full, TimedOut, Unreachable, Reset, Cancelled}).Draw(t, "outcome")
-		if o == TimedOut || o == Reset || o == Cancelled {
+		outcome := rapid.SampledFrom([]Outcome{Failed, Full, TimedOut, Unreachable, Reset, Cancelled}).Draw(t, "outcome")
+		if outcome == TimedOut || outcome == Reset || outcome == Cancelled {
 			f.guardedSince[id] = f.now
 		}
-		return AttemptEnded{ID: id, Server: a.Server, Attempt: f.sent[id] - 1, Outcome: o, Elapsed: took, NoLine: kind == 6, Report: report}
+		return AttemptEnded{ID: id, Server: a.Server, Attempt: f.sent[id] - 1, Outcome: outcome, Elapsed: elapsed, NoLine: kind == 6, Report: report}
 	}
 	switch kind {
 	case 0, 1:
@@ -127,7 +129,7 @@
 	return Woken{}
 }
 
-// run is a random past: tens of events, on a clock that stands still, creeps or leaps.
+// run delivers up to 60 random events, with random gaps between them.
 func (f *randomRun) run() {
 	for range rapid.IntRange(0, 60).Draw(f.t, "events") {
 		gap := rapid.SampledFrom([]time.Duration{0, 0, ms, 5 * ms, 100 * ms, time.Second, 3 * time.Second}).Draw(f.t, "gap")
@@ -139,8 +141,8 @@
 	}
 }
 
-// TestAnyPastOnAnyClock: no call is out twice, sent again inside the guard or answered twice, and no figure is lost to a
-// division, whatever came before and however the clock went.
-func TestAnyPastOnAnyClock(t *testing.T) {
+// TestInvariantsUnderRandomEvents checks that, for any events on any clock, no call has two attempts in progress, an attempt
+// within the release guard or two final answers, and that no rate becomes negative, infinite or NaN.
+func TestInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { newRandomRun(t).run() })
 }
