--- a/control/control_test.go
+++ b/control/control_test.go
@@ -92,9 +92,9 @@
 
 func TestResize(t *testing.T) {
 	tests := []struct {
-		name                            string
-		past, mean, occupancy, overhead float64
-		want                            float64
+		name                                      string
+		previous, meanStarts, occupancy, overhead float64
+		want                                      float64
 	}{
 		{"at the target occupancy", 20, 20, maxOccupancy, 0, 20},
 		{"within the limits", 20, 20, maxOccupancy * 20 / 18, 0, 18},
@@ -110,9 +110,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got := resize(tt.past, tt.mean, tt.occupancy, tt.overhead)
+			got := resize(tt.previous, tt.meanStarts, tt.occupancy, tt.overhead)
 			if math.Abs(got-tt.want) > 1e-9 {
-				t.Errorf("resize(%v, %v, %v, %v) = %v, want %v", tt.past, tt.mean, tt.occupancy, tt.overhead, got, tt.want)
+				t.Errorf("resize(%v, %v, %v, %v) = %v, want %v", tt.previous, tt.meanStarts, tt.occupancy, tt.overhead, got, tt.want)
 			}
 		})
 	}
@@ -129,7 +129,7 @@
 		{"late share", func(s *Settings) { s.Classes[0].LateShare = 2 }},
 		{"tick", func(s *Settings) { s.Tick = 0 }},
 		{"release guard", func(s *Settings) { s.ReleaseGuard = -1 }},
-		{"start share", func(s *Settings) { s.ColdCapacity = 2 }},
+		{"cold capacity", func(s *Settings) { s.ColdCapacity = 2 }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -439,21 +439,21 @@
 // as if it were the only new one, the rates added up to twice the load, and 300 nodes overloaded a server with 2.7 times its capacity.
 func TestColdRatesOfSeveralServersSumToTheirShare(t *testing.T) {
 	n := newNode(t, settings())
-	var replaced, replacements []ServerEntry
+	var servers, replacements []ServerEntry
 	for i := range 10 {
-		replaced = append(replaced, ServerEntry{ID: ServerID(fmt.Sprint("old", i)), Cell: i})
+		servers = append(servers, ServerEntry{ID: ServerID(fmt.Sprint("old", i)), Cell: i})
 	}
-	n.step(0, ListReceived{Entries: replaced, Whole: true})
+	n.step(0, ListReceived{Entries: servers, Whole: true})
 	for _, s := range n.c.servers {
 		s.lines = 50
 		setWarmRate(s, 10)
 	}
 	for i := range 6 {
-		replaced[i].Status = Draining
+		servers[i].Status = Draining
 		replacements = append(replacements, ServerEntry{ID: ServerID(fmt.Sprint("new", i)), Cell: 20 + i, StartedAt: n.now})
 	}
 	for linesReported := range 2 { // before they have reported their lines (0) and after (1)
-		n.step(0, ListReceived{Entries: append(slices.Clone(replaced), replacements...)})
+		n.step(0, ListReceived{Entries: append(slices.Clone(servers), replacements...)})
 		sum := 0.0
 		for _, e := range replacements {
 			s := n.c.byID[e.ID]
