--- a/control/api.go
+++ b/control/api.go
@@ -5,7 +5,7 @@
 // The mechanism is Somoza's Dynamic Processor Overload Control, run at the sender. Each server has a
 // window of N new set-ups per control period. At the end of each update interval the window is resized
 // by the ratio of the target occupancy to the measured one, within limits. Calls that no window allows
-// are held. docs/design.md lists the differences from the paper.
+// are held. docs/design.md describes which parts of the paper are kept and which are changed.
 package control
 
 import (
@@ -50,9 +50,9 @@
 const (
 	// DedupAll means every server.
 	DedupAll DedupScope = iota
-	// DedupZone means the servers of the zone of the first attempt.
+	// DedupZone means the servers in the zone of the first attempt that may have run.
 	DedupZone
-	// DedupCell means the servers of the cell of the first attempt.
+	// DedupCell means the servers in the cell of the first attempt that may have run.
 	DedupCell
 )
 
@@ -128,7 +128,7 @@
 	Cell      int
 	Zone      string
 	StartedAt time.Duration // on the clock of Step; 0 for long ago
-	Weight    int           // share of new set-ups relative to other weights; 0 in all entries for equal shares
+	Weight    int           // share of new set-ups relative to the weights of other servers; 0 for an equal share
 }
 
 // Outcome is the result of an attempt.
--- a/control/control.go
+++ b/control/control.go
@@ -89,7 +89,7 @@
 	calledNumber string
 	firstTriedAt time.Duration // time of the caller's first try
 	aimDeadline  time.Duration // when the aim is missed
-	deadline     time.Duration // when the caller cancels
+	deadline     time.Duration // when the caller's try ends
 	notBefore    time.Duration // earliest time of the next attempt
 	attempts     int           // attempts so far
 	server       *server       // server of the attempt in progress; nil for none
@@ -125,7 +125,7 @@
 	lastListedAt       time.Duration // time of the last list in which it was not removed
 	lastAnswerAt       time.Duration // last answer, or first start after a time without attempts in progress
 	lastAnsweredSentAt time.Duration // start of the latest attempt that was answered
-	coldSince          time.Duration // start of the server that made it cold
+	coldSince          time.Duration // start time of a cold server
 	cold               bool          // started recently, with reduced capacity
 	minDelay           time.Duration // lowest delay of an answer
 	excessDelay        time.Duration // smoothed delay of own set-ups beyond minDelay
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -72,11 +72,11 @@
 		}
 		names[c.Name] = true
 	}
-	decisions, err := f.ControlSettings()
+	controlSettings, err := f.ControlSettings()
 	if err != nil {
 		return err
 	}
-	_, err = control.New(decisions, 0)
+	_, err = control.New(controlSettings, 0)
 	return err //nolint:wrapcheck // the error names its package
 }
 
