--- a/control/control.go
+++ b/control/control.go
@@ -65,7 +65,7 @@
 	servers       []*server // in the order of their first appearance
 	byID          map[ServerID]*server
 	calls         map[CallID]*call
-	held          []*call                     // calls without an attempt in progress, in the order of their addition
+	held          []*call                     // calls without an attempt in progress, in order of addition
 	lastByClass   map[string]*server          // last server selected, by the name of the class
 	firstTries    map[callerKey]time.Duration // times of the first tries of unserved calls
 	unservedCalls []*call                     // calls that were not answered, in the order of their removal
