--- a/internal/call/ambiguous.go
+++ b/internal/call/ambiguous.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// repliedWithin is how long after it was read an ambiguous end waits for the reply to the probe. What has stood is to be released towards its
+	// replyTimeout is how long after it was read an ambiguous end waits for the reply to the probe. What has stood is to be released towards its
 	// caller within a second of its end.
-	repliedWithin = 800 * time.Millisecond
-	// repliedAfterAnswer is how long it waits at least once the answer has come: the reply may be right behind that.
-	repliedAfterAnswer = 100 * time.Millisecond
+	replyTimeout = 800 * time.Millisecond
+	// replyTimeoutAfterAnswer is how long it waits at least once the answer has come: the reply may be right behind that.
+	replyTimeoutAfterAnswer = 100 * time.Millisecond
 )
 
 // ambiguousEnd is the end of a call that was read on another connection than that of its latest attempt, ahead of the answer or behind it, where an
@@ -21,16 +21,16 @@
 	cause  int
 	report []float64
 	readAt time.Time
-	// ofEarlier is set where an earlier attempt is known to have established the call: without a reply the end counts as that one's.
-	ofEarlier bool
-	timer     *Timer // runs from the answer on
+	// ofEarlierAttempt is set where an earlier attempt is known to have established the call: without a reply the end counts as that one's.
+	ofEarlierAttempt bool
+	timer            *Timer // runs from the answer on
 }
 
 // probeAmbiguous keeps such an end, and has the connection of the attempt probed. If the reply comes and no end ahead of it, the end is an earlier
 // attempt's. If the connection ends first, behind the answer, it is that of the call that was answered.
 func (c *Core) probeAmbiguous(k *record, cause int, report []float64) {
-	end := &ambiguousEnd{cause: cause, report: report, readAt: time.Now(), ofEarlier: k.earlierEstablished()}
-	if k.ambiguous != nil && k.state == stands {
+	end := &ambiguousEnd{cause: cause, report: report, readAt: time.Now(), ofEarlierAttempt: k.earlierEstablished()}
+	if k.ambiguous != nil && k.state == established {
 		end.readAt = k.ambiguous.readAt
 	}
 	c.dropAmbiguous(k)
@@ -41,32 +41,32 @@
 		case replied:
 			endlog.Call(c.log, endlog.EndOfEarlier, k.ID, endlog.Server(k.server), endlog.Attempt(k.attempts-1))
 			c.dropAmbiguous(k)
-		case k.state == stands:
-			c.concludeAmbiguous(k)
+		case k.state == established:
+			c.applyAmbiguous(k)
 		}
 	})
-	c.awaitReply(k)
+	c.startReplyTimer(k)
 }
 
-// awaitReply bounds the wait for the reply once a call has been answered.
-func (c *Core) awaitReply(k *record) {
+// startReplyTimer bounds the wait for the reply once a call has been answered.
+func (c *Core) startReplyTimer(k *record) {
 	end := k.ambiguous
-	if end == nil || k.state != stands {
+	if end == nil || k.state != established {
 		return
 	}
-	end.timer = c.loop.After(max(repliedWithin-time.Since(end.readAt), repliedAfterAnswer), func() {
+	end.timer = c.loop.After(max(replyTimeout-time.Since(end.readAt), replyTimeoutAfterAnswer), func() {
 		switch {
 		case k.ambiguous != end:
-		case end.ofEarlier:
+		case end.ofEarlierAttempt:
 			c.dropAmbiguous(k)
 		default:
-			c.concludeAmbiguous(k)
+			c.applyAmbiguous(k)
 		}
 	})
 }
 
-// concludeAmbiguous ends a call that was answered, by the ambiguous end that came. Its dispatcher may hold it all the same, and releases it then.
-func (c *Core) concludeAmbiguous(k *record) {
+// applyAmbiguous ends a call that was answered, by the ambiguous end that came. Its dispatcher may hold it all the same, and releases it then.
+func (c *Core) applyAmbiguous(k *record) {
 	end := k.ambiguous
 	endlog.Call(c.log, endlog.EndOfLatest, k.ID, endlog.Server(k.server), endlog.Attempt(k.attempts-1))
 	c.dropAmbiguous(k)
--- a/internal/call/behind_answer_test.go
+++ b/internal/call/behind_answer_test.go
@@ -8,37 +8,37 @@
 	"cherryrelay/control"
 )
 
-// probeSite is a site whose call stands at a dispatcher by its second attempt, where the first one had the given outcome. The steps follow, each at its time.
-func probeSite(t *testing.T, first control.Outcome, steps map[time.Duration]func(s *site)) *site {
+// newEstablishedFixture is a site whose call stands at a dispatcher by its second attempt, where the first one had the given outcome. The steps follow, each at its time.
+func newEstablishedFixture(t *testing.T, first control.Outcome, steps map[time.Duration]func(s *fixture)) *fixture {
 	t.Helper()
-	s := newSite(t)
-	s.react = func(server control.ServerID, a SetUp) {
+	s := newFixture(t)
+	s.onSetUp = func(server control.ServerID, a SetUp) {
 		if a.Attempt == 0 {
-			s.core.Loop().After(time.Millisecond, func() { s.ended(server, a, first) })
+			s.core.Loop().After(time.Millisecond, func() { s.endAttempt(server, a, first) })
 			return
 		}
-		s.answered(server, a)
+		s.answerAttempt(server, a)
 		for after, step := range steps {
 			s.core.Loop().After(after, func() { step(s) })
 		}
 	}
 	s.core.Loop().Post(func() {
-		s.list(control.Active, "a")
-		_ = s.core.Offer(Request{ID: overtakenID, Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s, Description: "x"})
+		s.updateList(control.Active, "a")
+		_ = s.core.Offer(Request{ID: callID, Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s, Description: "x"})
 	})
 	return s
 }
 
-// TestWhoseAnEndBehindTheAnswerIs guards against a call that is cut as it stands, by the end of an earlier attempt that is read on another connection, and
+// TestAnEndAfterTheAnswerOnAnotherConnection guards against a call that is cut as it stands, by the end of an earlier attempt that is read on another connection, and
 // against the end of a call that is told late or to nobody as it may be that of an earlier attempt.
-func TestWhoseAnEndBehindTheAnswerIs(t *testing.T) {
+func TestAnEndAfterTheAnswerOnAnotherConnection(t *testing.T) {
 	t.Parallel()
-	beside := func(s *site) { s.core.ReleasedOnOtherConnection("a", overtakenID, CauseNormal, nil) }
-	own := func(s *site) { s.core.Released("a", overtakenID, noAttempt, CauseNormal, nil) }
-	replied := func(s *site) { s.pinged(true) }
-	connectionEnds := func(s *site) { s.pinged(false) }
+	beside := func(s *fixture) { s.core.ReleasedOnOtherConnection("a", callID, CauseNormal, nil) }
+	own := func(s *fixture) { s.core.Released("a", callID, noAttempt, CauseNormal, nil) }
+	replied := func(s *fixture) { s.completePings(true) }
+	connectionEnds := func(s *fixture) { s.completePings(false) }
 	const read, next, later, much = 10 * time.Millisecond, 20 * time.Millisecond, 30 * time.Millisecond, 600 * time.Millisecond
-	type steps = map[time.Duration]func(*site)
+	type steps = map[time.Duration]func(*fixture)
 	for name, test := range map[string]struct {
 		first        control.Outcome
 		steps        steps
@@ -51,34 +51,34 @@
 		"a reply, then its own end":                {control.Reset, steps{read: beside, next: replied, later: own}, 1, 0, 0, later, later},
 		"its own end ahead of the reply":           {control.Reset, steps{read: beside, next: own, later: replied}, 1, 0, 0, next, next},
 		"the end of its connection":                {control.Reset, steps{read: beside, next: connectionEnds}, 1, 1, 0, next, next},
-		"no reply":                                 {control.Reset, steps{read: beside}, 1, 1, 1, repliedWithin, time.Second},
-		"no reply to an end that is repeated":      {control.Reset, steps{read: beside, much: beside}, 1, 1, 2, repliedWithin, time.Second},
+		"no reply":                                 {control.Reset, steps{read: beside}, 1, 1, 1, replyTimeout, time.Second},
+		"no reply to an end that is repeated":      {control.Reset, steps{read: beside, much: beside}, 1, 1, 2, replyTimeout, time.Second},
 		"the earlier attempt was refused":          {control.Failed, steps{read: beside}, 1, 0, 0, read, read},
 		"an end on the connection of its answer":   {control.Reset, steps{read: own}, 1, 0, 0, read, read},
 		"another end, whose probe has its reply":   {control.Reset, steps{read: beside, next: beside, later: replied}, 0, 0, 0, 0, 0},
 		"another end, and its connection's end":    {control.Reset, steps{read: beside, next: beside, later: connectionEnds}, 1, 1, 0, later, later},
-		"an end of the same id at another address": {control.Reset, steps{read: func(s *site) { s.core.ReleasedOnOtherConnection("b", overtakenID, CauseNormal, nil) }}, 0, 0, 0, 0, 0},
+		"an end of the same id at another address": {control.Reset, steps{read: func(s *fixture) { s.core.ReleasedOnOtherConnection("b", callID, CauseNormal, nil) }}, 0, 0, 0, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				s := probeSite(t, test.first, test.steps)
+				s := newEstablishedFixture(t, test.first, test.steps)
 				begun, toldAt := time.Time{}, time.Time{}
 				var look func()
 				look = func() {
-					if begun.IsZero() && s.answers[overtakenID] > 0 {
+					if begun.IsZero() && s.answers[callID] > 0 {
 						begun = time.Now()
 					}
-					if toldAt.IsZero() && s.overs[overtakenID] > 0 {
+					if toldAt.IsZero() && s.terminations[callID] > 0 {
 						toldAt = time.Now()
 					}
 					s.core.Loop().After(time.Millisecond, look)
 				}
 				look()
 				s.run(3 * time.Second)
-				if s.answers[overtakenID] != 1 || s.finals[overtakenID] != 0 || s.overs[overtakenID] != test.overs || s.releases != test.releases || len(s.pings) != test.unreplied {
-					t.Errorf("%d answers, %d final answers, %d ends, %d releases, %d probes without a reply; want 1, 0, %d, %d, %d", s.answers[overtakenID], s.finals[overtakenID],
-						s.overs[overtakenID], s.releases, len(s.pings), test.overs, test.releases, test.unreplied)
+				if s.answers[callID] != 1 || s.rejections[callID] != 0 || s.terminations[callID] != test.overs || s.releases != test.releases || len(s.pings) != test.unreplied {
+					t.Errorf("%d answers, %d final answers, %d ends, %d releases, %d probes without a reply; want 1, 0, %d, %d, %d", s.answers[callID], s.rejections[callID],
+						s.terminations[callID], s.releases, len(s.pings), test.overs, test.releases, test.unreplied)
 				}
 				const slack = 2 * time.Millisecond
 				if told := toldAt.Sub(begun); test.overs > 0 && (told < test.from-slack || told > test.within+slack) {
@@ -89,13 +89,13 @@
 	}
 }
 
-// TestAnEndBesideTheAnswerOfAnUnknownCall guards against an entry that is kept for a call that is not established.
-func TestAnEndBesideTheAnswerOfAnUnknownCall(t *testing.T) {
+// TestAnEndOfAnUnknownCallOnAnotherConnection guards against an entry that is kept for a call that is not established.
+func TestAnEndOfAnUnknownCallOnAnotherConnection(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	s := newFixture(t)
 	goesOn := true
 	s.core.Loop().Post(func() {
-		goesOn = s.core.ReleasedOnOtherConnection("a", overtakenID, CauseNormal, nil)
+		goesOn = s.core.ReleasedOnOtherConnection("a", callID, CauseNormal, nil)
 		s.core.Loop().Quit()
 	})
 	s.core.Loop().Run()
--- a/internal/call/bounds_test.go
+++ b/internal/call/bounds_test.go
@@ -11,53 +11,53 @@
 	"cherryrelay/control"
 )
 
-// sizes notes the room that every map, slice and ring takes that is reached from v without passing an interface: what callers,
+// collectSizes notes the room that every map, slice and ring takes that is reached from v without passing an interface: what callers,
 // dispatchers and logs keep is theirs.
-func sizes(v reflect.Value, path string, seen map[uintptr]bool, into map[string]int) {
+func collectSizes(v reflect.Value, path string, seen map[uintptr]bool, into map[string]int) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if v.IsNil() || seen[v.Pointer()] || v.Type() == reflect.TypeFor[*time.Location]() {
 			return
 		}
 		seen[v.Pointer()] = true
-		sizes(v.Elem(), path, seen, into)
+		collectSizes(v.Elem(), path, seen, into)
 	case reflect.Struct:
 		for i := range v.NumField() {
-			sizes(v.Field(i), path+"."+v.Type().Field(i).Name, seen, into)
+			collectSizes(v.Field(i), path+"."+v.Type().Field(i).Name, seen, into)
 		}
 	case reflect.Map:
 		into[path] += v.Len()
 		for entries := v.MapRange(); entries.Next(); {
-			sizes(entries.Value(), path+"[]", seen, into)
+			collectSizes(entries.Value(), path+"[]", seen, into)
 		}
 	case reflect.Slice:
 		into[path] += v.Cap()
 		for i := range v.Len() {
-			sizes(v.Index(i), path+"[]", seen, into)
+			collectSizes(v.Index(i), path+"[]", seen, into)
 		}
 	}
 }
 
-// someone is a caller of one call.
-type someone struct{ *site }
+// singleCaller is a caller of one call.
+type singleCaller struct{ *fixture }
 
-// TestNothingGrowsWithWhatHasBeen plays calls, callers and dispatchers that come and go under new names, by the thousand, and
+// TestMemoryDoesNotGrowWithPastCalls plays calls, callers and dispatchers that come and go under new names, by the thousand, and
 // finds every table at the size that it had after the first few hundred. Time is simulated: half an hour passes at once.
-func TestNothingGrowsWithWhatHasBeen(t *testing.T) {
+func TestMemoryDoesNotGrowWithPastCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t)
+		s := newFixture(t)
 		loop := s.core.Loop()
 		rng := rand.New(rand.NewPCG(1, 1))
-		s.react = func(server control.ServerID, a SetUp) {
+		s.onSetUp = func(server control.ServerID, a SetUp) {
 			after := loop.After
 			switch rng.IntN(6) {
 			case 0: // silent
 			case 1:
-				after(5*time.Millisecond, func() { s.ended(server, a, control.Full) })
+				after(5*time.Millisecond, func() { s.endAttempt(server, a, control.Full) })
 			case 2:
-				after(5*time.Millisecond, func() { s.ended(server, a, control.Reset) })
+				after(5*time.Millisecond, func() { s.endAttempt(server, a, control.Reset) })
 			default:
-				after(5*time.Millisecond, func() { s.answered(server, a) })
+				after(5*time.Millisecond, func() { s.answerAttempt(server, a) })
 				after(3*time.Second, func() { s.core.Released(server, a.ID, a.Attempt, CauseNormal, []float64{7}) })
 			}
 		}
@@ -74,15 +74,15 @@
 				on(func() {
 					if number%20 == 0 { // a dispatcher is replaced by one of another name
 						next := number / 20
-						s.list(control.Active, control.ServerID(fmt.Sprint("d", next)))
+						s.updateList(control.Active, control.ServerID(fmt.Sprint("d", next)))
 						if next >= 3 {
-							s.list(control.Removed, control.ServerID(fmt.Sprint("d", next-3)))
+							s.updateList(control.Removed, control.ServerID(fmt.Sprint("d", next-3)))
 							s.core.DispatcherFailed(control.ServerID(fmt.Sprint("d", next-3)))
 						}
 					}
 					id := fmt.Sprintf("%016x", number)
 					if err := s.core.Offer(Request{ID: id, Class: "c", Called: "n" + id, FirstCell: 0, Description: "d",
-						Deadline: time.Now().Add(3 * time.Second), Caller: &someone{s}}); err != nil {
+						Deadline: time.Now().Add(3 * time.Second), Caller: &singleCaller{s}}); err != nil {
 						t.Errorf("%s: %v", id, err)
 					}
 					if number%7 == 0 {
@@ -92,11 +92,11 @@
 				})
 				time.Sleep(60 * time.Millisecond)
 			}
-			time.Sleep(2 * remember)
+			time.Sleep(2 * retentionPeriod)
 			into := map[string]int{}
 			on(func() { // what has ended is forgotten with the next end
-				s.core.knowOver("0123456789abcdef")
-				sizes(reflect.ValueOf(s.core), "core", map[uintptr]bool{}, into)
+				s.core.recordTerminated("0123456789abcdef")
+				collectSizes(reflect.ValueOf(s.core), "core", map[uintptr]bool{}, into)
 			})
 			return into
 		}
--- a/internal/call/claim_deadline_test.go
+++ b/internal/call/claim_deadline_test.go
@@ -11,49 +11,49 @@
 	"cherryrelay/internal/takeover"
 )
 
-// lookups is a Finder that looks for calls until it is told what to find.
-type lookups struct{}
+// stubFinder is a Finder that looks for calls until it is told what to find.
+type stubFinder struct{}
 
-func (lookups) Lookup(string, []byte) bool    { return true }
-func (lookups) Persisted(...string)           {}
-func (lookups) Terminated(string, int)        {}
-func (lookups) Transfer(*takeover.Call) error { return nil }
-func (lookups) Transferred(...string)         {}
+func (stubFinder) Lookup(string, []byte) bool    { return true }
+func (stubFinder) Persisted(...string)           {}
+func (stubFinder) Terminated(string, int)        {}
+func (stubFinder) Transfer(*takeover.Call) error { return nil }
+func (stubFinder) Transferred(...string)         {}
 
-// recoveredOpen is a book with an open call.
-func recoveredOpen(core *Core, id string) *recovery.CallTable {
+// recoveredPending is a book with an open call.
+func recoveredPending(core *Core, id string) *recovery.CallTable {
 	b := recovery.NewCallTable()
-	b.Apply(taken(id, core.now()))
+	b.Apply(accepted(id, core.now()))
 	return b
 }
 
-// TestAFinalAnswerComesInTheTimeThatAResumeNames guards against final answers that come later than the caller of a resumed call waits, whose own
+// TestFinalAnswerMeetsDeadlineOfResumeRequest guards against final answers that come later than the caller of a resumed call waits, whose own
 // account of that may be shorter than what was noted as the call was taken in.
-func TestAFinalAnswerComesInTheTimeThatAResumeNames(t *testing.T) {
+func TestFinalAnswerMeetsDeadlineOfResumeRequest(t *testing.T) {
 	const id, left = "00000000000000ab", 500 * time.Millisecond
 	for name, begin := range map[string]func(core *Core){
-		"it was left by an earlier process": func(core *Core) { core.Recover(recoveredOpen(core, id), nil) },
+		"it was left by an earlier process": func(core *Core) { core.Recover(recoveredPending(core, id), nil) },
 		"its connection closed here": func(core *Core) {
-			gone := &stage{core: core}
+			gone := &recorder{core: core}
 			_ = core.Offer(Request{ID: id, Class: "c", Deadline: time.Now().Add(9 * time.Second), Caller: gone, Token: recovery.HashToken(callToken), Description: "x"})
 			core.CallerDisconnected(gone)
 		},
 		"an earlier process has the ledger": func(core *Core) { core.AwaitLedger() },
-		"it is looked for, and not found":   func(core *Core) { core.UseFinder(lookups{}, func() bool { return true }, func(error) {}) },
+		"it is looked for, and not found":   func(core *Core) { core.UseFinder(stubFinder{}, func() bool { return true }, func(error) {}) },
 		"it is looked for, and found": func(core *Core) {
-			core.UseFinder(lookups{}, func() bool { return true }, func(error) {})
+			core.UseFinder(stubFinder{}, func() bool { return true }, func(error) {})
 			core.Loop().After(left/2, func() {
-				e := taken(id, core.now())
+				e := accepted(id, core.now())
 				core.CallReceived(&takeover.Call{Events: []recovery.Event{e}, LastUs: e.AtUs}, -1)
 			})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				core := newSite(t).core
-				s := &stage{core: core}
+				core := newFixture(t).core
+				s := &recorder{core: core}
 				core.SetDispatchers(s)
-				core.AddFront(atFront{s})
+				core.AddFront(recordingFront{s})
 				core.Loop().Post(func() {
 					core.Update(Update{Complete: true, Servers: []Server{{ServerEntry: control.ServerEntry{ID: "a"}, Address: "127.0.0.1:1"}}})
 					begin(core)
@@ -65,7 +65,7 @@
 				time.Sleep(left)
 				core.Loop().Quit()
 				synctest.Wait()
-				if told := strings.Join(s.said, "; "); strings.Count(told, "end "+id) != 1 {
+				if told := strings.Join(s.events, "; "); strings.Count(told, "end "+id) != 1 {
 					t.Errorf("told in the time that the resume named: %q; want one final answer", told)
 				}
 			})
--- a/internal/call/core_test.go
+++ b/internal/call/core_test.go
@@ -13,39 +13,39 @@
 	"cherryrelay/internal/settings"
 )
 
-// site stands in for callers and dispatchers, and keeps the rules' books: it runs on the core's loop, so its times are
+// fixture stands in for callers and dispatchers, and keeps the rules' books: it runs on the core's loop, so its times are
 // those of the core.
-type site struct {
-	t     *testing.T
-	core  *Core
-	out   map[string]control.ServerID
-	ready map[string]time.Time
-	finals,
-	answers, overs map[string]int
+type fixture struct {
+	t          *testing.T
+	core       *Core
+	inProgress map[string]control.ServerID
+	notBefore  map[string]time.Time
+	rejections,
+	answers, terminations map[string]int
 	releases int
 	drained  map[control.ServerID]bool
 	setUps   int
 	pings    []func(replied bool)
-	react    func(server control.ServerID, a SetUp)
+	onSetUp  func(server control.ServerID, a SetUp)
 	settings *settings.Settings
 }
 
-func (s *site) Update(Update)                         {}
-func (s *site) Release(control.ServerID, string, int) { s.releases++ }
-func (s *site) Probe(control.ServerID)                {}
-func (s *site) Answer(id, _ string) error             { s.answers[id]++; return nil }
-func (s *site) End(id string, _ End)                  { s.finals[id]++ }
-func (s *site) Disconnected() bool                    { return false }
-func (s *site) NotifyTerminated(id string, _ End)     { s.overs[id]++ }
-func (s *site) Reconnect(control.ServerID)            {}
+func (s *fixture) Update(Update)                         {}
+func (s *fixture) Release(control.ServerID, string, int) { s.releases++ }
+func (s *fixture) Probe(control.ServerID)                {}
+func (s *fixture) Answer(id, _ string) error             { s.answers[id]++; return nil }
+func (s *fixture) End(id string, _ End)                  { s.rejections[id]++ }
+func (s *fixture) Disconnected() bool                    { return false }
+func (s *fixture) NotifyTerminated(id string, _ End)     { s.terminations[id]++ }
+func (s *fixture) Reconnect(control.ServerID)            {}
 
 // Ping keeps what is to be called as the reply to a probe comes.
-func (s *site) Ping(_ control.ServerID, _ string, _ int, done func(bool)) {
+func (s *fixture) Ping(_ control.ServerID, _ string, _ int, done func(bool)) {
 	s.pings = append(s.pings, done)
 }
 
-// pinged tells of each probe that its reply has come, or that the connection has ended.
-func (s *site) pinged(replied bool) {
+// completePings tells of each probe that its reply has come, or that the connection has ended.
+func (s *fixture) completePings(replied bool) {
 	pings := s.pings
 	s.pings = nil
 	for _, done := range pings {
@@ -53,49 +53,49 @@
 	}
 }
 
-func (s *site) CancelAttempt(_ control.ServerID, id string, _ int) {
-	delete(s.out, id)
-	s.ready[id] = time.Now().Add(guard)
+func (s *fixture) CancelAttempt(_ control.ServerID, id string, _ int) {
+	delete(s.inProgress, id)
+	s.notBefore[id] = time.Now().Add(guard)
 }
 
-func (s *site) SetUp(server control.ServerID, a SetUp) {
-	if at, ok := s.out[a.ID]; ok {
+func (s *fixture) SetUp(server control.ServerID, a SetUp) {
+	if at, ok := s.inProgress[a.ID]; ok {
 		s.t.Errorf("call %s goes to %s while it is out at %s", a.ID, server, at)
 	}
-	if early := time.Until(s.ready[a.ID]); early > 0 {
+	if early := time.Until(s.notBefore[a.ID]); early > 0 {
 		s.t.Errorf("call %s goes out again %v too soon", a.ID, early)
 	}
 	if s.drained[server] {
 		s.t.Errorf("call %s goes to %s, which drains", a.ID, server)
 	}
-	s.out[a.ID] = server
+	s.inProgress[a.ID] = server
 	s.setUps++
-	s.react(server, a)
+	s.onSetUp(server, a)
 }
 
-// ended has an attempt end without an answer, if it is still out.
-func (s *site) ended(server control.ServerID, a SetUp, o control.Outcome) {
-	if s.out[a.ID] != server {
+// endAttempt has an attempt end without an answer, if it is still out.
+func (s *fixture) endAttempt(server control.ServerID, a SetUp, o control.Outcome) {
+	if s.inProgress[a.ID] != server {
 		return
 	}
-	delete(s.out, a.ID)
+	delete(s.inProgress, a.ID)
 	if o == control.Reset {
-		s.ready[a.ID] = time.Now().Add(guard)
+		s.notBefore[a.ID] = time.Now().Add(guard)
 	}
 	s.core.AttemptEnded(server, a.ID, a.Attempt, o, false, nil)
 }
 
-// answered has an attempt answered, if it is still out.
-func (s *site) answered(server control.ServerID, a SetUp) {
-	if s.out[a.ID] == server {
-		delete(s.out, a.ID)
+// answerAttempt has an attempt answered, if it is still out.
+func (s *fixture) answerAttempt(server control.ServerID, a SetUp) {
+	if s.inProgress[a.ID] == server {
+		delete(s.inProgress, a.ID)
 		s.core.Answered(server, a.ID, a.Attempt, "d")
 	}
 }
 
 const guard = 60 * time.Millisecond
 
-func newSite(t *testing.T) *site {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	set := new(settings.Settings)
 	if err := jsoniter.UnmarshalFromString(fmt.Sprintf(`{"caps":{"maxRetryAfterUs":2000000,"mayCancel":true,"retryAfter":true,
@@ -108,13 +108,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &site{t: t, core: core, settings: set, out: map[string]control.ServerID{}, ready: map[string]time.Time{}, finals: map[string]int{},
-		answers: map[string]int{}, overs: map[string]int{}, drained: map[control.ServerID]bool{}}
+	s := &fixture{t: t, core: core, settings: set, inProgress: map[string]control.ServerID{}, notBefore: map[string]time.Time{}, rejections: map[string]int{},
+		answers: map[string]int{}, terminations: map[string]int{}, drained: map[control.ServerID]bool{}}
 	core.SetDispatchers(s)
 	return s
 }
 
-func (s *site) list(status control.ServerStatus, names ...control.ServerID) {
+func (s *fixture) updateList(status control.ServerStatus, names ...control.ServerID) {
 	var u Update
 	for i, name := range names {
 		u.Servers = append(u.Servers, Server{ServerEntry: control.ServerEntry{ID: name, Cell: i, Status: status}})
@@ -123,23 +123,23 @@
 	s.core.Update(u)
 }
 
-// TestEveryCallIsAnsweredOnceAndByTheRules has dispatchers that are silent, break set-ups, refuse them, or answer them
+// TestEveryCallGetsOneFinalAnswer has dispatchers that are silent, break set-ups, refuse them, or answer them
 // late and twice, and one that drains half-way.
-func TestEveryCallIsAnsweredOnceAndByTheRules(t *testing.T) {
-	s := newSite(t)
+func TestEveryCallGetsOneFinalAnswer(t *testing.T) {
+	s := newFixture(t)
 	loop := s.core.Loop()
-	s.react = func(server control.ServerID, a SetUp) {
+	s.onSetUp = func(server control.ServerID, a SetUp) {
 		switch s.setUps % 5 {
 		case 0: // silent, but for an answer when it has long been withdrawn
 			loop.After(700*time.Millisecond, func() { s.core.Answered(server, a.ID, a.Attempt, "late") })
 		case 1:
-			loop.After(5*time.Millisecond, func() { s.ended(server, a, control.Reset) })
+			loop.After(5*time.Millisecond, func() { s.endAttempt(server, a, control.Reset) })
 		case 2:
-			loop.After(5*time.Millisecond, func() { s.ended(server, a, control.Full) })
+			loop.After(5*time.Millisecond, func() { s.endAttempt(server, a, control.Full) })
 		default:
 			loop.After(5*time.Millisecond, func() {
-				if s.out[a.ID] == server {
-					delete(s.out, a.ID)
+				if s.inProgress[a.ID] == server {
+					delete(s.inProgress, a.ID)
 				}
 				s.core.Answered(server, a.ID, a.Attempt, "y")
 				s.core.Answered(server, a.ID, a.Attempt, "y")
@@ -147,7 +147,7 @@
 		}
 	}
 	const calls = 120
-	loop.Post(func() { s.list(control.Active, "a", "b", "c") })
+	loop.Post(func() { s.updateList(control.Active, "a", "b", "c") })
 	for i := range calls {
 		loop.Post(func() {
 			loop.After(time.Duration(i)*5*time.Millisecond, func() {
@@ -156,7 +156,7 @@
 		})
 	}
 	loop.Post(func() {
-		loop.After(300*time.Millisecond, func() { s.list(control.Draining, "a") })
+		loop.After(300*time.Millisecond, func() { s.updateList(control.Draining, "a") })
 		loop.After(2*time.Second, loop.Quit)
 	})
 	loop.Run()
@@ -164,7 +164,7 @@
 	for i := range calls {
 		id := fmt.Sprint(i)
 		stood += s.answers[id]
-		if n := s.finals[id] + s.answers[id]; n != 1 {
+		if n := s.rejections[id] + s.answers[id]; n != 1 {
 			t.Errorf("call %s has %d final answers", id, n)
 		}
 	}
@@ -173,57 +173,57 @@
 	}
 }
 
-// TestAHeldCallIsRefusedAtOnce: what the module gives up on is answered in the same turn, with a time to come back.
-func TestAHeldCallIsRefusedAtOnce(t *testing.T) {
-	s := newSite(t)
-	s.react = func(control.ServerID, SetUp) { t.Error("a call was sent where no dispatcher is known") }
+// TestCallWithoutDispatcherIsRefusedAtOnce: what the module gives up on is answered in the same turn, with a time to come back.
+func TestCallWithoutDispatcherIsRefusedAtOnce(t *testing.T) {
+	s := newFixture(t)
+	s.onSetUp = func(control.ServerID, SetUp) { t.Error("a call was sent where no dispatcher is known") }
 	s.core.Update(Update{Complete: true})
 	_ = s.core.Offer(Request{ID: "1", Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s})
-	s.core.turn()
-	if s.finals["1"] != 1 {
+	s.core.finishIteration()
+	if s.rejections["1"] != 1 {
 		t.Error("a call that no dispatcher can take is not refused in its first turn")
 	}
 }
 
-// TestNothingIsKeptOfYesterday runs many calls, callers and dispatchers through, and counts what is kept.
-func TestNothingIsKeptOfYesterday(t *testing.T) {
-	s := newSite(t)
-	s.react = func(server control.ServerID, a SetUp) {
-		delete(s.out, a.ID)
+// TestTablesShrinkAfterCallsTerminate runs many calls, callers and dispatchers through, and counts what is kept.
+func TestTablesShrinkAfterCallsTerminate(t *testing.T) {
+	s := newFixture(t)
+	s.onSetUp = func(server control.ServerID, a SetUp) {
+		delete(s.inProgress, a.ID)
 		s.core.Answered(server, a.ID, a.Attempt, "y")
 		s.core.Released(server, a.ID, a.Attempt, CauseNormal, nil)
 	}
 	for i := range 500 {
-		s.list(control.Active, control.ServerID(fmt.Sprint("s", i)))
-		caller := &site{t: t, answers: map[string]int{}, finals: map[string]int{}, overs: map[string]int{}}
+		s.updateList(control.Active, control.ServerID(fmt.Sprint("s", i)))
+		caller := &fixture{t: t, answers: map[string]int{}, rejections: map[string]int{}, terminations: map[string]int{}}
 		_ = s.core.Offer(Request{ID: fmt.Sprint("a", i), Class: "c", Deadline: time.Now().Add(time.Minute), Caller: caller, Description: "x"})
 		_ = s.core.Offer(Request{ID: fmt.Sprint("b", i), Class: "c", Deadline: time.Now().Add(time.Minute), Caller: caller, Description: "x"})
 		s.core.CallerDisconnected(caller)
-		s.core.turn()
+		s.core.finishIteration()
 		s.core.Update(Update{Servers: []Server{{ServerEntry: control.ServerEntry{ID: control.ServerID(fmt.Sprint("s", i)), Status: control.Removed}}}})
 	}
-	for _, k := range s.core.ended {
-		k.overAt = k.overAt.Add(-remember) // as if it were later
+	for _, k := range s.core.recentlyTerminated {
+		k.terminatedAt = k.terminatedAt.Add(-retentionPeriod) // as if it were later
 	}
 	_ = s.core.Offer(Request{ID: "last", Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s, Description: "x"})
 	s.core.CallerReleased(s, "last", CauseNormal)
-	got := map[string]int{"calls": len(s.core.calls), "ended": len(s.core.ended), "owing": len(s.core.owing) + len(s.core.standing), "status": len(s.core.status),
-		"owed": s.core.owed, "held": s.core.held, "timers": len(s.core.loop.timers)}
+	got := map[string]int{"calls": len(s.core.calls), "ended": len(s.core.recentlyTerminated), "owing": len(s.core.pendingByCaller) + len(s.core.establishedByCaller), "status": len(s.core.serverStatus),
+		"owed": s.core.pendingCount, "held": s.core.descriptionBytes, "timers": len(s.core.loop.timers)}
 	want := map[string]int{"calls": 1, "ended": 1, "owing": 0, "status": 0, "owed": 0, "held": 0, "timers": 0}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("kept (-want +got):\n%s", diff)
 	}
 }
 
-// TestALateAnswerDoesNotCutTheNextAttempt: a set-up was reset with its link, and a second attempt at the same
+// TestALateAnswerDoesNotReleaseTheNextAttempt: a set-up was reset with its link, and a second attempt at the same
 // dispatcher was out when the first one's answer came after all. It was released, under the id of both: the call that
 // stood then was over, and its caller never heard of that.
-func TestALateAnswerDoesNotCutTheNextAttempt(t *testing.T) {
-	s := newSite(t)
-	s.react = func(server control.ServerID, a SetUp) {
+func TestALateAnswerDoesNotReleaseTheNextAttempt(t *testing.T) {
+	s := newFixture(t)
+	s.onSetUp = func(server control.ServerID, a SetUp) {
 		if a.Attempt == 0 {
-			delete(s.out, a.ID)
-			s.ready[a.ID] = time.Now().Add(guard)
+			delete(s.inProgress, a.ID)
+			s.notBefore[a.ID] = time.Now().Add(guard)
 			s.core.AttemptEnded(server, a.ID, 0, control.Reset, false, nil)
 			return
 		}
@@ -235,11 +235,11 @@
 		s.core.Loop().Quit()
 	}
 	s.core.Loop().Post(func() {
-		s.list(control.Active, "a")
+		s.updateList(control.Active, "a")
 		_ = s.core.Offer(Request{ID: "1", Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s, Description: "x"})
 	})
 	s.core.Loop().Run()
-	got := map[string]int{"set-ups": s.setUps, "answers": s.answers["1"], "overs": s.overs["1"], "finals": s.finals["1"], "releases": s.releases}
+	got := map[string]int{"set-ups": s.setUps, "answers": s.answers["1"], "overs": s.terminations["1"], "finals": s.rejections["1"], "releases": s.releases}
 	if diff := cmp.Diff(map[string]int{"set-ups": 2, "answers": 1, "overs": 1, "finals": 0, "releases": 0}, got); diff != "" {
 		t.Errorf("what the call came to (-want +got):\n%s", diff)
 	}
@@ -248,8 +248,8 @@
 // TestTheEndOfACallWhoseAnswerIsMissing: a dispatcher released a call whose answer had not come. It was set up again, and as
 // it stood then, its caller was not told in time that it had been over.
 func TestTheEndOfACallWhoseAnswerIsMissing(t *testing.T) {
-	s := newSite(t)
-	s.react = func(server control.ServerID, a SetUp) {
+	s := newFixture(t)
+	s.onSetUp = func(server control.ServerID, a SetUp) {
 		s.core.Released(server, a.ID, a.Attempt, CauseNormal, nil)
 		s.core.Loop().After(2*guard, func() {
 			s.core.Answered(server, a.ID, a.Attempt, "late")
@@ -257,24 +257,24 @@
 		})
 	}
 	s.core.Loop().Post(func() {
-		s.list(control.Active, "a")
+		s.updateList(control.Active, "a")
 		_ = s.core.Offer(Request{ID: "1", Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s, Description: "x"})
 	})
 	s.core.Loop().Run()
-	got := map[string]int{"set-ups": s.setUps, "answers": s.answers["1"], "overs": s.overs["1"], "finals": s.finals["1"]}
+	got := map[string]int{"set-ups": s.setUps, "answers": s.answers["1"], "overs": s.terminations["1"], "finals": s.rejections["1"]}
 	if diff := cmp.Diff(map[string]int{"set-ups": 1, "answers": 0, "overs": 0, "finals": 1}, got); diff != "" {
 		t.Errorf("what the call came to (-want +got):\n%s", diff)
 	}
 }
 
-// TestAnEndForASuccessorsSake: a process that ends only because it has a successor serves on when that is gone. One that is
+// TestAnEndingProcessServesAgainWithoutSuccessor: a process that ends only because it has a successor serves on when that is gone. One that is
 // to end, ends.
-func TestAnEndForASuccessorsSake(t *testing.T) {
+func TestAnEndingProcessServesAgainWithoutSuccessor(t *testing.T) {
 	for _, test := range []struct {
 		asked bool
 		want  bool
 	}{{false, true}, {true, false}} {
-		s := newSite(t)
+		s := newFixture(t)
 		c := s.core
 		c.Update(Update{Complete: true})
 		c.DispatcherReached()
@@ -282,7 +282,7 @@
 		if c.Ready() || c.Phase() != Closing {
 			t.Errorf("with a successor: ready %v in phase %v", c.Ready(), c.Phase())
 		}
-		c.endForSuccessor(c.superseded)
+		c.drainForSuccessor(c.supersededAt)
 		if test.asked {
 			c.Drain()
 		}
--- a/internal/call/drain.go
+++ b/internal/call/drain.go
@@ -9,48 +9,48 @@
 
 // Drain serves out what was taken and then ends the loop.
 func (c *Core) Drain() {
-	if !c.draining.IsZero() {
-		c.byItself = false // now it is asked for
+	if !c.drainingSince.IsZero() {
+		c.drainsForSuccessor = false // now it is asked for
 		return
 	}
-	c.draining = time.Now()
-	since := c.draining
-	c.log.Info("draining", "open", c.owed)
-	c.loop.After(lateArrivals+time.Millisecond, func() {}) // a turn in which to leave
-	c.loop.After(c.endsWithin(), func() {
-		if !c.draining.Equal(since) {
+	c.drainingSince = time.Now()
+	since := c.drainingSince
+	c.log.Info("draining", "open", c.pendingCount)
+	c.loop.After(lateArrivalWindow+time.Millisecond, func() {}) // a turn in which to leave
+	c.loop.After(c.drainTimeout(), func() {
+		if !c.drainingSince.Equal(since) {
 			return // it serves again
 		}
-		for _, id := range c.allOpen() {
+		for _, id := range c.pendingIDs() {
 			k := c.calls[id]
-			c.abandon(k)
-			c.final(k, End{Cause: CauseCongestion, Reason: ReasonDraining, HoldOff: c.holdOff()})
+			c.cancelCall(k)
+			c.rejectCall(k, End{Cause: CauseCongestion, Reason: ReasonDraining, HoldOff: c.holdOff()})
 		}
 	})
 }
 
-// endsWithin is how long after SIGTERM everything is answered, in reserve before the SIGKILL that may follow.
-func (c *Core) endsWithin() time.Duration {
+// drainTimeout is how long after SIGTERM everything is answered, in reserve before the SIGKILL that may follow.
+func (c *Core) drainTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range c.decisions.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	most := killMost
+	most := killMaxDeadline
 	if c.Superseded() {
-		most = killMostSuperseded
+		most = killMaxDeadlineSuperseded
 	}
-	return min(longest, most) + killAfter - inReserve
+	return min(longest, most) + killGrace - killMargin
 }
 
-// quiet reports whether callers have sent nothing that is not taken in yet.
-func (c *Core) quiet() bool {
+// frontsIdle reports whether callers have sent nothing that is not taken in yet.
+func (c *Core) frontsIdle() bool {
 	return !slices.ContainsFunc(c.fronts, func(f Front) bool { return !f.Idle() })
 }
 
-func (c *Core) allOpen() []string {
+func (c *Core) pendingIDs() []string {
 	var ids []string
 	for id, k := range c.calls {
-		if k.state == open {
+		if k.state == pending {
 			ids = append(ids, id)
 		}
 	}
@@ -58,14 +58,14 @@
 	return ids
 }
 
-// leave ends the loop of a controller that drains once nothing is owed, nothing new can arrive, and what has arrived is taken in: a
+// quitWhenDrained ends the loop of a controller that drains once nothing is owed, nothing new can arrive, and what has arrived is taken in: a
 // set-up may have come in time and lie unread, if this process had to wait for its core. The end of a call may wait for its caller to connect.
-func (c *Core) leave() {
-	if c.draining.IsZero() || c.left || c.owed > 0 {
+func (c *Core) quitWhenDrained() {
+	if c.drainingSince.IsZero() || c.quitting || c.pendingCount > 0 {
 		return
 	}
-	if since := time.Since(c.draining); since > lateArrivals && !c.keepsCallers() && (c.quiet() || since > c.endsWithin()) {
-		c.left = true
+	if since := time.Since(c.drainingSince); since > lateArrivalWindow && !c.hasOpenConnections() && (c.frontsIdle() || since > c.drainTimeout()) {
+		c.quitting = true
 		c.log.Info("served out")
 		c.loop.Quit()
 	}
--- a/internal/call/durable.go
+++ b/internal/call/durable.go
@@ -26,48 +26,48 @@
 }
 
 const (
-	// beginLeast and beginMost bound the pause before a ledger that failed is begun with anew, which doubles.
-	beginLeast, beginMost = time.Second, 30 * time.Second
-	// beginLook is the pace at which a ledger that begins is asked how it came out.
-	beginLook = 5 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the pause before a ledger that failed is begun with anew, which doubles.
+	minRetryDelay, maxRetryDelay = time.Second, 30 * time.Second
+	// epochPollInterval is the pace at which a ledger that begins is asked how it came out.
+	epochPollInterval = 5 * time.Millisecond
 )
 
-// durable is the core's use of a ledger.
-type durable struct {
-	core     *Core
-	ledger   Ledger
-	refuse   bool // refuse new calls while nothing is kept
-	pause    time.Duration
-	spoilt   bool   // something happened meanwhile that its state lacks
-	why      string // the last failure
-	watching bool
+// ledgerWriter is the core's use of a ledger.
+type ledgerWriter struct {
+	core               *Core
+	ledger             Ledger
+	refuseWhenDisabled bool // refuse new calls while nothing is kept
+	retryDelay         time.Duration
+	snapshotStale      bool   // something happened meanwhile that its state lacks
+	lastError          string // the last failure
+	checksLease        bool
 }
 
 // UseLedger has all that happens to calls kept, once BeginLedger has had the state that Recover left written.
 func (c *Core) UseLedger(l Ledger, refuse bool) {
-	c.durable = &durable{core: c, ledger: l, refuse: refuse, pause: beginLeast}
-	c.loop.OnCommit(c.durable.commit)
-	c.AddMetrics(c.durable.metrics)
+	c.ledgerWriter = &ledgerWriter{core: c, ledger: l, refuseWhenDisabled: refuse, retryDelay: minRetryDelay}
+	c.loop.OnCommit(c.ledgerWriter.commit)
+	c.AddMetrics(c.ledgerWriter.metrics)
 }
 
 // BeginLedger has the state of now written, as the first that is kept; until it is, a restart finds what was there before. With
 // a time, it waits so long, as a start can; without, calls go on beside it.
 func (c *Core) BeginLedger(wait time.Duration) {
 	if wait == 0 {
-		c.durable.begin()
+		c.ledgerWriter.beginEpoch()
 		return
 	}
-	if err := c.durable.again(wait); err != nil {
-		c.durable.failed(err)
+	if err := c.ledgerWriter.beginEpochAndWait(wait); err != nil {
+		c.ledgerWriter.handleFailure(err)
 	}
 }
 
-// refuses reports whether new calls are refused because they could not be kept.
-func (d *durable) refuses() bool { return d.refuse && !d.ledger.Enabled() }
+// refusesCalls reports whether new calls are refused because they could not be kept.
+func (d *ledgerWriter) refusesCalls() bool { return d.refuseWhenDisabled && !d.ledger.Enabled() }
 
-// note has an event of a call kept with this turn.
-func (c *Core) note(k *record, kind recovery.Kind, fill func(*recovery.Event)) {
-	if c.durable == nil {
+// persistEvent has an event of a call kept with this turn.
+func (c *Core) persistEvent(k *record, kind recovery.Kind, fill func(*recovery.Event)) {
+	if c.ledgerWriter == nil {
 		return
 	}
 	e := recovery.Event{Kind: kind, ID: k.ID, AtUs: c.now().Microseconds()}
@@ -76,19 +76,19 @@
 		e.Class, e.Called, e.FirstCell, e.Redial, e.Description, e.Token = k.Class, k.Called, k.FirstCell, k.Redial, k.Description, k.Token
 		e.DeadlineUs = (c.now() + time.Until(k.Deadline)).Microseconds()
 	case recovery.KindAttemptSent, recovery.KindAttemptFailed, recovery.KindEstablished:
-		at, _ := c.place(k.server)
+		at, _ := c.listedServer(k.server)
 		e.Attempt, e.Server, e.Address, e.ServerStartedUs = k.attempts-1, string(k.server), at.Address, at.StartedAt.Microseconds()
 	}
 	if fill != nil {
 		fill(&e)
 	}
-	c.durable.append(e)
+	c.ledgerWriter.appendEvent(e)
 }
 
-// noteBack tells that an attempt came to nothing.
-func (c *Core) noteBack(k *record, o control.Outcome) {
-	c.selection.ended(k, o)
-	c.note(k, recovery.KindAttemptFailed, func(e *recovery.Event) {
+// persistAttemptFailed tells that an attempt came to nothing.
+func (c *Core) persistAttemptFailed(k *record, o control.Outcome) {
+	c.selection.attemptFailed(k, o)
+	c.persistEvent(k, recovery.KindAttemptFailed, func(e *recovery.Event) {
 		switch o {
 		case control.TimedOut, control.Reset, control.Cancelled:
 			e.NotBeforeUs = (c.now() + c.decisions.ReleaseGuard).Microseconds()
@@ -96,13 +96,13 @@
 	})
 }
 
-// noteOver tells that a call that stood has ended.
-func (c *Core) noteOver(k *record, end End) {
-	c.note(k, recovery.KindTerminated, func(e *recovery.Event) { e.Cause, e.Reason = end.Cause, string(end.Reason) })
+// persistTerminated tells that a call that stood has ended.
+func (c *Core) persistTerminated(k *record, end End) {
+	c.persistEvent(k, recovery.KindTerminated, func(e *recovery.Event) { e.Cause, e.Reason = end.Cause, string(end.Reason) })
 }
 
-func (d *durable) append(e recovery.Event) {
-	d.spoilt = true
+func (d *ledgerWriter) appendEvent(e recovery.Event) {
+	d.snapshotStale = true
 	if !d.ledger.Enabled() {
 		return
 	}
@@ -116,86 +116,86 @@
 }
 
 // commit has all that was noted written before anything that was decided with it leaves.
-func (d *durable) commit() {
+func (d *ledgerWriter) commit() {
 	if !d.ledger.Enabled() {
-		d.core.mayGoOn(ledger.ErrDisabled)
+		d.core.checkOwnership(ledger.ErrDisabled)
 	}
 	if !d.ledger.HasPending() {
 		return
 	}
 	if err := d.ledger.Commit(); err != nil {
-		d.failed(err)
+		d.handleFailure(err)
 		return
 	}
-	d.core.passed()
+	d.core.reportPersisted()
 }
 
-// failed has calls served on without a ledger, and tries to begin anew.
-func (d *durable) failed(err error) {
-	d.why = err.Error()
-	d.core.mayGoOn(err)
-	d.watch()
-	d.core.log.Error("THE STATE OF CALLS IS NOT KEPT: a restart would lose them", "err", err, "again_in", d.pause)
-	d.core.loop.After(d.pause, d.begin)
-	d.pause = min(2*d.pause, beginMost)
+// handleFailure has calls served on without a ledger, and tries to begin anew.
+func (d *ledgerWriter) handleFailure(err error) {
+	d.lastError = err.Error()
+	d.core.checkOwnership(err)
+	d.checkLeasePeriodically()
+	d.core.log.Error("THE STATE OF CALLS IS NOT KEPT: a restart would lose them", "err", err, "again_in", d.retryDelay)
+	d.core.loop.After(d.retryDelay, d.beginEpoch)
+	d.retryDelay = min(2*d.retryDelay, maxRetryDelay)
 }
 
-// watch holds a process whose ledger is off against what it may do without.
-func (d *durable) watch() {
-	if d.core.passing == nil || d.watching {
+// checkLeasePeriodically holds a process whose ledger is off against what it may do without.
+func (d *ledgerWriter) checkLeasePeriodically() {
+	if d.core.transfers == nil || d.checksLease {
 		return
 	}
-	d.watching = true
+	d.checksLease = true
 	var look func()
 	look = func() {
 		if d.ledger.Enabled() {
-			d.watching = false
+			d.checksLease = false
 			return
 		}
-		d.core.mayGoOn(ledger.ErrDisabled)
-		d.core.loop.After(lookAgain, look)
+		d.core.checkOwnership(ledger.ErrDisabled)
+		d.core.loop.After(ownershipCheckInterval, look)
 	}
-	d.core.loop.After(lookAgain, look)
+	d.core.loop.After(ownershipCheckInterval, look)
 }
 
-// begin writes the state of now, and waits beside the calls for how that comes out.
-func (d *durable) begin() {
-	state, err := d.core.state()
+// beginEpoch writes the state of now, and waits beside the calls for how that comes out.
+func (d *ledgerWriter) beginEpoch() {
+	state, err := d.core.snapshot()
 	if err == nil {
 		err = d.ledger.BeginEpoch(state)
 	}
 	if err != nil {
-		d.failed(err)
+		d.handleFailure(err)
 		return
 	}
-	d.spoilt = false
-	d.core.loop.After(beginLook, d.look)
+	d.snapshotStale = false
+	d.core.loop.After(epochPollInterval, d.pollEpoch)
 }
 
-func (d *durable) look() {
+func (d *ledgerWriter) pollEpoch() {
 	done, err := d.ledger.EpochResult()
 	switch {
 	case !done:
-		d.core.loop.After(beginLook, d.look)
+		d.core.loop.After(epochPollInterval, d.pollEpoch)
 	case err != nil:
-		d.failed(err)
+		d.handleFailure(err)
 	default:
 		// What happened meanwhile is not in the state that was written: it is told again, call by call.
-		if d.spoilt {
-			if err := d.again(ledger.DefaultCommitTimeout); err != nil {
-				d.failed(err)
+		if d.snapshotStale {
+			if err := d.beginEpochAndWait(ledger.DefaultCommitTimeout); err != nil {
+				d.handleFailure(err)
 				return
 			}
 		}
-		d.pause, d.why = beginLeast, ""
-		d.core.passed()
+		d.retryDelay, d.lastError = minRetryDelay, ""
+		d.core.reportPersisted()
 		d.core.log.Warn("the state of calls is kept again")
 	}
 }
 
-// again begins once more, if calls have moved on while a state was written. The disk takes it now, so it is soon done.
-func (d *durable) again(patience time.Duration) error {
-	state, err := d.core.state()
+// beginEpochAndWait begins once more, if calls have moved on while a state was written. The disk takes it now, so it is soon done.
+func (d *ledgerWriter) beginEpochAndWait(patience time.Duration) error {
+	state, err := d.core.snapshot()
 	if err != nil {
 		return err
 	}
@@ -215,14 +215,14 @@
 	}
 }
 
-// state is all calls, in the least events that make them.
-func (c *Core) state() ([][]byte, error) {
+// snapshot is all calls, in the least events that make them.
+func (c *Core) snapshot() ([][]byte, error) {
 	var all [][]byte
 	for _, id := range slices.Sorted(maps.Keys(c.calls)) {
-		if k := c.calls[id]; k.state == over && k.end == (End{}) {
+		if k := c.calls[id]; k.state == terminated && k.end == (End{}) {
 			continue // given up: nobody will ask
 		}
-		for _, e := range c.known(c.calls[id]).Events() {
+		for _, e := range c.recoveryCall(c.calls[id]).Events() {
 			text, err := e.Encode()
 			if err != nil {
 				return nil, fmt.Errorf("call %s: %w", id, err)
@@ -233,39 +233,39 @@
 	return all, nil
 }
 
-// known is a call as the decisions on recovery see it.
-func (c *Core) known(k *record) *recovery.Call {
+// recoveryCall is a call as the decisions on recovery see it.
+func (c *Core) recoveryCall(k *record) *recovery.Call {
 	now := c.now()
-	r := &recovery.Call{Event: recovery.Event{ID: k.ID, AtUs: now.Microseconds(), Token: k.Token}, LastEventAt: now, Attempts: k.attempts, AttemptInProgress: k.out, Server: string(k.server)}
-	if place, _ := c.place(k.server); place.Address != "" {
+	r := &recovery.Call{Event: recovery.Event{ID: k.ID, AtUs: now.Microseconds(), Token: k.Token}, LastEventAt: now, Attempts: k.attempts, AttemptInProgress: k.attemptInProgress, Server: string(k.server)}
+	if place, _ := c.listedServer(k.server); place.Address != "" {
 		r.Address, r.ServerStarted = place.Address, place.StartedAt
-	} else if k.place != nil {
-		r.Address, r.ServerStarted = k.place.Address, k.place.ServerStarted
+	} else if k.restored != nil {
+		r.Address, r.ServerStarted = k.restored.Address, k.restored.ServerStarted
 	}
 	r.Class, r.Called, r.FirstCell, r.Redial, r.Description = k.Class, k.Called, k.FirstCell, k.Redial, k.Description
 	r.DeadlineUs = max((now + time.Until(k.Deadline)).Microseconds(), 1)
 	switch k.state {
-	case open:
+	case pending:
 		if r.NotBefore = k.notBefore; k.attempts > 0 {
 			r.NotBefore = max(r.NotBefore, now+c.decisions.ReleaseGuard)
 		}
-	case stands:
+	case established:
 		r.State, r.Answer = recovery.StateEstablished, k.answer
 		r.Attempts = max(r.Attempts, 1)
 		r.LastEventAt = max(0, now-time.Since(k.sentAt))
-	case over:
+	case terminated:
 		r.State = recovery.StateRejected
 		if k.end.Reason == ReasonEnded || k.end.Reason == ReasonCut {
 			r.State = recovery.StateTerminated
 		}
 		r.Cause, r.Reason, r.HoldOff = k.end.Cause, string(k.end.Reason), k.end.HoldOff
-		r.LastEventAt = max(0, now-time.Since(k.overAt))
+		r.LastEventAt = max(0, now-time.Since(k.terminatedAt))
 	}
 	return r
 }
 
 // metrics are the ledger's figures.
-func (d *durable) metrics() []*dto.MetricFamily {
+func (d *ledgerWriter) metrics() []*dto.MetricFamily {
 	f := d.ledger.Metrics()
 	on := 0.0
 	if f.Enabled {
--- a/internal/call/durable_test.go
+++ b/internal/call/durable_test.go
@@ -14,74 +14,74 @@
 	"cherryrelay/internal/ledger"
 )
 
-// paper is a ledger of a test: it keeps what was committed, and fails when told to.
-type paper struct {
-	records, batch, state [][]byte
-	on, fails, begins     bool
-	commits               int
+// fakeLedger is a ledger of a test: it keeps what was committed, and fails when told to.
+type fakeLedger struct {
+	records, uncommitted, snapshot [][]byte
+	enabled, fails, epochPending   bool
+	commits                        int
 }
 
-func (p *paper) Append(r []byte) error { p.batch = append(p.batch, r); return nil }
-func (p *paper) HasPending() bool      { return len(p.batch) > 0 }
-func (p *paper) Enabled() bool         { return p.on }
-func (p *paper) Metrics() ledger.Metrics {
-	return ledger.Metrics{Enabled: p.on, Commits: uint64(p.commits)}
+func (p *fakeLedger) Append(r []byte) error { p.uncommitted = append(p.uncommitted, r); return nil }
+func (p *fakeLedger) HasPending() bool      { return len(p.uncommitted) > 0 }
+func (p *fakeLedger) Enabled() bool         { return p.enabled }
+func (p *fakeLedger) Metrics() ledger.Metrics {
+	return ledger.Metrics{Enabled: p.enabled, Commits: uint64(p.commits)}
 }
-func (p *paper) BeginEpoch(state [][]byte) error {
-	p.state, p.begins, p.on, p.batch = state, true, false, nil
+func (p *fakeLedger) BeginEpoch(state [][]byte) error {
+	p.snapshot, p.epochPending, p.enabled, p.uncommitted = state, true, false, nil
 	return nil
 }
 
-func (p *paper) Commit() error {
+func (p *fakeLedger) Commit() error {
 	if p.fails {
-		p.on, p.batch = false, nil
+		p.enabled, p.uncommitted = false, nil
 		return errors.New("no space left")
 	}
-	p.records = append(p.records, p.batch...)
-	p.batch = nil
+	p.records = append(p.records, p.uncommitted...)
+	p.uncommitted = nil
 	p.commits++
 	return nil
 }
 
-func (p *paper) EpochResult() (bool, error) {
-	if !p.begins {
+func (p *fakeLedger) EpochResult() (bool, error) {
+	if !p.epochPending {
 		return false, nil
 	}
-	p.begins = false
+	p.epochPending = false
 	if p.fails {
 		return true, errors.New("still no space left")
 	}
-	p.records, p.on = p.state, true
+	p.records, p.enabled = p.snapshot, true
 	return true, nil
 }
 
-// mute are dispatchers that say nothing: the test speaks for them.
-type mute struct{}
+// stubDispatchers are dispatchers that say nothing: the test speaks for them.
+type stubDispatchers struct{}
 
-func (mute) Update(Update)                               {}
-func (mute) SetUp(control.ServerID, SetUp)               {}
-func (mute) Reconnect(control.ServerID)                  {}
-func (mute) CancelAttempt(control.ServerID, string, int) {}
-func (mute) Release(control.ServerID, string, int)       {}
-func (mute) Probe(control.ServerID)                      {}
+func (stubDispatchers) Update(Update)                               {}
+func (stubDispatchers) SetUp(control.ServerID, SetUp)               {}
+func (stubDispatchers) Reconnect(control.ServerID)                  {}
+func (stubDispatchers) CancelAttempt(control.ServerID, string, int) {}
+func (stubDispatchers) Release(control.ServerID, string, int)       {}
+func (stubDispatchers) Probe(control.ServerID)                      {}
 
 // Ping has no reply.
-func (mute) Ping(control.ServerID, string, int, func(bool)) {}
+func (stubDispatchers) Ping(control.ServerID, string, int, func(bool)) {}
 
-// durableSite is a core with two dispatchers.
-func durableSite(t *testing.T) (*Core, *site) {
-	s := newSite(t)
-	s.core.SetDispatchers(mute{})
-	s.list(control.Active, "a", "b")
-	s.core.turn()
+// newLedgerFixture is a core with two dispatchers.
+func newLedgerFixture(t *testing.T) (*Core, *fixture) {
+	s := newFixture(t)
+	s.core.SetDispatchers(stubDispatchers{})
+	s.updateList(control.Active, "a", "b")
+	s.core.finishIteration()
 	return s.core, s
 }
 
-// TestTheLedgerHasWhatTheCoreHas plays calls at random and holds, after every turn, what was committed against what the core
+// TestLedgerMatchesCore plays calls at random and holds, after every turn, what was committed against what the core
 // knows: a crash then would find just that.
-func TestTheLedgerHasWhatTheCoreHas(t *testing.T) {
-	core, s := durableSite(t)
-	p := &paper{}
+func TestLedgerMatchesCore(t *testing.T) {
+	core, s := newLedgerFixture(t)
+	p := &fakeLedger{}
 	core.UseLedger(p, false)
 	core.BeginLedger(time.Second)
 	rng := rand.New(rand.NewPCG(5, 6))
@@ -101,12 +101,12 @@
 			}
 		}
 		for id, k := range core.calls {
-			if k.state == over && k.end.Cause == 0 {
+			if k.state == terminated && k.end.Cause == 0 {
 				continue // given up: nobody will ask
 			}
-			c := core.known(k)
-			if want[id] = fmt.Sprint(c.State, c.Cause); k.state != over {
-				want[id] = fmt.Sprint(c.State, k.attempts, k.out, string(k.server))
+			c := core.recoveryCall(k)
+			if want[id] = fmt.Sprint(c.State, c.Cause); k.state != terminated {
+				want[id] = fmt.Sprint(c.State, k.attempts, k.attemptInProgress, string(k.server))
 			}
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
@@ -126,33 +126,33 @@
 			k := core.calls[id]
 			switch {
 			case k == nil:
-			case k.state == open && k.out && rng.IntN(3) == 0:
+			case k.state == pending && k.attemptInProgress && rng.IntN(3) == 0:
 				core.Answered(k.server, id, k.attempts-1, "y"+id)
-			case k.state == open && k.out && rng.IntN(3) == 0:
+			case k.state == pending && k.attemptInProgress && rng.IntN(3) == 0:
 				core.AttemptEnded(k.server, id, k.attempts-1, []control.Outcome{control.Failed, control.Full, control.Reset}[rng.IntN(3)], true, nil)
-			case k.state == open && rng.IntN(8) == 0:
+			case k.state == pending && rng.IntN(8) == 0:
 				core.CallerReleased(k.Caller, id, CauseNormal)
-			case k.state == stands && rng.IntN(3) == 0:
+			case k.state == established && rng.IntN(3) == 0:
 				core.Released(k.server, id, k.attempts-1, []int{CauseNormal, CauseTemporary}[rng.IntN(2)], nil)
-			case k.state == stands && rng.IntN(8) == 0:
+			case k.state == established && rng.IntN(8) == 0:
 				core.CallerReleased(k.Caller, id, CauseTemporary)
 			}
 		}
-		core.turn()
+		core.finishIteration()
 		if step%10 == 0 {
 			check()
 		}
 		if step%500 == 499 { // it fails for a while, and begins anew
 			p.fails = true
-			core.note(&record{Request: Request{ID: "00000000000000ff"}}, recovery.KindCancelled, nil)
-			core.turn()
-			if p.on || core.RecoveryStatus().NotPersisted == "" {
+			core.persistEvent(&record{Request: Request{ID: "00000000000000ff"}}, recovery.KindCancelled, nil)
+			core.finishIteration()
+			if p.enabled || core.RecoveryStatus().NotPersisted == "" {
 				t.Fatal("it failed, and nobody says so")
 			}
 			p.fails = false
-			core.durable.begin()
-			core.durable.look()
-			if !p.on || core.RecoveryStatus().NotPersisted != "" {
+			core.ledgerWriter.beginEpoch()
+			core.ledgerWriter.pollEpoch()
+			if !p.enabled || core.RecoveryStatus().NotPersisted != "" {
 				t.Fatal("it does not begin anew")
 			}
 			check()
@@ -163,11 +163,11 @@
 	}
 }
 
-// TestNewCallsMayBeRefusedWhileNothingIsKept, if the operator has it so.
-func TestNewCallsMayBeRefusedWhileNothingIsKept(t *testing.T) {
+// TestNewCallsAreRefusedWhileLedgerIsDisabled, if the operator has it so.
+func TestNewCallsAreRefusedWhileLedgerIsDisabled(t *testing.T) {
 	for _, refuse := range []bool{false, true} {
-		core, s := durableSite(t)
-		p := &paper{}
+		core, s := newLedgerFixture(t)
+		p := &fakeLedger{}
 		core.UseLedger(p, refuse)
 		core.BeginLedger(time.Second)
 		p.fails = true
@@ -176,12 +176,12 @@
 			if err := core.Offer(Request{ID: id, Class: "c", Called: "k", Description: "x", Deadline: time.Now().Add(time.Minute), Caller: s}); err != nil {
 				t.Fatal(err)
 			}
-			core.turn()
+			core.finishIteration()
 		}
-		if got := s.finals[fmt.Sprintf("%016x", 2)] == 1; got != refuse {
+		if got := s.rejections[fmt.Sprintf("%016x", 2)] == 1; got != refuse {
 			t.Errorf("refuse %v: the second is refused %v", refuse, got)
 		}
-		if s.finals[fmt.Sprintf("%016x", 1)] > 0 {
+		if s.rejections[fmt.Sprintf("%016x", 1)] > 0 {
 			t.Error("a call that was taken is refused")
 		}
 	}
--- a/internal/call/earlier_held_test.go
+++ b/internal/call/earlier_held_test.go
@@ -11,20 +11,20 @@
 // the later one there comes to nothing; and against a second release, as a further attempt does too.
 func TestACallHeldByAnEarlierAttemptIsReleased(t *testing.T) {
 	t.Parallel()
-	for name, comesToNothing := range map[string]func(s *site, server control.ServerID){
-		"it is refused": func(s *site, server control.ServerID) {
+	for name, comesToNothing := range map[string]func(s *fixture, server control.ServerID){
+		"it is refused": func(s *fixture, server control.ServerID) {
 			s.core.AttemptEnded(server, "1", 1, control.Failed, false, nil)
 		},
-		"its caller goes": func(s *site, _ control.ServerID) { s.core.CallerReleased(s, "1", CauseNormal) },
+		"its caller goes": func(s *fixture, _ control.ServerID) { s.core.CallerReleased(s, "1", CauseNormal) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t)
-			s.react = func(server control.ServerID, a SetUp) {
-				delete(s.out, a.ID)
+			s := newFixture(t)
+			s.onSetUp = func(server control.ServerID, a SetUp) {
+				delete(s.inProgress, a.ID)
 				switch a.Attempt {
 				case 0:
-					s.ready[a.ID] = time.Now().Add(guard)
+					s.notBefore[a.ID] = time.Now().Add(guard)
 					s.core.AttemptEnded(server, a.ID, 0, control.Reset, false, nil)
 				case 1:
 					s.core.Answered(server, a.ID, 0, "late")
@@ -38,7 +38,7 @@
 				}
 			}
 			s.core.Loop().Post(func() {
-				s.list(control.Active, "a")
+				s.updateList(control.Active, "a")
 				_ = s.core.Offer(Request{ID: "1", Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s, Description: "x"})
 			})
 			s.core.Loop().Run()
--- a/internal/call/ends.go
+++ b/internal/call/ends.go
@@ -14,7 +14,7 @@
 // that it came on; -1 for none.
 func (c *Core) Released(server control.ServerID, id string, attempt, cause int, report []float64) {
 	k := c.calls[id]
-	result := c.matchEnd(k, server, attempt)
+	result := c.classifyEnd(k, server, attempt)
 	c.logEnd(server, id, attempt, k, result)
 	c.applyEnd(k, id, result, cause, report)
 }
@@ -23,56 +23,56 @@
 // goes on there. The release may be that of a call which an earlier attempt has established under the same id.
 func (c *Core) ReleasedOnOtherConnection(server control.ServerID, id string, cause int, report []float64) (goesOn bool) {
 	k := c.calls[id]
-	result := c.matchEnd(k, server, noAttempt)
-	if result == endOfCall && k.triedBefore() {
+	result := c.classifyEnd(k, server, noAttempt)
+	if result == endOfCall && k.triedEarlier() {
 		result = endAmbiguous
 	}
 	c.logEnd(server, id, noAttempt, k, result)
 	c.applyEnd(k, id, result, cause, report)
-	return k != nil && k.state == stands && k.server == server
+	return k != nil && k.state == established && k.server == server
 }
 
 // applyEnd does what the end of a call leads to.
 func (c *Core) applyEnd(k *record, id string, result receivedEnd, cause int, report []float64) {
-	c.received[result]++
+	c.endCounts[result]++
 	switch result {
-	case endElsewhere:
-		c.passing.finder.Terminated(id, cause)
+	case endOtherController:
+		c.transfers.finder.Terminated(id, cause)
 	case endOfUnknownCall: // from before a restart: its caller still has to hear of it
-		c.knowOver(id)
-		c.tellOver(c.heir, id, endOf(cause))
+		c.recordTerminated(id)
+		c.notifyTerminated(c.unknownCaller, id, endOf(cause))
 	case endOfCall:
-		c.finish(k, cause, report)
+		c.terminate(k, cause, report)
 	case endWithoutAnswer:
-		c.endUnanswered(k, report)
+		c.terminateUnanswered(k, report)
 	case endBeforeAnswer:
-		c.overtakes(k, cause, report)
+		c.holdEarlyEnd(k, cause, report)
 	case endAmbiguous:
 		c.probeAmbiguous(k, cause, report)
-	case endOfEarlier, endAgain, endOtherDispatcher, endNotEstablished, endRepeated:
+	case endOfEarlierAttempt, endOfTerminatedCall, endOtherDispatcher, endNotEstablished, endRepeated:
 	}
 }
 
-// finish ends a call that stood.
-func (c *Core) finish(k *record, cause int, report []float64) {
+// terminate ends a call that stood.
+func (c *Core) terminate(k *record, cause int, report []float64) {
 	outcome := control.Completed
 	if cause != CauseNormal {
 		outcome = control.Reset
 	}
-	c.tell(control.AttemptEnded{ID: control.CallID(k.ID), Server: k.server, Attempt: k.attempts - 1, Outcome: outcome,
+	c.queueEvent(control.AttemptEnded{ID: control.CallID(k.ID), Server: k.server, Attempt: k.attempts - 1, Outcome: outcome,
 		Elapsed: time.Since(k.sentAt), CallOver: true, Report: report})
 	caller := k.Caller
 	endlog.Call(c.log, endlog.Over, k.ID, endlog.Server(k.server), slog.Int("cause", cause))
-	c.noteOver(k, endOf(cause))
-	c.close(k)
+	c.persistTerminated(k, endOf(cause))
+	c.closeRecord(k)
 	k.end = endOf(cause)
-	c.tellOver(caller, k.ID, endOf(cause))
+	c.notifyTerminated(caller, k.ID, endOf(cause))
 }
 
-// knowOver notes that a call of another process is over.
-func (c *Core) knowOver(id string) {
-	c.calls[id] = &record{Request: Request{ID: id}, state: stands}
-	c.close(c.calls[id])
+// recordTerminated notes that a call of another process is over.
+func (c *Core) recordTerminated(id string) {
+	c.calls[id] = &record{Request: Request{ID: id}, state: established}
+	c.closeRecord(c.calls[id])
 }
 
 // endOf is the end of a call that stood.
--- a/internal/call/figures.go
+++ b/internal/call/figures.go
@@ -9,18 +9,18 @@
 	dto "github.com/prometheus/client_model/go"
 )
 
-// showClasses has the figures name all classes of the settings, from zero.
-func (c *Core) showClasses() {
+// registerClasses has the figures name all classes of the settings, from zero.
+func (c *Core) registerClasses() {
 	for _, class := range c.decisions.Classes {
-		c.figures.Class(class.Name)
+		c.metrics.Class(class.Name)
 	}
 }
 
-// end gives a caller the final answer to a set-up that does not stand, and counts it. What callers name is counted only if
+// reject gives a caller the final answer to a set-up that does not stand, and counts it. What callers name is counted only if
 // the settings name it too: there is no end of other names.
-func (c *Core) end(r *Request, end End) {
-	if c.figures.Has(r.Class) {
-		switch class := c.figures.Class(r.Class); end.Cause {
+func (c *Core) reject(r *Request, end End) {
+	if c.metrics.Has(r.Class) {
+		switch class := c.metrics.Class(r.Class); end.Cause {
 		case CauseNoCircuit, CauseCongestion, CauseFacility:
 			class.Refused++
 		default:
@@ -32,37 +32,39 @@
 
 // Reject answers a set-up that makes no sense. One under the id of another that is open on the same connection has that one's answer.
 func (c *Core) Reject(r Request) {
-	if old := c.calls[r.ID]; old == nil || old.state == over || old.Caller != r.Caller {
-		c.end(&r, BadRequest)
+	if old := c.calls[r.ID]; old == nil || old.state == terminated || old.Caller != r.Caller {
+		c.reject(&r, BadRequest)
 	}
 }
 
 // SetUpWritten tells that all of a set-up has gone to a dispatcher.
-func (c *Core) SetUpWritten() { c.figures.Attempts++ }
+func (c *Core) SetUpWritten() { c.metrics.Attempts++ }
 
 // AddMetrics has the text of the figures close with those of another part.
-func (c *Core) AddMetrics(part func() []*dto.MetricFamily) { c.parts = append(c.parts, part) }
+func (c *Core) AddMetrics(part func() []*dto.MetricFamily) {
+	c.metricSources = append(c.metricSources, part)
+}
 
 // Telemetry is all figures as text.
 func (c *Core) Telemetry() (string, error) {
-	f := &c.figures
-	f.InFlight = c.owed
-	for _, n := range c.standing {
+	f := &c.metrics
+	f.InFlight = c.pendingCount
+	for _, n := range c.establishedByCaller {
 		f.InFlight += n
 	}
-	f.Known, f.Excluded = len(c.status), 0
-	for _, id := range slices.Sorted(maps.Keys(c.status)) {
+	f.Known, f.Excluded = len(c.serverStatus), 0
+	for _, id := range slices.Sorted(maps.Keys(c.serverStatus)) {
 		if c.module.Avoids(c.now(), id) {
 			f.Excluded++
 		}
 	}
 	var more []*dto.MetricFamily
-	for _, part := range c.parts {
+	for _, part := range c.metricSources {
 		more = append(more, part()...)
 	}
 	text, err := f.Text(more...)
 	if err != nil {
-		return "", fmt.Errorf("telemetry after %v: %w", time.Since(c.epoch), err)
+		return "", fmt.Errorf("telemetry after %v: %w", time.Since(c.startedAt), err)
 	}
 	return text, nil
 }
--- a/internal/call/late_refusal_test.go
+++ b/internal/call/late_refusal_test.go
@@ -7,9 +7,9 @@
 	"cherryrelay/control"
 )
 
-// TestAnEndAheadOfItsAnswerAfterALateRefusal guards against the untold end of a call that came ahead of its answer, where an earlier attempt at the same
+// TestAnEndBeforeItsAnswerAfterALateRefusal guards against the untold end of a call that came ahead of its answer, where an earlier attempt at the same
 // dispatcher was withdrawn, and refused after that: it has established nothing, and the end can't be its.
-func TestAnEndAheadOfItsAnswerAfterALateRefusal(t *testing.T) {
+func TestAnEndBeforeItsAnswerAfterALateRefusal(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
 		outcome   control.Outcome
@@ -22,12 +22,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t)
+			s := newFixture(t)
 			refuse := func(server control.ServerID, id string) { s.core.AttemptEnded(server, id, 0, test.outcome, false, nil) }
-			s.react = func(server control.ServerID, a SetUp) {
+			s.onSetUp = func(server control.ServerID, a SetUp) {
 				if a.Attempt == 0 {
 					s.core.Loop().After(time.Millisecond, func() {
-						s.core.withdraw(s.core.calls[a.ID], control.TimedOut, false)
+						s.core.cancelAttempt(s.core.calls[a.ID], control.TimedOut, false)
 						if !test.besideOut {
 							refuse(server, a.ID)
 						}
@@ -39,18 +39,18 @@
 				}
 				s.core.Released(server, a.ID, -1, CauseNormal, nil)
 				s.core.Loop().After(10*time.Millisecond, func() {
-					s.answered(server, a)
+					s.answerAttempt(server, a)
 					s.core.Loop().After(time.Second, s.core.Loop().Quit)
 				})
 			}
 			s.core.Loop().Post(func() {
-				s.list(control.Active, "a")
-				_ = s.core.Offer(Request{ID: overtakenID, Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s, Description: "x"})
+				s.updateList(control.Active, "a")
+				_ = s.core.Offer(Request{ID: callID, Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s, Description: "x"})
 			})
 			s.core.Loop().After(10*time.Second, s.core.Loop().Quit)
 			s.core.Loop().Run()
-			if s.setUps != 2 || s.answers[overtakenID] != 1 || s.overs[overtakenID] != 1 || s.finals[overtakenID] != 0 {
-				t.Errorf("%d set-ups, %d answers, %d ends, %d final answers; want 2, 1, 1, 0", s.setUps, s.answers[overtakenID], s.overs[overtakenID], s.finals[overtakenID])
+			if s.setUps != 2 || s.answers[callID] != 1 || s.terminations[callID] != 1 || s.rejections[callID] != 0 {
+				t.Errorf("%d set-ups, %d answers, %d ends, %d final answers; want 2, 1, 1, 0", s.setUps, s.answers[callID], s.terminations[callID], s.rejections[callID])
 			}
 		})
 	}
--- a/internal/call/leave_test.go
+++ b/internal/call/leave_test.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// reading is a front with something unread.
-type reading struct {
+// stubFront is a front with something unread.
+type stubFront struct {
 	unread bool
-	asked  int
+	polls  int
 }
 
-func (r *reading) Release(string, End) {}
-func (r *reading) Connections() int    { return 1 }
-func (r *reading) Idle() bool          { r.asked++; return !r.unread }
+func (r *stubFront) Release(string, End) {}
+func (r *stubFront) Connections() int    { return 1 }
+func (r *stubFront) Idle() bool          { r.polls++; return !r.unread }
 
-// TestWhatLiesUnreadIsTakenInBeforeTheEnd: a controller that has served out does not end while something of its callers' lies unread, as
+// TestDrainWaitsForUnreadInput: a controller that has served out does not end while something of its callers' lies unread, as
 // what came in time may after a pause; but it does end before it would be killed.
-func TestWhatLiesUnreadIsTakenInBeforeTheEnd(t *testing.T) {
+func TestDrainWaitsForUnreadInput(t *testing.T) {
 	for name, test := range map[string]struct {
 		readAfter time.Duration // 0 for never
 		least     time.Duration
 		most      time.Duration
 	}{
-		"nothing unread":      {time.Nanosecond, lateArrivals, lateArrivals + 50*time.Millisecond},
+		"nothing unread":      {time.Nanosecond, lateArrivalWindow, lateArrivalWindow + 50*time.Millisecond},
 		"unread for a second": {time.Second, time.Second, time.Second + 50*time.Millisecond},
-		"unread for good":     {0, killAfter, killMost + killAfter - 200*time.Millisecond},
+		"unread for good":     {0, killGrace, killMaxDeadline + killGrace - 200*time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				core := newSite(t).core
+				core := newFixture(t).core
 				loop := core.Loop()
-				front := &reading{unread: true}
+				front := &stubFront{unread: true}
 				core.AddFront(front)
 				since := time.Now()
 				loop.Post(func() {
@@ -45,7 +45,7 @@
 					look()
 				})
 				loop.Run()
-				if took := time.Since(since); took < test.least || took > test.most || front.asked == 0 {
+				if took := time.Since(since); took < test.least || took > test.most || front.polls == 0 {
 					t.Errorf("ended after %v, want %v to %v", took, test.least, test.most)
 				}
 			})
--- a/internal/call/list.go
+++ b/internal/call/list.go
@@ -11,26 +11,26 @@
 // Update takes in the list of dispatchers, or changes to it.
 func (c *Core) Update(u Update) {
 	if !c.selection.update(u) {
-		c.take(u)
+		c.applyUpdate(u)
 	}
 }
 
-// take takes in what the module and the connections are to know of the list.
-func (c *Core) take(u Update) {
+// applyUpdate takes in what the module and the connections are to know of the list.
+func (c *Core) applyUpdate(u Update) {
 	named := map[control.ServerID]bool{}
 	entries := make([]control.ServerEntry, 0, len(u.Servers))
 	for _, s := range u.Servers {
 		named[s.ID] = true
 		entries = append(entries, s.ServerEntry)
 		if s.Address == "" {
-			s.Address = c.places[s.ID].Address
+			s.Address = c.knownServers[s.ID].Address
 		}
-		c.places[s.ID] = s
+		c.knownServers[s.ID] = s
 		c.setStatus(s.ID, s.Status) // which forgets the place of one that is gone
 	}
 	if u.Complete {
 		var gone []control.ServerID
-		for id := range c.status {
+		for id := range c.serverStatus {
 			if !named[id] {
 				gone = append(gone, id)
 			}
@@ -39,28 +39,28 @@
 		for _, id := range gone {
 			c.setStatus(id, control.Removed)
 		}
-		c.listed = true
+		c.listReceived = true
 	}
 	c.dispatchers.Update(u)
-	c.tell(control.ListReceived{Entries: entries, Whole: u.Complete})
-	c.checkRecovered()
+	c.queueEvent(control.ListReceived{Entries: entries, Whole: u.Complete})
+	c.verifyRecovered()
 }
 
 func (c *Core) setStatus(id control.ServerID, status control.ServerStatus) {
-	if old, ok := c.status[id]; !ok && status != control.Removed || ok && old != status {
+	if old, ok := c.serverStatus[id]; !ok && status != control.Removed || ok && old != status {
 		c.log.Info("dispatcher", "server", id, "status", int(status))
 	}
 	if status == control.Removed {
-		delete(c.status, id)
-		c.forgetAsks(id)
-		delete(c.places, id) // they come and go under new names all day
+		delete(c.serverStatus, id)
+		c.forgetSetUpCount(id)
+		delete(c.knownServers, id) // they come and go under new names all day
 		return
 	}
-	c.status[id] = status
+	c.serverStatus[id] = status
 }
 
-// active reports whether the list has a dispatcher as taking calls.
-func (c *Core) active(id control.ServerID) bool {
-	status, ok := c.status[id]
+// isActive reports whether the list has a dispatcher as taking calls.
+func (c *Core) isActive(id control.ServerID) bool {
+	status, ok := c.serverStatus[id]
 	return ok && status == control.Active
 }
--- a/internal/call/loop.go
+++ b/internal/call/loop.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	// overdue is how late a timer is after which the process counts as having been paused, or kept from its core.
-	overdue = 50 * time.Millisecond
-	// catchUpStep and catchUpMost bound how long what came meanwhile is waited for; it is all in once nothing more comes for
-	// catchUpStill steps, and nothing is known to be unread. What is known is waited for longer, up to catchUpKnown, on a machine that is
+	// pauseThreshold is how late a timer is after which the process counts as having been paused, or kept from its core.
+	pauseThreshold = 50 * time.Millisecond
+	// catchUpStep and catchUpTimeout bound how long what came meanwhile is waited for; it is all in once nothing more comes for
+	// catchUpIdleSteps steps, and nothing is known to be unread. What is known is waited for longer, up to catchUpUnreadTimeout, on a machine that is
 	// too busy to read: less than the time after which nothing may be sent on for one who has left.
-	catchUpStep, catchUpStill = time.Millisecond, 3
-	catchUpMost, catchUpKnown = 20 * time.Millisecond, 250 * time.Millisecond
-	// catchUpAgain is the least time between two: a loop that has more to do than it can is late all the time.
-	catchUpAgain = 100 * time.Millisecond
+	catchUpStep, catchUpIdleSteps        = time.Millisecond, 3
+	catchUpTimeout, catchUpUnreadTimeout = 20 * time.Millisecond, 250 * time.Millisecond
+	// catchUpInterval is the least time between two: a loop that has more to do than it can is late all the time.
+	catchUpInterval = 100 * time.Millisecond
 )
 
 // Loop is the event loop that owns the module and all call state. Everything that touches them runs in a
 // function given to Post or After.
 type Loop struct {
-	mu     sync.Mutex
-	queue  []func()
-	wake   chan struct{}
-	quit   chan struct{}
-	once   sync.Once
-	timers timers
+	mu       sync.Mutex
+	queue    []func()
+	wake     chan struct{}
+	quit     chan struct{}
+	quitOnce sync.Once
+	timers   timers
 	// caughtUp is when the loop last took in what came during a pause.
-	caughtUp time.Time
-	turn     func()
-	quiet    []func() bool
-	commit   func() // nil if nothing need be kept before words leave
+	caughtUp    time.Time
+	onIteration func()
+	idleChecks  []func() bool
+	commit      func() // nil if nothing need be kept before words leave
 }
 
 // NewLoop returns a Loop that calls turn at the end of each round, when all that was ready has been taken in.
@@ -62,7 +62,7 @@
 func (l *Loop) OnCommit(f func()) { l.commit = f }
 
 // AddIdleCheck names what tells whether all that has come is with the loop, for a loop that goes on after a pause. It runs on the loop.
-func (l *Loop) AddIdleCheck(quiet func() bool) { l.quiet = append(l.quiet, quiet) }
+func (l *Loop) AddIdleCheck(quiet func() bool) { l.idleChecks = append(l.idleChecks, quiet) }
 
 // Commit runs what OnCommit was given; whatever writes to a socket calls it first. Only the loop may call it.
 func (l *Loop) Commit() {
@@ -93,14 +93,14 @@
 }
 
 // Quit ends Run after the round under way.
-func (l *Loop) Quit() { l.once.Do(func() { close(l.quit) }) }
+func (l *Loop) Quit() { l.quitOnce.Do(func() { close(l.quit) }) }
 
 // Run serves the loop until Quit.
 func (l *Loop) Run() {
 	idle := time.NewTimer(time.Hour)
 	defer idle.Stop()
 	for {
-		for l.round() {
+		for l.iterate() {
 		}
 		wait := time.Hour
 		if len(l.timers) > 0 {
@@ -127,18 +127,18 @@
 // was held would go out though its caller has left, or its dispatcher drains, with the word of that unread in a socket. It reports
 // whether there was a pause.
 func (l *Loop) catchUp() bool {
-	if len(l.timers) == 0 || time.Since(l.timers[0].at) < overdue || time.Since(l.caughtUp) < catchUpAgain {
+	if len(l.timers) == 0 || time.Since(l.timers[0].at) < pauseThreshold || time.Since(l.caughtUp) < catchUpInterval {
 		return false
 	}
 	defer func() { l.caughtUp = time.Now() }()
 	unread := func(quiet func() bool) bool { return !quiet() }
 	known := false
 	begun, still, waits := time.Now(), 0, 0
-	for took := time.Duration(0); still < catchUpStill && (took < catchUpMost || known && took < catchUpKnown); took = time.Since(begun) {
+	for took := time.Duration(0); still < catchUpIdleSteps && (took < catchUpTimeout || known && took < catchUpUnreadTimeout); took = time.Since(begun) {
 		if took > 0 { // the first look is at once: what is read from a socket by then is not seen there
 			time.Sleep(catchUpStep)
 		}
-		known = slices.ContainsFunc(l.quiet, unread)
+		known = slices.ContainsFunc(l.idleChecks, unread)
 		n := l.Pending()
 		if still++; n != waits || known {
 			still, waits = 0, n
@@ -147,8 +147,8 @@
 	return true
 }
 
-// takeIn runs what was posted, and reports whether there was anything.
-func (l *Loop) takeIn() bool {
+// runPosted runs what was posted, and reports whether there was anything.
+func (l *Loop) runPosted() bool {
 	l.mu.Lock()
 	queue := l.queue
 	l.queue = nil
@@ -159,12 +159,12 @@
 	return len(queue) > 0
 }
 
-// round takes in all that is ready, then gives the core its turn. It reports whether there was anything. A pause may have come before or
+// iterate takes in all that is ready, then gives the core its turn. It reports whether there was anything. A pause may have come before or
 // while what was ready was taken in.
-func (l *Loop) round() bool {
-	came := l.takeIn()
+func (l *Loop) iterate() bool {
+	came := l.runPosted()
 	if l.catchUp() {
-		came = l.takeIn() || came
+		came = l.runPosted() || came
 	}
 	now, due := time.Now(), 0
 	for len(l.timers) > 0 && !l.timers[0].at.After(now) {
@@ -177,8 +177,8 @@
 	if !came && due == 0 {
 		return false
 	}
-	if l.turn != nil {
-		l.turn()
+	if l.onIteration != nil {
+		l.onIteration()
 	}
 	return true
 }
--- a/internal/call/loop_test.go
+++ b/internal/call/loop_test.go
@@ -7,10 +7,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestWhatIsUnreadAfterAPause: a pause makes a timer overdue, and a word that came meanwhile is known to lie unread for longer than what is
+// TestUnreadInputIsProcessedBeforeOverdueTimers: a pause makes a timer overdue, and a word that came meanwhile is known to lie unread for longer than what is
 // merely hoped for is waited for. It is taken in first; one that never comes is not waited for beyond a bound.
-func TestWhatIsUnreadAfterAPause(t *testing.T) {
-	const looks = 30 // of a millisecond at least, beyond catchUpMost
+func TestUnreadInputIsProcessedBeforeOverdueTimers(t *testing.T) {
+	const looks = 30 // of a millisecond at least, beyond catchUpTimeout
 	for name, test := range map[string]struct {
 		comes bool
 		early bool // the pause falls into what was posted, before the timers of the same round
@@ -35,18 +35,18 @@
 			l.Post(func() {
 				begun = time.Now()
 				if !test.early {
-					l.After(0, func() { time.Sleep(2 * overdue) }) // the pause
+					l.After(0, func() { time.Sleep(2 * pauseThreshold) }) // the pause
 				}
-				l.After(overdue/4, func() { order = append(order, "timer"); l.Quit() })
+				l.After(pauseThreshold/4, func() { order = append(order, "timer"); l.Quit() })
 				if test.early {
-					time.Sleep(2 * overdue)
+					time.Sleep(2 * pauseThreshold)
 				}
 			})
 			l.Run()
 			if diff := cmp.Diff(test.want, order); diff != "" {
 				t.Errorf("the order after a pause (-want +got):\n%s", diff)
 			}
-			if took := time.Since(begun); !test.comes && took < 2*overdue+catchUpKnown {
+			if took := time.Since(begun); !test.comes && took < 2*pauseThreshold+catchUpUnreadTimeout {
 				t.Errorf("it was not waited for: %v", took)
 			}
 		})
--- a/internal/call/offers_test.go
+++ b/internal/call/offers_test.go
@@ -7,19 +7,19 @@
 	"cherryrelay/control"
 )
 
-// listener is a caller that keeps the last end that it was told.
-type listener struct {
-	*site
+// lastEndCaller is a caller that keeps the last end that it was told.
+type lastEndCaller struct {
+	*fixture
 	end End
 }
 
-func (l *listener) End(_ string, e End) { l.end = e }
+func (l *lastEndCaller) End(_ string, e End) { l.end = e }
 
-// TestASetUpThatWaitedPastItsTimeIsRefused guards against set-ups that lay unread for all their time in an overload and were told to have failed
+// TestSetUpThatExpiredUnreadIsRefused guards against set-ups that lay unread for all their time in an overload and were told to have failed
 // on their way: nothing was tried for them, so their callers are told that, and when to come back.
-func TestASetUpThatWaitedPastItsTimeIsRefused(t *testing.T) {
-	s := newSite(t)
-	caller := &listener{site: s}
+func TestSetUpThatExpiredUnreadIsRefused(t *testing.T) {
+	s := newFixture(t)
+	caller := &lastEndCaller{fixture: s}
 	if err := s.core.Offer(Request{ID: "1", Class: "c", TimeLeft: time.Second, Deadline: time.Now().Add(-time.Millisecond), Caller: caller}); err != nil {
 		t.Fatal(err)
 	}
@@ -30,8 +30,8 @@
 
 // TestASetUpSentWithNoTimeLeftFails guards against one that is told to come back: its caller does not wait.
 func TestASetUpSentWithNoTimeLeftFails(t *testing.T) {
-	s := newSite(t)
-	caller := &listener{site: s}
+	s := newFixture(t)
+	caller := &lastEndCaller{fixture: s}
 	if err := s.core.Offer(Request{ID: "1", Class: "c", Deadline: time.Now(), Caller: caller}); err != nil {
 		t.Fatal(err)
 	}
@@ -40,9 +40,9 @@
 	}
 }
 
-// TestAtItsLimitACallThatMayHaveRunIsNotRefused guards against callers that are told that their set-up may come again at once, where an attempt
+// TestExpiredCallThatMayHaveRunIsNotRefused guards against callers that are told that their set-up may come again at once, where an attempt
 // was out that must not be repeated.
-func TestAtItsLimitACallThatMayHaveRunIsNotRefused(t *testing.T) {
+func TestExpiredCallThatMayHaveRunIsNotRefused(t *testing.T) {
 	for name, c := range map[string]struct {
 		effect  control.Idempotency
 		servers []control.ServerID
@@ -53,17 +53,17 @@
 		"not attempted, and harmful to repeat": {control.NonIdempotent, nil, CauseCongestion},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t)
+			s := newFixture(t)
 			s.core.decisions.Classes[0].Idempotency = c.effect
-			s.react = func(control.ServerID, SetUp) {} // silent
-			s.list(control.Active, c.servers...)
-			caller := &listener{site: s}
+			s.onSetUp = func(control.ServerID, SetUp) {} // silent
+			s.updateList(control.Active, c.servers...)
+			caller := &lastEndCaller{fixture: s}
 			if err := s.core.Offer(Request{ID: "1", Class: "c", TimeLeft: time.Second, Deadline: time.Now().Add(time.Second), Caller: caller}); err != nil {
 				t.Fatal(err)
 			}
-			limit := s.core.calls["1"].limit
+			limit := s.core.calls["1"].deadlineTimer
 			if len(c.servers) > 0 {
-				s.core.turn()
+				s.core.finishIteration()
 			}
 			limit.f() // before the module has answered
 			if caller.end.Cause != c.want || caller.end.Reason != ReasonDeadline {
--- a/internal/call/phase.go
+++ b/internal/call/phase.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	// takeFor is how long after an evacuation began all is taken: newcomers arrive for 0.2 s after the first no, which
+	// acceptAllPeriod is how long after an evacuation began all is taken: newcomers arrive for 0.2 s after the first no, which
 	// is asked for each 0.1 s.
-	takeFor = 600 * time.Millisecond
-	// refuseAfter is when new set-ups are refused. What was taken before is still answered; by 4 s no connection may
+	acceptAllPeriod = 600 * time.Millisecond
+	// refusalDelay is when new set-ups are refused. What was taken before is still answered; by 4 s no connection may
 	// have a set-up of the last 2 s.
-	refuseAfter = 1200 * time.Millisecond
-	// elsewhere is when callers may come back who are refused by a controller that withdraws: others serve them at once.
-	elsewhere = 100 * time.Millisecond
+	refusalDelay = 1200 * time.Millisecond
+	// evacuationHoldOff is when callers may come back who are refused by a controller that withdraws: others serve them at once.
+	evacuationHoldOff = 100 * time.Millisecond
 )
 
 // Phase is that of now.
 func (c *Core) Phase() Phase {
 	if c.Superseded() {
-		if time.Since(c.superseded) < refuseAfter {
+		if time.Since(c.supersededAt) < refusalDelay {
 			return Closing
 		}
 		return Refusing
 	}
-	if c.evacuated.IsZero() {
+	if c.evacuatedAt.IsZero() {
 		return Serving
 	}
-	switch age := time.Since(c.evacuated); {
-	case age < takeFor:
+	switch age := time.Since(c.evacuatedAt); {
+	case age < acceptAllPeriod:
 		return Leaving
-	case age < refuseAfter:
+	case age < refusalDelay:
 		return Closing
 	}
 	return Refusing
@@ -47,32 +47,32 @@
 // Ready reports whether callers can be served: a list has come, a dispatcher was reached, and neither an evacuation nor
 // a restart is under way. Whoever asks, callers or operators, is told by this.
 func (c *Core) Ready() bool {
-	return c.able() && !c.waits && c.draining.IsZero() && c.Phase() == Serving
+	return c.placesCalls() && !c.awaitsPredecessor && c.drainingSince.IsZero() && c.Phase() == Serving
 }
 
-// able reports whether calls can be placed.
-func (c *Core) able() bool { return c.listed && c.reached }
+// placesCalls reports whether calls can be placed.
+func (c *Core) placesCalls() bool { return c.listReceived && c.reached }
 
 // DispatcherReached tells that calls can be placed at some dispatcher.
 func (c *Core) DispatcherReached() { c.reached = true }
 
 // Evacuate sends callers away. Calls that stand go on, and the process stays up for a Rejoin.
 func (c *Core) Evacuate() {
-	if c.evacuated.IsZero() {
-		c.evacuated = time.Now()
-		c.log.Info("evacuating", "open", c.owed)
+	if c.evacuatedAt.IsZero() {
+		c.evacuatedAt = time.Now()
+		c.log.Info("evacuating", "open", c.pendingCount)
 	}
 }
 
 // Rejoin takes callers again, at whatever point of an evacuation.
 func (c *Core) Rejoin() {
-	if !c.evacuated.IsZero() {
-		c.evacuated = time.Time{}
-		c.log.Info("back to work", "open", c.owed)
+	if !c.evacuatedAt.IsZero() {
+		c.evacuatedAt = time.Time{}
+		c.log.Info("back to work", "open", c.pendingCount)
 	}
 }
 
-// turnAway is the end of a set-up that comes while the controller withdraws.
-func (c *Core) turnAway() End {
-	return End{Cause: CauseCongestion, Reason: ReasonDraining, HoldOff: min(c.holdOff(), elsewhere)}
+// evacuationEnd is the end of a set-up that comes while the controller withdraws.
+func (c *Core) evacuationEnd() End {
+	return End{Cause: CauseCongestion, Reason: ReasonDraining, HoldOff: min(c.holdOff(), evacuationHoldOff)}
 }
--- a/internal/call/queries_test.go
+++ b/internal/call/queries_test.go
@@ -9,39 +9,39 @@
 	"cherryrelay/internal/takeover"
 )
 
-// transfers is a Finder that counts the calls that are given to other controllers.
-type transfers struct {
-	lookups
-	given int
+// transferCounter is a Finder that counts the calls that are given to other controllers.
+type transferCounter struct {
+	stubFinder
+	transferred int
 }
 
-func (f *transfers) Transfer(*takeover.Call) error { f.given++; return nil }
+func (f *transferCounter) Transfer(*takeover.Call) error { f.transferred++; return nil }
 
-// TestACallIsNotGivenToAQueryThatIsOlderThanItsClaim guards against a call that is taken from the caller that has come back for it here: the query
+// TestCallIsNotTransferredForAQueryOlderThanItsResume guards against a call that is taken from the caller that has come back for it here: the query
 // of another controller, at which the caller was before and which has failed since, had the call transferred to nobody.
-func TestACallIsNotGivenToAQueryThatIsOlderThanItsClaim(t *testing.T) {
+func TestCallIsNotTransferredForAQueryOlderThanItsResume(t *testing.T) {
 	const id = "00000000000000ab"
-	s := newSite(t)
-	s.react = func(control.ServerID, SetUp) {}
-	finder := &transfers{}
+	s := newFixture(t)
+	s.onSetUp = func(control.ServerID, SetUp) {}
+	finder := &transferCounter{}
 	s.core.UseFinder(finder, func() bool { return true }, func(error) {})
-	gone := &listener{site: s}
+	gone := &lastEndCaller{fixture: s}
 	if err := s.core.Offer(Request{ID: id, Class: "c", TimeLeft: 9 * time.Second, Deadline: time.Now().Add(9 * time.Second), Caller: gone,
 		Token: recovery.HashToken(callToken), Description: "x"}); err != nil {
 		t.Fatal(err)
 	}
 	s.core.CallerDisconnected(gone)
 	query := takeover.Query{Token: recovery.HashToken(callToken), Seen: time.Now()}
-	if err := s.core.ResumeCall(ResumeRequest{Caller: &listener{site: s}, ID: id, Token: callToken}); err != nil {
+	if err := s.core.ResumeCall(ResumeRequest{Caller: &lastEndCaller{fixture: s}, ID: id, Token: callToken}); err != nil {
 		t.Fatal(err)
 	}
 	s.core.TransferRequested(map[string]takeover.Query{id: query})
-	if finder.given != 0 {
+	if finder.transferred != 0 {
 		t.Error("a call is given to the query that came before its caller")
 	}
 	query.Seen = time.Now()
 	s.core.TransferRequested(map[string]takeover.Query{id: query})
-	if finder.given != 1 {
+	if finder.transferred != 1 {
 		t.Error("a call is not given to the query that came after its caller")
 	}
 }
--- a/internal/call/received_test.go
+++ b/internal/call/received_test.go
@@ -15,44 +15,44 @@
 	"cherryrelay/internal/endlog"
 )
 
-// TestWhatBecameOfReceivedEnds guards against ends of calls from dispatchers that are dropped without a trace.
-func TestWhatBecameOfReceivedEnds(t *testing.T) {
+// TestReceivedEndsAreCountedByResult guards against ends of calls from dispatchers that are dropped without a trace.
+func TestReceivedEndsAreCountedByResult(t *testing.T) {
 	const id = "00000000000000c1"
-	answer := func(s *site) { s.core.Answered("a", id, -1, "y") }
-	end := func(server control.ServerID, attempt int) func(*site) {
-		return func(s *site) { s.core.Released(server, id, attempt, CauseNormal, nil) }
+	answer := func(s *fixture) { s.core.Answered("a", id, -1, "y") }
+	end := func(server control.ServerID, attempt int) func(*fixture) {
+		return func(s *fixture) { s.core.Released(server, id, attempt, CauseNormal, nil) }
 	}
-	lost := func(s *site) { s.ended("a", SetUp{ID: id}, control.Reset) }
+	lost := func(s *fixture) { s.endAttempt("a", SetUp{ID: id}, control.Reset) }
 	for name, test := range map[string]struct {
 		offered bool // a call is set up at the dispatcher a
-		steps   []func(*site)
+		steps   []func(*fixture)
 		want    map[receivedEnd]uint64
 	}{
-		"it was established":        {true, []func(*site){answer, end("a", 0)}, map[receivedEnd]uint64{endOfCall: 1}},
-		"twice":                     {true, []func(*site){answer, end("a", 0), end("a", -1)}, map[receivedEnd]uint64{endOfCall: 1, endAgain: 1}},
-		"before its answer":         {true, []func(*site){end("a", -1), answer}, map[receivedEnd]uint64{endBeforeAnswer: 1}},
-		"twice before its answer":   {true, []func(*site){end("a", -1), end("a", -1)}, map[receivedEnd]uint64{endBeforeAnswer: 1, endRepeated: 1}},
-		"with its answer lost":      {true, []func(*site){end("a", 0)}, map[receivedEnd]uint64{endWithoutAnswer: 1}},
-		"nothing is known of it":    {false, []func(*site){end("a", -1), end("a", -1)}, map[receivedEnd]uint64{endOfUnknownCall: 1, endAgain: 1}},
-		"it is at another one":      {true, []func(*site){answer, end("b", -1)}, map[receivedEnd]uint64{endOtherDispatcher: 1}},
-		"its attempt is at another": {true, []func(*site){end("b", -1)}, map[receivedEnd]uint64{endOtherDispatcher: 1}},
-		"no attempt is out":         {true, []func(*site){lost, end("a", -1)}, map[receivedEnd]uint64{endNotEstablished: 1}},
-		"of the attempt before": {true, []func(*site){func(s *site) { s.core.calls[id].attempts = 2 }, end("a", 0)},
-			map[receivedEnd]uint64{endOfEarlier: 1}},
-		"it was tried there before": {true, []func(*site){func(s *site) { s.core.noteTried(s.core.calls[id], "a") }, end("a", -1)},
+		"it was established":        {true, []func(*fixture){answer, end("a", 0)}, map[receivedEnd]uint64{endOfCall: 1}},
+		"twice":                     {true, []func(*fixture){answer, end("a", 0), end("a", -1)}, map[receivedEnd]uint64{endOfCall: 1, endOfTerminatedCall: 1}},
+		"before its answer":         {true, []func(*fixture){end("a", -1), answer}, map[receivedEnd]uint64{endBeforeAnswer: 1}},
+		"twice before its answer":   {true, []func(*fixture){end("a", -1), end("a", -1)}, map[receivedEnd]uint64{endBeforeAnswer: 1, endRepeated: 1}},
+		"with its answer lost":      {true, []func(*fixture){end("a", 0)}, map[receivedEnd]uint64{endWithoutAnswer: 1}},
+		"nothing is known of it":    {false, []func(*fixture){end("a", -1), end("a", -1)}, map[receivedEnd]uint64{endOfUnknownCall: 1, endOfTerminatedCall: 1}},
+		"it is at another one":      {true, []func(*fixture){answer, end("b", -1)}, map[receivedEnd]uint64{endOtherDispatcher: 1}},
+		"its attempt is at another": {true, []func(*fixture){end("b", -1)}, map[receivedEnd]uint64{endOtherDispatcher: 1}},
+		"no attempt is out":         {true, []func(*fixture){lost, end("a", -1)}, map[receivedEnd]uint64{endNotEstablished: 1}},
+		"of the attempt before": {true, []func(*fixture){func(s *fixture) { s.core.calls[id].attempts = 2 }, end("a", 0)},
+			map[receivedEnd]uint64{endOfEarlierAttempt: 1}},
+		"it was tried there before": {true, []func(*fixture){func(s *fixture) { s.core.recordTried(s.core.calls[id], "a") }, end("a", -1)},
 			map[receivedEnd]uint64{endAmbiguous: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t)
+			s := newFixture(t)
 			steps := func() {
 				for _, step := range test.steps {
 					step(s)
 				}
 				s.core.Loop().Quit()
 			}
-			s.react = func(control.ServerID, SetUp) { s.core.Loop().Post(steps) }
+			s.onSetUp = func(control.ServerID, SetUp) { s.core.Loop().Post(steps) }
 			s.core.Loop().Post(func() {
-				s.list(control.Active, "a")
+				s.updateList(control.Active, "a")
 				if !test.offered {
 					steps()
 					return
@@ -60,7 +60,7 @@
 				_ = s.core.Offer(Request{ID: id, Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s, Description: "x"})
 			})
 			s.core.Loop().Run()
-			if diff := cmp.Diff(test.want, s.core.received); diff != "" {
+			if diff := cmp.Diff(test.want, s.core.endCounts); diff != "" {
 				t.Errorf("ends received (-want +got):\n%s", diff)
 			}
 		})
@@ -70,29 +70,29 @@
 // TestTheStepsOfAnswersAndEndsAreLogged guards against answers that establish nothing, and calls that end, without the log saying why.
 func TestTheStepsOfAnswersAndEndsAreLogged(t *testing.T) {
 	const id = "00000000000000c2"
-	answered := func(server control.ServerID, attempt int) func(*site) {
-		return func(s *site) { s.core.Answered(server, id, attempt, "y") }
+	answered := func(server control.ServerID, attempt int) func(*fixture) {
+		return func(s *fixture) { s.core.Answered(server, id, attempt, "y") }
 	}
 	established := answered("a", 0)
-	for step, steps := range map[endlog.Step][]func(*site){
+	for step, steps := range map[endlog.Step][]func(*fixture){
 		endlog.AnswerAgain:     {established, established},
-		endlog.AnswerOfEarlier: {func(s *site) { s.core.calls[id].attempts = 2 }, established},
+		endlog.AnswerOfEarlier: {func(s *fixture) { s.core.calls[id].attempts = 2 }, established},
 		endlog.AnswerUnwanted:  {answered("b", -1)},
-		endlog.AnswerUnfit:     {func(s *site) { s.core.calls[id].Caller = unfit{s} }, established},
+		endlog.AnswerUnfit:     {func(s *fixture) { s.core.calls[id].Caller = rejectsAnswers{s} }, established},
 		endlog.Established:     {established},
-		endlog.WithoutAnswer:   {func(s *site) { s.core.Released("a", id, 0, CauseNormal, nil) }},
-		endlog.Over:            {established, func(s *site) { s.core.DispatcherFailed("a") }},
-		endlog.CountsAsGone:    {established, func(s *site) { s.core.DispatcherFailed("a") }},
-		endlog.EndedByCaller:   {established, func(s *site) { s.core.CallerReleased(s, id, CauseNormal) }},
-		endlog.ToSuccessor: {established, func(s *site) { s.core.Supersede(func(string, End) bool { return true }) },
-			func(s *site) { s.core.Released("a", id, 0, CauseNormal, nil) }},
+		endlog.WithoutAnswer:   {func(s *fixture) { s.core.Released("a", id, 0, CauseNormal, nil) }},
+		endlog.Over:            {established, func(s *fixture) { s.core.DispatcherFailed("a") }},
+		endlog.CountsAsGone:    {established, func(s *fixture) { s.core.DispatcherFailed("a") }},
+		endlog.EndedByCaller:   {established, func(s *fixture) { s.core.CallerReleased(s, id, CauseNormal) }},
+		endlog.ToSuccessor: {established, func(s *fixture) { s.core.Supersede(func(string, End) bool { return true }) },
+			func(s *fixture) { s.core.Released("a", id, 0, CauseNormal, nil) }},
 	} {
 		t.Run(string(step), func(t *testing.T) {
 			var log bytes.Buffer
-			s := newSite(t)
+			s := newFixture(t)
 			s.core.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))
-			s.react = func(_ control.ServerID, a SetUp) {
-				delete(s.out, a.ID)
+			s.onSetUp = func(_ control.ServerID, a SetUp) {
+				delete(s.inProgress, a.ID)
 				s.core.Loop().Post(func() {
 					for _, step := range steps {
 						step(s)
@@ -101,7 +101,7 @@
 				})
 			}
 			s.core.Loop().Post(func() {
-				s.list(control.Active, "a")
+				s.updateList(control.Active, "a")
 				_ = s.core.Offer(Request{ID: id, Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s, Description: "x"})
 			})
 			s.core.Loop().Run()
@@ -112,8 +112,8 @@
 	}
 }
 
-// unfit is a caller that no answer can be told to.
-type unfit struct{ *site }
+// rejectsAnswers is a caller that no answer can be told to.
+type rejectsAnswers struct{ *fixture }
 
 // Answer refuses the description.
-func (unfit) Answer(string, string) error { return errors.New("too long") }
+func (rejectsAnswers) Answer(string, string) error { return errors.New("too long") }
--- a/internal/call/recover.go
+++ b/internal/call/recover.go
@@ -16,8 +16,8 @@
 	"cherryrelay/internal/telemetry"
 )
 
-// lost stands in for a caller whose connection is gone and who may come back for its calls. What it is owed waits with them.
-type lost struct{ heir }
+// orphanCaller stands in for a caller whose connection is gone and who may come back for its calls. What it is owed waits with them.
+type orphanCaller struct{ unknownCaller }
 
 // RecoveryStatus is what became of the calls that an earlier process left, for operators.
 type RecoveryStatus struct {
@@ -41,14 +41,14 @@
 	rules := recovery.Rules{Guard: c.decisions.ReleaseGuard, MaxAttempts: c.decisions.MaxAttempts}
 	for _, d := range b.Plan(c.now(), rules) {
 		if k := c.calls[d.ID]; k != nil { // a predecessor has handed it over, without what its caller can claim it with
-			if k.state == stands && d.State == recovery.StateEstablished && k.Token == nil {
-				k.Token, k.answer, k.place = d.Token, d.Answer, d.Call
+			if k.state == established && d.State == recovery.StateEstablished && k.Token == nil {
+				k.Token, k.answer, k.restored = d.Token, d.Answer, d.Call
 			}
 			continue
 		}
-		c.recover(d)
+		c.recoverCall(d)
 	}
-	slices.SortStableFunc(c.ended, func(a, b *record) int { return a.overAt.Compare(b.overAt) }) // forgotten in this order
+	slices.SortStableFunc(c.recentlyTerminated, func(a, b *record) int { return a.terminatedAt.Compare(b.terminatedAt) }) // forgotten in this order
 	c.recovered.TookUs += time.Since(from).Microseconds()
 	if n := len(c.calls); n > 0 {
 		c.log.Info("calls of an earlier process", "acts", fmt.Sprint(c.recovered.Actions), "strays", b.UnexpectedEvents(), "damage", len(damage))
@@ -56,18 +56,18 @@
 	for _, text := range damage {
 		c.log.Error("the state of calls is damaged", "damage", text)
 	}
-	c.checkRecovered()
+	c.verifyRecovered()
 }
 
-func (c *Core) recover(d recovery.Decision) {
+func (c *Core) recoverCall(d recovery.Decision) {
 	now := time.Now()
 	k := &record{
-		Request: Request{ID: d.ID, Class: d.Class, Called: d.Called, FirstCell: d.FirstCell, Redial: d.Redial, Caller: c.lost, Token: d.Token},
-		server:  control.ServerID(d.Server), attempts: d.Attempts, sentAt: now.Add(d.LastEventAt - c.now()), place: d.Call,
+		Request: Request{ID: d.ID, Class: d.Class, Called: d.Called, FirstCell: d.FirstCell, Redial: d.Redial, Caller: c.orphanCaller, Token: d.Token},
+		server:  control.ServerID(d.Server), attempts: d.Attempts, sentAt: now.Add(d.LastEventAt - c.now()), restored: d.Call,
 	}
 	act := d.Action
 	// What is repeated must do no harm if it ran.
-	if act == recovery.AwaitResume && !c.mayRepeat(c.class(d.Class), d.Attempts) {
+	if act == recovery.AwaitResume && !c.mayRepeat(c.classIndex(d.Class), d.Attempts) {
 		act, d.Why = recovery.FailCall, "it may not be repeated"
 	}
 	c.recovered.Actions[act.String()]++
@@ -75,117 +75,117 @@
 	endlog.Call(c.log, endlog.Recovered, d.ID, endlog.Server(d.Server), slog.String("act", act.String()))
 	c.calls[d.ID] = k
 	if d.MustRelease {
-		c.releases = append(c.releases, k)
+		c.pendingReleases = append(c.pendingReleases, k)
 	}
 	switch act {
 	case recovery.AwaitResume:
-		k.Description, k.Deadline, k.notBefore, k.parked = d.Description, now.Add(d.TimeLeft), d.NotBefore, true
-		c.owe(k)
-		c.limit(k)
-		c.giveUpAfter(k, d.ResumeDeadline-c.now())
+		k.Description, k.Deadline, k.notBefore, k.awaitsResume = d.Description, now.Add(d.TimeLeft), d.NotBefore, true
+		c.addPending(k)
+		c.startDeadlineTimer(k)
+		c.cancelUnlessResumed(k, d.ResumeDeadline-c.now())
 	case recovery.AdoptCall:
-		k.state, k.answer = stands, d.Answer
-		c.standing[k.Caller]++
-		c.unchecked = append(c.unchecked, k)
+		k.state, k.answer = established, d.Answer
+		c.establishedByCaller[k.Caller]++
+		c.unverified = append(c.unverified, k)
 		if d.ResumeDeadline > 0 {
-			c.claimWithin(k, d.ResumeDeadline-c.now())
+			c.releaseUnlessResumed(k, d.ResumeDeadline-c.now())
 		}
 	case recovery.NotifyCaller:
-		c.recall(k, k.sentAt, End{Cause: d.Cause, Reason: Reason(d.Reason), HoldOff: d.HoldOff})
-		c.lost.NotifyTerminated(k.ID, k.end)
+		c.recordEnd(k, k.sentAt, End{Cause: d.Cause, Reason: Reason(d.Reason), HoldOff: d.HoldOff})
+		c.orphanCaller.NotifyTerminated(k.ID, k.end)
 	case recovery.RepeatOutcome:
-		c.recall(k, k.sentAt, End{Cause: d.Cause, Reason: Reason(d.Reason), HoldOff: d.HoldOff})
+		c.recordEnd(k, k.sentAt, End{Cause: d.Cause, Reason: Reason(d.Reason), HoldOff: d.HoldOff})
 	case recovery.FailCall:
 		reason := ReasonFailed
 		if d.TimeLeft <= 0 {
 			reason = ReasonDeadline
 		}
-		c.recall(k, now, End{Cause: CauseTemporary, Reason: reason})
+		c.recordEnd(k, now, End{Cause: CauseTemporary, Reason: reason})
 	case recovery.ReleaseCall:
 		if d.State == recovery.StateEstablished {
-			c.recall(k, now, End{Cause: CauseTemporary, Reason: ReasonCut})
-			c.lost.NotifyTerminated(k.ID, k.end)
+			c.recordEnd(k, now, End{Cause: CauseTemporary, Reason: ReasonCut})
+			c.orphanCaller.NotifyTerminated(k.ID, k.end)
 			break
 		}
-		c.recall(k, now, End{Cause: CauseTemporary, Reason: ReasonFailed})
+		c.recordEnd(k, now, End{Cause: CauseTemporary, Reason: ReasonFailed})
 	}
 }
 
-// recall notes how and when a call ended, for who asks.
-func (c *Core) recall(k *record, at time.Time, end End) {
-	k.state, k.Caller, k.end, k.overAt, k.place = over, nil, end, at, nil
-	c.ended = append(c.ended, k)
+// recordEnd notes how and when a call ended, for who asks.
+func (c *Core) recordEnd(k *record, at time.Time, end End) {
+	k.state, k.Caller, k.end, k.terminatedAt, k.restored = terminated, nil, end, at, nil
+	c.recentlyTerminated = append(c.recentlyTerminated, k)
 }
 
-// checkRecovered holds what stood against the list, once there is one, and releases what may stand where it must not.
-func (c *Core) checkRecovered() {
-	if !c.listed {
+// verifyRecovered holds what stood against the list, once there is one, and releases what may stand where it must not.
+func (c *Core) verifyRecovered() {
+	if !c.listReceived {
 		return
 	}
-	for _, k := range c.releases {
-		c.selection.reach(k.server)
+	for _, k := range c.pendingReleases {
+		c.selection.includeForRelease(k.server)
 		c.dispatchers.Release("", k.ID, CauseNormal) // wherever it may stand: the last that is known of it may not be all
 	}
-	c.releases = nil
-	unchecked := c.unchecked
-	c.unchecked = nil
+	c.pendingReleases = nil
+	unchecked := c.unverified
+	c.unverified = nil
 	for _, k := range unchecked {
-		if k.state != stands || k.place == nil {
+		if k.state != established || k.restored == nil {
 			continue
 		}
-		at, listed := c.place(k.server)
-		if ok, why := k.place.MayStillBeEstablished(recovery.ListEntry{Address: at.Address, Started: at.StartedAt, Listed: listed}); !ok {
+		at, listed := c.listedServer(k.server)
+		if ok, why := k.restored.MayStillBeEstablished(recovery.ListEntry{Address: at.Address, Started: at.StartedAt, Listed: listed}); !ok {
 			c.log.Info("call of an earlier process is cut", "id", k.ID, "server", k.server, "why", why)
 			c.recovered.Cut++
-			c.finish(k, CauseTemporary, nil)
+			c.terminate(k, CauseTemporary, nil)
 			continue
 		}
-		c.selection.keep(k.server)
+		c.selection.retain(k.server)
 	}
 }
 
-// giveUpAfter gives an open call up unless its caller comes.
-func (c *Core) giveUpAfter(k *record, d time.Duration) {
-	c.unlessClaimed(k, d, open, CauseNormal, func() { k.end = End{Cause: CauseTemporary, Reason: ReasonFailed} }) // for one who comes later still
+// cancelUnlessResumed gives an open call up unless its caller comes.
+func (c *Core) cancelUnlessResumed(k *record, d time.Duration) {
+	c.unlessResumed(k, d, pending, CauseNormal, func() { k.end = End{Cause: CauseTemporary, Reason: ReasonFailed} }) // for one who comes later still
 }
 
-// claimWithin releases a call that stands unless its caller, who may not know that it does, comes for it.
-func (c *Core) claimWithin(k *record, d time.Duration) {
-	c.unlessClaimed(k, d, stands, CauseTemporary, func() {})
+// releaseUnlessResumed releases a call that stands unless its caller, who may not know that it does, comes for it.
+func (c *Core) releaseUnlessResumed(k *record, d time.Duration) {
+	c.unlessResumed(k, d, established, CauseTemporary, func() {})
 }
 
-// unlessClaimed gives a call up that is still in the state, and still without its caller, after a time.
-func (c *Core) unlessClaimed(k *record, d time.Duration, s state, cause int, then func()) {
-	c.loop.Stop(k.orphan)
-	k.orphan = c.loop.After(d, func() {
-		if k.state == s && k.Caller == c.lost {
-			c.log.Info("nobody came back for a call", "id", k.ID, "stood", s == stands)
-			c.CallerReleased(c.lost, k.ID, cause)
+// unlessResumed gives a call up that is still in the state, and still without its caller, after a time.
+func (c *Core) unlessResumed(k *record, d time.Duration, s state, cause int, then func()) {
+	c.loop.Stop(k.orphanTimer)
+	k.orphanTimer = c.loop.After(d, func() {
+		if k.state == s && k.Caller == c.orphanCaller {
+			c.log.Info("nobody came back for a call", "id", k.ID, "stood", s == established)
+			c.CallerReleased(c.orphanCaller, k.ID, cause)
 			then()
 		}
 	})
 }
 
-// lose keeps an open call whose connection has closed for its caller to come back.
-func (c *Core) lose(k *record) {
-	c.move(k, c.lost)
-	c.giveUpAfter(k, min(recovery.PendingResumeTimeout, time.Until(k.Deadline)))
+// orphan keeps an open call whose connection has closed for its caller to come back.
+func (c *Core) orphan(k *record) {
+	c.assignCaller(k, c.orphanCaller)
+	c.cancelUnlessResumed(k, min(recovery.PendingResumeTimeout, time.Until(k.Deadline)))
 }
 
-// move gives a call to another caller.
-func (c *Core) move(k *record, to Caller) {
-	c.loop.Stop(k.orphan)
+// assignCaller gives a call to another caller.
+func (c *Core) assignCaller(k *record, to Caller) {
+	c.loop.Stop(k.orphanTimer)
 	switch k.state {
-	case open:
-		c.settle(k)
+	case pending:
+		c.removePending(k)
 		k.Caller = to
-		c.owe(k)
-	case stands:
-		if c.standing[k.Caller]--; c.standing[k.Caller] == 0 {
-			delete(c.standing, k.Caller)
+		c.addPending(k)
+	case established:
+		if c.establishedByCaller[k.Caller]--; c.establishedByCaller[k.Caller] == 0 {
+			delete(c.establishedByCaller, k.Caller)
 		}
 		k.Caller = to
-		c.standing[to]++
+		c.establishedByCaller[to]++
 	}
 }
 
@@ -197,8 +197,8 @@
 	Deadline  time.Time // when its caller gives an open call up; zero if it does not say so
 }
 
-// maxClaims bounds claims that wait for a predecessor to end: as many as its callers can have had.
-const maxClaims = 16 << 10
+// maxWaitingResumes bounds claims that wait for a predecessor to end: as many as its callers can have had.
+const maxWaitingResumes = 16 << 10
 
 // ErrTooManyResumes ends a connection whose claims cannot even wait. What it claims can be claimed again.
 var ErrTooManyResumes = errors.New("too many calls are resumed at once")
@@ -208,40 +208,40 @@
 // connection.
 func (c *Core) ResumeCall(claim ResumeRequest) error {
 	if c.awaitsLedger {
-		if len(c.claims) >= maxClaims {
+		if len(c.waitingResumes) >= maxWaitingResumes {
 			return ErrTooManyResumes
 		}
-		c.claims = append(c.claims, claim)
-		c.unlessFound(claim, func() { c.ledgerTooLate(claim) })
+		c.waitingResumes = append(c.waitingResumes, claim)
+		c.onResumeTimeout(claim, func() { c.expireLedgerWait(claim) })
 		return nil
 	}
 	caller, id, token, answered := claim.Caller, claim.ID, claim.Token, claim.Answered
 	k := c.calls[id]
-	if (k == nil || k.moving) && c.want(claim) {
+	if (k == nil || k.transferring) && c.lookUp(claim) {
 		return nil
 	}
 	if k == nil || !recovery.TokenMatches(token, k.Token) {
-		c.unknown(caller, id, token, k == nil)
+		c.rejectUnknown(caller, id, token, k == nil)
 		return nil
 	}
 	c.recovered.Resumed++
-	k.claimedAt = time.Now()
+	k.resumedAt = time.Now()
 	endlog.Call(c.log, endlog.CameBack, id, endlog.Server(k.server), slog.String(endlog.StateKey, k.state.String()))
 	switch {
-	case k.state == over:
-		if k.told != caller { // on the same connection it had its answer
-			k.told = caller
+	case k.state == terminated:
+		if k.answeredTo != caller { // on the same connection it had its answer
+			k.answeredTo = caller
 			caller.End(id, k.end)
 		}
-	case k.state == stands:
+	case k.state == established:
 		if k.Caller != caller {
-			c.move(k, caller)
+			c.assignCaller(k, caller)
 		}
 		if answered {
-			k.told = caller
+			k.answeredTo = caller
 		}
-		if k.told != caller {
-			k.told = caller
+		if k.answeredTo != caller {
+			k.answeredTo = caller
 			if err := caller.Answer(id, k.answer); err != nil {
 				return fmt.Errorf("resumed call %s: %w", id, err)
 			}
@@ -249,63 +249,63 @@
 	case answered:
 		// Its caller has an answer that is not known here: what was kept of it is not all, and it can't be trusted.
 		c.log.Error("a caller has the answer to a call that is open here", "id", id)
-		c.move(k, caller)
-		c.abandon(k)
+		c.assignCaller(k, caller)
+		c.cancelCall(k)
 		c.dispatchers.Release("", id, CauseNormal)
-		c.final(k, End{Cause: CauseTemporary, Reason: ReasonCut})
+		c.rejectCall(k, End{Cause: CauseTemporary, Reason: ReasonCut})
 	default:
 		if k.Caller != caller {
-			c.move(k, caller)
+			c.assignCaller(k, caller)
 		}
-		c.shorten(k, claim.Deadline)
-		if k.parked {
-			k.parked = false
-			class := c.class(k.Class)
+		c.shortenDeadline(k, claim.Deadline)
+		if k.awaitsResume {
+			k.awaitsResume = false
+			class := c.classIndex(k.Class)
 			if class < 0 { // other settings came meanwhile, without it: the module would never hear of the call
-				c.final(k, End{Cause: CauseTemporary, Reason: ReasonFailed})
+				c.rejectCall(k, End{Cause: CauseTemporary, Reason: ReasonFailed})
 				break
 			}
-			c.offer(k, class)
+			c.offerToModule(k, class)
 		}
 	}
 	return nil
 }
 
-// shorten has an open call answered by the time at which its caller gives up, if that is earlier than was known: the set-up may have waited
+// shortenDeadline has an open call answered by the time at which its caller gives up, if that is earlier than was known: the set-up may have waited
 // unread before its time was noted.
-func (c *Core) shorten(k *record, by time.Time) {
+func (c *Core) shortenDeadline(k *record, by time.Time) {
 	if by.IsZero() || !by.Before(k.Deadline) {
 		return
 	}
 	k.Deadline = by
-	c.loop.Stop(k.limit)
-	c.limit(k)
+	c.loop.Stop(k.deadlineTimer)
+	c.startDeadlineTimer(k)
 }
 
-// unlessFound has tooLate run before the caller of a claim gives up, if it says when that is.
-func (c *Core) unlessFound(claim ResumeRequest, tooLate func()) {
+// onResumeTimeout has expireLookup run before the caller of a claim gives up, if it says when that is.
+func (c *Core) onResumeTimeout(claim ResumeRequest, tooLate func()) {
 	if !claim.Answered && !claim.Deadline.IsZero() {
-		c.loop.After(max(time.Until(claim.Deadline)-early, 0), tooLate)
+		c.loop.After(max(time.Until(claim.Deadline)-answerMargin, 0), tooLate)
 	}
 }
 
-// ledgerTooLate tells a caller whose time is over that nothing is known of its call, as a predecessor has the ledger still.
-func (c *Core) ledgerTooLate(claim ResumeRequest) {
-	i := slices.Index(c.claims, claim)
+// expireLedgerWait tells a caller whose time is over that nothing is known of its call, as a predecessor has the ledger still.
+func (c *Core) expireLedgerWait(claim ResumeRequest) {
+	i := slices.Index(c.waitingResumes, claim)
 	if i < 0 {
 		return
 	}
-	c.claims = slices.Delete(c.claims, i, i+1)
-	c.unknown(claim.Caller, claim.ID, claim.Token, false)
+	c.waitingResumes = slices.Delete(c.waitingResumes, i, i+1)
+	c.rejectUnknown(claim.Caller, claim.ID, claim.Token, false)
 }
 
-// unknown tells a caller that nothing is known of a call. With cut, nobody else can have it either.
-func (c *Core) unknown(caller Caller, id, token string, cut bool) {
+// rejectUnknown tells a caller that nothing is known of a call. With cut, nobody else can have it either.
+func (c *Core) rejectUnknown(caller Caller, id, token string, cut bool) {
 	c.recovered.Unknown++
 	if cut && ValidID(id) {
 		// Nothing is known of it, so nobody will ever be told of it: it must not stand anywhere.
 		c.dispatchers.Release("", id, CauseNormal)
-		c.knowOver(id)
+		c.recordTerminated(id)
 		c.calls[id].Token, c.calls[id].end = recovery.HashToken(token), End{Cause: CauseTemporary, Reason: ReasonUnknown}
 	}
 	caller.End(id, End{Cause: CauseTemporary, Reason: ReasonUnknown})
@@ -321,8 +321,8 @@
 		return
 	}
 	c.awaitsLedger = false
-	claims := c.claims
-	c.claims = nil
+	claims := c.waitingResumes
+	c.waitingResumes = nil
 	for _, claim := range claims {
 		if err := c.ResumeCall(claim); err != nil {
 			c.log.Error("claim that cannot be served", "id", claim.ID, "err", err)
@@ -334,12 +334,12 @@
 func (c *Core) RecoveryStatus() RecoveryStatus {
 	r := c.recovered
 	for _, k := range c.calls {
-		if k.parked && k.state == open {
+		if k.awaitsResume && k.state == pending {
 			r.Waiting++
 		}
 	}
-	if c.durable != nil {
-		r.NotPersisted = c.durable.why
+	if c.ledgerWriter != nil {
+		r.NotPersisted = c.ledgerWriter.lastError
 	}
 	return r
 }
--- a/internal/call/recover_test.go
+++ b/internal/call/recover_test.go
@@ -12,35 +12,35 @@
 	"cherryrelay/internal/decide/recovery"
 )
 
-// stage is a core that takes up calls, with one front and dispatchers that note what they are told.
-type stage struct {
-	mute
-	core *Core
-	said []string
+// recorder is a core that takes up calls, with one front and dispatchers that note what they are told.
+type recorder struct {
+	stubDispatchers
+	core   *Core
+	events []string
 }
 
-func (s *stage) say(format string, args ...any) {
-	s.said = append(s.said, fmt.Sprintf(format, args...))
+func (s *recorder) add(format string, args ...any) {
+	s.events = append(s.events, fmt.Sprintf(format, args...))
 }
-func (s *stage) Idle() bool                                   { return true }
-func (s *stage) Connections() int                             { return 1 }
-func (s *stage) Answer(id, d string) error                    { s.say("answer %s %s", id, d); return nil }
-func (s *stage) End(id string, e End)                         { s.say("end %s %d %s", id, e.Cause, e.Reason) }
-func (s *stage) Disconnected() bool                           { return false }
-func (s *stage) NotifyTerminated(id string, e End)            { s.say("over %s %d %s", id, e.Cause, e.Reason) }
-func (s *stage) SetUp(server control.ServerID, a SetUp)       { s.say("set-up %s", a.ID) }
-func (s *stage) Release(_ control.ServerID, id string, _ int) { s.say("dispatchers release %s", id) }
+func (s *recorder) Idle() bool                                   { return true }
+func (s *recorder) Connections() int                             { return 1 }
+func (s *recorder) Answer(id, d string) error                    { s.add("answer %s %s", id, d); return nil }
+func (s *recorder) End(id string, e End)                         { s.add("end %s %d %s", id, e.Cause, e.Reason) }
+func (s *recorder) Disconnected() bool                           { return false }
+func (s *recorder) NotifyTerminated(id string, e End)            { s.add("over %s %d %s", id, e.Cause, e.Reason) }
+func (s *recorder) SetUp(server control.ServerID, a SetUp)       { s.add("set-up %s", a.ID) }
+func (s *recorder) Release(_ control.ServerID, id string, _ int) { s.add("dispatchers release %s", id) }
 
-// atFront is the way by which ends are told that no connection is known for.
-type atFront struct{ *stage }
+// recordingFront is the way by which ends are told that no connection is known for.
+type recordingFront struct{ *recorder }
 
-func (f atFront) Release(id string, e End) { f.say("front %s %d %s", id, e.Cause, e.Reason) }
+func (f recordingFront) Release(id string, e End) { f.add("front %s %d %s", id, e.Cause, e.Reason) }
 
 const callToken = "a token of some caller"
 
-// TestTakingUpCalls: what callers and dispatchers are told of each kind of call that was left, at once, when the list comes,
+// TestRecoverCalls: what callers and dispatchers are told of each kind of call that was left, at once, when the list comes,
 // and when its caller comes for it.
-func TestTakingUpCalls(t *testing.T) {
+func TestRecoverCalls(t *testing.T) {
 	const id = "00000000000000aa"
 	for name, test := range map[string]struct {
 		events         func(now time.Duration) []recovery.Event
@@ -50,33 +50,33 @@
 	}{
 		"open, an attempt out": {
 			func(now time.Duration) []recovery.Event {
-				return []recovery.Event{taken(id, now), event(recovery.KindAttemptSent, id, now)}
+				return []recovery.Event{accepted(id, now), event(recovery.KindAttemptSent, id, now)}
 			}, nil, []string{"dispatchers release " + id}, []string{"set-up " + id}, map[string]int{"await": 1}},
 		"stands": {
 			func(now time.Duration) []recovery.Event {
-				return []recovery.Event{taken(id, now), event(recovery.KindAttemptSent, id, now), event(recovery.KindEstablished, id, now)}
+				return []recovery.Event{accepted(id, now), event(recovery.KindAttemptSent, id, now), event(recovery.KindEstablished, id, now)}
 			}, nil, nil, []string{"answer " + id + " y"}, map[string]int{"adopt": 1}},
 		"stands at one that has gone": {
 			func(now time.Duration) []recovery.Event {
 				e := event(recovery.KindEstablished, id, now)
 				e.Server = "gone"
-				return []recovery.Event{taken(id, now), event(recovery.KindAttemptSent, id, now), e}
+				return []recovery.Event{accepted(id, now), event(recovery.KindAttemptSent, id, now), e}
 			}, nil, []string{"front " + id + " 41 cut"}, []string{"end " + id + " 41 cut"}, map[string]int{"adopt": 1}},
 		"ended, perhaps not told": {
 			func(now time.Duration) []recovery.Event {
 				e := event(recovery.KindTerminated, id, now)
 				e.Cause, e.Reason = 16, "ended"
-				return []recovery.Event{taken(id, now), event(recovery.KindAttemptSent, id, now), event(recovery.KindEstablished, id, now), e}
+				return []recovery.Event{accepted(id, now), event(recovery.KindAttemptSent, id, now), event(recovery.KindEstablished, id, now), e}
 			}, []string{"front " + id + " 16 ended"}, nil, []string{"end " + id + " 16 ended"}, map[string]int{"tell": 1}},
 		"refused": {
 			func(now time.Duration) []recovery.Event {
 				e := event(recovery.KindRejected, id, now)
 				e.Cause, e.Reason = 42, "refused"
-				return []recovery.Event{taken(id, now), e}
+				return []recovery.Event{accepted(id, now), e}
 			}, nil, nil, []string{"end " + id + " 42 refused"}, map[string]int{"keep": 1}},
 		"out of time": {
 			func(now time.Duration) []recovery.Event {
-				return []recovery.Event{taken(id, now-time.Minute), event(recovery.KindAttemptSent, id, now-time.Minute)}
+				return []recovery.Event{accepted(id, now-time.Minute), event(recovery.KindAttemptSent, id, now-time.Minute)}
 			}, nil, []string{"dispatchers release " + id}, []string{"end " + id + " 41 deadline"}, map[string]int{"fail": 1}},
 		"doubtful, and stands": {
 			func(now time.Duration) []recovery.Event {
@@ -88,21 +88,21 @@
 			nil, nil, []string{"dispatchers release " + id, "end " + id + " 41 unknown"}, map[string]int{}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			core := newSite(t).core
-			s := &stage{core: core}
+			core := newFixture(t).core
+			s := &recorder{core: core}
 			core.SetDispatchers(s)
-			core.AddFront(atFront{s})
+			core.AddFront(recordingFront{s})
 			b := recovery.NewCallTable()
 			for _, e := range test.events(core.now()) {
 				b.Apply(e)
 			}
 			expect := func(when string, want []string) {
 				t.Helper()
-				core.turn()
-				if diff := cmp.Diff(want, s.said); diff != "" {
+				core.finishIteration()
+				if diff := cmp.Diff(want, s.events); diff != "" {
 					t.Errorf("%s (-want +got):\n%s", when, diff)
 				}
-				s.said = nil
+				s.events = nil
 			}
 			core.Recover(b, nil)
 			expect("at once", test.atOnce)
@@ -112,7 +112,7 @@
 				t.Fatal(err)
 			}
 			time.Sleep(guard + 20*time.Millisecond) // an attempt waits for the guard
-			core.tell(control.Woken{})
+			core.queueEvent(control.Woken{})
 			expect("when its caller comes", test.claimed)
 			if err := core.ResumeCall(ResumeRequest{Caller: s, ID: id, Token: callToken}); err != nil {
 				t.Fatal(err)
@@ -127,7 +127,7 @@
 	}
 }
 
-func taken(id string, at time.Duration) recovery.Event {
+func accepted(id string, at time.Duration) recovery.Event {
 	e := event(recovery.KindAccepted, id, at)
 	e.Class, e.Called, e.Description, e.Token = "c", "k", "x", recovery.HashToken(callToken)
 	e.DeadlineUs = (at + 9*time.Second).Microseconds()
@@ -143,16 +143,16 @@
 	return e
 }
 
-// TestNobodyComesBack: an open call is given up, and one that stands, and whose caller may not know, is released.
-func TestNobodyComesBack(t *testing.T) {
-	core := newSite(t).core
-	s := &stage{core: core}
+// TestOrphanedCallsExpire: an open call is given up, and one that stands, and whose caller may not know, is released.
+func TestOrphanedCallsExpire(t *testing.T) {
+	core := newFixture(t).core
+	s := &recorder{core: core}
 	core.SetDispatchers(s)
-	core.AddFront(atFront{s})
+	core.AddFront(recordingFront{s})
 	b := recovery.NewCallTable()
 	for n, kind := range []recovery.Kind{recovery.KindAttemptSent, recovery.KindEstablished} {
 		id := fmt.Sprintf("%016x", n+1)
-		b.Apply(taken(id, core.now()))
+		b.Apply(accepted(id, core.now()))
 		b.Apply(event(recovery.KindAttemptSent, id, core.now()))
 		if kind == recovery.KindEstablished {
 			b.Apply(event(kind, id, core.now()))
@@ -167,28 +167,28 @@
 	loop.Run()
 	// The first is released when the list comes, as whatever was open is; it goes nowhere.
 	want := []string{"dispatchers release 0000000000000001", "dispatchers release 0000000000000002"}
-	if diff := cmp.Diff(want, s.said); diff != "" {
+	if diff := cmp.Diff(want, s.events); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
-	if n := core.owed + core.standing[core.lost]; n > 0 {
+	if n := core.pendingCount + core.establishedByCaller[core.orphanCaller]; n > 0 {
 		t.Errorf("%d calls are left", n)
 	}
 }
 
-// TestAClassThatGoesWhileACallWaitsForItsCaller: its caller, as it comes, is answered at once. The module never heard of the call, and it
+// TestClassRemovedWhileCallAwaitsResume: its caller, as it comes, is answered at once. The module never heard of the call, and it
 // was answered at its limit only.
-func TestAClassThatGoesWhileACallWaitsForItsCaller(t *testing.T) {
+func TestClassRemovedWhileCallAwaitsResume(t *testing.T) {
 	const id = "00000000000000aa"
-	site := newSite(t)
+	site := newFixture(t)
 	core := site.core
-	s := &stage{core: core}
+	s := &recorder{core: core}
 	core.SetDispatchers(s)
-	core.AddFront(atFront{s})
+	core.AddFront(recordingFront{s})
 	b := recovery.NewCallTable()
-	b.Apply(taken(id, core.now()))
+	b.Apply(accepted(id, core.now()))
 	core.Recover(b, nil)
 	core.Update(Update{Complete: true, Servers: []Server{{ServerEntry: control.ServerEntry{ID: "a"}, Address: "127.0.0.1:1"}}})
-	core.turn()
+	core.finishIteration()
 	other := *site.settings
 	other.RequestClasses = slices.Clone(other.RequestClasses)
 	other.RequestClasses[0].Name = "another"
@@ -198,8 +198,8 @@
 	if err := core.ResumeCall(ResumeRequest{Caller: s, ID: id, Token: callToken}); err != nil {
 		t.Fatal(err)
 	}
-	core.turn()
-	if diff := cmp.Diff([]string{"dispatchers release " + id, "end " + id + " 41 failed"}, s.said); diff != "" {
+	core.finishIteration()
+	if diff := cmp.Diff([]string{"dispatchers release " + id, "end " + id + " 41 failed"}, s.events); diff != "" {
 		t.Errorf("what its caller is told (-want +got):\n%s", diff)
 	}
 }
--- a/internal/call/retune.go
+++ b/internal/call/retune.go
@@ -12,20 +12,20 @@
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	c.consult() // set-ups that have come already name their class by its place in the old settings
-	if err := c.module.UpdateSettings(c.selection.scaled(decisions)); err != nil {
+	c.stepModule() // set-ups that have come already name their class by its place in the old settings
+	if err := c.module.UpdateSettings(c.selection.scaleSettings(decisions)); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	c.decisions = decisions
-	c.showClasses()
+	c.registerClasses()
 	return nil
 }
 
 // CountReload counts a configuration that was taken or turned down.
 func (c *Core) CountReload(taken bool) {
 	if taken {
-		c.figures.ReloadsOK++
+		c.metrics.ReloadsOK++
 	} else {
-		c.figures.ReloadsFailed++
+		c.metrics.ReloadsFailed++
 	}
 }
--- a/internal/call/selection_test.go
+++ b/internal/call/selection_test.go
@@ -15,20 +15,20 @@
 	"cherryrelay/internal/decide/subset"
 )
 
-// scene is a site that keeps what the dispatchers are asked, and when, and what the connections know of the list. Its clock is that of
+// subsetFixture is a site that keeps what the dispatchers are asked, and when, and what the connections know of the list. Its clock is that of
 // the test's bubble.
-type scene struct {
-	*site
-	start time.Time
-	asked []string
-	known map[control.ServerID]Server
+type subsetFixture struct {
+	*fixture
+	start    time.Time
+	requests []string
+	known    map[control.ServerID]Server
 }
 
-func newScene(t *testing.T, o *subset.Options) *scene {
-	s := &scene{site: newSite(t), start: time.Now(), known: map[control.ServerID]Server{}}
+func newSubsetFixture(t *testing.T, o *subset.Options) *subsetFixture {
+	s := &subsetFixture{fixture: newFixture(t), start: time.Now(), known: map[control.ServerID]Server{}}
 	s.core.SetDispatchers(s)
 	s.core.DispatcherReached()
-	s.react = func(server control.ServerID, a SetUp) { s.answered(server, a) }
+	s.onSetUp = func(server control.ServerID, a SetUp) { s.answerAttempt(server, a) }
 	if o != nil {
 		o.Identity = "controller-1"
 		s.core.UseSubset(*o)
@@ -36,36 +36,36 @@
 	return s
 }
 
-func (s *scene) ask(format string, args ...any) {
-	s.asked = append(s.asked, fmt.Sprintf("%v ", time.Since(s.start))+fmt.Sprintf(format, args...))
+func (s *subsetFixture) request(format string, args ...any) {
+	s.requests = append(s.requests, fmt.Sprintf("%v ", time.Since(s.start))+fmt.Sprintf(format, args...))
 }
 
-func (s *scene) Update(u Update) {
+func (s *subsetFixture) Update(u Update) {
 	for _, e := range u.Servers {
 		s.known[e.ID] = e
 	}
-	s.ask("knows %+v", u)
+	s.request("knows %+v", u)
 }
 
-func (s *scene) SetUp(server control.ServerID, a SetUp) {
-	s.ask("set-up at %s: %+v", server, a)
-	s.site.SetUp(server, a)
+func (s *subsetFixture) SetUp(server control.ServerID, a SetUp) {
+	s.request("set-up at %s: %+v", server, a)
+	s.fixture.SetUp(server, a)
 }
 
-func (s *scene) CancelAttempt(server control.ServerID, id string, attempt int) {
-	s.ask("withdraw %s/%d at %s", id, attempt, server)
-	s.site.CancelAttempt(server, id, attempt)
+func (s *subsetFixture) CancelAttempt(server control.ServerID, id string, attempt int) {
+	s.request("withdraw %s/%d at %s", id, attempt, server)
+	s.fixture.CancelAttempt(server, id, attempt)
 }
 
-func (s *scene) Release(server control.ServerID, id string, cause int) {
-	s.ask("release %s at %q for %d", id, server, cause)
-	s.site.Release(server, id, cause)
+func (s *subsetFixture) Release(server control.ServerID, id string, cause int) {
+	s.request("release %s at %q for %d", id, server, cause)
+	s.fixture.Release(server, id, cause)
 }
 
-func (s *scene) Probe(server control.ServerID) { s.ask("probe %s", server) }
+func (s *subsetFixture) Probe(server control.ServerID) { s.request("probe %s", server) }
 
 // active are the dispatchers that the connections have as taking calls.
-func (s *scene) active() (ids []control.ServerID) {
+func (s *subsetFixture) active() (ids []control.ServerID) {
 	for id, e := range s.known {
 		if e.Status == control.Active {
 			ids = append(ids, id)
@@ -86,13 +86,13 @@
 	return all
 }
 
-func as(e Server, status control.ServerStatus) Server {
+func withStatus(e Server, status control.ServerStatus) Server {
 	e.Status = status
 	return e
 }
 
-// play runs a script on the loop, and the loop for so long.
-func (s *scene) play(d time.Duration, script func()) {
+// runFor runs a script on the loop, and the loop for so long.
+func (s *subsetFixture) runFor(d time.Duration, script func()) {
 	s.core.loop.Post(func() {
 		s.core.loop.After(d, s.core.loop.Quit)
 		script()
@@ -100,41 +100,41 @@
 	s.core.loop.Run()
 }
 
-func (s *scene) at(d time.Duration, f func()) { s.core.loop.After(d, f) }
+func (s *subsetFixture) schedule(d time.Duration, f func()) { s.core.loop.After(d, f) }
 
-func (s *scene) offer(id string, first int, left time.Duration) {
+func (s *subsetFixture) offer(id string, first int, left time.Duration) {
 	if err := s.core.Offer(Request{ID: id, Class: "c", FirstCell: first, Called: id, Deadline: time.Now().Add(left), Caller: s, Description: "x"}); err != nil {
 		s.t.Error(err)
 	}
 }
 
-// TestASubsetThatIsTheListChangesNothing plays the same calls and lists through a core with a selection and through one without, on
+// TestSubsetThatCoversTheListChangesNothing plays the same calls and lists through a core with a selection and through one without, on
 // the same clock: the dispatchers are asked the same, in the same instants.
-func TestASubsetThatIsTheListChangesNothing(t *testing.T) {
+func TestSubsetThatCoversTheListChangesNothing(t *testing.T) {
 	const most = 12
 	run := func(seed uint64, o *subset.Options) (asked []string) {
 		synctest.Test(t, func(t *testing.T) {
-			s, rng := newScene(t, o), rand.New(rand.NewPCG(seed, 1))
-			s.react = func(server control.ServerID, a SetUp) {
+			s, rng := newSubsetFixture(t, o), rand.New(rand.NewPCG(seed, 1))
+			s.onSetUp = func(server control.ServerID, a SetUp) {
 				after := time.Duration(rng.IntN(40)) * time.Millisecond
 				switch outcome := rng.IntN(8); {
 				case outcome < 4:
-					s.at(after, func() { s.answered(server, a) })
+					s.schedule(after, func() { s.answerAttempt(server, a) })
 				case outcome < 7:
-					s.at(after, func() {
-						s.ended(server, a, []control.Outcome{control.Full, control.Unreachable, control.Reset}[outcome-4])
+					s.schedule(after, func() {
+						s.endAttempt(server, a, []control.Outcome{control.Full, control.Unreachable, control.Reset}[outcome-4])
 					})
 				}
 			}
-			s.play(4*time.Second, func() {
+			s.runFor(4*time.Second, func() {
 				s.core.Update(Update{Complete: true, Servers: servers(0, 1+rng.IntN(most))})
 				for i := range 300 {
-					s.at(time.Duration(rng.IntN(3000))*time.Millisecond, func() {
+					s.schedule(time.Duration(rng.IntN(3000))*time.Millisecond, func() {
 						s.offer(fmt.Sprint(i), rng.IntN(most), time.Duration(50+rng.IntN(800))*time.Millisecond)
 					})
 				}
 				for range 12 {
-					s.at(time.Duration(rng.IntN(3000))*time.Millisecond, func() {
+					s.schedule(time.Duration(rng.IntN(3000))*time.Millisecond, func() {
 						e := server(rng.IntN(most))
 						e.Status = control.ServerStatus(rng.IntN(3))
 						if s.drained[e.ID] = e.Status != control.Active; !s.drained[e.ID] && rng.IntN(2) == 0 {
@@ -144,7 +144,7 @@
 					})
 				}
 			})
-			asked = s.asked
+			asked = s.requests
 		})
 		return asked
 	}
@@ -161,36 +161,36 @@
 	}
 }
 
-// TestWhatIsRefusedInTheSubsetGoesBeyondIt has all dispatchers of the subset turn calls away, or leave them unanswered, each in a way of
+// TestSubsetGrowsWhenItsDispatchersRefuse has all dispatchers of the subset turn calls away, or leave them unanswered, each in a way of
 // its own: every call stands at one that was outside.
-func TestWhatIsRefusedInTheSubsetGoesBeyondIt(t *testing.T) {
+func TestSubsetGrowsWhenItsDispatchersRefuse(t *testing.T) {
 	for name, outcome := range map[string]control.Outcome{"full": control.Full, "unreachable": control.Unreachable, "silent": control.TimedOut} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newScene(t, &subset.Options{Size: 4, GrowthLimit: 40, ShrinkAfter: time.Second})
+				s := newSubsetFixture(t, &subset.Options{Size: 4, GrowthLimit: 40, ShrinkAfter: time.Second})
 				s.core.decisions.MaxAttempts = 0
 				if err := s.core.module.UpdateSettings(s.core.decisions); err != nil {
 					t.Fatal(err)
 				}
 				bad := map[control.ServerID]bool{}
-				s.react = func(server control.ServerID, a SetUp) {
-					s.at(time.Millisecond, func() {
+				s.onSetUp = func(server control.ServerID, a SetUp) {
+					s.schedule(time.Millisecond, func() {
 						if !bad[server] {
-							s.answered(server, a)
+							s.answerAttempt(server, a)
 						} else if outcome != control.TimedOut {
-							s.ended(server, a, outcome)
+							s.endAttempt(server, a, outcome)
 						}
 					})
 				}
-				s.play(20*time.Second, func() {
+				s.runFor(20*time.Second, func() {
 					s.core.Update(Update{Complete: true, Servers: servers(0, 100)})
 					for _, id := range s.active() {
 						bad[id] = true
 					}
 					for i := range 40 {
-						s.at(time.Duration(i)*10*time.Millisecond, func() { s.offer(fmt.Sprint(i), -1, 3*time.Second) })
+						s.schedule(time.Duration(i)*10*time.Millisecond, func() { s.offer(fmt.Sprint(i), -1, 3*time.Second) })
 					}
-					s.at(4*time.Second, func() {
+					s.schedule(4*time.Second, func() {
 						if n := len(s.active()); n <= 4 || n > 40 {
 							t.Errorf("%d in the subset under need", n)
 						}
@@ -205,8 +205,8 @@
 					trials = 4
 				}
 				for i := range 40 {
-					if trials -= s.finals[fmt.Sprint(i)]; s.answers[fmt.Sprint(i)]+s.finals[fmt.Sprint(i)] != 1 || trials < 0 {
-						t.Errorf("call %d: %d answers, %d refusals", i, s.answers[fmt.Sprint(i)], s.finals[fmt.Sprint(i)])
+					if trials -= s.rejections[fmt.Sprint(i)]; s.answers[fmt.Sprint(i)]+s.rejections[fmt.Sprint(i)] != 1 || trials < 0 {
+						t.Errorf("call %d: %d answers, %d refusals", i, s.answers[fmt.Sprint(i)], s.rejections[fmt.Sprint(i)])
 					}
 				}
 				if n := len(s.active()); n != 4 {
@@ -217,23 +217,23 @@
 	}
 }
 
-// TestARefusalIsNotDelayedWhereNothingCanGrow: with all dispatchers in the subset, or as many as there may be, the module's word stands.
-func TestARefusalIsNotDelayedWhereNothingCanGrow(t *testing.T) {
+// TestRefusalIsNotDelayedWhenSubsetCannotGrow: with all dispatchers in the subset, or as many as there may be, the module's word stands.
+func TestRefusalIsNotDelayedWhenSubsetCannotGrow(t *testing.T) {
 	for name, o := range map[string]*subset.Options{"none": nil, "the list": {Size: 4}, "the most": {Size: 2, GrowthLimit: 2}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newScene(t, o)
+				s := newSubsetFixture(t, o)
 				s.core.decisions.MaxAttempts = 2
 				if err := s.core.module.UpdateSettings(s.core.decisions); err != nil {
 					t.Fatal(err)
 				}
-				s.react = func(server control.ServerID, a SetUp) { s.ended(server, a, control.Full) }
-				s.play(time.Second, func() {
+				s.onSetUp = func(server control.ServerID, a SetUp) { s.endAttempt(server, a, control.Full) }
+				s.runFor(time.Second, func() {
 					s.core.Update(Update{Complete: true, Servers: servers(0, 4)})
 					s.offer("1", -1, 500*time.Millisecond)
-					s.at(20*time.Millisecond, func() {
-						if s.finals["1"] != 1 || s.setUps != 2 {
-							t.Errorf("%d set-ups, %d refusals", s.setUps, s.finals["1"])
+					s.schedule(20*time.Millisecond, func() {
+						if s.rejections["1"] != 1 || s.setUps != 2 {
+							t.Errorf("%d set-ups, %d refusals", s.setUps, s.rejections["1"])
 						}
 					})
 				})
@@ -242,19 +242,19 @@
 	}
 }
 
-// TestFirstChoicesBeyondTheSubset: each call goes to the dispatcher that it names, wherever that is in the list.
-func TestFirstChoicesBeyondTheSubset(t *testing.T) {
+// TestFirstCellOutsideTheSubset: each call goes to the dispatcher that it names, wherever that is in the list.
+func TestFirstCellOutsideTheSubset(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScene(t, &subset.Options{Size: 4, GrowthLimit: 20, ShrinkAfter: time.Second})
+		s := newSubsetFixture(t, &subset.Options{Size: 4, GrowthLimit: 20, ShrinkAfter: time.Second})
 		at := map[string]control.ServerID{}
-		s.react = func(server control.ServerID, a SetUp) {
+		s.onSetUp = func(server control.ServerID, a SetUp) {
 			at[a.ID] = server
-			s.answered(server, a)
+			s.answerAttempt(server, a)
 		}
-		s.play(time.Minute, func() {
+		s.runFor(time.Minute, func() {
 			s.core.Update(Update{Complete: true, Servers: servers(0, 100)})
 			for i := range 100 {
-				s.at(time.Duration(i)*10*time.Millisecond, func() { s.offer(fmt.Sprint(i), i, time.Second) })
+				s.schedule(time.Duration(i)*10*time.Millisecond, func() { s.offer(fmt.Sprint(i), i, time.Second) })
 			}
 		})
 		for i := range 100 {
@@ -268,27 +268,27 @@
 	})
 }
 
-// TestAClassWithGroupsOfItsOwn: a class that may go to some groups alone is served though none of them is in the subset, and most are full.
-func TestAClassWithGroupsOfItsOwn(t *testing.T) {
+// TestClassRestrictedToCells: a class that may go to some groups alone is served though none of them is in the subset, and most are full.
+func TestClassRestrictedToCells(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScene(t, &subset.Options{Size: 4, GrowthLimit: 20})
+		s := newSubsetFixture(t, &subset.Options{Size: 4, GrowthLimit: 20})
 		s.core.decisions.Classes[0].Cells = []int{7, 8, 50}
 		if err := s.core.module.UpdateSettings(s.core.decisions); err != nil {
 			t.Fatal(err)
 		}
-		s.react = func(at control.ServerID, a SetUp) {
+		s.onSetUp = func(at control.ServerID, a SetUp) {
 			if at == server(50).ID {
-				s.answered(at, a)
+				s.answerAttempt(at, a)
 			} else {
-				s.ended(at, a, control.Full)
+				s.endAttempt(at, a, control.Full)
 			}
 		}
-		s.play(time.Second, func() {
+		s.runFor(time.Second, func() {
 			s.core.Update(Update{Complete: true, Servers: servers(0, 100)})
 			s.offer("1", 7, 500*time.Millisecond)
 		})
 		if s.answers["1"] != 1 {
-			t.Errorf("%d answers: %v", s.answers["1"], s.asked)
+			t.Errorf("%d answers: %v", s.answers["1"], s.requests)
 		}
 	})
 }
@@ -296,9 +296,9 @@
 // TestCallsOfADispatcherThatLeavesTheSubset: they go on, and what the list says of it later is told as ever.
 func TestCallsOfADispatcherThatLeavesTheSubset(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScene(t, &subset.Options{Size: 4, GrowthLimit: 20, ShrinkAfter: time.Second})
+		s := newSubsetFixture(t, &subset.Options{Size: 4, GrowthLimit: 20, ShrinkAfter: time.Second})
 		var out []control.ServerID
-		s.play(time.Minute, func() {
+		s.runFor(time.Minute, func() {
 			s.core.Update(Update{Complete: true, Servers: servers(0, 100)})
 			base := s.active()
 			for i := range 100 { // three that are not in the subset by themselves
@@ -307,19 +307,19 @@
 					s.offer(string(id), i, time.Second)
 				}
 			}
-			s.at(10*time.Second, func() {
+			s.schedule(10*time.Second, func() {
 				for _, id := range out {
 					if e := s.known[id]; e.Status != control.Removed || !e.CallsContinue || s.core.EstablishedCount(id) != 1 {
 						t.Errorf("%s after the quiet: %+v, %d calls stand", id, e, s.core.EstablishedCount(id))
 					}
 				}
 				s.core.Released(out[0], string(out[0]), 0, CauseNormal, nil)
-				if s.overs[string(out[0])] != 1 {
+				if s.terminations[string(out[0])] != 1 {
 					t.Error("the end of a call at a dispatcher outside of the subset is not told")
 				}
 				renewed := s.core.selection.entries[out[1]]
 				renewed.StartedAt = s.core.now()
-				removed := as(s.core.selection.entries[out[2]], control.Removed)
+				removed := withStatus(s.core.selection.entries[out[2]], control.Removed)
 				removed.Address = ""
 				s.core.Update(Update{Servers: []Server{renewed, removed}})
 				if e := s.known[out[1]]; e.StartedAt != renewed.StartedAt || e.Status != control.Removed || !e.CallsContinue {
@@ -333,26 +333,26 @@
 	})
 }
 
-// TestDrainsInsideAndOutside: one that drains in the subset is told so, and its place is another's; of one outside nothing is told.
-func TestDrainsInsideAndOutside(t *testing.T) {
+// TestDrainsInsideAndOutsideTheSubset: one that drains in the subset is told so, and its place is another's; of one outside nothing is told.
+func TestDrainsInsideAndOutsideTheSubset(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScene(t, &subset.Options{Size: 4})
-		s.play(time.Second, func() {
+		s := newSubsetFixture(t, &subset.Options{Size: 4})
+		s.runFor(time.Second, func() {
 			s.core.Update(Update{Complete: true, Servers: servers(0, 100)})
 			inside := s.active()
-			n := len(s.asked)
+			n := len(s.requests)
 			for i := range 100 {
 				if !slices.Contains(inside, server(i).ID) {
-					s.core.Update(Update{Servers: []Server{as(server(i), control.Draining)}})
+					s.core.Update(Update{Servers: []Server{withStatus(server(i), control.Draining)}})
 					s.core.Update(Update{Servers: []Server{server(i)}})
 					break
 				}
 			}
-			if len(s.asked) != n {
-				t.Errorf("told of a drain outside of the subset: %v", s.asked[n:])
+			if len(s.requests) != n {
+				t.Errorf("told of a drain outside of the subset: %v", s.requests[n:])
 			}
 			e := s.core.selection.entries[inside[0]]
-			s.core.Update(Update{Servers: []Server{as(e, control.Draining)}})
+			s.core.Update(Update{Servers: []Server{withStatus(e, control.Draining)}})
 			if s.known[e.ID].Status != control.Draining || len(s.active()) != 4 {
 				t.Errorf("%+v drains, %v are active", s.known[e.ID], s.active())
 			}
@@ -373,15 +373,15 @@
 	})
 }
 
-// TestASubsetThatNobodyAnswersGrowsWithoutCalls: until some dispatcher is reached, nobody calls.
-func TestASubsetThatNobodyAnswersGrowsWithoutCalls(t *testing.T) {
+// TestUnreachableSubsetGrowsWithoutCalls: until some dispatcher is reached, nobody calls.
+func TestUnreachableSubsetGrowsWithoutCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScene(t, &subset.Options{Size: 4, GrowthLimit: 12, ShrinkAfter: time.Minute})
+		s := newSubsetFixture(t, &subset.Options{Size: 4, GrowthLimit: 12, ShrinkAfter: time.Minute})
 		s.core.reached = false
-		s.play(10*time.Second, func() {
+		s.runFor(10*time.Second, func() {
 			s.core.Update(Update{Complete: true, Servers: servers(0, 100)})
 			for i, want := range []int{4, 8, 12, 12} {
-				s.at(time.Duration(i)*reachWithin+time.Millisecond, func() {
+				s.schedule(time.Duration(i)*reachTimeout+time.Millisecond, func() {
 					if n := len(s.active()); n != want {
 						t.Errorf("%d in the subset after %v, not %d", n, time.Since(s.start), want)
 					}
@@ -391,24 +391,24 @@
 	})
 }
 
-// TestALargeChangeIsTakenInBySlices replaces half of a large list at once, and then some while that is under way: the loop has other
+// TestLargeListChangeIsAppliedInSlices replaces half of a large list at once, and then some while that is under way: the loop has other
 // rounds in between, and what is known in the end is the subset of the last list.
-func TestALargeChangeIsTakenInBySlices(t *testing.T) {
+func TestLargeListChangeIsAppliedInSlices(t *testing.T) {
 	const n = 20_000
-	s := newScene(t, &subset.Options{Size: 16})
+	s := newSubsetFixture(t, &subset.Options{Size: 16})
 	rounds := 0
 	s.core.OnFlush(func() { rounds++ })
-	s.play(time.Minute, func() {
+	s.runFor(time.Minute, func() {
 		s.core.Update(Update{Complete: true, Servers: servers(0, n)})
 		s.core.Update(Update{Complete: true, Servers: servers(n/2, n+n/2)})
-		s.core.Update(Update{Servers: []Server{as(server(n), control.Removed), as(server(n+1), control.Draining)}})
+		s.core.Update(Update{Servers: []Server{withStatus(server(n), control.Removed), withStatus(server(n+1), control.Draining)}})
 		var look func()
 		look = func() {
 			if len(s.core.selection.queue) == 0 {
 				s.core.loop.Quit()
 				return
 			}
-			s.at(time.Millisecond, look)
+			s.schedule(time.Millisecond, look)
 		}
 		look()
 	})
@@ -419,25 +419,25 @@
 		}
 	}
 	joined, _ := want.Changes()
-	if got := s.active(); !slices.Equal(got, joined) || !s.core.listed {
-		t.Errorf("listed %v: %v, want %v", s.core.listed, got, joined)
+	if got := s.active(); !slices.Equal(got, joined) || !s.core.listReceived {
+		t.Errorf("listed %v: %v, want %v", s.core.listReceived, got, joined)
 	}
 	if rounds < 3 {
 		t.Errorf("%d rounds", rounds)
 	}
 }
 
-// TestPeersAreThoseOfOneDispatcher: where few of the controllers connect to a dispatcher, its windows are divided by those.
-func TestPeersAreThoseOfOneDispatcher(t *testing.T) {
-	s := newScene(t, &subset.Options{Size: 10})
+// TestPeersAreScaledToTheSubset: where few of the controllers connect to a dispatcher, its windows are divided by those.
+func TestPeersAreScaledToTheSubset(t *testing.T) {
+	s := newSubsetFixture(t, &subset.Options{Size: 10})
 	d := s.core.decisions
 	d.Nodes = 100
 	for _, test := range []struct{ listed, want int }{{5, 100}, {10, 100}, {50, 20}, {200, 5}, {3, 100}} {
 		s.core.Update(Update{Complete: true, Servers: servers(0, test.listed)})
 		for len(s.core.selection.queue) > 0 {
-			s.core.loop.takeIn()
+			s.core.loop.runPosted()
 		}
-		if got := s.core.selection.scaled(d).Nodes; got != test.want {
+		if got := s.core.selection.scaleSettings(d).Nodes; got != test.want {
 			t.Errorf("%d listed: %d peers, not %d", test.listed, got, test.want)
 		}
 	}
@@ -457,14 +457,14 @@
 			events := 0
 			for b.Loop() {
 				b.StopTimer()
-				s := newSite(new(testing.T))
+				s := newFixture(new(testing.T))
 				s.core.UseSubset(subset.Options{Identity: "controller-1"})
 				settle := func(u Update) {
 					hold(func() { s.core.Update(u) })
-					for s.core.turn(); len(s.core.selection.queue) > 0; {
+					for s.core.finishIteration(); len(s.core.selection.queue) > 0; {
 						hold(func() {
-							s.core.loop.takeIn()
-							s.core.turn()
+							s.core.loop.runPosted()
+							s.core.finishIteration()
 						})
 					}
 				}
--- a/internal/call/shares.go
+++ b/internal/call/shares.go
@@ -16,17 +16,17 @@
 	Window     float64          `json:"window"`  // starts a control period, if it has one
 }
 
-// asks counts what a dispatcher was asked.
-type asks struct{ sent, noLine int }
+// setUpCount counts what a dispatcher was asked.
+type setUpCount struct{ sent, noLine int }
 
-func (c *Core) countAsk(id control.ServerID, noLine bool) {
-	n := c.asked[id]
+func (c *Core) countSetUp(id control.ServerID, noLine bool) {
+	n := c.setUpCounts[id]
 	if noLine {
 		n.noLine++
 	} else {
 		n.sent++
 	}
-	c.asked[id] = n
+	c.setUpCounts[id] = n
 }
 
 // Shares are those of all dispatchers that the module knows, in the order in which they were first listed.
@@ -34,12 +34,12 @@
 	figures := c.module.Stats(c.now())
 	shares := make([]DispatcherShare, 0, len(figures))
 	for _, f := range figures {
-		n := c.asked[f.ID]
+		n := c.setUpCounts[f.ID]
 		shares = append(shares, DispatcherShare{ID: f.ID, SetUpsSent: n.sent, NoLine: n.noLine, Lines: f.Lines, FreeLines: f.FreeLines, OwnLines: f.OwnLines,
 			BackOffMS: f.BackOff.Milliseconds(), Unlimited: f.Unlimited, Window: f.Window})
 	}
 	return shares
 }
 
-// forgetAsks drops the counts of a dispatcher that is gone.
-func (c *Core) forgetAsks(id control.ServerID) { delete(c.asked, id) }
+// forgetSetUpCount drops the counts of a dispatcher that is gone.
+func (c *Core) forgetSetUpCount(id control.ServerID) { delete(c.setUpCounts, id) }
--- a/internal/call/succession.go
+++ b/internal/call/succession.go
@@ -9,63 +9,63 @@
 )
 
 const (
-	// serveOut is how long after its successor began to serve a process that nobody ends goes on before it ends itself.
-	serveOut = 2 * time.Second
-	// emptyWithin bounds how long one that ends waits for the connections that are left: nothing is owed on them.
-	emptyWithin = 2500 * time.Millisecond
+	// drainDelay is how long after its successor began to serve a process that nobody ends goes on before it ends itself.
+	drainDelay = 2 * time.Second
+	// connectionsTimeout bounds how long one that ends waits for the connections that are left: nothing is owed on them.
+	connectionsTimeout = 2500 * time.Millisecond
 )
 
 // AwaitPredecessor has the core take no callers while a predecessor serves them: it is not ready until Begin.
-func (c *Core) AwaitPredecessor() { c.waits = true }
+func (c *Core) AwaitPredecessor() { c.awaitsPredecessor = true }
 
 // AwaitsPredecessor reports whether a predecessor still serves.
-func (c *Core) AwaitsPredecessor() bool { return c.waits }
+func (c *Core) AwaitsPredecessor() bool { return c.awaitsPredecessor }
 
 // CanPlaceCalls reports whether calls can be placed, so that Begin may come.
-func (c *Core) CanPlaceCalls() bool { return c.able() }
+func (c *Core) CanPlaceCalls() bool { return c.placesCalls() }
 
 // StartServing ends Await.
-func (c *Core) StartServing() { c.waits = false }
+func (c *Core) StartServing() { c.awaitsPredecessor = false }
 
 // Supersede tells that a successor serves callers now. Set-ups that were taken are answered here, ends of calls are told
 // through relay, as long as it takes them, and then the process ends.
 func (c *Core) Supersede(relay func(id string, end End) bool) {
-	c.superseded, c.relay = time.Now(), relay
-	since := c.superseded
-	c.log.Info("a successor serves", "open", c.owed)
-	c.loop.After(serveOut, func() { c.endForSuccessor(since) })
+	c.supersededAt, c.relayEnd = time.Now(), relay
+	since := c.supersededAt
+	c.log.Info("a successor serves", "open", c.pendingCount)
+	c.loop.After(drainDelay, func() { c.drainForSuccessor(since) })
 }
 
-// endForSuccessor ends a process that has had the successor since then, and that nobody has asked to end.
-func (c *Core) endForSuccessor(since time.Time) {
-	if c.superseded.Equal(since) && c.draining.IsZero() {
+// drainForSuccessor ends a process that has had the successor since then, and that nobody has asked to end.
+func (c *Core) drainForSuccessor(since time.Time) {
+	if c.supersededAt.Equal(since) && c.drainingSince.IsZero() {
 		c.Drain()
-		c.byItself = true
+		c.drainsForSuccessor = true
 	}
 }
 
 // SuccessorEnded takes callers again: the successor is no more.
 func (c *Core) SuccessorEnded() {
 	if c.Superseded() {
-		c.superseded, c.relay = time.Time{}, nil
-		if c.byItself && !c.left {
-			c.byItself, c.draining = false, time.Time{}
+		c.supersededAt, c.relayEnd = time.Time{}, nil
+		if c.drainsForSuccessor && !c.quitting {
+			c.drainsForSuccessor, c.drainingSince = false, time.Time{}
 		}
 		c.log.Warn("the successor is no more")
 	}
 }
 
 // Superseded reports whether a successor serves.
-func (c *Core) Superseded() bool { return !c.superseded.IsZero() }
+func (c *Core) Superseded() bool { return !c.supersededAt.IsZero() }
 
-// keepsCallers reports whether a superseded process that ends still has connections on which something may arrive.
-func (c *Core) keepsCallers() bool {
-	return c.Superseded() && time.Since(c.draining) < emptyWithin &&
+// hasOpenConnections reports whether a superseded process that ends still has connections on which something may arrive.
+func (c *Core) hasOpenConnections() bool {
+	return c.Superseded() && time.Since(c.drainingSince) < connectionsTimeout &&
 		slices.ContainsFunc(c.fronts, func(f Front) bool { return f.Connections() > 0 })
 }
 
-// tellOver tells a caller that a call that stood has ended; with a successor, that one does, as callers are there.
-func (c *Core) tellOver(caller Caller, id string, end End) {
+// notifyTerminated tells a caller that a call that stood has ended; with a successor, that one does, as callers are there.
+func (c *Core) notifyTerminated(caller Caller, id string, end End) {
 	if !c.RelayToSuccessor(id, end) {
 		caller.NotifyTerminated(id, end)
 	}
@@ -73,7 +73,7 @@
 
 // RelayToSuccessor leaves the end of a call to the successor, and reports whether that has taken it. It is false without one.
 func (c *Core) RelayToSuccessor(id string, end End) bool {
-	if c.relay != nil && c.relay(id, end) {
+	if c.relayEnd != nil && c.relayEnd(id, end) {
 		endlog.Call(c.log, endlog.ToSuccessor, id)
 		return true
 	}
@@ -84,7 +84,7 @@
 func (c *Core) EachEstablishedCall(f func(id string, server control.ServerID)) {
 	var ids []string
 	for id, k := range c.calls {
-		if k.state == stands {
+		if k.state == established {
 			ids = append(ids, id)
 		}
 	}
@@ -97,20 +97,20 @@
 // Adopt takes over a call that stands, from a predecessor that ends.
 func (c *Core) Adopt(id string, server control.ServerID) {
 	if c.calls[id] == nil {
-		c.calls[id] = &record{Request: Request{ID: id, Caller: c.heir}, state: stands, server: server, attempts: 1, sentAt: time.Now()}
-		c.standing[c.heir]++
-		c.selection.keep(server)
+		c.calls[id] = &record{Request: Request{ID: id, Caller: c.unknownCaller}, state: established, server: server, attempts: 1, sentAt: time.Now()}
+		c.establishedByCaller[c.unknownCaller]++
+		c.selection.retain(server)
 	}
 }
 
-// heir stands in for the callers of calls from another process: they are on whatever connection there is.
-type heir struct{ core *Core }
+// unknownCaller stands in for the callers of calls from another process: they are on whatever connection there is.
+type unknownCaller struct{ core *Core }
 
-func (h *heir) Answer(string, string) error { return nil } // none of its calls is open
-func (h *heir) End(string, End)             {}
-func (h *heir) Disconnected() bool          { return false }
+func (h *unknownCaller) Answer(string, string) error { return nil } // none of its calls is open
+func (h *unknownCaller) End(string, End)             {}
+func (h *unknownCaller) Disconnected() bool          { return false }
 
-func (h *heir) NotifyTerminated(id string, end End) {
+func (h *unknownCaller) NotifyTerminated(id string, end End) {
 	for _, f := range h.core.fronts {
 		f.Release(id, end)
 	}
--- a/internal/call/takeover.go
+++ b/internal/call/takeover.go
@@ -27,85 +27,85 @@
 	Transferred(ids ...string)
 }
 
-// passing is the core's part in calls that pass between controllers.
-type passing struct {
-	finder  Finder
-	certain func() bool                // whether this process has its name for itself, as far as is known
-	letGo   func(error)                // does not return: this process begins anew
-	held    bool                       // calls have been kept: another controller may take them
-	claims  map[string][]ResumeRequest // that wait for their call to be found
-	waiting map[Caller]int             // how many of each
-	kept    []string                   // arrived, and not told to be kept
-	gone    []string                   // let go, and not told to be gone
+// transferState is the core's part in calls that pass between controllers.
+type transferState struct {
+	finder        Finder
+	holdsLease    func() bool                // whether this process has its name for itself, as far as is known
+	abort         func(error)                // does not return: this process begins anew
+	everPersisted bool                       // calls have been kept: another controller may take them
+	resumes       map[string][]ResumeRequest // that wait for their call to be found
+	resumeCounts  map[Caller]int             // how many of each
+	persisted     []string                   // arrived, and not told to be kept
+	transferred   []string                   // let go, and not told to be gone
 }
 
 // UseFinder has calls that are not known here looked for among those of other controllers. LetGo ends the process's work at once, before another
 // word leaves it; it is for a process that may hold its calls no more.
 func (c *Core) UseFinder(f Finder, certain func() bool, letGo func(error)) {
-	c.passing = &passing{finder: f, certain: certain, letGo: letGo, claims: map[string][]ResumeRequest{}, waiting: map[Caller]int{}, held: c.durable != nil && c.durable.ledger.Enabled()}
+	c.transfers = &transferState{finder: f, holdsLease: certain, abort: letGo, resumes: map[string][]ResumeRequest{}, resumeCounts: map[Caller]int{}, everPersisted: c.ledgerWriter != nil && c.ledgerWriter.ledger.Enabled()}
 }
 
-// want has a call looked for that somebody has come for. It reports whether it is.
-func (c *Core) want(claim ResumeRequest) bool {
-	p := c.passing
+// lookUp has a call looked for that somebody has come for. It reports whether it is.
+func (c *Core) lookUp(claim ResumeRequest) bool {
+	p := c.transfers
 	if p == nil || !ValidID(claim.ID) || !p.finder.Lookup(claim.ID, recovery.HashToken(claim.Token)) {
 		return false
 	}
-	p.claims[claim.ID] = append(p.claims[claim.ID], claim)
-	p.waiting[claim.Caller]++
-	c.unlessFound(claim, func() { c.tooLate(claim) })
+	p.resumes[claim.ID] = append(p.resumes[claim.ID], claim)
+	p.resumeCounts[claim.Caller]++
+	c.onResumeTimeout(claim, func() { c.expireLookup(claim) })
 	return true
 }
 
-// tooLate tells a caller whose time for an open call is over that nothing is known of it yet, as a final answer is owed by then. The call
+// expireLookup tells a caller whose time for an open call is over that nothing is known of it yet, as a final answer is owed by then. The call
 // goes on being looked for: what stands of it, wherever, has to be released.
-func (c *Core) tooLate(claim ResumeRequest) {
-	p := c.passing
-	if !slices.Contains(p.claims[claim.ID], claim) {
+func (c *Core) expireLookup(claim ResumeRequest) {
+	p := c.transfers
+	if !slices.Contains(p.resumes[claim.ID], claim) {
 		return // found, or missed, or its caller has gone
 	}
-	p.drop(claim)
-	c.unknown(claim.Caller, claim.ID, claim.Token, false)
+	p.removeResume(claim)
+	c.rejectUnknown(claim.Caller, claim.ID, claim.Token, false)
 }
 
-// came takes the claims that have waited for a call.
-func (p *passing) came(id string) []ResumeRequest {
-	claims := p.claims[id]
+// removeResumes takes the claims that have waited for a call.
+func (p *transferState) removeResumes(id string) []ResumeRequest {
+	claims := p.resumes[id]
 	for _, claim := range slices.Clone(claims) {
-		p.drop(claim)
+		p.removeResume(claim)
 	}
 	return claims
 }
 
-// drop forgets a claim that waits.
-func (p *passing) drop(claim ResumeRequest) {
-	if p.claims[claim.ID] = slices.DeleteFunc(slices.Clone(p.claims[claim.ID]), func(o ResumeRequest) bool { return o == claim }); len(p.claims[claim.ID]) == 0 {
-		delete(p.claims, claim.ID)
+// removeResume forgets a claim that waits.
+func (p *transferState) removeResume(claim ResumeRequest) {
+	if p.resumes[claim.ID] = slices.DeleteFunc(slices.Clone(p.resumes[claim.ID]), func(o ResumeRequest) bool { return o == claim }); len(p.resumes[claim.ID]) == 0 {
+		delete(p.resumes, claim.ID)
 	}
-	if p.waiting[claim.Caller]--; p.waiting[claim.Caller] <= 0 {
-		delete(p.waiting, claim.Caller)
+	if p.resumeCounts[claim.Caller]--; p.resumeCounts[claim.Caller] <= 0 {
+		delete(p.resumeCounts, claim.Caller)
 	}
 }
 
-// left drops the claims of a caller that has gone: it comes again, here or elsewhere.
-func (p *passing) left(caller Caller) {
-	if p == nil || p.waiting[caller] == 0 {
+// removeCaller drops the claims of a caller that has gone: it comes again, here or elsewhere.
+func (p *transferState) removeCaller(caller Caller) {
+	if p == nil || p.resumeCounts[caller] == 0 {
 		return
 	}
-	delete(p.waiting, caller)
-	for id, claims := range p.claims {
-		if p.claims[id] = slices.DeleteFunc(claims, func(o ResumeRequest) bool { return o.Caller == caller }); len(p.claims[id]) == 0 {
-			delete(p.claims, id) // the call may still come, and then waits for it as any that is left
+	delete(p.resumeCounts, caller)
+	for id, claims := range p.resumes {
+		if p.resumes[id] = slices.DeleteFunc(claims, func(o ResumeRequest) bool { return o.Caller == caller }); len(p.resumes[id]) == 0 {
+			delete(p.resumes, id) // the call may still come, and then waits for it as any that is left
 		}
 	}
 }
 
 // CallReceived takes up a call that was another controller's. Over is the cause of its end, if a dispatcher has told that already; else -1.
 func (c *Core) CallReceived(from *takeover.Call, over int) {
-	p, id := c.passing, from.ID()
-	if k := c.calls[id]; k != nil && !k.moving {
-		p.kept = append(p.kept, id) // it is here already: an earlier process was lost between the two steps of keeping it
-		c.claimed(id)
+	p, id := c.transfers, from.ID()
+	if k := c.calls[id]; k != nil && !k.transferring {
+		p.persisted = append(p.persisted, id) // it is here already: an earlier process was lost between the two steps of keeping it
+		c.serveResumes(id)
 		return
 	}
 	rules := recovery.Rules{Guard: c.decisions.ReleaseGuard, MaxAttempts: c.decisions.MaxAttempts}
@@ -115,40 +115,40 @@
 		if c.recovered.Actions == nil {
 			c.recovered.Actions, c.recovered.Reasons = map[string]int{}, map[string]int{}
 		}
-		c.recover(d)
+		c.recoverCall(d)
 	}
 	k := c.calls[id]
 	if k == nil {
-		p.kept = append(p.kept, id) // nothing is owed
+		p.persisted = append(p.persisted, id) // nothing is owed
 		c.CallNotFound(id, false)
 		return
 	}
 	endlog.Call(c.log, endlog.Arrived, id, endlog.Server(k.server))
-	c.noteAll(k)
-	p.kept = append(p.kept, id)
-	c.checkRecovered()
-	if k.state == stands { // its end may have been told to the one that had it, which told nobody
+	c.persistCall(k)
+	p.persisted = append(p.persisted, id)
+	c.verifyRecovered()
+	if k.state == established { // its end may have been told to the one that had it, which told nobody
 		c.dispatchers.Reconnect(k.server)
 	}
-	c.claimed(id)
-	if over >= 0 && k.state == stands {
-		c.finish(k, over, nil)
+	c.serveResumes(id)
+	if over >= 0 && k.state == established {
+		c.terminate(k, over, nil)
 	}
 }
 
-// noteAll has all that is known of a call kept.
-func (c *Core) noteAll(k *record) {
-	if c.durable == nil {
+// persistCall has all that is known of a call kept.
+func (c *Core) persistCall(k *record) {
+	if c.ledgerWriter == nil {
 		return
 	}
-	for _, e := range c.known(k).Events() {
-		c.durable.append(e)
+	for _, e := range c.recoveryCall(k).Events() {
+		c.ledgerWriter.appendEvent(e)
 	}
 }
 
-// claimed gives a call to those that have waited for it.
-func (c *Core) claimed(id string) {
-	claims := c.passing.came(id)
+// serveResumes gives a call to those that have waited for it.
+func (c *Core) serveResumes(id string) {
+	claims := c.transfers.removeResumes(id)
 	for _, claim := range claims {
 		if err := c.ResumeCall(claim); err != nil {
 			c.log.Error("claim that cannot be served", "id", claim.ID, "err", err)
@@ -158,17 +158,17 @@
 
 // CallNotFound tells those that have waited for a call that nothing is known of it; cut, that nobody can have it.
 func (c *Core) CallNotFound(id string, cut bool) {
-	claims := c.passing.came(id)
+	claims := c.transfers.removeResumes(id)
 	for _, claim := range claims {
-		c.unknown(claim.Caller, claim.ID, claim.Token, cut)
+		c.rejectUnknown(claim.Caller, claim.ID, claim.Token, cut)
 	}
 }
 
 // ApplyRemoteEnds takes in ends that dispatchers told to other controllers, and returns the calls that are held here.
 func (c *Core) ApplyRemoteEnds(ends map[string]int) (mine []string) {
 	for id, cause := range ends {
-		if k := c.calls[id]; k != nil && k.state == stands && !k.moving {
-			c.finish(k, cause, nil)
+		if k := c.calls[id]; k != nil && k.state == established && !k.transferring {
+			c.terminate(k, cause, nil)
 			mine = append(mine, id)
 		}
 	}
@@ -180,22 +180,22 @@
 func (c *Core) TransferRequested(calls map[string]takeover.Query) {
 	for id, query := range calls {
 		k := c.calls[id]
-		if k == nil || k.moving || len(k.Token) == 0 || !bytes.Equal(k.Token, query.Token) || k.end.Reason == ReasonUnknown {
+		if k == nil || k.transferring || len(k.Token) == 0 || !bytes.Equal(k.Token, query.Token) || k.end.Reason == ReasonUnknown {
 			continue
 		}
-		if k.claimedAt.After(query.Seen) { // its caller has come here since: who asked has failed, or lost it
+		if k.resumedAt.After(query.Seen) { // its caller has come here since: who asked has failed, or lost it
 			continue
 		}
-		if k.out {
-			c.withdraw(k, control.Cancelled, true)
+		if k.attemptInProgress {
+			c.cancelAttempt(k, control.Cancelled, true)
 		}
-		if k.state == open && !k.parked {
-			c.forget(k)
+		if k.state == pending && !k.awaitsResume {
+			c.forgetInModule(k)
 		}
 		c.stopTimers(k)
-		k.moving = true
-		known := c.known(k)
-		if err := c.passing.finder.Transfer(&takeover.Call{Events: known.Events(), LastUs: c.now().Microseconds()}); err != nil {
+		k.transferring = true
+		known := c.recoveryCall(k)
+		if err := c.transfers.finder.Transfer(&takeover.Call{Events: known.Events(), LastUs: c.now().Microseconds()}); err != nil {
 			c.log.Error("a call cannot be given to another controller", "id", id, "err", err)
 		}
 	}
@@ -204,56 +204,56 @@
 // TransferWritten lets a call go whose file is written.
 func (c *Core) TransferWritten(id string) {
 	k := c.calls[id]
-	if k == nil || !k.moving {
+	if k == nil || !k.transferring {
 		return
 	}
 	endlog.Call(c.log, endlog.Given, id, endlog.Server(k.server))
-	c.note(k, recovery.KindCancelled, nil)
+	c.persistEvent(k, recovery.KindCancelled, nil)
 	switch {
-	case k.state == open:
-		c.settle(k)
-	case k.state == stands:
-		if c.standing[k.Caller]--; c.standing[k.Caller] == 0 {
-			delete(c.standing, k.Caller)
+	case k.state == pending:
+		c.removePending(k)
+	case k.state == established:
+		if c.establishedByCaller[k.Caller]--; c.establishedByCaller[k.Caller] == 0 {
+			delete(c.establishedByCaller, k.Caller)
 		}
 	default:
-		c.ended = slices.DeleteFunc(c.ended, func(o *record) bool { return o == k })
+		c.recentlyTerminated = slices.DeleteFunc(c.recentlyTerminated, func(o *record) bool { return o == k })
 	}
 	delete(c.calls, id)
-	c.passing.gone = append(c.passing.gone, id)
-	if claims := c.passing.claims[id]; len(claims) > 0 { // its caller is here again
-		c.passing.finder.Lookup(id, recovery.HashToken(claims[0].Token))
+	c.transfers.transferred = append(c.transfers.transferred, id)
+	if claims := c.transfers.resumes[id]; len(claims) > 0 { // its caller is here again
+		c.transfers.finder.Lookup(id, recovery.HashToken(claims[0].Token))
 	}
 }
 
-// passed tells the finder what the ledger has by now. It comes after a commit.
-func (c *Core) passed() {
-	p := c.passing
-	if p == nil || c.durable != nil && !c.durable.ledger.Enabled() {
+// reportPersisted tells the finder what the ledger has by now. It comes after a commit.
+func (c *Core) reportPersisted() {
+	p := c.transfers
+	if p == nil || c.ledgerWriter != nil && !c.ledgerWriter.ledger.Enabled() {
 		return
 	}
-	p.held = true
-	if len(p.kept) > 0 {
-		p.finder.Persisted(p.kept...)
-		p.kept = nil
+	p.everPersisted = true
+	if len(p.persisted) > 0 {
+		p.finder.Persisted(p.persisted...)
+		p.persisted = nil
 	}
-	if len(p.gone) > 0 {
-		p.finder.Transferred(p.gone...)
-		p.gone = nil
+	if len(p.transferred) > 0 {
+		p.finder.Transferred(p.transferred...)
+		p.transferred = nil
 	}
 }
 
-// mayGoOn ends this process's work if its calls may be another's: its ledger was taken, or nothing is written and it is not certain either
+// checkOwnership ends this process's work if its calls may be another's: its ledger was taken, or nothing is written and it is not certain either
 // that nobody may take it.
-func (c *Core) mayGoOn(err error) {
-	p := c.passing
+func (c *Core) checkOwnership(err error) {
+	p := c.transfers
 	if p == nil {
 		return
 	}
-	if errors.Is(err, ledger.ErrSealed) || p.held && !c.durable.ledger.Enabled() && !p.certain() {
-		p.letGo(err)
+	if errors.Is(err, ledger.ErrSealed) || p.everPersisted && !c.ledgerWriter.ledger.Enabled() && !p.holdsLease() {
+		p.abort(err)
 	}
 }
 
-// lookAgain is the pace at which a process without a ledger looks whether it may go on.
-const lookAgain = 50 * time.Millisecond
+// ownershipCheckInterval is the pace at which a process without a ledger looks whether it may go on.
+const ownershipCheckInterval = 50 * time.Millisecond
