--- a/cmd/cherryrelay/failure_report_test.go
+++ b/cmd/cherryrelay/failure_report_test.go
@@ -58,8 +58,8 @@
 func TestAFailureTellsItsFaultsFirst(t *testing.T) {
 	t.Parallel()
 	const firstFault, firstLine, lastLine = "0000000000000001: no answer", "the first line\n", "the last line\n"
-	const lineOfCall = "call without an answer at its limit id=0000000000000001\n"
-	noise := strings.Repeat("no room for another connection\n", 1<<16)
+	const lineOfCall = "call without an answer at its deadline id=0000000000000001\n"
+	noise := strings.Repeat("limit of connections reached\n", 1<<16)
 	report := failureReport("again with this", []string{firstFault, "another"}, firstLine+noise+lineOfCall+noise+lastLine)
 	const headMost = 256 // bytes, ahead of the log
 	if at := strings.Index(report, firstFault); at < 0 || at > headMost || at > strings.Index(report, firstLine) {
--- a/internal/call/ambiguous.go
+++ b/internal/call/ambiguous.go
@@ -7,27 +7,31 @@
 )
 
 const (
-	// replyTimeout is how long after it was read an ambiguous end waits for the reply to the probe. What has stood is to be released towards its
-	// caller within a second of its end.
+	// replyTimeout is how long after it was read an ambiguous end waits for the reply to the probe. An established call
+	// must be released towards its caller within a second of its end.
 	replyTimeout = 800 * time.Millisecond
-	// replyTimeoutAfterAnswer is how long it waits at least once the answer has come: the reply may be right behind that.
+	// replyTimeoutAfterAnswer is the least time to wait for the reply after the answer: the reply may follow right
+	// after it.
 	replyTimeoutAfterAnswer = 100 * time.Millisecond
 )
 
-// ambiguousEnd is the end of a call that was read on another connection than that of its latest attempt, ahead of the answer or behind it, where an
-// earlier attempt at the same dispatcher may have established the call. A dispatcher tells the end of a call on the connection of its set-up, unless it
-// has closed that: what comes there next tells whose end it is.
+// ambiguousEnd is the end of a call that was read on a connection other than that of the latest attempt, before or
+// after the answer, while an earlier attempt at the same dispatcher may have established the call. A dispatcher sends
+// the end of a call on the connection of its set-up unless that is closed, so the next message on the connection of the
+// latest attempt shows to which attempt the end belongs.
 type ambiguousEnd struct {
 	cause  int
 	report []float64
 	readAt time.Time
-	// ofEarlierAttempt is set where an earlier attempt is known to have established the call: without a reply the end counts as that one's.
+	// ofEarlierAttempt is true if an earlier attempt is known to have established the call: without a reply, the end is
+	// attributed to that attempt.
 	ofEarlierAttempt bool
-	timer            *Timer // runs from the answer on
+	timer            *Timer // started with the answer
 }
 
-// probeAmbiguous keeps such an end, and has the connection of the attempt probed. If the reply comes and no end ahead of it, the end is an earlier
-// attempt's. If the connection ends first, behind the answer, it is that of the call that was answered.
+// probeAmbiguous stores an ambiguous end and probes the connection of the attempt. If the reply arrives without an end
+// before it, the end belongs to an earlier attempt. If the connection ends first, after the answer, the end belongs to
+// the established call.
 func (c *Core) probeAmbiguous(k *record, cause int, report []float64) {
 	end := &ambiguousEnd{cause: cause, report: report, readAt: time.Now(), ofEarlierAttempt: k.earlierEstablished()}
 	if k.ambiguous != nil && k.state == established {
@@ -48,7 +52,7 @@
 	c.startReplyTimer(k)
 }
 
-// startReplyTimer bounds the wait for the reply once a call has been answered.
+// startReplyTimer limits the wait for the reply once the call is established.
 func (c *Core) startReplyTimer(k *record) {
 	end := k.ambiguous
 	if end == nil || k.state != established {
@@ -65,7 +69,8 @@
 	})
 }
 
-// applyAmbiguous ends a call that was answered, by the ambiguous end that came. Its dispatcher may hold it all the same, and releases it then.
+// applyAmbiguous terminates an established call by its ambiguous end. The call is also released at its dispatcher,
+// which may still hold it.
 func (c *Core) applyAmbiguous(k *record) {
 	end := k.ambiguous
 	endlog.Call(c.log, endlog.EndOfLatest, k.ID, endlog.Server(k.server), endlog.Attempt(k.attempts-1))
@@ -74,7 +79,7 @@
 	c.Released(k.server, k.ID, noAttempt, end.cause, end.report)
 }
 
-// dropAmbiguous forgets an ambiguous end.
+// dropAmbiguous discards an ambiguous end.
 func (c *Core) dropAmbiguous(k *record) {
 	if k.ambiguous != nil {
 		c.loop.Stop(k.ambiguous.timer)
--- a/internal/call/ambiguous_end_test.go
+++ b/internal/call/ambiguous_end_test.go
@@ -8,7 +8,8 @@
 	"cherryrelay/control"
 )
 
-// newAmbiguousFixture is a site whose call was tried at a dispatcher, reset, and is out there again as an end comes on another connection. The steps follow.
+// newAmbiguousFixture returns a fixture with a call whose first attempt was reset, and whose second attempt at the same
+// dispatcher is in progress when an end arrives on another connection. The steps follow.
 func newAmbiguousFixture(t *testing.T, steps ...func(s *fixture, a SetUp)) *fixture {
 	t.Helper()
 	s := newFixture(t)
@@ -32,14 +33,14 @@
 	return s
 }
 
-// run plays the site for a time.
+// run runs the fixture's event loop for the given time.
 func (s *fixture) run(d time.Duration) {
 	s.core.Loop().After(d, s.core.Loop().Quit)
 	s.core.Loop().Run()
 }
 
-// TestAmbiguousEndIsAttributedByItsConnection guards against an end that is told to nobody, or told though it is an earlier attempt's, by what comes on the
-// connection of the attempt that is out.
+// TestAmbiguousEndIsAttributedByItsConnection guards against an ambiguous end that is delivered to nobody, or delivered
+// although it belongs to an earlier attempt. The messages on the connection of the attempt in progress decide that.
 func TestAmbiguousEndIsAttributedByItsConnection(t *testing.T) {
 	t.Parallel()
 	answered := func(s *fixture, a SetUp) { s.answerAttempt("a", a) }
@@ -51,16 +52,16 @@
 		steps         []func(s *fixture, a SetUp)
 		overs         int
 		releases      int
-		within, after time.Duration // of the end that is told
+		within, after time.Duration // of the delivery of the end
 	}{
-		"a reply, then the answer":                               {[]func(*fixture, SetUp){replied, answered}, 0, 0, 0, 0},
-		"the answer, then a reply":                               {[]func(*fixture, SetUp){answered, replied}, 0, 0, 0, 0},
-		"the answer, then the end of its connection":             {[]func(*fixture, SetUp){answered, connectionEnds}, 1, 1, 10 * time.Millisecond, 0},
-		"the answer alone":                                       {[]func(*fixture, SetUp){answered}, 1, 1, time.Second, replyTimeout / 2},
-		"another end, and a reply to the first probe":            {[]func(*fixture, SetUp){again, firstReply, answered}, 1, 1, time.Second, 0},
-		"another end, and replies to both":                       {[]func(*fixture, SetUp){again, replied, answered}, 0, 0, 0, 0},
-		"its own end behind the answer":                          {[]func(*fixture, SetUp){answered, again, replied}, 1, 0, 10 * time.Millisecond, 0},
-		"the end of its connection, and no answer ahead of that": {[]func(*fixture, SetUp){connectionEnds}, 0, 0, 0, 0},
+		"a reply, then the answer":                             {[]func(*fixture, SetUp){replied, answered}, 0, 0, 0, 0},
+		"the answer, then a reply":                             {[]func(*fixture, SetUp){answered, replied}, 0, 0, 0, 0},
+		"the answer, then the end of its connection":           {[]func(*fixture, SetUp){answered, connectionEnds}, 1, 1, 10 * time.Millisecond, 0},
+		"the answer alone":                                     {[]func(*fixture, SetUp){answered}, 1, 1, time.Second, replyTimeout / 2},
+		"another end, and a reply to the first probe":          {[]func(*fixture, SetUp){again, firstReply, answered}, 1, 1, time.Second, 0},
+		"another end, and replies to both":                     {[]func(*fixture, SetUp){again, replied, answered}, 0, 0, 0, 0},
+		"its own end after the answer":                         {[]func(*fixture, SetUp){answered, again, replied}, 1, 0, 10 * time.Millisecond, 0},
+		"the end of its connection, and no answer before that": {[]func(*fixture, SetUp){connectionEnds}, 0, 0, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -82,18 +83,18 @@
 					t.Errorf("%d ends, %d releases, %d final answers; want %d, %d, 0", s.terminations[callID], s.releases, s.rejections[callID], test.overs, test.releases)
 				}
 				if told := toldAt.Sub(begun); test.overs > 0 && (told > test.within+10*time.Millisecond || told < test.after) {
-					t.Errorf("the end is told after %v, want %v to %v", told, test.after, test.within)
+					t.Errorf("the end is delivered after %v, want %v to %v", told, test.after, test.within)
 				}
 			})
 		})
 	}
 }
 
-// TestAmbiguousEndAfterLateAnswerOfEarlierAttempt guards against a call that is cut, as nothing comes on its connection, by the end of an
-// earlier attempt whose answer came late.
+// TestAmbiguousEndAfterLateAnswerOfEarlierAttempt guards against an established call that is terminated by the end of
+// an earlier attempt whose answer arrived late, when nothing arrives on the call's own connection.
 func TestAmbiguousEndAfterLateAnswerOfEarlierAttempt(t *testing.T) {
 	t.Parallel()
-	for name, beside := range map[string]bool{"before the next attempt": false, "beside the next attempt": true} {
+	for name, beside := range map[string]bool{"before the next attempt": false, "during the next attempt": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
@@ -123,14 +124,15 @@
 				}
 				s.completePings(false)
 				if s.terminations[callID] != 0 {
-					t.Error("the end is told as the connection ends much later")
+					t.Error("the end is delivered when the connection ends much later")
 				}
 			})
 		})
 	}
 }
 
-// TestAmbiguousEndIsDroppedWithItsAttempt guards against an end of an earlier attempt that ends the call as it stands by a later one.
+// TestAmbiguousEndIsDroppedWithItsAttempt guards against the end of an earlier attempt that terminates the call once a
+// later attempt has established it.
 func TestAmbiguousEndIsDroppedWithItsAttempt(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/call/ambiguous_test.go
+++ b/internal/call/ambiguous_test.go
@@ -7,8 +7,8 @@
 	"cherryrelay/control"
 )
 
-// TestAnEndBeforeItsAnswerAfterAReset guards against the untold end of a call that came ahead of its answer, where an earlier attempt at the same
-// dispatcher may have stood.
+// TestAnEndBeforeItsAnswerAfterAReset guards against an end that arrives before its answer and is delivered to nobody,
+// because an earlier attempt at the same dispatcher may have established the call.
 func TestAnEndBeforeItsAnswerAfterAReset(t *testing.T) {
 	t.Parallel()
 	s := newFixture(t)
--- a/internal/call/behind_answer_test.go
+++ b/internal/call/behind_answer_test.go
@@ -8,7 +8,8 @@
 	"cherryrelay/control"
 )
 
-// newEstablishedFixture is a site whose call stands at a dispatcher by its second attempt, where the first one had the given outcome. The steps follow, each at its time.
+// newEstablishedFixture returns a fixture whose call is established by its second attempt, after the first one had the
+// given outcome at the same dispatcher. Each step runs at its time after the answer.
 func newEstablishedFixture(t *testing.T, first control.Outcome, steps map[time.Duration]func(s *fixture)) *fixture {
 	t.Helper()
 	s := newFixture(t)
@@ -29,8 +30,9 @@
 	return s
 }
 
-// TestAnEndAfterTheAnswerOnAnotherConnection guards against a call that is cut as it stands, by the end of an earlier attempt that is read on another connection, and
-// against the end of a call that is told late or to nobody as it may be that of an earlier attempt.
+// TestAnEndAfterTheAnswerOnAnotherConnection guards against an established call that is terminated by the end of an
+// earlier attempt, read on another connection; and against the end of a call that is delivered late or to nobody
+// because it may belong to an earlier attempt.
 func TestAnEndAfterTheAnswerOnAnotherConnection(t *testing.T) {
 	t.Parallel()
 	beside := func(s *fixture) { s.core.ReleasedOnOtherConnection("a", callID, CauseNormal, nil) }
@@ -44,20 +46,20 @@
 		steps        steps
 		overs        int
 		releases     int
-		unreplied    int           // probes
-		from, within time.Duration // of the end, after the answer
+		unreplied    int           // probes without a reply
+		from, within time.Duration // of the delivery of the end, after the answer
 	}{
-		"a reply":                                  {control.Reset, steps{read: beside, next: replied}, 0, 0, 0, 0, 0},
-		"a reply, then its own end":                {control.Reset, steps{read: beside, next: replied, later: own}, 1, 0, 0, later, later},
-		"its own end ahead of the reply":           {control.Reset, steps{read: beside, next: own, later: replied}, 1, 0, 0, next, next},
-		"the end of its connection":                {control.Reset, steps{read: beside, next: connectionEnds}, 1, 1, 0, next, next},
-		"no reply":                                 {control.Reset, steps{read: beside}, 1, 1, 1, replyTimeout, time.Second},
-		"no reply to an end that is repeated":      {control.Reset, steps{read: beside, much: beside}, 1, 1, 2, replyTimeout, time.Second},
-		"the earlier attempt was refused":          {control.Failed, steps{read: beside}, 1, 0, 0, read, read},
-		"an end on the connection of its answer":   {control.Reset, steps{read: own}, 1, 0, 0, read, read},
-		"another end, whose probe has its reply":   {control.Reset, steps{read: beside, next: beside, later: replied}, 0, 0, 0, 0, 0},
-		"another end, and its connection's end":    {control.Reset, steps{read: beside, next: beside, later: connectionEnds}, 1, 1, 0, later, later},
-		"an end of the same id at another address": {control.Reset, steps{read: func(s *fixture) { s.core.ReleasedOnOtherConnection("b", callID, CauseNormal, nil) }}, 0, 0, 0, 0, 0},
+		"a reply":                                       {control.Reset, steps{read: beside, next: replied}, 0, 0, 0, 0, 0},
+		"a reply, then its own end":                     {control.Reset, steps{read: beside, next: replied, later: own}, 1, 0, 0, later, later},
+		"its own end before the reply":                  {control.Reset, steps{read: beside, next: own, later: replied}, 1, 0, 0, next, next},
+		"the end of its connection":                     {control.Reset, steps{read: beside, next: connectionEnds}, 1, 1, 0, next, next},
+		"no reply":                                      {control.Reset, steps{read: beside}, 1, 1, 1, replyTimeout, time.Second},
+		"no reply to a repeated end":                    {control.Reset, steps{read: beside, much: beside}, 1, 1, 2, replyTimeout, time.Second},
+		"the earlier attempt was refused":               {control.Failed, steps{read: beside}, 1, 0, 0, read, read},
+		"an end on the connection of its answer":        {control.Reset, steps{read: own}, 1, 0, 0, read, read},
+		"another end, and a reply to its probe":         {control.Reset, steps{read: beside, next: beside, later: replied}, 0, 0, 0, 0, 0},
+		"another end, and the end of its connection":    {control.Reset, steps{read: beside, next: beside, later: connectionEnds}, 1, 1, 0, later, later},
+		"an end of the same id from another dispatcher": {control.Reset, steps{read: func(s *fixture) { s.core.ReleasedOnOtherConnection("b", callID, CauseNormal, nil) }}, 0, 0, 0, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -82,7 +84,7 @@
 				}
 				const slack = 2 * time.Millisecond
 				if told := toldAt.Sub(begun); test.overs > 0 && (told < test.from-slack || told > test.within+slack) {
-					t.Errorf("the end is told %v after the answer, want %v to %v", told, test.from, test.within)
+					t.Errorf("the end is delivered %v after the answer, want %v to %v", told, test.from, test.within)
 				}
 			})
 		})
@@ -100,6 +102,6 @@
 	})
 	s.core.Loop().Run()
 	if goesOn {
-		t.Error("a call that is unknown counts as one that goes on")
+		t.Error("an unknown call is reported as established")
 	}
 }
--- a/internal/call/bounds_test.go
+++ b/internal/call/bounds_test.go
@@ -11,8 +11,8 @@
 	"cherryrelay/control"
 )
 
-// collectSizes notes the room that every map, slice and ring takes that is reached from v without passing an interface: what callers,
-// dispatchers and logs keep is theirs.
+// collectSizes adds up the sizes of all maps, slices and rings that can be reached from v without passing through an
+// interface. What callers, dispatchers and logs hold is not counted.
 func collectSizes(v reflect.Value, path string, seen map[uintptr]bool, into map[string]int) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -38,11 +38,12 @@
 	}
 }
 
-// singleCaller is a caller of one call.
+// singleCaller is a caller with a single call.
 type singleCaller struct{ *fixture }
 
-// TestMemoryDoesNotGrowWithPastCalls plays calls, callers and dispatchers that come and go under new names, by the thousand, and
-// finds every table at the size that it had after the first few hundred. Time is simulated: half an hour passes at once.
+// TestMemoryDoesNotGrowWithPastCalls runs thousands of calls, with callers and dispatchers that come and go under new
+// names, and checks that every table stays at the size that it had after the first few hundred calls. Time is
+// simulated: half an hour passes at once.
 func TestMemoryDoesNotGrowWithPastCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFixture(t)
@@ -51,7 +52,7 @@
 		s.onSetUp = func(server control.ServerID, a SetUp) {
 			after := loop.After
 			switch rng.IntN(6) {
-			case 0: // silent
+			case 0: // no answer
 			case 1:
 				after(5*time.Millisecond, func() { s.endAttempt(server, a, control.Full) })
 			case 2:
@@ -72,7 +73,7 @@
 		play := func(calls int) map[string]int {
 			for range calls {
 				on(func() {
-					if number%20 == 0 { // a dispatcher is replaced by one of another name
+					if number%20 == 0 { // replace a dispatcher by one with another name
 						next := number / 20
 						s.updateList(control.Active, control.ServerID(fmt.Sprint("d", next)))
 						if next >= 3 {
@@ -86,7 +87,7 @@
 						t.Errorf("%s: %v", id, err)
 					}
 					if number%7 == 0 {
-						s.core.Released("nobody", fmt.Sprintf("%016x", 1<<40+number), -1, CauseNormal, nil)
+						s.core.Released("unlisted", fmt.Sprintf("%016x", 1<<40+number), -1, CauseNormal, nil)
 					}
 					number++
 				})
@@ -94,7 +95,7 @@
 			}
 			time.Sleep(2 * retentionPeriod)
 			into := map[string]int{}
-			on(func() { // what has ended is forgotten with the next end
+			on(func() { // terminated calls are dropped when the next call ends
 				s.core.recordTerminated("0123456789abcdef")
 				collectSizes(reflect.ValueOf(s.core), "core", map[uintptr]bool{}, into)
 			})
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,6 +1,7 @@
-// Package call holds the calls of a call controller: what was asked, which attempts were made and how they came
-// out. It drives the decision module, keeps its timers and sees to it that each caller gets one final answer. It
-// knows no wire: callers' fronts, dispatchers and server lists meet it through the interfaces below.
+// Package call implements the core of a call controller: it keeps the state of all calls, their attempts and their
+// outcomes. It drives the decision module, runs its timers, and ensures that each caller gets exactly one final answer.
+// It is independent of any protocol: callers' fronts, dispatchers and server lists are attached through the interfaces
+// below.
 package call
 
 import (
@@ -13,90 +14,93 @@
 	"cherryrelay/internal/decide/pool"
 )
 
-// Causes of releases, as Q.850 numbers them.
+// Causes of releases, with the numbers of Q.850.
 const (
-	CauseNormal     = 16  // the call has come to its end, or its set-up is given up
+	CauseNormal     = 16  // the call ended normally, or its set-up was cancelled
 	CauseNoCircuit  = 34  // refused
-	CauseTemporary  = 41  // failed, or a call that was cut
-	CauseCongestion = 42  // refused: trying again is harmless
+	CauseTemporary  = 41  // the attempt failed, or an established call was cut
+	CauseCongestion = 42  // refused; a retry does no harm
 	CauseFacility   = 102 // refused
-	CauseBadField   = 100 // failed: the set-up cannot be understood
+	CauseBadField   = 100 // failed: a field of the set-up is invalid
 )
 
-// Request is a set-up that a caller has sent.
+// Request is a set-up from a caller.
 type Request struct {
 	ID          string
 	Class       string
 	Called      string
 	FirstCell   int
-	Redial      bool // a call that was cut and comes again, or a marked redial
+	Redial      bool // the call was cut and is set up again, or it is a marked redial
 	Description string
-	TimeLeft    time.Duration // how long its caller said, as it sent the set-up, that it waits
-	Deadline    time.Time     // when the caller gives up
+	TimeLeft    time.Duration // how long the caller waits, as stated when it sent the set-up
+	Deadline    time.Time     // when the caller stops waiting
 	Caller      Caller
-	Token       []byte // hash of what its caller can claim it with on another connection; nil if it can't
+	Token       []byte // hash of the token with which its caller can resume it on another connection; nil if it cannot
 }
 
-// Reason names what became of a call, in the words of the call-control API.
+// Reason is the reason for the end of a call, as named in the call-control API.
 type Reason string
 
-// The reasons; docs/api.md says what a caller may make of each.
+// The reasons; docs/api.md says how callers should react to each.
 const (
-	ReasonEnded      Reason = "ended"       // the call stood and has come to its end
-	ReasonCut        Reason = "cut"         // the call stood and was cut
-	ReasonRefused    Reason = "refused"     // the decisions have given it up
-	ReasonFailed     Reason = "failed"      // its attempts came to nothing
-	ReasonDeadline   Reason = "deadline"    // its time ran out
+	ReasonEnded      Reason = "ended"       // the call was established and has ended
+	ReasonCut        Reason = "cut"         // the call was established and was cut
+	ReasonRefused    Reason = "refused"     // the decision module refused the call
+	ReasonFailed     Reason = "failed"      // no attempt established the call
+	ReasonDeadline   Reason = "deadline"    // the call was not established before its deadline
 	ReasonDraining   Reason = "draining"    // this controller is about to restart
-	ReasonBadRequest Reason = "bad-request" // the set-up makes no sense
-	ReasonBadStream  Reason = "bad-stream"  // its connection is closed for an illegal message
-	ReasonUnknown    Reason = "unknown"     // it was resumed, and nothing is known of it
+	ReasonBadRequest Reason = "bad-request" // the set-up is invalid
+	ReasonBadStream  Reason = "bad-stream"  // the connection is closed because of an illegal message
+	ReasonUnknown    Reason = "unknown"     // the caller resumed a call that is not known here
 )
 
-// BadRequest is the end of a set-up with fields that make no sense.
+// BadRequest is the final answer to a set-up with invalid fields.
 var BadRequest = End{Cause: CauseBadField, Reason: ReasonBadRequest}
 
-// End tells a caller that its call is refused, has failed or is over.
+// End tells a caller that its call was refused, has failed or is terminated.
 type End struct {
 	Cause   int
 	Reason  Reason
-	HoldOff time.Duration // refused: how long to keep away; 0 for no advice
+	HoldOff time.Duration // of a refused call: how long the caller should wait before a retry; 0 for no advice
 }
 
-// Caller is where a call came from: one connection of a front.
+// Caller is the connection on which a call was set up or resumed.
 type Caller interface {
-	// Answer tells that the call stands. An error says that the description does not fit a message, and nothing is told.
+	// Answer sends the answer that establishes the call. It returns an error, and sends nothing, if the description
+	// does not fit a message.
 	Answer(id, description string) error
-	// End is the final answer to a call that does not stand.
+	// End sends the final answer to a call that is not established.
 	End(id string, end End)
-	// Disconnected reports whether who waits there has gone, also where that has not been told yet. What it has said last is taken in first.
+	// Disconnected reports whether the caller has disconnected, even if that has not been reported yet. It first
+	// processes the caller's unread input.
 	Disconnected() bool
-	// NotifyTerminated tells that a call that stood has ended. No connection owns it: if this one has closed since, another
-	// one carries the news.
+	// NotifyTerminated reports the end of an established call. The call is not bound to this connection: if it has
+	// closed, the end is sent on another one.
 	NotifyTerminated(id string, end End)
 }
 
-// Front is a way in for callers.
+// Front accepts connections from callers.
 type Front interface {
-	// Release passes on the end of a call that no connection is known for, as after a restart.
+	// Release delivers the end of a call whose caller's connection is not known, as after a restart.
 	Release(id string, end End)
-	// Connections is the number of its connections.
+	// Connections returns the number of open connections.
 	Connections() int
-	// Idle reports whether nothing that callers have sent waits to be taken in, and nothing to be sent to them, nor the end of a call to
-	// one that is still to connect or may not have read it.
+	// Idle reports whether there is no unread input from callers, no unsent output to them, and no end of a call that
+	// waits for its caller to connect or may not have been read.
 	Idle() bool
 }
 
-// MaxDescription leaves room for the headers around it in a message of 16 KiB, whatever the wire.
+// MaxDescription is the longest description, in bytes. It leaves room for the headers in a message of 16 KiB on every
+// protocol.
 const MaxDescription = 14 << 10
 
-// ValidID reports whether id names a call: 16 hex digits.
+// ValidID reports whether id is a valid call id: 16 hex digits.
 func ValidID(id string) bool {
 	return len(id) == 16 && strings.Trim(id, "0123456789abcdefABCDEF") == ""
 }
 
-// ValidDescription reports whether a description can be passed on unchanged, whatever the wire: text that is not empty,
-// without control characters but those that part lines. Noise is not.
+// ValidDescription reports whether a description can be forwarded unchanged on every protocol: it must be non-empty
+// UTF-8 text without control characters other than tabs and line breaks.
 func ValidDescription(text string) bool {
 	return text != "" && utf8.ValidString(text) && !strings.ContainsFunc(text, func(r rune) bool {
 		return unicode.IsControl(r) && r != '\r' && r != '\n' && r != '\t'
@@ -110,28 +114,29 @@
 	Class       string
 	Called      string
 	Description string
-	Timeout     time.Duration // how long the call controller will wait
+	Timeout     time.Duration // how long the call controller waits for an answer
 }
 
-// Dispatchers places attempts. What becomes of them comes back through the methods of Core.
+// Dispatchers sends attempts to dispatchers. Their outcomes are reported to the methods of Core.
 type Dispatchers interface {
-	// Update takes in changes of the list of dispatchers.
+	// Update applies changes to the list of dispatchers.
 	Update(Update)
 	SetUp(control.ServerID, SetUp)
-	// CancelAttempt gives up an attempt.
+	// CancelAttempt cancels an attempt.
 	CancelAttempt(server control.ServerID, id string, attempt int)
-	// Release cuts a call that stands; an empty server stands for all of them.
+	// Release releases an established call; an empty server releases it at all dispatchers.
 	Release(server control.ServerID, id string, cause int)
 	Probe(control.ServerID)
-	// Ping probes the connection of an attempt. Done is called once the reply has been read there, behind all that the dispatcher told there
-	// before; at once, if the attempt has not left; and with false if the connection ends first, or has ended.
+	// Ping probes the connection of an attempt. It calls done(true) when the reply has been read, after everything that
+	// the dispatcher sent there before, or at once if the attempt has not been sent yet. It calls done(false) if the
+	// connection ends first or has already ended.
 	Ping(server control.ServerID, id string, attempt int, done func(replied bool))
-	// Reconnect opens one more connection: a dispatcher tells on it what it told last on one that is lost.
+	// Reconnect opens one more connection, on which the dispatcher repeats what it last sent on a lost one.
 	Reconnect(control.ServerID)
 }
 
-// Server is a line of the list of dispatchers.
+// Server is an entry of the list of dispatchers.
 type Server = pool.Member
 
-// Update is the list of dispatchers, or changes to it.
+// Update is a complete list of dispatchers, or changes to it.
 type Update = pool.Update
--- a/internal/call/claim_deadline_test.go
+++ b/internal/call/claim_deadline_test.go
@@ -11,7 +11,7 @@
 	"cherryrelay/internal/takeover"
 )
 
-// stubFinder is a Finder that looks for calls until it is told what to find.
+// stubFinder is a Finder without results: tests deliver them.
 type stubFinder struct{}
 
 func (stubFinder) Lookup(string, []byte) bool    { return true }
@@ -20,27 +20,28 @@
 func (stubFinder) Transfer(*takeover.Call) error { return nil }
 func (stubFinder) Transferred(...string)         {}
 
-// recoveredPending is a book with an open call.
+// recoveredPending returns the calls left by a previous process: one pending call.
 func recoveredPending(core *Core, id string) *recovery.CallTable {
 	b := recovery.NewCallTable()
 	b.Apply(accepted(id, core.now()))
 	return b
 }
 
-// TestFinalAnswerMeetsDeadlineOfResumeRequest guards against final answers that come later than the caller of a resumed call waits, whose own
-// account of that may be shorter than what was noted as the call was taken in.
+// TestFinalAnswerMeetsDeadlineOfResumeRequest guards against final answers that arrive after the caller of a resumed
+// call has stopped waiting: the deadline in its resume request may be earlier than the one stored when the set-up was
+// accepted.
 func TestFinalAnswerMeetsDeadlineOfResumeRequest(t *testing.T) {
 	const id, left = "00000000000000ab", 500 * time.Millisecond
 	for name, begin := range map[string]func(core *Core){
-		"it was left by an earlier process": func(core *Core) { core.Recover(recoveredPending(core, id), nil) },
-		"its connection closed here": func(core *Core) {
+		"it was left by the previous process": func(core *Core) { core.Recover(recoveredPending(core, id), nil) },
+		"its connection has closed here": func(core *Core) {
 			gone := &recorder{core: core}
 			_ = core.Offer(Request{ID: id, Class: "c", Deadline: time.Now().Add(9 * time.Second), Caller: gone, Token: recovery.HashToken(callToken), Description: "x"})
 			core.CallerDisconnected(gone)
 		},
-		"an earlier process has the ledger": func(core *Core) { core.AwaitLedger() },
-		"it is looked for, and not found":   func(core *Core) { core.UseFinder(stubFinder{}, func() bool { return true }, func(error) {}) },
-		"it is looked for, and found": func(core *Core) {
+		"a predecessor has the ledger":   func(core *Core) { core.AwaitLedger() },
+		"it is looked up, and not found": func(core *Core) { core.UseFinder(stubFinder{}, func() bool { return true }, func(error) {}) },
+		"it is looked up, and found": func(core *Core) {
 			core.UseFinder(stubFinder{}, func() bool { return true }, func(error) {})
 			core.Loop().After(left/2, func() {
 				e := accepted(id, core.now())
@@ -66,7 +67,7 @@
 				core.Loop().Quit()
 				synctest.Wait()
 				if told := strings.Join(s.events, "; "); strings.Count(told, "end "+id) != 1 {
-					t.Errorf("told in the time that the resume named: %q; want one final answer", told)
+					t.Errorf("sent before the deadline of the resume request: %q; want one final answer", told)
 				}
 			})
 		})
--- a/internal/call/core.go
+++ b/internal/call/core.go
@@ -15,70 +15,72 @@
 )
 
 const (
-	// answerMargin is how long before a caller's limit the last attempt is withdrawn and the answer given, so that the
-	// answer is not overtaken by the limit.
+	// answerMargin is how long before a caller's deadline the last attempt is cancelled and the final answer sent, so
+	// that the answer arrives in time.
 	answerMargin = 25 * time.Millisecond
-	// fallbackMargin is how long before that limit a call is answered come what may.
+	// fallbackMargin is how long before that deadline a call that is still pending is answered in any case.
 	fallbackMargin = 3 * time.Millisecond
-	// retentionPeriod is how long an ended call is known, so that what comes late or twice is not passed on.
+	// retentionPeriod is how long a terminated call is kept, so that late and duplicate messages are recognized and not
+	// forwarded.
 	retentionPeriod = 20 * time.Second
-	// previousCallsWindow is how long after the start calls may still stand that an earlier process set up, for callers to end.
+	// previousCallsWindow is how long after the start callers may still release calls of the previous process.
 	previousCallsWindow = time.Minute
 	// lateArrivalWindow is how long after SIGTERM new set-ups may still arrive.
 	lateArrivalWindow = 700 * time.Millisecond
-	// killGrace and killMaxDeadline bound the time from SIGTERM to SIGKILL: the longest deadline, of which no more than
-	// killMaxDeadline counts, and killGrace. What was taken is answered killMargin before.
+	// SIGKILL may follow SIGTERM after the longest deadline, of which at most killMaxDeadline counts, plus killGrace.
+	// Accepted set-ups are answered killMargin before that.
 	killGrace       = 700 * time.Millisecond
 	killMaxDeadline = 3 * time.Second
-	// killMaxDeadlineSuperseded is as much for a process that has a successor.
+	// killMaxDeadlineSuperseded replaces killMaxDeadline in a process that has a successor.
 	killMaxDeadlineSuperseded = 5 * time.Second
 	killMargin                = 400 * time.Millisecond
-	// maxPendingPerConnection is how many set-ups may be open on one connection; callers were seen with six.
+	// maxPendingPerConnection bounds the pending set-ups of one connection; up to six have been observed.
 	maxPendingPerConnection = 256
-	// descriptionMemoryShare of the memory is what descriptions of open set-ups may take, of all connections together.
+	// descriptionMemoryShare is the share of the memory that the descriptions of all pending set-ups may take.
 	descriptionMemoryShare = 1.0 / 16
-	// maxModuleSteps bounds how often the module is asked in one round of the loop for what its own actions led to.
+	// maxModuleSteps bounds the module steps in one event loop iteration: the actions of one step cause events for the
+	// next.
 	maxModuleSteps = 8
 )
 
 type state int
 
 const (
-	pending     state = iota // owed a final answer
+	pending     state = iota // waits for its final answer
 	established              // answered
 	terminated
 )
 
-// record is what is known of one call.
+// record is the state of one call.
 type record struct {
 	Request
 	state             state
 	attempts          int
-	attemptInProgress bool // an attempt is under way
+	attemptInProgress bool
 	server            control.ServerID
 	sentAt            time.Time
-	attemptTimer      *Timer // of the attempt
-	deadlineTimer     *Timer // of the caller
+	attemptTimer      *Timer // of the attempt in progress
+	deadlineTimer     *Timer // fires shortly before the caller's deadline
 	terminatedAt      time.Time
 
-	// Of calls that can be resumed, and of those that an earlier process had.
-	answer               string         // what the dispatcher gave
-	end                  End            // how it ended
-	answeredTo           Caller         // who had its final answer
-	resumedAt            time.Time      // when its caller came for it here; zero if it never did
-	orphanTimer          *Timer         // when it is given up, or released, unless its caller comes
-	notBefore            time.Duration  // no attempt before that, on the clock of now
-	awaitsResume         bool           // the module does not know it yet: it waits for its caller
-	transferring         bool           // it is being given to another controller
-	firstRunAt           time.Time      // of the first attempt that may have run, with a selection; zero for none
-	tried                []triedAttempt // its attempts by this process that may have established it; the last is the latest one
-	earlyEnd             *earlyEnd      // its end, if that came before the answer to the attempt that is out
-	ambiguous            *ambiguousEnd  // its end, or that of an earlier attempt
-	heldByEarlierAttempt bool           // the dispatcher of the attempt that is out may hold the call by an earlier attempt there
+	// For calls that can be resumed, and for calls of the previous process.
+	answer               string         // description of the dispatcher's answer
+	end                  End            // how the call ended
+	answeredTo           Caller         // the connection that received the final answer
+	resumedAt            time.Time      // when its caller resumed it here; zero if it did not
+	orphanTimer          *Timer         // cancels or releases the call unless its caller resumes it
+	notBefore            time.Duration  // earliest time of the next attempt, on the clock of Core.now
+	awaitsResume         bool           // the module does not know the call until its caller resumes it
+	transferring         bool           // the call is being transferred to another controller
+	firstRunAt           time.Time      // when the first attempt that may have run was sent, if a subset is in use; zero for none
+	tried                []triedAttempt // attempts of this process that may have established the call; the last is the latest one
+	earlyEnd             *earlyEnd      // the end of the call, if it arrived before the answer to the attempt in progress
+	ambiguous            *ambiguousEnd  // the end of the call or of an earlier attempt
+	heldByEarlierAttempt bool           // the dispatcher of the attempt in progress may hold the call by an earlier attempt
 	restored             *recovery.Call
 }
 
-// Core is the call controller without any wire. Its methods run on its loop.
+// Core is the protocol-independent call controller. Its methods must run on its event loop.
 type Core struct {
 	loop                *Loop
 	log                 *slog.Logger
@@ -88,11 +90,11 @@
 	fronts              []Front
 	flushers            []func()
 	calls               map[string]*record
-	pendingByCaller     map[Caller]map[string]*record // the open ones, by who waits for them
+	pendingByCaller     map[Caller]map[string]*record // pending calls by their callers
 	establishedByCaller map[Caller]int
-	recentlyTerminated  []*record // in the order of their ends
+	recentlyTerminated  []*record // terminated calls, in the order of their ends
 	pendingCount        int
-	descriptionBytes    int // bytes of the descriptions of open set-ups
+	descriptionBytes    int // size of the descriptions of pending set-ups
 	maxDescriptionBytes int
 	events              []control.Event
 	serverStatus        map[control.ServerID]control.ServerStatus
@@ -101,7 +103,7 @@
 	wakeTimer           *Timer
 	reached             bool
 	awaitsPredecessor   bool      // a predecessor still serves
-	evacuatedAt         time.Time // zero if callers are served
+	evacuatedAt         time.Time // zero while callers are served
 	supersededAt        time.Time // when a successor began to serve; zero without one
 	relayEnd            func(id string, end End) bool
 	unknownCaller       *unknownCaller
@@ -112,19 +114,19 @@
 	orphanCaller        *orphanCaller
 	transfers           *transferState // nil without other controllers
 	knownServers        map[control.ServerID]Server
-	selection           *selection      // nil where the whole list is connected to
-	waitingResumes      []ResumeRequest // that came while a predecessor had the calls
-	pendingReleases     []*record       // calls of an earlier process to be released once there is a list
-	unverified          []*record       // those that stood, until there is one
+	selection           *selection      // nil if all dispatchers of the list are connected to
+	waitingResumes      []ResumeRequest // received while a predecessor has the ledger
+	pendingReleases     []*record       // calls of the previous process to be released once there is a list
+	unverified          []*record       // established calls of the previous process to be verified once there is a list
 	recovered           RecoveryStatus
 	awaitsLedger        bool
-	metricSources       []func() []*dto.MetricFamily // figures of other parts
+	metricSources       []func() []*dto.MetricFamily // metrics of other components
 	drainingSince       time.Time
-	drainsForSuccessor  bool // the end is for the successor's sake: nobody asked for it
+	drainsForSuccessor  bool // draining was started for the successor, not requested from outside
 	quitting            bool
 }
 
-// New returns a Core on the loop.
+// New returns a Core that runs on the loop.
 func New(loop *Loop, log *slog.Logger, s *settings.Settings, seed uint64) (*Core, error) {
 	decisions, err := s.ControlSettings()
 	if err != nil {
@@ -146,19 +148,19 @@
 	return c, nil
 }
 
-// Loop is the loop that owns the core.
+// Loop returns the event loop of the core.
 func (c *Core) Loop() *Loop { return c.loop }
 
-// Log is the core's log.
+// Log returns the logger of the core.
 func (c *Core) Log() *slog.Logger { return c.log }
 
-// SetDispatchers names where calls are placed; it comes before the first list.
+// SetDispatchers sets where calls are placed; it must be called before the first list arrives.
 func (c *Core) SetDispatchers(d Dispatchers) { c.dispatchers = d }
 
-// AddFront names a way in for callers.
+// AddFront adds a front for callers.
 func (c *Core) AddFront(f Front) { c.fronts = append(c.fronts, f) }
 
-// LimitMemory bounds what is held for callers by the memory that the process has; 0 is no bound.
+// LimitMemory bounds the descriptions held for callers by the memory of the process; 0 means no bound.
 func (c *Core) LimitMemory(memory int64) {
 	c.maxDescriptionBytes = math.MaxInt
 	if memory > 0 {
@@ -166,7 +168,7 @@
 	}
 }
 
-// OnFlush has f run at the end of each round, to send what was written in it.
+// OnFlush registers f to run at the end of each event loop iteration, to send the output written in it.
 func (c *Core) OnFlush(f func()) { c.flushers = append(c.flushers, f) }
 
 func (c *Core) queueEvent(e control.Event) { c.events = append(c.events, e) }
--- a/internal/call/core_test.go
+++ b/internal/call/core_test.go
@@ -13,8 +13,8 @@
 	"cherryrelay/internal/settings"
 )
 
-// fixture stands in for callers and dispatchers, and keeps the rules' books: it runs on the core's loop, so its times are
-// those of the core.
+// fixture is a core with a fake caller and a fake dispatcher that check the rules of attempts. It runs on the core's
+// event loop, so its times are those of the core.
 type fixture struct {
 	t          *testing.T
 	core       *Core
@@ -39,12 +39,12 @@
 func (s *fixture) NotifyTerminated(id string, _ End)     { s.terminations[id]++ }
 func (s *fixture) Reconnect(control.ServerID)            {}
 
-// Ping keeps what is to be called as the reply to a probe comes.
+// Ping stores the callback for the reply to a probe.
 func (s *fixture) Ping(_ control.ServerID, _ string, _ int, done func(bool)) {
 	s.pings = append(s.pings, done)
 }
 
-// completePings tells of each probe that its reply has come, or that the connection has ended.
+// completePings completes each outstanding probe: its reply has arrived, or the connection has ended.
 func (s *fixture) completePings(replied bool) {
 	pings := s.pings
 	s.pings = nil
@@ -60,20 +60,20 @@
 
 func (s *fixture) SetUp(server control.ServerID, a SetUp) {
 	if at, ok := s.inProgress[a.ID]; ok {
-		s.t.Errorf("call %s goes to %s while it is out at %s", a.ID, server, at)
+		s.t.Errorf("call %s is sent to %s while an attempt is in progress at %s", a.ID, server, at)
 	}
 	if early := time.Until(s.notBefore[a.ID]); early > 0 {
-		s.t.Errorf("call %s goes out again %v too soon", a.ID, early)
+		s.t.Errorf("call %s is sent again %v too soon", a.ID, early)
 	}
 	if s.drained[server] {
-		s.t.Errorf("call %s goes to %s, which drains", a.ID, server)
+		s.t.Errorf("call %s is sent to %s, which drains", a.ID, server)
 	}
 	s.inProgress[a.ID] = server
 	s.setUps++
 	s.onSetUp(server, a)
 }
 
-// endAttempt has an attempt end without an answer, if it is still out.
+// endAttempt ends an attempt without an answer, if it is still in progress.
 func (s *fixture) endAttempt(server control.ServerID, a SetUp, o control.Outcome) {
 	if s.inProgress[a.ID] != server {
 		return
@@ -85,7 +85,7 @@
 	s.core.AttemptEnded(server, a.ID, a.Attempt, o, false, nil)
 }
 
-// answerAttempt has an attempt answered, if it is still out.
+// answerAttempt answers an attempt, if it is still in progress.
 func (s *fixture) answerAttempt(server control.ServerID, a SetUp) {
 	if s.inProgress[a.ID] == server {
 		delete(s.inProgress, a.ID)
@@ -123,14 +123,14 @@
 	s.core.Update(u)
 }
 
-// TestEveryCallGetsOneFinalAnswer has dispatchers that are silent, break set-ups, refuse them, or answer them
-// late and twice, and one that drains half-way.
+// TestEveryCallGetsOneFinalAnswer checks that with dispatchers that do not answer, reset set-ups, refuse them, or
+// answer them late and twice, and with one that drains half-way.
 func TestEveryCallGetsOneFinalAnswer(t *testing.T) {
 	s := newFixture(t)
 	loop := s.core.Loop()
 	s.onSetUp = func(server control.ServerID, a SetUp) {
 		switch s.setUps % 5 {
-		case 0: // silent, but for an answer when it has long been withdrawn
+		case 0: // no answer until long after the attempt was cancelled
 			loop.After(700*time.Millisecond, func() { s.core.Answered(server, a.ID, a.Attempt, "late") })
 		case 1:
 			loop.After(5*time.Millisecond, func() { s.endAttempt(server, a, control.Reset) })
@@ -169,11 +169,12 @@
 		}
 	}
 	if stood == 0 || stood == calls {
-		t.Errorf("%d of %d calls stood, want some", stood, calls)
+		t.Errorf("%d of %d calls were established, want some", stood, calls)
 	}
 }
 
-// TestCallWithoutDispatcherIsRefusedAtOnce: what the module gives up on is answered in the same turn, with a time to come back.
+// TestCallWithoutDispatcherIsRefusedAtOnce checks that a call that the module refuses is answered in the same event
+// loop iteration.
 func TestCallWithoutDispatcherIsRefusedAtOnce(t *testing.T) {
 	s := newFixture(t)
 	s.onSetUp = func(control.ServerID, SetUp) { t.Error("a call was sent where no dispatcher is known") }
@@ -181,11 +182,11 @@
 	_ = s.core.Offer(Request{ID: "1", Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s})
 	s.core.finishIteration()
 	if s.rejections["1"] != 1 {
-		t.Error("a call that no dispatcher can take is not refused in its first turn")
+		t.Error("a call that no dispatcher can take is not refused in its first iteration")
 	}
 }
 
-// TestTablesShrinkAfterCallsTerminate runs many calls, callers and dispatchers through, and counts what is kept.
+// TestTablesShrinkAfterCallsTerminate runs many calls, callers and dispatchers, and counts the entries that remain.
 func TestTablesShrinkAfterCallsTerminate(t *testing.T) {
 	s := newFixture(t)
 	s.onSetUp = func(server control.ServerID, a SetUp) {
@@ -203,7 +204,7 @@
 		s.core.Update(Update{Servers: []Server{{ServerEntry: control.ServerEntry{ID: control.ServerID(fmt.Sprint("s", i)), Status: control.Removed}}}})
 	}
 	for _, k := range s.core.recentlyTerminated {
-		k.terminatedAt = k.terminatedAt.Add(-retentionPeriod) // as if it were later
+		k.terminatedAt = k.terminatedAt.Add(-retentionPeriod) // as if it had terminated earlier
 	}
 	_ = s.core.Offer(Request{ID: "last", Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s, Description: "x"})
 	s.core.CallerReleased(s, "last", CauseNormal)
@@ -211,13 +212,14 @@
 		"owed": s.core.pendingCount, "held": s.core.descriptionBytes, "timers": len(s.core.loop.timers)}
 	want := map[string]int{"calls": 1, "ended": 1, "owing": 0, "status": 0, "owed": 0, "held": 0, "timers": 0}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("kept (-want +got):\n%s", diff)
+		t.Errorf("entries that remain (-want +got):\n%s", diff)
 	}
 }
 
-// TestALateAnswerDoesNotReleaseTheNextAttempt: a set-up was reset with its link, and a second attempt at the same
-// dispatcher was out when the first one's answer came after all. It was released, under the id of both: the call that
-// stood then was over, and its caller never heard of that.
+// TestALateAnswerDoesNotReleaseTheNextAttempt guards against a release that ends the wrong call. A set-up was reset
+// with its connection, and a second attempt at the same dispatcher was in progress when the first one's answer arrived
+// after all. That answer was released under the id that both attempts share, so the call that the second attempt
+// established was over, and its caller was never notified.
 func TestALateAnswerDoesNotReleaseTheNextAttempt(t *testing.T) {
 	s := newFixture(t)
 	s.onSetUp = func(server control.ServerID, a SetUp) {
@@ -241,12 +243,13 @@
 	s.core.Loop().Run()
 	got := map[string]int{"set-ups": s.setUps, "answers": s.answers["1"], "overs": s.terminations["1"], "finals": s.rejections["1"], "releases": s.releases}
 	if diff := cmp.Diff(map[string]int{"set-ups": 2, "answers": 1, "overs": 1, "finals": 0, "releases": 0}, got); diff != "" {
-		t.Errorf("what the call came to (-want +got):\n%s", diff)
+		t.Errorf("outcome of the call (-want +got):\n%s", diff)
 	}
 }
 
-// TestTheEndOfACallWhoseAnswerIsMissing: a dispatcher released a call whose answer had not come. It was set up again, and as
-// it stood then, its caller was not told in time that it had been over.
+// TestTheEndOfACallWhoseAnswerIsMissing guards against another attempt for a call that its dispatcher released before
+// its answer arrived. The second attempt established the call, so the caller was not notified in time that the first
+// call had ended.
 func TestTheEndOfACallWhoseAnswerIsMissing(t *testing.T) {
 	s := newFixture(t)
 	s.onSetUp = func(server control.ServerID, a SetUp) {
@@ -263,12 +266,12 @@
 	s.core.Loop().Run()
 	got := map[string]int{"set-ups": s.setUps, "answers": s.answers["1"], "overs": s.terminations["1"], "finals": s.rejections["1"]}
 	if diff := cmp.Diff(map[string]int{"set-ups": 1, "answers": 0, "overs": 0, "finals": 1}, got); diff != "" {
-		t.Errorf("what the call came to (-want +got):\n%s", diff)
+		t.Errorf("outcome of the call (-want +got):\n%s", diff)
 	}
 }
 
-// TestAnEndingProcessServesAgainWithoutSuccessor: a process that ends only because it has a successor serves on when that is gone. One that is
-// to end, ends.
+// TestAnEndingProcessServesAgainWithoutSuccessor checks that a process that drains only for its successor serves again
+// when the successor has ended, and that one that was told to drain does not.
 func TestAnEndingProcessServesAgainWithoutSuccessor(t *testing.T) {
 	for _, test := range []struct {
 		asked bool
@@ -288,7 +291,7 @@
 		}
 		c.SuccessorEnded()
 		if got := c.Ready(); got != test.want {
-			t.Errorf("asked to end: %v; ready: %v", test.asked, got)
+			t.Errorf("told to drain: %v; ready: %v", test.asked, got)
 		}
 	}
 }
--- a/internal/call/drain.go
+++ b/internal/call/drain.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// How a controller serves out what it has taken, and ends.
+// Draining: how a controller answers the calls that it has accepted, and stops.
 
-// Drain serves out what was taken and then ends the loop.
+// Drain answers the accepted set-ups and then stops the event loop.
 func (c *Core) Drain() {
 	if !c.drainingSince.IsZero() {
-		c.drainsForSuccessor = false // now it is asked for
+		c.drainsForSuccessor = false // now it is requested from outside
 		return
 	}
 	c.drainingSince = time.Now()
 	since := c.drainingSince
 	c.log.Info("draining", "open", c.pendingCount)
-	c.loop.After(lateArrivalWindow+time.Millisecond, func() {}) // a turn in which to leave
+	c.loop.After(lateArrivalWindow+time.Millisecond, func() {}) // an iteration in which quitWhenDrained runs
 	c.loop.After(c.drainTimeout(), func() {
 		if !c.drainingSince.Equal(since) {
-			return // it serves again
+			return // draining was called off
 		}
 		for _, id := range c.pendingIDs() {
 			k := c.calls[id]
@@ -29,7 +29,7 @@
 	})
 }
 
-// drainTimeout is how long after SIGTERM everything is answered, in reserve before the SIGKILL that may follow.
+// drainTimeout returns how long after SIGTERM every call is answered, some time before a SIGKILL that may follow.
 func (c *Core) drainTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range c.decisions.Classes {
@@ -42,7 +42,7 @@
 	return min(longest, most) + killGrace - killMargin
 }
 
-// frontsIdle reports whether callers have sent nothing that is not taken in yet.
+// frontsIdle reports whether no front has unread input or undelivered output.
 func (c *Core) frontsIdle() bool {
 	return !slices.ContainsFunc(c.fronts, func(f Front) bool { return !f.Idle() })
 }
@@ -58,8 +58,9 @@
 	return ids
 }
 
-// quitWhenDrained ends the loop of a controller that drains once nothing is owed, nothing new can arrive, and what has arrived is taken in: a
-// set-up may have come in time and lie unread, if this process had to wait for its core. The end of a call may wait for its caller to connect.
+// quitWhenDrained stops the event loop of a draining controller once no call is pending, no set-up can arrive any more,
+// and all input is processed: if the process got no CPU time, a set-up that arrived in time may still be unread. The
+// end of a call may also wait for its caller to connect.
 func (c *Core) quitWhenDrained() {
 	if c.drainingSince.IsZero() || c.quitting || c.pendingCount > 0 {
 		return
--- a/internal/call/durable.go
+++ b/internal/call/durable.go
@@ -14,7 +14,7 @@
 	"cherryrelay/internal/telemetry"
 )
 
-// Ledger keeps what happens to calls; *ledger.Ledger is one.
+// Ledger persists the events of calls; it is implemented by *ledger.Ledger.
 type Ledger interface {
 	Append(record []byte) error
 	HasPending() bool
@@ -26,32 +26,34 @@
 }
 
 const (
-	// minRetryDelay and maxRetryDelay bound the pause before a ledger that failed is begun with anew, which doubles.
+	// minRetryDelay and maxRetryDelay bound the delay before a failed ledger is started again; it doubles with each
+	// failure.
 	minRetryDelay, maxRetryDelay = time.Second, 30 * time.Second
-	// epochPollInterval is the pace at which a ledger that begins is asked how it came out.
+	// epochPollInterval is how often the result of starting a new epoch of the ledger is polled.
 	epochPollInterval = 5 * time.Millisecond
 )
 
-// ledgerWriter is the core's use of a ledger.
+// ledgerWriter writes the events of the core's calls to a ledger.
 type ledgerWriter struct {
 	core               *Core
 	ledger             Ledger
-	refuseWhenDisabled bool // refuse new calls while nothing is kept
+	refuseWhenDisabled bool // refuse new calls while the ledger is disabled
 	retryDelay         time.Duration
-	snapshotStale      bool   // something happened meanwhile that its state lacks
-	lastError          string // the last failure
+	snapshotStale      bool   // events have occurred that the snapshot being written does not contain
+	lastError          string // of the ledger; empty while it is enabled
 	checksLease        bool
 }
 
-// UseLedger has all that happens to calls kept, once BeginLedger has had the state that Recover left written.
+// UseLedger persists all events of calls in the ledger, after BeginLedger has written the state restored by Recover.
 func (c *Core) UseLedger(l Ledger, refuse bool) {
 	c.ledgerWriter = &ledgerWriter{core: c, ledger: l, refuseWhenDisabled: refuse, retryDelay: minRetryDelay}
 	c.loop.OnCommit(c.ledgerWriter.commit)
 	c.AddMetrics(c.ledgerWriter.metrics)
 }
 
-// BeginLedger has the state of now written, as the first that is kept; until it is, a restart finds what was there before. With
-// a time, it waits so long, as a start can; without, calls go on beside it.
+// BeginLedger writes the current state as the first that is persisted; until that is done, a restart finds the previous
+// contents. With a positive wait it blocks for at most that time, as is acceptable at start-up; with 0, calls are
+// served meanwhile.
 func (c *Core) BeginLedger(wait time.Duration) {
 	if wait == 0 {
 		c.ledgerWriter.beginEpoch()
@@ -62,10 +64,10 @@
 	}
 }
 
-// refusesCalls reports whether new calls are refused because they could not be kept.
+// refusesCalls reports whether new calls are refused because they could not be persisted.
 func (d *ledgerWriter) refusesCalls() bool { return d.refuseWhenDisabled && !d.ledger.Enabled() }
 
-// persistEvent has an event of a call kept with this turn.
+// persistEvent appends an event of a call to the ledger, to be committed at the end of the event loop iteration.
 func (c *Core) persistEvent(k *record, kind recovery.Kind, fill func(*recovery.Event)) {
 	if c.ledgerWriter == nil {
 		return
@@ -85,7 +87,7 @@
 	c.ledgerWriter.appendEvent(e)
 }
 
-// persistAttemptFailed tells that an attempt came to nothing.
+// persistAttemptFailed records that an attempt failed.
 func (c *Core) persistAttemptFailed(k *record, o control.Outcome) {
 	c.selection.attemptFailed(k, o)
 	c.persistEvent(k, recovery.KindAttemptFailed, func(e *recovery.Event) {
@@ -96,7 +98,7 @@
 	})
 }
 
-// persistTerminated tells that a call that stood has ended.
+// persistTerminated records that an established call was terminated.
 func (c *Core) persistTerminated(k *record, end End) {
 	c.persistEvent(k, recovery.KindTerminated, func(e *recovery.Event) { e.Cause, e.Reason = end.Cause, string(end.Reason) })
 }
@@ -111,11 +113,11 @@
 		err = d.ledger.Append(text)
 	}
 	if err != nil {
-		d.core.log.Error("an event of a call is not kept", "id", e.ID, "err", err)
+		d.core.log.Error("event of a call was not written to the ledger", "id", e.ID, "err", err)
 	}
 }
 
-// commit has all that was noted written before anything that was decided with it leaves.
+// commit writes all appended events before any message that depends on them is sent.
 func (d *ledgerWriter) commit() {
 	if !d.ledger.Enabled() {
 		d.core.checkOwnership(ledger.ErrDisabled)
@@ -130,7 +132,7 @@
 	d.core.reportPersisted()
 }
 
-// handleFailure has calls served on without a ledger, and tries to begin anew.
+// handleFailure lets calls be served without the ledger, and schedules a new epoch.
 func (d *ledgerWriter) handleFailure(err error) {
 	d.lastError = err.Error()
 	d.core.checkOwnership(err)
@@ -140,7 +142,7 @@
 	d.retryDelay = min(2*d.retryDelay, maxRetryDelay)
 }
 
-// checkLeasePeriodically holds a process whose ledger is off against what it may do without.
+// checkLeasePeriodically checks, while the ledger is disabled, that the process may still hold its calls.
 func (d *ledgerWriter) checkLeasePeriodically() {
 	if d.core.transfers == nil || d.checksLease {
 		return
@@ -158,7 +160,7 @@
 	d.core.loop.After(ownershipCheckInterval, look)
 }
 
-// beginEpoch writes the state of now, and waits beside the calls for how that comes out.
+// beginEpoch starts writing the current state, and polls for the result while calls are served.
 func (d *ledgerWriter) beginEpoch() {
 	state, err := d.core.snapshot()
 	if err == nil {
@@ -180,7 +182,7 @@
 	case err != nil:
 		d.handleFailure(err)
 	default:
-		// What happened meanwhile is not in the state that was written: it is told again, call by call.
+		// Events since the snapshot was taken are not in it: write another snapshot.
 		if d.snapshotStale {
 			if err := d.beginEpochAndWait(ledger.DefaultCommitTimeout); err != nil {
 				d.handleFailure(err)
@@ -193,21 +195,22 @@
 	}
 }
 
-// beginEpochAndWait begins once more, if calls have moved on while a state was written. The disk takes it now, so it is soon done.
+// beginEpochAndWait writes another snapshot if calls have changed while the last one was written. It blocks, as the
+// disk has just proven to be writable.
 func (d *ledgerWriter) beginEpochAndWait(patience time.Duration) error {
 	state, err := d.core.snapshot()
 	if err != nil {
 		return err
 	}
 	if err := d.ledger.BeginEpoch(state); err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error names the ledger
 	}
 	until := time.Now().Add(patience)
 	for {
 		done, err := d.ledger.EpochResult()
 		switch {
 		case done:
-			return err //nolint:wrapcheck // it says what it is
+			return err //nolint:wrapcheck // the error names the ledger
 		case time.Now().After(until):
 			return ledger.ErrTimeout
 		}
@@ -215,12 +218,12 @@
 	}
 }
 
-// snapshot is all calls, in the least events that make them.
+// snapshot returns the fewest encoded events that replay to the state of all calls.
 func (c *Core) snapshot() ([][]byte, error) {
 	var all [][]byte
 	for _, id := range slices.Sorted(maps.Keys(c.calls)) {
 		if k := c.calls[id]; k.state == terminated && k.end == (End{}) {
-			continue // given up: nobody will ask
+			continue // cancelled by its caller, which will not resume it
 		}
 		for _, e := range c.recoveryCall(c.calls[id]).Events() {
 			text, err := e.Encode()
@@ -233,7 +236,7 @@
 	return all, nil
 }
 
-// recoveryCall is a call as the decisions on recovery see it.
+// recoveryCall converts a call to the form that the recovery decisions use.
 func (c *Core) recoveryCall(k *record) *recovery.Call {
 	now := c.now()
 	r := &recovery.Call{Event: recovery.Event{ID: k.ID, AtUs: now.Microseconds(), Token: k.Token}, LastEventAt: now, Attempts: k.attempts, AttemptInProgress: k.attemptInProgress, Server: string(k.server)}
@@ -264,7 +267,7 @@
 	return r
 }
 
-// metrics are the ledger's figures.
+// metrics returns the metrics of the ledger.
 func (d *ledgerWriter) metrics() []*dto.MetricFamily {
 	f := d.ledger.Metrics()
 	on := 0.0
@@ -276,14 +279,14 @@
 		mean = f.TotalCommitWait.Seconds() / float64(f.Commits)
 	}
 	return []*dto.MetricFamily{
-		telemetry.Gauge("ledger_on", "1 while the state of calls is kept.", on),
-		telemetry.Counter("ledger_records_total", "Events of calls that were kept.", f.Records),
-		telemetry.Counter("ledger_bytes_total", "Bytes written for them.", f.Bytes),
-		telemetry.Counter("ledger_commits_total", "Turns whose events were written together.", f.Commits),
-		telemetry.Counter("ledger_failures_total", "Times that the ledger was given up, to be begun with anew.", f.Failures),
+		telemetry.Gauge("ledger_on", "1 while the state of calls is persisted.", on),
+		telemetry.Counter("ledger_records_total", "Events of calls written to the ledger.", f.Records),
+		telemetry.Counter("ledger_bytes_total", "Bytes written to the ledger.", f.Bytes),
+		telemetry.Counter("ledger_commits_total", "Event loop iterations whose events were committed together.", f.Commits),
+		telemetry.Counter("ledger_failures_total", "Failures after which the ledger was started again.", f.Failures),
 		telemetry.Counter("ledger_snapshots_total", "Snapshots written.", f.Snapshots),
-		telemetry.Gauge("ledger_files_bytes", "Bytes of its files.", float64(f.FileBytes)),
-		telemetry.Gauge("ledger_commit_seconds_mean", "Mean wait of a turn for its write.", mean),
-		telemetry.Gauge("ledger_commit_seconds_worst", "Worst wait of a turn for its write.", f.LongestCommitWait.Seconds()),
+		telemetry.Gauge("ledger_files_bytes", "Size of the ledger's files in bytes.", float64(f.FileBytes)),
+		telemetry.Gauge("ledger_commit_seconds_mean", "Mean time that an event loop iteration waited for its commit.", mean),
+		telemetry.Gauge("ledger_commit_seconds_worst", "Longest time that an event loop iteration waited for its commit.", f.LongestCommitWait.Seconds()),
 	}
 }
--- a/internal/call/durable_test.go
+++ b/internal/call/durable_test.go
@@ -14,7 +14,7 @@
 	"cherryrelay/internal/ledger"
 )
 
-// fakeLedger is a ledger of a test: it keeps what was committed, and fails when told to.
+// fakeLedger is a Ledger in memory: it keeps the committed records, and fails on request.
 type fakeLedger struct {
 	records, uncommitted, snapshot [][]byte
 	enabled, fails, epochPending   bool
@@ -55,7 +55,7 @@
 	return true, nil
 }
 
-// stubDispatchers are dispatchers that say nothing: the test speaks for them.
+// stubDispatchers are dispatchers that do nothing: the test reports outcomes itself.
 type stubDispatchers struct{}
 
 func (stubDispatchers) Update(Update)                               {}
@@ -65,10 +65,10 @@
 func (stubDispatchers) Release(control.ServerID, string, int)       {}
 func (stubDispatchers) Probe(control.ServerID)                      {}
 
-// Ping has no reply.
+// Ping gets no reply.
 func (stubDispatchers) Ping(control.ServerID, string, int, func(bool)) {}
 
-// newLedgerFixture is a core with two dispatchers.
+// newLedgerFixture returns a core with two dispatchers.
 func newLedgerFixture(t *testing.T) (*Core, *fixture) {
 	s := newFixture(t)
 	s.core.SetDispatchers(stubDispatchers{})
@@ -77,8 +77,8 @@
 	return s.core, s
 }
 
-// TestLedgerMatchesCore plays calls at random and holds, after every turn, what was committed against what the core
-// knows: a crash then would find just that.
+// TestLedgerMatchesCore runs random calls and compares, after event loop iterations, the committed records with the
+// state of the core: a crash at that point would restore exactly those records.
 func TestLedgerMatchesCore(t *testing.T) {
 	core, s := newLedgerFixture(t)
 	p := &fakeLedger{}
@@ -89,12 +89,12 @@
 	check := func() {
 		book, err := recovery.Replay(p.records, nil)
 		if err != nil || book.UnexpectedEvents() > 0 {
-			t.Fatalf("%v, %d events that do not fit", err, book.UnexpectedEvents())
+			t.Fatalf("%v, %d unexpected events", err, book.UnexpectedEvents())
 		}
 		got, want := map[string]string{}, map[string]string{}
 		for _, c := range book.Calls() {
 			if c.State > recovery.StateEstablished && core.calls[c.ID] == nil {
-				continue // the core has forgotten it by now
+				continue // the core has dropped it by now
 			}
 			if got[c.ID] = fmt.Sprint(c.State, c.Cause); c.State <= recovery.StateEstablished {
 				got[c.ID] = fmt.Sprint(c.State, c.Attempts, c.AttemptInProgress, c.Server)
@@ -102,7 +102,7 @@
 		}
 		for id, k := range core.calls {
 			if k.state == terminated && k.end.Cause == 0 {
-				continue // given up: nobody will ask
+				continue // cancelled by its caller, which will not resume it
 			}
 			c := core.recoveryCall(k)
 			if want[id] = fmt.Sprint(c.State, c.Cause); k.state != terminated {
@@ -142,28 +142,28 @@
 		if step%10 == 0 {
 			check()
 		}
-		if step%500 == 499 { // it fails for a while, and begins anew
+		if step%500 == 499 { // the ledger fails for a while, and a new epoch begins
 			p.fails = true
 			core.persistEvent(&record{Request: Request{ID: "00000000000000ff"}}, recovery.KindCancelled, nil)
 			core.finishIteration()
 			if p.enabled || core.RecoveryStatus().NotPersisted == "" {
-				t.Fatal("it failed, and nobody says so")
+				t.Fatal("the ledger failed, and the status does not report it")
 			}
 			p.fails = false
 			core.ledgerWriter.beginEpoch()
 			core.ledgerWriter.pollEpoch()
 			if !p.enabled || core.RecoveryStatus().NotPersisted != "" {
-				t.Fatal("it does not begin anew")
+				t.Fatal("the ledger has not begun a new epoch")
 			}
 			check()
 		}
 	}
 	if p.commits > 2000 {
-		t.Errorf("%d commits for 2000 turns", p.commits)
+		t.Errorf("%d commits for 2000 iterations", p.commits)
 	}
 }
 
-// TestNewCallsAreRefusedWhileLedgerIsDisabled, if the operator has it so.
+// TestNewCallsAreRefusedWhileLedgerIsDisabled checks that this happens only if the operator has configured it.
 func TestNewCallsAreRefusedWhileLedgerIsDisabled(t *testing.T) {
 	for _, refuse := range []bool{false, true} {
 		core, s := newLedgerFixture(t)
@@ -179,10 +179,10 @@
 			core.finishIteration()
 		}
 		if got := s.rejections[fmt.Sprintf("%016x", 2)] == 1; got != refuse {
-			t.Errorf("refuse %v: the second is refused %v", refuse, got)
+			t.Errorf("refuse %v: the second call is refused: %v", refuse, got)
 		}
 		if s.rejections[fmt.Sprintf("%016x", 1)] > 0 {
-			t.Error("a call that was taken is refused")
+			t.Error("a call that was accepted is refused")
 		}
 	}
 }
--- a/internal/call/earlier_held_test.go
+++ b/internal/call/earlier_held_test.go
@@ -7,15 +7,16 @@
 	"cherryrelay/control"
 )
 
-// TestACallHeldByAnEarlierAttemptIsReleased guards against a call that nobody releases at its dispatcher, by the late answer to an earlier attempt, as
-// the later one there comes to nothing; and against a second release, as a further attempt does too.
+// TestACallHeldByAnEarlierAttemptIsReleased guards against a call that stays established at its dispatcher by the late
+// answer to an earlier attempt, when the later attempt there fails; and against a second release when a further attempt
+// fails too.
 func TestACallHeldByAnEarlierAttemptIsReleased(t *testing.T) {
 	t.Parallel()
 	for name, comesToNothing := range map[string]func(s *fixture, server control.ServerID){
 		"it is refused": func(s *fixture, server control.ServerID) {
 			s.core.AttemptEnded(server, "1", 1, control.Failed, false, nil)
 		},
-		"its caller goes": func(s *fixture, _ control.ServerID) { s.core.CallerReleased(s, "1", CauseNormal) },
+		"its caller cancels": func(s *fixture, _ control.ServerID) { s.core.CallerReleased(s, "1", CauseNormal) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -29,7 +30,7 @@
 				case 1:
 					s.core.Answered(server, a.ID, 0, "late")
 					if s.releases > 0 {
-						t.Error("the call is released while the later attempt is out")
+						t.Error("the call is released while the later attempt is in progress")
 					}
 					comesToNothing(s, server)
 					s.core.Loop().After(10*guard, s.core.Loop().Quit)
--- a/internal/call/ends.go
+++ b/internal/call/ends.go
@@ -8,10 +8,10 @@
 	"cherryrelay/internal/endlog"
 )
 
-// What the ends of calls that dispatchers send lead to.
+// Handling of the ends of calls that dispatchers send.
 
-// Released tells that a dispatcher has released a call that stood. The attempt is the one that was made on the connection
-// that it came on; -1 for none.
+// Released handles the release of an established call by a dispatcher. The attempt is the one made on the connection on
+// which the release arrived; -1 for none.
 func (c *Core) Released(server control.ServerID, id string, attempt, cause int, report []float64) {
 	k := c.calls[id]
 	result := c.classifyEnd(k, server, attempt)
@@ -19,8 +19,9 @@
 	c.applyEnd(k, id, result, cause, report)
 }
 
-// ReleasedOnOtherConnection tells that a dispatcher has released a call that stands, on another connection than that of its answer, and reports whether the call
-// goes on there. The release may be that of a call which an earlier attempt has established under the same id.
+// ReleasedOnOtherConnection handles the release of an established call on a connection other than that of its answer,
+// and reports whether the call is still established there. The release may belong to a call that an earlier attempt
+// established under the same id.
 func (c *Core) ReleasedOnOtherConnection(server control.ServerID, id string, cause int, report []float64) (goesOn bool) {
 	k := c.calls[id]
 	result := c.classifyEnd(k, server, noAttempt)
@@ -32,13 +33,13 @@
 	return k != nil && k.state == established && k.server == server
 }
 
-// applyEnd does what the end of a call leads to.
+// applyEnd carries out the consequences of the end of a call.
 func (c *Core) applyEnd(k *record, id string, result receivedEnd, cause int, report []float64) {
 	c.endCounts[result]++
 	switch result {
 	case endOtherController:
 		c.transfers.finder.Terminated(id, cause)
-	case endOfUnknownCall: // from before a restart: its caller still has to hear of it
+	case endOfUnknownCall: // a call from before a restart: its caller must still be notified
 		c.recordTerminated(id)
 		c.notifyTerminated(c.unknownCaller, id, endOf(cause))
 	case endOfCall:
@@ -53,7 +54,7 @@
 	}
 }
 
-// terminate ends a call that stood.
+// terminate ends an established call.
 func (c *Core) terminate(k *record, cause int, report []float64) {
 	outcome := control.Completed
 	if cause != CauseNormal {
@@ -69,13 +70,13 @@
 	c.notifyTerminated(caller, k.ID, endOf(cause))
 }
 
-// recordTerminated notes that a call of another process is over.
+// recordTerminated records that a call of another process is terminated.
 func (c *Core) recordTerminated(id string) {
 	c.calls[id] = &record{Request: Request{ID: id}, state: established}
 	c.closeRecord(c.calls[id])
 }
 
-// endOf is the end of a call that stood.
+// endOf returns the End of an established call that was released with the cause.
 func endOf(cause int) End {
 	if cause == CauseNormal {
 		return End{Cause: cause, Reason: ReasonEnded}
--- a/internal/call/ends_told_test.go
+++ b/internal/call/ends_told_test.go
@@ -10,7 +10,7 @@
 	"cherryrelay/control"
 )
 
-// endRecorder is a front and a finder that note the ends they are told of, and a caller that may have left.
+// endRecorder is a front and a finder that record the ends delivered to them, and a caller that may have disconnected.
 type endRecorder struct {
 	*fixture
 	stubFinder
@@ -31,7 +31,7 @@
 	unknownID = "00000000000000e2"
 )
 
-// newEndRecorder has a core with one call at the dispatcher a, which stands if it is answered.
+// newEndRecorder returns a core with one call at the dispatcher a, established if it is answered.
 func newEndRecorder(t *testing.T, answered bool) *endRecorder {
 	t.Helper()
 	e := &endRecorder{fixture: newFixture(t)}
@@ -49,13 +49,14 @@
 	return e
 }
 
-// endsDelivered is what came of an end.
+// endsDelivered is the result of an end.
 type endsDelivered struct {
 	Answers, Overs, Releases int
 	Front, Elsewhere         []string
 }
 
-// TestEachEndIsDeliveredOnce guards against an end that is told to nobody, told twice, or taken for that of another call, for each way in which one comes.
+// TestEachEndIsDeliveredOnce guards against an end that is delivered to nobody or twice, or attributed to another call,
+// for each way in which an end arrives.
 func TestEachEndIsDeliveredOnce(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
@@ -63,43 +64,43 @@
 		ends func(e *endRecorder)
 		want endsDelivered
 	}{
-		"its dispatcher ends it":                {false, func(e *endRecorder) { e.core.Released("a", endedID, 0, CauseNormal, nil) }, endsDelivered{Answers: 1, Overs: 1}},
-		"another dispatcher ends one of its id": {false, func(e *endRecorder) { e.core.Released("b", endedID, -1, CauseNormal, nil) }, endsDelivered{Answers: 1}},
-		"its dispatcher dies":                   {false, func(e *endRecorder) { e.core.DispatcherFailed("a") }, endsDelivered{Answers: 1, Overs: 1}},
-		"another dispatcher dies":               {false, func(e *endRecorder) { e.core.DispatcherFailed("b") }, endsDelivered{Answers: 1}},
-		"another connection ends it": {false, func(e *endRecorder) { e.core.CallerReleased(&endRecorder{fixture: e.fixture}, endedID, CauseNormal) },
+		"its dispatcher ends it":                     {false, func(e *endRecorder) { e.core.Released("a", endedID, 0, CauseNormal, nil) }, endsDelivered{Answers: 1, Overs: 1}},
+		"another dispatcher ends a call with its id": {false, func(e *endRecorder) { e.core.Released("b", endedID, -1, CauseNormal, nil) }, endsDelivered{Answers: 1}},
+		"its dispatcher fails":                       {false, func(e *endRecorder) { e.core.DispatcherFailed("a") }, endsDelivered{Answers: 1, Overs: 1}},
+		"another dispatcher fails":                   {false, func(e *endRecorder) { e.core.DispatcherFailed("b") }, endsDelivered{Answers: 1}},
+		"another connection releases it": {false, func(e *endRecorder) { e.core.CallerReleased(&endRecorder{fixture: e.fixture}, endedID, CauseNormal) },
 			endsDelivered{Answers: 1, Overs: 1, Releases: 1}},
-		"its caller ends it, or gave it up as it was answered": {false, func(e *endRecorder) { e.core.CallerReleased(e, endedID, CauseNormal) },
+		"its caller releases it, or cancelled it as it was answered": {false, func(e *endRecorder) { e.core.CallerReleased(e, endedID, CauseNormal) },
 			endsDelivered{Answers: 1, Overs: 1, Releases: 1}},
 		"its caller cuts it": {false, func(e *endRecorder) { e.core.CallerReleased(e, endedID, CauseTemporary) }, endsDelivered{Answers: 1, Releases: 1}},
-		"a successor takes the end": {false, func(e *endRecorder) {
+		"a successor accepts the end": {false, func(e *endRecorder) {
 			e.core.Supersede(func(id string, _ End) bool { e.viaOthers = append(e.viaOthers, id); return true })
 			e.core.Released("a", endedID, 0, CauseNormal, nil)
 		}, endsDelivered{Answers: 1, Elsewhere: []string{endedID}}},
-		"a successor does not take it": {false, func(e *endRecorder) {
+		"a successor does not accept it": {false, func(e *endRecorder) {
 			e.core.Supersede(func(string, End) bool { return false })
 			e.core.Released("a", endedID, 0, CauseNormal, nil)
 		}, endsDelivered{Answers: 1, Overs: 1}},
-		"it is one from before a restart, and the end comes twice": {false, func(e *endRecorder) {
+		"it is from before a restart, and the end arrives twice": {false, func(e *endRecorder) {
 			e.core.Released("a", unknownID, -1, CauseNormal, nil)
 			e.core.Released("a", unknownID, -1, CauseNormal, nil)
 		}, endsDelivered{Answers: 1, Front: []string{unknownID}}},
-		"its caller ends one from before a restart": {false, func(e *endRecorder) { e.core.CallerReleased(e, unknownID, CauseTemporary) },
+		"its caller releases one from before a restart": {false, func(e *endRecorder) { e.core.CallerReleased(e, unknownID, CauseTemporary) },
 			endsDelivered{Answers: 1, Releases: 1}},
-		"it may be another controller's": {false, func(e *endRecorder) {
+		"another controller may hold it": {false, func(e *endRecorder) {
 			e.core.UseFinder(e, func() bool { return true }, func(error) {})
 			e.core.Released("a", unknownID, -1, CauseNormal, nil)
 		}, endsDelivered{Answers: 1, Elsewhere: []string{unknownID}}},
-		"it is on its way to another controller": {false, func(e *endRecorder) {
+		"it is being transferred to another controller": {false, func(e *endRecorder) {
 			e.core.UseFinder(e, func() bool { return true }, func(error) {})
 			e.core.calls[endedID].transferring = true
 			e.core.Released("a", endedID, 0, CauseNormal, nil)
 		}, endsDelivered{Answers: 1, Elsewhere: []string{endedID}}},
-		"it was adopted, and its dispatcher dies": {false, func(e *endRecorder) {
+		"it was adopted, and its dispatcher fails": {false, func(e *endRecorder) {
 			e.core.Adopt(unknownID, "b")
 			e.core.DispatcherFailed("b")
 		}, endsDelivered{Answers: 1, Front: []string{unknownID}}},
-		"its answer comes as its caller has left": {true, func(e *endRecorder) {
+		"its answer arrives after its caller has disconnected": {true, func(e *endRecorder) {
 			e.disconnected = true
 			e.core.Answered("a", endedID, 0, "y")
 		}, endsDelivered{Releases: 1}},
@@ -110,7 +111,7 @@
 			test.ends(e)
 			got := endsDelivered{Answers: e.answers[endedID], Overs: e.terminations[endedID], Releases: e.releases, Front: e.viaFront, Elsewhere: slices.Clone(e.viaOthers)}
 			if diff := cmp.Diff(test.want, got); diff != "" {
-				t.Errorf("what was told (-want +got):\n%s", diff)
+				t.Errorf("delivered (-want +got):\n%s", diff)
 			}
 		})
 	}
--- a/internal/call/figures.go
+++ b/internal/call/figures.go
@@ -9,15 +9,15 @@
 	dto "github.com/prometheus/client_model/go"
 )
 
-// registerClasses has the figures name all classes of the settings, from zero.
+// registerClasses adds all classes of the settings to the metrics, starting at zero.
 func (c *Core) registerClasses() {
 	for _, class := range c.decisions.Classes {
 		c.metrics.Class(class.Name)
 	}
 }
 
-// reject gives a caller the final answer to a set-up that does not stand, and counts it. What callers name is counted only if
-// the settings name it too: there is no end of other names.
+// reject sends a caller the final answer to a set-up that is not established, and counts it. Classes that callers name
+// are only counted if they are in the settings, as the number of other names is unlimited.
 func (c *Core) reject(r *Request, end End) {
 	if c.metrics.Has(r.Class) {
 		switch class := c.metrics.Class(r.Class); end.Cause {
@@ -30,22 +30,23 @@
 	r.Caller.End(r.ID, end)
 }
 
-// Reject answers a set-up that makes no sense. One under the id of another that is open on the same connection has that one's answer.
+// Reject answers an invalid set-up. If its id is that of another call of the same connection that is not terminated,
+// the answer to that call serves for both.
 func (c *Core) Reject(r Request) {
 	if old := c.calls[r.ID]; old == nil || old.state == terminated || old.Caller != r.Caller {
 		c.reject(&r, BadRequest)
 	}
 }
 
-// SetUpWritten tells that all of a set-up has gone to a dispatcher.
+// SetUpWritten counts a set-up that has been written to a dispatcher completely.
 func (c *Core) SetUpWritten() { c.metrics.Attempts++ }
 
-// AddMetrics has the text of the figures close with those of another part.
+// AddMetrics appends the metrics of another component to those of the core.
 func (c *Core) AddMetrics(part func() []*dto.MetricFamily) {
 	c.metricSources = append(c.metricSources, part)
 }
 
-// Telemetry is all figures as text.
+// Telemetry returns all metrics as text.
 func (c *Core) Telemetry() (string, error) {
 	f := &c.metrics
 	f.InFlight = c.pendingCount
--- a/internal/call/late_refusal_test.go
+++ b/internal/call/late_refusal_test.go
@@ -7,18 +7,19 @@
 	"cherryrelay/control"
 )
 
-// TestAnEndBeforeItsAnswerAfterALateRefusal guards against the untold end of a call that came ahead of its answer, where an earlier attempt at the same
-// dispatcher was withdrawn, and refused after that: it has established nothing, and the end can't be its.
+// TestAnEndBeforeItsAnswerAfterALateRefusal guards against an end that arrives before its answer and is delivered to
+// nobody, where an earlier attempt at the same dispatcher was cancelled and refused after that: that attempt has
+// established nothing, so the end cannot belong to it.
 func TestAnEndBeforeItsAnswerAfterALateRefusal(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
 		outcome   control.Outcome
-		besideOut bool // it comes as the next attempt is out
+		besideOut bool // the refusal arrives while the next attempt is in progress
 	}{
 		"as cancelled, before the next attempt": {control.Cancelled, false},
-		"as cancelled, beside the next attempt": {control.Cancelled, true},
+		"as cancelled, during the next attempt": {control.Cancelled, true},
 		"as failed, before the next attempt":    {control.Failed, false},
-		"as full, beside the next attempt":      {control.Full, true},
+		"as full, during the next attempt":      {control.Full, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/call/leave_test.go
+++ b/internal/call/leave_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// stubFront is a front with something unread.
+// stubFront is a front that may have unread input.
 type stubFront struct {
 	unread bool
 	polls  int
@@ -16,8 +16,8 @@
 func (r *stubFront) Connections() int    { return 1 }
 func (r *stubFront) Idle() bool          { r.polls++; return !r.unread }
 
-// TestDrainWaitsForUnreadInput: a controller that has served out does not end while something of its callers' lies unread, as
-// what came in time may after a pause; but it does end before it would be killed.
+// TestDrainWaitsForUnreadInput checks that a controller that has answered all calls does not stop while input from its
+// callers is unread, as set-ups that arrived in time may be after a pause; but that it stops before it would be killed.
 func TestDrainWaitsForUnreadInput(t *testing.T) {
 	for name, test := range map[string]struct {
 		readAfter time.Duration // 0 for never
@@ -26,7 +26,7 @@
 	}{
 		"nothing unread":      {time.Nanosecond, lateArrivalWindow, lateArrivalWindow + 50*time.Millisecond},
 		"unread for a second": {time.Second, time.Second, time.Second + 50*time.Millisecond},
-		"unread for good":     {0, killGrace, killMaxDeadline + killGrace - 200*time.Millisecond},
+		"unread for ever":     {0, killGrace, killMaxDeadline + killGrace - 200*time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -41,7 +41,7 @@
 						loop.After(test.readAfter, func() { front.unread = false })
 					}
 					var look func()
-					look = func() { loop.After(10*time.Millisecond, look) } // a turn now and then, as fronts have
+					look = func() { loop.After(10*time.Millisecond, look) } // fronts cause an iteration now and then
 					look()
 				})
 				loop.Run()
--- a/internal/call/list.go
+++ b/internal/call/list.go
@@ -6,16 +6,16 @@
 	"cherryrelay/control"
 )
 
-// What the list says of dispatchers.
+// Handling of the list of dispatchers.
 
-// Update takes in the list of dispatchers, or changes to it.
+// Update applies a list of dispatchers, or changes to it.
 func (c *Core) Update(u Update) {
 	if !c.selection.update(u) {
 		c.applyUpdate(u)
 	}
 }
 
-// applyUpdate takes in what the module and the connections are to know of the list.
+// applyUpdate passes an update on to the module and the connections.
 func (c *Core) applyUpdate(u Update) {
 	named := map[control.ServerID]bool{}
 	entries := make([]control.ServerEntry, 0, len(u.Servers))
@@ -26,7 +26,7 @@
 			s.Address = c.knownServers[s.ID].Address
 		}
 		c.knownServers[s.ID] = s
-		c.setStatus(s.ID, s.Status) // which forgets the place of one that is gone
+		c.setStatus(s.ID, s.Status) // also drops the entry of a removed dispatcher
 	}
 	if u.Complete {
 		var gone []control.ServerID
@@ -53,13 +53,13 @@
 	if status == control.Removed {
 		delete(c.serverStatus, id)
 		c.forgetSetUpCount(id)
-		delete(c.knownServers, id) // they come and go under new names all day
+		delete(c.knownServers, id) // dispatchers come and go under new names all day
 		return
 	}
 	c.serverStatus[id] = status
 }
 
-// isActive reports whether the list has a dispatcher as taking calls.
+// isActive reports whether the list names a dispatcher as active.
 func (c *Core) isActive(id control.ServerID) bool {
 	status, ok := c.serverStatus[id]
 	return ok && status == control.Active
--- a/internal/call/loop.go
+++ b/internal/call/loop.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// pauseThreshold is how late a timer is after which the process counts as having been paused, or kept from its core.
+	// pauseThreshold is how late a timer must be for the process to count as paused, or as having got no CPU time.
 	pauseThreshold = 50 * time.Millisecond
-	// catchUpStep and catchUpTimeout bound how long what came meanwhile is waited for; it is all in once nothing more comes for
-	// catchUpIdleSteps steps, and nothing is known to be unread. What is known is waited for longer, up to catchUpUnreadTimeout, on a machine that is
-	// too busy to read: less than the time after which nothing may be sent on for one who has left.
+	// catchUpStep and catchUpTimeout bound the wait for input that arrived during a pause. The wait ends once nothing
+	// has been posted for catchUpIdleSteps steps and no input is known to be unread. For unread input it lasts up to
+	// catchUpUnreadTimeout, as a busy machine may be slow to read. That is less than the time after which no set-up of
+	// a disconnected caller may be sent.
 	catchUpStep, catchUpIdleSteps        = time.Millisecond, 3
 	catchUpTimeout, catchUpUnreadTimeout = 20 * time.Millisecond, 250 * time.Millisecond
-	// catchUpInterval is the least time between two: a loop that has more to do than it can is late all the time.
+	// catchUpInterval is the least time between two such waits: an overloaded loop is late all the time.
 	catchUpInterval = 100 * time.Millisecond
 )
 
-// Loop is the event loop that owns the module and all call state. Everything that touches them runs in a
-// function given to Post or After.
+// Loop is the event loop that owns the module and all call state. Only functions passed to Post or After may access
+// them.
 type Loop struct {
 	mu       sync.Mutex
 	queue    []func()
@@ -28,19 +29,20 @@
 	quit     chan struct{}
 	quitOnce sync.Once
 	timers   timers
-	// caughtUp is when the loop last took in what came during a pause.
+	// caughtUp is when the loop last processed the input that arrived during a pause.
 	caughtUp    time.Time
 	onIteration func()
 	idleChecks  []func() bool
-	commit      func() // nil if nothing need be kept before words leave
+	commit      func() // nil if nothing has to be persisted before messages are sent
 }
 
-// NewLoop returns a Loop that calls turn at the end of each round, when all that was ready has been taken in.
+// NewLoop returns a Loop. It calls onIteration at the end of each iteration, when everything that was ready has been
+// processed.
 func NewLoop() *Loop {
 	return &Loop{wake: make(chan struct{}, 1), quit: make(chan struct{})}
 }
 
-// Post has f run on the loop; any goroutine may call it.
+// Post schedules f to run on the loop; any goroutine may call it.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.queue = append(l.queue, f)
@@ -51,51 +53,54 @@
 	}
 }
 
-// Pending is the number of functions that were posted and have not run; any goroutine may call it.
+// Pending returns the number of posted functions that have not run; any goroutine may call it.
 func (l *Loop) Pending() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.queue)
 }
 
-// OnCommit has f run before anything leaves the process that was decided since it ran last. It must do nothing if nothing was.
+// OnCommit registers f to run before any message leaves the process that depends on events since its last run. It must
+// do nothing if there were none.
 func (l *Loop) OnCommit(f func()) { l.commit = f }
 
-// AddIdleCheck names what tells whether all that has come is with the loop, for a loop that goes on after a pause. It runs on the loop.
+// AddIdleCheck adds a check for unread input, which runs on the loop after a pause: it reports whether all input has
+// been posted to the loop.
 func (l *Loop) AddIdleCheck(quiet func() bool) { l.idleChecks = append(l.idleChecks, quiet) }
 
-// Commit runs what OnCommit was given; whatever writes to a socket calls it first. Only the loop may call it.
+// Commit runs the function registered with OnCommit; anything that writes to a socket must call it first. Only the loop
+// may call it.
 func (l *Loop) Commit() {
 	if l.commit != nil {
 		l.commit()
 	}
 }
 
-// Timer is a function that is due at some time.
+// Timer is a scheduled function.
 type Timer struct {
 	at    time.Time
 	f     func()
 	index int
 }
 
-// After has f run on the loop after d; only the loop may call it.
+// After schedules f to run on the loop after d; only the loop may call it.
 func (l *Loop) After(d time.Duration, f func()) *Timer {
 	t := &Timer{at: time.Now().Add(d), f: f}
 	heap.Push(&l.timers, t)
 	return t
 }
 
-// Stop drops a timer that has not run; only the loop may call it.
+// Stop cancels a timer that has not fired; only the loop may call it.
 func (l *Loop) Stop(t *Timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&l.timers, t.index)
 	}
 }
 
-// Quit ends Run after the round under way.
+// Quit makes Run return after the current iteration.
 func (l *Loop) Quit() { l.quitOnce.Do(func() { close(l.quit) }) }
 
-// Run serves the loop until Quit.
+// Run runs the loop until Quit.
 func (l *Loop) Run() {
 	idle := time.NewTimer(time.Hour)
 	defer idle.Stop()
@@ -123,9 +128,10 @@
 	}
 }
 
-// catchUp has what came during a pause taken in before what is overdue runs. Both wait in the same instant after it, and a set-up that
-// was held would go out though its caller has left, or its dispatcher drains, with the word of that unread in a socket. It reports
-// whether there was a pause.
+// catchUp waits for input that arrived during a pause to be posted before overdue timers fire. Both become ready at the
+// same moment after a pause: a set-up that was held back would otherwise be sent although its caller has disconnected,
+// or its dispatcher drains, and the message that says so is still unread in a socket. It reports whether there was a
+// pause.
 func (l *Loop) catchUp() bool {
 	if len(l.timers) == 0 || time.Since(l.timers[0].at) < pauseThreshold || time.Since(l.caughtUp) < catchUpInterval {
 		return false
@@ -135,7 +141,7 @@
 	known := false
 	begun, still, waits := time.Now(), 0, 0
 	for took := time.Duration(0); still < catchUpIdleSteps && (took < catchUpTimeout || known && took < catchUpUnreadTimeout); took = time.Since(begun) {
-		if took > 0 { // the first look is at once: what is read from a socket by then is not seen there
+		if took > 0 { // check at once first: input that has been read from a socket is no longer seen there
 			time.Sleep(catchUpStep)
 		}
 		known = slices.ContainsFunc(l.idleChecks, unread)
@@ -147,7 +153,7 @@
 	return true
 }
 
-// runPosted runs what was posted, and reports whether there was anything.
+// runPosted runs all posted functions, and reports whether there were any.
 func (l *Loop) runPosted() bool {
 	l.mu.Lock()
 	queue := l.queue
@@ -159,8 +165,8 @@
 	return len(queue) > 0
 }
 
-// iterate takes in all that is ready, then gives the core its turn. It reports whether there was anything. A pause may have come before or
-// while what was ready was taken in.
+// iterate processes everything that is ready and then calls onIteration. It reports whether there was anything. A pause
+// may have occurred before the iteration, or while posted functions ran.
 func (l *Loop) iterate() bool {
 	came := l.runPosted()
 	if l.catchUp() {
--- a/internal/call/loop_test.go
+++ b/internal/call/loop_test.go
@@ -7,18 +7,19 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestUnreadInputIsProcessedBeforeOverdueTimers: a pause makes a timer overdue, and a word that came meanwhile is known to lie unread for longer than what is
-// merely hoped for is waited for. It is taken in first; one that never comes is not waited for beyond a bound.
+// TestUnreadInputIsProcessedBeforeOverdueTimers checks that input that is known to be unread after a pause is processed
+// before the timers that became overdue, with a longer wait than for input that may merely exist; and that this wait is
+// bounded.
 func TestUnreadInputIsProcessedBeforeOverdueTimers(t *testing.T) {
-	const looks = 30 // of a millisecond at least, beyond catchUpTimeout
+	const looks = 30 // of at least a millisecond each, beyond catchUpTimeout
 	for name, test := range map[string]struct {
 		comes bool
-		early bool // the pause falls into what was posted, before the timers of the same round
+		early bool // the pause occurs in a posted function, before the timers of the same iteration
 		want  []string
 	}{
-		"it comes":                       {true, false, []string{"word", "timer"}},
-		"it never comes":                 {false, false, []string{"timer"}},
-		"it comes, the pause in a round": {true, true, []string{"word", "timer"}},
+		"it arrives":                            {true, false, []string{"word", "timer"}},
+		"it never arrives":                      {false, false, []string{"timer"}},
+		"it arrives, the pause in an iteration": {true, true, []string{"word", "timer"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -47,7 +48,7 @@
 				t.Errorf("the order after a pause (-want +got):\n%s", diff)
 			}
 			if took := time.Since(begun); !test.comes && took < 2*pauseThreshold+catchUpUnreadTimeout {
-				t.Errorf("it was not waited for: %v", took)
+				t.Errorf("the loop waited for %v only", took)
 			}
 		})
 	}
--- a/internal/call/offers.go
+++ b/internal/call/offers.go
@@ -12,20 +12,20 @@
 	"cherryrelay/internal/endlog"
 )
 
-// What callers ask for: set-ups, and that they are given up.
+// Requests from callers: set-ups and releases.
 
-// ErrDuplicateID is a set-up under the id of another that is open, or of a call that stands, on the same connection: there
-// is no answer that could not be taken for the other's.
-var ErrDuplicateID = errors.New("set-up under an id that is in use")
+// ErrDuplicateID is returned for a set-up with the id of another call that is pending or established: any answer could
+// be mistaken for that call's.
+var ErrDuplicateID = errors.New("the id of the set-up is in use")
 
-// Offer takes in a set-up. An error calls for the end of its connection.
+// Offer accepts a set-up. On an error, its connection must be closed.
 func (c *Core) Offer(r Request) error {
 	if old := c.calls[r.ID]; old != nil {
 		if old.Caller == r.Caller && old.state != terminated {
 			return ErrDuplicateID
 		}
-		// An id is never used again. Whoever sent this is no party to the call of that id, and must not go on to end it.
-		c.log.Warn("set-up with a known id", "id", r.ID)
+		// Ids are never reused. The sender has no part in the call with that id, and must not be able to release it.
+		c.log.Warn("set-up with the id of a known call", "id", r.ID)
 		c.reject(&r, BadRequest)
 		if old.state != terminated {
 			return ErrDuplicateID
@@ -37,15 +37,15 @@
 	class := c.classIndex(r.Class)
 	switch {
 	case class < 0:
-		c.log.Warn("set-up of an unknown class", "id", r.ID, "class", r.Class)
+		c.log.Warn("set-up with an unknown class", "id", r.ID, "class", r.Class)
 		c.reject(&r, BadRequest)
 		return nil
 	case !r.Deadline.After(now):
-		c.log.Debug("set-up past its time", "id", r.ID)
+		c.log.Debug("set-up received after its deadline", "id", r.ID)
 		c.reject(&r, c.expiredEnd(&r))
 		return nil
 	case len(c.pendingByCaller[r.Caller]) >= maxPendingPerConnection || c.descriptionBytes+len(r.Description) > c.maxDescriptionBytes:
-		c.log.Warn("too many set-ups are open", "id", r.ID)
+		c.log.Warn("too many pending set-ups", "id", r.ID)
 		c.reject(&r, End{Cause: CauseCongestion, Reason: ReasonRefused, HoldOff: c.holdOff()})
 		return nil
 	case !c.drainingSince.IsZero() && !c.Superseded() && now.Sub(c.drainingSince) > lateArrivalWindow:
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// expiredEnd is the final answer to a set-up whose time was over when it was read. One that waited for that has been tried nowhere: it is
-// refused. One that was sent with no time left has failed.
+// expiredEnd returns the final answer to a set-up that was read after its deadline. One that expired while it was
+// unread has not been attempted, so it is refused. One that was sent with no time left has failed.
 func (c *Core) expiredEnd(r *Request) End {
 	if r.TimeLeft <= 0 {
 		return End{Cause: CauseTemporary, Reason: ReasonDeadline}
@@ -75,17 +75,17 @@
 	return End{Cause: CauseCongestion, Reason: ReasonDeadline, HoldOff: c.holdOff()}
 }
 
-// RefuseOverLimit refuses a set-up whose connection there is no room for.
+// RefuseOverLimit refuses a set-up on a connection beyond the limit of connections.
 func (c *Core) RefuseOverLimit(r Request) {
-	c.log.Warn("no room for another connection", "id", r.ID)
+	c.log.Warn("limit of connections reached", "id", r.ID)
 	c.reject(&r, End{Cause: CauseCongestion, Reason: ReasonRefused, HoldOff: c.holdOff()})
 }
 
-// startDeadlineTimer has a call answered at its caller's limit, come what may.
+// startDeadlineTimer answers a call that is still pending just before its caller's deadline.
 func (c *Core) startDeadlineTimer(k *record) {
-	// The module answers by itself. This is for what it could miss: a call must never be left without an answer.
+	// The module normally answers in time. This is a safeguard: a call must never stay without a final answer.
 	k.deadlineTimer = c.loop.After(time.Until(k.Deadline)-fallbackMargin, func() {
-		c.log.Warn("call without an answer at its limit", "id", k.ID)
+		c.log.Warn("call without an answer at its deadline", "id", k.ID)
 		c.cancelCall(k)
 		if c.mayRepeat(c.classIndex(k.Class), k.attempts) {
 			c.rejectCall(k, End{Cause: CauseCongestion, Reason: ReasonDeadline, HoldOff: c.holdOff()})
@@ -95,13 +95,13 @@
 	})
 }
 
-// mayRepeat reports whether a set-up of the class that has been attempted so often does no harm if it comes again, whatever became of the
-// attempts.
+// mayRepeat reports whether a set-up of the class may safely be sent again after the given number of attempts, whatever
+// their outcomes.
 func (c *Core) mayRepeat(class, attempts int) bool {
 	return class >= 0 && (attempts == 0 || c.decisions.Classes[class].Idempotency == control.Idempotent)
 }
 
-// offerToModule tells the module of a call.
+// offerToModule passes a call to the decision module.
 func (c *Core) offerToModule(k *record, class int) {
 	c.selection.callOffered(k, c.decisions.Classes[class])
 	c.queueEvent(control.CallOffered{
@@ -110,7 +110,7 @@
 	})
 }
 
-// classIndex is the place of a class in the settings; -1 if there is none of that name.
+// classIndex returns the index of a class in the settings; -1 if there is none of that name.
 func (c *Core) classIndex(name string) int {
 	return slices.IndexFunc(c.decisions.Classes, func(class control.Class) bool { return class.Name == name })
 }
@@ -122,7 +122,7 @@
 	return c.decisions.MaxHoldOff
 }
 
-// CallerReleased is a caller's release: of a set-up that it no longer waits for, or of a call that stands.
+// CallerReleased handles a release from a caller: of a pending set-up, or of an established call.
 func (c *Core) CallerReleased(caller Caller, id string, cause int) {
 	k := c.calls[id]
 	switch {
@@ -130,8 +130,8 @@
 		c.dispatchers.Release("", id, cause)
 		c.transfers.finder.Terminated(id, cause)
 	case k == nil:
-		// A call that stood before a restart: whichever dispatcher has it releases it. A set-up that was lost
-		// with the restart has nothing to release.
+		// A call that was established before a restart: the dispatcher that holds it releases it. A pending set-up that
+		// was lost with the restart needs no release.
 		if c.transfers != nil && ValidID(id) {
 			c.dispatchers.Release("", id, cause)
 			c.transfers.finder.Terminated(id, cause)
@@ -139,9 +139,9 @@
 		}
 		if cause != CauseNormal && ValidID(id) && time.Since(c.startedAt) < previousCallsWindow {
 			c.dispatchers.Release("", id, cause)
-			c.recordTerminated(id) // its caller need not be told
+			c.recordTerminated(id) // its caller need not be notified
 		}
-	case k.state == pending && k.Caller != caller: // only whoever waits for an answer can give it up
+	case k.state == pending && k.Caller != caller: // only the caller that waits for the answer can cancel the set-up
 	case k.state == pending:
 		c.cancelCall(k)
 		c.persistEvent(k, recovery.KindCancelled, nil)
@@ -152,11 +152,12 @@
 		c.queueEvent(control.AttemptEnded{ID: control.CallID(id), Server: k.server, Attempt: k.attempts - 1,
 			Outcome: control.Cancelled, CallOver: true})
 		if k.Caller != caller {
-			// It may come on any connection, but who waits for the call's end may be elsewhere.
-			c.log.Info("call ended from another connection", "id", id, "cause", cause)
+			// The release may arrive on any connection, but the caller may expect the end on another one.
+			c.log.Info("call released on another connection", "id", id, "cause", cause)
 		}
 		if k.Caller != caller || cause == CauseNormal {
-			// With this cause a caller may give up a set-up whose answer is on its way: the call has stood, and is released here.
+			// With this cause a caller may cancel a set-up whose answer is on its way: the call was established, and is
+			// released here.
 			c.notifyTerminated(k.Caller, id, endOf(cause))
 		}
 		c.persistTerminated(k, endOf(cause))
@@ -165,8 +166,8 @@
 	}
 }
 
-// CallerDisconnected ends the set-ups of a connection that has closed: no answer is owed for them. Calls that stand go
-// on.
+// CallerDisconnected ends the pending calls of a connection that has closed, as they need no answer. Established calls
+// go on.
 func (c *Core) CallerDisconnected(caller Caller) {
 	c.transfers.removeCaller(caller)
 	for _, id := range c.pendingIDsOf(caller) {
@@ -174,7 +175,8 @@
 	}
 }
 
-// orphanOrCancel ends an open call whose caller's connection has closed, or keeps it for one that can come back.
+// orphanOrCancel handles the disconnection of a pending call's caller: it keeps the call if it can be resumed, and
+// cancels it otherwise.
 func (c *Core) orphanOrCancel(k *record) {
 	if k.Token != nil && c.drainingSince.IsZero() {
 		c.orphan(k)
@@ -183,7 +185,8 @@
 	c.CallerReleased(k.Caller, k.ID, CauseNormal)
 }
 
-// CallerProtocolError answers the set-ups of a connection that is about to be closed for a fault of its peer.
+// CallerProtocolError answers the pending calls of a connection that is about to be closed because of an error of its
+// peer.
 func (c *Core) CallerProtocolError(caller Caller) {
 	for _, id := range c.pendingIDsOf(caller) {
 		k := c.calls[id]
@@ -192,12 +195,14 @@
 	}
 }
 
-// pendingIDsOf asks no call but the caller's own: connections come and go by hundreds.
+// pendingIDsOf returns the sorted ids of the caller's pending calls. It does not scan all calls, as connections come
+// and go by the hundred.
 func (c *Core) pendingIDsOf(caller Caller) []string {
 	return slices.Sorted(maps.Keys(c.pendingByCaller[caller]))
 }
 
-// PendingOf is the number of set-ups without an answer that came from the caller, and of calls that it has come for and that are looked for.
+// PendingOf returns the number of the caller's pending set-ups, plus the calls that it resumes and that are being
+// looked up.
 func (c *Core) PendingOf(caller Caller) int {
 	if c.transfers != nil {
 		return len(c.pendingByCaller[caller]) + c.transfers.resumeCounts[caller]
@@ -205,7 +210,7 @@
 	return len(c.pendingByCaller[caller])
 }
 
-// EstablishedOf is the number of calls of the caller that stand.
+// EstablishedOf returns the number of the caller's established calls.
 func (c *Core) EstablishedOf(caller Caller) int { return c.establishedByCaller[caller] }
 
 func (c *Core) addPending(k *record) {
@@ -226,10 +231,10 @@
 	}
 }
 
-// forgetInModule has the module forget an open call.
+// forgetInModule makes the module drop a pending call.
 func (c *Core) forgetInModule(k *record) { c.queueEvent(control.CallerLeft{ID: control.CallID(k.ID)}) }
 
-// cancelCall withdraws what is out for a call that its caller waits for no longer, and has the module forget it.
+// cancelCall makes the module drop a call whose caller no longer waits, and cancels its attempt in progress.
 func (c *Core) cancelCall(k *record) {
 	c.forgetInModule(k)
 	if k.attemptInProgress {
@@ -237,7 +242,7 @@
 	}
 }
 
-// rejectCall gives a call its final answer.
+// rejectCall sends the final answer to a pending call.
 func (c *Core) rejectCall(k *record, end End) {
 	if k.state != pending {
 		return
@@ -251,7 +256,7 @@
 	c.reject(&r, end)
 }
 
-// closeRecord ends the record of a call.
+// closeRecord marks a call as terminated, and drops calls whose retention period is over.
 func (c *Core) closeRecord(k *record) {
 	switch {
 	case k.state == pending:
--- a/internal/call/offers_test.go
+++ b/internal/call/offers_test.go
@@ -7,7 +7,7 @@
 	"cherryrelay/control"
 )
 
-// lastEndCaller is a caller that keeps the last end that it was told.
+// lastEndCaller is a caller that stores the last End that it received.
 type lastEndCaller struct {
 	*fixture
 	end End
@@ -15,8 +15,8 @@
 
 func (l *lastEndCaller) End(_ string, e End) { l.end = e }
 
-// TestSetUpThatExpiredUnreadIsRefused guards against set-ups that lay unread for all their time in an overload and were told to have failed
-// on their way: nothing was tried for them, so their callers are told that, and when to come back.
+// TestSetUpThatExpiredUnreadIsRefused guards against a failure as the final answer to set-ups that expired while they
+// were unread in an overload. They were never attempted, so their callers get a refusal with a hold-off.
 func TestSetUpThatExpiredUnreadIsRefused(t *testing.T) {
 	s := newFixture(t)
 	caller := &lastEndCaller{fixture: s}
@@ -24,11 +24,11 @@
 		t.Fatal(err)
 	}
 	if want := (End{Cause: CauseCongestion, Reason: ReasonDeadline, HoldOff: s.core.holdOff()}); caller.end != want || want.HoldOff == 0 {
-		t.Errorf("the caller is told %+v, want %+v", caller.end, want)
+		t.Errorf("the caller gets %+v, want %+v", caller.end, want)
 	}
 }
 
-// TestASetUpSentWithNoTimeLeftFails guards against one that is told to come back: its caller does not wait.
+// TestASetUpSentWithNoTimeLeftFails guards against a refusal with a hold-off: the caller does not wait.
 func TestASetUpSentWithNoTimeLeftFails(t *testing.T) {
 	s := newFixture(t)
 	caller := &lastEndCaller{fixture: s}
@@ -36,12 +36,12 @@
 		t.Fatal(err)
 	}
 	if want := (End{Cause: CauseTemporary, Reason: ReasonDeadline}); caller.end != want {
-		t.Errorf("the caller is told %+v, want %+v", caller.end, want)
+		t.Errorf("the caller gets %+v, want %+v", caller.end, want)
 	}
 }
 
-// TestExpiredCallThatMayHaveRunIsNotRefused guards against callers that are told that their set-up may come again at once, where an attempt
-// was out that must not be repeated.
+// TestExpiredCallThatMayHaveRunIsNotRefused guards against a refusal, which invites callers to retry at once, of a
+// set-up with an attempt that must not be repeated.
 func TestExpiredCallThatMayHaveRunIsNotRefused(t *testing.T) {
 	for name, c := range map[string]struct {
 		effect  control.Idempotency
@@ -55,7 +55,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newFixture(t)
 			s.core.decisions.Classes[0].Idempotency = c.effect
-			s.onSetUp = func(control.ServerID, SetUp) {} // silent
+			s.onSetUp = func(control.ServerID, SetUp) {} // no answer
 			s.updateList(control.Active, c.servers...)
 			caller := &lastEndCaller{fixture: s}
 			if err := s.core.Offer(Request{ID: "1", Class: "c", TimeLeft: time.Second, Deadline: time.Now().Add(time.Second), Caller: caller}); err != nil {
@@ -67,7 +67,7 @@
 			}
 			limit.f() // before the module has answered
 			if caller.end.Cause != c.want || caller.end.Reason != ReasonDeadline {
-				t.Errorf("after %d set-ups the caller is told %+v, want cause %d", s.setUps, caller.end, c.want)
+				t.Errorf("after %d set-ups the caller gets %+v, want cause %d", s.setUps, caller.end, c.want)
 			}
 		})
 	}
--- a/internal/call/outcomes.go
+++ b/internal/call/outcomes.go
@@ -11,26 +11,26 @@
 	"cherryrelay/internal/endlog"
 )
 
-// What dispatchers say of attempts, and of calls that stand.
+// Outcomes of attempts, and losses of dispatchers.
 
-// Answered tells that a dispatcher says that a call stands, and reports whether it does by that. Nobody waits for it if the attempt was
-// withdrawn or the caller has left; then the dispatcher's call is released.
+// Answered handles an answer from a dispatcher, and reports whether it establishes the call. If the attempt was
+// cancelled or the caller has disconnected, the call is released at the dispatcher.
 func (c *Core) Answered(server control.ServerID, id string, attempt int, description string) bool {
 	k := c.calls[id]
 	if k != nil && k.state == established && k.server == server {
 		endlog.Call(c.log, endlog.AnswerAgain, id, endlog.Server(server), endlog.Attempt(attempt))
-		return false // said twice, or late, of an earlier attempt
+		return false // a duplicate, or a late answer to an earlier attempt
 	}
 	if k != nil && k.attemptInProgress && k.server == server && attempt >= 0 && attempt < k.attempts-1 {
-		// An earlier attempt's, late. A release would go out under the id that both have, and cut the call that the later
-		// one is about to stand as. It goes out if that one comes to nothing.
+		// A late answer to an earlier attempt. A release would carry the id that both attempts share, and so end the
+		// call that the later attempt is about to establish. It is sent if the later attempt fails.
 		k.heldByEarlierAttempt = true
 		k.markEstablished(attempt)
 		endlog.Call(c.log, endlog.AnswerOfEarlier, id, endlog.Server(server), endlog.Attempt(attempt))
 		return false
 	}
 	if k != nil && k.state == pending && k.Caller.Disconnected() && k.state == pending {
-		c.orphanOrCancel(k) // before the answer came: whoever leaves later has had it, and its call stands
+		c.orphanOrCancel(k) // it disconnected before the answer; a caller that disconnects later has received it, and its call goes on
 	}
 	if k == nil || !k.attemptInProgress || k.server != server || attempt >= 0 && attempt != k.attempts-1 {
 		if k != nil {
@@ -41,11 +41,11 @@
 		return false
 	}
 	if err := k.Caller.Answer(id, description); err != nil {
-		c.log.Warn("answer that cannot be passed on", "id", id, "server", server, "err", err)
+		c.log.Warn("answer cannot be delivered to the caller", "id", id, "server", server, "err", err)
 		endlog.Call(c.log, endlog.AnswerUnfit, id, endlog.Server(server), endlog.Attempt(attempt))
 		c.dispatchers.Release(server, id, CauseNormal)
 		c.AttemptEnded(server, id, attempt, control.Failed, false, nil)
-		k.tried = append(k.tried, triedAttempt{server, k.attempts - 1, true}) // it was established there
+		k.tried = append(k.tried, triedAttempt{server, k.attempts - 1, true}) // the dispatcher has established it
 		return false
 	}
 	c.persistEvent(k, recovery.KindEstablished, func(e *recovery.Event) {
@@ -73,8 +73,8 @@
 	return k.state == established
 }
 
-// AttemptEnded tells the outcome of an attempt that does not stand. The outcome of one that was withdrawn has been told
-// already: its report counts, and that it was refused.
+// AttemptEnded handles the outcome of an attempt that did not establish the call. The outcome of a cancelled attempt is
+// already known: only its load report and the fact that it was refused count.
 func (c *Core) AttemptEnded(server control.ServerID, id string, attempt int, o control.Outcome, noLine bool, report []float64) {
 	k := c.calls[id]
 	if k == nil || !k.attemptInProgress || k.server != server || attempt >= 0 && attempt != k.attempts-1 {
@@ -85,7 +85,7 @@
 		return
 	}
 	c.loop.Stop(k.attemptTimer)
-	if k.earlyEnd != nil { // it stood, whatever has become of its answer
+	if k.earlyEnd != nil { // the call was established, whatever became of its answer
 		c.terminateUnanswered(k, report)
 		return
 	}
@@ -100,7 +100,8 @@
 		Elapsed: time.Since(k.sentAt), NoLine: noLine, Report: report})
 }
 
-// releaseEarlierAttempt releases the call that the dispatcher holds by an earlier attempt, as a later one there has come to nothing.
+// releaseEarlierAttempt releases the call that the dispatcher holds by an earlier attempt, because a later attempt
+// there has failed.
 func (c *Core) releaseEarlierAttempt(k *record) {
 	if k.heldByEarlierAttempt {
 		k.heldByEarlierAttempt = false
@@ -108,14 +109,14 @@
 	}
 }
 
-// LoadReported brings a load report outside an attempt.
+// LoadReported handles a load report that does not belong to an attempt.
 func (c *Core) LoadReported(server control.ServerID, report []float64) {
 	if len(report) > 0 {
 		c.queueEvent(control.ReportReceived{Server: server, OK: true, Report: report})
 	}
 }
 
-// DispatcherFailed tells that a dispatcher is no more. Its calls were cut, and it can't say so itself.
+// DispatcherFailed handles the failure of a dispatcher. Its calls were cut, which it cannot report itself.
 func (c *Core) DispatcherFailed(server control.ServerID) {
 	cut := slices.Sorted(c.EstablishedAt(server))
 	if len(cut) > 0 {
@@ -125,11 +126,11 @@
 		c.terminate(c.calls[id], CauseTemporary, nil)
 	}
 	if len(cut) > 0 {
-		c.log.Warn("dispatcher died with calls", "server", server, "calls", len(cut))
+		c.log.Warn("dispatcher failed with established calls", "server", server, "calls", len(cut))
 	}
 }
 
-// EstablishedAt names the calls that stand at a dispatcher, in no order.
+// EstablishedAt returns the ids of the calls that are established at a dispatcher, in no particular order.
 func (c *Core) EstablishedAt(server control.ServerID) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for id, k := range c.calls {
@@ -140,7 +141,7 @@
 	}
 }
 
-// EstablishedCount is their number.
+// EstablishedCount returns the number of those calls.
 func (c *Core) EstablishedCount(server control.ServerID) int {
 	n := 0
 	for range c.EstablishedAt(server) {
@@ -149,7 +150,7 @@
 	return n
 }
 
-// EachEstablished calls f with the dispatcher of each call that stands, in no order.
+// EachEstablished calls f with the dispatcher of each established call, in no particular order.
 func (c *Core) EachEstablished(f func(server control.ServerID)) {
 	for _, k := range c.calls {
 		if k.state == established {
--- a/internal/call/overtaken.go
+++ b/internal/call/overtaken.go
@@ -8,19 +8,19 @@
 	"cherryrelay/internal/endlog"
 )
 
-// answerTimeout is how long the answer to a set-up is waited for after the end of its call has come on another connection. What has stood is
-// to be released towards its caller within a second of its end.
+// answerTimeout is how long to wait for the answer to a set-up after the end of its call has arrived on another
+// connection. An established call must be released towards its caller within a second of its end.
 const answerTimeout = 500 * time.Millisecond
 
-// earlyEnd is the end of a call that was read before its answer, as it came on another connection.
+// earlyEnd is the end of a call that was read before its answer, on another connection.
 type earlyEnd struct {
 	cause  int
 	report []float64
-	timer  *Timer // when the answer is waited for no longer
+	timer  *Timer // limits the wait for the answer
 }
 
-// classifyEarlyEnd says what the end of a call is taken for that is still open, from the dispatcher at which its attempt is out, on another
-// connection than that of the attempt. If an earlier attempt may have established the call there, the end may be of that one.
+// classifyEarlyEnd classifies the end of a pending call that the dispatcher of its attempt in progress sent on another
+// connection. If an earlier attempt may have established the call there, the end may belong to that attempt.
 func (k *record) classifyEarlyEnd() receivedEnd {
 	switch {
 	case k.earlyEnd != nil:
@@ -31,7 +31,8 @@
 	return endBeforeAnswer
 }
 
-// holdEarlyEnd takes in such an end. The answer may lie unread on the connection of the attempt; if it does not come, it was lost.
+// holdEarlyEnd stores such an end. The answer may be unread on the connection of the attempt; if it does not arrive in
+// time, it was lost.
 func (c *Core) holdEarlyEnd(k *record, cause int, report []float64) {
 	attempt := k.attempts
 	k.earlyEnd = &earlyEnd{cause: cause, report: report, timer: c.loop.After(answerTimeout, func() {
@@ -41,8 +42,8 @@
 	})}
 }
 
-// terminateUnanswered ends a call that stood and is over at its dispatcher, and whose answer was lost or is late. Its caller is owed the end of what
-// has stood, within a second: another attempt would keep it from that.
+// terminateUnanswered ends a call that was established and terminated at its dispatcher, and whose answer was lost or
+// is late. Its caller must get the end of an established call within a second, which another attempt would delay.
 func (c *Core) terminateUnanswered(k *record, report []float64) {
 	k.attemptInProgress = false
 	endlog.Call(c.log, endlog.WithoutAnswer, k.ID, endlog.Server(k.server))
@@ -51,7 +52,7 @@
 	c.rejectCall(k, End{Cause: CauseTemporary, Reason: ReasonFailed})
 }
 
-// applyEarlyEnd tells the end of a call, if that came before its answer did.
+// applyEarlyEnd terminates an established call whose end arrived before its answer.
 func (c *Core) applyEarlyEnd(k *record) {
 	if o := k.earlyEnd; o != nil && k.state == established {
 		c.terminate(k, o.cause, o.report)
@@ -62,17 +63,17 @@
 type triedAttempt struct {
 	server      control.ServerID
 	number      int
-	established bool // its answer has come, though it established nothing here
+	established bool // its answer has arrived, but did not establish the call here
 }
 
-// recordTried keeps where a call was tried, and drops the ends that earlier attempts may have had.
+// recordTried records the dispatcher of a new attempt, and discards stored ends, as they belong to earlier attempts.
 func (c *Core) recordTried(k *record, server control.ServerID) {
 	k.tried = append(k.tried, triedAttempt{server: server, number: k.attempts - 1})
 	c.dropEarlyEnd(k)
 	c.dropAmbiguous(k)
 }
 
-// markEstablished keeps that a call was established by an attempt other than the one that is out.
+// markEstablished records that an attempt other than the one in progress has established the call.
 func (k *record) markEstablished(attempt int) {
 	for i := range k.tried {
 		if k.tried[i].number == attempt {
@@ -81,21 +82,22 @@
 	}
 }
 
-// triedEarlier reports whether an earlier attempt than the latest one may have established the call at the same dispatcher.
+// triedEarlier reports whether an attempt before the latest one may have established the call at the same dispatcher.
 func (k *record) triedEarlier() bool {
 	return slices.ContainsFunc(k.earlierAttempts(), func(a triedAttempt) bool { return a.server == k.server })
 }
 
-// earlierEstablished reports whether the dispatcher of the attempt that is out is known to have established the call by an earlier one.
+// earlierEstablished reports whether an earlier attempt is known to have established the call at the dispatcher of the
+// latest one.
 func (k *record) earlierEstablished() bool {
 	return slices.ContainsFunc(k.earlierAttempts(), func(a triedAttempt) bool { return a.server == k.server && a.established })
 }
 
-// earlierAttempts are those before the latest one that may have established the call.
+// earlierAttempts returns the attempts before the latest one that may have established the call.
 func (k *record) earlierAttempts() []triedAttempt { return k.tried[:max(len(k.tried)-1, 0)] }
 
-// dropRefused drops an attempt from those that may have established the call, if its dispatcher refused it or it never ran. A refusal
-// that comes after the attempt was withdrawn tells as much: it stands in place of the answer.
+// dropRefused removes an attempt that its dispatcher refused, or that never ran, from those that may have established
+// the call. A refusal that arrives after the attempt was cancelled proves the same: it takes the place of the answer.
 func (k *record) dropRefused(attempt int, o control.Outcome) {
 	switch o {
 	case control.Failed, control.Full, control.Unreachable, control.NotSent, control.Cancelled:
--- a/internal/call/overtaken_test.go
+++ b/internal/call/overtaken_test.go
@@ -9,7 +9,7 @@
 	"cherryrelay/control"
 )
 
-// message is one that comes, by its letter in an order.
+// message is an event of a call, with the letter that stands for it in an order.
 type message struct {
 	letter  byte
 	deliver func(s *fixture)
@@ -17,8 +17,8 @@
 
 const callID = "1"
 
-// messages are what may come for one attempt: its answer, its end on the same and on another connection, the loss of its connection, and that its
-// caller gives it up.
+// messages are the events that may occur for one attempt: its answer, its end on the same and on another connection,
+// the loss of its connection, and the cancellation by its caller.
 var messages = []message{
 	{'A', func(s *fixture) { s.core.Answered("a", callID, 0, "y") }},
 	{'e', func(s *fixture) { s.core.Released("a", callID, 0, CauseNormal, nil) }},
@@ -31,7 +31,8 @@
 	{'C', func(s *fixture) { s.core.CallerReleased(s, callID, CauseNormal) }},
 }
 
-// feasibleOrders are all orders of any of the messages that can come about: on one connection the answer comes before the end, and nothing after its loss.
+// feasibleOrders returns all feasible orders of all subsets of the messages: on one connection, the answer precedes the
+// end, and nothing follows the loss.
 func feasibleOrders(of []message) [][]message {
 	var all [][]message
 	var extend func(order []message)
@@ -58,7 +59,8 @@
 	return letters.String()
 }
 
-// TestWhatIsSaidOfACallInEveryOrder guards against an untold end, a second final answer, and an answer that nobody waits for and nobody releases.
+// TestMessagesOfACallInEveryOrder guards against an undelivered end, a second final answer, and an answer that nobody
+// waits for and that is not released.
 func TestWhatIsSaidOfACallInEveryOrder(t *testing.T) {
 	for _, order := range feasibleOrders(messages) {
 		t.Run("order "+lettersOf(order), func(t *testing.T) {
@@ -83,24 +85,24 @@
 					t.Error(err)
 				}
 			})
-			loop.After(10*time.Millisecond, step) // it is out by then
+			loop.After(10*time.Millisecond, step) // the attempt is in progress by then
 			loop.Run()
 			letters := lettersOf(order)
 			told := fmt.Sprintf("%d answers, %d ends, %d final answers, %d releases", s.answers[callID], s.terminations[callID], s.rejections[callID], s.releases)
 			if s.answers[callID]+s.rejections[callID] > 1 || s.terminations[callID] > 1 {
-				t.Errorf("told more than once: %s", told)
+				t.Errorf("delivered more than once: %s", told)
 			}
 			cancelled := strings.Contains(letters, "C")
 			over := strings.ContainsAny(letters, "eE")
 			if s.answers[callID] == 1 && over && !cancelled && s.terminations[callID] != 1 {
-				t.Errorf("its end is not told: %s", told)
+				t.Errorf("its end is not delivered: %s", told)
 			}
 			if strings.HasPrefix(letters, "AC") && s.terminations[callID] != 1 {
-				t.Errorf("the end of a call whose answer was given up on the way is not told: %s", told)
+				t.Errorf("the end of a call that was cancelled while its answer was on its way is not delivered: %s", told)
 			}
-			// Of an attempt whose connection is lost before its end comes, nothing more is known than that.
+			// If the connection of the attempt is lost before the end arrives, nothing else is known of the call.
 			if over && !strings.ContainsAny(letters, "AC") && !strings.HasPrefix(letters, "L") && s.rejections[callID] != 1 {
-				t.Errorf("an end in place of an answer is no final answer: %s", told)
+				t.Errorf("an end without an answer has not caused a final answer: %s", told)
 			}
 			if strings.HasPrefix(letters, "CA") && s.releases == 0 {
 				t.Errorf("an answer that nobody waits for is not released: %s", told)
@@ -109,11 +111,11 @@
 	}
 }
 
-// TestAnEndOfUnknownAttempt guards against an end of an earlier attempt at the same dispatcher that is taken for that of the one that is out, on whose
-// connection the dispatcher goes on to speak, and tells none.
+// TestAnEndOfUnknownAttempt guards against the end of an earlier attempt that is attributed to the attempt in progress
+// at the same dispatcher, although that one's connection carries further messages and no end.
 func TestAnEndOfUnknownAttempt(t *testing.T) {
 	t.Parallel()
-	for name, repliesFirst := range map[string]bool{"the probe is replied to ahead of the answer": true, "it is replied to behind the answer": false} {
+	for name, repliesFirst := range map[string]bool{"the reply to the probe arrives before the answer": true, "it arrives after the answer": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newFixture(t)
@@ -142,7 +144,7 @@
 			})
 			s.core.Loop().Run()
 			if s.answers[callID] != 1 || s.terminations[callID] != 0 || s.rejections[callID] != 0 {
-				t.Errorf("%d answers, %d ends, %d final answers; want an answer, and no more", s.answers[callID], s.terminations[callID], s.rejections[callID])
+				t.Errorf("%d answers, %d ends, %d final answers; want only an answer", s.answers[callID], s.terminations[callID], s.rejections[callID])
 			}
 		})
 	}
--- a/internal/call/phase.go
+++ b/internal/call/phase.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Phase is how far a controller has withdrawn from its callers. Fronts look at it.
+// Phase is the progress of an evacuation. Fronts act on it.
 type Phase int
 
-// The phases, in their order. A controller that evacuates passes through all of them.
+// The phases, in order. An evacuating controller passes through all of them.
 const (
 	Serving  Phase = iota
-	Leaving        // not ready, but what still arrives is taken
-	Closing        // connections that are owed nothing are closed
-	Refusing       // new set-ups are refused as well, so that the other connections empty
+	Leaving        // not ready, but new set-ups are still accepted
+	Closing        // connections without pending calls are closed
+	Refusing       // new set-ups are refused too, so that the other connections become idle
 )
 
 const (
-	// acceptAllPeriod is how long after an evacuation began all is taken: newcomers arrive for 0.2 s after the first no, which
-	// is asked for each 0.1 s.
+	// acceptAllPeriod is how long after the start of an evacuation new connections are accepted. They arrive for up to
+	// 0.2 s after the first negative readiness check, and readiness is checked every 0.1 s.
 	acceptAllPeriod = 600 * time.Millisecond
-	// refusalDelay is when new set-ups are refused. What was taken before is still answered; by 4 s no connection may
-	// have a set-up of the last 2 s.
+	// refusalDelay is how long after that start new set-ups are refused. Set-ups accepted earlier are still answered;
+	// after 4 s, no connection may have a set-up from the last 2 s.
 	refusalDelay = 1200 * time.Millisecond
-	// evacuationHoldOff is when callers may come back who are refused by a controller that withdraws: others serve them at once.
+	// evacuationHoldOff is the hold-off in refusals during an evacuation: other controllers serve the callers at once.
 	evacuationHoldOff = 100 * time.Millisecond
 )
 
-// Phase is that of now.
+// Phase returns the current phase.
 func (c *Core) Phase() Phase {
 	if c.Superseded() {
 		if time.Since(c.supersededAt) < refusalDelay {
@@ -44,8 +44,8 @@
 	return Refusing
 }
 
-// Ready reports whether callers can be served: a list has come, a dispatcher was reached, and neither an evacuation nor
-// a restart is under way. Whoever asks, callers or operators, is told by this.
+// Ready reports whether callers can be served: a list has been received, a dispatcher was reached, and neither an
+// evacuation nor a restart is in progress. Callers and operators get the same result.
 func (c *Core) Ready() bool {
 	return c.placesCalls() && !c.awaitsPredecessor && c.drainingSince.IsZero() && c.Phase() == Serving
 }
@@ -53,10 +53,11 @@
 // placesCalls reports whether calls can be placed.
 func (c *Core) placesCalls() bool { return c.listReceived && c.reached }
 
-// DispatcherReached tells that calls can be placed at some dispatcher.
+// DispatcherReached records that calls can be placed at some dispatcher.
 func (c *Core) DispatcherReached() { c.reached = true }
 
-// Evacuate sends callers away. Calls that stand go on, and the process stays up for a Rejoin.
+// Evacuate makes callers move to other controllers. Established calls go on, and the process keeps running so that
+// Rejoin can be called.
 func (c *Core) Evacuate() {
 	if c.evacuatedAt.IsZero() {
 		c.evacuatedAt = time.Now()
@@ -64,7 +65,7 @@
 	}
 }
 
-// Rejoin takes callers again, at whatever point of an evacuation.
+// Rejoin serves callers again, in any phase of an evacuation.
 func (c *Core) Rejoin() {
 	if !c.evacuatedAt.IsZero() {
 		c.evacuatedAt = time.Time{}
@@ -72,7 +73,7 @@
 	}
 }
 
-// evacuationEnd is the end of a set-up that comes while the controller withdraws.
+// evacuationEnd returns the final answer to a set-up that is refused during an evacuation.
 func (c *Core) evacuationEnd() End {
 	return End{Cause: CauseCongestion, Reason: ReasonDraining, HoldOff: min(c.holdOff(), evacuationHoldOff)}
 }
--- a/internal/call/queries_test.go
+++ b/internal/call/queries_test.go
@@ -9,7 +9,7 @@
 	"cherryrelay/internal/takeover"
 )
 
-// transferCounter is a Finder that counts the calls that are given to other controllers.
+// transferCounter is a Finder that counts the calls transferred to other controllers.
 type transferCounter struct {
 	stubFinder
 	transferred int
@@ -17,8 +17,9 @@
 
 func (f *transferCounter) Transfer(*takeover.Call) error { f.transferred++; return nil }
 
-// TestCallIsNotTransferredForAQueryOlderThanItsResume guards against a call that is taken from the caller that has come back for it here: the query
-// of another controller, at which the caller was before and which has failed since, had the call transferred to nobody.
+// TestCallIsNotTransferredForAQueryOlderThanItsResume guards against a call that is taken away from a caller that has
+// resumed it here. The query came from another controller, to which the caller was connected before and which has
+// failed since, so the call was transferred to nobody.
 func TestCallIsNotTransferredForAQueryOlderThanItsResume(t *testing.T) {
 	const id = "00000000000000ab"
 	s := newFixture(t)
@@ -37,11 +38,11 @@
 	}
 	s.core.TransferRequested(map[string]takeover.Query{id: query})
 	if finder.transferred != 0 {
-		t.Error("a call is given to the query that came before its caller")
+		t.Error("a call is transferred for a query that came before its caller")
 	}
 	query.Seen = time.Now()
 	s.core.TransferRequested(map[string]takeover.Query{id: query})
 	if finder.transferred != 1 {
-		t.Error("a call is not given to the query that came after its caller")
+		t.Error("a call is not transferred for a query that came after its caller")
 	}
 }
--- a/internal/call/received.go
+++ b/internal/call/received.go
@@ -11,25 +11,25 @@
 	"cherryrelay/internal/telemetry"
 )
 
-// receivedEnd is what became of the end of a call that a dispatcher has sent.
+// receivedEnd is the classification of the end of a call received from a dispatcher.
 type receivedEnd string
 
-// The results of ends that reach a caller, or may, and of those that change nothing.
+// The first group of results notifies a caller, or may do so; the second group has no effect.
 const (
-	endOfCall           receivedEnd = "ended"            // the call was established here
-	endBeforeAnswer     receivedEnd = "awaits_answer"    // its answer may lie unread on another connection
-	endWithoutAnswer    receivedEnd = "without_answer"   // its answer was lost; the set-up has failed
-	endOfUnknownCall    receivedEnd = "unknown_call"     // told on any connection
-	endOtherController  receivedEnd = "other_controller" // passed on to the controllers that may hold the call
+	endOfCall           receivedEnd = "ended"            // the call is established here
+	endBeforeAnswer     receivedEnd = "awaits_answer"    // the answer may be unread on another connection
+	endWithoutAnswer    receivedEnd = "without_answer"   // the answer was lost; the set-up has failed
+	endOfUnknownCall    receivedEnd = "unknown_call"     // the caller is notified on any connection
+	endOtherController  receivedEnd = "other_controller" // forwarded to the controllers that may hold the call
 	endOfEarlierAttempt receivedEnd = "earlier_attempt"
 	endOfTerminatedCall receivedEnd = "already_over"
-	endOtherDispatcher  receivedEnd = "other_dispatcher" // the call, or its attempt, is at another one
-	endNotEstablished   receivedEnd = "not_established"  // no attempt is out
-	endRepeated         receivedEnd = "repeated"         // the first one awaits the answer
-	endAmbiguous        receivedEnd = "ambiguous"        // of the attempt that is out, or of an earlier one at the same dispatcher
+	endOtherDispatcher  receivedEnd = "other_dispatcher" // the call, or its attempt in progress, is at another dispatcher
+	endNotEstablished   receivedEnd = "not_established"  // there is no attempt in progress
+	endRepeated         receivedEnd = "repeated"         // an earlier end already waits for the answer
+	endAmbiguous        receivedEnd = "ambiguous"        // belongs to the attempt in progress or to an earlier one at the same dispatcher
 )
 
-// noAttempt is the number of an attempt where an end came on a connection on which none was made.
+// noAttempt is the attempt number of an end that arrived on a connection without an attempt.
 const noAttempt = -1
 
 var receivedEnds = []receivedEnd{
@@ -37,19 +37,19 @@
 	endOfEarlierAttempt, endOfTerminatedCall, endOtherDispatcher, endNotEstablished, endRepeated, endAmbiguous,
 }
 
-// classifyEnd says what the end of a call from a dispatcher is the end of. The attempt is the one that was made on the connection that it came
-// on; -1 for none.
+// classifyEnd determines to which call or attempt the end of a call belongs. The attempt is the one made on the
+// connection on which the end arrived; -1 for none.
 func (c *Core) classifyEnd(k *record, server control.ServerID, attempt int) receivedEnd {
 	switch {
 	case k == nil && c.transfers == nil:
 		return endOfUnknownCall
-	case k == nil || k.transferring: // another controller may have it
+	case k == nil || k.transferring: // another controller may hold it
 		return endOtherController
-	case attempt >= 0 && attempt < k.attempts-1: // what an earlier attempt led to; a later one has taken its place
+	case attempt >= 0 && attempt < k.attempts-1: // the end of an earlier attempt, which a later one has replaced
 		return endOfEarlierAttempt
 	case k.state == established && k.server == server:
 		return endOfCall
-	case k.attemptInProgress && k.server == server && attempt >= 0: // were it another attempt's, it would not have come there
+	case k.attemptInProgress && k.server == server && attempt >= 0: // the end of another attempt would not have arrived on this connection
 		return endWithoutAnswer
 	case k.attemptInProgress && k.server == server:
 		return k.classifyEarlyEnd()
@@ -61,29 +61,29 @@
 	return endNotEstablished
 }
 
-// String names the state in the log.
+// String returns the name of the state for the log.
 func (s state) String() string { return [...]string{"open", "established", "over"}[s] }
 
-// logEnd logs the end of a call from a dispatcher, with what is known of the call, and what the end is taken for.
+// logEnd logs the end of a call from a dispatcher, with the state of the call and the classification of the end.
 func (c *Core) logEnd(server control.ServerID, id string, attempt int, k *record, result receivedEnd) {
 	if !endlog.Enabled(c.log) {
 		return
 	}
 	known := "nothing"
 	if k != nil {
-		known = fmt.Sprintf("%v at %s, attempt %d, out: %v", k.state, k.server, k.attempts-1, k.attemptInProgress)
+		known = fmt.Sprintf("%v at %s, attempt %d, in progress: %v", k.state, k.server, k.attempts-1, k.attemptInProgress)
 	}
 	endlog.Call(c.log, endlog.EndReceived, id, endlog.Server(server), endlog.Attempt(attempt), slog.String("known", known),
 		slog.String(endlog.ResultKey, string(result)))
 }
 
-// endMetrics are the counts of ends that were received, by what became of them.
+// endMetrics returns the number of received ends by their classification.
 func (c *Core) endMetrics() []*dto.MetricFamily {
 	counts := map[string]uint64{}
 	for _, result := range receivedEnds {
 		counts[string(result)] = c.endCounts[result]
 	}
 	return []*dto.MetricFamily{
-		telemetry.Counters("ends_received_total", "Ends of calls that dispatchers have sent, by what became of them.", "result", counts),
+		telemetry.Counters("ends_received_total", "Ends of calls received from dispatchers, by result.", "result", counts),
 	}
 }
--- a/internal/call/received_test.go
+++ b/internal/call/received_test.go
@@ -15,7 +15,8 @@
 	"cherryrelay/internal/endlog"
 )
 
-// TestReceivedEndsAreCountedByResult guards against ends of calls from dispatchers that are dropped without a trace.
+// TestReceivedEndsAreCountedByResult guards against ends received from dispatchers that are dropped without being
+// counted.
 func TestReceivedEndsAreCountedByResult(t *testing.T) {
 	const id = "00000000000000c1"
 	answer := func(s *fixture) { s.core.Answered("a", id, -1, "y") }
@@ -28,16 +29,16 @@
 		steps   []func(*fixture)
 		want    map[receivedEnd]uint64
 	}{
-		"it was established":        {true, []func(*fixture){answer, end("a", 0)}, map[receivedEnd]uint64{endOfCall: 1}},
-		"twice":                     {true, []func(*fixture){answer, end("a", 0), end("a", -1)}, map[receivedEnd]uint64{endOfCall: 1, endOfTerminatedCall: 1}},
-		"before its answer":         {true, []func(*fixture){end("a", -1), answer}, map[receivedEnd]uint64{endBeforeAnswer: 1}},
-		"twice before its answer":   {true, []func(*fixture){end("a", -1), end("a", -1)}, map[receivedEnd]uint64{endBeforeAnswer: 1, endRepeated: 1}},
-		"with its answer lost":      {true, []func(*fixture){end("a", 0)}, map[receivedEnd]uint64{endWithoutAnswer: 1}},
-		"nothing is known of it":    {false, []func(*fixture){end("a", -1), end("a", -1)}, map[receivedEnd]uint64{endOfUnknownCall: 1, endOfTerminatedCall: 1}},
-		"it is at another one":      {true, []func(*fixture){answer, end("b", -1)}, map[receivedEnd]uint64{endOtherDispatcher: 1}},
-		"its attempt is at another": {true, []func(*fixture){end("b", -1)}, map[receivedEnd]uint64{endOtherDispatcher: 1}},
-		"no attempt is out":         {true, []func(*fixture){lost, end("a", -1)}, map[receivedEnd]uint64{endNotEstablished: 1}},
-		"of the attempt before": {true, []func(*fixture){func(s *fixture) { s.core.calls[id].attempts = 2 }, end("a", 0)},
+		"it was established":                   {true, []func(*fixture){answer, end("a", 0)}, map[receivedEnd]uint64{endOfCall: 1}},
+		"twice":                                {true, []func(*fixture){answer, end("a", 0), end("a", -1)}, map[receivedEnd]uint64{endOfCall: 1, endOfTerminatedCall: 1}},
+		"before its answer":                    {true, []func(*fixture){end("a", -1), answer}, map[receivedEnd]uint64{endBeforeAnswer: 1}},
+		"twice before its answer":              {true, []func(*fixture){end("a", -1), end("a", -1)}, map[receivedEnd]uint64{endBeforeAnswer: 1, endRepeated: 1}},
+		"with its answer lost":                 {true, []func(*fixture){end("a", 0)}, map[receivedEnd]uint64{endWithoutAnswer: 1}},
+		"it is unknown":                        {false, []func(*fixture){end("a", -1), end("a", -1)}, map[receivedEnd]uint64{endOfUnknownCall: 1, endOfTerminatedCall: 1}},
+		"it is at another dispatcher":          {true, []func(*fixture){answer, end("b", -1)}, map[receivedEnd]uint64{endOtherDispatcher: 1}},
+		"its attempt is at another dispatcher": {true, []func(*fixture){end("b", -1)}, map[receivedEnd]uint64{endOtherDispatcher: 1}},
+		"no attempt is in progress":            {true, []func(*fixture){lost, end("a", -1)}, map[receivedEnd]uint64{endNotEstablished: 1}},
+		"of the previous attempt": {true, []func(*fixture){func(s *fixture) { s.core.calls[id].attempts = 2 }, end("a", 0)},
 			map[receivedEnd]uint64{endOfEarlierAttempt: 1}},
 		"it was tried there before": {true, []func(*fixture){func(s *fixture) { s.core.recordTried(s.core.calls[id], "a") }, end("a", -1)},
 			map[receivedEnd]uint64{endAmbiguous: 1}},
@@ -67,7 +68,8 @@
 	}
 }
 
-// TestTheStepsOfAnswersAndEndsAreLogged guards against answers that establish nothing, and calls that end, without the log saying why.
+// TestTheStepsOfAnswersAndEndsAreLogged guards against answers that establish nothing, and calls that end, without a
+// reason in the log.
 func TestTheStepsOfAnswersAndEndsAreLogged(t *testing.T) {
 	const id = "00000000000000c2"
 	answered := func(server control.ServerID, attempt int) func(*fixture) {
@@ -112,8 +114,8 @@
 	}
 }
 
-// rejectsAnswers is a caller that no answer can be told to.
+// rejectsAnswers is a caller to which no answer can be delivered.
 type rejectsAnswers struct{ *fixture }
 
-// Answer refuses the description.
+// Answer returns an error for every description.
 func (rejectsAnswers) Answer(string, string) error { return errors.New("too long") }
--- a/internal/call/recover.go
+++ b/internal/call/recover.go
@@ -16,31 +16,32 @@
 	"cherryrelay/internal/telemetry"
 )
 
-// orphanCaller stands in for a caller whose connection is gone and who may come back for its calls. What it is owed waits with them.
+// orphanCaller is the Caller of calls whose connection was lost and which may be resumed. Their ends are kept until
+// then.
 type orphanCaller struct{ unknownCaller }
 
-// RecoveryStatus is what became of the calls that an earlier process left, for operators.
+// RecoveryStatus is the result of the recovery of the previous process's calls, for operators.
 type RecoveryStatus struct {
-	Actions      map[string]int `json:"acts"`    // calls, by what was done with them
-	Reasons      map[string]int `json:"why"`     // and why
-	Cut          int            `json:"cut"`     // calls that stood, and were cut once the list had come
-	Waiting      int            `json:"waiting"` // open ones whose callers have not come yet
-	Resumed      int            `json:"claimed"` // given to callers that came back, since the start
-	Unknown      int            `json:"unknown"` // claims of calls that are not known
-	Unexpected   int            `json:"strays"`  // events that did not fit
+	Actions      map[string]int `json:"acts"`    // number of calls by action
+	Reasons      map[string]int `json:"why"`     // number of calls by reason of the action
+	Cut          int            `json:"cut"`     // established calls that were cut after the list was received
+	Waiting      int            `json:"waiting"` // pending calls whose callers have not resumed them yet
+	Resumed      int            `json:"claimed"` // calls resumed since the start
+	Unknown      int            `json:"unknown"` // resume requests for unknown calls
+	Unexpected   int            `json:"strays"`  // events that did not fit the state of their calls
 	TookUs       int64          `json:"took_us"`
 	Damage       []string       `json:"damage,omitempty"`
-	NotPersisted string         `json:"not_kept,omitempty"` // why the state of calls is not kept now
+	NotPersisted string         `json:"not_kept,omitempty"` // why the state of calls is not persisted now
 }
 
-// Recover takes up the calls that an earlier process left. It comes before callers are served.
+// Recover restores the calls of the previous process. It must be called before callers are served.
 func (c *Core) Recover(b *recovery.CallTable, damage []string) {
 	from := time.Now()
 	c.recovered.Actions, c.recovered.Reasons = map[string]int{}, map[string]int{}
 	c.recovered.Unexpected, c.recovered.Damage = b.UnexpectedEvents(), damage
 	rules := recovery.Rules{Guard: c.decisions.ReleaseGuard, MaxAttempts: c.decisions.MaxAttempts}
 	for _, d := range b.Plan(c.now(), rules) {
-		if k := c.calls[d.ID]; k != nil { // a predecessor has handed it over, without what its caller can claim it with
+		if k := c.calls[d.ID]; k != nil { // handed over by a predecessor, without the token needed to resume it
 			if k.state == established && d.State == recovery.StateEstablished && k.Token == nil {
 				k.Token, k.answer, k.restored = d.Token, d.Answer, d.Call
 			}
@@ -48,10 +49,10 @@
 		}
 		c.recoverCall(d)
 	}
-	slices.SortStableFunc(c.recentlyTerminated, func(a, b *record) int { return a.terminatedAt.Compare(b.terminatedAt) }) // forgotten in this order
+	slices.SortStableFunc(c.recentlyTerminated, func(a, b *record) int { return a.terminatedAt.Compare(b.terminatedAt) }) // retention relies on this order
 	c.recovered.TookUs += time.Since(from).Microseconds()
 	if n := len(c.calls); n > 0 {
-		c.log.Info("calls of an earlier process", "acts", fmt.Sprint(c.recovered.Actions), "strays", b.UnexpectedEvents(), "damage", len(damage))
+		c.log.Info("calls of the previous process", "acts", fmt.Sprint(c.recovered.Actions), "strays", b.UnexpectedEvents(), "damage", len(damage))
 	}
 	for _, text := range damage {
 		c.log.Error("the state of calls is damaged", "damage", text)
@@ -66,7 +67,7 @@
 		server:  control.ServerID(d.Server), attempts: d.Attempts, sentAt: now.Add(d.LastEventAt - c.now()), restored: d.Call,
 	}
 	act := d.Action
-	// What is repeated must do no harm if it ran.
+	// A call that may be set up again must not cause harm if an earlier attempt ran.
 	if act == recovery.AwaitResume && !c.mayRepeat(c.classIndex(d.Class), d.Attempts) {
 		act, d.Why = recovery.FailCall, "it may not be repeated"
 	}
@@ -111,20 +112,21 @@
 	}
 }
 
-// recordEnd notes how and when a call ended, for who asks.
+// recordEnd records how and when a call ended, for a caller that resumes it.
 func (c *Core) recordEnd(k *record, at time.Time, end End) {
 	k.state, k.Caller, k.end, k.terminatedAt, k.restored = terminated, nil, end, at, nil
 	c.recentlyTerminated = append(c.recentlyTerminated, k)
 }
 
-// verifyRecovered holds what stood against the list, once there is one, and releases what may stand where it must not.
+// verifyRecovered checks recovered established calls against the list once there is one, and releases calls that must
+// not be established.
 func (c *Core) verifyRecovered() {
 	if !c.listReceived {
 		return
 	}
 	for _, k := range c.pendingReleases {
 		c.selection.includeForRelease(k.server)
-		c.dispatchers.Release("", k.ID, CauseNormal) // wherever it may stand: the last that is known of it may not be all
+		c.dispatchers.Release("", k.ID, CauseNormal) // at all dispatchers: the last known one may not be the only one
 	}
 	c.pendingReleases = nil
 	unchecked := c.unverified
@@ -135,7 +137,7 @@
 		}
 		at, listed := c.listedServer(k.server)
 		if ok, why := k.restored.MayStillBeEstablished(recovery.ListEntry{Address: at.Address, Started: at.StartedAt, Listed: listed}); !ok {
-			c.log.Info("call of an earlier process is cut", "id", k.ID, "server", k.server, "why", why)
+			c.log.Info("call of the previous process is cut", "id", k.ID, "server", k.server, "why", why)
 			c.recovered.Cut++
 			c.terminate(k, CauseTemporary, nil)
 			continue
@@ -144,35 +146,36 @@
 	}
 }
 
-// cancelUnlessResumed gives an open call up unless its caller comes.
+// cancelUnlessResumed cancels a pending call unless its caller resumes it in time.
 func (c *Core) cancelUnlessResumed(k *record, d time.Duration) {
-	c.unlessResumed(k, d, pending, CauseNormal, func() { k.end = End{Cause: CauseTemporary, Reason: ReasonFailed} }) // for one who comes later still
+	c.unlessResumed(k, d, pending, CauseNormal, func() { k.end = End{Cause: CauseTemporary, Reason: ReasonFailed} }) // for a resume request after that
 }
 
-// releaseUnlessResumed releases a call that stands unless its caller, who may not know that it does, comes for it.
+// releaseUnlessResumed releases an established call, whose caller may not know of it, unless the caller resumes it in
+// time.
 func (c *Core) releaseUnlessResumed(k *record, d time.Duration) {
 	c.unlessResumed(k, d, established, CauseTemporary, func() {})
 }
 
-// unlessResumed gives a call up that is still in the state, and still without its caller, after a time.
+// unlessResumed ends a call that is still in the state s and has not been resumed after d, and then calls then.
 func (c *Core) unlessResumed(k *record, d time.Duration, s state, cause int, then func()) {
 	c.loop.Stop(k.orphanTimer)
 	k.orphanTimer = c.loop.After(d, func() {
 		if k.state == s && k.Caller == c.orphanCaller {
-			c.log.Info("nobody came back for a call", "id", k.ID, "stood", s == established)
+			c.log.Info("call was not resumed", "id", k.ID, "stood", s == established)
 			c.CallerReleased(c.orphanCaller, k.ID, cause)
 			then()
 		}
 	})
 }
 
-// orphan keeps an open call whose connection has closed for its caller to come back.
+// orphan keeps a pending call whose connection has closed, so that its caller can resume it.
 func (c *Core) orphan(k *record) {
 	c.assignCaller(k, c.orphanCaller)
 	c.cancelUnlessResumed(k, min(recovery.PendingResumeTimeout, time.Until(k.Deadline)))
 }
 
-// assignCaller gives a call to another caller.
+// assignCaller assigns a call to another caller.
 func (c *Core) assignCaller(k *record, to Caller) {
 	c.loop.Stop(k.orphanTimer)
 	switch k.state {
@@ -189,23 +192,24 @@
 	}
 }
 
-// ResumeRequest is a caller's word that a call of another connection is its own.
+// ResumeRequest is a caller's request to resume a call that was set up on another connection.
 type ResumeRequest struct {
 	Caller    Caller
 	ID, Token string
 	Answered  bool
-	Deadline  time.Time // when its caller gives an open call up; zero if it does not say so
+	Deadline  time.Time // when the caller stops waiting for a pending call; zero if not stated
 }
 
-// maxWaitingResumes bounds claims that wait for a predecessor to end: as many as its callers can have had.
+// maxWaitingResumes bounds the resume requests that wait for a predecessor to end: as many as its callers can have had
+// calls.
 const maxWaitingResumes = 16 << 10
 
-// ErrTooManyResumes ends a connection whose claims cannot even wait. What it claims can be claimed again.
-var ErrTooManyResumes = errors.New("too many calls are resumed at once")
+// ErrTooManyResumes is returned for a resume request that cannot be queued; its connection must be closed. The call can
+// be resumed later.
+var ErrTooManyResumes = errors.New("too many resume requests are waiting")
 
-// ResumeCall is a caller's word that a call is its own, on whatever connection it has now. It gets what it is owed: the final
-// answer if there is one, the one to come if not, and the end of a call that stands. An error calls for the end of its
-// connection.
+// ResumeCall assigns a call to the caller's current connection. The caller gets the final answer now or when there is
+// one, and the end of an established call. On an error, the connection must be closed.
 func (c *Core) ResumeCall(claim ResumeRequest) error {
 	if c.awaitsLedger {
 		if len(c.waitingResumes) >= maxWaitingResumes {
@@ -229,7 +233,7 @@
 	endlog.Call(c.log, endlog.CameBack, id, endlog.Server(k.server), slog.String(endlog.StateKey, k.state.String()))
 	switch {
 	case k.state == terminated:
-		if k.answeredTo != caller { // on the same connection it had its answer
+		if k.answeredTo != caller { // on the same connection it already has its answer
 			k.answeredTo = caller
 			caller.End(id, k.end)
 		}
@@ -247,8 +251,9 @@
 			}
 		}
 	case answered:
-		// Its caller has an answer that is not known here: what was kept of it is not all, and it can't be trusted.
-		c.log.Error("a caller has the answer to a call that is open here", "id", id)
+		// The caller has an answer that is not known here: the persisted state of the call is incomplete, and can't be
+		// trusted.
+		c.log.Error("caller has the answer to a call that is pending here", "id", id)
 		c.assignCaller(k, caller)
 		c.cancelCall(k)
 		c.dispatchers.Release("", id, CauseNormal)
@@ -261,7 +266,7 @@
 		if k.awaitsResume {
 			k.awaitsResume = false
 			class := c.classIndex(k.Class)
-			if class < 0 { // other settings came meanwhile, without it: the module would never hear of the call
+			if class < 0 { // the class was removed from the settings meanwhile: the module would not accept the call
 				c.rejectCall(k, End{Cause: CauseTemporary, Reason: ReasonFailed})
 				break
 			}
@@ -271,8 +276,8 @@
 	return nil
 }
 
-// shortenDeadline has an open call answered by the time at which its caller gives up, if that is earlier than was known: the set-up may have waited
-// unread before its time was noted.
+// shortenDeadline moves the deadline of a pending call to the time at which its caller stops waiting, if that is
+// earlier than was known: the set-up may have been unread for some time before its deadline was computed.
 func (c *Core) shortenDeadline(k *record, by time.Time) {
 	if by.IsZero() || !by.Before(k.Deadline) {
 		return
@@ -282,14 +287,15 @@
 	c.startDeadlineTimer(k)
 }
 
-// onResumeTimeout has expireLookup run before the caller of a claim gives up, if it says when that is.
+// onResumeTimeout runs f before the sender of a resume request stops waiting, if the request states that time.
 func (c *Core) onResumeTimeout(claim ResumeRequest, tooLate func()) {
 	if !claim.Answered && !claim.Deadline.IsZero() {
 		c.loop.After(max(time.Until(claim.Deadline)-answerMargin, 0), tooLate)
 	}
 }
 
-// expireLedgerWait tells a caller whose time is over that nothing is known of its call, as a predecessor has the ledger still.
+// expireLedgerWait tells a caller whose time is over that its call is unknown, because a predecessor still has the
+// ledger.
 func (c *Core) expireLedgerWait(claim ResumeRequest) {
 	i := slices.Index(c.waitingResumes, claim)
 	if i < 0 {
@@ -299,11 +305,11 @@
 	c.rejectUnknown(claim.Caller, claim.ID, claim.Token, false)
 }
 
-// rejectUnknown tells a caller that nothing is known of a call. With cut, nobody else can have it either.
+// rejectUnknown tells a caller that its call is unknown. With cut, no other process can hold the call either.
 func (c *Core) rejectUnknown(caller Caller, id, token string, cut bool) {
 	c.recovered.Unknown++
 	if cut && ValidID(id) {
-		// Nothing is known of it, so nobody will ever be told of it: it must not stand anywhere.
+		// The call is unknown, so nobody will be notified of its end: it must not stay established anywhere.
 		c.dispatchers.Release("", id, CauseNormal)
 		c.recordTerminated(id)
 		c.calls[id].Token, c.calls[id].end = recovery.HashToken(token), End{Cause: CauseTemporary, Reason: ReasonUnknown}
@@ -311,11 +317,11 @@
 	caller.End(id, End{Cause: CauseTemporary, Reason: ReasonUnknown})
 }
 
-// AwaitLedger has claims wait until the calls of a predecessor are known, which has the ledger until it ends. New calls are taken
-// meanwhile, as one of the two must; they are kept from then on.
+// AwaitLedger queues resume requests until the calls of a predecessor are known, which has the ledger until it ends.
+// New calls are accepted meanwhile, as one of the two processes must; they are persisted from then on.
 func (c *Core) AwaitLedger() { c.awaitsLedger = true }
 
-// LedgerAvailable ends AwaitLedger.
+// LedgerAvailable serves the queued resume requests, after AwaitLedger.
 func (c *Core) LedgerAvailable() {
 	if !c.awaitsLedger {
 		return
@@ -325,12 +331,12 @@
 	c.waitingResumes = nil
 	for _, claim := range claims {
 		if err := c.ResumeCall(claim); err != nil {
-			c.log.Error("claim that cannot be served", "id", claim.ID, "err", err)
+			c.log.Error("resume request failed", "id", claim.ID, "err", err)
 		}
 	}
 }
 
-// RecoveryStatus is what became of the calls of an earlier process.
+// RecoveryStatus returns the status of the recovery of the previous process's calls.
 func (c *Core) RecoveryStatus() RecoveryStatus {
 	r := c.recovered
 	for _, k := range c.calls {
@@ -344,7 +350,7 @@
 	return r
 }
 
-// RecoveryMetrics are as much in figures.
+// RecoveryMetrics returns the same as metrics.
 func (c *Core) RecoveryMetrics() []*dto.MetricFamily {
 	counts := map[string]uint64{}
 	for _, act := range slices.Sorted(maps.Keys(c.recovered.Actions)) {
@@ -354,10 +360,10 @@
 		counts["none"] = 0
 	}
 	return []*dto.MetricFamily{
-		telemetry.Counters("recovered_total", "Calls of an earlier process, by what was done with them.", "act", counts),
-		telemetry.Counter("recovered_cut_total", "Calls of an earlier process that stood where they can't stand any more.", uint64(c.recovered.Cut)),
-		telemetry.Counter("resumed_total", "Calls given to callers that came back.", uint64(c.recovered.Resumed)),
-		telemetry.Counter("resumed_unknown_total", "Calls that callers came back for and that are not known.", uint64(c.recovered.Unknown)),
-		telemetry.Gauge("recovery_seconds", "Time that taking them up took.", float64(c.recovered.TookUs)/1e6),
+		telemetry.Counters("recovered_total", "Calls of the previous process, by recovery action.", "act", counts),
+		telemetry.Counter("recovered_cut_total", "Established calls of the previous process whose dispatcher no longer holds them.", uint64(c.recovered.Cut)),
+		telemetry.Counter("resumed_total", "Calls that were resumed by their callers.", uint64(c.recovered.Resumed)),
+		telemetry.Counter("resumed_unknown_total", "Resume requests for unknown calls.", uint64(c.recovered.Unknown)),
+		telemetry.Gauge("recovery_seconds", "Duration of the recovery of the previous process's calls.", float64(c.recovered.TookUs)/1e6),
 	}
 }
--- a/internal/call/recover_test.go
+++ b/internal/call/recover_test.go
@@ -12,7 +12,7 @@
 	"cherryrelay/internal/decide/recovery"
 )
 
-// recorder is a core that takes up calls, with one front and dispatchers that note what they are told.
+// recorder is a front, a caller and the dispatchers of a core that recovers calls. It records what it receives.
 type recorder struct {
 	stubDispatchers
 	core   *Core
@@ -31,15 +31,15 @@
 func (s *recorder) SetUp(server control.ServerID, a SetUp)       { s.add("set-up %s", a.ID) }
 func (s *recorder) Release(_ control.ServerID, id string, _ int) { s.add("dispatchers release %s", id) }
 
-// recordingFront is the way by which ends are told that no connection is known for.
+// recordingFront receives the ends of calls whose callers have no known connection.
 type recordingFront struct{ *recorder }
 
 func (f recordingFront) Release(id string, e End) { f.add("front %s %d %s", id, e.Cause, e.Reason) }
 
 const callToken = "a token of some caller"
 
-// TestRecoverCalls: what callers and dispatchers are told of each kind of call that was left, at once, when the list comes,
-// and when its caller comes for it.
+// TestRecoverCalls checks, for each kind of call left by the previous process, the messages to callers and dispatchers:
+// at once, when the list arrives, and when the caller resumes the call.
 func TestRecoverCalls(t *testing.T) {
 	const id = "00000000000000aa"
 	for name, test := range map[string]struct {
@@ -48,21 +48,21 @@
 		claimed        []string
 		acts           map[string]int
 	}{
-		"open, an attempt out": {
+		"pending, with an attempt in progress": {
 			func(now time.Duration) []recovery.Event {
 				return []recovery.Event{accepted(id, now), event(recovery.KindAttemptSent, id, now)}
 			}, nil, []string{"dispatchers release " + id}, []string{"set-up " + id}, map[string]int{"await": 1}},
-		"stands": {
+		"established": {
 			func(now time.Duration) []recovery.Event {
 				return []recovery.Event{accepted(id, now), event(recovery.KindAttemptSent, id, now), event(recovery.KindEstablished, id, now)}
 			}, nil, nil, []string{"answer " + id + " y"}, map[string]int{"adopt": 1}},
-		"stands at one that has gone": {
+		"established at a removed dispatcher": {
 			func(now time.Duration) []recovery.Event {
 				e := event(recovery.KindEstablished, id, now)
 				e.Server = "gone"
 				return []recovery.Event{accepted(id, now), event(recovery.KindAttemptSent, id, now), e}
 			}, nil, []string{"front " + id + " 41 cut"}, []string{"end " + id + " 41 cut"}, map[string]int{"adopt": 1}},
-		"ended, perhaps not told": {
+		"terminated, notification unconfirmed": {
 			func(now time.Duration) []recovery.Event {
 				e := event(recovery.KindTerminated, id, now)
 				e.Cause, e.Reason = 16, "ended"
@@ -74,16 +74,16 @@
 				e.Cause, e.Reason = 42, "refused"
 				return []recovery.Event{accepted(id, now), e}
 			}, nil, nil, []string{"end " + id + " 42 refused"}, map[string]int{"keep": 1}},
-		"out of time": {
+		"expired": {
 			func(now time.Duration) []recovery.Event {
 				return []recovery.Event{accepted(id, now-time.Minute), event(recovery.KindAttemptSent, id, now-time.Minute)}
 			}, nil, []string{"dispatchers release " + id}, []string{"end " + id + " 41 deadline"}, map[string]int{"fail": 1}},
-		"doubtful, and stands": {
+		"doubtful, and established": {
 			func(now time.Duration) []recovery.Event {
 				return []recovery.Event{event(recovery.KindEstablished, id, now)}
 			},
 			[]string{"front " + id + " 41 cut"}, []string{"dispatchers release " + id}, []string{"end " + id + " 41 unknown"}, map[string]int{"cut": 1}},
-		"nothing is known": {
+		"unknown": {
 			func(time.Duration) []recovery.Event { return nil },
 			nil, nil, []string{"dispatchers release " + id, "end " + id + " 41 unknown"}, map[string]int{}},
 	} {
@@ -107,18 +107,18 @@
 			core.Recover(b, nil)
 			expect("at once", test.atOnce)
 			core.Update(Update{Complete: true, Servers: []Server{{ServerEntry: control.ServerEntry{ID: "a"}, Address: "127.0.0.1:1"}}})
-			expect("when the list has come", test.listed)
+			expect("when the list has arrived", test.listed)
 			if err := core.ResumeCall(ResumeRequest{Caller: s, ID: id, Token: callToken}); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(guard + 20*time.Millisecond) // an attempt waits for the guard
 			core.queueEvent(control.Woken{})
-			expect("when its caller comes", test.claimed)
+			expect("when its caller resumes it", test.claimed)
 			if err := core.ResumeCall(ResumeRequest{Caller: s, ID: id, Token: callToken}); err != nil {
 				t.Fatal(err)
 			}
 			if test.acts["fail"]+test.acts["keep"]+test.acts["await"]+test.acts["adopt"] > 0 {
-				expect("when it comes again", nil)
+				expect("when its caller resumes it again", nil)
 			}
 			if diff := cmp.Diff(test.acts, core.RecoveryStatus().Actions); diff != "" {
 				t.Errorf("acts (-want +got):\n%s", diff)
@@ -134,7 +134,7 @@
 	return e
 }
 
-// event is one of a call that is at dispatcher a.
+// event returns an event of a call at the dispatcher a.
 func event(kind recovery.Kind, id string, at time.Duration) recovery.Event {
 	e := recovery.Event{Kind: kind, ID: id, AtUs: at.Microseconds()}
 	if kind == recovery.KindAttemptSent || kind == recovery.KindEstablished {
@@ -143,7 +143,8 @@
 	return e
 }
 
-// TestOrphanedCallsExpire: an open call is given up, and one that stands, and whose caller may not know, is released.
+// TestOrphanedCallsExpire checks that a pending call whose caller does not resume it is cancelled, and that an
+// established one, of which the caller may not know, is released.
 func TestOrphanedCallsExpire(t *testing.T) {
 	core := newFixture(t).core
 	s := &recorder{core: core}
@@ -165,7 +166,7 @@
 		loop.After(recovery.EstablishedResumeTimeout+200*time.Millisecond, loop.Quit)
 	})
 	loop.Run()
-	// The first is released when the list comes, as whatever was open is; it goes nowhere.
+	// The first call is released when the list arrives, like every pending call; it is not sent anywhere.
 	want := []string{"dispatchers release 0000000000000001", "dispatchers release 0000000000000002"}
 	if diff := cmp.Diff(want, s.events); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
@@ -175,8 +176,8 @@
 	}
 }
 
-// TestClassRemovedWhileCallAwaitsResume: its caller, as it comes, is answered at once. The module never heard of the call, and it
-// was answered at its limit only.
+// TestClassRemovedWhileCallAwaitsResume checks that a call whose class was removed from the settings is answered as
+// soon as its caller resumes it. Such a call was unknown to the module, and was only answered at its deadline.
 func TestClassRemovedWhileCallAwaitsResume(t *testing.T) {
 	const id = "00000000000000aa"
 	site := newFixture(t)
@@ -200,6 +201,6 @@
 	}
 	core.finishIteration()
 	if diff := cmp.Diff([]string{"dispatchers release " + id, "end " + id + " 41 failed"}, s.events); diff != "" {
-		t.Errorf("what its caller is told (-want +got):\n%s", diff)
+		t.Errorf("messages (-want +got):\n%s", diff)
 	}
 }
--- a/internal/call/released_test.go
+++ b/internal/call/released_test.go
@@ -8,8 +8,8 @@
 	"cherryrelay/control"
 )
 
-// TestAnEndBeforeItsAnswerAfterARefusal guards against the untold end of a call that came ahead of its answer, where an earlier attempt at the
-// same dispatcher never stood.
+// TestAnEndBeforeItsAnswerAfterARefusal guards against an end that arrives before its answer and is delivered to
+// nobody, where an earlier attempt at the same dispatcher failed without establishing the call.
 func TestAnEndBeforeItsAnswerAfterARefusal(t *testing.T) {
 	t.Parallel()
 	for name, outcome := range map[string]control.Outcome{"full": control.Full, "an error": control.Failed, "no connection": control.Unreachable} {
@@ -40,7 +40,7 @@
 	}
 }
 
-// rejectsFirstAnswer is a caller to whom the first answer cannot be passed on.
+// rejectsFirstAnswer is a caller to which the first answer cannot be delivered.
 type rejectsFirstAnswer struct {
 	*fixture
 	answered bool
@@ -54,7 +54,8 @@
 	return c.fixture.Answer(id, description)
 }
 
-// TestAnEndOfAnAnswerThatCouldNotBeDelivered guards against the end of an earlier attempt's call that is taken for that of the one that is out.
+// TestAnEndOfAnAnswerThatCouldNotBeDelivered guards against the end of the call of an earlier attempt that is
+// attributed to the attempt in progress.
 func TestAnEndOfAnAnswerThatCouldNotBeDelivered(t *testing.T) {
 	t.Parallel()
 	s := newFixture(t)
@@ -80,7 +81,8 @@
 	}
 }
 
-// TestTheDecisionsAreNotifiedOfAnUnansweredCall guards against a line that counts as taken for ever, as the end of a call came in place of its answer.
+// TestTheDecisionsAreNotifiedOfAnUnansweredCall guards against a line that counts as occupied for ever, because the end
+// of a call arrived in place of its answer.
 func TestTheDecisionsAreNotifiedOfAnUnansweredCall(t *testing.T) {
 	t.Parallel()
 	s := newFixture(t)
@@ -102,11 +104,12 @@
 	})
 	s.core.Loop().Run()
 	if told != 1 {
-		t.Errorf("told %d times that the attempt and the call are over, want once", told)
+		t.Errorf("%d events for the end of the attempt and the call, want 1", told)
 	}
 }
 
-// TestAnEndBeforeItsAnswerAsItsAttemptTimesOut guards against another attempt of a call that has stood and is over: its caller is owed the end.
+// TestAnEndBeforeItsAnswerAsItsAttemptTimesOut guards against another attempt for a call that was established and has
+// ended: its caller must get the end.
 func TestAnEndBeforeItsAnswerAsItsAttemptTimesOut(t *testing.T) {
 	t.Parallel()
 	s := newFixture(t)
--- a/internal/call/retune.go
+++ b/internal/call/retune.go
@@ -6,13 +6,14 @@
 	"cherryrelay/internal/settings"
 )
 
-// Reconfigure gives the core and its module other settings; with an error, nothing changes. Calls keep the class they came with.
+// Reconfigure applies other settings to the core and its module; on an error, nothing changes. Existing calls keep
+// their class.
 func (c *Core) Reconfigure(s *settings.Settings) error {
 	decisions, err := s.ControlSettings()
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	c.stepModule() // set-ups that have come already name their class by its place in the old settings
+	c.stepModule() // queued set-ups refer to their class by its index in the old settings
 	if err := c.module.UpdateSettings(c.selection.scaleSettings(decisions)); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
@@ -21,7 +22,7 @@
 	return nil
 }
 
-// CountReload counts a configuration that was taken or turned down.
+// CountReload counts a reload of the configuration, which was either applied or rejected.
 func (c *Core) CountReload(taken bool) {
 	if taken {
 		c.metrics.ReloadsOK++
--- a/internal/call/selection.go
+++ b/internal/call/selection.go
@@ -13,53 +13,57 @@
 )
 
 const (
-	// sliceTime is how long a change of the list may hold the loop at a time; the rest of it waits for the next round.
+	// sliceTime is how long a change of the list may occupy the loop at a time; the rest is applied in the next
+	// iterations.
 	sliceTime = time.Millisecond
-	// sliceCheckInterval is after how many entries the clock is looked at.
+	// sliceCheckInterval is the number of entries after which the clock is checked.
 	sliceCheckInterval = 16
-	// maxWindowWait is how long a call may wait for a window before more dispatchers are taken in for it.
+	// maxWindowWait is how long a call may wait for a window before more dispatchers are added to the subset for it.
 	maxWindowWait = 50 * time.Millisecond
-	// growthInterval is the least time between two growths for calls that wait: the first one must show what it brings.
+	// growthInterval is the least time between two growths for waiting calls: the first must have time to take effect.
 	growthInterval = 50 * time.Millisecond
-	// reachTimeout is how long after the first list none of the subset may have been reached before more are taken in.
+	// reachTimeout is how long no dispatcher of the subset may have been reached after the first list before more are
+	// added.
 	reachTimeout = 500 * time.Millisecond
-	// shrinkIntervalShare of the time of quiet is the pace at which places are given back.
+	// shrinkIntervalShare is the interval between attempts to shrink the subset, as a share of shrinkAfter.
 	shrinkIntervalShare = 0.25
 )
 
-// selection stands in front of Core.Update. It holds the whole list, and has the module and the connections know only of a subset of it.
-// What leaves the subset is given to them as removed but lingering: nothing new goes there, and its calls go on. While the list is no
-// longer than the subset's size, all passes through unchanged. Its methods do nothing on a nil selection. It runs on the loop.
+// selection filters the updates passed to Core.Update. It holds the whole list, and announces only a subset of it to
+// the module and the connections. A dispatcher that leaves the subset is announced as removed with its calls
+// continuing: it gets no new calls, and its established calls go on. While the list is no longer than the subset's
+// size, updates are passed on unchanged. Its methods do nothing on a nil selection. It runs on the loop.
 type selection struct {
 	core           *Core
 	size           int
 	shrinkAfter    time.Duration
 	subset         *subset.Subset
 	entries        map[control.ServerID]Server // the whole list
-	announced      map[control.ServerID]bool   // known to the module and the connections as listed
-	retained       map[control.ServerID]bool   // known to them as removed, while calls stand there
-	queue          []*listChange               // in order
-	removed        []Server                    // told ones that the list has removed since the last flush
-	changed        []control.ServerID          // since then
-	coveredList    bool                        // all of the list was told at the last flush
-	listApplied    bool                        // a whole list has been taken in
-	waiting        map[*record]time.Duration   // open calls without an attempt, and since when they could have one
-	attemptRefused bool                        // an attempt was, since the last look
-	nextGrowth     time.Duration               // no growth for those before
+	announced      map[control.ServerID]bool   // announced to the module and the connections as listed
+	retained       map[control.ServerID]bool   // announced as removed, with calls continuing
+	queue          []*listChange               // updates in progress, in the order of their arrival
+	removed        []Server                    // announced ones that the list has removed since the last announcement
+	changed        []control.ServerID          // to be announced again
+	coveredList    bool                        // the subset was the whole list at the last announcement
+	listApplied    bool                        // a complete list has been applied
+	waiting        map[*record]time.Duration   // pending calls without an attempt, and since when they could have had one
+	attemptRefused bool                        // an attempt was refused since the last call of growIfNeeded
+	nextGrowth     time.Duration               // the subset does not grow for waiting calls before that
 	shrinkTimer    *Timer
-	nodes          int // as the module has it by now
+	nodes          int // as last passed to the module
 }
 
-// listChange is an update that is taken in by slices.
+// listChange is an update that is applied in slices.
 type listChange struct {
 	Update
-	next        int // of Servers
+	next        int // index in Servers
 	named       map[control.ServerID]bool
-	absentKnown bool               // gone is known
-	absent      []control.ServerID // of a whole list: those that it does not name
+	absentKnown bool               // absent has been computed
+	absent      []control.ServerID // listed servers that a complete list does not name
 }
 
-// UseSubset has the core connect to a subset of the list alone. It comes before the first list; the options must pass their Check.
+// UseSubset makes the core connect to a subset of the list only. It must be called before the first list arrives; the
+// options must pass their Check.
 func (c *Core) UseSubset(o subset.Options) {
 	o = o.WithDefaults()
 	c.selection = &selection{
@@ -70,7 +74,7 @@
 	c.AddMetrics(c.selection.metrics)
 }
 
-// listedServer is the list's line of a dispatcher, in the subset or not.
+// listedServer returns the list's entry of a dispatcher, whether it is in the subset or not.
 func (c *Core) listedServer(id control.ServerID) (Server, bool) {
 	if at, known := c.knownServers[id]; known || c.selection == nil {
 		return at, known
@@ -79,12 +83,12 @@
 	return at, known
 }
 
-// coversList reports whether the subset is the list.
+// coversList reports whether the subset is the whole list.
 func (s *selection) coversList() bool { return s == nil || len(s.entries) <= s.size }
 
 // --- The list ---
 
-// update takes in the list, or changes to it. It reports whether the core has been, or will be, told of it.
+// update applies a list, or changes to it. It reports whether it has taken care of passing the update on to the core.
 func (s *selection) update(u Update) bool {
 	if s == nil {
 		return false
@@ -106,7 +110,8 @@
 	return true
 }
 
-// announcedFirst puts the entries first that the module knows: a drain must not wait behind thousands that it does not know.
+// announcedFirst moves the entries first that the module knows, so that a drain does not wait behind thousands of
+// others.
 func (s *selection) announcedFirst(servers []Server) []Server {
 	first, rest := make([]Server, 0, len(servers)), make([]Server, 0, len(servers))
 	for _, e := range servers {
@@ -119,7 +124,7 @@
 	return append(first, rest...)
 }
 
-// fits reports whether the subset is the list and stays it.
+// fits reports whether the subset is the whole list, and stays so after the update.
 func (s *selection) fits(u Update) bool {
 	if !s.coversList() || len(u.Servers) > 2*s.size {
 		return false
@@ -140,7 +145,7 @@
 	return n <= s.size
 }
 
-// passThrough takes in an update that goes on as it is.
+// passThrough applies an update that is passed on unchanged.
 func (s *selection) passThrough(u Update) {
 	named := map[control.ServerID]bool{}
 	for _, e := range u.Servers {
@@ -162,7 +167,7 @@
 	s.updateNodes()
 }
 
-// processQueue takes in what waits, for as long as the loop may be held, and has the rest follow in its next round.
+// processQueue applies queued updates for at most sliceTime, and schedules the rest for the next iteration.
 func (s *selection) processQueue() {
 	until := time.Now().Add(sliceTime)
 	for len(s.queue) > 0 && s.advance(s.queue[0], until) {
@@ -177,7 +182,7 @@
 	}
 }
 
-// advance goes on with one update. It reports whether that is done; it stops when the time is up.
+// advance continues one update. It reports whether it is done; it stops when the time is up.
 func (s *selection) advance(c *listChange, until time.Time) (done bool) {
 	late := func(i int) bool { return i%sliceCheckInterval == sliceCheckInterval-1 && time.Now().After(until) }
 	for c.next < len(c.Servers) {
@@ -208,11 +213,11 @@
 	return true
 }
 
-// applyEntry takes in one line of the list.
+// applyEntry applies one entry of the list.
 func (s *selection) applyEntry(e Server) {
 	old, known := s.entries[e.ID]
 	if e.Address == "" {
-		e.Address = old.Address // a change may leave it out
+		e.Address = old.Address // changes may omit the address
 	}
 	if e.Status == control.Removed {
 		if s.announced[e.ID] || s.retained[e.ID] {
@@ -238,14 +243,14 @@
 	s.subset.Remove(id)
 }
 
-// announceChanges tells the module and the connections what differs by now.
+// announceChanges announces to the module and the connections what has changed.
 func (s *selection) announceChanges() {
 	joined, left := s.subset.Changes()
 	s.changed = slices.Concat(s.changed, joined, left)
 	if all := s.coversList(); all != s.coveredList {
 		s.coveredList = all
 		for id := range s.entries {
-			if all && !s.announced[id] { // it drains: it is known like any other again
+			if all && !s.announced[id] { // a dispatcher outside the subset, as one that drains, is announced like any other again
 				s.changed = append(s.changed, id)
 			}
 		}
@@ -267,7 +272,7 @@
 	s.updateNodes()
 }
 
-// announce is what the module and the connections are to know of a listed dispatcher by now, if anything.
+// announce returns what is to be announced of a listed dispatcher, if anything.
 func (s *selection) announce(id control.ServerID) (Server, bool) {
 	e, listed := s.entries[id]
 	switch {
@@ -290,7 +295,7 @@
 	return e
 }
 
-// firstList is the first whole list that the core is told.
+// firstList returns the first complete list for the core.
 func (s *selection) firstList() Update {
 	u := Update{Complete: true}
 	for id := range s.announced {
@@ -303,7 +308,7 @@
 		return 1
 	})
 	s.core.loop.After(reachTimeout, s.growUntilReached)
-	s.core.loop.Post(func() { // calls that an earlier process left may stand anywhere
+	s.core.loop.Post(func() { // calls of the previous process may be established at any dispatcher
 		for _, k := range s.core.calls {
 			if k.state == established {
 				s.retain(k.server)
@@ -313,7 +318,7 @@
 	return u
 }
 
-// retain has the ends of calls heard that stand at a listed dispatcher outside of the subset.
+// retain announces a listed dispatcher outside the subset as one with calls, so that their ends are received.
 func (s *selection) retain(id control.ServerID) {
 	if s.coversList() || s.announced[id] {
 		return
@@ -324,7 +329,8 @@
 	}
 }
 
-// includeForRelease has the subset take in a listed dispatcher for a while, as a call that an earlier process left is to be released there.
+// includeForRelease adds a listed dispatcher to the subset for some time, so that a call of the previous process can be
+// released there.
 func (s *selection) includeForRelease(id control.ServerID) {
 	if s.coversList() || s.announced[id] {
 		return
@@ -335,9 +341,10 @@
 	}
 }
 
-// --- Need ---
+// --- Growing and shrinking ---
 
-// growUntilReached takes in more dispatchers while none has been reached: until then nobody calls, and no call would show the need.
+// growUntilReached grows the subset while no dispatcher has been reached: until then there are no calls that would show
+// the need.
 func (s *selection) growUntilReached() {
 	if !s.core.reached && !s.coversList() {
 		s.grow()
@@ -345,7 +352,7 @@
 	}
 }
 
-// callOffered has the dispatchers that a call may go to first be in the subset, before the module is told of it.
+// callOffered adds the dispatchers that a call may try first to the subset, before the module learns of the call.
 func (s *selection) callOffered(k *record, class control.Class) {
 	if s.coversList() {
 		return
@@ -364,7 +371,7 @@
 	s.announceNeed()
 }
 
-// announceNeed tells what need has changed, and has it given back some day.
+// announceNeed announces changes of the subset, and schedules its shrinking.
 func (s *selection) announceNeed() {
 	s.announceChanges()
 	if s.shrinkTimer == nil && !s.subset.AtBaseSize() {
@@ -372,7 +379,7 @@
 	}
 }
 
-// shrink gives back what is not needed any more.
+// shrink removes the dispatchers that are no longer needed.
 func (s *selection) shrink() {
 	s.shrinkTimer = nil
 	s.subset.Shrink(s.core.now(), s.usable)
@@ -382,7 +389,7 @@
 // usable reports whether the module sends calls to a dispatcher.
 func (s *selection) usable(id control.ServerID) bool { return !s.core.module.Avoids(s.core.now(), id) }
 
-// attemptFailed notes that an attempt came to nothing: when the next one may begin, and whether this one may have run.
+// attemptFailed records that an attempt failed: when the next one may begin, and whether this one may have run.
 func (s *selection) attemptFailed(k *record, o control.Outcome) {
 	if s == nil {
 		return
@@ -402,11 +409,11 @@
 		return
 	}
 	s.attemptRefused = s.attemptRefused || o != control.Failed && o != control.NotSent
-	s.waiting[k] = max(now-maxWindowWait, k.notBefore) // refused or full: unless another one takes it at once, more are needed
+	s.waiting[k] = max(now-maxWindowWait, k.notBefore) // refused or full: unless another dispatcher accepts it at once, more are needed
 }
 
-// growIfNeeded takes in more dispatchers if calls wait for want of them, or if most of those in the subset have just shown to take none: each
-// would cost a call one of the attempts that it may have. It reports whether there are more now.
+// growIfNeeded grows the subset if calls wait for a window, or if most of its dispatchers have just refused calls: each
+// of them would cost a call one of its allowed attempts. It reports whether the subset has grown.
 func (s *selection) growIfNeeded() bool {
 	if s == nil || len(s.waiting) == 0 && !s.attemptRefused {
 		return false
@@ -429,18 +436,18 @@
 	return s.grow()
 }
 
-// grow takes in more dispatchers. It reports whether there are any.
+// grow adds dispatchers to the subset. It reports whether there were any to add.
 func (s *selection) grow() bool {
 	if s.coversList() || !s.subset.Grow(s.core.now()) {
 		return false
 	}
-	s.core.log.Info("the subset of dispatchers has grown", "subset", s.subset.Len(), "listed", len(s.entries))
+	s.core.log.Info("subset of dispatchers has grown", "subset", s.subset.Len(), "listed", len(s.entries))
 	s.announceNeed()
 	return true
 }
 
-// retryAfterGrowth offers a call again that the module has refused, if there are more dispatchers that could take it. It reports whether it has:
-// then nothing is to be answered yet. The attempts made and the guard carry over.
+// retryAfterGrowth offers a call again that the module has refused, if the subset can grow. It reports whether it has,
+// in which case there is no final answer yet. The number of attempts and the guard carry over.
 func (s *selection) retryAfterGrowth(k *record) bool {
 	if s.coversList() || k.state != pending || k.attemptInProgress {
 		return false
@@ -458,8 +465,8 @@
 	return true
 }
 
-// repeatable reports whether the call can go to any dispatcher that may take its class, until its deadline: the module forgets with its
-// refusal where it may have run.
+// repeatable reports whether the call may still be sent to any dispatcher of its class by its deadline: the module does
+// not remember where a call that it refused may have run.
 func (k *record) repeatable(class *control.Class) bool {
 	switch {
 	case k.firstRunAt.IsZero() || class.Idempotency == control.Idempotent:
@@ -470,10 +477,10 @@
 	return false
 }
 
-// --- Settings and figures ---
+// --- Settings and metrics ---
 
-// scaleSettings are the settings as the module is to have them: of all controllers that share the list, the part that connects to one
-// dispatcher. It is the same part as the one of the list that this controller connects to.
+// scaleSettings returns the settings for the module, with the number of controllers that connect to one dispatcher
+// instead of the number of all controllers. It is reduced by the share of the list that this controller connects to.
 func (s *selection) scaleSettings(d control.Settings) control.Settings {
 	if s == nil {
 		return d
@@ -485,7 +492,7 @@
 	return d
 }
 
-// updateNodes tells the module how many controllers share a dispatcher by now.
+// updateNodes tells the module how many controllers currently share a dispatcher.
 func (s *selection) updateNodes() {
 	d := s.scaleSettings(s.core.decisions)
 	if d.Nodes == s.nodes {
@@ -493,7 +500,7 @@
 	}
 	s.nodes = d.Nodes
 	if err := s.core.module.UpdateSettings(d); err != nil {
-		s.core.log.Error("settings that the subset does not fit", "err", err) // they were checked as they were taken
+		s.core.log.Error("settings rejected for the subset", "err", err) // they were validated when they were loaded
 	}
 }
 
@@ -501,7 +508,7 @@
 	return []*dto.MetricFamily{
 		telemetry.Gauge("subset_listed", "Dispatchers in the list.", float64(len(s.entries))),
 		telemetry.Gauge("subset_size", "Dispatchers of the list that this controller connects to.", float64(len(s.announced))),
-		telemetry.Gauge("subset_waiting", "Changes of the list that are not taken in yet.", float64(len(s.queue))),
-		telemetry.Counter("subset_growths_total", "Times that more dispatchers were needed.", uint64(s.subset.Growths())),
+		telemetry.Gauge("subset_waiting", "Changes of the list that are not applied yet.", float64(len(s.queue))),
+		telemetry.Counter("subset_growths_total", "Times that the subset has grown.", uint64(s.subset.Growths())),
 	}
 }
