--- a/internal/call/selection_test.go
+++ b/internal/call/selection_test.go
@@ -15,8 +15,8 @@
 	"cherryrelay/internal/decide/subset"
 )
 
-// subsetFixture is a site that keeps what the dispatchers are asked, and when, and what the connections know of the list. Its clock is that of
-// the test's bubble.
+// subsetFixture is a fixture that records the requests to the dispatchers with their times, and what the connections
+// know of the list. It uses the clock of the test's bubble.
 type subsetFixture struct {
 	*fixture
 	start    time.Time
@@ -44,7 +44,7 @@
 	for _, e := range u.Servers {
 		s.known[e.ID] = e
 	}
-	s.request("knows %+v", u)
+	s.request("update %+v", u)
 }
 
 func (s *subsetFixture) SetUp(server control.ServerID, a SetUp) {
@@ -53,7 +53,7 @@
 }
 
 func (s *subsetFixture) CancelAttempt(server control.ServerID, id string, attempt int) {
-	s.request("withdraw %s/%d at %s", id, attempt, server)
+	s.request("cancel %s/%d at %s", id, attempt, server)
 	s.fixture.CancelAttempt(server, id, attempt)
 }
 
@@ -64,7 +64,7 @@
 
 func (s *subsetFixture) Probe(server control.ServerID) { s.request("probe %s", server) }
 
-// active are the dispatchers that the connections have as taking calls.
+// active returns the dispatchers that the connections know as active.
 func (s *subsetFixture) active() (ids []control.ServerID) {
 	for id, e := range s.known {
 		if e.Status == control.Active {
@@ -91,7 +91,7 @@
 	return e
 }
 
-// runFor runs a script on the loop, and the loop for so long.
+// runFor runs a script on the event loop, and the loop for the given time.
 func (s *subsetFixture) runFor(d time.Duration, script func()) {
 	s.core.loop.Post(func() {
 		s.core.loop.After(d, s.core.loop.Quit)
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestSubsetThatCoversTheListChangesNothing plays the same calls and lists through a core with a selection and through one without, on
-// the same clock: the dispatchers are asked the same, in the same instants.
+// TestSubsetThatCoversTheListChangesNothing runs the same calls and lists through a core with a selection and one
+// without, on the same clock, and checks that the dispatchers get the same requests at the same times.
 func TestSubsetThatCoversTheListChangesNothing(t *testing.T) {
 	const most = 12
 	run := func(seed uint64, o *subset.Options) (asked []string) {
@@ -152,19 +152,19 @@
 	for seed := range uint64(30) {
 		without, with := run(seed, nil), run(seed, &subset.Options{Size: most})
 		if diff := cmp.Diff(without, with); diff != "" {
-			t.Fatalf("seed %d: what the dispatchers are asked (-without +with a selection):\n%s", seed, diff)
+			t.Fatalf("seed %d: requests to the dispatchers (-without +with a selection):\n%s", seed, diff)
 		}
 		words += len(without)
 	}
 	if words < 3000 {
-		t.Errorf("only %d words with dispatchers", words)
+		t.Errorf("only %d requests to dispatchers", words)
 	}
 }
 
-// TestSubsetGrowsWhenItsDispatchersRefuse has all dispatchers of the subset turn calls away, or leave them unanswered, each in a way of
-// its own: every call stands at one that was outside.
+// TestSubsetGrowsWhenItsDispatchersRefuse has all dispatchers of the subset refuse calls or leave them unanswered, each
+// case in its own way, and checks that every call is established at a dispatcher from outside.
 func TestSubsetGrowsWhenItsDispatchersRefuse(t *testing.T) {
-	for name, outcome := range map[string]control.Outcome{"full": control.Full, "unreachable": control.Unreachable, "silent": control.TimedOut} {
+	for name, outcome := range map[string]control.Outcome{"full": control.Full, "unreachable": control.Unreachable, "unresponsive": control.TimedOut} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newSubsetFixture(t, &subset.Options{Size: 4, GrowthLimit: 40, ShrinkAfter: time.Second})
@@ -192,15 +192,15 @@
 					}
 					s.schedule(4*time.Second, func() {
 						if n := len(s.active()); n <= 4 || n > 40 {
-							t.Errorf("%d in the subset under need", n)
+							t.Errorf("%d in the subset under load", n)
 						}
-						for id := range bad { // they recover, and show it
+						for id := range bad { // the dispatchers recover, and their answers show it
 							s.offer(string(id), int(s.core.selection.entries[id].Cell), time.Second)
 						}
 						clear(bad)
 					})
 				})
-				trials := 0 // each silent one keeps the last call that it was sent: by that the module would see it come back
+				trials := 0 // each unresponsive dispatcher keeps the last call sent to it, by which the module would detect its recovery
 				if outcome == control.TimedOut {
 					trials = 4
 				}
@@ -210,16 +210,17 @@
 					}
 				}
 				if n := len(s.active()); n != 4 {
-					t.Errorf("%d in the subset after the quiet", n)
+					t.Errorf("%d in the subset after it should have shrunk", n)
 				}
 			})
 		})
 	}
 }
 
-// TestRefusalIsNotDelayedWhenSubsetCannotGrow: with all dispatchers in the subset, or as many as there may be, the module's word stands.
+// TestRefusalIsNotDelayedWhenSubsetCannotGrow checks that the module's refusal is final if the subset covers the list
+// or has its greatest size.
 func TestRefusalIsNotDelayedWhenSubsetCannotGrow(t *testing.T) {
-	for name, o := range map[string]*subset.Options{"none": nil, "the list": {Size: 4}, "the most": {Size: 2, GrowthLimit: 2}} {
+	for name, o := range map[string]*subset.Options{"none": nil, "the list": {Size: 4}, "the greatest size": {Size: 2, GrowthLimit: 2}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newSubsetFixture(t, o)
@@ -242,7 +243,8 @@
 	}
 }
 
-// TestFirstCellOutsideTheSubset: each call goes to the dispatcher that it names, wherever that is in the list.
+// TestFirstCellOutsideTheSubset checks that each call is sent to the dispatcher that it names, wherever that is in the
+// list.
 func TestFirstCellOutsideTheSubset(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSubsetFixture(t, &subset.Options{Size: 4, GrowthLimit: 20, ShrinkAfter: time.Second})
@@ -259,16 +261,17 @@
 		})
 		for i := range 100 {
 			if want := server(i).ID; at[fmt.Sprint(i)] != want {
-				t.Errorf("the call for %s went to %q", want, at[fmt.Sprint(i)])
+				t.Errorf("the call for %s was sent to %q", want, at[fmt.Sprint(i)])
 			}
 		}
 		if n := len(s.active()); n != 4 {
-			t.Errorf("%d in the subset after the quiet", n)
+			t.Errorf("%d in the subset after it should have shrunk", n)
 		}
 	})
 }
 
-// TestClassRestrictedToCells: a class that may go to some groups alone is served though none of them is in the subset, and most are full.
+// TestClassRestrictedToCells checks that a class that is restricted to some cells is served though none of them is in
+// the subset, and most of them are full.
 func TestClassRestrictedToCells(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSubsetFixture(t, &subset.Options{Size: 4, GrowthLimit: 20})
@@ -293,7 +296,8 @@
 	})
 }
 
-// TestCallsOfADispatcherThatLeavesTheSubset: they go on, and what the list says of it later is told as ever.
+// TestCallsOfADispatcherThatLeavesTheSubset checks that these calls go on, and that later changes of the list to their
+// dispatchers are announced.
 func TestCallsOfADispatcherThatLeavesTheSubset(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSubsetFixture(t, &subset.Options{Size: 4, GrowthLimit: 20, ShrinkAfter: time.Second})
@@ -301,7 +305,7 @@
 		s.runFor(time.Minute, func() {
 			s.core.Update(Update{Complete: true, Servers: servers(0, 100)})
 			base := s.active()
-			for i := range 100 { // three that are not in the subset by themselves
+			for i := range 100 { // three that are not in the initial subset
 				if id := server(i).ID; len(out) < 3 && !slices.Contains(base, id) {
 					out = append(out, id)
 					s.offer(string(id), i, time.Second)
@@ -310,12 +314,12 @@
 			s.schedule(10*time.Second, func() {
 				for _, id := range out {
 					if e := s.known[id]; e.Status != control.Removed || !e.CallsContinue || s.core.EstablishedCount(id) != 1 {
-						t.Errorf("%s after the quiet: %+v, %d calls stand", id, e, s.core.EstablishedCount(id))
+						t.Errorf("%s after the subset has shrunk: %+v, %d established calls", id, e, s.core.EstablishedCount(id))
 					}
 				}
 				s.core.Released(out[0], string(out[0]), 0, CauseNormal, nil)
 				if s.terminations[string(out[0])] != 1 {
-					t.Error("the end of a call at a dispatcher outside of the subset is not told")
+					t.Error("the end of a call at a dispatcher outside the subset is not delivered")
 				}
 				renewed := s.core.selection.entries[out[1]]
 				renewed.StartedAt = s.core.now()
@@ -323,17 +327,18 @@
 				removed.Address = ""
 				s.core.Update(Update{Servers: []Server{renewed, removed}})
 				if e := s.known[out[1]]; e.StartedAt != renewed.StartedAt || e.Status != control.Removed || !e.CallsContinue {
-					t.Errorf("one that began anew: %+v", e)
+					t.Errorf("a restarted dispatcher: %+v", e)
 				}
 				if e := s.known[out[2]]; e.Status != control.Removed || e.CallsContinue {
-					t.Errorf("one that is gone: %+v", e)
+					t.Errorf("a removed dispatcher: %+v", e)
 				}
 			})
 		})
 	})
 }
 
-// TestDrainsInsideAndOutsideTheSubset: one that drains in the subset is told so, and its place is another's; of one outside nothing is told.
+// TestDrainsInsideAndOutsideTheSubset checks that a draining dispatcher of the subset is announced as such and
+// replaced, and that nothing is announced of one outside.
 func TestDrainsInsideAndOutsideTheSubset(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSubsetFixture(t, &subset.Options{Size: 4})
@@ -349,7 +354,7 @@
 				}
 			}
 			if len(s.requests) != n {
-				t.Errorf("told of a drain outside of the subset: %v", s.requests[n:])
+				t.Errorf("announced a drain outside the subset: %v", s.requests[n:])
 			}
 			e := s.core.selection.entries[inside[0]]
 			s.core.Update(Update{Servers: []Server{withStatus(e, control.Draining)}})
@@ -366,14 +371,15 @@
 			}
 			for _, id := range inside {
 				if e := s.known[id]; s.core.selection.entries[id].ID == "" && (e.Status != control.Removed || e.CallsContinue) {
-					t.Errorf("%+v is off the list", e)
+					t.Errorf("%+v is not in the list", e)
 				}
 			}
 		})
 	})
 }
 
-// TestUnreachableSubsetGrowsWithoutCalls: until some dispatcher is reached, nobody calls.
+// TestUnreachableSubsetGrowsWithoutCalls checks that the subset grows while none of its dispatchers has been reached:
+// until then there are no calls.
 func TestUnreachableSubsetGrowsWithoutCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSubsetFixture(t, &subset.Options{Size: 4, GrowthLimit: 12, ShrinkAfter: time.Minute})
@@ -391,8 +397,8 @@
 	})
 }
 
-// TestLargeListChangeIsAppliedInSlices replaces half of a large list at once, and then some while that is under way: the loop has other
-// rounds in between, and what is known in the end is the subset of the last list.
+// TestLargeListChangeIsAppliedInSlices replaces half of a large list at once, and changes it again while that is in
+// progress. The loop must run other iterations in between, and the result must be the subset of the last list.
 func TestLargeListChangeIsAppliedInSlices(t *testing.T) {
 	const n = 20_000
 	s := newSubsetFixture(t, &subset.Options{Size: 16})
@@ -423,11 +429,12 @@
 		t.Errorf("listed %v: %v, want %v", s.core.listReceived, got, joined)
 	}
 	if rounds < 3 {
-		t.Errorf("%d rounds", rounds)
+		t.Errorf("%d iterations", rounds)
 	}
 }
 
-// TestPeersAreScaledToTheSubset: where few of the controllers connect to a dispatcher, its windows are divided by those.
+// TestPeersAreScaledToTheSubset checks that the windows of a dispatcher are divided among the controllers that connect
+// to it, if these are few.
 func TestPeersAreScaledToTheSubset(t *testing.T) {
 	s := newSubsetFixture(t, &subset.Options{Size: 10})
 	d := s.core.decisions
@@ -443,8 +450,9 @@
 	}
 }
 
-// BenchmarkListEvent has one event replace 1,500 dispatchers by as many others. What it holds the loop for at a time is told as the median,
-// the longest of 99 in 100, and the longest: by the clock, so the pauses of a busy machine are in it.
+// BenchmarkListEvent replaces 1,500 dispatchers by as many others in one update. It reports how long the update
+// occupies the loop at a time: the median, the 99th percentile and the maximum. These are wall-clock times, so they
+// include the pauses of a busy machine.
 func BenchmarkListEvent(b *testing.B) {
 	for _, n := range []int{3000, 37_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/call/shares.go
+++ b/internal/call/shares.go
@@ -2,21 +2,21 @@
 
 import "cherryrelay/control"
 
-// DispatcherShare is what this controller gets of one dispatcher, and what keeps it from more. Counts are since the start, and of
-// dispatchers that are listed.
+// DispatcherShare is this controller's share of one dispatcher, and what limits it. Counts are since the start, and
+// cover listed dispatchers only.
 type DispatcherShare struct {
 	ID         control.ServerID `json:"id"`
 	SetUpsSent int              `json:"asked"`   // set-ups sent
-	NoLine     int              `json:"no_line"` // of them, turned away for want of a line
-	Lines      float64          `json:"lines"`   // that it has, as far as is told
-	FreeLines  int              `json:"free"`    // that it has left, as far as is known; -1 if that is not told
-	OwnLines   int              `json:"own"`     // that calls of this controller have
-	BackOffMS  int64            `json:"rest_ms"` // for which it gets no more set-ups from here
+	NoLine     int              `json:"no_line"` // of these, refused for lack of a line
+	Lines      float64          `json:"lines"`   // that it has, as far as it reports
+	FreeLines  int              `json:"free"`    // that it has left, as far as known; -1 if it does not report that
+	OwnLines   int              `json:"own"`     // occupied by calls of this controller
+	BackOffMS  int64            `json:"rest_ms"` // remaining back-off, in ms
 	Unlimited  bool             `json:"open"`    // it has no window
-	Window     float64          `json:"window"`  // starts a control period, if it has one
+	Window     float64          `json:"window"`  // starts per control period, if it has a window
 }
 
-// setUpCount counts what a dispatcher was asked.
+// setUpCount counts the set-ups sent to a dispatcher, and those refused for lack of a line.
 type setUpCount struct{ sent, noLine int }
 
 func (c *Core) countSetUp(id control.ServerID, noLine bool) {
@@ -29,7 +29,7 @@
 	c.setUpCounts[id] = n
 }
 
-// Shares are those of all dispatchers that the module knows, in the order in which they were first listed.
+// Shares returns the shares of all dispatchers that the module knows, in the order in which they were first listed.
 func (c *Core) Shares() []DispatcherShare {
 	figures := c.module.Stats(c.now())
 	shares := make([]DispatcherShare, 0, len(figures))
@@ -41,5 +41,5 @@
 	return shares
 }
 
-// forgetSetUpCount drops the counts of a dispatcher that is gone.
+// forgetSetUpCount drops the counts of a removed dispatcher.
 func (c *Core) forgetSetUpCount(id control.ServerID) { delete(c.setUpCounts, id) }
--- a/internal/call/succession.go
+++ b/internal/call/succession.go
@@ -9,26 +9,27 @@
 )
 
 const (
-	// drainDelay is how long after its successor began to serve a process that nobody ends goes on before it ends itself.
+	// drainDelay is how long after its successor began to serve a process starts draining by itself.
 	drainDelay = 2 * time.Second
-	// connectionsTimeout bounds how long one that ends waits for the connections that are left: nothing is owed on them.
+	// connectionsTimeout bounds how long a draining process waits for its remaining connections, which have no pending
+	// calls.
 	connectionsTimeout = 2500 * time.Millisecond
 )
 
-// AwaitPredecessor has the core take no callers while a predecessor serves them: it is not ready until Begin.
+// AwaitPredecessor keeps the core from serving callers while a predecessor does: it is not ready until StartServing.
 func (c *Core) AwaitPredecessor() { c.awaitsPredecessor = true }
 
 // AwaitsPredecessor reports whether a predecessor still serves.
 func (c *Core) AwaitsPredecessor() bool { return c.awaitsPredecessor }
 
-// CanPlaceCalls reports whether calls can be placed, so that Begin may come.
+// CanPlaceCalls reports whether calls can be placed, so that StartServing may be called.
 func (c *Core) CanPlaceCalls() bool { return c.placesCalls() }
 
-// StartServing ends Await.
+// StartServing ends AwaitPredecessor.
 func (c *Core) StartServing() { c.awaitsPredecessor = false }
 
-// Supersede tells that a successor serves callers now. Set-ups that were taken are answered here, ends of calls are told
-// through relay, as long as it takes them, and then the process ends.
+// Supersede handles that a successor now serves callers. Set-ups accepted before are answered here, ends of calls are
+// sent through relay while it accepts them, and then the process drains.
 func (c *Core) Supersede(relay func(id string, end End) bool) {
 	c.supersededAt, c.relayEnd = time.Now(), relay
 	since := c.supersededAt
@@ -36,7 +37,8 @@
 	c.loop.After(drainDelay, func() { c.drainForSuccessor(since) })
 }
 
-// drainForSuccessor ends a process that has had the successor since then, and that nobody has asked to end.
+// drainForSuccessor starts draining for the successor that began to serve at the given time, unless draining was
+// requested already.
 func (c *Core) drainForSuccessor(since time.Time) {
 	if c.supersededAt.Equal(since) && c.drainingSince.IsZero() {
 		c.Drain()
@@ -44,7 +46,7 @@
 	}
 }
 
-// SuccessorEnded takes callers again: the successor is no more.
+// SuccessorEnded serves callers again, as the successor has ended.
 func (c *Core) SuccessorEnded() {
 	if c.Superseded() {
 		c.supersededAt, c.relayEnd = time.Time{}, nil
@@ -58,20 +60,23 @@
 // Superseded reports whether a successor serves.
 func (c *Core) Superseded() bool { return !c.supersededAt.IsZero() }
 
-// hasOpenConnections reports whether a superseded process that ends still has connections on which something may arrive.
+// hasOpenConnections reports whether a draining process with a successor still has connections on which messages may
+// arrive.
 func (c *Core) hasOpenConnections() bool {
 	return c.Superseded() && time.Since(c.drainingSince) < connectionsTimeout &&
 		slices.ContainsFunc(c.fronts, func(f Front) bool { return f.Connections() > 0 })
 }
 
-// notifyTerminated tells a caller that a call that stood has ended; with a successor, that one does, as callers are there.
+// notifyTerminated notifies a caller of the end of an established call, through the successor if there is one, as
+// callers are connected there.
 func (c *Core) notifyTerminated(caller Caller, id string, end End) {
 	if !c.RelayToSuccessor(id, end) {
 		caller.NotifyTerminated(id, end)
 	}
 }
 
-// RelayToSuccessor leaves the end of a call to the successor, and reports whether that has taken it. It is false without one.
+// RelayToSuccessor passes the end of a call to the successor, and reports whether the successor has accepted it.
+// Without one, it returns false.
 func (c *Core) RelayToSuccessor(id string, end End) bool {
 	if c.relayEnd != nil && c.relayEnd(id, end) {
 		endlog.Call(c.log, endlog.ToSuccessor, id)
@@ -80,7 +85,7 @@
 	return false
 }
 
-// EachEstablishedCall calls f for each call that stands, in the order of their ids.
+// EachEstablishedCall calls f for each established call, in the order of the ids.
 func (c *Core) EachEstablishedCall(f func(id string, server control.ServerID)) {
 	var ids []string
 	for id, k := range c.calls {
@@ -94,7 +99,7 @@
 	}
 }
 
-// Adopt takes over a call that stands, from a predecessor that ends.
+// Adopt takes over an established call of a predecessor that ends.
 func (c *Core) Adopt(id string, server control.ServerID) {
 	if c.calls[id] == nil {
 		c.calls[id] = &record{Request: Request{ID: id, Caller: c.unknownCaller}, state: established, server: server, attempts: 1, sentAt: time.Now()}
@@ -103,10 +108,10 @@
 	}
 }
 
-// unknownCaller stands in for the callers of calls from another process: they are on whatever connection there is.
+// unknownCaller is the Caller of calls of another process: their callers may be on any connection.
 type unknownCaller struct{ core *Core }
 
-func (h *unknownCaller) Answer(string, string) error { return nil } // none of its calls is open
+func (h *unknownCaller) Answer(string, string) error { return nil } // none of its calls is pending
 func (h *unknownCaller) End(string, End)             {}
 func (h *unknownCaller) Disconnected() bool          { return false }
 
--- a/internal/call/takeover.go
+++ b/internal/call/takeover.go
@@ -14,38 +14,40 @@
 	"cherryrelay/internal/takeover"
 )
 
-// Finder has the calls of lost controllers, and passes on those of living ones; *takeover.Room is one.
+// Finder looks up calls of failed controllers, and transfers calls between live ones; it is implemented by
+// *takeover.Room.
 type Finder interface {
-	// Lookup has a call looked for; Arrived or Missing tells how that came out.
+	// Lookup starts the lookup of a call; CallReceived or CallNotFound delivers the result.
 	Lookup(id string, token []byte) bool
-	// Persisted tells that calls which arrived are in the own ledger.
+	// Persisted reports that received calls are in the own ledger.
 	Persisted(ids ...string)
-	// Terminated tells the end of a call that is not held here.
+	// Terminated reports the end of a call that is not held here.
 	Terminated(id string, cause int)
-	// Transfer has a call's file written; Given tells when it is. Gone tells that the call is held here no more.
+	// Transfer writes a call's file; TransferWritten follows once it is written. Transferred reports that the call is
+	// no longer held here.
 	Transfer(c *takeover.Call) error
 	Transferred(ids ...string)
 }
 
-// transferState is the core's part in calls that pass between controllers.
+// transferState is the core's part in the transfer of calls between controllers.
 type transferState struct {
 	finder        Finder
-	holdsLease    func() bool                // whether this process has its name for itself, as far as is known
-	abort         func(error)                // does not return: this process begins anew
-	everPersisted bool                       // calls have been kept: another controller may take them
-	resumes       map[string][]ResumeRequest // that wait for their call to be found
-	resumeCounts  map[Caller]int             // how many of each
-	persisted     []string                   // arrived, and not told to be kept
-	transferred   []string                   // let go, and not told to be gone
+	holdsLease    func() bool                // reports whether this process holds its lease, as far as known
+	abort         func(error)                // does not return: the process restarts
+	everPersisted bool                       // calls have been persisted: another controller may take them over
+	resumes       map[string][]ResumeRequest // resume requests that wait for the lookup of their call
+	resumeCounts  map[Caller]int             // number of these by caller
+	persisted     []string                   // received calls, not yet reported as persisted
+	transferred   []string                   // transferred calls, not yet reported as such
 }
 
-// UseFinder has calls that are not known here looked for among those of other controllers. LetGo ends the process's work at once, before another
-// word leaves it; it is for a process that may hold its calls no more.
+// UseFinder looks up unknown calls among those of other controllers. Abort stops the process at once, before it sends
+// another message; it is called when the process must no longer hold its calls.
 func (c *Core) UseFinder(f Finder, certain func() bool, letGo func(error)) {
 	c.transfers = &transferState{finder: f, holdsLease: certain, abort: letGo, resumes: map[string][]ResumeRequest{}, resumeCounts: map[Caller]int{}, everPersisted: c.ledgerWriter != nil && c.ledgerWriter.ledger.Enabled()}
 }
 
-// lookUp has a call looked for that somebody has come for. It reports whether it is.
+// lookUp starts the lookup of the call of a resume request. It reports whether it has.
 func (c *Core) lookUp(claim ResumeRequest) bool {
 	p := c.transfers
 	if p == nil || !ValidID(claim.ID) || !p.finder.Lookup(claim.ID, recovery.HashToken(claim.Token)) {
@@ -57,18 +59,18 @@
 	return true
 }
 
-// expireLookup tells a caller whose time for an open call is over that nothing is known of it yet, as a final answer is owed by then. The call
-// goes on being looked for: what stands of it, wherever, has to be released.
+// expireLookup tells a caller whose deadline is reached that its call is unknown, as a final answer is due. The lookup
+// goes on: the call has to be released wherever it is established.
 func (c *Core) expireLookup(claim ResumeRequest) {
 	p := c.transfers
 	if !slices.Contains(p.resumes[claim.ID], claim) {
-		return // found, or missed, or its caller has gone
+		return // found, not found, or its caller has disconnected
 	}
 	p.removeResume(claim)
 	c.rejectUnknown(claim.Caller, claim.ID, claim.Token, false)
 }
 
-// removeResumes takes the claims that have waited for a call.
+// removeResumes removes and returns the resume requests that wait for a call.
 func (p *transferState) removeResumes(id string) []ResumeRequest {
 	claims := p.resumes[id]
 	for _, claim := range slices.Clone(claims) {
@@ -77,7 +79,7 @@
 	return claims
 }
 
-// removeResume forgets a claim that waits.
+// removeResume removes a waiting resume request.
 func (p *transferState) removeResume(claim ResumeRequest) {
 	if p.resumes[claim.ID] = slices.DeleteFunc(slices.Clone(p.resumes[claim.ID]), func(o ResumeRequest) bool { return o == claim }); len(p.resumes[claim.ID]) == 0 {
 		delete(p.resumes, claim.ID)
@@ -87,7 +89,8 @@
 	}
 }
 
-// removeCaller drops the claims of a caller that has gone: it comes again, here or elsewhere.
+// removeCaller removes the resume requests of a caller that has disconnected: it will resume its calls again, here or
+// elsewhere.
 func (p *transferState) removeCaller(caller Caller) {
 	if p == nil || p.resumeCounts[caller] == 0 {
 		return
@@ -95,16 +98,17 @@
 	delete(p.resumeCounts, caller)
 	for id, claims := range p.resumes {
 		if p.resumes[id] = slices.DeleteFunc(claims, func(o ResumeRequest) bool { return o.Caller == caller }); len(p.resumes[id]) == 0 {
-			delete(p.resumes, id) // the call may still come, and then waits for it as any that is left
+			delete(p.resumes, id) // the call may still be found, and then waits for its caller like any orphaned call
 		}
 	}
 }
 
-// CallReceived takes up a call that was another controller's. Over is the cause of its end, if a dispatcher has told that already; else -1.
+// CallReceived takes over a call of another controller. Over is the cause of its end if a dispatcher has reported that
+// already, and -1 otherwise.
 func (c *Core) CallReceived(from *takeover.Call, over int) {
 	p, id := c.transfers, from.ID()
 	if k := c.calls[id]; k != nil && !k.transferring {
-		p.persisted = append(p.persisted, id) // it is here already: an earlier process was lost between the two steps of keeping it
+		p.persisted = append(p.persisted, id) // already here: the previous process ended after persisting the call, before reporting that
 		c.serveResumes(id)
 		return
 	}
@@ -119,7 +123,7 @@
 	}
 	k := c.calls[id]
 	if k == nil {
-		p.persisted = append(p.persisted, id) // nothing is owed
+		p.persisted = append(p.persisted, id) // no answer is due
 		c.CallNotFound(id, false)
 		return
 	}
@@ -127,7 +131,7 @@
 	c.persistCall(k)
 	p.persisted = append(p.persisted, id)
 	c.verifyRecovered()
-	if k.state == established { // its end may have been told to the one that had it, which told nobody
+	if k.state == established { // its end may have been sent to the failed controller, which notified nobody
 		c.dispatchers.Reconnect(k.server)
 	}
 	c.serveResumes(id)
@@ -136,7 +140,7 @@
 	}
 }
 
-// persistCall has all that is known of a call kept.
+// persistCall persists all that is known of a call.
 func (c *Core) persistCall(k *record) {
 	if c.ledgerWriter == nil {
 		return
@@ -146,17 +150,17 @@
 	}
 }
 
-// serveResumes gives a call to those that have waited for it.
+// serveResumes serves the resume requests that wait for a call.
 func (c *Core) serveResumes(id string) {
 	claims := c.transfers.removeResumes(id)
 	for _, claim := range claims {
 		if err := c.ResumeCall(claim); err != nil {
-			c.log.Error("claim that cannot be served", "id", claim.ID, "err", err)
+			c.log.Error("resume request failed", "id", claim.ID, "err", err)
 		}
 	}
 }
 
-// CallNotFound tells those that have waited for a call that nothing is known of it; cut, that nobody can have it.
+// CallNotFound tells the callers that wait for a call that it is unknown; cut means that no controller can hold it.
 func (c *Core) CallNotFound(id string, cut bool) {
 	claims := c.transfers.removeResumes(id)
 	for _, claim := range claims {
@@ -164,7 +168,7 @@
 	}
 }
 
-// ApplyRemoteEnds takes in ends that dispatchers told to other controllers, and returns the calls that are held here.
+// ApplyRemoteEnds applies ends that dispatchers sent to other controllers, and returns the ids of the calls held here.
 func (c *Core) ApplyRemoteEnds(ends map[string]int) (mine []string) {
 	for id, cause := range ends {
 		if k := c.calls[id]; k != nil && k.state == established && !k.transferring {
@@ -175,15 +179,15 @@
 	return mine
 }
 
-// TransferRequested gives calls away whose callers have come back elsewhere, as the hash of the token shows. What is out for one is withdrawn first, so
-// that all that is known of it can be written.
+// TransferRequested transfers calls whose callers resume them at other controllers, as the hash of the token proves. An
+// attempt in progress is cancelled first, so that the written state is complete.
 func (c *Core) TransferRequested(calls map[string]takeover.Query) {
 	for id, query := range calls {
 		k := c.calls[id]
 		if k == nil || k.transferring || len(k.Token) == 0 || !bytes.Equal(k.Token, query.Token) || k.end.Reason == ReasonUnknown {
 			continue
 		}
-		if k.resumedAt.After(query.Seen) { // its caller has come here since: who asked has failed, or lost it
+		if k.resumedAt.After(query.Seen) { // the caller has resumed it here since: the querying controller has failed, or lost the connection
 			continue
 		}
 		if k.attemptInProgress {
@@ -196,12 +200,12 @@
 		k.transferring = true
 		known := c.recoveryCall(k)
 		if err := c.transfers.finder.Transfer(&takeover.Call{Events: known.Events(), LastUs: c.now().Microseconds()}); err != nil {
-			c.log.Error("a call cannot be given to another controller", "id", id, "err", err)
+			c.log.Error("call cannot be transferred to another controller", "id", id, "err", err)
 		}
 	}
 }
 
-// TransferWritten lets a call go whose file is written.
+// TransferWritten drops a call whose file is written.
 func (c *Core) TransferWritten(id string) {
 	k := c.calls[id]
 	if k == nil || !k.transferring {
@@ -221,12 +225,12 @@
 	}
 	delete(c.calls, id)
 	c.transfers.transferred = append(c.transfers.transferred, id)
-	if claims := c.transfers.resumes[id]; len(claims) > 0 { // its caller is here again
+	if claims := c.transfers.resumes[id]; len(claims) > 0 { // its caller is connected here again
 		c.transfers.finder.Lookup(id, recovery.HashToken(claims[0].Token))
 	}
 }
 
-// reportPersisted tells the finder what the ledger has by now. It comes after a commit.
+// reportPersisted reports to the finder what the ledger contains by now. It is called after each commit.
 func (c *Core) reportPersisted() {
 	p := c.transfers
 	if p == nil || c.ledgerWriter != nil && !c.ledgerWriter.ledger.Enabled() {
@@ -243,8 +247,8 @@
 	}
 }
 
-// checkOwnership ends this process's work if its calls may be another's: its ledger was taken, or nothing is written and it is not certain either
-// that nobody may take it.
+// checkOwnership aborts the process if another controller may have taken over its calls: if its ledger was sealed, or
+// if it is disabled and the process may not hold its lease.
 func (c *Core) checkOwnership(err error) {
 	p := c.transfers
 	if p == nil {
@@ -255,5 +259,5 @@
 	}
 }
 
-// ownershipCheckInterval is the pace at which a process without a ledger looks whether it may go on.
+// ownershipCheckInterval is the interval at which a process without a ledger checks whether it may go on.
 const ownershipCheckInterval = 50 * time.Millisecond
--- a/internal/call/turn.go
+++ b/internal/call/turn.go
@@ -10,15 +10,16 @@
 	"cherryrelay/internal/decide/recovery"
 )
 
-// What the module is asked in each round of the loop, and what it has done.
+// The interface to the decision module: the events it is given in each event loop iteration, and its actions.
 
-// now is the Unix clock, as it was at the start and has run since: a clock that is set back would leave the module
-// waiting for a turn that it has been given already.
+// now returns Unix time as the clock showed it at the start, plus the time elapsed since. If the clock were read and
+// had been set back, the module would wait for a wake-up that it has already had.
 func (c *Core) now() time.Duration {
 	return time.Duration(c.startedAt.UnixNano()) + time.Since(c.startedAt)
 }
 
-// finishIteration gives the module all that the round brought, and does what it says.
+// finishIteration passes the events of the iteration to the module and performs its actions, commits to the ledger, and
+// sends the output.
 func (c *Core) finishIteration() {
 	for c.stepModule(); c.selection.growIfNeeded(); c.stepModule() {
 	}
@@ -32,7 +33,7 @@
 	c.quitWhenDrained()
 }
 
-// stepModule tells the module what has happened, and does what it says.
+// stepModule passes the queued events to the module and performs its actions.
 func (c *Core) stepModule() {
 	for range maxModuleSteps {
 		if len(c.events) == 0 {
@@ -51,7 +52,7 @@
 	}
 }
 
-// trace logs what the module was told and what it said.
+// trace logs the events and the actions of a module step.
 func (c *Core) trace(now time.Duration, events []control.Event, actions []control.Action) {
 	for _, e := range events {
 		if _, idle := e.(control.Woken); !idle {
@@ -88,11 +89,11 @@
 		c.wakeTimer = c.loop.After(a.After, func() { c.queueEvent(control.Woken{}) })
 	case control.Log:
 		c.log.Info("module", "text", a.Text)
-	case control.Subscribe: // the lists here come unasked
+	case control.Subscribe: // updates of the list arrive without a subscription
 	}
 }
 
-// failureReason says why the module failed a call.
+// failureReason returns the reason for a call that the module failed.
 func failureReason(k *record) Reason {
 	if time.Until(k.Deadline) <= 2*answerMargin {
 		return ReasonDeadline
@@ -100,18 +101,19 @@
 	return ReasonFailed
 }
 
-// startAttempt starts an attempt. One that can't be is told to the module as never sent: the rules hold whatever it asks.
+// startAttempt starts an attempt. If it must not be made, the module is told that it was not sent: the rules hold
+// whatever the module decides.
 func (c *Core) startAttempt(a control.SetUp) {
 	k := c.calls[string(a.ID)]
 	if k == nil || k.state != pending || k.attemptInProgress || !c.isActive(a.Server) {
-		c.log.Error("attempt that must not be made", "id", a.ID, "server", a.Server)
+		c.log.Error("invalid attempt requested by the decision module", "id", a.ID, "server", a.Server)
 		if k != nil && k.state == pending && !k.attemptInProgress {
 			k.attempts++
 			c.queueEvent(control.AttemptEnded{ID: a.ID, Server: a.Server, Attempt: k.attempts - 1, Outcome: control.NotSent})
 		}
 		return
 	}
-	if k.Caller.Disconnected() || k.state != pending { // while it waited; that is told in a later turn, or was lying unread
+	if k.Caller.Disconnected() || k.state != pending { // while the call waited; the disconnection is reported in a later iteration, or was unread until now
 		if k.attempts++; k.state == pending {
 			c.orphanOrCancel(k)
 		}
@@ -139,8 +141,9 @@
 		Description: k.Description, Timeout: limit})
 }
 
-// cancelAttempt gives up the attempt that is out. Its outcome is told at once; what the dispatcher still says of it is
-// late. If its end has come ahead of its answer, it stood, and its call is over.
+// cancelAttempt cancels the attempt in progress. Its outcome is reported to the module at once; later messages of the
+// dispatcher about it count as late. If the end of the call arrived before its answer, the call was established and is
+// terminated.
 func (c *Core) cancelAttempt(k *record, o control.Outcome, callOver bool) {
 	c.loop.Stop(k.attemptTimer)
 	k.attemptInProgress = false
--- a/internal/mutants/list.go
+++ b/internal/mutants/list.go
@@ -10,7 +10,7 @@
 var (
 	dispatchersTests = Tests{"./internal/dispatchers", ""}
 	callTests        = Tests{"./internal/call ./internal/dispatchers", "EachEnd|AfterARefusal|CouldNotBe|TheDecisions|AsItsAttempt|ALateAnswer|TheEndOfACall|AnEnd|OfUnknown|ReleasesIn|HeldBy|Ambiguous"}
-	callOrderTests   = Tests{"./internal/call ./internal/dispatchers", "WhatIsSaid|AfterARefusal|CouldNotBe|TheDecisions|AsItsAttempt|TheEndOfACall|AnEnd|ReleasesIn"}
+	callOrderTests   = Tests{"./internal/call ./internal/dispatchers", "MessagesOfACall|AfterARefusal|CouldNotBe|TheDecisions|AsItsAttempt|TheEndOfACall|AnEnd|ReleasesIn"}
 	callersTests     = Tests{"./internal/callers", ""}
 	callersStories   = Tests{"./cmd/cherryrelay", "AnEndThatHasNotLeft|AnEndAsTheLast|AnEndIsNotATests|AConnectionIsKept|LastAnswersWait"}
 	connTests        = Tests{"./internal/conn ./internal/callers ./internal/dispatchers", ""}
