--- a/internal/call/ambiguous_end_test.go
+++ b/internal/call/ambiguous_end_test.go
@@ -50,7 +50,7 @@
 	firstReply := func(s *fixture, _ SetUp) { s.pings[0](true) }
 	for name, test := range map[string]struct {
 		steps         []func(s *fixture, a SetUp)
-		overs         int
+		terminations  int
 		releases      int
 		within, after time.Duration // of the delivery of the end
 	}{
@@ -67,23 +67,23 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				s := newAmbiguousFixture(t, test.steps...)
-				begun := time.Now()
-				var toldAt time.Time
-				s.core.Loop().After(guard, func() { begun = time.Now() })
-				var look func()
-				look = func() {
-					if s.terminations[callID] > 0 && toldAt.IsZero() {
-						toldAt = time.Now()
+				started := time.Now()
+				var deliveredAt time.Time
+				s.core.Loop().After(guard, func() { started = time.Now() })
+				var poll func()
+				poll = func() {
+					if s.terminations[callID] > 0 && deliveredAt.IsZero() {
+						deliveredAt = time.Now()
 					}
-					s.core.Loop().After(time.Millisecond, look)
+					s.core.Loop().After(time.Millisecond, poll)
 				}
-				look()
+				poll()
 				s.run(2 * time.Second)
-				if s.terminations[callID] != test.overs || s.releases != test.releases || s.rejections[callID] != 0 {
-					t.Errorf("%d ends, %d releases, %d final answers; want %d, %d, 0", s.terminations[callID], s.releases, s.rejections[callID], test.overs, test.releases)
+				if s.terminations[callID] != test.terminations || s.releases != test.releases || s.rejections[callID] != 0 {
+					t.Errorf("%d ends, %d releases, %d final answers; want %d, %d, 0", s.terminations[callID], s.releases, s.rejections[callID], test.terminations, test.releases)
 				}
-				if told := toldAt.Sub(begun); test.overs > 0 && (told > test.within+10*time.Millisecond || told < test.after) {
-					t.Errorf("the end is delivered after %v, want %v to %v", told, test.after, test.within)
+				if delay := deliveredAt.Sub(started); test.terminations > 0 && (delay > test.within+10*time.Millisecond || delay < test.after) {
+					t.Errorf("the end is delivered after %v, want %v to %v", delay, test.after, test.within)
 				}
 			})
 		})
@@ -94,7 +94,7 @@
 // an earlier attempt whose answer arrived late, when nothing arrives on the call's own connection.
 func TestAmbiguousEndAfterLateAnswerOfEarlierAttempt(t *testing.T) {
 	t.Parallel()
-	for name, beside := range map[string]bool{"before the next attempt": false, "during the next attempt": true} {
+	for name, duringNext := range map[string]bool{"before the next attempt": false, "during the next attempt": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
@@ -104,11 +104,11 @@
 					switch {
 					case a.Attempt == 0:
 						s.core.Loop().After(time.Millisecond, func() { s.endAttempt(server, a, control.Reset) })
-						if !beside {
+						if !duringNext {
 							s.core.Loop().After(2*time.Millisecond, func() { late(a) })
 						}
 						return
-					case beside:
+					case duringNext:
 						late(a)
 					}
 					s.core.Released(server, a.ID, noAttempt, CauseNormal, nil)
@@ -137,9 +137,9 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := newAmbiguousFixture(t, func(s *fixture, a SetUp) { s.endAttempt("a", a, control.Reset) })
-		react := s.onSetUp
+		onSetUp := s.onSetUp
 		s.onSetUp = func(server control.ServerID, a SetUp) {
-			if react(server, a); a.Attempt == 2 {
+			if onSetUp(server, a); a.Attempt == 2 {
 				s.answerAttempt(server, a)
 			}
 		}
--- a/internal/call/behind_answer_test.go
+++ b/internal/call/behind_answer_test.go
@@ -35,56 +35,56 @@
 // because it may belong to an earlier attempt.
 func TestAnEndAfterTheAnswerOnAnotherConnection(t *testing.T) {
 	t.Parallel()
-	beside := func(s *fixture) { s.core.ReleasedOnOtherConnection("a", callID, CauseNormal, nil) }
-	own := func(s *fixture) { s.core.Released("a", callID, noAttempt, CauseNormal, nil) }
+	onOther := func(s *fixture) { s.core.ReleasedOnOtherConnection("a", callID, CauseNormal, nil) }
+	onOwn := func(s *fixture) { s.core.Released("a", callID, noAttempt, CauseNormal, nil) }
 	replied := func(s *fixture) { s.completePings(true) }
 	connectionEnds := func(s *fixture) { s.completePings(false) }
-	const read, next, later, much = 10 * time.Millisecond, 20 * time.Millisecond, 30 * time.Millisecond, 600 * time.Millisecond
+	const read, next, later, muchLater = 10 * time.Millisecond, 20 * time.Millisecond, 30 * time.Millisecond, 600 * time.Millisecond
 	type steps = map[time.Duration]func(*fixture)
 	for name, test := range map[string]struct {
 		first        control.Outcome
 		steps        steps
-		overs        int
+		terminations int
 		releases     int
 		unreplied    int           // probes without a reply
 		from, within time.Duration // of the delivery of the end, after the answer
 	}{
-		"a reply":                                       {control.Reset, steps{read: beside, next: replied}, 0, 0, 0, 0, 0},
-		"a reply, then its own end":                     {control.Reset, steps{read: beside, next: replied, later: own}, 1, 0, 0, later, later},
-		"its own end before the reply":                  {control.Reset, steps{read: beside, next: own, later: replied}, 1, 0, 0, next, next},
-		"the end of its connection":                     {control.Reset, steps{read: beside, next: connectionEnds}, 1, 1, 0, next, next},
-		"no reply":                                      {control.Reset, steps{read: beside}, 1, 1, 1, replyTimeout, time.Second},
-		"no reply to a repeated end":                    {control.Reset, steps{read: beside, much: beside}, 1, 1, 2, replyTimeout, time.Second},
-		"the earlier attempt was refused":               {control.Failed, steps{read: beside}, 1, 0, 0, read, read},
-		"an end on the connection of its answer":        {control.Reset, steps{read: own}, 1, 0, 0, read, read},
-		"another end, and a reply to its probe":         {control.Reset, steps{read: beside, next: beside, later: replied}, 0, 0, 0, 0, 0},
-		"another end, and the end of its connection":    {control.Reset, steps{read: beside, next: beside, later: connectionEnds}, 1, 1, 0, later, later},
+		"a reply":                                       {control.Reset, steps{read: onOther, next: replied}, 0, 0, 0, 0, 0},
+		"a reply, then its own end":                     {control.Reset, steps{read: onOther, next: replied, later: onOwn}, 1, 0, 0, later, later},
+		"its own end before the reply":                  {control.Reset, steps{read: onOther, next: onOwn, later: replied}, 1, 0, 0, next, next},
+		"the end of its connection":                     {control.Reset, steps{read: onOther, next: connectionEnds}, 1, 1, 0, next, next},
+		"no reply":                                      {control.Reset, steps{read: onOther}, 1, 1, 1, replyTimeout, time.Second},
+		"no reply to a repeated end":                    {control.Reset, steps{read: onOther, muchLater: onOther}, 1, 1, 2, replyTimeout, time.Second},
+		"the earlier attempt was refused":               {control.Failed, steps{read: onOther}, 1, 0, 0, read, read},
+		"an end on the connection of its answer":        {control.Reset, steps{read: onOwn}, 1, 0, 0, read, read},
+		"another end, and a reply to its probe":         {control.Reset, steps{read: onOther, next: onOther, later: replied}, 0, 0, 0, 0, 0},
+		"another end, and the end of its connection":    {control.Reset, steps{read: onOther, next: onOther, later: connectionEnds}, 1, 1, 0, later, later},
 		"an end of the same id from another dispatcher": {control.Reset, steps{read: func(s *fixture) { s.core.ReleasedOnOtherConnection("b", callID, CauseNormal, nil) }}, 0, 0, 0, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				s := newEstablishedFixture(t, test.first, test.steps)
-				begun, toldAt := time.Time{}, time.Time{}
-				var look func()
-				look = func() {
-					if begun.IsZero() && s.answers[callID] > 0 {
-						begun = time.Now()
+				answeredAt, deliveredAt := time.Time{}, time.Time{}
+				var poll func()
+				poll = func() {
+					if answeredAt.IsZero() && s.answers[callID] > 0 {
+						answeredAt = time.Now()
 					}
-					if toldAt.IsZero() && s.terminations[callID] > 0 {
-						toldAt = time.Now()
+					if deliveredAt.IsZero() && s.terminations[callID] > 0 {
+						deliveredAt = time.Now()
 					}
-					s.core.Loop().After(time.Millisecond, look)
+					s.core.Loop().After(time.Millisecond, poll)
 				}
-				look()
+				poll()
 				s.run(3 * time.Second)
-				if s.answers[callID] != 1 || s.rejections[callID] != 0 || s.terminations[callID] != test.overs || s.releases != test.releases || len(s.pings) != test.unreplied {
+				if s.answers[callID] != 1 || s.rejections[callID] != 0 || s.terminations[callID] != test.terminations || s.releases != test.releases || len(s.pings) != test.unreplied {
 					t.Errorf("%d answers, %d final answers, %d ends, %d releases, %d probes without a reply; want 1, 0, %d, %d, %d", s.answers[callID], s.rejections[callID],
-						s.terminations[callID], s.releases, len(s.pings), test.overs, test.releases, test.unreplied)
+						s.terminations[callID], s.releases, len(s.pings), test.terminations, test.releases, test.unreplied)
 				}
 				const slack = 2 * time.Millisecond
-				if told := toldAt.Sub(begun); test.overs > 0 && (told < test.from-slack || told > test.within+slack) {
-					t.Errorf("the end is delivered %v after the answer, want %v to %v", told, test.from, test.within)
+				if delay := deliveredAt.Sub(answeredAt); test.terminations > 0 && (delay < test.from-slack || delay > test.within+slack) {
+					t.Errorf("the end is delivered %v after the answer, want %v to %v", delay, test.from, test.within)
 				}
 			})
 		})
@@ -95,13 +95,13 @@
 func TestAnEndOfAnUnknownCallOnAnotherConnection(t *testing.T) {
 	t.Parallel()
 	s := newFixture(t)
-	goesOn := true
+	stillEstablished := true
 	s.core.Loop().Post(func() {
-		goesOn = s.core.ReleasedOnOtherConnection("a", callID, CauseNormal, nil)
+		stillEstablished = s.core.ReleasedOnOtherConnection("a", callID, CauseNormal, nil)
 		s.core.Loop().Quit()
 	})
 	s.core.Loop().Run()
-	if goesOn {
+	if stillEstablished {
 		t.Error("an unknown call is reported as established")
 	}
 }
--- a/internal/call/bounds_test.go
+++ b/internal/call/bounds_test.go
@@ -13,27 +13,27 @@
 
 // collectSizes adds up the sizes of all maps, slices and rings that can be reached from v without passing through an
 // interface. What callers, dispatchers and logs hold is not counted.
-func collectSizes(v reflect.Value, path string, seen map[uintptr]bool, into map[string]int) {
+func collectSizes(v reflect.Value, path string, seen map[uintptr]bool, sizes map[string]int) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if v.IsNil() || seen[v.Pointer()] || v.Type() == reflect.TypeFor[*time.Location]() {
 			return
 		}
 		seen[v.Pointer()] = true
-		collectSizes(v.Elem(), path, seen, into)
+		collectSizes(v.Elem(), path, seen, sizes)
 	case reflect.Struct:
 		for i := range v.NumField() {
-			collectSizes(v.Field(i), path+"."+v.Type().Field(i).Name, seen, into)
+			collectSizes(v.Field(i), path+"."+v.Type().Field(i).Name, seen, sizes)
 		}
 	case reflect.Map:
-		into[path] += v.Len()
+		sizes[path] += v.Len()
 		for entries := v.MapRange(); entries.Next(); {
-			collectSizes(entries.Value(), path+"[]", seen, into)
+			collectSizes(entries.Value(), path+"[]", seen, sizes)
 		}
 	case reflect.Slice:
-		into[path] += v.Cap()
+		sizes[path] += v.Cap()
 		for i := range v.Len() {
-			collectSizes(v.Index(i), path+"[]", seen, into)
+			collectSizes(v.Index(i), path+"[]", seen, sizes)
 		}
 	}
 }
@@ -64,15 +64,15 @@
 		}
 		done := make(chan struct{})
 		go func() { loop.Run(); close(done) }()
-		on := func(f func()) {
+		onLoop := func(f func()) {
 			ran := make(chan struct{})
 			loop.Post(func() { f(); close(ran) })
 			<-ran
 		}
 		number := 0
-		play := func(calls int) map[string]int {
+		runCalls := func(calls int) map[string]int {
 			for range calls {
-				on(func() {
+				onLoop(func() {
 					if number%20 == 0 { // replace a dispatcher by one with another name
 						next := number / 20
 						s.updateList(control.Active, control.ServerID(fmt.Sprint("d", next)))
@@ -94,21 +94,21 @@
 				time.Sleep(60 * time.Millisecond)
 			}
 			time.Sleep(2 * retentionPeriod)
-			into := map[string]int{}
-			on(func() { // terminated calls are dropped when the next call ends
+			sizes := map[string]int{}
+			onLoop(func() { // terminated calls are dropped when the next call ends
 				s.core.recordTerminated("0123456789abcdef")
-				collectSizes(reflect.ValueOf(s.core), "core", map[uintptr]bool{}, into)
+				collectSizes(reflect.ValueOf(s.core), "core", map[uintptr]bool{}, sizes)
 			})
-			return into
+			return sizes
 		}
-		first := play(600)
-		last := play(20000)
+		first := runCalls(600)
+		last := runCalls(20000)
 		for path, n := range last {
 			if n > first[path]+32 && n > 2*first[path] {
 				t.Errorf("%s: %d after %d calls, %d after 600", path, n, number, first[path])
 			}
 		}
-		on(loop.Quit)
+		onLoop(loop.Quit)
 		<-done
 	})
 }
--- a/internal/call/claim_deadline_test.go
+++ b/internal/call/claim_deadline_test.go
@@ -31,19 +31,19 @@
 // call has stopped waiting: the deadline in its resume request may be earlier than the one stored when the set-up was
 // accepted.
 func TestFinalAnswerMeetsDeadlineOfResumeRequest(t *testing.T) {
-	const id, left = "00000000000000ab", 500 * time.Millisecond
-	for name, begin := range map[string]func(core *Core){
+	const id, timeLeft = "00000000000000ab", 500 * time.Millisecond
+	for name, prepare := range map[string]func(core *Core){
 		"it was left by the previous process": func(core *Core) { core.Recover(recoveredPending(core, id), nil) },
 		"its connection has closed here": func(core *Core) {
-			gone := &recorder{core: core}
-			_ = core.Offer(Request{ID: id, Class: "c", Deadline: time.Now().Add(9 * time.Second), Caller: gone, Token: recovery.HashToken(callToken), Description: "x"})
-			core.CallerDisconnected(gone)
+			disconnected := &recorder{core: core}
+			_ = core.Offer(Request{ID: id, Class: "c", Deadline: time.Now().Add(9 * time.Second), Caller: disconnected, Token: recovery.HashToken(callToken), Description: "x"})
+			core.CallerDisconnected(disconnected)
 		},
 		"a predecessor has the ledger":   func(core *Core) { core.AwaitLedger() },
 		"it is looked up, and not found": func(core *Core) { core.UseFinder(stubFinder{}, func() bool { return true }, func(error) {}) },
 		"it is looked up, and found": func(core *Core) {
 			core.UseFinder(stubFinder{}, func() bool { return true }, func(error) {})
-			core.Loop().After(left/2, func() {
+			core.Loop().After(timeLeft/2, func() {
 				e := accepted(id, core.now())
 				core.CallReceived(&takeover.Call{Events: []recovery.Event{e}, LastUs: e.AtUs}, -1)
 			})
@@ -57,17 +57,17 @@
 				core.AddFront(recordingFront{s})
 				core.Loop().Post(func() {
 					core.Update(Update{Complete: true, Servers: []Server{{ServerEntry: control.ServerEntry{ID: "a"}, Address: "127.0.0.1:1"}}})
-					begin(core)
-					if err := core.ResumeCall(ResumeRequest{Caller: s, ID: id, Token: callToken, Deadline: time.Now().Add(left)}); err != nil {
+					prepare(core)
+					if err := core.ResumeCall(ResumeRequest{Caller: s, ID: id, Token: callToken, Deadline: time.Now().Add(timeLeft)}); err != nil {
 						t.Error(err)
 					}
 				})
 				go core.Loop().Run()
-				time.Sleep(left)
+				time.Sleep(timeLeft)
 				core.Loop().Quit()
 				synctest.Wait()
-				if told := strings.Join(s.events, "; "); strings.Count(told, "end "+id) != 1 {
-					t.Errorf("sent before the deadline of the resume request: %q; want one final answer", told)
+				if sent := strings.Join(s.events, "; "); strings.Count(sent, "end "+id) != 1 {
+					t.Errorf("sent before the deadline of the resume request: %q; want one final answer", sent)
 				}
 			})
 		})
--- a/internal/call/core_test.go
+++ b/internal/call/core_test.go
@@ -62,8 +62,8 @@
 	if at, ok := s.inProgress[a.ID]; ok {
 		s.t.Errorf("call %s is sent to %s while an attempt is in progress at %s", a.ID, server, at)
 	}
-	if early := time.Until(s.notBefore[a.ID]); early > 0 {
-		s.t.Errorf("call %s is sent again %v too soon", a.ID, early)
+	if wait := time.Until(s.notBefore[a.ID]); wait > 0 {
+		s.t.Errorf("call %s is sent again %v too soon", a.ID, wait)
 	}
 	if s.drained[server] {
 		s.t.Errorf("call %s is sent to %s, which drains", a.ID, server)
@@ -160,16 +160,16 @@
 		loop.After(2*time.Second, loop.Quit)
 	})
 	loop.Run()
-	stood := 0
+	establishedCount := 0
 	for i := range calls {
 		id := fmt.Sprint(i)
-		stood += s.answers[id]
+		establishedCount += s.answers[id]
 		if n := s.rejections[id] + s.answers[id]; n != 1 {
 			t.Errorf("call %s has %d final answers", id, n)
 		}
 	}
-	if stood == 0 || stood == calls {
-		t.Errorf("%d of %d calls were established, want some", stood, calls)
+	if establishedCount == 0 || establishedCount == calls {
+		t.Errorf("%d of %d calls were established, want some", establishedCount, calls)
 	}
 }
 
@@ -274,8 +274,8 @@
 // when the successor has ended, and that one that was told to drain does not.
 func TestAnEndingProcessServesAgainWithoutSuccessor(t *testing.T) {
 	for _, test := range []struct {
-		asked bool
-		want  bool
+		toldToDrain bool
+		want        bool
 	}{{false, true}, {true, false}} {
 		s := newFixture(t)
 		c := s.core
@@ -286,12 +286,12 @@
 			t.Errorf("with a successor: ready %v in phase %v", c.Ready(), c.Phase())
 		}
 		c.drainForSuccessor(c.supersededAt)
-		if test.asked {
+		if test.toldToDrain {
 			c.Drain()
 		}
 		c.SuccessorEnded()
 		if got := c.Ready(); got != test.want {
-			t.Errorf("told to drain: %v; ready: %v", test.asked, got)
+			t.Errorf("told to drain: %v; ready: %v", test.toldToDrain, got)
 		}
 	}
 }
--- a/internal/call/drain.go
+++ b/internal/call/drain.go
@@ -35,11 +35,11 @@
 	for _, class := range c.decisions.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	most := killMaxDeadline
+	maxDeadline := killMaxDeadline
 	if c.Superseded() {
-		most = killMaxDeadlineSuperseded
+		maxDeadline = killMaxDeadlineSuperseded
 	}
-	return min(longest, most) + killGrace - killMargin
+	return min(longest, maxDeadline) + killGrace - killMargin
 }
 
 // frontsIdle reports whether no front has unread input or undelivered output.
--- a/internal/call/durable.go
+++ b/internal/call/durable.go
@@ -45,8 +45,8 @@
 }
 
 // UseLedger persists all events of calls in the ledger, after BeginLedger has written the state restored by Recover.
-func (c *Core) UseLedger(l Ledger, refuse bool) {
-	c.ledgerWriter = &ledgerWriter{core: c, ledger: l, refuseWhenDisabled: refuse, retryDelay: minRetryDelay}
+func (c *Core) UseLedger(l Ledger, refuseWhenDisabled bool) {
+	c.ledgerWriter = &ledgerWriter{core: c, ledger: l, refuseWhenDisabled: refuseWhenDisabled, retryDelay: minRetryDelay}
 	c.loop.OnCommit(c.ledgerWriter.commit)
 	c.AddMetrics(c.ledgerWriter.metrics)
 }
@@ -78,8 +78,8 @@
 		e.Class, e.Called, e.FirstCell, e.Redial, e.Description, e.Token = k.Class, k.Called, k.FirstCell, k.Redial, k.Description, k.Token
 		e.DeadlineUs = (c.now() + time.Until(k.Deadline)).Microseconds()
 	case recovery.KindAttemptSent, recovery.KindAttemptFailed, recovery.KindEstablished:
-		at, _ := c.listedServer(k.server)
-		e.Attempt, e.Server, e.Address, e.ServerStartedUs = k.attempts-1, string(k.server), at.Address, at.StartedAt.Microseconds()
+		entry, _ := c.listedServer(k.server)
+		e.Attempt, e.Server, e.Address, e.ServerStartedUs = k.attempts-1, string(k.server), entry.Address, entry.StartedAt.Microseconds()
 	}
 	if fill != nil {
 		fill(&e)
@@ -148,16 +148,16 @@
 		return
 	}
 	d.checksLease = true
-	var look func()
-	look = func() {
+	var check func()
+	check = func() {
 		if d.ledger.Enabled() {
 			d.checksLease = false
 			return
 		}
 		d.core.checkOwnership(ledger.ErrDisabled)
-		d.core.loop.After(ownershipCheckInterval, look)
+		d.core.loop.After(ownershipCheckInterval, check)
 	}
-	d.core.loop.After(ownershipCheckInterval, look)
+	d.core.loop.After(ownershipCheckInterval, check)
 }
 
 // beginEpoch starts writing the current state, and polls for the result while calls are served.
@@ -197,7 +197,7 @@
 
 // beginEpochAndWait writes another snapshot if calls have changed while the last one was written. It blocks, as the
 // disk has just proven to be writable.
-func (d *ledgerWriter) beginEpochAndWait(patience time.Duration) error {
+func (d *ledgerWriter) beginEpochAndWait(timeout time.Duration) error {
 	state, err := d.core.snapshot()
 	if err != nil {
 		return err
@@ -205,13 +205,13 @@
 	if err := d.ledger.BeginEpoch(state); err != nil {
 		return err //nolint:wrapcheck // the error names the ledger
 	}
-	until := time.Now().Add(patience)
+	deadline := time.Now().Add(timeout)
 	for {
 		done, err := d.ledger.EpochResult()
 		switch {
 		case done:
 			return err //nolint:wrapcheck // the error names the ledger
-		case time.Now().After(until):
+		case time.Now().After(deadline):
 			return ledger.ErrTimeout
 		}
 		time.Sleep(100 * time.Microsecond)
--- a/internal/call/earlier_held_test.go
+++ b/internal/call/earlier_held_test.go
@@ -12,7 +12,7 @@
 // fails too.
 func TestACallHeldByAnEarlierAttemptIsReleased(t *testing.T) {
 	t.Parallel()
-	for name, comesToNothing := range map[string]func(s *fixture, server control.ServerID){
+	for name, fail := range map[string]func(s *fixture, server control.ServerID){
 		"it is refused": func(s *fixture, server control.ServerID) {
 			s.core.AttemptEnded(server, "1", 1, control.Failed, false, nil)
 		},
@@ -32,7 +32,7 @@
 					if s.releases > 0 {
 						t.Error("the call is released while the later attempt is in progress")
 					}
-					comesToNothing(s, server)
+					fail(s, server)
 					s.core.Loop().After(10*guard, s.core.Loop().Quit)
 				default:
 					s.core.AttemptEnded(server, a.ID, a.Attempt, control.Failed, false, nil)
--- a/internal/call/ends.go
+++ b/internal/call/ends.go
@@ -22,7 +22,7 @@
 // ReleasedOnOtherConnection handles the release of an established call on a connection other than that of its answer,
 // and reports whether the call is still established there. The release may belong to a call that an earlier attempt
 // established under the same id.
-func (c *Core) ReleasedOnOtherConnection(server control.ServerID, id string, cause int, report []float64) (goesOn bool) {
+func (c *Core) ReleasedOnOtherConnection(server control.ServerID, id string, cause int, report []float64) (stillEstablished bool) {
 	k := c.calls[id]
 	result := c.classifyEnd(k, server, noAttempt)
 	if result == endOfCall && k.triedEarlier() {
--- a/internal/call/ends_told_test.go
+++ b/internal/call/ends_told_test.go
@@ -60,9 +60,9 @@
 func TestEachEndIsDeliveredOnce(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
-		open bool // the call is not answered yet
-		ends func(e *endRecorder)
-		want endsDelivered
+		unanswered bool // the call is not answered yet
+		end        func(e *endRecorder)
+		want       endsDelivered
 	}{
 		"its dispatcher ends it":                     {false, func(e *endRecorder) { e.core.Released("a", endedID, 0, CauseNormal, nil) }, endsDelivered{Answers: 1, Overs: 1}},
 		"another dispatcher ends a call with its id": {false, func(e *endRecorder) { e.core.Released("b", endedID, -1, CauseNormal, nil) }, endsDelivered{Answers: 1}},
@@ -107,8 +107,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			e := newEndRecorder(t, !test.open)
-			test.ends(e)
+			e := newEndRecorder(t, !test.unanswered)
+			test.end(e)
 			got := endsDelivered{Answers: e.answers[endedID], Overs: e.terminations[endedID], Releases: e.releases, Front: e.viaFront, Elsewhere: slices.Clone(e.viaOthers)}
 			if diff := cmp.Diff(test.want, got); diff != "" {
 				t.Errorf("delivered (-want +got):\n%s", diff)
--- a/internal/call/figures.go
+++ b/internal/call/figures.go
@@ -42,8 +42,8 @@
 func (c *Core) SetUpWritten() { c.metrics.Attempts++ }
 
 // AddMetrics appends the metrics of another component to those of the core.
-func (c *Core) AddMetrics(part func() []*dto.MetricFamily) {
-	c.metricSources = append(c.metricSources, part)
+func (c *Core) AddMetrics(source func() []*dto.MetricFamily) {
+	c.metricSources = append(c.metricSources, source)
 }
 
 // Telemetry returns all metrics as text.
@@ -60,8 +60,8 @@
 		}
 	}
 	var more []*dto.MetricFamily
-	for _, part := range c.metricSources {
-		more = append(more, part()...)
+	for _, source := range c.metricSources {
+		more = append(more, source()...)
 	}
 	text, err := f.Text(more...)
 	if err != nil {
--- a/internal/call/late_refusal_test.go
+++ b/internal/call/late_refusal_test.go
@@ -13,8 +13,8 @@
 func TestAnEndBeforeItsAnswerAfterALateRefusal(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
-		outcome   control.Outcome
-		besideOut bool // the refusal arrives while the next attempt is in progress
+		outcome    control.Outcome
+		duringNext bool // the refusal arrives while the next attempt is in progress
 	}{
 		"as cancelled, before the next attempt": {control.Cancelled, false},
 		"as cancelled, during the next attempt": {control.Cancelled, true},
@@ -29,13 +29,13 @@
 				if a.Attempt == 0 {
 					s.core.Loop().After(time.Millisecond, func() {
 						s.core.cancelAttempt(s.core.calls[a.ID], control.TimedOut, false)
-						if !test.besideOut {
+						if !test.duringNext {
 							refuse(server, a.ID)
 						}
 					})
 					return
 				}
-				if test.besideOut {
+				if test.duringNext {
 					refuse(server, a.ID)
 				}
 				s.core.Released(server, a.ID, -1, CauseNormal, nil)
--- a/internal/call/leave_test.go
+++ b/internal/call/leave_test.go
@@ -22,7 +22,7 @@
 	for name, test := range map[string]struct {
 		readAfter time.Duration // 0 for never
 		least     time.Duration
-		most      time.Duration
+		latest    time.Duration
 	}{
 		"nothing unread":      {time.Nanosecond, lateArrivalWindow, lateArrivalWindow + 50*time.Millisecond},
 		"unread for a second": {time.Second, time.Second, time.Second + 50*time.Millisecond},
@@ -40,13 +40,13 @@
 					if test.readAfter > 0 {
 						loop.After(test.readAfter, func() { front.unread = false })
 					}
-					var look func()
-					look = func() { loop.After(10*time.Millisecond, look) } // fronts cause an iteration now and then
-					look()
+					var poll func()
+					poll = func() { loop.After(10*time.Millisecond, poll) } // fronts cause an iteration now and then
+					poll()
 				})
 				loop.Run()
-				if took := time.Since(since); took < test.least || took > test.most || front.polls == 0 {
-					t.Errorf("ended after %v, want %v to %v", took, test.least, test.most)
+				if took := time.Since(since); took < test.least || took > test.latest || front.polls == 0 {
+					t.Errorf("ended after %v, want %v to %v", took, test.least, test.latest)
 				}
 			})
 		})
--- a/internal/call/list.go
+++ b/internal/call/list.go
@@ -29,14 +29,14 @@
 		c.setStatus(s.ID, s.Status) // also drops the entry of a removed dispatcher
 	}
 	if u.Complete {
-		var gone []control.ServerID
+		var removed []control.ServerID
 		for id := range c.serverStatus {
 			if !named[id] {
-				gone = append(gone, id)
+				removed = append(removed, id)
 			}
 		}
-		slices.Sort(gone)
-		for _, id := range gone {
+		slices.Sort(removed)
+		for _, id := range removed {
 			c.setStatus(id, control.Removed)
 		}
 		c.listReceived = true
--- a/internal/call/loop.go
+++ b/internal/call/loop.go
@@ -66,7 +66,7 @@
 
 // AddIdleCheck adds a check for unread input, which runs on the loop after a pause: it reports whether all input has
 // been posted to the loop.
-func (l *Loop) AddIdleCheck(quiet func() bool) { l.idleChecks = append(l.idleChecks, quiet) }
+func (l *Loop) AddIdleCheck(idle func() bool) { l.idleChecks = append(l.idleChecks, idle) }
 
 // Commit runs the function registered with OnCommit; anything that writes to a socket must call it first. Only the loop
 // may call it.
@@ -137,17 +137,17 @@
 		return false
 	}
 	defer func() { l.caughtUp = time.Now() }()
-	unread := func(quiet func() bool) bool { return !quiet() }
-	known := false
-	begun, still, waits := time.Now(), 0, 0
-	for took := time.Duration(0); still < catchUpIdleSteps && (took < catchUpTimeout || known && took < catchUpUnreadTimeout); took = time.Since(begun) {
-		if took > 0 { // check at once first: input that has been read from a socket is no longer seen there
+	hasUnread := func(idle func() bool) bool { return !idle() }
+	unread := false
+	started, idleSteps, queued := time.Now(), 0, 0
+	for elapsed := time.Duration(0); idleSteps < catchUpIdleSteps && (elapsed < catchUpTimeout || unread && elapsed < catchUpUnreadTimeout); elapsed = time.Since(started) {
+		if elapsed > 0 { // check at once first: input that has been read from a socket is no longer seen there
 			time.Sleep(catchUpStep)
 		}
-		known = slices.ContainsFunc(l.idleChecks, unread)
-		n := l.Pending()
-		if still++; n != waits || known {
-			still, waits = 0, n
+		unread = slices.ContainsFunc(l.idleChecks, hasUnread)
+		posted := l.Pending()
+		if idleSteps++; posted != queued || unread {
+			idleSteps, queued = 0, posted
 		}
 	}
 	return true
@@ -168,9 +168,9 @@
 // iterate processes everything that is ready and then calls onIteration. It reports whether there was anything. A pause
 // may have occurred before the iteration, or while posted functions ran.
 func (l *Loop) iterate() bool {
-	came := l.runPosted()
+	ran := l.runPosted()
 	if l.catchUp() {
-		came = l.runPosted() || came
+		ran = l.runPosted() || ran
 	}
 	now, due := time.Now(), 0
 	for len(l.timers) > 0 && !l.timers[0].at.After(now) {
@@ -180,7 +180,7 @@
 		}
 		due++
 	}
-	if !came && due == 0 {
+	if !ran && due == 0 {
 		return false
 	}
 	if l.onIteration != nil {
--- a/internal/call/loop_test.go
+++ b/internal/call/loop_test.go
@@ -11,11 +11,11 @@
 // before the timers that became overdue, with a longer wait than for input that may merely exist; and that this wait is
 // bounded.
 func TestUnreadInputIsProcessedBeforeOverdueTimers(t *testing.T) {
-	const looks = 30 // of at least a millisecond each, beyond catchUpTimeout
+	const wantPolls = 30 // of at least a millisecond each, beyond catchUpTimeout
 	for name, test := range map[string]struct {
-		comes bool
-		early bool // the pause occurs in a posted function, before the timers of the same iteration
-		want  []string
+		arrives      bool
+		duringPosted bool // the pause occurs in a posted function, before the timers of the same iteration
+		want         []string
 	}{
 		"it arrives":                            {true, false, []string{"word", "timer"}},
 		"it never arrives":                      {false, false, []string{"timer"}},
@@ -25,21 +25,21 @@
 			t.Parallel()
 			l := NewLoop()
 			var order []string
-			looked := 0
+			polls := 0
 			l.AddIdleCheck(func() bool {
-				if looked++; looked == looks && test.comes {
+				if polls++; polls == wantPolls && test.arrives {
 					l.Post(func() { order = append(order, "word") })
 				}
-				return looked >= looks && test.comes
+				return polls >= wantPolls && test.arrives
 			})
-			var begun time.Time
+			var started time.Time
 			l.Post(func() {
-				begun = time.Now()
-				if !test.early {
+				started = time.Now()
+				if !test.duringPosted {
 					l.After(0, func() { time.Sleep(2 * pauseThreshold) }) // the pause
 				}
 				l.After(pauseThreshold/4, func() { order = append(order, "timer"); l.Quit() })
-				if test.early {
+				if test.duringPosted {
 					time.Sleep(2 * pauseThreshold)
 				}
 			})
@@ -47,7 +47,7 @@
 			if diff := cmp.Diff(test.want, order); diff != "" {
 				t.Errorf("the order after a pause (-want +got):\n%s", diff)
 			}
-			if took := time.Since(begun); !test.comes && took < 2*pauseThreshold+catchUpUnreadTimeout {
+			if took := time.Since(started); !test.arrives && took < 2*pauseThreshold+catchUpUnreadTimeout {
 				t.Errorf("the loop waited for %v only", took)
 			}
 		})
--- a/internal/call/offers_test.go
+++ b/internal/call/offers_test.go
@@ -61,11 +61,11 @@
 			if err := s.core.Offer(Request{ID: "1", Class: "c", TimeLeft: time.Second, Deadline: time.Now().Add(time.Second), Caller: caller}); err != nil {
 				t.Fatal(err)
 			}
-			limit := s.core.calls["1"].deadlineTimer
+			deadlineTimer := s.core.calls["1"].deadlineTimer
 			if len(c.servers) > 0 {
 				s.core.finishIteration()
 			}
-			limit.f() // before the module has answered
+			deadlineTimer.f() // before the module has answered
 			if caller.end.Cause != c.want || caller.end.Reason != ReasonDeadline {
 				t.Errorf("after %d set-ups the caller gets %+v, want cause %d", s.setUps, caller.end, c.want)
 			}
--- a/internal/call/outcomes.go
+++ b/internal/call/outcomes.go
@@ -118,15 +118,15 @@
 
 // DispatcherFailed handles the failure of a dispatcher. Its calls were cut, which it cannot report itself.
 func (c *Core) DispatcherFailed(server control.ServerID) {
-	cut := slices.Sorted(c.EstablishedAt(server))
-	if len(cut) > 0 {
-		endlog.Dispatcher(c.log, endlog.CountsAsGone, string(server), slog.Int("calls", len(cut)))
+	ids := slices.Sorted(c.EstablishedAt(server))
+	if len(ids) > 0 {
+		endlog.Dispatcher(c.log, endlog.CountsAsGone, string(server), slog.Int("calls", len(ids)))
 	}
-	for _, id := range cut {
+	for _, id := range ids {
 		c.terminate(c.calls[id], CauseTemporary, nil)
 	}
-	if len(cut) > 0 {
-		c.log.Warn("dispatcher failed with established calls", "server", server, "calls", len(cut))
+	if len(ids) > 0 {
+		c.log.Warn("dispatcher failed with established calls", "server", server, "calls", len(ids))
 	}
 }
 
--- a/internal/call/overtaken_test.go
+++ b/internal/call/overtaken_test.go
@@ -33,12 +33,12 @@
 
 // feasibleOrders returns all feasible orders of all subsets of the messages: on one connection, the answer precedes the
 // end, and nothing follows the loss.
-func feasibleOrders(of []message) [][]message {
+func feasibleOrders(events []message) [][]message {
 	var all [][]message
 	var extend func(order []message)
 	extend = func(order []message) {
 		all = append(all, append([]message(nil), order...))
-		for _, m := range of {
+		for _, m := range events {
 			letters := lettersOf(order)
 			lost := strings.Contains(letters, "L")
 			if strings.IndexByte(letters, m.letter) >= 0 || lost && strings.IndexByte("AeL", m.letter) >= 0 || m.letter == 'A' && strings.Contains(letters, "e") {
@@ -61,7 +61,7 @@
 
 // TestMessagesOfACallInEveryOrder guards against an undelivered end, a second final answer, and an answer that nobody
 // waits for and that is not released.
-func TestWhatIsSaidOfACallInEveryOrder(t *testing.T) {
+func TestMessagesOfACallInEveryOrder(t *testing.T) {
 	for _, order := range feasibleOrders(messages) {
 		t.Run("order "+lettersOf(order), func(t *testing.T) {
 			t.Parallel()
@@ -88,24 +88,24 @@
 			loop.After(10*time.Millisecond, step) // the attempt is in progress by then
 			loop.Run()
 			letters := lettersOf(order)
-			told := fmt.Sprintf("%d answers, %d ends, %d final answers, %d releases", s.answers[callID], s.terminations[callID], s.rejections[callID], s.releases)
+			delivered := fmt.Sprintf("%d answers, %d ends, %d final answers, %d releases", s.answers[callID], s.terminations[callID], s.rejections[callID], s.releases)
 			if s.answers[callID]+s.rejections[callID] > 1 || s.terminations[callID] > 1 {
-				t.Errorf("delivered more than once: %s", told)
+				t.Errorf("delivered more than once: %s", delivered)
 			}
 			cancelled := strings.Contains(letters, "C")
-			over := strings.ContainsAny(letters, "eE")
-			if s.answers[callID] == 1 && over && !cancelled && s.terminations[callID] != 1 {
-				t.Errorf("its end is not delivered: %s", told)
+			ended := strings.ContainsAny(letters, "eE")
+			if s.answers[callID] == 1 && ended && !cancelled && s.terminations[callID] != 1 {
+				t.Errorf("its end is not delivered: %s", delivered)
 			}
 			if strings.HasPrefix(letters, "AC") && s.terminations[callID] != 1 {
-				t.Errorf("the end of a call that was cancelled while its answer was on its way is not delivered: %s", told)
+				t.Errorf("the end of a call that was cancelled while its answer was on its way is not delivered: %s", delivered)
 			}
 			// If the connection of the attempt is lost before the end arrives, nothing else is known of the call.
-			if over && !strings.ContainsAny(letters, "AC") && !strings.HasPrefix(letters, "L") && s.rejections[callID] != 1 {
-				t.Errorf("an end without an answer has not caused a final answer: %s", told)
+			if ended && !strings.ContainsAny(letters, "AC") && !strings.HasPrefix(letters, "L") && s.rejections[callID] != 1 {
+				t.Errorf("an end without an answer has not caused a final answer: %s", delivered)
 			}
 			if strings.HasPrefix(letters, "CA") && s.releases == 0 {
-				t.Errorf("an answer that nobody waits for is not released: %s", told)
+				t.Errorf("an answer that nobody waits for is not released: %s", delivered)
 			}
 		})
 	}
--- a/internal/call/queries_test.go
+++ b/internal/call/queries_test.go
@@ -26,12 +26,12 @@
 	s.onSetUp = func(control.ServerID, SetUp) {}
 	finder := &transferCounter{}
 	s.core.UseFinder(finder, func() bool { return true }, func(error) {})
-	gone := &lastEndCaller{fixture: s}
-	if err := s.core.Offer(Request{ID: id, Class: "c", TimeLeft: 9 * time.Second, Deadline: time.Now().Add(9 * time.Second), Caller: gone,
+	disconnected := &lastEndCaller{fixture: s}
+	if err := s.core.Offer(Request{ID: id, Class: "c", TimeLeft: 9 * time.Second, Deadline: time.Now().Add(9 * time.Second), Caller: disconnected,
 		Token: recovery.HashToken(callToken), Description: "x"}); err != nil {
 		t.Fatal(err)
 	}
-	s.core.CallerDisconnected(gone)
+	s.core.CallerDisconnected(disconnected)
 	query := takeover.Query{Token: recovery.HashToken(callToken), Seen: time.Now()}
 	if err := s.core.ResumeCall(ResumeRequest{Caller: &lastEndCaller{fixture: s}, ID: id, Token: callToken}); err != nil {
 		t.Fatal(err)
--- a/internal/call/received_test.go
+++ b/internal/call/received_test.go
@@ -23,7 +23,7 @@
 	end := func(server control.ServerID, attempt int) func(*fixture) {
 		return func(s *fixture) { s.core.Released(server, id, attempt, CauseNormal, nil) }
 	}
-	lost := func(s *fixture) { s.endAttempt("a", SetUp{ID: id}, control.Reset) }
+	reset := func(s *fixture) { s.endAttempt("a", SetUp{ID: id}, control.Reset) }
 	for name, test := range map[string]struct {
 		offered bool // a call is set up at the dispatcher a
 		steps   []func(*fixture)
@@ -37,7 +37,7 @@
 		"it is unknown":                        {false, []func(*fixture){end("a", -1), end("a", -1)}, map[receivedEnd]uint64{endOfUnknownCall: 1, endOfTerminatedCall: 1}},
 		"it is at another dispatcher":          {true, []func(*fixture){answer, end("b", -1)}, map[receivedEnd]uint64{endOtherDispatcher: 1}},
 		"its attempt is at another dispatcher": {true, []func(*fixture){end("b", -1)}, map[receivedEnd]uint64{endOtherDispatcher: 1}},
-		"no attempt is in progress":            {true, []func(*fixture){lost, end("a", -1)}, map[receivedEnd]uint64{endNotEstablished: 1}},
+		"no attempt is in progress":            {true, []func(*fixture){reset, end("a", -1)}, map[receivedEnd]uint64{endNotEstablished: 1}},
 		"of the previous attempt": {true, []func(*fixture){func(s *fixture) { s.core.calls[id].attempts = 2 }, end("a", 0)},
 			map[receivedEnd]uint64{endOfEarlierAttempt: 1}},
 		"it was tried there before": {true, []func(*fixture){func(s *fixture) { s.core.recordTried(s.core.calls[id], "a") }, end("a", -1)},
--- a/internal/call/recover.go
+++ b/internal/call/recover.go
@@ -36,7 +36,7 @@
 
 // Recover restores the calls of the previous process. It must be called before callers are served.
 func (c *Core) Recover(b *recovery.CallTable, damage []string) {
-	from := time.Now()
+	start := time.Now()
 	c.recovered.Actions, c.recovered.Reasons = map[string]int{}, map[string]int{}
 	c.recovered.Unexpected, c.recovered.Damage = b.UnexpectedEvents(), damage
 	rules := recovery.Rules{Guard: c.decisions.ReleaseGuard, MaxAttempts: c.decisions.MaxAttempts}
@@ -50,7 +50,7 @@
 		c.recoverCall(d)
 	}
 	slices.SortStableFunc(c.recentlyTerminated, func(a, b *record) int { return a.terminatedAt.Compare(b.terminatedAt) }) // retention relies on this order
-	c.recovered.TookUs += time.Since(from).Microseconds()
+	c.recovered.TookUs += time.Since(start).Microseconds()
 	if n := len(c.calls); n > 0 {
 		c.log.Info("calls of the previous process", "acts", fmt.Sprint(c.recovered.Actions), "strays", b.UnexpectedEvents(), "damage", len(damage))
 	}
@@ -135,8 +135,8 @@
 		if k.state != established || k.restored == nil {
 			continue
 		}
-		at, listed := c.listedServer(k.server)
-		if ok, why := k.restored.MayStillBeEstablished(recovery.ListEntry{Address: at.Address, Started: at.StartedAt, Listed: listed}); !ok {
+		entry, listed := c.listedServer(k.server)
+		if ok, why := k.restored.MayStillBeEstablished(recovery.ListEntry{Address: entry.Address, Started: entry.StartedAt, Listed: listed}); !ok {
 			c.log.Info("call of the previous process is cut", "id", k.ID, "server", k.server, "why", why)
 			c.recovered.Cut++
 			c.terminate(k, CauseTemporary, nil)
@@ -210,18 +210,18 @@
 
 // ResumeCall assigns a call to the caller's current connection. The caller gets the final answer now or when there is
 // one, and the end of an established call. On an error, the connection must be closed.
-func (c *Core) ResumeCall(claim ResumeRequest) error {
+func (c *Core) ResumeCall(request ResumeRequest) error {
 	if c.awaitsLedger {
 		if len(c.waitingResumes) >= maxWaitingResumes {
 			return ErrTooManyResumes
 		}
-		c.waitingResumes = append(c.waitingResumes, claim)
-		c.onResumeTimeout(claim, func() { c.expireLedgerWait(claim) })
+		c.waitingResumes = append(c.waitingResumes, request)
+		c.onResumeTimeout(request, func() { c.expireLedgerWait(request) })
 		return nil
 	}
-	caller, id, token, answered := claim.Caller, claim.ID, claim.Token, claim.Answered
+	caller, id, token, answered := request.Caller, request.ID, request.Token, request.Answered
 	k := c.calls[id]
-	if (k == nil || k.transferring) && c.lookUp(claim) {
+	if (k == nil || k.transferring) && c.lookUp(request) {
 		return nil
 	}
 	if k == nil || !recovery.TokenMatches(token, k.Token) {
@@ -262,7 +262,7 @@
 		if k.Caller != caller {
 			c.assignCaller(k, caller)
 		}
-		c.shortenDeadline(k, claim.Deadline)
+		c.shortenDeadline(k, request.Deadline)
 		if k.awaitsResume {
 			k.awaitsResume = false
 			class := c.classIndex(k.Class)
@@ -278,37 +278,37 @@
 
 // shortenDeadline moves the deadline of a pending call to the time at which its caller stops waiting, if that is
 // earlier than was known: the set-up may have been unread for some time before its deadline was computed.
-func (c *Core) shortenDeadline(k *record, by time.Time) {
-	if by.IsZero() || !by.Before(k.Deadline) {
+func (c *Core) shortenDeadline(k *record, deadline time.Time) {
+	if deadline.IsZero() || !deadline.Before(k.Deadline) {
 		return
 	}
-	k.Deadline = by
+	k.Deadline = deadline
 	c.loop.Stop(k.deadlineTimer)
 	c.startDeadlineTimer(k)
 }
 
 // onResumeTimeout runs f before the sender of a resume request stops waiting, if the request states that time.
-func (c *Core) onResumeTimeout(claim ResumeRequest, tooLate func()) {
-	if !claim.Answered && !claim.Deadline.IsZero() {
-		c.loop.After(max(time.Until(claim.Deadline)-answerMargin, 0), tooLate)
+func (c *Core) onResumeTimeout(request ResumeRequest, f func()) {
+	if !request.Answered && !request.Deadline.IsZero() {
+		c.loop.After(max(time.Until(request.Deadline)-answerMargin, 0), f)
 	}
 }
 
 // expireLedgerWait tells a caller whose time is over that its call is unknown, because a predecessor still has the
 // ledger.
-func (c *Core) expireLedgerWait(claim ResumeRequest) {
-	i := slices.Index(c.waitingResumes, claim)
+func (c *Core) expireLedgerWait(request ResumeRequest) {
+	i := slices.Index(c.waitingResumes, request)
 	if i < 0 {
 		return
 	}
 	c.waitingResumes = slices.Delete(c.waitingResumes, i, i+1)
-	c.rejectUnknown(claim.Caller, claim.ID, claim.Token, false)
+	c.rejectUnknown(request.Caller, request.ID, request.Token, false)
 }
 
 // rejectUnknown tells a caller that its call is unknown. With cut, no other process can hold the call either.
-func (c *Core) rejectUnknown(caller Caller, id, token string, cut bool) {
+func (c *Core) rejectUnknown(caller Caller, id, token string, noHolder bool) {
 	c.recovered.Unknown++
-	if cut && ValidID(id) {
+	if noHolder && ValidID(id) {
 		// The call is unknown, so nobody will be notified of its end: it must not stay established anywhere.
 		c.dispatchers.Release("", id, CauseNormal)
 		c.recordTerminated(id)
@@ -327,11 +327,11 @@
 		return
 	}
 	c.awaitsLedger = false
-	claims := c.waitingResumes
+	requests := c.waitingResumes
 	c.waitingResumes = nil
-	for _, claim := range claims {
-		if err := c.ResumeCall(claim); err != nil {
-			c.log.Error("resume request failed", "id", claim.ID, "err", err)
+	for _, request := range requests {
+		if err := c.ResumeCall(request); err != nil {
+			c.log.Error("resume request failed", "id", request.ID, "err", err)
 		}
 	}
 }
--- a/internal/call/recover_test.go
+++ b/internal/call/recover_test.go
@@ -45,8 +45,8 @@
 	for name, test := range map[string]struct {
 		events         func(now time.Duration) []recovery.Event
 		atOnce, listed []string
-		claimed        []string
-		acts           map[string]int
+		resumed        []string
+		actions        map[string]int
 	}{
 		"pending, with an attempt in progress": {
 			func(now time.Duration) []recovery.Event {
@@ -113,14 +113,14 @@
 			}
 			time.Sleep(guard + 20*time.Millisecond) // an attempt waits for the guard
 			core.queueEvent(control.Woken{})
-			expect("when its caller resumes it", test.claimed)
+			expect("when its caller resumes it", test.resumed)
 			if err := core.ResumeCall(ResumeRequest{Caller: s, ID: id, Token: callToken}); err != nil {
 				t.Fatal(err)
 			}
-			if test.acts["fail"]+test.acts["keep"]+test.acts["await"]+test.acts["adopt"] > 0 {
+			if test.actions["fail"]+test.actions["keep"]+test.actions["await"]+test.actions["adopt"] > 0 {
 				expect("when its caller resumes it again", nil)
 			}
-			if diff := cmp.Diff(test.acts, core.RecoveryStatus().Actions); diff != "" {
+			if diff := cmp.Diff(test.actions, core.RecoveryStatus().Actions); diff != "" {
 				t.Errorf("acts (-want +got):\n%s", diff)
 			}
 		})
--- a/internal/call/released_test.go
+++ b/internal/call/released_test.go
@@ -86,13 +86,13 @@
 func TestTheDecisionsAreNotifiedOfAnUnansweredCall(t *testing.T) {
 	t.Parallel()
 	s := newFixture(t)
-	told := 0
+	notified := 0
 	s.onSetUp = func(server control.ServerID, a SetUp) {
 		s.core.Loop().After(time.Millisecond, func() {
 			s.core.Released(server, a.ID, a.Attempt, CauseNormal, nil)
 			for _, e := range s.core.events {
 				if end, ok := e.(control.AttemptEnded); ok && end.CallOver && end.Server == server {
-					told++
+					notified++
 				}
 			}
 			s.core.Loop().Quit()
@@ -103,8 +103,8 @@
 		_ = s.core.Offer(Request{ID: callID, Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s, Description: "x"})
 	})
 	s.core.Loop().Run()
-	if told != 1 {
-		t.Errorf("%d events for the end of the attempt and the call, want 1", told)
+	if notified != 1 {
+		t.Errorf("%d events for the end of the attempt and the call, want 1", notified)
 	}
 }
 
--- a/internal/call/retune.go
+++ b/internal/call/retune.go
@@ -23,8 +23,8 @@
 }
 
 // CountReload counts a reload of the configuration, which was either applied or rejected.
-func (c *Core) CountReload(taken bool) {
-	if taken {
+func (c *Core) CountReload(applied bool) {
+	if applied {
 		c.metrics.ReloadsOK++
 	} else {
 		c.metrics.ReloadsFailed++
--- a/internal/call/selection.go
+++ b/internal/call/selection.go
@@ -76,8 +76,8 @@
 
 // listedServer returns the list's entry of a dispatcher, whether it is in the subset or not.
 func (c *Core) listedServer(id control.ServerID) (Server, bool) {
-	if at, known := c.knownServers[id]; known || c.selection == nil {
-		return at, known
+	if entry, known := c.knownServers[id]; known || c.selection == nil {
+		return entry, known
 	}
 	at, known := c.selection.entries[id]
 	return at, known
@@ -247,10 +247,10 @@
 func (s *selection) announceChanges() {
 	joined, left := s.subset.Changes()
 	s.changed = slices.Concat(s.changed, joined, left)
-	if all := s.coversList(); all != s.coveredList {
-		s.coveredList = all
+	if covers := s.coversList(); covers != s.coveredList {
+		s.coveredList = covers
 		for id := range s.entries {
-			if all && !s.announced[id] { // a dispatcher outside the subset, as one that drains, is announced like any other again
+			if covers && !s.announced[id] { // a dispatcher outside the subset, as one that drains, is announced like any other again
 				s.changed = append(s.changed, id)
 			}
 		}
@@ -258,7 +258,7 @@
 	slices.Sort(s.changed)
 	u := Update{Servers: s.removed}
 	for _, id := range slices.Compact(s.changed) {
-		if e, is := s.announce(id); is {
+		if e, changed := s.announce(id); changed {
 			u.Servers = append(u.Servers, e)
 		}
 	}
@@ -454,8 +454,8 @@
 	}
 	c := s.core
 	class := c.classIndex(k.Class)
-	most := c.decisions.MaxAttempts
-	if class < 0 || most > 0 && k.attempts >= most || time.Until(k.Deadline) < max(2*answerMargin, 4*c.decisions.Tick) || !k.repeatable(&c.decisions.Classes[class]) {
+	maxAttempts := c.decisions.MaxAttempts
+	if class < 0 || maxAttempts > 0 && k.attempts >= maxAttempts || time.Until(k.Deadline) < max(2*answerMargin, 4*c.decisions.Tick) || !k.repeatable(&c.decisions.Classes[class]) {
 		return false
 	}
 	if !s.grow() {
@@ -486,8 +486,8 @@
 		return d
 	}
 	if listed := s.subset.Active(); !s.coversList() && listed > 0 {
-		users := math.Ceil(float64(d.Nodes) * float64(s.subset.Len()) / float64(listed))
-		d.Nodes = min(d.Nodes, max(int(users), 1))
+		connected := math.Ceil(float64(d.Nodes) * float64(s.subset.Len()) / float64(listed))
+		d.Nodes = min(d.Nodes, max(int(connected), 1))
 	}
 	return d
 }
--- a/internal/call/selection_test.go
+++ b/internal/call/selection_test.go
@@ -111,8 +111,8 @@
 // TestSubsetThatCoversTheListChangesNothing runs the same calls and lists through a core with a selection and one
 // without, on the same clock, and checks that the dispatchers get the same requests at the same times.
 func TestSubsetThatCoversTheListChangesNothing(t *testing.T) {
-	const most = 12
-	run := func(seed uint64, o *subset.Options) (asked []string) {
+	const maxServers = 12
+	run := func(seed uint64, o *subset.Options) (requests []string) {
 		synctest.Test(t, func(t *testing.T) {
 			s, rng := newSubsetFixture(t, o), rand.New(rand.NewPCG(seed, 1))
 			s.onSetUp = func(server control.ServerID, a SetUp) {
@@ -127,15 +127,15 @@
 				}
 			}
 			s.runFor(4*time.Second, func() {
-				s.core.Update(Update{Complete: true, Servers: servers(0, 1+rng.IntN(most))})
+				s.core.Update(Update{Complete: true, Servers: servers(0, 1+rng.IntN(maxServers))})
 				for i := range 300 {
 					s.schedule(time.Duration(rng.IntN(3000))*time.Millisecond, func() {
-						s.offer(fmt.Sprint(i), rng.IntN(most), time.Duration(50+rng.IntN(800))*time.Millisecond)
+						s.offer(fmt.Sprint(i), rng.IntN(maxServers), time.Duration(50+rng.IntN(800))*time.Millisecond)
 					})
 				}
 				for range 12 {
 					s.schedule(time.Duration(rng.IntN(3000))*time.Millisecond, func() {
-						e := server(rng.IntN(most))
+						e := server(rng.IntN(maxServers))
 						e.Status = control.ServerStatus(rng.IntN(3))
 						if s.drained[e.ID] = e.Status != control.Active; !s.drained[e.ID] && rng.IntN(2) == 0 {
 							e.StartedAt = s.core.now()
@@ -144,20 +144,20 @@
 					})
 				}
 			})
-			asked = s.requests
+			requests = s.requests
 		})
-		return asked
+		return requests
 	}
-	words := 0
+	total := 0
 	for seed := range uint64(30) {
-		without, with := run(seed, nil), run(seed, &subset.Options{Size: most})
+		without, with := run(seed, nil), run(seed, &subset.Options{Size: maxServers})
 		if diff := cmp.Diff(without, with); diff != "" {
 			t.Fatalf("seed %d: requests to the dispatchers (-without +with a selection):\n%s", seed, diff)
 		}
-		words += len(without)
+		total += len(without)
 	}
-	if words < 3000 {
-		t.Errorf("only %d requests to dispatchers", words)
+	if total < 3000 {
+		t.Errorf("only %d requests to dispatchers", total)
 	}
 }
 
@@ -248,9 +248,9 @@
 func TestFirstCellOutsideTheSubset(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSubsetFixture(t, &subset.Options{Size: 4, GrowthLimit: 20, ShrinkAfter: time.Second})
-		at := map[string]control.ServerID{}
+		sentTo := map[string]control.ServerID{}
 		s.onSetUp = func(server control.ServerID, a SetUp) {
-			at[a.ID] = server
+			sentTo[a.ID] = server
 			s.answerAttempt(server, a)
 		}
 		s.runFor(time.Minute, func() {
@@ -260,8 +260,8 @@
 			}
 		})
 		for i := range 100 {
-			if want := server(i).ID; at[fmt.Sprint(i)] != want {
-				t.Errorf("the call for %s was sent to %q", want, at[fmt.Sprint(i)])
+			if want := server(i).ID; sentTo[fmt.Sprint(i)] != want {
+				t.Errorf("the call for %s was sent to %q", want, sentTo[fmt.Sprint(i)])
 			}
 		}
 		if n := len(s.active()); n != 4 {
@@ -301,35 +301,35 @@
 func TestCallsOfADispatcherThatLeavesTheSubset(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSubsetFixture(t, &subset.Options{Size: 4, GrowthLimit: 20, ShrinkAfter: time.Second})
-		var out []control.ServerID
+		var outside []control.ServerID
 		s.runFor(time.Minute, func() {
 			s.core.Update(Update{Complete: true, Servers: servers(0, 100)})
 			base := s.active()
 			for i := range 100 { // three that are not in the initial subset
-				if id := server(i).ID; len(out) < 3 && !slices.Contains(base, id) {
-					out = append(out, id)
+				if id := server(i).ID; len(outside) < 3 && !slices.Contains(base, id) {
+					outside = append(outside, id)
 					s.offer(string(id), i, time.Second)
 				}
 			}
 			s.schedule(10*time.Second, func() {
-				for _, id := range out {
+				for _, id := range outside {
 					if e := s.known[id]; e.Status != control.Removed || !e.CallsContinue || s.core.EstablishedCount(id) != 1 {
 						t.Errorf("%s after the subset has shrunk: %+v, %d established calls", id, e, s.core.EstablishedCount(id))
 					}
 				}
-				s.core.Released(out[0], string(out[0]), 0, CauseNormal, nil)
-				if s.terminations[string(out[0])] != 1 {
+				s.core.Released(outside[0], string(outside[0]), 0, CauseNormal, nil)
+				if s.terminations[string(outside[0])] != 1 {
 					t.Error("the end of a call at a dispatcher outside the subset is not delivered")
 				}
-				renewed := s.core.selection.entries[out[1]]
-				renewed.StartedAt = s.core.now()
-				removed := withStatus(s.core.selection.entries[out[2]], control.Removed)
+				restarted := s.core.selection.entries[outside[1]]
+				restarted.StartedAt = s.core.now()
+				removed := withStatus(s.core.selection.entries[outside[2]], control.Removed)
 				removed.Address = ""
-				s.core.Update(Update{Servers: []Server{renewed, removed}})
-				if e := s.known[out[1]]; e.StartedAt != renewed.StartedAt || e.Status != control.Removed || !e.CallsContinue {
+				s.core.Update(Update{Servers: []Server{restarted, removed}})
+				if e := s.known[outside[1]]; e.StartedAt != restarted.StartedAt || e.Status != control.Removed || !e.CallsContinue {
 					t.Errorf("a restarted dispatcher: %+v", e)
 				}
-				if e := s.known[out[2]]; e.Status != control.Removed || e.CallsContinue {
+				if e := s.known[outside[2]]; e.Status != control.Removed || e.CallsContinue {
 					t.Errorf("a removed dispatcher: %+v", e)
 				}
 			})
@@ -402,21 +402,21 @@
 func TestLargeListChangeIsAppliedInSlices(t *testing.T) {
 	const n = 20_000
 	s := newSubsetFixture(t, &subset.Options{Size: 16})
-	rounds := 0
-	s.core.OnFlush(func() { rounds++ })
+	iterations := 0
+	s.core.OnFlush(func() { iterations++ })
 	s.runFor(time.Minute, func() {
 		s.core.Update(Update{Complete: true, Servers: servers(0, n)})
 		s.core.Update(Update{Complete: true, Servers: servers(n/2, n+n/2)})
 		s.core.Update(Update{Servers: []Server{withStatus(server(n), control.Removed), withStatus(server(n+1), control.Draining)}})
-		var look func()
-		look = func() {
+		var poll func()
+		poll = func() {
 			if len(s.core.selection.queue) == 0 {
 				s.core.loop.Quit()
 				return
 			}
-			s.schedule(time.Millisecond, look)
+			s.schedule(time.Millisecond, poll)
 		}
-		look()
+		poll()
 	})
 	want := subset.New(subset.Options{Identity: "controller-1", Size: 16})
 	for _, e := range servers(n/2, n+n/2) {
@@ -428,8 +428,8 @@
 	if got := s.active(); !slices.Equal(got, joined) || !s.core.listReceived {
 		t.Errorf("listed %v: %v, want %v", s.core.listReceived, got, joined)
 	}
-	if rounds < 3 {
-		t.Errorf("%d iterations", rounds)
+	if iterations < 3 {
+		t.Errorf("%d iterations", iterations)
 	}
 }
 
--- a/internal/call/takeover.go
+++ b/internal/call/takeover.go
@@ -43,49 +43,49 @@
 
 // UseFinder looks up unknown calls among those of other controllers. Abort stops the process at once, before it sends
 // another message; it is called when the process must no longer hold its calls.
-func (c *Core) UseFinder(f Finder, certain func() bool, letGo func(error)) {
-	c.transfers = &transferState{finder: f, holdsLease: certain, abort: letGo, resumes: map[string][]ResumeRequest{}, resumeCounts: map[Caller]int{}, everPersisted: c.ledgerWriter != nil && c.ledgerWriter.ledger.Enabled()}
+func (c *Core) UseFinder(f Finder, holdsLease func() bool, abort func(error)) {
+	c.transfers = &transferState{finder: f, holdsLease: holdsLease, abort: abort, resumes: map[string][]ResumeRequest{}, resumeCounts: map[Caller]int{}, everPersisted: c.ledgerWriter != nil && c.ledgerWriter.ledger.Enabled()}
 }
 
 // lookUp starts the lookup of the call of a resume request. It reports whether it has.
-func (c *Core) lookUp(claim ResumeRequest) bool {
+func (c *Core) lookUp(request ResumeRequest) bool {
 	p := c.transfers
-	if p == nil || !ValidID(claim.ID) || !p.finder.Lookup(claim.ID, recovery.HashToken(claim.Token)) {
+	if p == nil || !ValidID(request.ID) || !p.finder.Lookup(request.ID, recovery.HashToken(request.Token)) {
 		return false
 	}
-	p.resumes[claim.ID] = append(p.resumes[claim.ID], claim)
-	p.resumeCounts[claim.Caller]++
-	c.onResumeTimeout(claim, func() { c.expireLookup(claim) })
+	p.resumes[request.ID] = append(p.resumes[request.ID], request)
+	p.resumeCounts[request.Caller]++
+	c.onResumeTimeout(request, func() { c.expireLookup(request) })
 	return true
 }
 
 // expireLookup tells a caller whose deadline is reached that its call is unknown, as a final answer is due. The lookup
 // goes on: the call has to be released wherever it is established.
-func (c *Core) expireLookup(claim ResumeRequest) {
+func (c *Core) expireLookup(request ResumeRequest) {
 	p := c.transfers
-	if !slices.Contains(p.resumes[claim.ID], claim) {
+	if !slices.Contains(p.resumes[request.ID], request) {
 		return // found, not found, or its caller has disconnected
 	}
-	p.removeResume(claim)
-	c.rejectUnknown(claim.Caller, claim.ID, claim.Token, false)
+	p.removeResume(request)
+	c.rejectUnknown(request.Caller, request.ID, request.Token, false)
 }
 
 // removeResumes removes and returns the resume requests that wait for a call.
 func (p *transferState) removeResumes(id string) []ResumeRequest {
-	claims := p.resumes[id]
-	for _, claim := range slices.Clone(claims) {
-		p.removeResume(claim)
+	requests := p.resumes[id]
+	for _, request := range slices.Clone(requests) {
+		p.removeResume(request)
 	}
-	return claims
+	return requests
 }
 
 // removeResume removes a waiting resume request.
-func (p *transferState) removeResume(claim ResumeRequest) {
-	if p.resumes[claim.ID] = slices.DeleteFunc(slices.Clone(p.resumes[claim.ID]), func(o ResumeRequest) bool { return o == claim }); len(p.resumes[claim.ID]) == 0 {
-		delete(p.resumes, claim.ID)
+func (p *transferState) removeResume(request ResumeRequest) {
+	if p.resumes[request.ID] = slices.DeleteFunc(slices.Clone(p.resumes[request.ID]), func(o ResumeRequest) bool { return o == request }); len(p.resumes[request.ID]) == 0 {
+		delete(p.resumes, request.ID)
 	}
-	if p.resumeCounts[claim.Caller]--; p.resumeCounts[claim.Caller] <= 0 {
-		delete(p.resumeCounts, claim.Caller)
+	if p.resumeCounts[request.Caller]--; p.resumeCounts[request.Caller] <= 0 {
+		delete(p.resumeCounts, request.Caller)
 	}
 }
 
@@ -96,8 +96,8 @@
 		return
 	}
 	delete(p.resumeCounts, caller)
-	for id, claims := range p.resumes {
-		if p.resumes[id] = slices.DeleteFunc(claims, func(o ResumeRequest) bool { return o.Caller == caller }); len(p.resumes[id]) == 0 {
+	for id, requests := range p.resumes {
+		if p.resumes[id] = slices.DeleteFunc(requests, func(o ResumeRequest) bool { return o.Caller == caller }); len(p.resumes[id]) == 0 {
 			delete(p.resumes, id) // the call may still be found, and then waits for its caller like any orphaned call
 		}
 	}
@@ -105,16 +105,16 @@
 
 // CallReceived takes over a call of another controller. Over is the cause of its end if a dispatcher has reported that
 // already, and -1 otherwise.
-func (c *Core) CallReceived(from *takeover.Call, over int) {
-	p, id := c.transfers, from.ID()
+func (c *Core) CallReceived(received *takeover.Call, endCause int) {
+	p, id := c.transfers, received.ID()
 	if k := c.calls[id]; k != nil && !k.transferring {
 		p.persisted = append(p.persisted, id) // already here: the previous process ended after persisting the call, before reporting that
 		c.serveResumes(id)
 		return
 	}
 	rules := recovery.Rules{Guard: c.decisions.ReleaseGuard, MaxAttempts: c.decisions.MaxAttempts}
-	for _, d := range from.Book().Plan(c.now(), rules) {
-		d = decide.AdjustForLiveOwner(d, from.MayLive)
+	for _, d := range received.Book().Plan(c.now(), rules) {
+		d = decide.AdjustForLiveOwner(d, received.MayLive)
 		d.Call.FromOtherController = true
 		if c.recovered.Actions == nil {
 			c.recovered.Actions, c.recovered.Reasons = map[string]int{}, map[string]int{}
@@ -135,8 +135,8 @@
 		c.dispatchers.Reconnect(k.server)
 	}
 	c.serveResumes(id)
-	if over >= 0 && k.state == established {
-		c.terminate(k, over, nil)
+	if endCause >= 0 && k.state == established {
+		c.terminate(k, endCause, nil)
 	}
 }
 
@@ -152,19 +152,19 @@
 
 // serveResumes serves the resume requests that wait for a call.
 func (c *Core) serveResumes(id string) {
-	claims := c.transfers.removeResumes(id)
-	for _, claim := range claims {
-		if err := c.ResumeCall(claim); err != nil {
-			c.log.Error("resume request failed", "id", claim.ID, "err", err)
+	requests := c.transfers.removeResumes(id)
+	for _, request := range requests {
+		if err := c.ResumeCall(request); err != nil {
+			c.log.Error("resume request failed", "id", request.ID, "err", err)
 		}
 	}
 }
 
 // CallNotFound tells the callers that wait for a call that it is unknown; cut means that no controller can hold it.
-func (c *Core) CallNotFound(id string, cut bool) {
-	claims := c.transfers.removeResumes(id)
-	for _, claim := range claims {
-		c.rejectUnknown(claim.Caller, claim.ID, claim.Token, cut)
+func (c *Core) CallNotFound(id string, noHolder bool) {
+	requests := c.transfers.removeResumes(id)
+	for _, request := range requests {
+		c.rejectUnknown(request.Caller, request.ID, request.Token, noHolder)
 	}
 }
 
@@ -225,8 +225,8 @@
 	}
 	delete(c.calls, id)
 	c.transfers.transferred = append(c.transfers.transferred, id)
-	if claims := c.transfers.resumes[id]; len(claims) > 0 { // its caller is connected here again
-		c.transfers.finder.Lookup(id, recovery.HashToken(claims[0].Token))
+	if requests := c.transfers.resumes[id]; len(requests) > 0 { // its caller is connected here again
+		c.transfers.finder.Lookup(id, recovery.HashToken(requests[0].Token))
 	}
 }
 
--- a/internal/call/turn.go
+++ b/internal/call/turn.go
@@ -121,24 +121,24 @@
 		return
 	}
 	now := time.Now()
-	limit := k.Deadline.Sub(now) - answerMargin
+	timeout := k.Deadline.Sub(now) - answerMargin
 	if a.Limit > 0 {
-		limit = min(limit, a.Limit)
+		timeout = min(timeout, a.Limit)
 	}
-	limit = max(limit, time.Millisecond)
+	timeout = max(timeout, time.Millisecond)
 	k.attemptInProgress, k.server, k.sentAt = true, a.Server, now
 	k.attempts++
 	c.countSetUp(a.Server, false)
 	c.recordTried(k, a.Server)
 	c.persistEvent(k, recovery.KindAttemptSent, nil)
 	attempt := k.attempts - 1
-	k.attemptTimer = c.loop.After(limit, func() {
+	k.attemptTimer = c.loop.After(timeout, func() {
 		if k.attemptInProgress && k.attempts-1 == attempt {
 			c.cancelAttempt(k, control.TimedOut, false)
 		}
 	})
 	c.dispatchers.SetUp(a.Server, SetUp{ID: k.ID, Attempt: attempt, Class: k.Class, Called: k.Called,
-		Description: k.Description, Timeout: limit})
+		Description: k.Description, Timeout: timeout})
 }
 
 // cancelAttempt cancels the attempt in progress. Its outcome is reported to the module at once; later messages of the
