--- a/internal/call/ends.go
+++ b/internal/call/ends.go
@@ -65,7 +65,7 @@
 	caller := k.Caller
 	endlog.Call(c.log, endlog.Over, k.ID, endlog.Server(k.server), slog.Int("cause", cause))
 	c.persistTerminated(k, endOf(cause))
-	c.closeRecord(k)
+	c.close(k)
 	k.end = endOf(cause)
 	c.notifyTerminated(caller, k.ID, endOf(cause))
 }
@@ -73,7 +73,7 @@
 // recordTerminated records that a call of another process is terminated.
 func (c *Core) recordTerminated(id string) {
 	c.calls[id] = &record{Request: Request{ID: id}, state: established}
-	c.closeRecord(c.calls[id])
+	c.close(c.calls[id])
 }
 
 // endOf returns the End of an established call that was released with the cause.
--- a/internal/call/ledger_writer.go
+++ b/internal/call/ledger_writer.go
@@ -84,7 +84,7 @@
 	if fill != nil {
 		fill(&e)
 	}
-	c.ledgerWriter.appendEvent(e)
+	c.ledgerWriter.append(e)
 }
 
 // persistAttemptFailed records that an attempt failed.
@@ -103,7 +103,7 @@
 	c.persistEvent(k, recovery.KindTerminated, func(e *recovery.Event) { e.Cause, e.Reason = end.Cause, string(end.Reason) })
 }
 
-func (d *ledgerWriter) appendEvent(e recovery.Event) {
+func (d *ledgerWriter) append(e recovery.Event) {
 	d.snapshotStale = true
 	if !d.ledger.Enabled() {
 		return
--- a/internal/call/recover.go
+++ b/internal/call/recover.go
@@ -47,7 +47,7 @@
 			}
 			continue
 		}
-		c.recoverCall(d)
+		c.recover(d)
 	}
 	slices.SortStableFunc(c.recentlyTerminated, func(a, b *record) int { return a.terminatedAt.Compare(b.terminatedAt) }) // retention relies on this order
 	c.recovered.TookUs += time.Since(start).Microseconds()
@@ -60,7 +60,7 @@
 	c.verifyRecovered()
 }
 
-func (c *Core) recoverCall(d recovery.Decision) {
+func (c *Core) recover(d recovery.Decision) {
 	now := time.Now()
 	k := &record{
 		Request: Request{ID: d.ID, Class: d.Class, Called: d.Called, FirstCell: d.FirstCell, Redial: d.Redial, Caller: c.orphanCaller, Token: d.Token},
--- a/internal/call/recover_test.go
+++ b/internal/call/recover_test.go
@@ -15,12 +15,12 @@
 // recorder is a front, a caller and the dispatchers of a core that recovers calls. It records what it receives.
 type recorder struct {
 	stubDispatchers
-	core   *Core
-	events []string
+	core     *Core
+	messages []string
 }
 
 func (s *recorder) add(format string, args ...any) {
-	s.events = append(s.events, fmt.Sprintf(format, args...))
+	s.messages = append(s.messages, fmt.Sprintf(format, args...))
 }
 func (s *recorder) Idle() bool                                   { return true }
 func (s *recorder) Connections() int                             { return 1 }
@@ -99,10 +99,10 @@
 			expect := func(when string, want []string) {
 				t.Helper()
 				core.finishIteration()
-				if diff := cmp.Diff(want, s.events); diff != "" {
+				if diff := cmp.Diff(want, s.messages); diff != "" {
 					t.Errorf("%s (-want +got):\n%s", when, diff)
 				}
-				s.events = nil
+				s.messages = nil
 			}
 			core.Recover(b, nil)
 			expect("at once", test.atOnce)
@@ -168,7 +168,7 @@
 	loop.Run()
 	// The first call is released when the list arrives, like every pending call; it is not sent anywhere.
 	want := []string{"dispatchers release 0000000000000001", "dispatchers release 0000000000000002"}
-	if diff := cmp.Diff(want, s.events); diff != "" {
+	if diff := cmp.Diff(want, s.messages); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 	if n := core.pendingCount + core.establishedByCaller[core.orphanCaller]; n > 0 {
@@ -200,7 +200,7 @@
 		t.Fatal(err)
 	}
 	core.finishIteration()
-	if diff := cmp.Diff([]string{"dispatchers release " + id, "end " + id + " 41 failed"}, s.events); diff != "" {
+	if diff := cmp.Diff([]string{"dispatchers release " + id, "end " + id + " 41 failed"}, s.messages); diff != "" {
 		t.Errorf("messages (-want +got):\n%s", diff)
 	}
 }
--- a/internal/call/requests.go
+++ b/internal/call/requests.go
@@ -145,7 +145,7 @@
 	case k.state == pending:
 		c.cancelCall(k)
 		c.persistEvent(k, recovery.KindCancelled, nil)
-		c.closeRecord(k)
+		c.close(k)
 	case k.state == established:
 		endlog.Call(c.log, endlog.EndedByCaller, id, endlog.Server(k.server), slog.Int("cause", cause))
 		c.dispatchers.Release(k.server, id, cause)
@@ -161,7 +161,7 @@
 			c.notifyTerminated(k.Caller, id, endOf(cause))
 		}
 		c.persistTerminated(k, endOf(cause))
-		c.closeRecord(k)
+		c.close(k)
 		k.end = endOf(cause)
 	}
 }
@@ -251,13 +251,13 @@
 	c.persistEvent(k, recovery.KindRejected, func(e *recovery.Event) {
 		e.Cause, e.Reason, e.HoldOffUs = end.Cause, string(end.Reason), end.HoldOff.Microseconds()
 	})
-	c.closeRecord(k)
+	c.close(k)
 	k.end, k.answeredTo = end, r.Caller
 	c.reject(&r, end)
 }
 
-// closeRecord marks a call as terminated, and drops calls whose retention period is over.
-func (c *Core) closeRecord(k *record) {
+// close marks a call as terminated, and drops calls whose retention period is over.
+func (c *Core) close(k *record) {
 	switch {
 	case k.state == pending:
 		c.removePending(k)
--- a/internal/call/resume_deadline_test.go
+++ b/internal/call/resume_deadline_test.go
@@ -66,7 +66,7 @@
 				time.Sleep(timeLeft)
 				core.Loop().Quit()
 				synctest.Wait()
-				if sent := strings.Join(s.events, "; "); strings.Count(sent, "end "+id) != 1 {
+				if sent := strings.Join(s.messages, "; "); strings.Count(sent, "end "+id) != 1 {
 					t.Errorf("sent before the deadline of the resume request: %q; want one final answer", sent)
 				}
 			})
--- a/internal/call/selection.go
+++ b/internal/call/selection.go
@@ -79,8 +79,8 @@
 	if entry, known := c.knownServers[id]; known || c.selection == nil {
 		return entry, known
 	}
-	at, known := c.selection.entries[id]
-	return at, known
+	entry, known := c.selection.entries[id]
+	return entry, known
 }
 
 // coversList reports whether the subset is the whole list.
@@ -258,7 +258,7 @@
 	slices.Sort(s.changed)
 	u := Update{Servers: s.removed}
 	for _, id := range slices.Compact(s.changed) {
-		if e, changed := s.announce(id); changed {
+		if e, ok := s.announce(id); ok {
 			u.Servers = append(u.Servers, e)
 		}
 	}
--- a/internal/call/transfer.go
+++ b/internal/call/transfer.go
@@ -119,7 +119,7 @@
 		if c.recovered.Actions == nil {
 			c.recovered.Actions, c.recovered.Reasons = map[string]int{}, map[string]int{}
 		}
-		c.recoverCall(d)
+		c.recover(d)
 	}
 	k := c.calls[id]
 	if k == nil {
@@ -146,7 +146,7 @@
 		return
 	}
 	for _, e := range c.recoveryCall(k).Events() {
-		c.ledgerWriter.appendEvent(e)
+		c.ledgerWriter.append(e)
 	}
 }
 
