--- a/internal/call/ambiguous_end.go
+++ b/internal/call/ambiguous_end.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// replyTimeout is how long after it was read an ambiguous end waits for the reply to the probe. An established call
-	// must be released towards its caller within a second of its end.
+	// replyTimeout is how long after it was read an ambiguous end waits for the reply to the probe. The end of an
+	// established call must reach its caller within a second.
 	replyTimeout = 800 * time.Millisecond
 	// replyTimeoutAfterAnswer is the least time to wait for the reply after the answer: the reply may follow right
 	// after it.
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -17,11 +17,11 @@
 // Causes of releases, with the numbers of Q.850.
 const (
 	CauseNormal     = 16  // the call ended normally, or its set-up was cancelled
-	CauseNoCircuit  = 34  // refused
+	CauseNoCircuit  = 34  // the call was refused
 	CauseTemporary  = 41  // the attempt failed, or an established call was cut
-	CauseCongestion = 42  // refused; a retry does no harm
-	CauseFacility   = 102 // refused
-	CauseBadField   = 100 // failed: a field of the set-up is invalid
+	CauseCongestion = 42  // the call was refused, and a retry does no harm
+	CauseFacility   = 102 // the call was refused
+	CauseBadField   = 100 // the call failed: a field of the set-up is invalid
 )
 
 // Request is a set-up from a caller.
@@ -41,7 +41,7 @@
 // Reason is the reason for the end of a call, as named in the call-control API.
 type Reason string
 
-// The reasons; docs/api.md says how callers should react to each.
+// The reasons; docs/api.md describes how callers should react to each.
 const (
 	ReasonEnded      Reason = "ended"       // the call was established and has ended
 	ReasonCut        Reason = "cut"         // the call was established and was cut
@@ -57,7 +57,7 @@
 // BadRequest is the final answer to a set-up with invalid fields.
 var BadRequest = End{Cause: CauseBadField, Reason: ReasonBadRequest}
 
-// End tells a caller that its call was refused, has failed or is terminated.
+// End describes why a call was refused, has failed or is terminated.
 type End struct {
 	Cause   int
 	Reason  Reason
@@ -121,14 +121,16 @@
 type Dispatchers interface {
 	// Update applies changes to the list of dispatchers.
 	Update(Update)
+	// SetUp starts an attempt.
 	SetUp(control.ServerID, SetUp)
 	// CancelAttempt cancels an attempt.
 	CancelAttempt(server control.ServerID, id string, attempt int)
 	// Release releases an established call; an empty server releases it at all dispatchers.
 	Release(server control.ServerID, id string, cause int)
+	// Probe sends a probe to a dispatcher.
 	Probe(control.ServerID)
-	// Ping probes the connection of an attempt. It calls done(true) when the reply has been read, after everything that
-	// the dispatcher sent there before, or at once if the attempt has not been sent yet. It calls done(false) if the
+	// Ping probes the connection of an attempt. It calls done(true) when the reply has been read, and everything that
+	// the dispatcher sent there before it; or at once if the attempt has not been sent yet. It calls done(false) if the
 	// connection ends first or has already ended.
 	Ping(server control.ServerID, id string, attempt int, done func(replied bool))
 	// Reconnect opens one more connection, on which the dispatcher repeats what it last sent on a lost one.
--- a/internal/call/core.go
+++ b/internal/call/core.go
@@ -43,6 +43,7 @@
 	maxModuleSteps = 8
 )
 
+// state is the state of a call.
 type state int
 
 const (
@@ -77,7 +78,7 @@
 	earlyEnd             *earlyEnd      // the end of the call, if it arrived before the answer to the attempt in progress
 	ambiguous            *ambiguousEnd  // the end of the call or of an earlier attempt
 	heldByEarlierAttempt bool           // the dispatcher of the attempt in progress may hold the call by an earlier attempt
-	restored             *recovery.Call
+	restored             *recovery.Call // the call as the recovery has restored it; nil for other calls
 }
 
 // Core is the protocol-independent call controller. Its methods must run on its event loop.
@@ -96,16 +97,16 @@
 	pendingCount        int
 	descriptionBytes    int // size of the descriptions of pending set-ups
 	maxDescriptionBytes int
-	events              []control.Event
-	serverStatus        map[control.ServerID]control.ServerStatus
+	events              []control.Event                           // for the next step of the module
+	serverStatus        map[control.ServerID]control.ServerStatus // of listed dispatchers
 	startedAt           time.Time
 	listReceived        bool
-	wakeTimer           *Timer
-	reached             bool
-	awaitsPredecessor   bool      // a predecessor still serves
-	evacuatedAt         time.Time // zero while callers are served
-	supersededAt        time.Time // when a successor began to serve; zero without one
-	relayEnd            func(id string, end End) bool
+	wakeTimer           *Timer                        // for the module
+	reached             bool                          // a dispatcher has been reached
+	awaitsPredecessor   bool                          // a predecessor still serves
+	evacuatedAt         time.Time                     // zero while callers are served
+	supersededAt        time.Time                     // when a successor began to serve; zero without one
+	relayEnd            func(id string, end End) bool // passes an end to the successor; nil without one
 	unknownCaller       *unknownCaller
 	metrics             telemetry.Figures
 	endCounts           map[receivedEnd]uint64
@@ -138,7 +139,8 @@
 	}
 	c := &Core{
 		loop: loop, log: log, decisions: decisions, module: module, calls: map[string]*record{},
-		pendingByCaller: map[Caller]map[string]*record{}, establishedByCaller: map[Caller]int{}, maxDescriptionBytes: math.MaxInt, serverStatus: map[control.ServerID]control.ServerStatus{}, startedAt: time.Now(),
+		pendingByCaller: map[Caller]map[string]*record{}, establishedByCaller: map[Caller]int{}, maxDescriptionBytes: math.MaxInt,
+		serverStatus: map[control.ServerID]control.ServerStatus{}, startedAt: time.Now(),
 		setUpCounts: map[control.ServerID]setUpCount{}, endCounts: map[receivedEnd]uint64{},
 	}
 	c.unknownCaller, c.orphanCaller, c.knownServers = &unknownCaller{c}, &orphanCaller{unknownCaller{c}}, map[control.ServerID]Server{}
@@ -160,7 +162,7 @@
 // AddFront adds a front for callers.
 func (c *Core) AddFront(f Front) { c.fronts = append(c.fronts, f) }
 
-// LimitMemory bounds the descriptions held for callers by the memory of the process; 0 means no bound.
+// LimitMemory limits the descriptions of pending set-ups to a share of the memory of the process; 0 means no limit.
 func (c *Core) LimitMemory(memory int64) {
 	c.maxDescriptionBytes = math.MaxInt
 	if memory > 0 {
@@ -171,4 +173,5 @@
 // OnFlush registers f to run at the end of each event loop iteration, to send the output written in it.
 func (c *Core) OnFlush(f func()) { c.flushers = append(c.flushers, f) }
 
+// queueEvent queues an event for the next step of the module.
 func (c *Core) queueEvent(e control.Event) { c.events = append(c.events, e) }
--- a/internal/call/core_test.go
+++ b/internal/call/core_test.go
@@ -108,8 +108,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &fixture{t: t, core: core, settings: set, inProgress: map[string]control.ServerID{}, notBefore: map[string]time.Time{}, rejections: map[string]int{},
-		answers: map[string]int{}, terminations: map[string]int{}, drained: map[control.ServerID]bool{}}
+	s := &fixture{t: t, core: core, settings: set, inProgress: map[string]control.ServerID{}, notBefore: map[string]time.Time{},
+		rejections: map[string]int{}, answers: map[string]int{}, terminations: map[string]int{}, drained: map[control.ServerID]bool{}}
 	core.SetDispatchers(s)
 	return s
 }
@@ -208,9 +208,10 @@
 	}
 	_ = s.core.Offer(Request{ID: "last", Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s, Description: "x"})
 	s.core.CallerReleased(s, "last", CauseNormal)
-	got := map[string]int{"calls": len(s.core.calls), "ended": len(s.core.recentlyTerminated), "owing": len(s.core.pendingByCaller) + len(s.core.establishedByCaller), "status": len(s.core.serverStatus),
-		"owed": s.core.pendingCount, "held": s.core.descriptionBytes, "timers": len(s.core.loop.timers)}
-	want := map[string]int{"calls": 1, "ended": 1, "owing": 0, "status": 0, "owed": 0, "held": 0, "timers": 0}
+	got := map[string]int{"calls": len(s.core.calls), "terminated": len(s.core.recentlyTerminated),
+		"callers": len(s.core.pendingByCaller) + len(s.core.establishedByCaller), "status": len(s.core.serverStatus),
+		"pending": s.core.pendingCount, "descriptions": s.core.descriptionBytes, "timers": len(s.core.loop.timers)}
+	want := map[string]int{"calls": 1, "terminated": 1, "callers": 0, "status": 0, "pending": 0, "descriptions": 0, "timers": 0}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("entries that remain (-want +got):\n%s", diff)
 	}
@@ -241,8 +242,9 @@
 		_ = s.core.Offer(Request{ID: "1", Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s, Description: "x"})
 	})
 	s.core.Loop().Run()
-	got := map[string]int{"set-ups": s.setUps, "answers": s.answers["1"], "overs": s.terminations["1"], "finals": s.rejections["1"], "releases": s.releases}
-	if diff := cmp.Diff(map[string]int{"set-ups": 2, "answers": 1, "overs": 1, "finals": 0, "releases": 0}, got); diff != "" {
+	got := map[string]int{"set-ups": s.setUps, "answers": s.answers["1"], "terminations": s.terminations["1"],
+		"rejections": s.rejections["1"], "releases": s.releases}
+	if diff := cmp.Diff(map[string]int{"set-ups": 2, "answers": 1, "terminations": 1, "rejections": 0, "releases": 0}, got); diff != "" {
 		t.Errorf("outcome of the call (-want +got):\n%s", diff)
 	}
 }
@@ -264,8 +266,8 @@
 		_ = s.core.Offer(Request{ID: "1", Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s, Description: "x"})
 	})
 	s.core.Loop().Run()
-	got := map[string]int{"set-ups": s.setUps, "answers": s.answers["1"], "overs": s.terminations["1"], "finals": s.rejections["1"]}
-	if diff := cmp.Diff(map[string]int{"set-ups": 1, "answers": 0, "overs": 0, "finals": 1}, got); diff != "" {
+	got := map[string]int{"set-ups": s.setUps, "answers": s.answers["1"], "terminations": s.terminations["1"], "rejections": s.rejections["1"]}
+	if diff := cmp.Diff(map[string]int{"set-ups": 1, "answers": 0, "terminations": 0, "rejections": 1}, got); diff != "" {
 		t.Errorf("outcome of the call (-want +got):\n%s", diff)
 	}
 }
--- a/internal/call/drain.go
+++ b/internal/call/drain.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Draining: how a controller answers the calls that it has accepted, and stops.
+// This file implements draining: a controller answers the set-ups that it has accepted, and stops.
 
 // Drain answers the accepted set-ups and then stops the event loop.
 func (c *Core) Drain() {
@@ -29,7 +29,8 @@
 	})
 }
 
-// drainTimeout returns how long after SIGTERM every call is answered, some time before a SIGKILL that may follow.
+// drainTimeout returns how long after SIGTERM the last pending calls are answered: killMargin before a SIGKILL that may
+// follow.
 func (c *Core) drainTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range c.decisions.Classes {
@@ -47,6 +48,7 @@
 	return !slices.ContainsFunc(c.fronts, func(f Front) bool { return !f.Idle() })
 }
 
+// pendingIDs returns the sorted ids of all pending calls.
 func (c *Core) pendingIDs() []string {
 	var ids []string
 	for id, k := range c.calls {
@@ -59,8 +61,8 @@
 }
 
 // quitWhenDrained stops the event loop of a draining controller once no call is pending, no set-up can arrive any more,
-// and all input is processed: if the process got no CPU time, a set-up that arrived in time may still be unread. The
-// end of a call may also wait for its caller to connect.
+// and the fronts are idle: if the process got no CPU time, a set-up that arrived in time may still be unread, and the
+// end of a call may still wait for its caller to connect.
 func (c *Core) quitWhenDrained() {
 	if c.drainingSince.IsZero() || c.quitting || c.pendingCount > 0 {
 		return
--- a/internal/call/early_end.go
+++ b/internal/call/early_end.go
@@ -9,7 +9,7 @@
 )
 
 // answerTimeout is how long to wait for the answer to a set-up after the end of its call has arrived on another
-// connection. An established call must be released towards its caller within a second of its end.
+// connection. The end of an established call must reach its caller within a second.
 const answerTimeout = 500 * time.Millisecond
 
 // earlyEnd is the end of a call that was read before its answer, on another connection.
@@ -31,8 +31,8 @@
 	return endBeforeAnswer
 }
 
-// holdEarlyEnd stores such an end. The answer may be unread on the connection of the attempt; if it does not arrive in
-// time, it was lost.
+// holdEarlyEnd stores the early end of a call and waits for the answer, which may be unread on the connection of the
+// attempt. If the answer does not arrive in time, it was lost.
 func (c *Core) holdEarlyEnd(k *record, cause int, report []float64) {
 	attempt := k.attempts
 	k.earlyEnd = &earlyEnd{cause: cause, report: report, timer: c.loop.After(answerTimeout, func() {
@@ -54,8 +54,8 @@
 
 // applyEarlyEnd terminates an established call whose end arrived before its answer.
 func (c *Core) applyEarlyEnd(k *record) {
-	if o := k.earlyEnd; o != nil && k.state == established {
-		c.terminate(k, o.cause, o.report)
+	if end := k.earlyEnd; end != nil && k.state == established {
+		c.terminate(k, end.cause, end.report)
 	}
 }
 
@@ -105,6 +105,7 @@
 	}
 }
 
+// dropEarlyEnd discards an early end.
 func (c *Core) dropEarlyEnd(k *record) {
 	if k.earlyEnd != nil {
 		c.loop.Stop(k.earlyEnd.timer)
--- a/internal/call/ends.go
+++ b/internal/call/ends.go
@@ -8,7 +8,7 @@
 	"cherryrelay/internal/endlog"
 )
 
-// Handling of the ends of calls that dispatchers send.
+// This file handles the ends of calls that dispatchers send.
 
 // Released handles the release of an established call by a dispatcher. The attempt is the one made on the connection on
 // which the release arrived; -1 for none.
@@ -33,7 +33,7 @@
 	return k != nil && k.state == established && k.server == server
 }
 
-// applyEnd carries out the consequences of the end of a call.
+// applyEnd handles the end of a call according to its classification.
 func (c *Core) applyEnd(k *record, id string, result receivedEnd, cause int, report []float64) {
 	c.endCounts[result]++
 	switch result {
--- a/internal/call/ends_test.go
+++ b/internal/call/ends_test.go
@@ -51,8 +51,8 @@
 
 // endsDelivered is the result of an end.
 type endsDelivered struct {
-	Answers, Overs, Releases int
-	Front, Elsewhere         []string
+	Answers, Terminations, Releases int
+	ViaFront, ViaOthers             []string
 }
 
 // TestEachEndIsDeliveredOnce guards against an end that is delivered to nobody or twice, or attributed to another call,
@@ -64,42 +64,42 @@
 		end        func(e *endRecorder)
 		want       endsDelivered
 	}{
-		"its dispatcher ends it":                     {false, func(e *endRecorder) { e.core.Released("a", endedID, 0, CauseNormal, nil) }, endsDelivered{Answers: 1, Overs: 1}},
+		"its dispatcher ends it":                     {false, func(e *endRecorder) { e.core.Released("a", endedID, 0, CauseNormal, nil) }, endsDelivered{Answers: 1, Terminations: 1}},
 		"another dispatcher ends a call with its id": {false, func(e *endRecorder) { e.core.Released("b", endedID, -1, CauseNormal, nil) }, endsDelivered{Answers: 1}},
-		"its dispatcher fails":                       {false, func(e *endRecorder) { e.core.DispatcherFailed("a") }, endsDelivered{Answers: 1, Overs: 1}},
+		"its dispatcher fails":                       {false, func(e *endRecorder) { e.core.DispatcherFailed("a") }, endsDelivered{Answers: 1, Terminations: 1}},
 		"another dispatcher fails":                   {false, func(e *endRecorder) { e.core.DispatcherFailed("b") }, endsDelivered{Answers: 1}},
 		"another connection releases it": {false, func(e *endRecorder) { e.core.CallerReleased(&endRecorder{fixture: e.fixture}, endedID, CauseNormal) },
-			endsDelivered{Answers: 1, Overs: 1, Releases: 1}},
+			endsDelivered{Answers: 1, Terminations: 1, Releases: 1}},
 		"its caller releases it, or cancelled it as it was answered": {false, func(e *endRecorder) { e.core.CallerReleased(e, endedID, CauseNormal) },
-			endsDelivered{Answers: 1, Overs: 1, Releases: 1}},
+			endsDelivered{Answers: 1, Terminations: 1, Releases: 1}},
 		"its caller cuts it": {false, func(e *endRecorder) { e.core.CallerReleased(e, endedID, CauseTemporary) }, endsDelivered{Answers: 1, Releases: 1}},
 		"a successor accepts the end": {false, func(e *endRecorder) {
 			e.core.Supersede(func(id string, _ End) bool { e.viaOthers = append(e.viaOthers, id); return true })
 			e.core.Released("a", endedID, 0, CauseNormal, nil)
-		}, endsDelivered{Answers: 1, Elsewhere: []string{endedID}}},
+		}, endsDelivered{Answers: 1, ViaOthers: []string{endedID}}},
 		"a successor does not accept it": {false, func(e *endRecorder) {
 			e.core.Supersede(func(string, End) bool { return false })
 			e.core.Released("a", endedID, 0, CauseNormal, nil)
-		}, endsDelivered{Answers: 1, Overs: 1}},
+		}, endsDelivered{Answers: 1, Terminations: 1}},
 		"it is from before a restart, and the end arrives twice": {false, func(e *endRecorder) {
 			e.core.Released("a", unknownID, -1, CauseNormal, nil)
 			e.core.Released("a", unknownID, -1, CauseNormal, nil)
-		}, endsDelivered{Answers: 1, Front: []string{unknownID}}},
+		}, endsDelivered{Answers: 1, ViaFront: []string{unknownID}}},
 		"its caller releases one from before a restart": {false, func(e *endRecorder) { e.core.CallerReleased(e, unknownID, CauseTemporary) },
 			endsDelivered{Answers: 1, Releases: 1}},
 		"another controller may hold it": {false, func(e *endRecorder) {
 			e.core.UseFinder(e, func() bool { return true }, func(error) {})
 			e.core.Released("a", unknownID, -1, CauseNormal, nil)
-		}, endsDelivered{Answers: 1, Elsewhere: []string{unknownID}}},
+		}, endsDelivered{Answers: 1, ViaOthers: []string{unknownID}}},
 		"it is being transferred to another controller": {false, func(e *endRecorder) {
 			e.core.UseFinder(e, func() bool { return true }, func(error) {})
 			e.core.calls[endedID].transferring = true
 			e.core.Released("a", endedID, 0, CauseNormal, nil)
-		}, endsDelivered{Answers: 1, Elsewhere: []string{endedID}}},
+		}, endsDelivered{Answers: 1, ViaOthers: []string{endedID}}},
 		"it was adopted, and its dispatcher fails": {false, func(e *endRecorder) {
 			e.core.Adopt(unknownID, "b")
 			e.core.DispatcherFailed("b")
-		}, endsDelivered{Answers: 1, Front: []string{unknownID}}},
+		}, endsDelivered{Answers: 1, ViaFront: []string{unknownID}}},
 		"its answer arrives after its caller has disconnected": {true, func(e *endRecorder) {
 			e.disconnected = true
 			e.core.Answered("a", endedID, 0, "y")
@@ -109,7 +109,7 @@
 			t.Parallel()
 			e := newEndRecorder(t, !test.unanswered)
 			test.end(e)
-			got := endsDelivered{Answers: e.answers[endedID], Overs: e.terminations[endedID], Releases: e.releases, Front: e.viaFront, Elsewhere: slices.Clone(e.viaOthers)}
+			got := endsDelivered{Answers: e.answers[endedID], Terminations: e.terminations[endedID], Releases: e.releases, ViaFront: e.viaFront, ViaOthers: slices.Clone(e.viaOthers)}
 			if diff := cmp.Diff(test.want, got); diff != "" {
 				t.Errorf("delivered (-want +got):\n%s", diff)
 			}
--- a/internal/call/ledger_writer.go
+++ b/internal/call/ledger_writer.go
@@ -41,7 +41,7 @@
 	retryDelay         time.Duration
 	snapshotStale      bool   // events have occurred that the snapshot being written does not contain
 	lastError          string // of the ledger; empty while it is enabled
-	checksLease        bool
+	checksLease        bool   // checkLeasePeriodically is running
 }
 
 // UseLedger persists all events of calls in the ledger, after BeginLedger has written the state restored by Recover.
@@ -65,7 +65,7 @@
 }
 
 // refusesCalls reports whether new calls are refused because they could not be persisted.
-func (d *ledgerWriter) refusesCalls() bool { return d.refuseWhenDisabled && !d.ledger.Enabled() }
+func (w *ledgerWriter) refusesCalls() bool { return w.refuseWhenDisabled && !w.ledger.Enabled() }
 
 // persistEvent appends an event of a call to the ledger, to be committed at the end of the event loop iteration.
 func (c *Core) persistEvent(k *record, kind recovery.Kind, fill func(*recovery.Event)) {
@@ -103,111 +103,113 @@
 	c.persistEvent(k, recovery.KindTerminated, func(e *recovery.Event) { e.Cause, e.Reason = end.Cause, string(end.Reason) })
 }
 
-func (d *ledgerWriter) append(e recovery.Event) {
-	d.snapshotStale = true
-	if !d.ledger.Enabled() {
+// append appends an event to the ledger, if that is enabled.
+func (w *ledgerWriter) append(e recovery.Event) {
+	w.snapshotStale = true
+	if !w.ledger.Enabled() {
 		return
 	}
 	text, err := e.Encode()
 	if err == nil {
-		err = d.ledger.Append(text)
+		err = w.ledger.Append(text)
 	}
 	if err != nil {
-		d.core.log.Error("event of a call was not written to the ledger", "id", e.ID, "err", err)
+		w.core.log.Error("event of a call was not written to the ledger", "id", e.ID, "err", err)
 	}
 }
 
 // commit writes all appended events before any message that depends on them is sent.
-func (d *ledgerWriter) commit() {
-	if !d.ledger.Enabled() {
-		d.core.checkOwnership(ledger.ErrDisabled)
+func (w *ledgerWriter) commit() {
+	if !w.ledger.Enabled() {
+		w.core.checkOwnership(ledger.ErrDisabled)
 	}
-	if !d.ledger.HasPending() {
+	if !w.ledger.HasPending() {
 		return
 	}
-	if err := d.ledger.Commit(); err != nil {
-		d.handleFailure(err)
+	if err := w.ledger.Commit(); err != nil {
+		w.handleFailure(err)
 		return
 	}
-	d.core.reportPersisted()
+	w.core.reportPersisted()
 }
 
 // handleFailure lets calls be served without the ledger, and schedules a new epoch.
-func (d *ledgerWriter) handleFailure(err error) {
-	d.lastError = err.Error()
-	d.core.checkOwnership(err)
-	d.checkLeasePeriodically()
-	d.core.log.Error("THE STATE OF CALLS IS NOT KEPT: a restart would lose them", "err", err, "again_in", d.retryDelay)
-	d.core.loop.After(d.retryDelay, d.beginEpoch)
-	d.retryDelay = min(2*d.retryDelay, maxRetryDelay)
+func (w *ledgerWriter) handleFailure(err error) {
+	w.lastError = err.Error()
+	w.core.checkOwnership(err)
+	w.checkLeasePeriodically()
+	w.core.log.Error("THE STATE OF CALLS IS NOT KEPT: a restart would lose them", "err", err, "again_in", w.retryDelay)
+	w.core.loop.After(w.retryDelay, w.beginEpoch)
+	w.retryDelay = min(2*w.retryDelay, maxRetryDelay)
 }
 
 // checkLeasePeriodically checks, while the ledger is disabled, that the process may still hold its calls.
-func (d *ledgerWriter) checkLeasePeriodically() {
-	if d.core.transfers == nil || d.checksLease {
+func (w *ledgerWriter) checkLeasePeriodically() {
+	if w.core.transfers == nil || w.checksLease {
 		return
 	}
-	d.checksLease = true
+	w.checksLease = true
 	var check func()
 	check = func() {
-		if d.ledger.Enabled() {
-			d.checksLease = false
+		if w.ledger.Enabled() {
+			w.checksLease = false
 			return
 		}
-		d.core.checkOwnership(ledger.ErrDisabled)
-		d.core.loop.After(ownershipCheckInterval, check)
+		w.core.checkOwnership(ledger.ErrDisabled)
+		w.core.loop.After(ownershipCheckInterval, check)
 	}
-	d.core.loop.After(ownershipCheckInterval, check)
+	w.core.loop.After(ownershipCheckInterval, check)
 }
 
 // beginEpoch starts writing the current state, and polls for the result while calls are served.
-func (d *ledgerWriter) beginEpoch() {
-	state, err := d.core.snapshot()
+func (w *ledgerWriter) beginEpoch() {
+	state, err := w.core.snapshot()
 	if err == nil {
-		err = d.ledger.BeginEpoch(state)
+		err = w.ledger.BeginEpoch(state)
 	}
 	if err != nil {
-		d.handleFailure(err)
+		w.handleFailure(err)
 		return
 	}
-	d.snapshotStale = false
-	d.core.loop.After(epochPollInterval, d.pollEpoch)
+	w.snapshotStale = false
+	w.core.loop.After(epochPollInterval, w.pollEpoch)
 }
 
-func (d *ledgerWriter) pollEpoch() {
-	done, err := d.ledger.EpochResult()
+// pollEpoch checks whether the new epoch has begun.
+func (w *ledgerWriter) pollEpoch() {
+	done, err := w.ledger.EpochResult()
 	switch {
 	case !done:
-		d.core.loop.After(epochPollInterval, d.pollEpoch)
+		w.core.loop.After(epochPollInterval, w.pollEpoch)
 	case err != nil:
-		d.handleFailure(err)
+		w.handleFailure(err)
 	default:
 		// Events since the snapshot was taken are not in it: write another snapshot.
-		if d.snapshotStale {
-			if err := d.beginEpochAndWait(ledger.DefaultCommitTimeout); err != nil {
-				d.handleFailure(err)
+		if w.snapshotStale {
+			if err := w.beginEpochAndWait(ledger.DefaultCommitTimeout); err != nil {
+				w.handleFailure(err)
 				return
 			}
 		}
-		d.retryDelay, d.lastError = minRetryDelay, ""
-		d.core.reportPersisted()
-		d.core.log.Warn("the state of calls is kept again")
+		w.retryDelay, w.lastError = minRetryDelay, ""
+		w.core.reportPersisted()
+		w.core.log.Warn("the state of calls is kept again")
 	}
 }
 
-// beginEpochAndWait writes another snapshot if calls have changed while the last one was written. It blocks, as the
-// disk has just proven to be writable.
-func (d *ledgerWriter) beginEpochAndWait(timeout time.Duration) error {
-	state, err := d.core.snapshot()
+// beginEpochAndWait writes the current state, and blocks until that is done. If calls have changed while a snapshot was
+// written, another one takes little time, as the disk has just proven to be writable.
+func (w *ledgerWriter) beginEpochAndWait(timeout time.Duration) error {
+	state, err := w.core.snapshot()
 	if err != nil {
 		return err
 	}
-	if err := d.ledger.BeginEpoch(state); err != nil {
+	if err := w.ledger.BeginEpoch(state); err != nil {
 		return err //nolint:wrapcheck // the error names the ledger
 	}
 	deadline := time.Now().Add(timeout)
 	for {
-		done, err := d.ledger.EpochResult()
+		done, err := w.ledger.EpochResult()
 		switch {
 		case done:
 			return err //nolint:wrapcheck // the error names the ledger
@@ -239,9 +241,12 @@
 // recoveryCall converts a call to the form that the recovery decisions use.
 func (c *Core) recoveryCall(k *record) *recovery.Call {
 	now := c.now()
-	r := &recovery.Call{Event: recovery.Event{ID: k.ID, AtUs: now.Microseconds(), Token: k.Token}, LastEventAt: now, Attempts: k.attempts, AttemptInProgress: k.attemptInProgress, Server: string(k.server)}
-	if place, _ := c.listedServer(k.server); place.Address != "" {
-		r.Address, r.ServerStarted = place.Address, place.StartedAt
+	r := &recovery.Call{
+		Event:       recovery.Event{ID: k.ID, AtUs: now.Microseconds(), Token: k.Token},
+		LastEventAt: now, Attempts: k.attempts, AttemptInProgress: k.attemptInProgress, Server: string(k.server),
+	}
+	if entry, _ := c.listedServer(k.server); entry.Address != "" {
+		r.Address, r.ServerStarted = entry.Address, entry.StartedAt
 	} else if k.restored != nil {
 		r.Address, r.ServerStarted = k.restored.Address, k.restored.ServerStarted
 	}
@@ -268,8 +273,8 @@
 }
 
 // metrics returns the metrics of the ledger.
-func (d *ledgerWriter) metrics() []*dto.MetricFamily {
-	f := d.ledger.Metrics()
+func (w *ledgerWriter) metrics() []*dto.MetricFamily {
+	f := w.ledger.Metrics()
 	on := 0.0
 	if f.Enabled {
 		on = 1
@@ -287,6 +292,7 @@
 		telemetry.Counter("ledger_snapshots_total", "Snapshots written.", f.Snapshots),
 		telemetry.Gauge("ledger_files_bytes", "Size of the ledger's files in bytes.", float64(f.FileBytes)),
 		telemetry.Gauge("ledger_commit_seconds_mean", "Mean time that an event loop iteration waited for its commit.", mean),
-		telemetry.Gauge("ledger_commit_seconds_worst", "Longest time that an event loop iteration waited for its commit.", f.LongestCommitWait.Seconds()),
+		telemetry.Gauge("ledger_commit_seconds_worst", "Longest time that an event loop iteration waited for its commit.",
+			f.LongestCommitWait.Seconds()),
 	}
 }
--- a/internal/call/list.go
+++ b/internal/call/list.go
@@ -6,7 +6,7 @@
 	"cherryrelay/control"
 )
 
-// Handling of the list of dispatchers.
+// This file handles the list of dispatchers.
 
 // Update applies a list of dispatchers, or changes to it.
 func (c *Core) Update(u Update) {
@@ -46,6 +46,7 @@
 	c.verifyRecovered()
 }
 
+// setStatus records the status of a dispatcher in the list, and drops what is kept of a removed one.
 func (c *Core) setStatus(id control.ServerID, status control.ServerStatus) {
 	if old, ok := c.serverStatus[id]; !ok && status != control.Removed || ok && old != status {
 		c.log.Info("dispatcher", "server", id, "status", int(status))
--- a/internal/call/loop.go
+++ b/internal/call/loop.go
@@ -140,8 +140,9 @@
 	hasUnread := func(idle func() bool) bool { return !idle() }
 	unread := false
 	started, idleSteps, queued := time.Now(), 0, 0
-	for elapsed := time.Duration(0); idleSteps < catchUpIdleSteps && (elapsed < catchUpTimeout || unread && elapsed < catchUpUnreadTimeout); elapsed = time.Since(started) {
-		if elapsed > 0 { // check at once first: input that has been read from a socket is no longer seen there
+	for elapsed := time.Duration(0); idleSteps < catchUpIdleSteps &&
+		(elapsed < catchUpTimeout || unread && elapsed < catchUpUnreadTimeout); elapsed = time.Since(started) {
+		if elapsed > 0 { // the first check is immediate: later, input may have been read and not show as unread any more
 			time.Sleep(catchUpStep)
 		}
 		unread = slices.ContainsFunc(l.idleChecks, hasUnread)
@@ -166,7 +167,7 @@
 }
 
 // iterate processes everything that is ready and then calls onIteration. It reports whether there was anything. A pause
-// may have occurred before the iteration, or while posted functions ran.
+// may have occurred before the iteration or while posted functions ran, so catchUp is called after these.
 func (l *Loop) iterate() bool {
 	ran := l.runPosted()
 	if l.catchUp() {
@@ -189,6 +190,7 @@
 	return true
 }
 
+// timers is a heap of timers, ordered by their times.
 type timers []*Timer
 
 func (t timers) Len() int           { return len(t) }
--- a/internal/call/module.go
+++ b/internal/call/module.go
@@ -10,10 +10,11 @@
 	"cherryrelay/internal/decide/recovery"
 )
 
-// The interface to the decision module: the events it is given in each event loop iteration, and its actions.
+// This file connects the core to the decision module: it passes on events and performs the actions that the module
+// returns.
 
-// now returns Unix time as the clock showed it at the start, plus the time elapsed since. If the clock were read and
-// had been set back, the module would wait for a wake-up that it has already had.
+// now returns the Unix time of the start plus the time elapsed since by the monotonic clock. If the wall clock were set
+// back, the module would otherwise wait for a time at which it has already run.
 func (c *Core) now() time.Duration {
 	return time.Duration(c.startedAt.UnixNano()) + time.Since(c.startedAt)
 }
@@ -66,6 +67,7 @@
 	}
 }
 
+// perform performs an action of the module.
 func (c *Core) perform(a control.Action) {
 	switch a := a.(type) {
 	case control.SetUp:
@@ -113,7 +115,8 @@
 		}
 		return
 	}
-	if k.Caller.Disconnected() || k.state != pending { // while the call waited; the disconnection is reported in a later iteration, or was unread until now
+	// The caller may have disconnected while the call waited, and that is only reported later, or was unread until now.
+	if k.Caller.Disconnected() || k.state != pending {
 		if k.attempts++; k.state == pending {
 			c.orphanOrCancel(k)
 		}
--- a/internal/call/outcomes.go
+++ b/internal/call/outcomes.go
@@ -11,7 +11,7 @@
 	"cherryrelay/internal/endlog"
 )
 
-// Outcomes of attempts, and losses of dispatchers.
+// This file handles the outcomes of attempts, and failures of dispatchers.
 
 // Answered handles an answer from a dispatcher, and reports whether it establishes the call. If the attempt was
 // cancelled or the caller has disconnected, the call is released at the dispatcher.
@@ -141,7 +141,7 @@
 	}
 }
 
-// EstablishedCount returns the number of those calls.
+// EstablishedCount returns the number of calls that are established at a dispatcher.
 func (c *Core) EstablishedCount(server control.ServerID) int {
 	n := 0
 	for range c.EstablishedAt(server) {
--- a/internal/call/phase.go
+++ b/internal/call/phase.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Phase is the progress of an evacuation. Fronts act on it.
+// Phase is how far a controller has withdrawn from its callers, in an evacuation or in favour of a successor. Fronts
+// act on it.
 type Phase int
 
 // The phases, in order. An evacuating controller passes through all of them.
@@ -14,13 +15,14 @@
 )
 
 const (
-	// acceptAllPeriod is how long after the start of an evacuation new connections are accepted. They arrive for up to
-	// 0.2 s after the first negative readiness check, and readiness is checked every 0.1 s.
+	// acceptAllPeriod is how long after the start of an evacuation all connections and set-ups are accepted. New ones
+	// arrive for up to 0.2 s after the first negative readiness check, and readiness is checked every 0.1 s.
 	acceptAllPeriod = 600 * time.Millisecond
-	// refusalDelay is how long after that start new set-ups are refused. Set-ups accepted earlier are still answered;
-	// after 4 s, no connection may have a set-up from the last 2 s.
+	// refusalDelay is the time from that start until new set-ups are refused. Set-ups accepted earlier are still
+	// answered; after 4 s, no connection may have a set-up from the last 2 s.
 	refusalDelay = 1200 * time.Millisecond
-	// evacuationHoldOff is the hold-off in refusals during an evacuation: other controllers serve the callers at once.
+	// evacuationHoldOff is the hold-off in refusals by a controller that withdraws: other controllers serve the callers
+	// at once.
 	evacuationHoldOff = 100 * time.Millisecond
 )
 
@@ -73,7 +75,7 @@
 	}
 }
 
-// evacuationEnd returns the final answer to a set-up that is refused during an evacuation.
+// evacuationEnd returns the final answer to a set-up that is refused because the controller withdraws.
 func (c *Core) evacuationEnd() End {
 	return End{Cause: CauseCongestion, Reason: ReasonDraining, HoldOff: min(c.holdOff(), evacuationHoldOff)}
 }
--- a/internal/call/recover.go
+++ b/internal/call/recover.go
@@ -22,15 +22,15 @@
 
 // RecoveryStatus is the result of the recovery of the previous process's calls, for operators.
 type RecoveryStatus struct {
-	Actions      map[string]int `json:"acts"`    // number of calls by action
-	Reasons      map[string]int `json:"why"`     // number of calls by reason of the action
-	Cut          int            `json:"cut"`     // established calls that were cut after the list was received
-	Waiting      int            `json:"waiting"` // pending calls whose callers have not resumed them yet
-	Resumed      int            `json:"claimed"` // calls resumed since the start
-	Unknown      int            `json:"unknown"` // resume requests for unknown calls
-	Unexpected   int            `json:"strays"`  // events that did not fit the state of their calls
-	TookUs       int64          `json:"took_us"`
-	Damage       []string       `json:"damage,omitempty"`
+	Actions      map[string]int `json:"acts"`               // number of calls by action
+	Reasons      map[string]int `json:"why"`                // number of calls by reason of the action
+	Cut          int            `json:"cut"`                // established calls that were cut after the list was received
+	Waiting      int            `json:"waiting"`            // pending calls whose callers have not resumed them yet
+	Resumed      int            `json:"claimed"`            // calls resumed since the start
+	Unknown      int            `json:"unknown"`            // resume requests for unknown calls
+	Unexpected   int            `json:"strays"`             // events that did not fit the state of their calls
+	TookUs       int64          `json:"took_us"`            // duration of the recovery, in µs
+	Damage       []string       `json:"damage,omitempty"`   // damage found in the ledger
 	NotPersisted string         `json:"not_kept,omitempty"` // why the state of calls is not persisted now
 }
 
@@ -49,7 +49,8 @@
 		}
 		c.recover(d)
 	}
-	slices.SortStableFunc(c.recentlyTerminated, func(a, b *record) int { return a.terminatedAt.Compare(b.terminatedAt) }) // retention relies on this order
+	// Calls are dropped after their retention period in this order.
+	slices.SortStableFunc(c.recentlyTerminated, func(a, b *record) int { return a.terminatedAt.Compare(b.terminatedAt) })
 	c.recovered.TookUs += time.Since(start).Microseconds()
 	if n := len(c.calls); n > 0 {
 		c.log.Info("calls of the previous process", "acts", fmt.Sprint(c.recovered.Actions), "strays", b.UnexpectedEvents(), "damage", len(damage))
@@ -60,25 +61,26 @@
 	c.verifyRecovered()
 }
 
+// recover restores a call of another process by the decision on it.
 func (c *Core) recover(d recovery.Decision) {
 	now := time.Now()
 	k := &record{
 		Request: Request{ID: d.ID, Class: d.Class, Called: d.Called, FirstCell: d.FirstCell, Redial: d.Redial, Caller: c.orphanCaller, Token: d.Token},
 		server:  control.ServerID(d.Server), attempts: d.Attempts, sentAt: now.Add(d.LastEventAt - c.now()), restored: d.Call,
 	}
-	act := d.Action
+	action := d.Action
 	// A call that may be set up again must not cause harm if an earlier attempt ran.
-	if act == recovery.AwaitResume && !c.mayRepeat(c.classIndex(d.Class), d.Attempts) {
-		act, d.Why = recovery.FailCall, "it may not be repeated"
+	if action == recovery.AwaitResume && !c.mayRepeat(c.classIndex(d.Class), d.Attempts) {
+		action, d.Why = recovery.FailCall, "it may not be repeated"
 	}
-	c.recovered.Actions[act.String()]++
+	c.recovered.Actions[action.String()]++
 	c.recovered.Reasons[d.Why]++
-	endlog.Call(c.log, endlog.Recovered, d.ID, endlog.Server(d.Server), slog.String("act", act.String()))
+	endlog.Call(c.log, endlog.Recovered, d.ID, endlog.Server(d.Server), slog.String("act", action.String()))
 	c.calls[d.ID] = k
 	if d.MustRelease {
 		c.pendingReleases = append(c.pendingReleases, k)
 	}
-	switch act {
+	switch action {
 	case recovery.AwaitResume:
 		k.Description, k.Deadline, k.notBefore, k.awaitsResume = d.Description, now.Add(d.TimeLeft), d.NotBefore, true
 		c.addPending(k)
@@ -129,9 +131,9 @@
 		c.dispatchers.Release("", k.ID, CauseNormal) // at all dispatchers: the last known one may not be the only one
 	}
 	c.pendingReleases = nil
-	unchecked := c.unverified
+	unverified := c.unverified
 	c.unverified = nil
-	for _, k := range unchecked {
+	for _, k := range unverified {
 		if k.state != established || k.restored == nil {
 			continue
 		}
@@ -148,7 +150,8 @@
 
 // cancelUnlessResumed cancels a pending call unless its caller resumes it in time.
 func (c *Core) cancelUnlessResumed(k *record, d time.Duration) {
-	c.unlessResumed(k, d, pending, CauseNormal, func() { k.end = End{Cause: CauseTemporary, Reason: ReasonFailed} }) // for a resume request after that
+	// The end is the answer to a later resume request.
+	c.unlessResumed(k, d, pending, CauseNormal, func() { k.end = End{Cause: CauseTemporary, Reason: ReasonFailed} })
 }
 
 // releaseUnlessResumed releases an established call, whose caller may not know of it, unless the caller resumes it in
@@ -157,7 +160,8 @@
 	c.unlessResumed(k, d, established, CauseTemporary, func() {})
 }
 
-// unlessResumed ends a call that is still in the state s and has not been resumed after d, and then calls then.
+// unlessResumed ends a call with the cause if it is still in the state s and has not been resumed after d, and then runs
+// then.
 func (c *Core) unlessResumed(k *record, d time.Duration, s state, cause int, then func()) {
 	c.loop.Stop(k.orphanTimer)
 	k.orphanTimer = c.loop.After(d, func() {
@@ -196,7 +200,7 @@
 type ResumeRequest struct {
 	Caller    Caller
 	ID, Token string
-	Answered  bool
+	Answered  bool      // the caller already has the answer
 	Deadline  time.Time // when the caller stops waiting for a pending call; zero if not stated
 }
 
@@ -208,8 +212,8 @@
 // be resumed later.
 var ErrTooManyResumes = errors.New("too many resume requests are waiting")
 
-// ResumeCall assigns a call to the caller's current connection. The caller gets the final answer now or when there is
-// one, and the end of an established call. On an error, the connection must be closed.
+// ResumeCall assigns a call to the caller's current connection. The caller gets the final answer, now or as soon as
+// there is one, and later the end of an established call. On an error, the connection must be closed.
 func (c *Core) ResumeCall(request ResumeRequest) error {
 	if c.awaitsLedger {
 		if len(c.waitingResumes) >= maxWaitingResumes {
@@ -294,8 +298,8 @@
 	}
 }
 
-// expireLedgerWait tells a caller whose time is over that its call is unknown, because a predecessor still has the
-// ledger.
+// expireLedgerWait rejects a resume request shortly before its deadline, because a predecessor still has the ledger and
+// so nothing is known of the call.
 func (c *Core) expireLedgerWait(request ResumeRequest) {
 	i := slices.Index(c.waitingResumes, request)
 	if i < 0 {
@@ -305,7 +309,8 @@
 	c.rejectUnknown(request.Caller, request.ID, request.Token, false)
 }
 
-// rejectUnknown tells a caller that its call is unknown. With cut, no other process can hold the call either.
+// rejectUnknown rejects a resume request for an unknown call; noHolder means that no other process can hold the call
+// either.
 func (c *Core) rejectUnknown(caller Caller, id, token string, noHolder bool) {
 	c.recovered.Unknown++
 	if noHolder && ValidID(id) {
@@ -350,20 +355,22 @@
 	return r
 }
 
-// RecoveryMetrics returns the same as metrics.
+// RecoveryMetrics returns the status of the recovery as metrics.
 func (c *Core) RecoveryMetrics() []*dto.MetricFamily {
 	counts := map[string]uint64{}
-	for _, act := range slices.Sorted(maps.Keys(c.recovered.Actions)) {
-		counts[act] = uint64(c.recovered.Actions[act])
+	for _, action := range slices.Sorted(maps.Keys(c.recovered.Actions)) {
+		counts[action] = uint64(c.recovered.Actions[action])
 	}
 	if len(counts) == 0 {
 		counts["none"] = 0
 	}
 	return []*dto.MetricFamily{
 		telemetry.Counters("recovered_total", "Calls of the previous process, by recovery action.", "act", counts),
-		telemetry.Counter("recovered_cut_total", "Established calls of the previous process whose dispatcher no longer holds them.", uint64(c.recovered.Cut)),
+		telemetry.Counter("recovered_cut_total", "Established calls of the previous process that were cut after the list was received.",
+			uint64(c.recovered.Cut)),
 		telemetry.Counter("resumed_total", "Calls that were resumed by their callers.", uint64(c.recovered.Resumed)),
 		telemetry.Counter("resumed_unknown_total", "Resume requests for unknown calls.", uint64(c.recovered.Unknown)),
-		telemetry.Gauge("recovery_seconds", "Duration of the recovery of the previous process's calls.", float64(c.recovered.TookUs)/1e6),
+		telemetry.Gauge("recovery_seconds", "Duration of the recovery of the previous process's calls.",
+			float64(c.recovered.TookUs)/1e6),
 	}
 }
--- a/internal/call/requests.go
+++ b/internal/call/requests.go
@@ -12,7 +12,7 @@
 	"cherryrelay/internal/endlog"
 )
 
-// Requests from callers: set-ups and releases.
+// This file handles requests from callers: set-ups and releases.
 
 // ErrDuplicateID is returned for a set-up with the id of another call that is pending or established: any answer could
 // be mistaken for that call's.
@@ -81,7 +81,7 @@
 	c.reject(&r, End{Cause: CauseCongestion, Reason: ReasonRefused, HoldOff: c.holdOff()})
 }
 
-// startDeadlineTimer answers a call that is still pending just before its caller's deadline.
+// startDeadlineTimer sets a timer that answers the call just before its caller's deadline, if it is still pending.
 func (c *Core) startDeadlineTimer(k *record) {
 	// The module normally answers in time. This is a safeguard: a call must never stay without a final answer.
 	k.deadlineTimer = c.loop.After(time.Until(k.Deadline)-fallbackMargin, func() {
@@ -115,6 +115,7 @@
 	return slices.IndexFunc(c.decisions.Classes, func(class control.Class) bool { return class.Name == name })
 }
 
+// holdOff returns the greatest hold-off of the settings; 0 if they do not allow any.
 func (c *Core) holdOff() time.Duration {
 	if !c.decisions.MayHoldOff {
 		return 0
@@ -213,6 +214,7 @@
 // EstablishedOf returns the number of the caller's established calls.
 func (c *Core) EstablishedOf(caller Caller) int { return c.establishedByCaller[caller] }
 
+// addPending counts a call as a pending one of its caller.
 func (c *Core) addPending(k *record) {
 	c.pendingCount++
 	c.descriptionBytes += len(k.Description)
@@ -222,6 +224,7 @@
 	c.pendingByCaller[k.Caller][k.ID] = k
 }
 
+// removePending undoes addPending.
 func (c *Core) removePending(k *record) {
 	c.pendingCount--
 	c.descriptionBytes -= len(k.Description)
@@ -276,6 +279,7 @@
 	}
 }
 
+// stopTimers stops all timers of a call.
 func (c *Core) stopTimers(k *record) {
 	c.loop.Stop(k.attemptTimer)
 	c.loop.Stop(k.deadlineTimer)
--- a/internal/call/resume_deadline_test.go
+++ b/internal/call/resume_deadline_test.go
@@ -36,7 +36,8 @@
 		"it was left by the previous process": func(core *Core) { core.Recover(recoveredPending(core, id), nil) },
 		"its connection has closed here": func(core *Core) {
 			disconnected := &recorder{core: core}
-			_ = core.Offer(Request{ID: id, Class: "c", Deadline: time.Now().Add(9 * time.Second), Caller: disconnected, Token: recovery.HashToken(callToken), Description: "x"})
+			_ = core.Offer(Request{ID: id, Class: "c", Deadline: time.Now().Add(9 * time.Second), Caller: disconnected,
+				Token: recovery.HashToken(callToken), Description: "x"})
 			core.CallerDisconnected(disconnected)
 		},
 		"a predecessor has the ledger":   func(core *Core) { core.AwaitLedger() },
--- a/internal/call/selection.go
+++ b/internal/call/selection.go
@@ -88,7 +88,8 @@
 
 // --- The list ---
 
-// update applies a list, or changes to it. It reports whether it has taken care of passing the update on to the core.
+// update applies a list, or changes to it, and announces the result to the core. It returns false, and does nothing,
+// without a subset.
 func (s *selection) update(u Update) bool {
 	if s == nil {
 		return false
@@ -110,8 +111,8 @@
 	return true
 }
 
-// announcedFirst moves the entries first that the module knows, so that a drain does not wait behind thousands of
-// others.
+// announcedFirst moves the entries of announced dispatchers to the front, so that a drain does not wait behind thousands
+// of others.
 func (s *selection) announcedFirst(servers []Server) []Server {
 	first, rest := make([]Server, 0, len(servers)), make([]Server, 0, len(servers))
 	for _, e := range servers {
@@ -169,8 +170,8 @@
 
 // processQueue applies queued updates for at most sliceTime, and schedules the rest for the next iteration.
 func (s *selection) processQueue() {
-	until := time.Now().Add(sliceTime)
-	for len(s.queue) > 0 && s.advance(s.queue[0], until) {
+	deadline := time.Now().Add(sliceTime)
+	for len(s.queue) > 0 && s.advance(s.queue[0], deadline) {
 		s.listApplied = s.listApplied || s.queue[0].Complete
 		s.queue = s.queue[1:]
 	}
@@ -182,9 +183,9 @@
 	}
 }
 
-// advance continues one update. It reports whether it is done; it stops when the time is up.
-func (s *selection) advance(c *listChange, until time.Time) (done bool) {
-	late := func(i int) bool { return i%sliceCheckInterval == sliceCheckInterval-1 && time.Now().After(until) }
+// advance continues one update. It stops at the deadline, and reports whether the update is complete.
+func (s *selection) advance(c *listChange, deadline time.Time) (done bool) {
+	late := func(i int) bool { return i%sliceCheckInterval == sliceCheckInterval-1 && time.Now().After(deadline) }
 	for c.next < len(c.Servers) {
 		e := c.Servers[c.next]
 		if c.named != nil {
@@ -236,6 +237,7 @@
 	}
 }
 
+// forget drops a dispatcher that the list has removed.
 func (s *selection) forget(id control.ServerID) {
 	delete(s.entries, id)
 	delete(s.announced, id)
@@ -250,7 +252,7 @@
 	if covers := s.coversList(); covers != s.coveredList {
 		s.coveredList = covers
 		for id := range s.entries {
-			if covers && !s.announced[id] { // a dispatcher outside the subset, as one that drains, is announced like any other again
+			if covers && !s.announced[id] { // one that was outside the subset, as it drains, is announced like any other again
 				s.changed = append(s.changed, id)
 			}
 		}
@@ -290,6 +292,7 @@
 	return e, false
 }
 
+// asRetained returns the entry of a dispatcher that leaves the subset.
 func asRetained(e Server) Server {
 	e.Status, e.CallsContinue = control.Removed, true
 	return e
@@ -360,13 +363,13 @@
 	now := s.core.now()
 	s.waiting[k] = max(now, k.notBefore)
 	s.subset.UseCell(now, k.FirstCell)
-	places := 0
+	count := 0
 	for _, cell := range class.Cells {
-		if places >= s.size {
+		if count >= s.size {
 			break
 		}
 		s.subset.UseCell(now, cell)
-		places += s.subset.CountInCell(cell)
+		count += s.subset.CountInCell(cell)
 	}
 	s.announceNeed()
 }
@@ -455,7 +458,8 @@
 	c := s.core
 	class := c.classIndex(k.Class)
 	maxAttempts := c.decisions.MaxAttempts
-	if class < 0 || maxAttempts > 0 && k.attempts >= maxAttempts || time.Until(k.Deadline) < max(2*answerMargin, 4*c.decisions.Tick) || !k.repeatable(&c.decisions.Classes[class]) {
+	if class < 0 || maxAttempts > 0 && k.attempts >= maxAttempts || time.Until(k.Deadline) < max(2*answerMargin, 4*c.decisions.Tick) ||
+		!k.repeatable(&c.decisions.Classes[class]) {
 		return false
 	}
 	if !s.grow() {
--- a/internal/call/shares.go
+++ b/internal/call/shares.go
@@ -6,8 +6,8 @@
 // cover listed dispatchers only.
 type DispatcherShare struct {
 	ID         control.ServerID `json:"id"`
-	SetUpsSent int              `json:"asked"`   // set-ups sent
-	NoLine     int              `json:"no_line"` // of these, refused for lack of a line
+	SetUpsSent int              `json:"asked"`
+	NoLine     int              `json:"no_line"` // set-ups refused for lack of a line
 	Lines      float64          `json:"lines"`   // that it has, as far as it reports
 	FreeLines  int              `json:"free"`    // that it has left, as far as known; -1 if it does not report that
 	OwnLines   int              `json:"own"`     // occupied by calls of this controller
@@ -19,6 +19,7 @@
 // setUpCount counts the set-ups sent to a dispatcher, and those refused for lack of a line.
 type setUpCount struct{ sent, noLine int }
 
+// countSetUp counts a set-up that is sent to a dispatcher, or that was refused for lack of a line.
 func (c *Core) countSetUp(id control.ServerID, noLine bool) {
 	n := c.setUpCounts[id]
 	if noLine {
@@ -31,9 +32,9 @@
 
 // Shares returns the shares of all dispatchers that the module knows, in the order in which they were first listed.
 func (c *Core) Shares() []DispatcherShare {
-	figures := c.module.Stats(c.now())
-	shares := make([]DispatcherShare, 0, len(figures))
-	for _, f := range figures {
+	stats := c.module.Stats(c.now())
+	shares := make([]DispatcherShare, 0, len(stats))
+	for _, f := range stats {
 		n := c.setUpCounts[f.ID]
 		shares = append(shares, DispatcherShare{ID: f.ID, SetUpsSent: n.sent, NoLine: n.noLine, Lines: f.Lines, FreeLines: f.FreeLines, OwnLines: f.OwnLines,
 			BackOffMS: f.BackOff.Milliseconds(), Unlimited: f.Unlimited, Window: f.Window})
--- a/internal/call/successor.go
+++ b/internal/call/successor.go
@@ -25,11 +25,11 @@
 // CanPlaceCalls reports whether calls can be placed, so that StartServing may be called.
 func (c *Core) CanPlaceCalls() bool { return c.placesCalls() }
 
-// StartServing ends AwaitPredecessor.
+// StartServing lets the core serve callers, after AwaitPredecessor.
 func (c *Core) StartServing() { c.awaitsPredecessor = false }
 
-// Supersede handles that a successor now serves callers. Set-ups accepted before are answered here, ends of calls are
-// sent through relay while it accepts them, and then the process drains.
+// Supersede is called when a successor begins to serve callers. Set-ups accepted before are still answered here, ends of
+// calls are sent through relay while the successor accepts them, and then the process drains.
 func (c *Core) Supersede(relay func(id string, end End) bool) {
 	c.supersededAt, c.relayEnd = time.Now(), relay
 	since := c.supersededAt
@@ -46,7 +46,7 @@
 	}
 }
 
-// SuccessorEnded serves callers again, as the successor has ended.
+// SuccessorEnded is called when the successor has ended: this process serves callers again.
 func (c *Core) SuccessorEnded() {
 	if c.Superseded() {
 		c.supersededAt, c.relayEnd = time.Time{}, nil
@@ -111,12 +111,12 @@
 // unknownCaller is the Caller of calls of another process: their callers may be on any connection.
 type unknownCaller struct{ core *Core }
 
-func (h *unknownCaller) Answer(string, string) error { return nil } // none of its calls is pending
-func (h *unknownCaller) End(string, End)             {}
-func (h *unknownCaller) Disconnected() bool          { return false }
+func (u *unknownCaller) Answer(string, string) error { return nil } // none of its calls is pending
+func (u *unknownCaller) End(string, End)             {}
+func (u *unknownCaller) Disconnected() bool          { return false }
 
-func (h *unknownCaller) NotifyTerminated(id string, end End) {
-	for _, f := range h.core.fronts {
+func (u *unknownCaller) NotifyTerminated(id string, end End) {
+	for _, f := range u.core.fronts {
 		f.Release(id, end)
 	}
 }
--- a/internal/call/transfer.go
+++ b/internal/call/transfer.go
@@ -41,74 +41,79 @@
 	transferred   []string                   // transferred calls, not yet reported as such
 }
 
-// UseFinder looks up unknown calls among those of other controllers. Abort stops the process at once, before it sends
-// another message; it is called when the process must no longer hold its calls.
+// UseFinder makes the core look up unknown calls at other controllers, and transfer calls to them. Abort stops the
+// process at once, before it sends another message; it is called when the process must no longer hold its calls.
 func (c *Core) UseFinder(f Finder, holdsLease func() bool, abort func(error)) {
-	c.transfers = &transferState{finder: f, holdsLease: holdsLease, abort: abort, resumes: map[string][]ResumeRequest{}, resumeCounts: map[Caller]int{}, everPersisted: c.ledgerWriter != nil && c.ledgerWriter.ledger.Enabled()}
+	c.transfers = &transferState{
+		finder: f, holdsLease: holdsLease, abort: abort, resumes: map[string][]ResumeRequest{}, resumeCounts: map[Caller]int{},
+		everPersisted: c.ledgerWriter != nil && c.ledgerWriter.ledger.Enabled(),
+	}
 }
 
 // lookUp starts the lookup of the call of a resume request. It reports whether it has.
 func (c *Core) lookUp(request ResumeRequest) bool {
-	p := c.transfers
-	if p == nil || !ValidID(request.ID) || !p.finder.Lookup(request.ID, recovery.HashToken(request.Token)) {
+	t := c.transfers
+	if t == nil || !ValidID(request.ID) || !t.finder.Lookup(request.ID, recovery.HashToken(request.Token)) {
 		return false
 	}
-	p.resumes[request.ID] = append(p.resumes[request.ID], request)
-	p.resumeCounts[request.Caller]++
+	t.resumes[request.ID] = append(t.resumes[request.ID], request)
+	t.resumeCounts[request.Caller]++
 	c.onResumeTimeout(request, func() { c.expireLookup(request) })
 	return true
 }
 
-// expireLookup tells a caller whose deadline is reached that its call is unknown, as a final answer is due. The lookup
-// goes on: the call has to be released wherever it is established.
+// expireLookup rejects a resume request shortly before its deadline, by which a final answer is due. The lookup goes on:
+// the call has to be released wherever it is established.
 func (c *Core) expireLookup(request ResumeRequest) {
-	p := c.transfers
-	if !slices.Contains(p.resumes[request.ID], request) {
+	t := c.transfers
+	if !slices.Contains(t.resumes[request.ID], request) {
 		return // found, not found, or its caller has disconnected
 	}
-	p.removeResume(request)
+	t.removeResume(request)
 	c.rejectUnknown(request.Caller, request.ID, request.Token, false)
 }
 
 // removeResumes removes and returns the resume requests that wait for a call.
-func (p *transferState) removeResumes(id string) []ResumeRequest {
-	requests := p.resumes[id]
+func (t *transferState) removeResumes(id string) []ResumeRequest {
+	requests := t.resumes[id]
 	for _, request := range slices.Clone(requests) {
-		p.removeResume(request)
+		t.removeResume(request)
 	}
 	return requests
 }
 
 // removeResume removes a waiting resume request.
-func (p *transferState) removeResume(request ResumeRequest) {
-	if p.resumes[request.ID] = slices.DeleteFunc(slices.Clone(p.resumes[request.ID]), func(o ResumeRequest) bool { return o == request }); len(p.resumes[request.ID]) == 0 {
-		delete(p.resumes, request.ID)
+func (t *transferState) removeResume(request ResumeRequest) {
+	if t.resumes[request.ID] = slices.DeleteFunc(slices.Clone(t.resumes[request.ID]),
+		func(o ResumeRequest) bool { return o == request }); len(t.resumes[request.ID]) == 0 {
+		delete(t.resumes, request.ID)
 	}
-	if p.resumeCounts[request.Caller]--; p.resumeCounts[request.Caller] <= 0 {
-		delete(p.resumeCounts, request.Caller)
+	if t.resumeCounts[request.Caller]--; t.resumeCounts[request.Caller] <= 0 {
+		delete(t.resumeCounts, request.Caller)
 	}
 }
 
 // removeCaller removes the resume requests of a caller that has disconnected: it will resume its calls again, here or
 // elsewhere.
-func (p *transferState) removeCaller(caller Caller) {
-	if p == nil || p.resumeCounts[caller] == 0 {
+func (t *transferState) removeCaller(caller Caller) {
+	if t == nil || t.resumeCounts[caller] == 0 {
 		return
 	}
-	delete(p.resumeCounts, caller)
-	for id, requests := range p.resumes {
-		if p.resumes[id] = slices.DeleteFunc(requests, func(o ResumeRequest) bool { return o.Caller == caller }); len(p.resumes[id]) == 0 {
-			delete(p.resumes, id) // the call may still be found, and then waits for its caller like any orphaned call
+	delete(t.resumeCounts, caller)
+	for id, requests := range t.resumes {
+		if t.resumes[id] = slices.DeleteFunc(requests, func(o ResumeRequest) bool { return o.Caller == caller }); len(t.resumes[id]) == 0 {
+			delete(t.resumes, id) // the call may still be found, and then waits for its caller like any orphaned call
 		}
 	}
 }
 
-// CallReceived takes over a call of another controller. Over is the cause of its end if a dispatcher has reported that
-// already, and -1 otherwise.
+// CallReceived takes over a call of another controller; endCause is the cause of its end if a dispatcher has reported
+// that already, and -1 otherwise.
 func (c *Core) CallReceived(received *takeover.Call, endCause int) {
-	p, id := c.transfers, received.ID()
+	t, id := c.transfers, received.ID()
 	if k := c.calls[id]; k != nil && !k.transferring {
-		p.persisted = append(p.persisted, id) // already here: the previous process ended after persisting the call, before reporting that
+		// The previous process ended after it had persisted the call, before it reported that.
+		t.persisted = append(t.persisted, id)
 		c.serveResumes(id)
 		return
 	}
@@ -123,13 +128,13 @@
 	}
 	k := c.calls[id]
 	if k == nil {
-		p.persisted = append(p.persisted, id) // no answer is due
+		t.persisted = append(t.persisted, id) // no answer is due
 		c.CallNotFound(id, false)
 		return
 	}
 	endlog.Call(c.log, endlog.Arrived, id, endlog.Server(k.server))
 	c.persistCall(k)
-	p.persisted = append(p.persisted, id)
+	t.persisted = append(t.persisted, id)
 	c.verifyRecovered()
 	if k.state == established { // its end may have been sent to the failed controller, which notified nobody
 		c.dispatchers.Reconnect(k.server)
@@ -140,7 +145,7 @@
 	}
 }
 
-// persistCall persists all that is known of a call.
+// persistCall appends the events that replay to the current state of a call to the ledger.
 func (c *Core) persistCall(k *record) {
 	if c.ledgerWriter == nil {
 		return
@@ -160,7 +165,7 @@
 	}
 }
 
-// CallNotFound tells the callers that wait for a call that it is unknown; cut means that no controller can hold it.
+// CallNotFound rejects the resume requests for a call that was not found; noHolder means that no controller can hold it.
 func (c *Core) CallNotFound(id string, noHolder bool) {
 	requests := c.transfers.removeResumes(id)
 	for _, request := range requests {
@@ -169,14 +174,14 @@
 }
 
 // ApplyRemoteEnds applies ends that dispatchers sent to other controllers, and returns the ids of the calls held here.
-func (c *Core) ApplyRemoteEnds(ends map[string]int) (mine []string) {
+func (c *Core) ApplyRemoteEnds(ends map[string]int) (held []string) {
 	for id, cause := range ends {
 		if k := c.calls[id]; k != nil && k.state == established && !k.transferring {
 			c.terminate(k, cause, nil)
-			mine = append(mine, id)
+			held = append(held, id)
 		}
 	}
-	return mine
+	return held
 }
 
 // TransferRequested transfers calls whose callers resume them at other controllers, as the hash of the token proves. An
@@ -187,7 +192,8 @@
 		if k == nil || k.transferring || len(k.Token) == 0 || !bytes.Equal(k.Token, query.Token) || k.end.Reason == ReasonUnknown {
 			continue
 		}
-		if k.resumedAt.After(query.Seen) { // the caller has resumed it here since: the querying controller has failed, or lost the connection
+		// If the caller has resumed the call here since, the controller that asked has failed or has lost the caller.
+		if k.resumedAt.After(query.Seen) {
 			continue
 		}
 		if k.attemptInProgress {
@@ -198,14 +204,14 @@
 		}
 		c.stopTimers(k)
 		k.transferring = true
-		known := c.recoveryCall(k)
-		if err := c.transfers.finder.Transfer(&takeover.Call{Events: known.Events(), LastUs: c.now().Microseconds()}); err != nil {
+		state := c.recoveryCall(k)
+		if err := c.transfers.finder.Transfer(&takeover.Call{Events: state.Events(), LastUs: c.now().Microseconds()}); err != nil {
 			c.log.Error("call cannot be transferred to another controller", "id", id, "err", err)
 		}
 	}
 }
 
-// TransferWritten drops a call whose file is written.
+// TransferWritten drops a call that is transferred, once its file is written.
 func (c *Core) TransferWritten(id string) {
 	k := c.calls[id]
 	if k == nil || !k.transferring {
@@ -232,30 +238,30 @@
 
 // reportPersisted reports to the finder what the ledger contains by now. It is called after each commit.
 func (c *Core) reportPersisted() {
-	p := c.transfers
-	if p == nil || c.ledgerWriter != nil && !c.ledgerWriter.ledger.Enabled() {
+	t := c.transfers
+	if t == nil || c.ledgerWriter != nil && !c.ledgerWriter.ledger.Enabled() {
 		return
 	}
-	p.everPersisted = true
-	if len(p.persisted) > 0 {
-		p.finder.Persisted(p.persisted...)
-		p.persisted = nil
+	t.everPersisted = true
+	if len(t.persisted) > 0 {
+		t.finder.Persisted(t.persisted...)
+		t.persisted = nil
 	}
-	if len(p.transferred) > 0 {
-		p.finder.Transferred(p.transferred...)
-		p.transferred = nil
+	if len(t.transferred) > 0 {
+		t.finder.Transferred(t.transferred...)
+		t.transferred = nil
 	}
 }
 
 // checkOwnership aborts the process if another controller may have taken over its calls: if its ledger was sealed, or
 // if it is disabled and the process may not hold its lease.
 func (c *Core) checkOwnership(err error) {
-	p := c.transfers
-	if p == nil {
+	t := c.transfers
+	if t == nil {
 		return
 	}
-	if errors.Is(err, ledger.ErrSealed) || p.everPersisted && !c.ledgerWriter.ledger.Enabled() && !p.holdsLease() {
-		p.abort(err)
+	if errors.Is(err, ledger.ErrSealed) || t.everPersisted && !c.ledgerWriter.ledger.Enabled() && !t.holdsLease() {
+		t.abort(err)
 	}
 }
 
