--- a/internal/call/ambiguous_end_test.go
+++ b/internal/call/ambiguous_end_test.go
@@ -80,7 +80,8 @@
 				poll()
 				s.run(2 * time.Second)
 				if s.terminations[callID] != test.terminations || s.releases != test.releases || s.rejections[callID] != 0 {
-					t.Errorf("%d ends, %d releases, %d final answers; want %d, %d, 0", s.terminations[callID], s.releases, s.rejections[callID], test.terminations, test.releases)
+					t.Errorf("%d ends, %d releases, %d final answers; want %d, %d, 0", s.terminations[callID], s.releases,
+						s.rejections[callID], test.terminations, test.releases)
 				}
 				if delay := deliveredAt.Sub(started); test.terminations > 0 && (delay > test.within+10*time.Millisecond || delay < test.after) {
 					t.Errorf("the end is delivered after %v, want %v to %v", delay, test.after, test.within)
--- a/internal/call/core_test.go
+++ b/internal/call/core_test.go
@@ -18,15 +18,15 @@
 type fixture struct {
 	t          *testing.T
 	core       *Core
-	inProgress map[string]control.ServerID
-	notBefore  map[string]time.Time
+	inProgress map[string]control.ServerID // the dispatcher of the attempt in progress, by call
+	notBefore  map[string]time.Time        // the earliest time of the next attempt, by call
 	rejections,
-	answers, terminations map[string]int
+	answers, terminations map[string]int // messages to the caller, by call
 	releases int
 	drained  map[control.ServerID]bool
 	setUps   int
-	pings    []func(replied bool)
-	onSetUp  func(server control.ServerID, a SetUp)
+	pings    []func(replied bool)                   // outstanding probes
+	onSetUp  func(server control.ServerID, a SetUp) // the behaviour of the dispatchers
 	settings *settings.Settings
 }
 
@@ -93,6 +93,7 @@
 	}
 }
 
+// guard is the least delay after an attempt that may have had an effect.
 const guard = 60 * time.Millisecond
 
 func newFixture(t *testing.T) *fixture {
@@ -114,6 +115,7 @@
 	return s
 }
 
+// updateList lists dispatchers with a status.
 func (s *fixture) updateList(status control.ServerStatus, names ...control.ServerID) {
 	var u Update
 	for i, name := range names {
@@ -123,8 +125,8 @@
 	s.core.Update(u)
 }
 
-// TestEveryCallGetsOneFinalAnswer checks that with dispatchers that do not answer, reset set-ups, refuse them, or
-// answer them late and twice, and with one that drains half-way.
+// TestEveryCallGetsOneFinalAnswer runs calls against dispatchers that do not answer, reset set-ups, refuse them, or
+// answer them late or twice, and of which one drains half-way.
 func TestEveryCallGetsOneFinalAnswer(t *testing.T) {
 	s := newFixture(t)
 	loop := s.core.Loop()
@@ -182,7 +184,7 @@
 	_ = s.core.Offer(Request{ID: "1", Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s})
 	s.core.finishIteration()
 	if s.rejections["1"] != 1 {
-		t.Error("a call that no dispatcher can take is not refused in its first iteration")
+		t.Error("a call that no dispatcher can accept is not refused in its first iteration")
 	}
 }
 
@@ -219,8 +221,8 @@
 
 // TestALateAnswerDoesNotReleaseTheNextAttempt guards against a release that ends the wrong call. A set-up was reset
 // with its connection, and a second attempt at the same dispatcher was in progress when the first one's answer arrived
-// after all. That answer was released under the id that both attempts share, so the call that the second attempt
-// established was over, and its caller was never notified.
+// after all. The call was released under the id that both attempts share, which ended the call that the second attempt
+// established, and its caller was never notified.
 func TestALateAnswerDoesNotReleaseTheNextAttempt(t *testing.T) {
 	s := newFixture(t)
 	s.onSetUp = func(server control.ServerID, a SetUp) {
@@ -273,11 +275,11 @@
 }
 
 // TestAnEndingProcessServesAgainWithoutSuccessor checks that a process that drains only for its successor serves again
-// when the successor has ended, and that one that was told to drain does not.
+// when the successor has ended, and that one whose drain was requested does not.
 func TestAnEndingProcessServesAgainWithoutSuccessor(t *testing.T) {
 	for _, test := range []struct {
-		toldToDrain bool
-		want        bool
+		requested bool
+		want      bool
 	}{{false, true}, {true, false}} {
 		s := newFixture(t)
 		c := s.core
@@ -288,12 +290,12 @@
 			t.Errorf("with a successor: ready %v in phase %v", c.Ready(), c.Phase())
 		}
 		c.drainForSuccessor(c.supersededAt)
-		if test.toldToDrain {
+		if test.requested {
 			c.Drain()
 		}
 		c.SuccessorEnded()
 		if got := c.Ready(); got != test.want {
-			t.Errorf("told to drain: %v; ready: %v", test.toldToDrain, got)
+			t.Errorf("drain requested: %v; ready: %v", test.requested, got)
 		}
 	}
 }
--- a/internal/call/drain_test.go
+++ b/internal/call/drain_test.go
@@ -12,9 +12,9 @@
 	polls  int
 }
 
-func (r *stubFront) Release(string, End) {}
-func (r *stubFront) Connections() int    { return 1 }
-func (r *stubFront) Idle() bool          { r.polls++; return !r.unread }
+func (f *stubFront) Release(string, End) {}
+func (f *stubFront) Connections() int    { return 1 }
+func (f *stubFront) Idle() bool          { f.polls++; return !f.unread }
 
 // TestDrainWaitsForUnreadInput checks that a controller that has answered all calls does not stop while input from its
 // callers is unread, as set-ups that arrived in time may be after a pause; but that it stops before it would be killed.
--- a/internal/call/end_after_answer_test.go
+++ b/internal/call/end_after_answer_test.go
@@ -49,17 +49,19 @@
 		unreplied    int           // probes without a reply
 		from, within time.Duration // of the delivery of the end, after the answer
 	}{
-		"a reply":                                       {control.Reset, steps{read: onOther, next: replied}, 0, 0, 0, 0, 0},
-		"a reply, then its own end":                     {control.Reset, steps{read: onOther, next: replied, later: onOwn}, 1, 0, 0, later, later},
-		"its own end before the reply":                  {control.Reset, steps{read: onOther, next: onOwn, later: replied}, 1, 0, 0, next, next},
-		"the end of its connection":                     {control.Reset, steps{read: onOther, next: connectionEnds}, 1, 1, 0, next, next},
-		"no reply":                                      {control.Reset, steps{read: onOther}, 1, 1, 1, replyTimeout, time.Second},
-		"no reply to a repeated end":                    {control.Reset, steps{read: onOther, muchLater: onOther}, 1, 1, 2, replyTimeout, time.Second},
-		"the earlier attempt was refused":               {control.Failed, steps{read: onOther}, 1, 0, 0, read, read},
-		"an end on the connection of its answer":        {control.Reset, steps{read: onOwn}, 1, 0, 0, read, read},
-		"another end, and a reply to its probe":         {control.Reset, steps{read: onOther, next: onOther, later: replied}, 0, 0, 0, 0, 0},
-		"another end, and the end of its connection":    {control.Reset, steps{read: onOther, next: onOther, later: connectionEnds}, 1, 1, 0, later, later},
-		"an end of the same id from another dispatcher": {control.Reset, steps{read: func(s *fixture) { s.core.ReleasedOnOtherConnection("b", callID, CauseNormal, nil) }}, 0, 0, 0, 0, 0},
+		"a reply":                                    {control.Reset, steps{read: onOther, next: replied}, 0, 0, 0, 0, 0},
+		"a reply, then its own end":                  {control.Reset, steps{read: onOther, next: replied, later: onOwn}, 1, 0, 0, later, later},
+		"its own end before the reply":               {control.Reset, steps{read: onOther, next: onOwn, later: replied}, 1, 0, 0, next, next},
+		"the end of its connection":                  {control.Reset, steps{read: onOther, next: connectionEnds}, 1, 1, 0, next, next},
+		"no reply":                                   {control.Reset, steps{read: onOther}, 1, 1, 1, replyTimeout, time.Second},
+		"no reply to a repeated end":                 {control.Reset, steps{read: onOther, muchLater: onOther}, 1, 1, 2, replyTimeout, time.Second},
+		"the earlier attempt was refused":            {control.Failed, steps{read: onOther}, 1, 0, 0, read, read},
+		"an end on the connection of its answer":     {control.Reset, steps{read: onOwn}, 1, 0, 0, read, read},
+		"another end, and a reply to its probe":      {control.Reset, steps{read: onOther, next: onOther, later: replied}, 0, 0, 0, 0, 0},
+		"another end, and the end of its connection": {control.Reset, steps{read: onOther, next: onOther, later: connectionEnds}, 1, 1, 0, later, later},
+		"an end of the same id from another dispatcher": {control.Reset, steps{read: func(s *fixture) {
+			s.core.ReleasedOnOtherConnection("b", callID, CauseNormal, nil)
+		}}, 0, 0, 0, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -78,9 +80,10 @@
 				}
 				poll()
 				s.run(3 * time.Second)
-				if s.answers[callID] != 1 || s.rejections[callID] != 0 || s.terminations[callID] != test.terminations || s.releases != test.releases || len(s.pings) != test.unreplied {
-					t.Errorf("%d answers, %d final answers, %d ends, %d releases, %d probes without a reply; want 1, 0, %d, %d, %d", s.answers[callID], s.rejections[callID],
-						s.terminations[callID], s.releases, len(s.pings), test.terminations, test.releases, test.unreplied)
+				if s.answers[callID] != 1 || s.rejections[callID] != 0 || s.terminations[callID] != test.terminations ||
+					s.releases != test.releases || len(s.pings) != test.unreplied {
+					t.Errorf("%d answers, %d final answers, %d ends, %d releases, %d probes without a reply; want 1, 0, %d, %d, %d",
+						s.answers[callID], s.rejections[callID], s.terminations[callID], s.releases, len(s.pings), test.terminations, test.releases, test.unreplied)
 				}
 				const slack = 2 * time.Millisecond
 				if delay := deliveredAt.Sub(answeredAt); test.terminations > 0 && (delay < test.from-slack || delay > test.within+slack) {
--- a/internal/call/ends_test.go
+++ b/internal/call/ends_test.go
@@ -64,10 +64,12 @@
 		end        func(e *endRecorder)
 		want       endsDelivered
 	}{
-		"its dispatcher ends it":                     {false, func(e *endRecorder) { e.core.Released("a", endedID, 0, CauseNormal, nil) }, endsDelivered{Answers: 1, Terminations: 1}},
-		"another dispatcher ends a call with its id": {false, func(e *endRecorder) { e.core.Released("b", endedID, -1, CauseNormal, nil) }, endsDelivered{Answers: 1}},
-		"its dispatcher fails":                       {false, func(e *endRecorder) { e.core.DispatcherFailed("a") }, endsDelivered{Answers: 1, Terminations: 1}},
-		"another dispatcher fails":                   {false, func(e *endRecorder) { e.core.DispatcherFailed("b") }, endsDelivered{Answers: 1}},
+		"its dispatcher ends it": {false, func(e *endRecorder) { e.core.Released("a", endedID, 0, CauseNormal, nil) },
+			endsDelivered{Answers: 1, Terminations: 1}},
+		"another dispatcher ends a call with its id": {false, func(e *endRecorder) { e.core.Released("b", endedID, -1, CauseNormal, nil) },
+			endsDelivered{Answers: 1}},
+		"its dispatcher fails":     {false, func(e *endRecorder) { e.core.DispatcherFailed("a") }, endsDelivered{Answers: 1, Terminations: 1}},
+		"another dispatcher fails": {false, func(e *endRecorder) { e.core.DispatcherFailed("b") }, endsDelivered{Answers: 1}},
 		"another connection releases it": {false, func(e *endRecorder) { e.core.CallerReleased(&endRecorder{fixture: e.fixture}, endedID, CauseNormal) },
 			endsDelivered{Answers: 1, Terminations: 1, Releases: 1}},
 		"its caller releases it, or cancelled it as it was answered": {false, func(e *endRecorder) { e.core.CallerReleased(e, endedID, CauseNormal) },
@@ -109,7 +111,8 @@
 			t.Parallel()
 			e := newEndRecorder(t, !test.unanswered)
 			test.end(e)
-			got := endsDelivered{Answers: e.answers[endedID], Terminations: e.terminations[endedID], Releases: e.releases, ViaFront: e.viaFront, ViaOthers: slices.Clone(e.viaOthers)}
+			got := endsDelivered{Answers: e.answers[endedID], Terminations: e.terminations[endedID], Releases: e.releases,
+				ViaFront: e.viaFront, ViaOthers: slices.Clone(e.viaOthers)}
 			if diff := cmp.Diff(test.want, got); diff != "" {
 				t.Errorf("delivered (-want +got):\n%s", diff)
 			}
--- a/internal/call/ledger_writer_test.go
+++ b/internal/call/ledger_writer_test.go
@@ -21,37 +21,37 @@
 	commits                        int
 }
 
-func (p *fakeLedger) Append(r []byte) error { p.uncommitted = append(p.uncommitted, r); return nil }
-func (p *fakeLedger) HasPending() bool      { return len(p.uncommitted) > 0 }
-func (p *fakeLedger) Enabled() bool         { return p.enabled }
-func (p *fakeLedger) Metrics() ledger.Metrics {
-	return ledger.Metrics{Enabled: p.enabled, Commits: uint64(p.commits)}
+func (l *fakeLedger) Append(r []byte) error { l.uncommitted = append(l.uncommitted, r); return nil }
+func (l *fakeLedger) HasPending() bool      { return len(l.uncommitted) > 0 }
+func (l *fakeLedger) Enabled() bool         { return l.enabled }
+func (l *fakeLedger) Metrics() ledger.Metrics {
+	return ledger.Metrics{Enabled: l.enabled, Commits: uint64(l.commits)}
 }
-func (p *fakeLedger) BeginEpoch(state [][]byte) error {
-	p.snapshot, p.epochPending, p.enabled, p.uncommitted = state, true, false, nil
+func (l *fakeLedger) BeginEpoch(state [][]byte) error {
+	l.snapshot, l.epochPending, l.enabled, l.uncommitted = state, true, false, nil
 	return nil
 }
 
-func (p *fakeLedger) Commit() error {
-	if p.fails {
-		p.enabled, p.uncommitted = false, nil
+func (l *fakeLedger) Commit() error {
+	if l.fails {
+		l.enabled, l.uncommitted = false, nil
 		return errors.New("no space left")
 	}
-	p.records = append(p.records, p.uncommitted...)
-	p.uncommitted = nil
-	p.commits++
+	l.records = append(l.records, l.uncommitted...)
+	l.uncommitted = nil
+	l.commits++
 	return nil
 }
 
-func (p *fakeLedger) EpochResult() (bool, error) {
-	if !p.epochPending {
+func (l *fakeLedger) EpochResult() (bool, error) {
+	if !l.epochPending {
 		return false, nil
 	}
-	p.epochPending = false
-	if p.fails {
+	l.epochPending = false
+	if l.fails {
 		return true, errors.New("still no space left")
 	}
-	p.records, p.enabled = p.snapshot, true
+	l.records, l.enabled = l.snapshot, true
 	return true, nil
 }
 
@@ -81,18 +81,18 @@
 // state of the core: a crash at that point would restore exactly those records.
 func TestLedgerMatchesCore(t *testing.T) {
 	core, s := newLedgerFixture(t)
-	p := &fakeLedger{}
-	core.UseLedger(p, false)
+	l := &fakeLedger{}
+	core.UseLedger(l, false)
 	core.BeginLedger(time.Second)
 	rng := rand.New(rand.NewPCG(5, 6))
 	ids := 0
 	check := func() {
-		book, err := recovery.Replay(p.records, nil)
-		if err != nil || book.UnexpectedEvents() > 0 {
-			t.Fatalf("%v, %d unexpected events", err, book.UnexpectedEvents())
+		table, err := recovery.Replay(l.records, nil)
+		if err != nil || table.UnexpectedEvents() > 0 {
+			t.Fatalf("%v, %d unexpected events", err, table.UnexpectedEvents())
 		}
 		got, want := map[string]string{}, map[string]string{}
-		for _, c := range book.Calls() {
+		for _, c := range table.Calls() {
 			if c.State > recovery.StateEstablished && core.calls[c.ID] == nil {
 				continue // the core has dropped it by now
 			}
@@ -143,34 +143,35 @@
 			check()
 		}
 		if step%500 == 499 { // the ledger fails for a while, and a new epoch begins
-			p.fails = true
+			l.fails = true
 			core.persistEvent(&record{Request: Request{ID: "00000000000000ff"}}, recovery.KindCancelled, nil)
 			core.finishIteration()
-			if p.enabled || core.RecoveryStatus().NotPersisted == "" {
+			if l.enabled || core.RecoveryStatus().NotPersisted == "" {
 				t.Fatal("the ledger failed, and the status does not report it")
 			}
-			p.fails = false
+			l.fails = false
 			core.ledgerWriter.beginEpoch()
 			core.ledgerWriter.pollEpoch()
-			if !p.enabled || core.RecoveryStatus().NotPersisted != "" {
+			if !l.enabled || core.RecoveryStatus().NotPersisted != "" {
 				t.Fatal("the ledger has not begun a new epoch")
 			}
 			check()
 		}
 	}
-	if p.commits > 2000 {
-		t.Errorf("%d commits for 2000 iterations", p.commits)
+	if l.commits > 2000 {
+		t.Errorf("%d commits for 2000 iterations", l.commits)
 	}
 }
 
-// TestNewCallsAreRefusedWhileLedgerIsDisabled checks that this happens only if the operator has configured it.
+// TestNewCallsAreRefusedWhileLedgerIsDisabled checks that new calls are refused while the ledger is disabled, if the
+// operator has configured that, and only then.
 func TestNewCallsAreRefusedWhileLedgerIsDisabled(t *testing.T) {
 	for _, refuse := range []bool{false, true} {
 		core, s := newLedgerFixture(t)
-		p := &fakeLedger{}
-		core.UseLedger(p, refuse)
+		l := &fakeLedger{}
+		core.UseLedger(l, refuse)
 		core.BeginLedger(time.Second)
-		p.fails = true
+		l.fails = true
 		for n := range 2 {
 			id := fmt.Sprintf("%016x", n+1)
 			if err := core.Offer(Request{ID: id, Class: "c", Called: "k", Description: "x", Deadline: time.Now().Add(time.Minute), Caller: s}); err != nil {
--- a/internal/call/loop_test.go
+++ b/internal/call/loop_test.go
@@ -17,9 +17,9 @@
 		duringPosted bool // the pause occurs in a posted function, before the timers of the same iteration
 		want         []string
 	}{
-		"it arrives":                            {true, false, []string{"word", "timer"}},
+		"it arrives":                            {true, false, []string{"input", "timer"}},
 		"it never arrives":                      {false, false, []string{"timer"}},
-		"it arrives, the pause in an iteration": {true, true, []string{"word", "timer"}},
+		"it arrives, the pause in an iteration": {true, true, []string{"input", "timer"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -28,7 +28,7 @@
 			polls := 0
 			l.AddIdleCheck(func() bool {
 				if polls++; polls == wantPolls && test.arrives {
-					l.Post(func() { order = append(order, "word") })
+					l.Post(func() { order = append(order, "input") })
 				}
 				return polls >= wantPolls && test.arrives
 			})
--- a/internal/call/message_order_test.go
+++ b/internal/call/message_order_test.go
@@ -51,6 +51,7 @@
 	return all
 }
 
+// lettersOf returns the letters of an order.
 func lettersOf(order []message) string {
 	var letters strings.Builder
 	for _, m := range order {
@@ -59,8 +60,8 @@
 	return letters.String()
 }
 
-// TestMessagesOfACallInEveryOrder guards against an undelivered end, a second final answer, and an answer that nobody
-// waits for and that is not released.
+// TestMessagesOfACallInEveryOrder guards against an end that is not delivered, a second final answer, and an answer that
+// nobody waits for and whose call is not released.
 func TestMessagesOfACallInEveryOrder(t *testing.T) {
 	for _, order := range feasibleOrders(messages) {
 		t.Run("order "+lettersOf(order), func(t *testing.T) {
@@ -88,7 +89,8 @@
 			loop.After(10*time.Millisecond, step) // the attempt is in progress by then
 			loop.Run()
 			letters := lettersOf(order)
-			delivered := fmt.Sprintf("%d answers, %d ends, %d final answers, %d releases", s.answers[callID], s.terminations[callID], s.rejections[callID], s.releases)
+			delivered := fmt.Sprintf("%d answers, %d ends, %d final answers, %d releases",
+				s.answers[callID], s.terminations[callID], s.rejections[callID], s.releases)
 			if s.answers[callID]+s.rejections[callID] > 1 || s.terminations[callID] > 1 {
 				t.Errorf("delivered more than once: %s", delivered)
 			}
--- a/internal/call/received_end_test.go
+++ b/internal/call/received_end_test.go
@@ -29,12 +29,15 @@
 		steps   []func(*fixture)
 		want    map[receivedEnd]uint64
 	}{
-		"it was established":                   {true, []func(*fixture){answer, end("a", 0)}, map[receivedEnd]uint64{endOfCall: 1}},
-		"twice":                                {true, []func(*fixture){answer, end("a", 0), end("a", -1)}, map[receivedEnd]uint64{endOfCall: 1, endOfTerminatedCall: 1}},
-		"before its answer":                    {true, []func(*fixture){end("a", -1), answer}, map[receivedEnd]uint64{endBeforeAnswer: 1}},
-		"twice before its answer":              {true, []func(*fixture){end("a", -1), end("a", -1)}, map[receivedEnd]uint64{endBeforeAnswer: 1, endRepeated: 1}},
-		"with its answer lost":                 {true, []func(*fixture){end("a", 0)}, map[receivedEnd]uint64{endWithoutAnswer: 1}},
-		"it is unknown":                        {false, []func(*fixture){end("a", -1), end("a", -1)}, map[receivedEnd]uint64{endOfUnknownCall: 1, endOfTerminatedCall: 1}},
+		"it was established": {true, []func(*fixture){answer, end("a", 0)}, map[receivedEnd]uint64{endOfCall: 1}},
+		"twice": {true, []func(*fixture){answer, end("a", 0), end("a", -1)},
+			map[receivedEnd]uint64{endOfCall: 1, endOfTerminatedCall: 1}},
+		"before its answer": {true, []func(*fixture){end("a", -1), answer}, map[receivedEnd]uint64{endBeforeAnswer: 1}},
+		"twice before its answer": {true, []func(*fixture){end("a", -1), end("a", -1)},
+			map[receivedEnd]uint64{endBeforeAnswer: 1, endRepeated: 1}},
+		"with its answer lost": {true, []func(*fixture){end("a", 0)}, map[receivedEnd]uint64{endWithoutAnswer: 1}},
+		"it is unknown": {false, []func(*fixture){end("a", -1), end("a", -1)},
+			map[receivedEnd]uint64{endOfUnknownCall: 1, endOfTerminatedCall: 1}},
 		"it is at another dispatcher":          {true, []func(*fixture){answer, end("b", -1)}, map[receivedEnd]uint64{endOtherDispatcher: 1}},
 		"its attempt is at another dispatcher": {true, []func(*fixture){end("b", -1)}, map[receivedEnd]uint64{endOtherDispatcher: 1}},
 		"no attempt is in progress":            {true, []func(*fixture){reset, end("a", -1)}, map[receivedEnd]uint64{endNotEstablished: 1}},
@@ -75,18 +78,18 @@
 	answered := func(server control.ServerID, attempt int) func(*fixture) {
 		return func(s *fixture) { s.core.Answered(server, id, attempt, "y") }
 	}
-	established := answered("a", 0)
+	establish := answered("a", 0)
 	for step, steps := range map[endlog.Step][]func(*fixture){
-		endlog.AnswerAgain:     {established, established},
-		endlog.AnswerOfEarlier: {func(s *fixture) { s.core.calls[id].attempts = 2 }, established},
+		endlog.AnswerAgain:     {establish, establish},
+		endlog.AnswerOfEarlier: {func(s *fixture) { s.core.calls[id].attempts = 2 }, establish},
 		endlog.AnswerUnwanted:  {answered("b", -1)},
-		endlog.AnswerUnfit:     {func(s *fixture) { s.core.calls[id].Caller = rejectsAnswers{s} }, established},
-		endlog.Established:     {established},
+		endlog.AnswerUnfit:     {func(s *fixture) { s.core.calls[id].Caller = rejectsAnswers{s} }, establish},
+		endlog.Established:     {establish},
 		endlog.WithoutAnswer:   {func(s *fixture) { s.core.Released("a", id, 0, CauseNormal, nil) }},
-		endlog.Over:            {established, func(s *fixture) { s.core.DispatcherFailed("a") }},
-		endlog.CountsAsGone:    {established, func(s *fixture) { s.core.DispatcherFailed("a") }},
-		endlog.EndedByCaller:   {established, func(s *fixture) { s.core.CallerReleased(s, id, CauseNormal) }},
-		endlog.ToSuccessor: {established, func(s *fixture) { s.core.Supersede(func(string, End) bool { return true }) },
+		endlog.Over:            {establish, func(s *fixture) { s.core.DispatcherFailed("a") }},
+		endlog.CountsAsGone:    {establish, func(s *fixture) { s.core.DispatcherFailed("a") }},
+		endlog.EndedByCaller:   {establish, func(s *fixture) { s.core.CallerReleased(s, id, CauseNormal) }},
+		endlog.ToSuccessor: {establish, func(s *fixture) { s.core.Supersede(func(string, End) bool { return true }) },
 			func(s *fixture) { s.core.Released("a", id, 0, CauseNormal, nil) }},
 	} {
 		t.Run(string(step), func(t *testing.T) {
--- a/internal/call/recover_test.go
+++ b/internal/call/recover_test.go
@@ -19,17 +19,19 @@
 	messages []string
 }
 
-func (s *recorder) add(format string, args ...any) {
-	s.messages = append(s.messages, fmt.Sprintf(format, args...))
+func (r *recorder) add(format string, args ...any) {
+	r.messages = append(r.messages, fmt.Sprintf(format, args...))
 }
-func (s *recorder) Idle() bool                                   { return true }
-func (s *recorder) Connections() int                             { return 1 }
-func (s *recorder) Answer(id, d string) error                    { s.add("answer %s %s", id, d); return nil }
-func (s *recorder) End(id string, e End)                         { s.add("end %s %d %s", id, e.Cause, e.Reason) }
-func (s *recorder) Disconnected() bool                           { return false }
-func (s *recorder) NotifyTerminated(id string, e End)            { s.add("over %s %d %s", id, e.Cause, e.Reason) }
-func (s *recorder) SetUp(server control.ServerID, a SetUp)       { s.add("set-up %s", a.ID) }
-func (s *recorder) Release(_ control.ServerID, id string, _ int) { s.add("dispatchers release %s", id) }
+func (r *recorder) Idle() bool                { return true }
+func (r *recorder) Connections() int          { return 1 }
+func (r *recorder) Answer(id, d string) error { r.add("answer %s %s", id, d); return nil }
+func (r *recorder) End(id string, e End)      { r.add("end %s %d %s", id, e.Cause, e.Reason) }
+func (r *recorder) Disconnected() bool        { return false }
+func (r *recorder) NotifyTerminated(id string, e End) {
+	r.add("terminated %s %d %s", id, e.Cause, e.Reason)
+}
+func (r *recorder) SetUp(server control.ServerID, a SetUp)       { r.add("set-up %s", a.ID) }
+func (r *recorder) Release(_ control.ServerID, id string, _ int) { r.add("dispatchers release %s", id) }
 
 // recordingFront receives the ends of calls whose callers have no known connection.
 type recordingFront struct{ *recorder }
@@ -121,12 +123,13 @@
 				expect("when its caller resumes it again", nil)
 			}
 			if diff := cmp.Diff(test.actions, core.RecoveryStatus().Actions); diff != "" {
-				t.Errorf("acts (-want +got):\n%s", diff)
+				t.Errorf("actions (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
+// accepted returns the event of a set-up that was accepted at a time, with a deadline 9 s later.
 func accepted(id string, at time.Duration) recovery.Event {
 	e := event(recovery.KindAccepted, id, at)
 	e.Class, e.Called, e.Description, e.Token = "c", "k", "x", recovery.HashToken(callToken)
@@ -169,19 +172,19 @@
 	// The first call is released when the list arrives, like every pending call; it is not sent anywhere.
 	want := []string{"dispatchers release 0000000000000001", "dispatchers release 0000000000000002"}
 	if diff := cmp.Diff(want, s.messages); diff != "" {
-		t.Errorf("(-want +got):\n%s", diff)
+		t.Errorf("messages (-want +got):\n%s", diff)
 	}
 	if n := core.pendingCount + core.establishedByCaller[core.orphanCaller]; n > 0 {
 		t.Errorf("%d calls are left", n)
 	}
 }
 
-// TestClassRemovedWhileCallAwaitsResume checks that a call whose class was removed from the settings is answered as
-// soon as its caller resumes it. Such a call was unknown to the module, and was only answered at its deadline.
+// TestClassRemovedWhileCallAwaitsResume guards against a call that is only answered at its deadline, because its class
+// was removed from the settings before its caller resumed it, and so the module did not know the call.
 func TestClassRemovedWhileCallAwaitsResume(t *testing.T) {
 	const id = "00000000000000aa"
-	site := newFixture(t)
-	core := site.core
+	fix := newFixture(t)
+	core := fix.core
 	s := &recorder{core: core}
 	core.SetDispatchers(s)
 	core.AddFront(recordingFront{s})
@@ -190,7 +193,7 @@
 	core.Recover(b, nil)
 	core.Update(Update{Complete: true, Servers: []Server{{ServerEntry: control.ServerEntry{ID: "a"}, Address: "127.0.0.1:1"}}})
 	core.finishIteration()
-	other := *site.settings
+	other := *fix.settings
 	other.RequestClasses = slices.Clone(other.RequestClasses)
 	other.RequestClasses[0].Name = "another"
 	if err := core.Reconfigure(&other); err != nil {
--- a/internal/call/requests_test.go
+++ b/internal/call/requests_test.go
@@ -13,7 +13,7 @@
 	end End
 }
 
-func (l *lastEndCaller) End(_ string, e End) { l.end = e }
+func (c *lastEndCaller) End(_ string, e End) { c.end = e }
 
 // TestSetUpThatExpiredUnreadIsRefused guards against a failure as the final answer to set-ups that expired while they
 // were unread in an overload. They were never attempted, so their callers get a refusal with a hold-off.
@@ -44,9 +44,9 @@
 // set-up with an attempt that must not be repeated.
 func TestExpiredCallThatMayHaveRunIsNotRefused(t *testing.T) {
 	for name, c := range map[string]struct {
-		effect  control.Idempotency
-		servers []control.ServerID
-		want    int
+		idempotency control.Idempotency
+		servers     []control.ServerID
+		want        int
 	}{
 		"attempted, and harmful to repeat":     {control.NonIdempotent, []control.ServerID{"a"}, CauseTemporary},
 		"attempted, and harmless to repeat":    {control.Idempotent, []control.ServerID{"a"}, CauseCongestion},
@@ -54,7 +54,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newFixture(t)
-			s.core.decisions.Classes[0].Idempotency = c.effect
+			s.core.decisions.Classes[0].Idempotency = c.idempotency
 			s.onSetUp = func(control.ServerID, SetUp) {} // no answer
 			s.updateList(control.Active, c.servers...)
 			caller := &lastEndCaller{fixture: s}
--- a/internal/call/selection_test.go
+++ b/internal/call/selection_test.go
@@ -36,6 +36,7 @@
 	return s
 }
 
+// request records a request to the dispatchers.
 func (s *subsetFixture) request(format string, args ...any) {
 	s.requests = append(s.requests, fmt.Sprintf("%v ", time.Since(s.start))+fmt.Sprintf(format, args...))
 }
@@ -102,8 +103,10 @@
 
 func (s *subsetFixture) schedule(d time.Duration, f func()) { s.core.loop.After(d, f) }
 
-func (s *subsetFixture) offer(id string, first int, left time.Duration) {
-	if err := s.core.Offer(Request{ID: id, Class: "c", FirstCell: first, Called: id, Deadline: time.Now().Add(left), Caller: s, Description: "x"}); err != nil {
+// offer sets up a call.
+func (s *subsetFixture) offer(id string, firstCell int, timeLeft time.Duration) {
+	if err := s.core.Offer(Request{ID: id, Class: "c", FirstCell: firstCell, Called: id, Deadline: time.Now().Add(timeLeft),
+		Caller: s, Description: "x"}); err != nil {
 		s.t.Error(err)
 	}
 }
@@ -217,8 +220,8 @@
 	}
 }
 
-// TestRefusalIsNotDelayedWhenSubsetCannotGrow checks that the module's refusal is final if the subset covers the list
-// or has its greatest size.
+// TestRefusalIsNotDelayedWhenSubsetCannotGrow checks that the module's refusal is sent at once without a subset, or if
+// the subset covers the list or has its greatest size.
 func TestRefusalIsNotDelayedWhenSubsetCannotGrow(t *testing.T) {
 	for name, o := range map[string]*subset.Options{"none": nil, "the list": {Size: 4}, "the greatest size": {Size: 2, GrowthLimit: 2}} {
 		t.Run(name, func(t *testing.T) {
@@ -429,7 +432,7 @@
 		t.Errorf("listed %v: %v, want %v", s.core.listReceived, got, joined)
 	}
 	if iterations < 3 {
-		t.Errorf("%d iterations", iterations)
+		t.Errorf("%d iterations, want at least 3", iterations)
 	}
 }
 
--- a/internal/call/transfer.go
+++ b/internal/call/transfer.go
@@ -204,8 +204,8 @@
 		}
 		c.stopTimers(k)
 		k.transferring = true
-		state := c.recoveryCall(k)
-		if err := c.transfers.finder.Transfer(&takeover.Call{Events: state.Events(), LastUs: c.now().Microseconds()}); err != nil {
+		recoveryCall := c.recoveryCall(k)
+		if err := c.transfers.finder.Transfer(&takeover.Call{Events: recoveryCall.Events(), LastUs: c.now().Microseconds()}); err != nil {
 			c.log.Error("call cannot be transferred to another controller", "id", id, "err", err)
 		}
 	}
