--- a/internal/call/module.go
+++ b/internal/call/module.go
@@ -103,8 +103,8 @@
 	return ReasonFailed
 }
 
-// startAttempt starts an attempt. If it must not be made, the module is told that it was not sent: the rules hold
-// whatever the module decides.
+// startAttempt starts an attempt. One that breaks the rules is not sent, whatever the module decides, and is reported to
+// the module as such.
 func (c *Core) startAttempt(a control.SetUp) {
 	k := c.calls[string(a.ID)]
 	if k == nil || k.state != pending || k.attemptInProgress || !c.isActive(a.Server) {
--- a/internal/call/transfer_test.go
+++ b/internal/call/transfer_test.go
@@ -38,11 +38,11 @@
 	}
 	s.core.TransferRequested(map[string]takeover.Query{id: query})
 	if finder.transferred != 0 {
-		t.Error("a call is transferred for a query that came before its caller")
+		t.Error("a call is transferred for a query older than the resume request")
 	}
 	query.Seen = time.Now()
 	s.core.TransferRequested(map[string]takeover.Query{id: query})
 	if finder.transferred != 1 {
-		t.Error("a call is not transferred for a query that came after its caller")
+		t.Error("a call is not transferred for a query newer than the resume request")
 	}
 }
