--- a/internal/call/ambiguous_end_test.go
+++ b/internal/call/ambiguous_end_test.go
@@ -8,13 +8,14 @@
 	"cherryrelay/control"
 )
 
-// ambiguousSite is a site whose call was tried at a dispatcher, reset, and is out there again as an end comes on another connection. The steps follow.
-func ambiguousSite(t *testing.T, steps ...func(s *site, a SetUp)) *site {
+// newAmbiguousFixture returns a fixture with a call whose first attempt was reset, and whose second attempt at the same
+// dispatcher is in progress when an end arrives on another connection. The steps follow.
+func newAmbiguousFixture(t *testing.T, steps ...func(s *fixture, a SetUp)) *fixture {
 	t.Helper()
-	s := newSite(t)
-	s.react = func(server control.ServerID, a SetUp) {
+	s := newFixture(t)
+	s.onSetUp = func(server control.ServerID, a SetUp) {
 		if a.Attempt == 0 {
-			s.core.Loop().After(time.Millisecond, func() { s.ended(server, a, control.Reset) })
+			s.core.Loop().After(time.Millisecond, func() { s.endAttempt(server, a, control.Reset) })
 			return
 		}
 		if a.Attempt > 1 {
@@ -26,124 +27,126 @@
 		}
 	}
 	s.core.Loop().Post(func() {
-		s.list(control.Active, "a")
-		_ = s.core.Offer(Request{ID: overtakenID, Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s, Description: "x"})
+		s.updateList(control.Active, "a")
+		_ = s.core.Offer(Request{ID: callID, Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s, Description: "x"})
 	})
 	return s
 }
 
-// run plays the site for a time.
-func (s *site) run(d time.Duration) {
+// run runs the fixture's event loop for the given time.
+func (s *fixture) run(d time.Duration) {
 	s.core.Loop().After(d, s.core.Loop().Quit)
 	s.core.Loop().Run()
 }
 
-// TestWhatTellsWhoseAnAmbiguousEndIs guards against an end that is told to nobody, or told though it is an earlier attempt's, by what comes on the
-// connection of the attempt that is out.
-func TestWhatTellsWhoseAnAmbiguousEndIs(t *testing.T) {
+// TestAmbiguousEndIsAttributedByItsConnection guards against an ambiguous end that is delivered to nobody, or delivered
+// although it belongs to an earlier attempt. The messages on the connection of the attempt in progress decide that.
+func TestAmbiguousEndIsAttributedByItsConnection(t *testing.T) {
 	t.Parallel()
-	answered := func(s *site, a SetUp) { s.answered("a", a) }
-	replied := func(s *site, _ SetUp) { s.pinged(true) }
-	connectionEnds := func(s *site, _ SetUp) { s.pinged(false) }
-	again := func(s *site, a SetUp) { s.core.Released("a", a.ID, noAttempt, CauseNormal, nil) }
-	firstReply := func(s *site, _ SetUp) { s.pings[0](true) }
+	answered := func(s *fixture, a SetUp) { s.answerAttempt("a", a) }
+	replied := func(s *fixture, _ SetUp) { s.completePings(true) }
+	connectionEnds := func(s *fixture, _ SetUp) { s.completePings(false) }
+	again := func(s *fixture, a SetUp) { s.core.Released("a", a.ID, noAttempt, CauseNormal, nil) }
+	firstReply := func(s *fixture, _ SetUp) { s.pings[0](true) }
 	for name, test := range map[string]struct {
-		steps         []func(s *site, a SetUp)
-		overs         int
+		steps         []func(s *fixture, a SetUp)
+		terminations  int
 		releases      int
-		within, after time.Duration // of the end that is told
+		within, after time.Duration // of the delivery of the end
 	}{
-		"a reply, then the answer":                               {[]func(*site, SetUp){replied, answered}, 0, 0, 0, 0},
-		"the answer, then a reply":                               {[]func(*site, SetUp){answered, replied}, 0, 0, 0, 0},
-		"the answer, then the end of its connection":             {[]func(*site, SetUp){answered, connectionEnds}, 1, 1, 10 * time.Millisecond, 0},
-		"the answer alone":                                       {[]func(*site, SetUp){answered}, 1, 1, time.Second, repliedWithin / 2},
-		"another end, and a reply to the first probe":            {[]func(*site, SetUp){again, firstReply, answered}, 1, 1, time.Second, 0},
-		"another end, and replies to both":                       {[]func(*site, SetUp){again, replied, answered}, 0, 0, 0, 0},
-		"its own end behind the answer":                          {[]func(*site, SetUp){answered, again, replied}, 1, 0, 10 * time.Millisecond, 0},
-		"the end of its connection, and no answer ahead of that": {[]func(*site, SetUp){connectionEnds}, 0, 0, 0, 0},
+		"a reply, then the answer":                             {[]func(*fixture, SetUp){replied, answered}, 0, 0, 0, 0},
+		"the answer, then a reply":                             {[]func(*fixture, SetUp){answered, replied}, 0, 0, 0, 0},
+		"the answer, then the end of its connection":           {[]func(*fixture, SetUp){answered, connectionEnds}, 1, 1, 10 * time.Millisecond, 0},
+		"the answer alone":                                     {[]func(*fixture, SetUp){answered}, 1, 1, time.Second, replyTimeout / 2},
+		"another end, and a reply to the first probe":          {[]func(*fixture, SetUp){again, firstReply, answered}, 1, 1, time.Second, 0},
+		"another end, and replies to both":                     {[]func(*fixture, SetUp){again, replied, answered}, 0, 0, 0, 0},
+		"its own end after the answer":                         {[]func(*fixture, SetUp){answered, again, replied}, 1, 0, 10 * time.Millisecond, 0},
+		"the end of its connection, and no answer before that": {[]func(*fixture, SetUp){connectionEnds}, 0, 0, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				s := ambiguousSite(t, test.steps...)
-				begun := time.Now()
-				var toldAt time.Time
-				s.core.Loop().After(guard, func() { begun = time.Now() })
-				var look func()
-				look = func() {
-					if s.overs[overtakenID] > 0 && toldAt.IsZero() {
-						toldAt = time.Now()
+				s := newAmbiguousFixture(t, test.steps...)
+				started := time.Now()
+				var deliveredAt time.Time
+				s.core.Loop().After(guard, func() { started = time.Now() })
+				var poll func()
+				poll = func() {
+					if s.terminations[callID] > 0 && deliveredAt.IsZero() {
+						deliveredAt = time.Now()
 					}
-					s.core.Loop().After(time.Millisecond, look)
+					s.core.Loop().After(time.Millisecond, poll)
 				}
-				look()
+				poll()
 				s.run(2 * time.Second)
-				if s.overs[overtakenID] != test.overs || s.releases != test.releases || s.finals[overtakenID] != 0 {
-					t.Errorf("%d ends, %d releases, %d final answers; want %d, %d, 0", s.overs[overtakenID], s.releases, s.finals[overtakenID], test.overs, test.releases)
+				if s.terminations[callID] != test.terminations || s.releases != test.releases || s.rejections[callID] != 0 {
+					t.Errorf("%d ends, %d releases, %d final answers; want %d, %d, 0", s.terminations[callID], s.releases,
+						s.rejections[callID], test.terminations, test.releases)
 				}
-				if told := toldAt.Sub(begun); test.overs > 0 && (told > test.within+10*time.Millisecond || told < test.after) {
-					t.Errorf("the end is told after %v, want %v to %v", told, test.after, test.within)
+				if delay := deliveredAt.Sub(started); test.terminations > 0 && (delay > test.within+10*time.Millisecond || delay < test.after) {
+					t.Errorf("the end is delivered after %v, want %v to %v", delay, test.after, test.within)
 				}
 			})
 		})
 	}
 }
 
-// TestAnAmbiguousEndWhereAnEarlierAttemptIsKnownToHaveStood guards against a call that is cut, as nothing comes on its connection, by the end of an
-// earlier attempt whose answer came late.
-func TestAnAmbiguousEndWhereAnEarlierAttemptIsKnownToHaveStood(t *testing.T) {
+// TestAmbiguousEndAfterLateAnswerOfEarlierAttempt guards against an established call that is terminated by the end of
+// an earlier attempt whose answer arrived late, when nothing arrives on the call's own connection.
+func TestAmbiguousEndAfterLateAnswerOfEarlierAttempt(t *testing.T) {
 	t.Parallel()
-	for name, beside := range map[string]bool{"before the next attempt": false, "beside the next attempt": true} {
+	for name, duringNext := range map[string]bool{"before the next attempt": false, "during the next attempt": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				s := newSite(t)
+				s := newFixture(t)
 				late := func(a SetUp) { s.core.Answered("a", a.ID, 0, "late") }
-				s.react = func(server control.ServerID, a SetUp) {
+				s.onSetUp = func(server control.ServerID, a SetUp) {
 					switch {
 					case a.Attempt == 0:
-						s.core.Loop().After(time.Millisecond, func() { s.ended(server, a, control.Reset) })
-						if !beside {
+						s.core.Loop().After(time.Millisecond, func() { s.endAttempt(server, a, control.Reset) })
+						if !duringNext {
 							s.core.Loop().After(2*time.Millisecond, func() { late(a) })
 						}
 						return
-					case beside:
+					case duringNext:
 						late(a)
 					}
 					s.core.Released(server, a.ID, noAttempt, CauseNormal, nil)
-					s.answered(server, a)
+					s.answerAttempt(server, a)
 				}
 				s.core.Loop().Post(func() {
-					s.list(control.Active, "a")
-					_ = s.core.Offer(Request{ID: overtakenID, Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s, Description: "x"})
+					s.updateList(control.Active, "a")
+					_ = s.core.Offer(Request{ID: callID, Class: "c", Deadline: time.Now().Add(time.Minute), Caller: s, Description: "x"})
 				})
 				s.run(2 * time.Second)
-				if s.setUps != 2 || s.answers[overtakenID] != 1 || s.overs[overtakenID] != 0 || len(s.pings) != 1 {
-					t.Errorf("%d set-ups, %d answers, %d ends, %d probes; want 2, 1, 0, 1", s.setUps, s.answers[overtakenID], s.overs[overtakenID], len(s.pings))
+				if s.setUps != 2 || s.answers[callID] != 1 || s.terminations[callID] != 0 || len(s.pings) != 1 {
+					t.Errorf("%d set-ups, %d answers, %d ends, %d probes; want 2, 1, 0, 1", s.setUps, s.answers[callID], s.terminations[callID], len(s.pings))
 				}
-				s.pinged(false)
-				if s.overs[overtakenID] != 0 {
-					t.Error("the end is told as the connection ends much later")
+				s.completePings(false)
+				if s.terminations[callID] != 0 {
+					t.Error("the end is delivered when the connection ends much later")
 				}
 			})
 		})
 	}
 }
 
-// TestAnAmbiguousEndIsForgottenWithItsAttempt guards against an end of an earlier attempt that ends the call as it stands by a later one.
-func TestAnAmbiguousEndIsForgottenWithItsAttempt(t *testing.T) {
+// TestAmbiguousEndIsDroppedWithItsAttempt guards against the end of an earlier attempt that terminates the call once a
+// later attempt has established it.
+func TestAmbiguousEndIsDroppedWithItsAttempt(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := ambiguousSite(t, func(s *site, a SetUp) { s.ended("a", a, control.Reset) })
-		react := s.react
-		s.react = func(server control.ServerID, a SetUp) {
-			if react(server, a); a.Attempt == 2 {
-				s.answered(server, a)
+		s := newAmbiguousFixture(t, func(s *fixture, a SetUp) { s.endAttempt("a", a, control.Reset) })
+		onSetUp := s.onSetUp
+		s.onSetUp = func(server control.ServerID, a SetUp) {
+			if onSetUp(server, a); a.Attempt == 2 {
+				s.answerAttempt(server, a)
 			}
 		}
 		s.run(3 * time.Second)
-		if s.setUps != 3 || s.answers[overtakenID] != 1 || s.overs[overtakenID] != 0 {
-			t.Errorf("%d set-ups, %d answers, %d ends; want 3, 1, 0", s.setUps, s.answers[overtakenID], s.overs[overtakenID])
+		if s.setUps != 3 || s.answers[callID] != 1 || s.terminations[callID] != 0 {
+			t.Errorf("%d set-ups, %d answers, %d ends; want 3, 1, 0", s.setUps, s.answers[callID], s.terminations[callID])
 		}
 	})
 }
--- a/internal/call/drain.go
+++ b/internal/call/drain.go
@@ -5,52 +5,54 @@
 	"time"
 )
 
-// How a controller serves out what it has taken, and ends.
+// This file implements draining: a controller answers the set-ups that it has accepted, and stops.
 
-// Drain serves out what was taken and then ends the loop.
+// Drain answers the accepted set-ups and then stops the event loop.
 func (c *Core) Drain() {
-	if !c.draining.IsZero() {
-		c.byItself = false // now it is asked for
+	if !c.drainingSince.IsZero() {
+		c.drainsForSuccessor = false // now it is requested from outside
 		return
 	}
-	c.draining = time.Now()
-	since := c.draining
-	c.log.Info("draining", "open", c.owed)
-	c.loop.After(lateArrivals+time.Millisecond, func() {}) // a turn in which to leave
-	c.loop.After(c.endsWithin(), func() {
-		if !c.draining.Equal(since) {
-			return // it serves again
+	c.drainingSince = time.Now()
+	since := c.drainingSince
+	c.log.Info("draining", "open", c.pendingCount)
+	c.loop.After(lateArrivalWindow+time.Millisecond, func() {}) // an iteration in which quitWhenDrained runs
+	c.loop.After(c.drainTimeout(), func() {
+		if !c.drainingSince.Equal(since) {
+			return // draining was called off
 		}
-		for _, id := range c.allOpen() {
+		for _, id := range c.pendingIDs() {
 			k := c.calls[id]
-			c.abandon(k)
-			c.final(k, End{Cause: CauseCongestion, Reason: ReasonDraining, HoldOff: c.holdOff()})
+			c.cancelCall(k)
+			c.rejectCall(k, End{Cause: CauseCongestion, Reason: ReasonDraining, HoldOff: c.holdOff()})
 		}
 	})
 }
 
-// endsWithin is how long after SIGTERM everything is answered, in reserve before the SIGKILL that may follow.
-func (c *Core) endsWithin() time.Duration {
+// drainTimeout returns how long after SIGTERM the last pending calls are answered: killMargin before a SIGKILL that may
+// follow.
+func (c *Core) drainTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range c.decisions.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	most := killMost
+	maxDeadline := killMaxDeadline
 	if c.Superseded() {
-		most = killMostSuperseded
+		maxDeadline = killMaxDeadlineSuperseded
 	}
-	return min(longest, most) + killAfter - inReserve
+	return min(longest, maxDeadline) + killGrace - killMargin
 }
 
-// quiet reports whether callers have sent nothing that is not taken in yet.
-func (c *Core) quiet() bool {
+// frontsIdle reports whether no front has unread input or undelivered output.
+func (c *Core) frontsIdle() bool {
 	return !slices.ContainsFunc(c.fronts, func(f Front) bool { return !f.Idle() })
 }
 
-func (c *Core) allOpen() []string {
+// pendingIDs returns the sorted ids of all pending calls.
+func (c *Core) pendingIDs() []string {
 	var ids []string
 	for id, k := range c.calls {
-		if k.state == open {
+		if k.state == pending {
 			ids = append(ids, id)
 		}
 	}
@@ -58,14 +60,15 @@
 	return ids
 }
 
-// leave ends the loop of a controller that drains once nothing is owed, nothing new can arrive, and what has arrived is taken in: a
-// set-up may have come in time and lie unread, if this process had to wait for its core. The end of a call may wait for its caller to connect.
-func (c *Core) leave() {
-	if c.draining.IsZero() || c.left || c.owed > 0 {
+// quitWhenDrained stops the event loop of a draining controller once no call is pending, no set-up can arrive any more,
+// and the fronts are idle: if the process got no CPU time, a set-up that arrived in time may still be unread, and the
+// end of a call may still wait for its caller to connect.
+func (c *Core) quitWhenDrained() {
+	if c.drainingSince.IsZero() || c.quitting || c.pendingCount > 0 {
 		return
 	}
-	if since := time.Since(c.draining); since > lateArrivals && !c.keepsCallers() && (c.quiet() || since > c.endsWithin()) {
-		c.left = true
+	if since := time.Since(c.drainingSince); since > lateArrivalWindow && !c.hasOpenConnections() && (c.frontsIdle() || since > c.drainTimeout()) {
+		c.quitting = true
 		c.log.Info("served out")
 		c.loop.Quit()
 	}
--- a/internal/call/loop_test.go
+++ b/internal/call/loop_test.go
@@ -7,47 +7,48 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestWhatIsUnreadAfterAPause: a pause makes a timer overdue, and a word that came meanwhile is known to lie unread for longer than what is
-// merely hoped for is waited for. It is taken in first; one that never comes is not waited for beyond a bound.
-func TestWhatIsUnreadAfterAPause(t *testing.T) {
-	const looks = 30 // of a millisecond at least, beyond catchUpMost
+// TestUnreadInputIsProcessedBeforeOverdueTimers checks that input that is known to be unread after a pause is processed
+// before the timers that became overdue, with a longer wait than for input that may merely exist; and that this wait is
+// bounded.
+func TestUnreadInputIsProcessedBeforeOverdueTimers(t *testing.T) {
+	const wantPolls = 30 // of at least a millisecond each, beyond catchUpTimeout
 	for name, test := range map[string]struct {
-		comes bool
-		early bool // the pause falls into what was posted, before the timers of the same round
-		want  []string
+		arrives      bool
+		duringPosted bool // the pause occurs in a posted function, before the timers of the same iteration
+		want         []string
 	}{
-		"it comes":                       {true, false, []string{"word", "timer"}},
-		"it never comes":                 {false, false, []string{"timer"}},
-		"it comes, the pause in a round": {true, true, []string{"word", "timer"}},
+		"it arrives":                            {true, false, []string{"input", "timer"}},
+		"it never arrives":                      {false, false, []string{"timer"}},
+		"it arrives, the pause in an iteration": {true, true, []string{"input", "timer"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l := NewLoop()
 			var order []string
-			looked := 0
+			polls := 0
 			l.AddIdleCheck(func() bool {
-				if looked++; looked == looks && test.comes {
-					l.Post(func() { order = append(order, "word") })
+				if polls++; polls == wantPolls && test.arrives {
+					l.Post(func() { order = append(order, "input") })
 				}
-				return looked >= looks && test.comes
+				return polls >= wantPolls && test.arrives
 			})
-			var begun time.Time
+			var started time.Time
 			l.Post(func() {
-				begun = time.Now()
-				if !test.early {
-					l.After(0, func() { time.Sleep(2 * overdue) }) // the pause
+				started = time.Now()
+				if !test.duringPosted {
+					l.After(0, func() { time.Sleep(2 * pauseThreshold) }) // the pause
 				}
-				l.After(overdue/4, func() { order = append(order, "timer"); l.Quit() })
-				if test.early {
-					time.Sleep(2 * overdue)
+				l.After(pauseThreshold/4, func() { order = append(order, "timer"); l.Quit() })
+				if test.duringPosted {
+					time.Sleep(2 * pauseThreshold)
 				}
 			})
 			l.Run()
 			if diff := cmp.Diff(test.want, order); diff != "" {
 				t.Errorf("the order after a pause (-want +got):\n%s", diff)
 			}
-			if took := time.Since(begun); !test.comes && took < 2*overdue+catchUpKnown {
-				t.Errorf("it was not waited for: %v", took)
+			if took := time.Since(started); !test.arrives && took < 2*pauseThreshold+catchUpUnreadTimeout {
+				t.Errorf("the loop waited for %v only", took)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/call/metrics.go
@@ -0,0 +1,71 @@
+package call
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	dto "github.com/prometheus/client_model/go"
+)
+
+// registerClasses adds all classes of the settings to the metrics, starting at zero.
+func (c *Core) registerClasses() {
+	for _, class := range c.decisions.Classes {
+		c.metrics.Class(class.Name)
+	}
+}
+
+// reject sends a caller the final answer to a set-up that is not established, and counts it. Classes that callers name
+// are only counted if they are in the settings, as the number of other names is unlimited.
+func (c *Core) reject(r *Request, end End) {
+	if c.metrics.Has(r.Class) {
+		switch class := c.metrics.Class(r.Class); end.Cause {
+		case CauseNoCircuit, CauseCongestion, CauseFacility:
+			class.Refused++
+		default:
+			class.Failed++
+		}
+	}
+	r.Caller.End(r.ID, end)
+}
+
+// Reject answers an invalid set-up. If its id is that of another call of the same connection that is not terminated,
+// the answer to that call serves for both.
+func (c *Core) Reject(r Request) {
+	if old := c.calls[r.ID]; old == nil || old.state == terminated || old.Caller != r.Caller {
+		c.reject(&r, BadRequest)
+	}
+}
+
+// SetUpWritten counts a set-up that has been written to a dispatcher completely.
+func (c *Core) SetUpWritten() { c.metrics.Attempts++ }
+
+// AddMetrics appends the metrics of another component to those of the core.
+func (c *Core) AddMetrics(source func() []*dto.MetricFamily) {
+	c.metricSources = append(c.metricSources, source)
+}
+
+// Telemetry returns all metrics as text.
+func (c *Core) Telemetry() (string, error) {
+	f := &c.metrics
+	f.InFlight = c.pendingCount
+	for _, n := range c.establishedByCaller {
+		f.InFlight += n
+	}
+	f.Known, f.Excluded = len(c.serverStatus), 0
+	for _, id := range slices.Sorted(maps.Keys(c.serverStatus)) {
+		if c.module.Avoids(c.now(), id) {
+			f.Excluded++
+		}
+	}
+	var more []*dto.MetricFamily
+	for _, source := range c.metricSources {
+		more = append(more, source()...)
+	}
+	text, err := f.Text(more...)
+	if err != nil {
+		return "", fmt.Errorf("telemetry after %v: %w", time.Since(c.startedAt), err)
+	}
+	return text, nil
+}
--- a/internal/call/recover.go
+++ b/internal/call/recover.go
@@ -16,348 +16,361 @@
 	"cherryrelay/internal/telemetry"
 )
 
-// lost stands in for a caller whose connection is gone and who may come back for its calls. What it is owed waits with them.
-type lost struct{ heir }
+// orphanCaller is the Caller of calls whose connection was lost and which may be resumed. Their ends are kept until
+// then.
+type orphanCaller struct{ unknownCaller }
 
-// RecoveryStatus is what became of the calls that an earlier process left, for operators.
+// RecoveryStatus is the result of the recovery of the previous process's calls, for operators.
 type RecoveryStatus struct {
-	Actions      map[string]int `json:"acts"`    // calls, by what was done with them
-	Reasons      map[string]int `json:"why"`     // and why
-	Cut          int            `json:"cut"`     // calls that stood, and were cut once the list had come
-	Waiting      int            `json:"waiting"` // open ones whose callers have not come yet
-	Resumed      int            `json:"claimed"` // given to callers that came back, since the start
-	Unknown      int            `json:"unknown"` // claims of calls that are not known
-	Unexpected   int            `json:"strays"`  // events that did not fit
-	TookUs       int64          `json:"took_us"`
-	Damage       []string       `json:"damage,omitempty"`
-	NotPersisted string         `json:"not_kept,omitempty"` // why the state of calls is not kept now
+	Actions      map[string]int `json:"acts"`               // number of calls by action
+	Reasons      map[string]int `json:"why"`                // number of calls by reason of the action
+	Cut          int            `json:"cut"`                // established calls that were cut after the list was received
+	Waiting      int            `json:"waiting"`            // pending calls whose callers have not resumed them yet
+	Resumed      int            `json:"claimed"`            // calls resumed since the start
+	Unknown      int            `json:"unknown"`            // resume requests for unknown calls
+	Unexpected   int            `json:"strays"`             // events that did not fit the state of their calls
+	TookUs       int64          `json:"took_us"`            // duration of the recovery, in µs
+	Damage       []string       `json:"damage,omitempty"`   // damage found in the ledger
+	NotPersisted string         `json:"not_kept,omitempty"` // why the state of calls is not persisted now
 }
 
-// Recover takes up the calls that an earlier process left. It comes before callers are served.
+// Recover restores the calls of the previous process. It must be called before callers are served.
 func (c *Core) Recover(b *recovery.CallTable, damage []string) {
-	from := time.Now()
+	start := time.Now()
 	c.recovered.Actions, c.recovered.Reasons = map[string]int{}, map[string]int{}
 	c.recovered.Unexpected, c.recovered.Damage = b.UnexpectedEvents(), damage
 	rules := recovery.Rules{Guard: c.decisions.ReleaseGuard, MaxAttempts: c.decisions.MaxAttempts}
 	for _, d := range b.Plan(c.now(), rules) {
-		if k := c.calls[d.ID]; k != nil { // a predecessor has handed it over, without what its caller can claim it with
-			if k.state == stands && d.State == recovery.StateEstablished && k.Token == nil {
-				k.Token, k.answer, k.place = d.Token, d.Answer, d.Call
+		if k := c.calls[d.ID]; k != nil { // handed over by a predecessor, without the token needed to resume it
+			if k.state == established && d.State == recovery.StateEstablished && k.Token == nil {
+				k.Token, k.answer, k.restored = d.Token, d.Answer, d.Call
 			}
 			continue
 		}
 		c.recover(d)
 	}
-	slices.SortStableFunc(c.ended, func(a, b *record) int { return a.overAt.Compare(b.overAt) }) // forgotten in this order
-	c.recovered.TookUs += time.Since(from).Microseconds()
+	// Calls are dropped after their retention period in this order.
+	slices.SortStableFunc(c.recentlyTerminated, func(a, b *record) int { return a.terminatedAt.Compare(b.terminatedAt) })
+	c.recovered.TookUs += time.Since(start).Microseconds()
 	if n := len(c.calls); n > 0 {
-		c.log.Info("calls of an earlier process", "acts", fmt.Sprint(c.recovered.Actions), "strays", b.UnexpectedEvents(), "damage", len(damage))
+		c.log.Info("calls of the previous process", "acts", fmt.Sprint(c.recovered.Actions), "strays", b.UnexpectedEvents(), "damage", len(damage))
 	}
 	for _, text := range damage {
 		c.log.Error("the state of calls is damaged", "damage", text)
 	}
-	c.checkRecovered()
+	c.verifyRecovered()
 }
 
+// recover restores a call of another process by the decision on it.
 func (c *Core) recover(d recovery.Decision) {
 	now := time.Now()
 	k := &record{
-		Request: Request{ID: d.ID, Class: d.Class, Called: d.Called, FirstCell: d.FirstCell, Redial: d.Redial, Caller: c.lost, Token: d.Token},
-		server:  control.ServerID(d.Server), attempts: d.Attempts, sentAt: now.Add(d.LastEventAt - c.now()), place: d.Call,
+		Request: Request{ID: d.ID, Class: d.Class, Called: d.Called, FirstCell: d.FirstCell, Redial: d.Redial, Caller: c.orphanCaller, Token: d.Token},
+		server:  control.ServerID(d.Server), attempts: d.Attempts, sentAt: now.Add(d.LastEventAt - c.now()), restored: d.Call,
 	}
-	act := d.Action
-	// What is repeated must do no harm if it ran.
-	if act == recovery.AwaitResume && !c.mayRepeat(c.class(d.Class), d.Attempts) {
-		act, d.Why = recovery.FailCall, "it may not be repeated"
+	action := d.Action
+	// A call that may be set up again must not cause harm if an earlier attempt ran.
+	if action == recovery.AwaitResume && !c.mayRepeat(c.classIndex(d.Class), d.Attempts) {
+		action, d.Why = recovery.FailCall, "it may not be repeated"
 	}
-	c.recovered.Actions[act.String()]++
+	c.recovered.Actions[action.String()]++
 	c.recovered.Reasons[d.Why]++
-	endlog.Call(c.log, endlog.Recovered, d.ID, endlog.Server(d.Server), slog.String("act", act.String()))
+	endlog.Call(c.log, endlog.Recovered, d.ID, endlog.Server(d.Server), slog.String("act", action.String()))
 	c.calls[d.ID] = k
 	if d.MustRelease {
-		c.releases = append(c.releases, k)
+		c.pendingReleases = append(c.pendingReleases, k)
 	}
-	switch act {
+	switch action {
 	case recovery.AwaitResume:
-		k.Description, k.Deadline, k.notBefore, k.parked = d.Description, now.Add(d.TimeLeft), d.NotBefore, true
-		c.owe(k)
-		c.limit(k)
-		c.giveUpAfter(k, d.ResumeDeadline-c.now())
+		k.Description, k.Deadline, k.notBefore, k.awaitsResume = d.Description, now.Add(d.TimeLeft), d.NotBefore, true
+		c.addPending(k)
+		c.startDeadlineTimer(k)
+		c.cancelUnlessResumed(k, d.ResumeDeadline-c.now())
 	case recovery.AdoptCall:
-		k.state, k.answer = stands, d.Answer
-		c.standing[k.Caller]++
-		c.unchecked = append(c.unchecked, k)
+		k.state, k.answer = established, d.Answer
+		c.establishedByCaller[k.Caller]++
+		c.unverified = append(c.unverified, k)
 		if d.ResumeDeadline > 0 {
-			c.claimWithin(k, d.ResumeDeadline-c.now())
+			c.releaseUnlessResumed(k, d.ResumeDeadline-c.now())
 		}
 	case recovery.NotifyCaller:
-		c.recall(k, k.sentAt, End{Cause: d.Cause, Reason: Reason(d.Reason), HoldOff: d.HoldOff})
-		c.lost.NotifyTerminated(k.ID, k.end)
+		c.recordEnd(k, k.sentAt, End{Cause: d.Cause, Reason: Reason(d.Reason), HoldOff: d.HoldOff})
+		c.orphanCaller.NotifyTerminated(k.ID, k.end)
 	case recovery.RepeatOutcome:
-		c.recall(k, k.sentAt, End{Cause: d.Cause, Reason: Reason(d.Reason), HoldOff: d.HoldOff})
+		c.recordEnd(k, k.sentAt, End{Cause: d.Cause, Reason: Reason(d.Reason), HoldOff: d.HoldOff})
 	case recovery.FailCall:
 		reason := ReasonFailed
 		if d.TimeLeft <= 0 {
 			reason = ReasonDeadline
 		}
-		c.recall(k, now, End{Cause: CauseTemporary, Reason: reason})
+		c.recordEnd(k, now, End{Cause: CauseTemporary, Reason: reason})
 	case recovery.ReleaseCall:
 		if d.State == recovery.StateEstablished {
-			c.recall(k, now, End{Cause: CauseTemporary, Reason: ReasonCut})
-			c.lost.NotifyTerminated(k.ID, k.end)
+			c.recordEnd(k, now, End{Cause: CauseTemporary, Reason: ReasonCut})
+			c.orphanCaller.NotifyTerminated(k.ID, k.end)
 			break
 		}
-		c.recall(k, now, End{Cause: CauseTemporary, Reason: ReasonFailed})
+		c.recordEnd(k, now, End{Cause: CauseTemporary, Reason: ReasonFailed})
 	}
 }
 
-// recall notes how and when a call ended, for who asks.
-func (c *Core) recall(k *record, at time.Time, end End) {
-	k.state, k.Caller, k.end, k.overAt, k.place = over, nil, end, at, nil
-	c.ended = append(c.ended, k)
+// recordEnd records how and when a call ended, for a caller that resumes it.
+func (c *Core) recordEnd(k *record, at time.Time, end End) {
+	k.state, k.Caller, k.end, k.terminatedAt, k.restored = terminated, nil, end, at, nil
+	c.recentlyTerminated = append(c.recentlyTerminated, k)
 }
 
-// checkRecovered holds what stood against the list, once there is one, and releases what may stand where it must not.
-func (c *Core) checkRecovered() {
-	if !c.listed {
+// verifyRecovered checks recovered established calls against the list once there is one, and releases calls that must
+// not be established.
+func (c *Core) verifyRecovered() {
+	if !c.listReceived {
 		return
 	}
-	for _, k := range c.releases {
-		c.selection.reach(k.server)
-		c.dispatchers.Release("", k.ID, CauseNormal) // wherever it may stand: the last that is known of it may not be all
+	for _, k := range c.pendingReleases {
+		c.selection.includeForRelease(k.server)
+		c.dispatchers.Release("", k.ID, CauseNormal) // at all dispatchers: the last known one may not be the only one
 	}
-	c.releases = nil
-	unchecked := c.unchecked
-	c.unchecked = nil
-	for _, k := range unchecked {
-		if k.state != stands || k.place == nil {
+	c.pendingReleases = nil
+	unverified := c.unverified
+	c.unverified = nil
+	for _, k := range unverified {
+		if k.state != established || k.restored == nil {
 			continue
 		}
-		at, listed := c.place(k.server)
-		if ok, why := k.place.MayStillBeEstablished(recovery.ListEntry{Address: at.Address, Started: at.StartedAt, Listed: listed}); !ok {
-			c.log.Info("call of an earlier process is cut", "id", k.ID, "server", k.server, "why", why)
+		entry, listed := c.listedServer(k.server)
+		if ok, why := k.restored.MayStillBeEstablished(recovery.ListEntry{Address: entry.Address, Started: entry.StartedAt, Listed: listed}); !ok {
+			c.log.Info("call of the previous process is cut", "id", k.ID, "server", k.server, "why", why)
 			c.recovered.Cut++
-			c.finish(k, CauseTemporary, nil)
+			c.terminate(k, CauseTemporary, nil)
 			continue
 		}
-		c.selection.keep(k.server)
+		c.selection.retain(k.server)
 	}
 }
 
-// giveUpAfter gives an open call up unless its caller comes.
-func (c *Core) giveUpAfter(k *record, d time.Duration) {
-	c.unlessClaimed(k, d, open, CauseNormal, func() { k.end = End{Cause: CauseTemporary, Reason: ReasonFailed} }) // for one who comes later still
+// cancelUnlessResumed cancels a pending call unless its caller resumes it in time.
+func (c *Core) cancelUnlessResumed(k *record, d time.Duration) {
+	// The end is the answer to a later resume request.
+	c.unlessResumed(k, d, pending, CauseNormal, func() { k.end = End{Cause: CauseTemporary, Reason: ReasonFailed} })
 }
 
-// claimWithin releases a call that stands unless its caller, who may not know that it does, comes for it.
-func (c *Core) claimWithin(k *record, d time.Duration) {
-	c.unlessClaimed(k, d, stands, CauseTemporary, func() {})
+// releaseUnlessResumed releases an established call, whose caller may not know of it, unless the caller resumes it in
+// time.
+func (c *Core) releaseUnlessResumed(k *record, d time.Duration) {
+	c.unlessResumed(k, d, established, CauseTemporary, func() {})
 }
 
-// unlessClaimed gives a call up that is still in the state, and still without its caller, after a time.
-func (c *Core) unlessClaimed(k *record, d time.Duration, s state, cause int, then func()) {
-	c.loop.Stop(k.orphan)
-	k.orphan = c.loop.After(d, func() {
-		if k.state == s && k.Caller == c.lost {
-			c.log.Info("nobody came back for a call", "id", k.ID, "stood", s == stands)
-			c.CallerReleased(c.lost, k.ID, cause)
+// unlessResumed ends a call with the cause if it is still in the state s and has not been resumed after d, and then runs
+// then.
+func (c *Core) unlessResumed(k *record, d time.Duration, s state, cause int, then func()) {
+	c.loop.Stop(k.orphanTimer)
+	k.orphanTimer = c.loop.After(d, func() {
+		if k.state == s && k.Caller == c.orphanCaller {
+			c.log.Info("call was not resumed", "id", k.ID, "stood", s == established)
+			c.CallerReleased(c.orphanCaller, k.ID, cause)
 			then()
 		}
 	})
 }
 
-// lose keeps an open call whose connection has closed for its caller to come back.
-func (c *Core) lose(k *record) {
-	c.move(k, c.lost)
-	c.giveUpAfter(k, min(recovery.PendingResumeTimeout, time.Until(k.Deadline)))
+// orphan keeps a pending call whose connection has closed, so that its caller can resume it.
+func (c *Core) orphan(k *record) {
+	c.assignCaller(k, c.orphanCaller)
+	c.cancelUnlessResumed(k, min(recovery.PendingResumeTimeout, time.Until(k.Deadline)))
 }
 
-// move gives a call to another caller.
-func (c *Core) move(k *record, to Caller) {
-	c.loop.Stop(k.orphan)
+// assignCaller assigns a call to another caller.
+func (c *Core) assignCaller(k *record, to Caller) {
+	c.loop.Stop(k.orphanTimer)
 	switch k.state {
-	case open:
-		c.settle(k)
+	case pending:
+		c.removePending(k)
 		k.Caller = to
-		c.owe(k)
-	case stands:
-		if c.standing[k.Caller]--; c.standing[k.Caller] == 0 {
-			delete(c.standing, k.Caller)
+		c.addPending(k)
+	case established:
+		if c.establishedByCaller[k.Caller]--; c.establishedByCaller[k.Caller] == 0 {
+			delete(c.establishedByCaller, k.Caller)
 		}
 		k.Caller = to
-		c.standing[to]++
+		c.establishedByCaller[to]++
 	}
 }
 
-// ResumeRequest is a caller's word that a call of another connection is its own.
+// ResumeRequest is a caller's request to resume a call that was set up on another connection.
 type ResumeRequest struct {
 	Caller    Caller
 	ID, Token string
-	Answered  bool
-	Deadline  time.Time // when its caller gives an open call up; zero if it does not say so
+	Answered  bool      // the caller already has the answer
+	Deadline  time.Time // when the caller stops waiting for a pending call; zero if not stated
 }
 
-// maxClaims bounds claims that wait for a predecessor to end: as many as its callers can have had.
-const maxClaims = 16 << 10
+// maxWaitingResumes bounds the resume requests that wait for a predecessor to end: as many as its callers can have had
+// calls.
+const maxWaitingResumes = 16 << 10
 
-// ErrTooManyResumes ends a connection whose claims cannot even wait. What it claims can be claimed again.
-var ErrTooManyResumes = errors.New("too many calls are resumed at once")
+// ErrTooManyResumes is returned for a resume request that cannot be queued; its connection must be closed. The call can
+// be resumed later.
+var ErrTooManyResumes = errors.New("too many resume requests are waiting")
 
-// ResumeCall is a caller's word that a call is its own, on whatever connection it has now. It gets what it is owed: the final
-// answer if there is one, the one to come if not, and the end of a call that stands. An error calls for the end of its
-// connection.
-func (c *Core) ResumeCall(claim ResumeRequest) error {
+// ResumeCall assigns a call to the caller's current connection. The caller gets the final answer, now or as soon as
+// there is one, and later the end of an established call. On an error, the connection must be closed.
+func (c *Core) ResumeCall(request ResumeRequest) error {
 	if c.awaitsLedger {
-		if len(c.claims) >= maxClaims {
+		if len(c.waitingResumes) >= maxWaitingResumes {
 			return ErrTooManyResumes
 		}
-		c.claims = append(c.claims, claim)
-		c.unlessFound(claim, func() { c.ledgerTooLate(claim) })
+		c.waitingResumes = append(c.waitingResumes, request)
+		c.onResumeTimeout(request, func() { c.expireLedgerWait(request) })
 		return nil
 	}
-	caller, id, token, answered := claim.Caller, claim.ID, claim.Token, claim.Answered
+	caller, id, token, answered := request.Caller, request.ID, request.Token, request.Answered
 	k := c.calls[id]
-	if (k == nil || k.moving) && c.want(claim) {
+	if (k == nil || k.transferring) && c.lookUp(request) {
 		return nil
 	}
 	if k == nil || !recovery.TokenMatches(token, k.Token) {
-		c.unknown(caller, id, token, k == nil)
+		c.rejectUnknown(caller, id, token, k == nil)
 		return nil
 	}
 	c.recovered.Resumed++
-	k.claimedAt = time.Now()
+	k.resumedAt = time.Now()
 	endlog.Call(c.log, endlog.CameBack, id, endlog.Server(k.server), slog.String(endlog.StateKey, k.state.String()))
 	switch {
-	case k.state == over:
-		if k.told != caller { // on the same connection it had its answer
-			k.told = caller
+	case k.state == terminated:
+		if k.answeredTo != caller { // on the same connection it already has its answer
+			k.answeredTo = caller
 			caller.End(id, k.end)
 		}
-	case k.state == stands:
+	case k.state == established:
 		if k.Caller != caller {
-			c.move(k, caller)
+			c.assignCaller(k, caller)
 		}
 		if answered {
-			k.told = caller
+			k.answeredTo = caller
 		}
-		if k.told != caller {
-			k.told = caller
+		if k.answeredTo != caller {
+			k.answeredTo = caller
 			if err := caller.Answer(id, k.answer); err != nil {
 				return fmt.Errorf("resumed call %s: %w", id, err)
 			}
 		}
 	case answered:
-		// Its caller has an answer that is not known here: what was kept of it is not all, and it can't be trusted.
-		c.log.Error("a caller has the answer to a call that is open here", "id", id)
-		c.move(k, caller)
-		c.abandon(k)
+		// The caller has an answer that is not known here: the persisted state of the call is incomplete, and can't be
+		// trusted.
+		c.log.Error("caller has the answer to a call that is pending here", "id", id)
+		c.assignCaller(k, caller)
+		c.cancelCall(k)
 		c.dispatchers.Release("", id, CauseNormal)
-		c.final(k, End{Cause: CauseTemporary, Reason: ReasonCut})
+		c.rejectCall(k, End{Cause: CauseTemporary, Reason: ReasonCut})
 	default:
 		if k.Caller != caller {
-			c.move(k, caller)
+			c.assignCaller(k, caller)
 		}
-		c.shorten(k, claim.Deadline)
-		if k.parked {
-			k.parked = false
-			class := c.class(k.Class)
-			if class < 0 { // other settings came meanwhile, without it: the module would never hear of the call
-				c.final(k, End{Cause: CauseTemporary, Reason: ReasonFailed})
+		c.shortenDeadline(k, request.Deadline)
+		if k.awaitsResume {
+			k.awaitsResume = false
+			class := c.classIndex(k.Class)
+			if class < 0 { // the class was removed from the settings meanwhile: the module would not accept the call
+				c.rejectCall(k, End{Cause: CauseTemporary, Reason: ReasonFailed})
 				break
 			}
-			c.offer(k, class)
+			c.offerToModule(k, class)
 		}
 	}
 	return nil
 }
 
-// shorten has an open call answered by the time at which its caller gives up, if that is earlier than was known: the set-up may have waited
-// unread before its time was noted.
-func (c *Core) shorten(k *record, by time.Time) {
-	if by.IsZero() || !by.Before(k.Deadline) {
+// shortenDeadline moves the deadline of a pending call to the time at which its caller stops waiting, if that is
+// earlier than was known: the set-up may have been unread for some time before its deadline was computed.
+func (c *Core) shortenDeadline(k *record, deadline time.Time) {
+	if deadline.IsZero() || !deadline.Before(k.Deadline) {
 		return
 	}
-	k.Deadline = by
-	c.loop.Stop(k.limit)
-	c.limit(k)
+	k.Deadline = deadline
+	c.loop.Stop(k.deadlineTimer)
+	c.startDeadlineTimer(k)
 }
 
-// unlessFound has tooLate run before the caller of a claim gives up, if it says when that is.
-func (c *Core) unlessFound(claim ResumeRequest, tooLate func()) {
-	if !claim.Answered && !claim.Deadline.IsZero() {
-		c.loop.After(max(time.Until(claim.Deadline)-early, 0), tooLate)
+// onResumeTimeout runs f before the sender of a resume request stops waiting, if the request states that time.
+func (c *Core) onResumeTimeout(request ResumeRequest, f func()) {
+	if !request.Answered && !request.Deadline.IsZero() {
+		c.loop.After(max(time.Until(request.Deadline)-answerMargin, 0), f)
 	}
 }
 
-// ledgerTooLate tells a caller whose time is over that nothing is known of its call, as a predecessor has the ledger still.
-func (c *Core) ledgerTooLate(claim ResumeRequest) {
-	i := slices.Index(c.claims, claim)
+// expireLedgerWait rejects a resume request shortly before its deadline, because a predecessor still has the ledger and
+// so nothing is known of the call.
+func (c *Core) expireLedgerWait(request ResumeRequest) {
+	i := slices.Index(c.waitingResumes, request)
 	if i < 0 {
 		return
 	}
-	c.claims = slices.Delete(c.claims, i, i+1)
-	c.unknown(claim.Caller, claim.ID, claim.Token, false)
+	c.waitingResumes = slices.Delete(c.waitingResumes, i, i+1)
+	c.rejectUnknown(request.Caller, request.ID, request.Token, false)
 }
 
-// unknown tells a caller that nothing is known of a call. With cut, nobody else can have it either.
-func (c *Core) unknown(caller Caller, id, token string, cut bool) {
+// rejectUnknown rejects a resume request for an unknown call; noHolder means that no other process can hold the call
+// either.
+func (c *Core) rejectUnknown(caller Caller, id, token string, noHolder bool) {
 	c.recovered.Unknown++
-	if cut && ValidID(id) {
-		// Nothing is known of it, so nobody will ever be told of it: it must not stand anywhere.
+	if noHolder && ValidID(id) {
+		// The call is unknown, so nobody will be notified of its end: it must not stay established anywhere.
 		c.dispatchers.Release("", id, CauseNormal)
-		c.knowOver(id)
+		c.recordTerminated(id)
 		c.calls[id].Token, c.calls[id].end = recovery.HashToken(token), End{Cause: CauseTemporary, Reason: ReasonUnknown}
 	}
 	caller.End(id, End{Cause: CauseTemporary, Reason: ReasonUnknown})
 }
 
-// AwaitLedger has claims wait until the calls of a predecessor are known, which has the ledger until it ends. New calls are taken
-// meanwhile, as one of the two must; they are kept from then on.
+// AwaitLedger queues resume requests until the calls of a predecessor are known, which has the ledger until it ends.
+// New calls are accepted meanwhile, as one of the two processes must; they are persisted from then on.
 func (c *Core) AwaitLedger() { c.awaitsLedger = true }
 
-// LedgerAvailable ends AwaitLedger.
+// LedgerAvailable serves the queued resume requests, after AwaitLedger.
 func (c *Core) LedgerAvailable() {
 	if !c.awaitsLedger {
 		return
 	}
 	c.awaitsLedger = false
-	claims := c.claims
-	c.claims = nil
-	for _, claim := range claims {
-		if err := c.ResumeCall(claim); err != nil {
-			c.log.Error("claim that cannot be served", "id", claim.ID, "err", err)
+	requests := c.waitingResumes
+	c.waitingResumes = nil
+	for _, request := range requests {
+		if err := c.ResumeCall(request); err != nil {
+			c.log.Error("resume request failed", "id", request.ID, "err", err)
 		}
 	}
 }
 
-// RecoveryStatus is what became of the calls of an earlier process.
+// RecoveryStatus returns the status of the recovery of the previous process's calls.
 func (c *Core) RecoveryStatus() RecoveryStatus {
 	r := c.recovered
 	for _, k := range c.calls {
-		if k.parked && k.state == open {
+		if k.awaitsResume && k.state == pending {
 			r.Waiting++
 		}
 	}
-	if c.durable != nil {
-		r.NotPersisted = c.durable.why
+	if c.ledgerWriter != nil {
+		r.NotPersisted = c.ledgerWriter.lastError
 	}
 	return r
 }
 
-// RecoveryMetrics are as much in figures.
+// RecoveryMetrics returns the status of the recovery as metrics.
 func (c *Core) RecoveryMetrics() []*dto.MetricFamily {
 	counts := map[string]uint64{}
-	for _, act := range slices.Sorted(maps.Keys(c.recovered.Actions)) {
-		counts[act] = uint64(c.recovered.Actions[act])
+	for _, action := range slices.Sorted(maps.Keys(c.recovered.Actions)) {
+		counts[action] = uint64(c.recovered.Actions[action])
 	}
 	if len(counts) == 0 {
 		counts["none"] = 0
 	}
 	return []*dto.MetricFamily{
-		telemetry.Counters("recovered_total", "Calls of an earlier process, by what was done with them.", "act", counts),
-		telemetry.Counter("recovered_cut_total", "Calls of an earlier process that stood where they can't stand any more.", uint64(c.recovered.Cut)),
-		telemetry.Counter("resumed_total", "Calls given to callers that came back.", uint64(c.recovered.Resumed)),
-		telemetry.Counter("resumed_unknown_total", "Calls that callers came back for and that are not known.", uint64(c.recovered.Unknown)),
-		telemetry.Gauge("recovery_seconds", "Time that taking them up took.", float64(c.recovered.TookUs)/1e6),
+		telemetry.Counters("recovered_total", "Calls of the previous process, by recovery action.", "act", counts),
+		telemetry.Counter("recovered_cut_total", "Established calls of the previous process that were cut after the list was received.",
+			uint64(c.recovered.Cut)),
+		telemetry.Counter("resumed_total", "Calls that were resumed by their callers.", uint64(c.recovered.Resumed)),
+		telemetry.Counter("resumed_unknown_total", "Resume requests for unknown calls.", uint64(c.recovered.Unknown)),
+		telemetry.Gauge("recovery_seconds", "Duration of the recovery of the previous process's calls.",
+			float64(c.recovered.TookUs)/1e6),
 	}
 }
--- a/internal/call/recover_test.go
+++ b/internal/call/recover_test.go
@@ -12,129 +12,132 @@
 	"cherryrelay/internal/decide/recovery"
 )
 
-// stage is a core that takes up calls, with one front and dispatchers that note what they are told.
-type stage struct {
-	mute
-	core *Core
-	said []string
+// recorder is a front, a caller and the dispatchers of a core that recovers calls. It records what it receives.
+type recorder struct {
+	stubDispatchers
+	core     *Core
+	messages []string
 }
 
-func (s *stage) say(format string, args ...any) {
-	s.said = append(s.said, fmt.Sprintf(format, args...))
+func (r *recorder) add(format string, args ...any) {
+	r.messages = append(r.messages, fmt.Sprintf(format, args...))
 }
-func (s *stage) Idle() bool                                   { return true }
-func (s *stage) Connections() int                             { return 1 }
-func (s *stage) Answer(id, d string) error                    { s.say("answer %s %s", id, d); return nil }
-func (s *stage) End(id string, e End)                         { s.say("end %s %d %s", id, e.Cause, e.Reason) }
-func (s *stage) Disconnected() bool                           { return false }
-func (s *stage) NotifyTerminated(id string, e End)            { s.say("over %s %d %s", id, e.Cause, e.Reason) }
-func (s *stage) SetUp(server control.ServerID, a SetUp)       { s.say("set-up %s", a.ID) }
-func (s *stage) Release(_ control.ServerID, id string, _ int) { s.say("dispatchers release %s", id) }
+func (r *recorder) Idle() bool                { return true }
+func (r *recorder) Connections() int          { return 1 }
+func (r *recorder) Answer(id, d string) error { r.add("answer %s %s", id, d); return nil }
+func (r *recorder) End(id string, e End)      { r.add("end %s %d %s", id, e.Cause, e.Reason) }
+func (r *recorder) Disconnected() bool        { return false }
+func (r *recorder) NotifyTerminated(id string, e End) {
+	r.add("terminated %s %d %s", id, e.Cause, e.Reason)
+}
+func (r *recorder) SetUp(server control.ServerID, a SetUp)       { r.add("set-up %s", a.ID) }
+func (r *recorder) Release(_ control.ServerID, id string, _ int) { r.add("dispatchers release %s", id) }
 
-// atFront is the way by which ends are told that no connection is known for.
-type atFront struct{ *stage }
+// recordingFront receives the ends of calls whose callers have no known connection.
+type recordingFront struct{ *recorder }
 
-func (f atFront) Release(id string, e End) { f.say("front %s %d %s", id, e.Cause, e.Reason) }
+func (f recordingFront) Release(id string, e End) { f.add("front %s %d %s", id, e.Cause, e.Reason) }
 
 const callToken = "a token of some caller"
 
-// TestTakingUpCalls: what callers and dispatchers are told of each kind of call that was left, at once, when the list comes,
-// and when its caller comes for it.
-func TestTakingUpCalls(t *testing.T) {
+// TestRecoverCalls checks, for each kind of call left by the previous process, the messages to callers and dispatchers:
+// at once, when the list arrives, and when the caller resumes the call.
+func TestRecoverCalls(t *testing.T) {
 	const id = "00000000000000aa"
 	for name, test := range map[string]struct {
 		events         func(now time.Duration) []recovery.Event
 		atOnce, listed []string
-		claimed        []string
-		acts           map[string]int
+		resumed        []string
+		actions        map[string]int
 	}{
-		"open, an attempt out": {
+		"pending, with an attempt in progress": {
 			func(now time.Duration) []recovery.Event {
-				return []recovery.Event{taken(id, now), event(recovery.KindAttemptSent, id, now)}
+				return []recovery.Event{accepted(id, now), event(recovery.KindAttemptSent, id, now)}
 			}, nil, []string{"dispatchers release " + id}, []string{"set-up " + id}, map[string]int{"await": 1}},
-		"stands": {
+		"established": {
 			func(now time.Duration) []recovery.Event {
-				return []recovery.Event{taken(id, now), event(recovery.KindAttemptSent, id, now), event(recovery.KindEstablished, id, now)}
+				return []recovery.Event{accepted(id, now), event(recovery.KindAttemptSent, id, now), event(recovery.KindEstablished, id, now)}
 			}, nil, nil, []string{"answer " + id + " y"}, map[string]int{"adopt": 1}},
-		"stands at one that has gone": {
+		"established at a removed dispatcher": {
 			func(now time.Duration) []recovery.Event {
 				e := event(recovery.KindEstablished, id, now)
 				e.Server = "gone"
-				return []recovery.Event{taken(id, now), event(recovery.KindAttemptSent, id, now), e}
+				return []recovery.Event{accepted(id, now), event(recovery.KindAttemptSent, id, now), e}
 			}, nil, []string{"front " + id + " 41 cut"}, []string{"end " + id + " 41 cut"}, map[string]int{"adopt": 1}},
-		"ended, perhaps not told": {
+		"terminated, notification unconfirmed": {
 			func(now time.Duration) []recovery.Event {
 				e := event(recovery.KindTerminated, id, now)
 				e.Cause, e.Reason = 16, "ended"
-				return []recovery.Event{taken(id, now), event(recovery.KindAttemptSent, id, now), event(recovery.KindEstablished, id, now), e}
+				return []recovery.Event{accepted(id, now), event(recovery.KindAttemptSent, id, now), event(recovery.KindEstablished, id, now), e}
 			}, []string{"front " + id + " 16 ended"}, nil, []string{"end " + id + " 16 ended"}, map[string]int{"tell": 1}},
 		"refused": {
 			func(now time.Duration) []recovery.Event {
 				e := event(recovery.KindRejected, id, now)
 				e.Cause, e.Reason = 42, "refused"
-				return []recovery.Event{taken(id, now), e}
+				return []recovery.Event{accepted(id, now), e}
 			}, nil, nil, []string{"end " + id + " 42 refused"}, map[string]int{"keep": 1}},
-		"out of time": {
+		"expired": {
 			func(now time.Duration) []recovery.Event {
-				return []recovery.Event{taken(id, now-time.Minute), event(recovery.KindAttemptSent, id, now-time.Minute)}
+				return []recovery.Event{accepted(id, now-time.Minute), event(recovery.KindAttemptSent, id, now-time.Minute)}
 			}, nil, []string{"dispatchers release " + id}, []string{"end " + id + " 41 deadline"}, map[string]int{"fail": 1}},
-		"doubtful, and stands": {
+		"doubtful, and established": {
 			func(now time.Duration) []recovery.Event {
 				return []recovery.Event{event(recovery.KindEstablished, id, now)}
 			},
 			[]string{"front " + id + " 41 cut"}, []string{"dispatchers release " + id}, []string{"end " + id + " 41 unknown"}, map[string]int{"cut": 1}},
-		"nothing is known": {
+		"unknown": {
 			func(time.Duration) []recovery.Event { return nil },
 			nil, nil, []string{"dispatchers release " + id, "end " + id + " 41 unknown"}, map[string]int{}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			core := newSite(t).core
-			s := &stage{core: core}
+			core := newFixture(t).core
+			s := &recorder{core: core}
 			core.SetDispatchers(s)
-			core.AddFront(atFront{s})
+			core.AddFront(recordingFront{s})
 			b := recovery.NewCallTable()
 			for _, e := range test.events(core.now()) {
 				b.Apply(e)
 			}
 			expect := func(when string, want []string) {
 				t.Helper()
-				core.turn()
-				if diff := cmp.Diff(want, s.said); diff != "" {
+				core.finishIteration()
+				if diff := cmp.Diff(want, s.messages); diff != "" {
 					t.Errorf("%s (-want +got):\n%s", when, diff)
 				}
-				s.said = nil
+				s.messages = nil
 			}
 			core.Recover(b, nil)
 			expect("at once", test.atOnce)
 			core.Update(Update{Complete: true, Servers: []Server{{ServerEntry: control.ServerEntry{ID: "a"}, Address: "127.0.0.1:1"}}})
-			expect("when the list has come", test.listed)
+			expect("when the list has arrived", test.listed)
 			if err := core.ResumeCall(ResumeRequest{Caller: s, ID: id, Token: callToken}); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(guard + 20*time.Millisecond) // an attempt waits for the guard
-			core.tell(control.Woken{})
-			expect("when its caller comes", test.claimed)
+			core.queueEvent(control.Woken{})
+			expect("when its caller resumes it", test.resumed)
 			if err := core.ResumeCall(ResumeRequest{Caller: s, ID: id, Token: callToken}); err != nil {
 				t.Fatal(err)
 			}
-			if test.acts["fail"]+test.acts["keep"]+test.acts["await"]+test.acts["adopt"] > 0 {
-				expect("when it comes again", nil)
+			if test.actions["fail"]+test.actions["keep"]+test.actions["await"]+test.actions["adopt"] > 0 {
+				expect("when its caller resumes it again", nil)
 			}
-			if diff := cmp.Diff(test.acts, core.RecoveryStatus().Actions); diff != "" {
-				t.Errorf("acts (-want +got):\n%s", diff)
+			if diff := cmp.Diff(test.actions, core.RecoveryStatus().Actions); diff != "" {
+				t.Errorf("actions (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-func taken(id string, at time.Duration) recovery.Event {
+// accepted returns the event of a set-up that was accepted at a time, with a deadline 9 s later.
+func accepted(id string, at time.Duration) recovery.Event {
 	e := event(recovery.KindAccepted, id, at)
 	e.Class, e.Called, e.Description, e.Token = "c", "k", "x", recovery.HashToken(callToken)
 	e.DeadlineUs = (at + 9*time.Second).Microseconds()
 	return e
 }
 
-// event is one of a call that is at dispatcher a.
+// event returns an event of a call at the dispatcher a.
 func event(kind recovery.Kind, id string, at time.Duration) recovery.Event {
 	e := recovery.Event{Kind: kind, ID: id, AtUs: at.Microseconds()}
 	if kind == recovery.KindAttemptSent || kind == recovery.KindEstablished {
@@ -143,16 +146,17 @@
 	return e
 }
 
-// TestNobodyComesBack: an open call is given up, and one that stands, and whose caller may not know, is released.
-func TestNobodyComesBack(t *testing.T) {
-	core := newSite(t).core
-	s := &stage{core: core}
+// TestOrphanedCallsExpire checks that a pending call whose caller does not resume it is cancelled, and that an
+// established one, of which the caller may not know, is released.
+func TestOrphanedCallsExpire(t *testing.T) {
+	core := newFixture(t).core
+	s := &recorder{core: core}
 	core.SetDispatchers(s)
-	core.AddFront(atFront{s})
+	core.AddFront(recordingFront{s})
 	b := recovery.NewCallTable()
 	for n, kind := range []recovery.Kind{recovery.KindAttemptSent, recovery.KindEstablished} {
 		id := fmt.Sprintf("%016x", n+1)
-		b.Apply(taken(id, core.now()))
+		b.Apply(accepted(id, core.now()))
 		b.Apply(event(recovery.KindAttemptSent, id, core.now()))
 		if kind == recovery.KindEstablished {
 			b.Apply(event(kind, id, core.now()))
@@ -165,31 +169,31 @@
 		loop.After(recovery.EstablishedResumeTimeout+200*time.Millisecond, loop.Quit)
 	})
 	loop.Run()
-	// The first is released when the list comes, as whatever was open is; it goes nowhere.
+	// The first call is released when the list arrives, like every pending call; it is not sent anywhere.
 	want := []string{"dispatchers release 0000000000000001", "dispatchers release 0000000000000002"}
-	if diff := cmp.Diff(want, s.said); diff != "" {
-		t.Errorf("(-want +got):\n%s", diff)
+	if diff := cmp.Diff(want, s.messages); diff != "" {
+		t.Errorf("messages (-want +got):\n%s", diff)
 	}
-	if n := core.owed + core.standing[core.lost]; n > 0 {
+	if n := core.pendingCount + core.establishedByCaller[core.orphanCaller]; n > 0 {
 		t.Errorf("%d calls are left", n)
 	}
 }
 
-// TestAClassThatGoesWhileACallWaitsForItsCaller: its caller, as it comes, is answered at once. The module never heard of the call, and it
-// was answered at its limit only.
-func TestAClassThatGoesWhileACallWaitsForItsCaller(t *testing.T) {
+// TestClassRemovedWhileCallAwaitsResume guards against a call that is only answered at its deadline, because its class
+// was removed from the settings before its caller resumed it, and so the module did not know the call.
+func TestClassRemovedWhileCallAwaitsResume(t *testing.T) {
 	const id = "00000000000000aa"
-	site := newSite(t)
-	core := site.core
-	s := &stage{core: core}
+	fix := newFixture(t)
+	core := fix.core
+	s := &recorder{core: core}
 	core.SetDispatchers(s)
-	core.AddFront(atFront{s})
+	core.AddFront(recordingFront{s})
 	b := recovery.NewCallTable()
-	b.Apply(taken(id, core.now()))
+	b.Apply(accepted(id, core.now()))
 	core.Recover(b, nil)
 	core.Update(Update{Complete: true, Servers: []Server{{ServerEntry: control.ServerEntry{ID: "a"}, Address: "127.0.0.1:1"}}})
-	core.turn()
-	other := *site.settings
+	core.finishIteration()
+	other := *fix.settings
 	other.RequestClasses = slices.Clone(other.RequestClasses)
 	other.RequestClasses[0].Name = "another"
 	if err := core.Reconfigure(&other); err != nil {
@@ -198,8 +202,8 @@
 	if err := core.ResumeCall(ResumeRequest{Caller: s, ID: id, Token: callToken}); err != nil {
 		t.Fatal(err)
 	}
-	core.turn()
-	if diff := cmp.Diff([]string{"dispatchers release " + id, "end " + id + " 41 failed"}, s.said); diff != "" {
-		t.Errorf("what its caller is told (-want +got):\n%s", diff)
+	core.finishIteration()
+	if diff := cmp.Diff([]string{"dispatchers release " + id, "end " + id + " 41 failed"}, s.messages); diff != "" {
+		t.Errorf("messages (-want +got):\n%s", diff)
 	}
 }
