--- a/internal/conn/close.go
+++ b/internal/conn/close.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// lingerFor is how long a connection that this side has closed is still read, if its peer does not close it before.
-	lingerFor = 250 * time.Millisecond
-	// lingerLeast is as much where its descriptor is wanted: a peer on the same continent has read the last words by then.
-	lingerLeast = 20 * time.Millisecond
-	// lingerAtExit is as much for all connections at the end of the process.
-	lingerAtExit = 100 * time.Millisecond
-	// discardMost is how many bytes are read and discarded from a peer that goes on writing after the close, or in a flood.
-	discardMost = 8 << 20
+	// lingerTimeout is how long a connection that this side has closed is still read, if its peer does not close it before.
+	lingerTimeout = 250 * time.Millisecond
+	// minLinger is as much where its descriptor is wanted: a peer on the same continent has read the last words by then.
+	minLinger = 20 * time.Millisecond
+	// shutdownLinger is as much for all connections at the end of the process.
+	shutdownLinger = 100 * time.Millisecond
+	// maxDiscarded is how many bytes are read and discarded from a peer that goes on writing after the close, or in a flood.
+	maxDiscarded = 8 << 20
 )
 
 // Releaser is a Handler that counts descriptors: Released comes on the loop once the connection holds none any more, which may be after
@@ -28,18 +28,18 @@
 type Breaker interface{ Broken(reason error) }
 
 // Close ends the connection; the handler is told the reason on this or a later turn of the loop. What is queued goes out as far as the
-// socket takes it. Then this side is closed, and what the peer sends meanwhile is discarded until it closes too, for lingerFor and
-// discardMost bytes: a socket that is closed with bytes unread sends a reset, and a reset has the peer's kernel throw away the last words
+// socket takes it. Then this side is closed, and what the peer sends meanwhile is discarded until it closes too, for lingerTimeout and
+// maxDiscarded bytes: a socket that is closed with bytes unread sends a reset, and a reset has the peer's kernel throw away the last words
 // that its program has not read yet.
 func (c *Conn) Close(reason error) {
-	if !c.told && c.out.Len() > 0 {
+	if !c.closedDelivered && c.out.Len() > 0 {
 		c.commit()
 	}
 	if !c.halfClose(reason) {
 		return
 	}
-	time.AfterFunc(lingerFor, c.cut)
-	c.loop.Post(c.tell)
+	time.AfterFunc(lingerTimeout, c.closeSocket)
+	c.loop.Post(c.deliverClosed)
 }
 
 // Abort ends the connection at once.
@@ -47,14 +47,14 @@
 	c.mu.Lock()
 	first := !c.ended
 	if first {
-		c.reason, c.ended, c.closed, c.discards = reason, true, true, true
+		c.reason, c.ended, c.closedLocally, c.discardInput = reason, true, true, true
 		c.endedAt = time.Now()
 	}
 	c.mu.Unlock()
-	c.freeFill()
-	c.cut()
+	c.unblockFill()
+	c.closeSocket()
 	if first {
-		c.loop.Post(c.tell)
+		c.loop.Post(c.deliverClosed)
 	}
 }
 
@@ -66,43 +66,43 @@
 		return false
 	}
 	if fd, ok := c.nc.(netpoll.Conn); ok {
-		c.writeLast(fd.Fd())
+		c.writeBuffered(fd.Fd())
 		if err := syscall.Shutdown(fd.Fd(), syscall.SHUT_WR); err != nil {
 			slog.Debug("closing this side of a connection", "err", err)
 		}
 	}
-	c.reason, c.ended, c.closed, c.discards, c.closedAt = reason, true, true, true, time.Now()
+	c.reason, c.ended, c.closedLocally, c.discardInput, c.closedAt = reason, true, true, true, time.Now()
 	c.endedAt = c.closedAt
 	c.mu.Unlock()
-	c.freeFill()
+	c.unblockFill()
 	if c.listener != nil {
-		c.listener.lingers(c)
+		c.listener.addLingering(c)
 	}
 	return true
 }
 
-// writeLast writes what is queued as far as the socket takes it.
-func (c *Conn) writeLast(fd int) {
+// writeBuffered writes what is queued as far as the socket takes it.
+func (c *Conn) writeBuffered(fd int) {
 	for c.out.Len() > 0 {
 		first, _ := c.out.Parts()
 		n, err := syscall.Write(fd, first)
 		if err != nil && !errors.Is(err, syscall.EINTR) {
 			return
 		}
-		c.took(max(n, 0))
+		c.onWritten(max(n, 0))
 	}
 }
 
-// freeFill lets a fill go on that waits for the loop.
-func (c *Conn) freeFill() {
+// unblockFill lets a fill go on that waits for the loop.
+func (c *Conn) unblockFill() {
 	select {
-	case c.space <- struct{}{}:
+	case c.spaceFreed <- struct{}{}:
 	default:
 	}
 }
 
-// cut closes the socket.
-func (c *Conn) cut() {
+// closeSocket closes the socket.
+func (c *Conn) closeSocket() {
 	if err := c.nc.Close(); err != nil {
 		slog.Debug("closing a connection", "err", err)
 	}
@@ -122,29 +122,29 @@
 	return c.endedAt
 }
 
-// discarding reports whether what comes is not taken in, and notes how much more that is.
-func (c *Conn) discarding(n int) (discards, tooMuch bool) {
+// countDiscarded reports whether what comes is not taken in, and notes how much more that is.
+func (c *Conn) countDiscarded(n int) (discards, tooMuch bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.discards {
+	if !c.discardInput {
 		return false, false
 	}
-	c.discarded += n
-	return true, c.discarded > discardMost
+	c.bytesDiscarded += n
+	return true, c.bytesDiscarded > maxDiscarded
 }
 
-// flooded has all that comes from now on discarded. The loop takes in what is in the ring, and then closes the connection.
-func (c *Conn) flooded() {
+// discardFlood has all that comes from now on discarded. The loop takes in what is in the ring, and then closes the connection.
+func (c *Conn) discardFlood() {
 	c.mu.Lock()
-	c.discards, c.flood = true, true
+	c.discardInput, c.floodDetected = true, true
 	c.mu.Unlock()
-	c.notify()
+	c.postInput()
 }
 
-// breakFlood closes a connection of which bytes were discarded, once the handler has taken in all that came before them.
-func (c *Conn) breakFlood() {
+// closeIfFlooded closes a connection of which bytes were discarded, once the handler has taken in all that came before them.
+func (c *Conn) closeIfFlooded() {
 	c.mu.Lock()
-	flood := c.flood && !c.ended
+	flood := c.floodDetected && !c.ended
 	c.mu.Unlock()
 	if !flood {
 		return
@@ -155,10 +155,10 @@
 	c.Close(ErrFlood)
 }
 
-// released tells that the connection holds no descriptor any more.
-func (c *Conn) released() {
+// onSocketClosed tells that the connection holds no descriptor any more.
+func (c *Conn) onSocketClosed() {
 	if c.listener != nil {
-		c.listener.ended(c)
+		c.listener.removeConn(c)
 	}
 	c.loop.Post(func() {
 		if h, ok := c.handler.(Releaser); ok {
--- a/internal/conn/close_test.go
+++ b/internal/conn/close_test.go
@@ -14,33 +14,33 @@
 	"cherryrelay/internal/ring"
 )
 
-// answering is a handler that answers the first bytes and closes its connection.
-type answering struct {
-	conn *Conn
-	ends chan<- error
+// answeringHandler is a handler that answers the first bytes and closes its connection.
+type answeringHandler struct {
+	conn   *Conn
+	closed chan<- error
 }
 
-const lastWords = "the answer"
+const closingMessage = "the answer"
 
 var errAnswered = errors.New("answered")
 
-func (a answering) Data(in *ring.Buffer, _ time.Time) error {
+func (a answeringHandler) Data(in *ring.Buffer, _ time.Time) error {
 	in.Discard(in.Len())
-	a.conn.Write([]byte(lastWords))
+	a.conn.Write([]byte(closingMessage))
 	return errAnswered
 }
-func (a answering) Closed(reason error) { a.ends <- reason }
+func (a answeringHandler) Closed(reason error) { a.closed <- reason }
 
-// listens serves a listener whose connections are answered and closed.
-func listens(t *testing.T, most int) (*Listener, chan error) {
+// startAnsweringListener serves a listener whose connections are answered and closed.
+func startAnsweringListener(t *testing.T, most int) (*Listener, chan error) {
 	t.Helper()
-	posts, ends := make(loop, 1024), make(chan error, 1024)
+	posts, ends := make(fakeLoop, 1024), make(chan error, 1024)
 	go func() {
 		for f := range posts {
 			f()
 		}
 	}()
-	l, err := Listen(posts, "127.0.0.1:0", most, func(c *Conn) Handler { return answering{c, ends} })
+	l, err := Listen(posts, "127.0.0.1:0", most, func(c *Conn) Handler { return answeringHandler{c, ends} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,32 +48,32 @@
 	return l, ends
 }
 
-func connects(t *testing.T, l *Listener) *net.TCPConn {
+func dialListener(t *testing.T, l *Listener) *net.TCPConn {
 	t.Helper()
 	c, err := net.Dial("tcp", l.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return c.(*net.TCPConn)
 }
 
-// hasLastWords wants the answer and an end in good order.
-func hasLastWords(t *testing.T, c net.Conn) {
+// expectClosingMessage wants the answer and an end in good order.
+func expectClosingMessage(t *testing.T, c net.Conn) {
 	t.Helper()
-	if text, err := io.ReadAll(c); err != nil || string(text) != lastWords {
+	if text, err := io.ReadAll(c); err != nil || string(text) != closingMessage {
 		t.Errorf("%q, %v: want the last words, and an end without a reset", text, err)
 	}
 }
 
-// TestLastWordsAreReadThoughMoreComes: a socket that is closed with bytes unread sends a reset, and what its peer has not read by then is
+// TestClosingMessageSurvivesLateInput: a socket that is closed with bytes unread sends a reset, and what its peer has not read by then is
 // lost. So what still comes after the close is read and discarded.
-func TestLastWordsAreReadThoughMoreComes(t *testing.T) {
-	l, ends := listens(t, 0)
-	c := connects(t, l)
+func TestClosingMessageSurvivesLateInput(t *testing.T) {
+	l, ends := startAnsweringListener(t, 0)
+	c := dialListener(t, l)
 	if _, err := c.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
@@ -83,11 +83,11 @@
 	if _, err := c.Write([]byte(strings.Repeat("more", 64<<10))); err != nil { // behind the close
 		t.Fatal(err)
 	}
-	hasLastWords(t, c)
+	expectClosingMessage(t, c)
 }
 
-// held waits until the listener's connections hold so many descriptors.
-func held(t *testing.T, l *Listener, n int, within time.Duration) {
+// waitForSocketCount waits until the listener's connections hold so many descriptors.
+func waitForSocketCount(t *testing.T, l *Listener, n int, within time.Duration) {
 	t.Helper()
 	for begun := time.Now(); l.Held() != n; time.Sleep(time.Millisecond) {
 		if time.Since(begun) > within {
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestACloseIsBounded: a peer that does not close, or that goes on writing, holds its descriptor for a moment only.
-func TestACloseIsBounded(t *testing.T) {
+// TestCloseIsBounded: a peer that does not close, or that goes on writing, holds its descriptor for a moment only.
+func TestCloseIsBounded(t *testing.T) {
 	for name, goOn := range map[string]func(*net.TCPConn){
 		"silent": func(*net.TCPConn) {},
 		"writes": func(c *net.TCPConn) {
@@ -109,57 +109,57 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, _ := listens(t, 0)
-			c := connects(t, l)
+			l, _ := startAnsweringListener(t, 0)
+			c := dialListener(t, l)
 			if _, err := c.Write([]byte("x")); err != nil {
 				t.Fatal(err)
 			}
-			hasLastWords(t, c)
-			held(t, l, 1, patience)
+			expectClosingMessage(t, c)
+			waitForSocketCount(t, l, 1, testTimeout)
 			go goOn(c)
-			held(t, l, 0, patience)
+			waitForSocketCount(t, l, 0, testTimeout)
 		})
 	}
 }
 
-// TestBeyondTheBoundAConnectionWaits: it isn't closed, and is accepted as soon as another has ended, or one that this side has closed has
+// TestConnectionBeyondLimitWaits: it isn't closed, and is accepted as soon as another has ended, or one that this side has closed has
 // had its moment.
-func TestBeyondTheBoundAConnectionWaits(t *testing.T) {
-	l, _ := listens(t, 1)
-	first, second := connects(t, l), connects(t, l)
-	held(t, l, 1, patience)
+func TestConnectionBeyondLimitWaits(t *testing.T) {
+	l, _ := startAnsweringListener(t, 1)
+	first, second := dialListener(t, l), dialListener(t, l)
+	waitForSocketCount(t, l, 1, testTimeout)
 	for _, c := range []net.Conn{first, second} {
 		if _, err := c.Write([]byte("x")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	hasLastWords(t, first)
-	hasLastWords(t, second) // the first one's peer has not closed its side
+	expectClosingMessage(t, first)
+	expectClosingMessage(t, second) // the first one's peer has not closed its side
 }
 
-// TestLastWordsAtTheEndOfTheListener: what is queued as the listener ends is read, though the peer goes on writing.
-func TestLastWordsAtTheEndOfTheListener(t *testing.T) {
-	posts, up := make(loop, 1024), make(chan *Conn, 1)
-	l, err := Listen(posts, "127.0.0.1:0", 0, func(c *Conn) Handler { up <- c; return make(ended, 1) })
+// TestShutdownSendsClosingMessage: what is queued as the listener ends is read, though the peer goes on writing.
+func TestShutdownSendsClosingMessage(t *testing.T) {
+	posts, up := make(fakeLoop, 1024), make(chan *Conn, 1)
+	l, err := Listen(posts, "127.0.0.1:0", 0, func(c *Conn) Handler { up <- c; return make(closedRecorder, 1) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	peer := connects(t, l)
+	peer := dialListener(t, l)
 	(<-posts)()
 	c := <-up
-	c.Write([]byte(lastWords)) // the loop has ended by now, and does not flush it
+	c.Write([]byte(closingMessage)) // the loop has ended by now, and does not flush it
 	done := make(chan error, 1)
 	go func() { done <- l.Shutdown() }()
 	_, _ = peer.Write([]byte(strings.Repeat("more", 16<<10)))
-	hasLastWords(t, peer)
+	expectClosingMessage(t, peer)
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 }
 
-// TestAllTakenKnowsOfBytesBetween: bytes that the kernel has received, and that are neither in its socket any more nor with the loop, are known.
+// TestInputHeldByPollerIsReported: bytes that the kernel has received, and that are neither in its socket any more nor with the loop, are known.
 // On a busy machine netpoll's poller had read a set-up and waited for its core for 0.1 s, and the connection was closed as quiet.
-func TestAllTakenKnowsOfBytesBetween(t *testing.T) {
+func TestInputHeldByPollerIsReported(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -180,7 +180,7 @@
 	}
 	defer file.Close()
 	fd := int(file.Fd())
-	c := wrap(make(loop, 16), heldBack{fd: fd, rest: netpoll.NewLinkBuffer()})
+	c := newConn(make(fakeLoop, 16), stubPolledConnection{fd: fd, reader: netpoll.NewLinkBuffer()})
 	if !c.AllTaken() || !c.Quiet() {
 		t.Error("not all is taken before anything has come")
 	}
@@ -197,18 +197,18 @@
 	if c.AllTaken() {
 		t.Error("all is taken, though the ring has had nothing")
 	}
-	c.tookIn(len("set-up"))
+	c.countRead(len("set-up"))
 	if !c.AllTaken() {
 		t.Error("not all is taken once the ring has it")
 	}
 }
 
-// heldBack is a connection of netpoll's whose poller has read bytes and shows none.
-type heldBack struct {
+// stubPolledConnection is a connection of netpoll's whose poller has read bytes and shows none.
+type stubPolledConnection struct {
 	netpoll.Connection
-	fd   int
-	rest netpoll.Reader
+	fd     int
+	reader netpoll.Reader
 }
 
-func (h heldBack) Reader() netpoll.Reader { return h.rest }
-func (h heldBack) Fd() int                { return h.fd }
+func (h stubPolledConnection) Reader() netpoll.Reader { return h.reader }
+func (h stubPolledConnection) Fd() int                { return h.fd }
--- a/internal/conn/close_write_test.go
+++ b/internal/conn/close_write_test.go
@@ -12,22 +12,22 @@
 	"cherryrelay/internal/ring"
 )
 
-// listening is a handler that counts the bytes that came, and tells the reason of the end.
-type listening struct {
-	bytes int
-	end   chan error
+// byteCounter is a handler that counts the bytes that came, and tells the reason of the end.
+type byteCounter struct {
+	bytes  int
+	closed chan error
 }
 
-func (l *listening) Data(in *ring.Buffer, _ time.Time) error {
+func (l *byteCounter) Data(in *ring.Buffer, _ time.Time) error {
 	l.bytes += in.Len()
 	in.Discard(in.Len())
 	return nil
 }
 
-func (l *listening) Closed(reason error) { l.end <- reason }
+func (l *byteCounter) Closed(reason error) { l.closed <- reason }
 
-// TestAResetAfterThisSideHasFinished guards against a reset that counts as an end in good order, as this side had ended its part before.
-func TestAResetAfterThisSideHasFinished(t *testing.T) {
+// TestResetAfterCloseWrite guards against a reset that counts as an end in good order, as this side had ended its part before.
+func TestResetAfterCloseWrite(t *testing.T) {
 	for name, test := range map[string]struct {
 		last  string // that the peer says before it leaves
 		leave func(*net.TCPConn) error
@@ -45,15 +45,15 @@
 				t.Fatal(err)
 			}
 			defer ln.Close()
-			posts, up, heard := make(loop, 1024), make(chan *Conn, 1), &listening{end: make(chan error, 1)}
-			Dial(posts, ln.Addr().String(), patience, func(c *Conn) Handler { up <- c; return heard }, func(error) {})
+			posts, up, heard := make(fakeLoop, 1024), make(chan *Conn, 1), &byteCounter{closed: make(chan error, 1)}
+			Dial(posts, ln.Addr().String(), testTimeout, func(c *Conn) Handler { up <- c; return heard }, func(error) {})
 			peer, err := ln.AcceptTCP()
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer peer.Close()
 			(<-posts)()
-			(<-up).Finish(patience)
+			(<-up).Finish(testTimeout)
 			if _, err := peer.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // this side's close has come
 				t.Fatalf("reading: %v, want %v", err, io.EOF)
 			}
@@ -66,31 +66,31 @@
 			if err := test.leave(peer); err != nil {
 				t.Fatal(err)
 			}
-			for len(heard.end) == 0 {
+			for len(heard.closed) == 0 {
 				(<-posts)()
 			}
-			if reason := <-heard.end; !errors.Is(reason, io.EOF) || errors.Is(reason, ErrReset) != test.reset {
+			if reason := <-heard.closed; !errors.Is(reason, io.EOF) || errors.Is(reason, ErrReset) != test.reset {
 				t.Errorf("ended with %v; a reset: %v", reason, test.reset)
 			}
 		})
 	}
 }
 
-// closing is a connection of netpoll's that keeps the callback for its close.
-type closing struct {
-	unread
-	closes netpoll.CloseCallback
+// stubClosingConnection is a connection of netpoll's that keeps the callback for its close.
+type stubClosingConnection struct {
+	stubConnection
+	onClose netpoll.CloseCallback
 }
 
-func (c *closing) IsActive() bool                       { return true }
-func (c *closing) SetOnRequest(netpoll.OnRequest) error { return nil }
-func (c *closing) AddCloseCallback(closes netpoll.CloseCallback) error {
-	c.closes = closes
+func (c *stubClosingConnection) IsActive() bool                       { return true }
+func (c *stubClosingConnection) SetOnRequest(netpoll.OnRequest) error { return nil }
+func (c *stubClosingConnection) AddCloseCallback(closes netpoll.CloseCallback) error {
+	c.onClose = closes
 	return nil
 }
 
-// TestTheRestComesAheadOfTheEnd guards against bytes that are lost as netpoll tells of a close, and of what came before it not at all.
-func TestTheRestComesAheadOfTheEnd(t *testing.T) {
+// TestRemainingInputIsDeliveredBeforeClosed guards against bytes that are lost as netpoll tells of a close, and of what came before it not at all.
+func TestRemainingInputIsDeliveredBeforeClosed(t *testing.T) {
 	buffer := netpoll.NewLinkBuffer()
 	if _, err := buffer.WriteString("last"); err != nil {
 		t.Fatal(err)
@@ -98,14 +98,14 @@
 	if err := buffer.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	posts, heard := make(loop, 16), make(hearing, 16)
-	nc := &closing{unread: unread{rest: buffer}}
-	c := wrap(posts, nc)
+	posts, heard := make(fakeLoop, 16), make(inputRecorder, 16)
+	nc := &stubClosingConnection{stubConnection: stubConnection{reader: buffer}}
+	c := newConn(posts, nc)
 	c.handler = heard
 	if err := c.start(); err != nil {
 		t.Fatal(err)
 	}
-	if err := nc.closes(nc); err != nil {
+	if err := nc.onClose(nc); err != nil {
 		t.Fatal(err)
 	}
 	for len(posts) > 0 {
@@ -116,16 +116,16 @@
 	}
 }
 
-// TestFinishEndsThisSideAlone guards against words that are not sent before this side ends, an end that the peer is not told of, and a connection
+// TestCloseWriteClosesOnlyThisSide guards against words that are not sent before this side ends, an end that the peer is not told of, and a connection
 // that stays for ever as its peer never closes.
-func TestFinishEndsThisSideAlone(t *testing.T) {
+func TestCloseWriteClosesOnlyThisSide(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	posts, up, heard := make(loop, 1024), make(chan *Conn, 1), &listening{end: make(chan error, 1)}
-	Dial(posts, ln.Addr().String(), patience, func(c *Conn) Handler { up <- c; return heard }, func(error) {})
+	posts, up, heard := make(fakeLoop, 1024), make(chan *Conn, 1), &byteCounter{closed: make(chan error, 1)}
+	Dial(posts, ln.Addr().String(), testTimeout, func(c *Conn) Handler { up <- c; return heard }, func(error) {})
 	peer, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -135,7 +135,7 @@
 	c := <-up
 	c.Write([]byte("last"))
 	c.Finish(50 * time.Millisecond)
-	if err := peer.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	if err := peer.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	text := make([]byte, 8)
@@ -143,8 +143,8 @@
 	if string(text[:n]) != "last" || !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("%q came, and %v; want what was written, and the end", text[:n], err)
 	}
-	deadline := time.After(patience)
-	for len(heard.end) == 0 {
+	deadline := time.After(testTimeout)
+	for len(heard.closed) == 0 {
 		select {
 		case f := <-posts:
 			f()
@@ -152,7 +152,7 @@
 			t.Fatal("it stays open")
 		}
 	}
-	if reason := <-heard.end; !errors.Is(reason, ErrClosedHere) {
+	if reason := <-heard.closed; !errors.Is(reason, ErrClosedHere) {
 		t.Errorf("ended with %v, want %v", reason, ErrClosedHere)
 	}
 }
--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -21,19 +21,19 @@
 )
 
 const (
-	// inSize holds the largest message (16 KiB) and the next one's beginning.
-	inSize = 32 << 10
-	// outSize is what a peer that reads slowly may leave unread before it is dropped.
-	outSize = 64 << 10
-	// maxBacklog is what may have come beyond the ring.
-	maxBacklog = 64 << 10
-	// kernelSize bounds what the kernel takes in for a socket ahead of us, twice the largest message: netpoll reads all
+	// inboundCapacity holds the largest message (16 KiB) and the next one's beginning.
+	inboundCapacity = 32 << 10
+	// outboundCapacity is what a peer that reads slowly may leave unread before it is dropped.
+	outboundCapacity = 64 << 10
+	// maxReadAhead is what may have come beyond the ring.
+	maxReadAhead = 64 << 10
+	// receiveBufferSize bounds what the kernel takes in for a socket ahead of us, twice the largest message: netpoll reads all
 	// that is there at once into buffers that grow to as much.
-	kernelSize = 32 << 10
-	// netpollSize is the first buffer that netpoll keeps for each connection.
-	netpollSize = 2 << 10
-	// retryAfter is the pause before a full socket is tried again.
-	retryAfter = 5 * time.Millisecond
+	receiveBufferSize = 32 << 10
+	// netpollBufferSize is the first buffer that netpoll keeps for each connection.
+	netpollBufferSize = 2 << 10
+	// writeRetryDelay is the pause before a full socket is tried again.
+	writeRetryDelay = 5 * time.Millisecond
 )
 
 // ErrSlowReader closes a connection whose peer leaves too much unread.
@@ -51,7 +51,7 @@
 func init() {
 	// One poller. Its callbacks must run on netpoll's pool, not on the poller itself: a connection that is closed
 	// during a callback there waits for the poller for ever, and every other connection with it.
-	if err := netpoll.Configure(netpoll.Config{PollerNum: 1, BufferSize: netpollSize, LoggerOutput: netpollLog{}}); err != nil {
+	if err := netpoll.Configure(netpoll.Config{PollerNum: 1, BufferSize: netpollBufferSize, LoggerOutput: netpollLog{}}); err != nil {
 		panic(err)
 	}
 }
@@ -85,37 +85,37 @@
 	handler Handler
 	in, out *ring.Buffer
 
-	listener *Listener // that accepted it; nil if it was dialled
-	remote   net.Addr  // of one that was accepted
-	arrived  time.Time // when the first bytes came, if they waited in the kernel
-
-	mu       sync.Mutex // guards the fields below, and the socket against a write after its close
-	posted   bool
-	moves    bool      // what came is being put into the ring
-	sought   bool      // Unread has seen bytes that the loop was not told of yet
-	at       time.Time // arrival of the oldest bytes that the loop has not looked at
-	ended    bool      // netpoll closes or has closed the socket
-	closed   bool      // this side did
-	finished bool      // this side has ended its part, and reads on
-	reason   error
-	space    chan struct{}
+	listener     *Listener // that accepted it; nil if it was dialled
+	remote       net.Addr  // of one that was accepted
+	firstArrival time.Time // when the first bytes came, if they waited in the kernel
+
+	mu             sync.Mutex // guards the fields below, and the socket against a write after its close
+	inputPosted    bool
+	filling        bool      // what came is being put into the ring
+	unreadReported bool      // Unread has seen bytes that the loop was not told of yet
+	inputSince     time.Time // arrival of the oldest bytes that the loop has not looked at
+	ended          bool      // netpoll closes or has closed the socket
+	closedLocally  bool      // this side did
+	writeClosed    bool      // this side has ended its part, and reads on
+	reason         error
+	spaceFreed     chan struct{}
 	// What comes after the close, or in a flood, is discarded.
-	discards  bool
-	flood     bool // discarded since before the close
-	discarded int
-	taken     uint64    // bytes that were put into the ring, or discarded
-	closedAt  time.Time // when this side was closed
-	endedAt   time.Time // when either was
+	discardInput   bool
+	floodDetected  bool // discarded since before the close
+	bytesDiscarded int
+	bytesRead      uint64    // bytes that were put into the ring, or discarded
+	closedAt       time.Time // when this side was closed
+	endedAt        time.Time // when either was
 	// The rest is the event loop's.
-	retries      bool
-	told         bool
-	queued, left uint64 // bytes that were put into the outbound ring, and that the socket has taken
-	marks        []mark
-	tickets      Ticket
+	retryScheduled            bool
+	closedDelivered           bool
+	bytesQueued, bytesWritten uint64 // bytes that were put into the outbound ring, and that the socket has taken
+	writeCallbacks            []writeCallback
+	lastTicket                Ticket
 }
 
-func wrap(loop Poster, nc netpoll.Connection) *Conn {
-	return &Conn{loop: loop, nc: nc, in: ring.New(inSize), out: ring.New(outSize), space: make(chan struct{}, 1)}
+func newConn(loop Poster, nc netpoll.Connection) *Conn {
+	return &Conn{loop: loop, nc: nc, in: ring.New(inboundCapacity), out: ring.New(outboundCapacity), spaceFreed: make(chan struct{}, 1)}
 }
 
 // Finish ends this side of the connection and goes on reading: what the peer has sent, or sends before it closes too, still
@@ -124,7 +124,7 @@
 func (c *Conn) Finish(within time.Duration) {
 	c.Flush()
 	c.mu.Lock()
-	c.finished = true
+	c.writeClosed = true
 	if fd, ok := c.nc.(netpoll.Conn); ok && !c.ended {
 		if err := syscall.Shutdown(fd.Fd(), syscall.SHUT_WR); err != nil {
 			slog.Debug("finishing a connection", "err", err)
@@ -132,7 +132,7 @@
 	}
 	c.mu.Unlock()
 	c.out.Discard(c.out.Len())
-	c.marks = nil
+	c.writeCallbacks = nil
 	time.AfterFunc(within, func() { c.loop.Post(func() { c.Abort(ErrClosedHere) }) })
 }
 
--- a/internal/conn/conn_test.go
+++ b/internal/conn/conn_test.go
@@ -15,20 +15,20 @@
 	"cherryrelay/internal/ring"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// loop runs what is posted, one at a time.
-type loop chan func()
+// fakeLoop runs what is posted, one at a time.
+type fakeLoop chan func()
 
-func (l loop) Post(f func()) { l <- f }
+func (l fakeLoop) Post(f func()) { l <- f }
 
-// ended is a handler that tells of the end.
-type ended chan error
+// closedRecorder is a handler that tells of the end.
+type closedRecorder chan error
 
-func (e ended) Data(in *ring.Buffer, _ time.Time) error { in.Discard(in.Len()); return nil }
-func (e ended) Closed(reason error)                     { e <- reason }
+func (e closedRecorder) Data(in *ring.Buffer, _ time.Time) error { in.Discard(in.Len()); return nil }
+func (e closedRecorder) Closed(reason error)                     { e <- reason }
 
-func descriptors(t *testing.T) int {
+func countDescriptors(t *testing.T) int {
 	t.Helper()
 	open, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
@@ -37,9 +37,9 @@
 	return len(open)
 }
 
-// TestConnectionsThatAreResetWhenNewLeaveNothing: one that closes before its callbacks are known to netpoll is closed by
+// TestResetOfNewConnectionLeaksNoDescriptor: one that closes before its callbacks are known to netpoll is closed by
 // nobody, and its descriptor was kept for good.
-func TestConnectionsThatAreResetWhenNewLeaveNothing(t *testing.T) {
+func TestResetOfNewConnectionLeaksNoDescriptor(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 			_ = nc.Close()
 		}
 	}()
-	posts := make(loop, 1024)
+	posts := make(fakeLoop, 1024)
 	go func() {
 		for f := range posts {
 			f()
@@ -65,46 +65,46 @@
 	}()
 	dial := func() {
 		t.Helper()
-		end := make(ended, 2)
-		Dial(posts, ln.Addr().String(), patience, func(*Conn) Handler { return end }, func(err error) {
+		end := make(closedRecorder, 2)
+		Dial(posts, ln.Addr().String(), testTimeout, func(*Conn) Handler { return end }, func(err error) {
 			if err != nil {
 				end <- errors.New("no connection")
 			}
 		})
 		select {
 		case <-end:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("a connection that was reset never ends")
 		}
 	}
 	dial() // netpoll has its own by now
-	before := descriptors(t)
+	before := countDescriptors(t)
 	const times = 1000
 	for range times {
 		dial()
 	}
 	for begin := time.Now(); ; time.Sleep(10 * time.Millisecond) {
-		kept := descriptors(t) - before
+		kept := countDescriptors(t) - before
 		if kept <= 0 {
 			return
 		}
-		if time.Since(begin) > patience/4 {
+		if time.Since(begin) > testTimeout/4 {
 			t.Fatalf("%d descriptors are kept of %d connections", kept, times)
 		}
 	}
 }
 
-// TestWhatHasComeIsNotQuiet: a connection that seemed idle was closed with a set-up on its way to the loop.
-func TestWhatHasComeIsNotQuiet(t *testing.T) {
+// TestPendingInputIsReported: a connection that seemed idle was closed with a set-up on its way to the loop.
+func TestPendingInputIsReported(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	posts := make(loop, 16)
+	posts := make(fakeLoop, 16)
 	var c *Conn
 	up := make(chan error, 1)
-	Dial(posts, ln.Addr().String(), patience, func(made *Conn) Handler { c = made; return make(ended, 1) }, func(err error) { up <- err })
+	Dial(posts, ln.Addr().String(), testTimeout, func(made *Conn) Handler { c = made; return make(closedRecorder, 1) }, func(err error) { up <- err })
 	peer, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -121,7 +121,7 @@
 		t.Fatal(err)
 	}
 	for begin := time.Now(); c.Quiet(); time.Sleep(time.Millisecond) {
-		if time.Since(begin) > patience {
+		if time.Since(begin) > testTimeout {
 			t.Fatal("quiet though a byte has come")
 		}
 	}
@@ -131,18 +131,18 @@
 	}
 }
 
-// hearing is a handler that tells what came, and its end.
-type hearing chan string
+// inputRecorder is a handler that tells what came, and its end.
+type inputRecorder chan string
 
-func (h hearing) Data(in *ring.Buffer, _ time.Time) error {
+func (h inputRecorder) Data(in *ring.Buffer, _ time.Time) error {
 	h <- string(in.Peek(in.Len()))
 	in.Discard(in.Len())
 	return nil
 }
-func (h hearing) Closed(error) { close(h) }
+func (h inputRecorder) Closed(error) { close(h) }
 
-// TestFinish: what the peer had sent when this side closed was lost, and with it the end of a call.
-func TestFinish(t *testing.T) {
+// TestCloseWriteDeliversLateInput: what the peer had sent when this side closed was lost, and with it the end of a call.
+func TestCloseWriteDeliversLateInput(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -157,14 +157,14 @@
 		_, _ = nc.Write([]byte("late"))
 		_ = nc.Close()
 	}()
-	posts, heard := make(loop, 1024), make(hearing, 16)
+	posts, heard := make(fakeLoop, 1024), make(inputRecorder, 16)
 	go func() {
 		for f := range posts {
 			f()
 		}
 	}()
-	Dial(posts, ln.Addr().String(), patience, func(c *Conn) Handler {
-		posts.Post(func() { c.Finish(patience) })
+	Dial(posts, ln.Addr().String(), testTimeout, func(c *Conn) Handler {
+		posts.Post(func() { c.Finish(testTimeout) })
 		return heard
 	}, func(error) {})
 	select {
@@ -172,13 +172,13 @@
 		if text != "late" {
 			t.Errorf("%q came, want what was sent last", text)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("nothing came")
 	}
 }
 
-// TestFinishWithAFullSocket guards against what a peer still sends being discarded, as what was queued for it can't be written after this side's end.
-func TestFinishWithAFullSocket(t *testing.T) {
+// TestCloseWriteWithFullSocket guards against what a peer still sends being discarded, as what was queued for it can't be written after this side's end.
+func TestCloseWriteWithFullSocket(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -195,19 +195,19 @@
 		_, _ = nc.Write([]byte("late"))
 		_, _ = io.Copy(io.Discard, nc)
 	}()
-	posts, heard := make(loop, 1024), make(hearing, 16)
+	posts, heard := make(fakeLoop, 1024), make(inputRecorder, 16)
 	go func() {
 		for f := range posts {
 			f()
 		}
 	}()
-	Dial(posts, ln.Addr().String(), patience, func(c *Conn) Handler {
+	Dial(posts, ln.Addr().String(), testTimeout, func(c *Conn) Handler {
 		posts.Post(func() {
 			for c.Unsent() == 0 {
-				c.Write(make([]byte, outSize/2))
+				c.Write(make([]byte, outboundCapacity/2))
 				c.Flush()
 			}
-			c.Finish(patience)
+			c.Finish(testTimeout)
 			c.Flush() // as the full socket is tried again
 			close(finished)
 		})
@@ -218,20 +218,20 @@
 		if text != "late" {
 			t.Errorf("%q came, want what was sent last", text)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("nothing came")
 	}
 }
 
-// TestWhatCameBeforeTheCloseOfANewConnection: what a peer had sent was lost if it closed before netpoll knew whom to tell.
-func TestWhatCameBeforeTheCloseOfANewConnection(t *testing.T) {
+// TestInputBeforeCloseOfNewConnectionIsDelivered: what a peer had sent was lost if it closed before netpoll knew whom to tell.
+func TestInputBeforeCloseOfNewConnectionIsDelivered(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
 	for range 100 {
-		nc, err := netpoll.DialConnection("tcp", ln.Addr().String(), patience)
+		nc, err := netpoll.DialConnection("tcp", ln.Addr().String(), testTimeout)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -244,12 +244,12 @@
 			t.Fatal(err)
 		}
 		for begin := time.Now(); nc.IsActive(); time.Sleep(100 * time.Microsecond) {
-			if time.Since(begin) > patience {
+			if time.Since(begin) > testTimeout {
 				t.Fatal("netpoll does not see the close")
 			}
 		}
-		posts, heard := make(loop, 16), make(hearing, 16)
-		c := wrap(posts, nc)
+		posts, heard := make(fakeLoop, 16), make(inputRecorder, 16)
+		c := newConn(posts, nc)
 		c.handler = heard
 		if err := c.start(); err != nil {
 			t.Fatal(err)
@@ -262,7 +262,7 @@
 			case more, ok := <-heard:
 				text += more
 				open = ok
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Fatal("the connection never ends")
 			}
 		}
@@ -272,16 +272,16 @@
 	}
 }
 
-// unread is a connection of netpoll's that its peer has closed, with bytes that no callback was run for.
-type unread struct {
+// stubConnection is a connection of netpoll's that its peer has closed, with bytes that no callback was run for.
+type stubConnection struct {
 	netpoll.Connection
-	rest netpoll.Reader
+	reader netpoll.Reader
 }
 
-func (u unread) Reader() netpoll.Reader { return u.rest }
+func (u stubConnection) Reader() netpoll.Reader { return u.reader }
 
-// TestRest: netpoll runs the callback of a close without one for what came between the last look at its reader and the close.
-func TestRest(t *testing.T) {
+// TestRemainingInputIsRead: netpoll runs the callback of a close without one for what came between the last look at its reader and the close.
+func TestRemainingInputIsRead(t *testing.T) {
 	buffer := netpoll.NewLinkBuffer()
 	if _, err := buffer.WriteString("last"); err != nil {
 		t.Fatal(err)
@@ -289,11 +289,11 @@
 	if err := buffer.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	posts, heard := make(loop, 16), make(hearing, 16)
-	c := wrap(posts, unread{rest: buffer})
+	posts, heard := make(fakeLoop, 16), make(inputRecorder, 16)
+	c := newConn(posts, stubConnection{reader: buffer})
 	c.handler = heard
-	c.rest()
-	c.hup()
+	c.readRemaining()
+	c.onHangup()
 	for len(posts) > 0 {
 		(<-posts)()
 	}
@@ -302,21 +302,21 @@
 	}
 }
 
-// TestRecall: what still lies whole in the queue can be taken back, and nothing around it changes.
-func TestRecall(t *testing.T) {
+// TestCancelWrite: what still lies whole in the queue can be taken back, and nothing around it changes.
+func TestCancelWrite(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	posts := make(loop, 1024)
+	posts := make(fakeLoop, 1024)
 	go func() {
 		for f := range posts {
 			f()
 		}
 	}()
 	up := make(chan *Conn, 1)
-	Dial(posts, ln.Addr().String(), patience, func(c *Conn) Handler { up <- c; return make(ended, 1) }, func(error) {})
+	Dial(posts, ln.Addr().String(), testTimeout, func(c *Conn) Handler { up <- c; return make(closedRecorder, 1) }, func(error) {})
 	peer, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -343,8 +343,8 @@
 			t.Error("what lies whole in the queue is taken back once")
 		}
 		message("<eeee>")
-		if a == 0 || c.queued-c.left != uint64(c.Unsent()) {
-			t.Errorf("%d bytes are counted as waiting, and %d wait", c.queued-c.left, c.Unsent())
+		if a == 0 || c.bytesQueued-c.bytesWritten != uint64(c.Unsent()) {
+			t.Errorf("%d bytes are counted as waiting, and %d wait", c.bytesQueued-c.bytesWritten, c.Unsent())
 		}
 		want = append(want, "<a><eeee>"...)
 	}
@@ -362,8 +362,8 @@
 	c.Close(ErrClosedHere)
 }
 
-// TestLeft: a peer's close and its reset are known before anybody has looked at them, and a reset is told from a close.
-func TestLeft(t *testing.T) {
+// TestPeerClosed: a peer's close and its reset are known before anybody has looked at them, and a reset is told from a close.
+func TestPeerClosed(t *testing.T) {
 	for name, test := range map[string]struct {
 		leave  func(*net.TCPConn) error
 		reason error
@@ -378,8 +378,8 @@
 				t.Fatal(err)
 			}
 			defer ln.Close()
-			posts, up, end := make(loop, 1024), make(chan *Conn, 1), make(ended, 1)
-			Dial(posts, ln.Addr().String(), patience, func(c *Conn) Handler { up <- c; return end }, func(error) {})
+			posts, up, end := make(fakeLoop, 1024), make(chan *Conn, 1), make(closedRecorder, 1)
+			Dial(posts, ln.Addr().String(), testTimeout, func(c *Conn) Handler { up <- c; return end }, func(error) {})
 			peer, err := ln.AcceptTCP()
 			if err != nil {
 				t.Fatal(err)
@@ -393,7 +393,7 @@
 			if err := test.leave(peer); err != nil {
 				t.Fatal(err)
 			}
-			for until := time.Now().Add(patience); !c.Left(); time.Sleep(time.Millisecond) { // no function of the loop runs meanwhile
+			for until := time.Now().Add(testTimeout); !c.Left(); time.Sleep(time.Millisecond) { // no function of the loop runs meanwhile
 				if time.Now().After(until) {
 					t.Fatal("never known")
 				}
--- a/internal/conn/dial.go
+++ b/internal/conn/dial.go
@@ -32,9 +32,9 @@
 			return
 		}
 		if fd, ok := nc.(netpoll.Conn); ok {
-			bound(fd.Fd())
+			limitReceiveBuffer(fd.Fd())
 		}
-		c := wrap(loop, nc)
+		c := newConn(loop, nc)
 		loop.Post(func() {
 			c.handler = handler(c)
 			done(nil)
@@ -45,9 +45,9 @@
 	}()
 }
 
-// bound bounds what the kernel takes in ahead for a socket.
-func bound(fd int) {
-	if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, kernelSize); err != nil {
+// limitReceiveBuffer bounds what the kernel takes in ahead for a socket.
+func limitReceiveBuffer(fd int) {
+	if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBufferSize); err != nil {
 		slog.Warn("bounding a socket", "err", err)
 	}
 }
--- a/internal/conn/listener.go
+++ b/internal/conn/listener.go
@@ -16,33 +16,33 @@
 
 // Listener accepts connections.
 type Listener struct {
-	loop    Poster
-	handler func(*Conn) Handler
-	tcp     *net.TCPListener
-	shared  atomic.Bool // another process accepts from the same socket
-	serving *accepting  // nil before Start and after Stop; event loop only
-
-	mu        sync.Mutex
-	room      *sync.Cond // signalled when a connection may have become acceptable
-	open      map[*Conn]struct{}
-	most      int
-	lingering []*Conn // closed by this side, oldest first; some may have ended since
+	loop      Poster
+	handler   func(*Conn) Handler
+	tcp       *net.TCPListener
+	shared    atomic.Bool // another process accepts from the same socket
+	accepting *acceptLoop // nil before Start and after Stop; event loop only
+
+	mu              sync.Mutex
+	capacityChanged *sync.Cond // signalled when a connection may have become acceptable
+	conns           map[*Conn]struct{}
+	maxConns        int
+	lingering       []*Conn // closed by this side, oldest first; some may have ended since
 }
 
 // Limit bounds the connections that hold a descriptor at once; 0 is no bound. Open ones stay. What comes beyond the bound waits in the
 // kernel's queue until there is room: closed at once, it would lose what it has sent.
 func (l *Listener) Limit(most int) {
 	l.mu.Lock()
-	l.most = most
+	l.maxConns = most
 	l.mu.Unlock()
-	l.room.Broadcast()
+	l.capacityChanged.Broadcast()
 }
 
 // Held is the number of connections that hold a descriptor, those that are being closed included.
 func (l *Listener) Held() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.open)
+	return len(l.conns)
 }
 
 // Full reports whether no more connections are accepted for now.
@@ -52,10 +52,10 @@
 	return l.full()
 }
 
-func (l *Listener) full() bool { return l.most > 0 && len(l.open) >= l.most }
+func (l *Listener) full() bool { return l.maxConns > 0 && len(l.conns) >= l.maxConns }
 
-// reusePort is SO_REUSEPORT, which package syscall lacks for some machines.
-const reusePort = 0xf
+// soReusePort is SO_REUSEPORT, which package syscall lacks for some machines.
+const soReusePort = 0xf
 
 // BindShared opens a socket that listens at the address. Another process may listen there too: that is how one can start
 // beside its predecessor where the socket cannot be handed over.
@@ -66,8 +66,8 @@
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
 		return errors.Join(raw.Control(func(fd uintptr) {
-			bound(int(fd))
-			err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, reusePort, shared)
+			limitReceiveBuffer(int(fd))
+			err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, soReusePort, shared)
 		}), err)
 	}}
 	ln, err := config.Listen(context.Background(), "tcp", address)
@@ -84,8 +84,8 @@
 // NewListener prepares to accept connections from a socket, of which at most so many are open at once if most is above
 // 0; handler is called on the loop for each one.
 func NewListener(loop Poster, tcp *net.TCPListener, most int, handler func(*Conn) Handler) *Listener {
-	l := &Listener{loop: loop, handler: handler, tcp: tcp, most: most, open: map[*Conn]struct{}{}}
-	l.room = sync.NewCond(&l.mu)
+	l := &Listener{loop: loop, handler: handler, tcp: tcp, maxConns: most, conns: map[*Conn]struct{}{}}
+	l.capacityChanged = sync.NewCond(&l.mu)
 	return l
 }
 
@@ -104,23 +104,23 @@
 
 // Start begins to accept, or does so again after a Stop.
 func (l *Listener) Start() error {
-	if l.serving != nil {
+	if l.accepting != nil {
 		return nil
 	}
-	a, err := l.newAccepting()
+	a, err := l.newAcceptLoop()
 	if err != nil {
 		return fmt.Errorf("listening at %s: %w", l.Address(), err)
 	}
-	l.serving = a
+	l.accepting = a
 	go a.run()
 	return nil
 }
 
 // Stop accepts no more. The socket stays open, and what waits there is left to whoever shares it.
 func (l *Listener) Stop() {
-	if l.serving != nil {
-		l.serving.stop()
-		l.serving = nil
+	if l.accepting != nil {
+		l.accepting.stop()
+		l.accepting = nil
 	}
 }
 
@@ -142,20 +142,20 @@
 // Shutdown stops accepting; open connections end too, after a moment in which their peers can read what was sent last. The event loop need
 // not run any more.
 func (l *Listener) Shutdown() error {
-	if l.serving == nil {
+	if l.accepting == nil {
 		return l.tcp.Close() //nolint:wrapcheck // it says what it is
 	}
 	var err error
-	l.serving.stopped.Store(true) // before its socket is shut down, which ends a wait there
-	if !l.shared.Load() {         // a socket that another process has as well must not be shut down
-		err = l.serving.refuse()
+	l.accepting.stopped.Store(true) // before its socket is shut down, which ends a wait there
+	if !l.shared.Load() {           // a socket that another process has as well must not be shut down
+		err = l.accepting.shutdownSocket()
 	}
 	l.Stop()
 	err = errors.Join(err, l.tcp.Close())
 	for _, c := range l.connections() {
 		c.halfClose(ErrClosedHere)
 	}
-	for until := time.Now().Add(lingerAtExit); l.Held() > 0 && time.Now().Before(until); {
+	for until := time.Now().Add(shutdownLinger); l.Held() > 0 && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
 	for _, c := range l.connections() {
@@ -171,5 +171,5 @@
 func (l *Listener) connections() []*Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Collect(maps.Keys(l.open))
+	return slices.Collect(maps.Keys(l.conns))
 }
--- a/internal/conn/read.go
+++ b/internal/conn/read.go
@@ -16,7 +16,7 @@
 // start begins to read what a dialled connection brings. It must not run on the loop: if more has come already
 // than the ring holds, it waits for the loop.
 func (c *Conn) start() error {
-	if err := c.nc.AddCloseCallback(func(netpoll.Connection) error { c.rest(); c.hup(); c.released(); return nil }); err != nil {
+	if err := c.nc.AddCloseCallback(func(netpoll.Connection) error { c.readRemaining(); c.onHangup(); c.onSocketClosed(); return nil }); err != nil {
 		return err
 	}
 	err := c.nc.SetOnRequest(func(_ context.Context, nc netpoll.Connection) error { return c.fill(nc.Reader()) })
@@ -34,17 +34,17 @@
 // peer sends that is too far ahead is discarded, and its connection closed once the loop has taken in what came before.
 func (c *Conn) fill(r netpoll.Reader) error {
 	c.mu.Lock()
-	c.moves = true
+	c.filling = true
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
-		c.moves = false
+		c.filling = false
 		c.mu.Unlock()
 	}()
 	for n := r.Len(); n > 0; n = r.Len() {
-		discards, tooMuch := c.discarding(n)
+		discards, tooMuch := c.countDiscarded(n)
 		if discards {
-			c.tookIn(n)
+			c.countRead(n)
 			err := errors.Join(r.Skip(n), r.Release())
 			if tooMuch {
 				c.Abort(ErrFlood)
@@ -55,13 +55,13 @@
 			continue
 		}
 		free := c.in.Free()
-		if n > maxBacklog && free == 0 {
-			c.flooded() // what fits into the ring is taken in, and has its answer
+		if n > maxReadAhead && free == 0 {
+			c.discardFlood() // what fits into the ring is taken in, and has its answer
 			continue
 		}
 		if free == 0 {
-			c.notify()
-			<-c.space
+			c.postInput()
+			<-c.spaceFreed
 			continue
 		}
 		p, err := r.Next(min(n, free))
@@ -69,63 +69,63 @@
 			return fmt.Errorf("reading: %w", err)
 		}
 		c.in.Write(p)
-		c.tookIn(len(p))
+		c.countRead(len(p))
 		if err := r.Release(); err != nil {
 			return fmt.Errorf("reading: %w", err)
 		}
-		if n > maxBacklog {
-			c.flooded()
+		if n > maxReadAhead {
+			c.discardFlood()
 		}
 	}
-	c.notify()
+	c.postInput()
 	return nil
 }
 
-func (c *Conn) notify() {
+func (c *Conn) postInput() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sought = false
-	if !c.posted {
-		c.posted, c.at = true, time.Now()
-		if !c.arrived.IsZero() {
-			c.at, c.arrived = c.arrived, time.Time{}
+	c.unreadReported = false
+	if !c.inputPosted {
+		c.inputPosted, c.inputSince = true, time.Now()
+		if !c.firstArrival.IsZero() {
+			c.inputSince, c.firstArrival = c.firstArrival, time.Time{}
 		}
-		c.loop.Post(c.read)
+		c.loop.Post(c.deliverInput)
 	}
 }
 
-func (c *Conn) read() {
+func (c *Conn) deliverInput() {
 	c.mu.Lock()
-	at := c.at
-	c.posted = false
-	deaf := c.closed
+	at := c.inputSince
+	c.inputPosted = false
+	deaf := c.closedLocally
 	c.mu.Unlock()
-	if c.told || deaf {
+	if c.closedDelivered || deaf {
 		return // what crosses a close by this side is not taken: its peer sends it again, or has forfeited it
 	}
 	err := c.handler.Data(c.in, at)
 	select {
-	case c.space <- struct{}{}:
+	case c.spaceFreed <- struct{}{}:
 	default:
 	}
 	if err != nil {
 		c.Close(err)
 		return
 	}
-	c.breakFlood()
+	c.closeIfFlooded()
 }
 
-func (c *Conn) isEnded() bool {
+func (c *Conn) hasEnded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.ended
 }
 
-// rest takes in what a peer that has closed sent last. netpoll hands over what comes while a callback runs in another turn of that
+// readRemaining takes in what a peer that has closed sent last. netpoll hands over what comes while a callback runs in another turn of that
 // callback, but not if the close comes before it begins: then the bytes are in its reader still, and would go with it. A close by
 // this side leaves them: what crosses it is not taken.
-func (c *Conn) rest() {
-	if c.isEnded() {
+func (c *Conn) readRemaining() {
+	if c.hasEnded() {
 		return
 	}
 	if r := c.nc.Reader(); r.Len() > 0 {
@@ -135,8 +135,8 @@
 	}
 }
 
-// hup runs when netpoll closes the connection, whoever asked for it.
-func (c *Conn) hup() {
+// onHangup runs when netpoll closes the connection, whoever asked for it.
+func (c *Conn) onHangup() {
 	c.mu.Lock()
 	if c.reason == nil {
 		c.reason = io.EOF
@@ -148,7 +148,7 @@
 		c.ended, c.endedAt = true, time.Now()
 	}
 	c.mu.Unlock()
-	c.loop.Post(c.tell)
+	c.loop.Post(c.deliverClosed)
 }
 
 // wasReset reports whether the peer of a socket that has ended reset it. A socket whose peer has only closed its side still has a peer; where both
@@ -157,22 +157,22 @@
 	if _, err := syscall.Getpeername(fd); !errors.Is(err, syscall.ENOTCONN) {
 		return false
 	}
-	if !c.finished {
+	if !c.writeClosed {
 		return true
 	}
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
-	return err == nil && info.Bytes_received <= c.taken
+	return err == nil && info.Bytes_received <= c.bytesRead
 }
 
-func (c *Conn) tell() {
-	if c.told {
+func (c *Conn) deliverClosed() {
+	if c.closedDelivered {
 		return
 	}
-	c.read() // what came before the close still counts
-	if c.told {
+	c.deliverInput() // what came before the close still counts
+	if c.closedDelivered {
 		return
 	}
-	c.told = true
+	c.closedDelivered = true
 	c.handler.Closed(c.reason)
 }
 
@@ -185,17 +185,17 @@
 	if c.ended || !ok {
 		return true
 	}
-	if c.posted || c.in.Len() > 0 || c.nc.Reader().Len() > 0 {
+	if c.inputPosted || c.in.Len() > 0 || c.nc.Reader().Len() > 0 {
 		return false
 	}
 	n, _, _ := syscall.Recvfrom(fd.Fd(), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return n <= 0
 }
 
-// tookIn counts bytes that have been taken from netpoll.
-func (c *Conn) tookIn(n int) {
+// countRead counts bytes that have been taken from netpoll.
+func (c *Conn) countRead(n int) {
 	c.mu.Lock()
-	c.taken += uint64(n)
+	c.bytesRead += uint64(n)
 	c.mu.Unlock()
 }
 
@@ -210,7 +210,7 @@
 		return true
 	}
 	info, err := unix.GetsockoptTCPInfo(fd.Fd(), unix.IPPROTO_TCP, unix.TCP_INFO)
-	return err != nil || info.Bytes_received <= c.taken
+	return err != nil || info.Bytes_received <= c.bytesRead
 }
 
 // Unread reports whether bytes wait that the ring could take and has not. After a pause they may tell what must be known before what is
@@ -222,23 +222,23 @@
 	if c.ended || !ok || c.in.Free() == 0 {
 		return false
 	}
-	if c.nc.Reader().Len() == 0 && !c.moves {
+	if c.nc.Reader().Len() == 0 && !c.filling {
 		n, _, _ := syscall.Recvfrom(fd.Fd(), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		if n <= 0 {
-			return c.sought // neither here nor there: netpoll has read it, and does not show it yet
+			return c.unreadReported // neither here nor there: netpoll has read it, and does not show it yet
 		}
 	}
-	c.sought = true
+	c.unreadReported = true
 	return true
 }
 
 // Hear has the handler take in at once what has come and waits for its turn. Only the loop may call it, and no handler of callers.
 func (c *Conn) Hear() {
 	c.mu.Lock()
-	waits := c.posted
+	waits := c.inputPosted
 	c.mu.Unlock()
 	if waits {
-		c.read()
+		c.deliverInput()
 	}
 }
 
--- a/internal/conn/write.go
+++ b/internal/conn/write.go
@@ -11,11 +11,11 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// mark is a function that waits for all bytes of a message to leave.
-type mark struct {
-	from, at uint64
-	then     func()
-	ticket   Ticket
+// writeCallback is a function that waits for all bytes of a message to leave.
+type writeCallback struct {
+	start, end uint64
+	callback   func()
+	ticket     Ticket
 }
 
 // Ticket names a message that WriteThen has queued; 0 names none.
@@ -23,7 +23,7 @@
 
 // Write queues a whole message for Flush. The connection is closed if the peer has left too much unread.
 func (c *Conn) Write(p []byte) {
-	if c.told {
+	if c.closedDelivered {
 		return
 	}
 	if c.out.Free() < len(p) {
@@ -34,46 +34,46 @@
 		return
 	}
 	c.out.Write(p)
-	c.queued += uint64(len(p))
+	c.bytesQueued += uint64(len(p))
 }
 
 // WriteThen is Write with a function that runs once the last byte has gone to the socket, if it ever does. The ticket is what
 // Recall takes.
 func (c *Conn) WriteThen(p []byte, then func()) Ticket {
-	before := c.queued
-	if c.Write(p); c.queued == before {
+	before := c.bytesQueued
+	if c.Write(p); c.bytesQueued == before {
 		return 0
 	}
-	c.tickets++
-	c.marks = append(c.marks, mark{before, c.queued, then, c.tickets})
-	return c.tickets
+	c.lastTicket++
+	c.writeCallbacks = append(c.writeCallbacks, writeCallback{before, c.bytesQueued, then, c.lastTicket})
+	return c.lastTicket
 }
 
 // Recall takes back a message of which no byte has left yet, and reports whether it was one. Its function does not run then.
 func (c *Conn) Recall(t Ticket) bool {
-	i := slices.IndexFunc(c.marks, func(m mark) bool { return m.ticket == t })
-	if t == 0 || i < 0 || c.told || c.marks[i].from < c.left {
+	i := slices.IndexFunc(c.writeCallbacks, func(m writeCallback) bool { return m.ticket == t })
+	if t == 0 || i < 0 || c.closedDelivered || c.writeCallbacks[i].start < c.bytesWritten {
 		return false
 	}
-	m := c.marks[i]
-	n := m.at - m.from
-	c.out.Cut(int(m.from-c.left), int(n))
-	c.queued -= n
-	c.marks = slices.Delete(c.marks, i, i+1)
-	for j := range c.marks[i:] {
-		c.marks[i+j].from -= n
-		c.marks[i+j].at -= n
+	m := c.writeCallbacks[i]
+	n := m.end - m.start
+	c.out.Cut(int(m.start-c.bytesWritten), int(n))
+	c.bytesQueued -= n
+	c.writeCallbacks = slices.Delete(c.writeCallbacks, i, i+1)
+	for j := range c.writeCallbacks[i:] {
+		c.writeCallbacks[i+j].start -= n
+		c.writeCallbacks[i+j].end -= n
 	}
 	return true
 }
 
-// took notes that the socket has taken bytes.
-func (c *Conn) took(n int) {
+// onWritten notes that the socket has taken bytes.
+func (c *Conn) onWritten(n int) {
 	c.out.Discard(n)
-	c.left += uint64(n)
-	for len(c.marks) > 0 && c.marks[0].at <= c.left {
-		then := c.marks[0].then
-		c.marks = c.marks[1:]
+	c.bytesWritten += uint64(n)
+	for len(c.writeCallbacks) > 0 && c.writeCallbacks[0].end <= c.bytesWritten {
+		then := c.writeCallbacks[0].callback
+		c.writeCallbacks = c.writeCallbacks[1:]
 		then()
 	}
 }
@@ -81,23 +81,23 @@
 // Flush writes what is queued as far as the socket takes it. netpoll's own Flush waits for the peer to read;
 // here one slow reader would hold up every call, so the socket is written without waiting and tried again.
 func (c *Conn) Flush() {
-	if c.told || c.out.Len() == 0 {
+	if c.closedDelivered || c.out.Len() == 0 {
 		return
 	}
 	c.commit()
 	for c.out.Len() > 0 {
 		n, err := c.write()
-		c.took(max(n, 0))
+		c.onWritten(max(n, 0))
 		switch {
 		case err == nil || errors.Is(err, syscall.EINTR):
 		case errors.Is(err, syscall.EAGAIN):
-			if !c.retries {
-				c.retries = true
-				time.AfterFunc(retryAfter, func() { c.loop.Post(func() { c.retries = false; c.Flush() }) })
+			if !c.retryScheduled {
+				c.retryScheduled = true
+				time.AfterFunc(writeRetryDelay, func() { c.loop.Post(func() { c.retryScheduled = false; c.Flush() }) })
 			}
 			return
 		case errors.Is(err, syscall.EPIPE), errors.Is(err, syscall.ECONNRESET):
-			c.dropQueued()
+			c.discardOutput()
 			return
 		default:
 			c.Close(fmt.Errorf("writing: %w", err))
@@ -107,11 +107,11 @@
 	c.out.Empty()
 }
 
-// dropQueued drops what is queued, as the peer has ended the connection. Its end follows from netpoll, behind what the peer sent before it: a close by
+// discardOutput drops what is queued, as the peer has ended the connection. Its end follows from netpoll, behind what the peer sent before it: a close by
 // this side would have that discarded.
-func (c *Conn) dropQueued() {
+func (c *Conn) discardOutput() {
 	c.out.Discard(c.out.Len())
-	c.marks, c.left = nil, c.queued
+	c.writeCallbacks, c.bytesWritten = nil, c.bytesQueued
 }
 
 // commit has what was decided kept, if it is to be, before it is told.
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// least is the first storage of a ring; nothing that is sent by itself needs more.
-const least = 1 << 10
+// minStorage is the first storage of a ring; nothing that is sent by itself needs more.
+const minStorage = 1 << 10
 
 // Buffer is a ring of bytes. One goroutine may write while another reads; neither takes a lock. It has no storage until
 // something is written, and what it has grows with what waits: most connections say little or nothing, and hundreds of
@@ -22,12 +22,12 @@
 
 // New returns a Buffer that holds up to size bytes; size is rounded up to a power of two.
 func New(size int) *Buffer {
-	b := &Buffer{size: power(size)}
+	b := &Buffer{size: nextPowerOfTwo(size)}
 	b.data.Store(new([]byte))
 	return b
 }
 
-func power(size int) int {
+func nextPowerOfTwo(size int) int {
 	n := 1
 	for n < size {
 		n <<= 1
@@ -50,7 +50,7 @@
 	if n == 0 {
 		return 0
 	}
-	data := b.room(n)
+	data := b.reserve(n)
 	tail := b.tail.Load()
 	at := int(tail % uint64(len(data)))
 	k := copy(data[at:], p[:n])
@@ -59,13 +59,13 @@
 	return n
 }
 
-// room makes storage for n more bytes. The reader may go on with the old one: what it can see stays there as it is. Much
+// reserve makes storage for n more bytes. The reader may go on with the old one: what it can see stays there as it is. Much
 // storage that was needed once is given back at the next write.
-func (b *Buffer) room(n int) []byte {
+func (b *Buffer) reserve(n int) []byte {
 	data := *b.data.Load()
 	head, tail := b.head.Load(), b.tail.Load()
 	need := int(tail-head) + n
-	if want := max(least, power(need)); need > len(data) || head == tail && len(data) > 4*want {
+	if want := max(minStorage, nextPowerOfTwo(need)); need > len(data) || head == tail && len(data) > 4*want {
 		grown := make([]byte, min(want, b.size))
 		for at := head; at < tail; {
 			from, to := int(at%uint64(len(data))), int(at%uint64(len(grown)))
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -48,8 +48,8 @@
 	})
 }
 
-// TestStorageIsAsLargeAsWhatWaits: rings of 96 KiB for each connection on accept were 100 MB for a thousand that say nothing.
-func TestStorageIsAsLargeAsWhatWaits(t *testing.T) {
+// TestStorageFollowsContent: rings of 96 KiB for each connection on accept were 100 MB for a thousand that say nothing.
+func TestStorageFollowsContent(t *testing.T) {
 	b := New(32 << 10)
 	text := bytes.Repeat([]byte("0123456789abcdef!"), 2000)
 	var got []byte
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestOneWritesWhileAnotherReads has the storage change under the reader; the race detector looks on.
-func TestOneWritesWhileAnotherReads(t *testing.T) {
+// TestConcurrentReadAndWrite has the storage change under the reader; the race detector looks on.
+func TestConcurrentReadAndWrite(t *testing.T) {
 	const total = 1 << 20
 	b := New(8 << 10)
 	go func() {
--- a/internal/sip/sip.go
+++ b/internal/sip/sip.go
@@ -47,38 +47,38 @@
 	return ""
 }
 
-// long has the full names of the compact forms.
-var long = map[string]string{"i": "call-id", "l": "content-length", "v": "via", "f": "from", "t": "to",
+// fullNames has the full names of the compact forms.
+var fullNames = map[string]string{"i": "call-id", "l": "content-length", "v": "via", "f": "from", "t": "to",
 	"m": "contact", "c": "content-type", "s": "subject", "k": "supported", "e": "content-encoding"}
 
 // Decoder takes messages off a ring.
 type Decoder struct {
-	looked int // bytes in which no end of the headers was found
-	head   int // length of the headers, once known
-	m      *Message
-	body   int
+	scanned    int // bytes in which no end of the headers was found
+	headLength int // length of the headers, once known
+	message    *Message
+	bodyLength int
 }
 
 // Next returns the next message, or nil if it is not whole yet.
 func (d *Decoder) Next(in *ring.Buffer) (*Message, error) {
-	if d.m == nil {
-		if err := d.readHead(in); d.m == nil {
+	if d.message == nil {
+		if err := d.readHead(in); d.message == nil {
 			return nil, err
 		}
 	}
-	if in.Len() < d.head+d.body {
+	if in.Len() < d.headLength+d.bodyLength {
 		return nil, nil
 	}
-	m := d.m
-	m.Body = bytes.Clone(in.Peek(d.head + d.body)[d.head:])
-	in.Discard(d.head + d.body)
+	m := d.message
+	m.Body = bytes.Clone(in.Peek(d.headLength + d.bodyLength)[d.headLength:])
+	in.Discard(d.headLength + d.bodyLength)
 	*d = Decoder{}
 	return m, nil
 }
 
 // MayBegin reports whether what is on the ring can begin a message: line ends, a method, or a response's version.
 func MayBegin(in *ring.Buffer) bool {
-	start := bytes.TrimLeft(in.Peek(maxStart), "\r\n")
+	start := bytes.TrimLeft(in.Peek(maxStartPeek), "\r\n")
 	word, _, _ := bytes.Cut(start, []byte(" "))
 	if version := []byte("SIP/2.0"); len(word) > 0 && (bytes.HasPrefix(word, version) || bytes.HasPrefix(version, word)) {
 		return true
@@ -91,24 +91,24 @@
 	return true
 }
 
-// maxStart is as much as any method and the line ends before it.
-const maxStart = 24
+// maxStartPeek is as much as any method and the line ends before it.
+const maxStartPeek = 24
 
 func (d *Decoder) readHead(in *ring.Buffer) error {
-	for d.looked == 0 && in.Len() > 0 && (in.Peek(1)[0] == '\r' || in.Peek(1)[0] == '\n') {
+	for d.scanned == 0 && in.Len() > 0 && (in.Peek(1)[0] == '\r' || in.Peek(1)[0] == '\n') {
 		in.Discard(1) // RFC 3261 7.5: line ends before the first line are passed over
 	}
 	for {
 		seen := in.Len() // before the look: more may come meanwhile, its end among it
-		end := in.Index('\n', d.looked)
+		end := in.Index('\n', d.scanned)
 		if end >= MaxMessage || end < 0 && seen >= MaxMessage {
 			return ErrTooLong
 		}
 		if end < 0 {
 			return nil
 		}
-		line := in.Peek(end + 1)[d.looked:]
-		d.looked = end + 1
+		line := in.Peek(end + 1)[d.scanned:]
+		d.scanned = end + 1
 		if len(bytes.TrimRight(line, "\r\n")) > 0 {
 			continue
 		}
@@ -119,7 +119,7 @@
 		if end+1+length > MaxMessage {
 			return ErrTooLong
 		}
-		d.m, d.head, d.body = m, end+1, length
+		d.message, d.headLength, d.bodyLength = m, end+1, length
 		return nil
 	}
 }
@@ -139,7 +139,7 @@
 		}
 		value = strings.TrimSpace(value)
 		key := strings.ToLower(name)
-		if full, ok := long[key]; ok {
+		if full, ok := fullNames[key]; ok {
 			key = full
 		}
 		switch key {
--- a/internal/sip/sip_test.go
+++ b/internal/sip/sip_test.go
@@ -9,15 +9,15 @@
 	"cherryrelay/internal/ring/ringtest"
 )
 
-// read feeds text in pieces and returns the messages and the error that ended them.
-func read(text string, piece int) (all []*Message, err error) {
+// decode feeds text in pieces and returns the messages and the error that ended them.
+func decode(text string, piece int) (all []*Message, err error) {
 	return ringtest.Feed(new(Decoder).Next, 32<<10, []byte(text), piece)
 }
 
 const invite = "INVITE sip:7f@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: 9b\r\nCSeq: 1 INVITE\r\nP-Kind: voice\r\n" +
 	"Content-Length: 4\r\n\r\na\r\nb"
 
-func TestMessages(t *testing.T) {
+func TestDecoder(t *testing.T) {
 	asked := &Message{Method: "INVITE", URI: "sip:7f@net", CallID: "9b", Seq: 1, SeqOf: "INVITE", Body: []byte("a\r\nb"),
 		Headers: []Header{{"Via", "SIP/2.0/TCP peer"}, {"P-Kind", "voice"}}}
 	for name, test := range map[string]struct {
@@ -41,7 +41,7 @@
 		"too long a head":   {"BYE sip:x SIP/2.0\r\nX: " + strings.Repeat("y", MaxMessage), nil, true},
 	} {
 		for _, piece := range []int{1, 5, 1 << 20} {
-			got, err := read(test.text, piece)
+			got, err := decode(test.text, piece)
 			if diff := cmp.Diff(test.want, got); diff != "" || (err != nil) != test.bad {
 				t.Errorf("%s, in pieces of %d: error %v, messages (-want +got):\n%s", name, piece, err, diff)
 			}
@@ -53,8 +53,8 @@
 func FuzzDecoder(f *testing.F) {
 	f.Add(invite+"SIP/2.0 200 OK\r\nl: 0\r\n\r\n", 3)
 	f.Fuzz(func(t *testing.T, text string, piece int) {
-		whole, err := read(text, len(text)+1)
-		parts, errParts := read(text, 1+max(piece, 0)%64)
+		whole, err := decode(text, len(text)+1)
+		parts, errParts := decode(text, 1+max(piece, 0)%64)
 		if len(text) > 32<<10 {
 			return // more than the ring takes at once
 		}
@@ -63,7 +63,7 @@
 		}
 		for _, m := range whole {
 			m.Headers = nil
-			again, err := read(string(Append(nil, m)), 1<<20)
+			again, err := decode(string(Append(nil, m)), 1<<20)
 			if len(again) == 1 {
 				again[0].Headers = nil
 			}
--- a/internal/websocket/handshake.go
+++ b/internal/websocket/handshake.go
@@ -16,10 +16,10 @@
 // Protocol is the subprotocol of the call-control API.
 const Protocol = "call-control.v1"
 
-const guid = "258EAFA5-E914-47DA-95CA-C5AB0DC85B11"
+const keyGUID = "258EAFA5-E914-47DA-95CA-C5AB0DC85B11"
 
-// head takes an HTTP head off the ring, with the code that an unreadable one calls for.
-func head(in *ring.Buffer) (first string, headers map[string]string, err error) {
+// readHead takes an HTTP head off the ring, with the code that an unreadable one calls for.
+func readHead(in *ring.Buffer) (first string, headers map[string]string, err error) {
 	first, headers, err = http1.Head(in)
 	switch {
 	case errors.Is(err, http1.ErrTooLong):
@@ -30,15 +30,15 @@
 	return first, headers, err
 }
 
-func accept(key string) string {
-	sum := sha1.Sum([]byte(key + guid))
+func acceptKey(key string) string {
+	sum := sha1.Sum([]byte(key + keyGUID))
 	return base64.StdEncoding.EncodeToString(sum[:])
 }
 
 // Accept takes an opening request off the ring and returns the response; both are nil while the request is not whole.
 // With an error, the response is a refusal to be sent before the connection is closed.
 func Accept(in *ring.Buffer, path string) (response []byte, err error) {
-	first, h, err := head(in)
+	first, h, err := readHead(in)
 	if err != nil {
 		return http1.Response(http.StatusBadRequest, ""), err
 	}
@@ -73,7 +73,7 @@
 		protocol = "Sec-WebSocket-Protocol: " + Protocol + "\r\n"
 	}
 	return []byte("HTTP/1.1 101 Switching Protocols\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n" +
-		"Sec-WebSocket-Accept: " + accept(key) + "\r\n" + protocol + "\r\n"), nil
+		"Sec-WebSocket-Accept: " + acceptKey(key) + "\r\n" + protocol + "\r\n"), nil
 }
 
 // Opening is a client's side of the handshake.
@@ -90,12 +90,12 @@
 
 // Done takes the response off the ring and reports whether the connection is open.
 func (o *Opening) Done(in *ring.Buffer) (bool, error) {
-	first, h, err := head(in)
+	first, h, err := readHead(in)
 	if err != nil || first == "" {
 		return false, err
 	}
 	if !strings.HasPrefix(first, "HTTP/1.1 101") || !http1.Has(h["upgrade"], "websocket") || !http1.Has(h["connection"], "upgrade") ||
-		h["sec-websocket-accept"] != accept(o.key) {
+		h["sec-websocket-accept"] != acceptKey(o.key) {
 		return false, &Error{ProtocolError, fmt.Sprintf("opening answered with %.60q", first)}
 	}
 	if p := h["sec-websocket-protocol"]; p != "" && p != Protocol {
--- a/internal/websocket/websocket.go
+++ b/internal/websocket/websocket.go
@@ -82,14 +82,14 @@
 // Next returns the next message or control frame, or nil if none is whole yet.
 func (d *Decoder) Next(in *ring.Buffer) (*Message, error) {
 	for {
-		f, size, err := d.frame(in)
+		f, size, err := d.readFrame(in)
 		if f == nil || err != nil {
 			return nil, err
 		}
 		in.Discard(size)
 		switch {
 		case f.op == Close:
-			return closing(f.payload)
+			return parseClose(f.payload)
 		case f.op >= Close:
 			return &Message{Op: f.op, Payload: f.payload}, nil
 		case f.op != Continuation && d.op != Continuation:
@@ -121,9 +121,9 @@
 	payload []byte
 }
 
-// frame reads one frame without taking it off; it is nil if the frame is not whole yet. Faults are found as soon
+// readFrame reads one frame without taking it off; it is nil if the frame is not whole yet. Faults are found as soon
 // as the header shows them.
-func (d *Decoder) frame(in *ring.Buffer) (f *frame, size int, err error) {
+func (d *Decoder) readFrame(in *ring.Buffer) (f *frame, size int, err error) {
 	head := in.Peek(14)
 	if len(head) < 2 {
 		return nil, 0, nil
@@ -178,8 +178,8 @@
 	return f, size, nil
 }
 
-// closing reads a close frame.
-func closing(payload []byte) (*Message, error) {
+// parseClose reads a close frame.
+func parseClose(payload []byte) (*Message, error) {
 	m := &Message{Op: Close, Code: noStatus}
 	switch {
 	case len(payload) == 0:
--- a/internal/websocket/websocket_test.go
+++ b/internal/websocket/websocket_test.go
@@ -12,14 +12,14 @@
 	"cherryrelay/internal/ring/ringtest"
 )
 
-// read feeds frames of a client in pieces.
-func read(text []byte, piece int) (all []*Message, err error) {
+// decode feeds frames of a client in pieces.
+func decode(text []byte, piece int) (all []*Message, err error) {
 	return ringtest.Feed((&Decoder{Masked: true}).Next, 64<<10, text, piece)
 }
 
 func join(parts ...[]byte) []byte { return bytes.Join(parts, nil) }
 
-func TestFrames(t *testing.T) {
+func TestDecoder(t *testing.T) {
 	part := func(op Opcode, text string, fin bool) []byte { return AppendFragment(nil, op, []byte(text), true, fin) }
 	long := strings.Repeat("x", MaxMessage)
 	for name, test := range map[string]struct {
@@ -51,7 +51,7 @@
 		"code 1005":        {part(Close, "\x03\xed", true), nil, ProtocolError},
 	} {
 		for _, piece := range []int{1, 5, 1 << 20} {
-			got, err := read(test.text, piece)
+			got, err := decode(test.text, piece)
 			code := 0
 			var e *Error
 			if errors.As(err, &e) {
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestOpening(t *testing.T) {
+func TestHandshake(t *testing.T) {
 	// The key and its answer are RFC 6455's own.
 	const good = "GET /v1 HTTP/1.1\r\nHost: h\r\nUpgrade: WebSocket\r\nConnection: keep-alive, Upgrade\r\n" +
 		"Sec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\nSec-WebSocket-Version: 13\r\n\r\n"
@@ -114,8 +114,8 @@
 	f.Add(join(Append(nil, Text, []byte("ab"), true), AppendClose(nil, Normal, "x", true)), 3)
 	f.Add([]byte{0x81, 0xfe, 0x40, 0x01}, 1)
 	f.Fuzz(func(t *testing.T, text []byte, piece int) {
-		whole, err := read(text, len(text)+1)
-		parts, errParts := read(text, 1+max(piece, 0)%64)
+		whole, err := decode(text, len(text)+1)
+		parts, errParts := decode(text, 1+max(piece, 0)%64)
 		if len(text) > 64<<10 {
 			return // more than the ring takes at once
 		}
