--- a/internal/conn/accept.go
+++ b/internal/conn/accept.go
@@ -15,23 +15,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// acceptRetryDelay is the pause after a connection could not be accepted, as the process is short of something.
+// acceptRetryDelay is the pause after a failed accept, which usually means that the process is out of descriptors or memory.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// acceptLoop is the time between a Start and a Stop. netpoll's own server can't pause without closing what comes meanwhile, so connections
-// are accepted here and handed to netpoll.
+// acceptLoop accepts connections from Start to Stop and registers them with netpoll. netpoll's own server is not used because it
+// cannot pause without closing the connections that arrive meanwhile.
 type acceptLoop struct {
 	listener *Listener
-	socket   *os.File // another descriptor of the listener's socket
+	socket   *os.File // duplicate of the listener's descriptor
 	raw      syscall.RawConn
 	stopped  atomic.Bool
-	paused   bool // since there was no room, no connection has been waited for: the next one may have waited for long
+	paused   bool // the limit was reached and the backlog has not been empty since, so the next connection may have waited long
 }
 
 func (l *Listener) newAcceptLoop() (*acceptLoop, error) {
 	socket, err := l.tcp.File()
 	if err != nil {
-		return nil, err //nolint:wrapcheck // the caller says what for
+		return nil, err //nolint:wrapcheck // the caller adds the address
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -40,16 +40,16 @@
 	return &acceptLoop{listener: l, socket: socket, raw: raw}, nil
 }
 
-// run accepts connections, one at a time, while there is room for them.
+// run accepts connections one at a time, up to the listener's limit.
 func (a *acceptLoop) run() {
 	for a.waitForCapacity() {
 		fd, remote, err := a.accept()
 		switch {
 		case a.stopped.Load() && err != nil:
 			return
-		case errors.Is(err, syscall.EINTR), errors.Is(err, syscall.ECONNABORTED): // its peer has reset it while it waited
+		case errors.Is(err, syscall.EINTR), errors.Is(err, syscall.ECONNABORTED): // interrupted, or reset by the peer while in the backlog
 		case err != nil:
-			slog.Warn("accepting a connection", "address", a.listener.Address(), "err", err)
+			slog.Warn("failed to accept a connection", "address", a.listener.Address(), "err", err)
 			time.Sleep(acceptRetryDelay)
 		default:
 			a.listener.addConn(fd, remote, a.paused)
@@ -57,11 +57,11 @@
 	}
 }
 
-// accept waits for a connection. It ends with an error once the listener has stopped.
+// accept waits for a connection. It fails once the listener has stopped.
 func (a *acceptLoop) accept() (fd int, remote netip.AddrPort, err error) {
 	var from syscall.Sockaddr
-	waitErr := a.raw.Read(func(listener uintptr) bool {
-		fd, from, err = syscall.Accept4(int(listener), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
+	waitErr := a.raw.Read(func(listenerFD uintptr) bool {
+		fd, from, err = syscall.Accept4(int(listenerFD), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 		if errors.Is(err, syscall.EAGAIN) {
 			a.paused = false
 			return false
@@ -69,7 +69,7 @@
 		return true
 	})
 	if waitErr != nil {
-		return 0, remote, waitErr //nolint:wrapcheck // it ends the loop, or is logged
+		return 0, remote, waitErr //nolint:wrapcheck // it either ends the loop or is logged with the address
 	}
 	if err != nil {
 		return 0, remote, fmt.Errorf("accept: %w", err)
@@ -87,8 +87,8 @@
 	return netip.AddrPort{}
 }
 
-// waitForCapacity waits until one more connection may be open, and reports whether it is to be accepted. Those that this side has closed make
-// room before their time is up.
+// waitForCapacity waits until the limit allows one more connection, and returns false once the listener has stopped. Connections that
+// linger after a close by this side are aborted early, after minLinger, to free their descriptors.
 func (a *acceptLoop) waitForCapacity() bool {
 	l := a.listener
 	l.mu.Lock()
@@ -96,8 +96,8 @@
 	for l.full() && !a.stopped.Load() {
 		a.paused = true
 		if oldest := l.oldestLingering(); oldest != nil {
-			if rest := minLinger - time.Since(oldest.halfClosedAt()); rest > 0 {
-				time.AfterFunc(rest, l.capacityChanged.Broadcast)
+			if remaining := minLinger - time.Since(oldest.halfClosedAt()); remaining > 0 {
+				time.AfterFunc(remaining, l.capacityChanged.Broadcast)
 			} else {
 				l.lingering = l.lingering[1:]
 				l.mu.Unlock()
@@ -111,7 +111,8 @@
 	return !a.stopped.Load()
 }
 
-// oldestLingering is the connection that was closed by this side first and still holds a descriptor.
+// oldestLingering returns the connection that this side closed first among those that still hold a descriptor, or nil. It drops
+// ended connections from the head of the list.
 func (l *Listener) oldestLingering() *Conn {
 	for len(l.lingering) > 0 {
 		oldest := l.lingering[0]
@@ -123,24 +124,24 @@
 	return nil
 }
 
-// stop has run end; what waits in the kernel's queue is left there.
+// stop ends run. Connections in the kernel's backlog stay there.
 func (a *acceptLoop) stop() {
-	a.listener.mu.Lock() // whoever has seen that it goes on waits by then
+	a.listener.mu.Lock() // otherwise waitForCapacity could miss the broadcast between its check and its wait
 	a.stopped.Store(true)
 	a.listener.mu.Unlock()
 	a.listener.capacityChanged.Broadcast()
 	if err := a.socket.Close(); err != nil {
-		slog.Warn("closing a listener", "address", a.listener.Address(), "err", err)
+		slog.Warn("failed to close a listener", "address", a.listener.Address(), "err", err)
 	}
 }
 
-// shutdownSocket has the kernel take no more connections at the socket.
+// shutdownSocket makes the kernel reject further connections to the socket.
 func (a *acceptLoop) shutdownSocket() error {
 	var err error
 	return errors.Join(a.raw.Control(func(fd uintptr) { err = syscall.Shutdown(int(fd), syscall.SHUT_RD) }), err)
 }
 
-// hasBacklog reports whether a connection waits in the kernel's queue.
+// hasBacklog reports whether a connection waits in the kernel's backlog.
 func (a *acceptLoop) hasBacklog() bool {
 	n := 0
 	err := a.raw.Control(func(fd uintptr) {
@@ -149,10 +150,10 @@
 	return err == nil && n > 0
 }
 
-// Waiting reports whether connections wait to be accepted. Only the loop may call it.
+// Waiting reports whether connections wait to be accepted. It must be called on the event loop.
 func (l *Listener) Waiting() bool { return l.accepting != nil && l.accepting.hasBacklog() }
 
-// lastReceiveTime is when the last bytes came that can be read from a socket; zero if there are none, or it can't be told.
+// lastReceiveTime returns when the socket last received data, or the zero time if no input is readable or the kernel does not report it.
 func lastReceiveTime(fd int) time.Time {
 	n, _, _ := syscall.Recvfrom(fd, make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	if n <= 0 {
@@ -165,18 +166,18 @@
 	return time.Now().Add(-time.Duration(info.Last_data_recv) * time.Millisecond)
 }
 
-// addConn serves a connection that was accepted, after a pause or not.
+// addConn starts to serve an accepted connection. After a pause, the arrival time of its first bytes is taken from the kernel.
 func (l *Listener) addConn(fd int, remote netip.AddrPort, paused bool) {
 	var arrived time.Time
 	if paused {
 		arrived = lastReceiveTime(fd)
 	}
 	if err := syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1); err != nil {
-		slog.Debug("accepting a connection", "err", err)
+		slog.Debug("failed to set TCP_NODELAY", "err", err)
 	}
 	nc, err := netpoll.NewFDConnection(fd)
 	if err != nil {
-		slog.Warn("accepting a connection", "err", err)
+		slog.Warn("failed to register a connection with netpoll", "err", err)
 		return
 	}
 	c := newConn(l.loop, nc)
@@ -190,16 +191,16 @@
 	}
 }
 
-// addLingering notes that this side has closed a connection.
+// addLingering records that this side has closed the connection.
 func (l *Listener) addLingering(c *Conn) {
 	l.mu.Lock()
-	l.oldestLingering() // drops those that have ended
+	l.oldestLingering() // drops ended connections
 	l.lingering = append(l.lingering, c)
 	l.mu.Unlock()
 	l.capacityChanged.Broadcast()
 }
 
-// removeConn notes that a connection holds no descriptor any more.
+// removeConn records that the connection has released its descriptor.
 func (l *Listener) removeConn(c *Conn) {
 	l.mu.Lock()
 	delete(l.conns, c)
--- a/internal/conn/close.go
+++ b/internal/conn/close.go
@@ -10,27 +10,28 @@
 )
 
 const (
-	// lingerTimeout is how long a connection that this side has closed is still read, if its peer does not close it before.
+	// lingerTimeout is the time for which a connection is read after a close by this side, unless its peer closes it earlier.
 	lingerTimeout = 250 * time.Millisecond
-	// minLinger is as much where its descriptor is wanted: a peer on the same continent has read the last words by then.
+	// minLinger replaces lingerTimeout when the descriptor is needed for a new connection. It is long enough for a peer on the same
+	// continent to read the closing message.
 	minLinger = 20 * time.Millisecond
-	// shutdownLinger is as much for all connections at the end of the process.
+	// shutdownLinger replaces lingerTimeout for all connections of a listener that is shut down.
 	shutdownLinger = 100 * time.Millisecond
-	// maxDiscarded is how many bytes are read and discarded from a peer that goes on writing after the close, or in a flood.
+	// maxDiscarded is the number of bytes that are read and discarded from a peer that goes on sending after the close or in a flood.
 	maxDiscarded = 8 << 20
 )
 
-// Releaser is a Handler that counts descriptors: Released comes on the loop once the connection holds none any more, which may be after
-// Closed.
+// Releaser is a Handler that is notified on the event loop when the connection has released its descriptor, possibly after Closed.
 type Releaser interface{ Released() }
 
-// Breaker is a Handler that has something to say before its connection is closed for a fault that it has not found itself.
+// Breaker is a Handler that can write closing messages before its connection is closed for a fault that this package has detected.
 type Breaker interface{ Broken(reason error) }
 
-// Close ends the connection; the handler is told the reason on this or a later turn of the loop. What is queued goes out as far as the
-// socket takes it. Then this side is closed, and what the peer sends meanwhile is discarded until it closes too, for lingerTimeout and
-// maxDiscarded bytes: a socket that is closed with bytes unread sends a reset, and a reset has the peer's kernel throw away the last words
-// that its program has not read yet.
+// Close closes the connection. The handler is notified of the reason in this or a later event loop iteration.
+//
+// Close writes as much of the buffered output as the socket accepts, closes the writing side, and then discards input until the peer
+// closes too, for up to lingerTimeout and maxDiscarded bytes. Without this, a socket that is closed with unread input sends a reset, and
+// the peer's kernel then drops the closing message that its program has not read yet.
 func (c *Conn) Close(reason error) {
 	if !c.closedDelivered && c.out.Len() > 0 {
 		c.commit()
@@ -42,7 +43,7 @@
 	c.loop.Post(c.deliverClosed)
 }
 
-// Abort ends the connection at once.
+// Abort closes the connection at once, without writing the buffered output.
 func (c *Conn) Abort(reason error) {
 	c.mu.Lock()
 	first := !c.ended
@@ -58,7 +59,7 @@
 	}
 }
 
-// halfClose writes the last words and closes this side, unless the connection has ended already. It reports whether it did so.
+// halfClose writes the buffered output and closes the writing side. It returns false if the connection has ended already.
 func (c *Conn) halfClose(reason error) bool {
 	c.mu.Lock()
 	if c.ended {
@@ -68,7 +69,7 @@
 	if fd, ok := c.nc.(netpoll.Conn); ok {
 		c.writeBuffered(fd.Fd())
 		if err := syscall.Shutdown(fd.Fd(), syscall.SHUT_WR); err != nil {
-			slog.Debug("closing this side of a connection", "err", err)
+			slog.Debug("failed to close the writing side of a connection", "err", err)
 		}
 	}
 	c.reason, c.ended, c.closedLocally, c.discardInput, c.closedAt = reason, true, true, true, time.Now()
@@ -81,7 +82,7 @@
 	return true
 }
 
-// writeBuffered writes what is queued as far as the socket takes it.
+// writeBuffered writes as much of the buffered output as the socket accepts.
 func (c *Conn) writeBuffered(fd int) {
 	for c.out.Len() > 0 {
 		first, _ := c.out.Parts()
@@ -93,7 +94,7 @@
 	}
 }
 
-// unblockFill lets a fill go on that waits for the loop.
+// unblockFill wakes a fill that waits for space in the inbound ring.
 func (c *Conn) unblockFill() {
 	select {
 	case c.spaceFreed <- struct{}{}:
@@ -101,29 +102,28 @@
 	}
 }
 
-// closeSocket closes the socket.
 func (c *Conn) closeSocket() {
 	if err := c.nc.Close(); err != nil {
-		slog.Debug("closing a connection", "err", err)
+		slog.Debug("failed to close a connection", "err", err)
 	}
 }
 
-// halfClosedAt is when this side was closed.
+// halfClosedAt returns when this side closed the connection.
 func (c *Conn) halfClosedAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closedAt
 }
 
-// EndedAt is when the connection was closed by either side, which the handler may be told later; zero while it is open.
+// EndedAt returns when either side closed the connection, or the zero time while it is open. The handler may be notified later.
 func (c *Conn) EndedAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.endedAt
 }
 
-// countDiscarded reports whether what comes is not taken in, and notes how much more that is.
-func (c *Conn) countDiscarded(n int) (discards, tooMuch bool) {
+// countDiscarded reports whether n bytes of input are to be discarded, and whether the total then exceeds maxDiscarded.
+func (c *Conn) countDiscarded(n int) (discard, overLimit bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.discardInput {
@@ -133,7 +133,7 @@
 	return true, c.bytesDiscarded > maxDiscarded
 }
 
-// discardFlood has all that comes from now on discarded. The loop takes in what is in the ring, and then closes the connection.
+// discardFlood discards all further input. The event loop processes the content of the ring and then closes the connection.
 func (c *Conn) discardFlood() {
 	c.mu.Lock()
 	c.discardInput, c.floodDetected = true, true
@@ -141,7 +141,7 @@
 	c.postInput()
 }
 
-// closeIfFlooded closes a connection of which bytes were discarded, once the handler has taken in all that came before them.
+// closeIfFlooded closes a flooded connection. It runs after the handler has processed the input that precedes the discarded bytes.
 func (c *Conn) closeIfFlooded() {
 	c.mu.Lock()
 	flood := c.floodDetected && !c.ended
@@ -155,7 +155,7 @@
 	c.Close(ErrFlood)
 }
 
-// onSocketClosed tells that the connection holds no descriptor any more.
+// onSocketClosed notifies the listener and the handler that the connection has released its descriptor.
 func (c *Conn) onSocketClosed() {
 	if c.listener != nil {
 		c.listener.removeConn(c)
--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -1,7 +1,7 @@
-// Package conn wraps a netpoll connection as an object with callbacks and one ring buffer a direction.
+// Package conn dials, accepts and closes TCP connections on top of netpoll. A connection has a handler with callbacks and
+// one ring buffer for each direction.
 //
-// netpoll fills the inbound ring; the event loop empties it. Everything but that filling
-// happens on the event loop, so the callbacks need no locks.
+// netpoll's goroutines fill the inbound ring. The callbacks and all writes run on the event loop and need no locks.
 package conn
 
 import (
@@ -21,42 +21,42 @@
 )
 
 const (
-	// inboundCapacity holds the largest message (16 KiB) and the next one's beginning.
+	// inboundCapacity is the size of the inbound ring in bytes. It holds the largest message (16 KiB) and the beginning of the next one.
 	inboundCapacity = 32 << 10
-	// outboundCapacity is what a peer that reads slowly may leave unread before it is dropped.
+	// outboundCapacity is the size of the outbound ring in bytes. A peer that leaves more unread is disconnected.
 	outboundCapacity = 64 << 10
-	// maxReadAhead is what may have come beyond the ring.
+	// maxReadAhead is the number of bytes that netpoll may hold beyond the inbound ring. A peer that sends more floods the connection.
 	maxReadAhead = 64 << 10
-	// receiveBufferSize bounds what the kernel takes in for a socket ahead of us, twice the largest message: netpoll reads all
-	// that is there at once into buffers that grow to as much.
+	// receiveBufferSize is the kernel's receive buffer of a socket in bytes, twice the largest message. netpoll reads all available
+	// input at once, so its own buffers grow to this size.
 	receiveBufferSize = 32 << 10
-	// netpollBufferSize is the first buffer that netpoll keeps for each connection.
+	// netpollBufferSize is the initial size in bytes of the buffer that netpoll keeps for each connection.
 	netpollBufferSize = 2 << 10
-	// writeRetryDelay is the pause before a full socket is tried again.
+	// writeRetryDelay is the delay before a write to a full socket is retried.
 	writeRetryDelay = 5 * time.Millisecond
 )
 
-// ErrSlowReader closes a connection whose peer leaves too much unread.
+// ErrSlowReader is the close reason of a connection whose peer leaves more than the outbound ring unread.
 var ErrSlowReader = errors.New("peer reads too slowly")
 
-// ErrFlood closes a connection whose peer writes faster than it can be read.
-var ErrFlood = errors.New("peer writes too fast")
+// ErrFlood is the close reason of a connection whose peer sends faster than the event loop reads.
+var ErrFlood = errors.New("peer sends faster than its input is processed")
 
-// ErrReset is the reason of a connection that ended by a reset: unlike at an end in good order, what its peer sent last may be lost.
-var ErrReset = fmt.Errorf("reset: %w", io.EOF)
+// ErrReset is the close reason of a connection that was reset. Unlike after an orderly close, the last bytes that the peer sent may be lost.
+var ErrReset = fmt.Errorf("reset by peer: %w", io.EOF)
 
-// ErrClosedHere is the reason of a connection that this side closed without a fault.
+// ErrClosedHere is the close reason of a connection that this side closed without a fault.
 var ErrClosedHere = errors.New("closed by this side")
 
 func init() {
-	// One poller. Its callbacks must run on netpoll's pool, not on the poller itself: a connection that is closed
-	// during a callback there waits for the poller for ever, and every other connection with it.
+	// There is one poller. Its callbacks must run on netpoll's goroutine pool, not on the poller itself: closing a connection in a
+	// callback on the poller waits for the poller and so blocks all connections for ever.
 	if err := netpoll.Configure(netpoll.Config{PollerNum: 1, BufferSize: netpollBufferSize, LoggerOutput: netpollLog{}}); err != nil {
 		panic(err)
 	}
 }
 
-// netpollLog has what netpoll logs go the way of all logs, where it is bounded.
+// netpollLog passes netpoll's log output to slog, where the rate of log lines is limited.
 type netpollLog struct{}
 
 func (netpollLog) Write(p []byte) (int, error) {
@@ -67,50 +67,51 @@
 // Poster runs functions on the event loop.
 type Poster interface{ Post(func()) }
 
-// committer is a Poster that has something to do before words leave the process.
+// committer is a Poster that must commit its decisions before messages about them leave the process.
 type committer interface{ Commit() }
 
-// Handler has the callbacks of a connection; all run on the event loop.
+// Handler has the callbacks of a connection. All run on the event loop.
 type Handler interface {
-	// Data tells that the ring has new bytes. An error closes the connection with that reason.
+	// Data is called when the inbound ring has new bytes, of which the oldest arrived at the given time. An error closes the connection
+	// with that reason.
 	Data(in *ring.Buffer, at time.Time) error
-	// Closed comes once, last.
+	// Closed is called once, after all other calls of Data.
 	Closed(reason error)
 }
 
-// Conn is one connection.
+// Conn is one TCP connection, dialled or accepted.
 type Conn struct {
 	loop    Poster
 	nc      netpoll.Connection
 	handler Handler
 	in, out *ring.Buffer
 
-	listener     *Listener // that accepted it; nil if it was dialled
-	remote       net.Addr  // of one that was accepted
-	firstArrival time.Time // when the first bytes came, if they waited in the kernel
-
-	mu             sync.Mutex // guards the fields below, and the socket against a write after its close
-	inputPosted    bool
-	filling        bool      // what came is being put into the ring
-	unreadReported bool      // Unread has seen bytes that the loop was not told of yet
-	inputSince     time.Time // arrival of the oldest bytes that the loop has not looked at
-	ended          bool      // netpoll closes or has closed the socket
-	closedLocally  bool      // this side did
-	writeClosed    bool      // this side has ended its part, and reads on
+	listener     *Listener // nil if the connection was dialled
+	remote       net.Addr  // nil if the connection was dialled
+	firstArrival time.Time // arrival of the first bytes if they waited in the kernel, until it is reported
+
+	mu             sync.Mutex // guards the fields below, and prevents writes to the socket after its close
+	inputPosted    bool       // deliverInput is posted to the event loop
+	filling        bool       // fill is running
+	unreadReported bool       // unread input was reported and not yet posted to the event loop
+	inputSince     time.Time  // arrival of the oldest bytes that were not delivered
+	ended          bool       // either side has closed the connection
+	closedLocally  bool       // this side has closed the connection
+	writeClosed    bool       // this side has closed its writing side and still reads
 	reason         error
-	spaceFreed     chan struct{}
-	// What comes after the close, or in a flood, is discarded.
-	discardInput   bool
-	floodDetected  bool // discarded since before the close
+	spaceFreed     chan struct{} // wakes a fill that waits for space in the inbound ring
+	discardInput   bool          // input is discarded, after a close by this side or in a flood
+	floodDetected  bool          // input was discarded before the close
 	bytesDiscarded int
-	bytesRead      uint64    // bytes that were put into the ring, or discarded
-	closedAt       time.Time // when this side was closed
-	endedAt        time.Time // when either was
-	// The rest is the event loop's.
+	bytesRead      uint64    // bytes that were read from netpoll, into the ring or to be discarded
+	closedAt       time.Time // close by this side
+	endedAt        time.Time // close by either side
+
+	// The fields below are used on the event loop only.
 	retryScheduled            bool
-	closedDelivered           bool
-	bytesQueued, bytesWritten uint64 // bytes that were put into the outbound ring, and that the socket has taken
-	writeCallbacks            []writeCallback
+	closedDelivered           bool            // Handler.Closed was called
+	bytesQueued, bytesWritten uint64          // totals of bytes put into the outbound ring and written to the socket
+	writeCallbacks            []writeCallback // in the order of their messages
 	lastTicket                Ticket
 }
 
@@ -118,25 +119,25 @@
 	return &Conn{loop: loop, nc: nc, in: ring.New(inboundCapacity), out: ring.New(outboundCapacity), spaceFreed: make(chan struct{}, 1)}
 }
 
-// Finish ends this side of the connection and goes on reading: what the peer has sent, or sends before it closes too, still
-// comes. What its socket has not taken by now is dropped: it can't be written any more, and the fault would end the reading too. One that does
-// not close is closed after the time.
-func (c *Conn) Finish(within time.Duration) {
+// Finish half-closes the connection: it closes the writing side and goes on reading until the peer closes too. Output that the socket
+// does not accept at once is discarded, since a later write would fail and end the reading as well. The connection is aborted after
+// the timeout.
+func (c *Conn) Finish(timeout time.Duration) {
 	c.Flush()
 	c.mu.Lock()
 	c.writeClosed = true
 	if fd, ok := c.nc.(netpoll.Conn); ok && !c.ended {
 		if err := syscall.Shutdown(fd.Fd(), syscall.SHUT_WR); err != nil {
-			slog.Debug("finishing a connection", "err", err)
+			slog.Debug("failed to half-close a connection", "err", err)
 		}
 	}
 	c.mu.Unlock()
 	c.out.Discard(c.out.Len())
 	c.writeCallbacks = nil
-	time.AfterFunc(within, func() { c.loop.Post(func() { c.Abort(ErrClosedHere) }) })
+	time.AfterFunc(timeout, func() { c.loop.Post(func() { c.Abort(ErrClosedHere) }) })
 }
 
-// Remote is the peer's address.
+// Remote returns the peer's address.
 func (c *Conn) Remote() string {
 	if c.remote != nil {
 		return c.remote.String()
--- a/internal/conn/dial.go
+++ b/internal/conn/dial.go
@@ -10,19 +10,20 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// ErrRefused is the reason of a dial that the other machine has turned down: nothing listens there.
+// ErrRefused is the error of a dial to an address at which nothing listens.
 var ErrRefused = errors.New("connection refused")
 
-// ErrNoSocket is the reason of a dial for which the process, or the machine, had no descriptor left. It says nothing of the other machine.
-var ErrNoSocket = errors.New("no descriptor left")
+// ErrNoSocket is the error of a dial for which this process or this machine had no file descriptor left. It is no sign of a fault of the
+// peer.
+var ErrNoSocket = errors.New("no file descriptor left")
 
-// Dial connects without holding up the loop. Once the connection is up, handler makes what takes its callbacks;
-// then, or if it does not come up in time, done is called. Both run on the loop.
+// Dial connects to the address without blocking the event loop. When the connection is established, handler returns its Handler and
+// done is called with nil; if the dial fails or times out, only done is called. Both run on the event loop.
 func Dial(loop Poster, address string, timeout time.Duration, handler func(*Conn) Handler, done func(error)) {
 	go func() {
 		nc, err := netpoll.DialConnection("tcp", address, timeout)
 		if errors.Is(err, netpoll.ErrConnClosed) || errors.Is(err, syscall.ECONNREFUSED) {
-			err = ErrRefused // netpoll tells a refusal as a close by the peer
+			err = ErrRefused // netpoll reports a refused connection as closed by the peer
 		}
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 			err = errors.Join(ErrNoSocket, err)
@@ -45,9 +46,9 @@
 	}()
 }
 
-// limitReceiveBuffer bounds what the kernel takes in ahead for a socket.
+// limitReceiveBuffer sets the size of the kernel's receive buffer to receiveBufferSize.
 func limitReceiveBuffer(fd int) {
 	if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBufferSize); err != nil {
-		slog.Warn("bounding a socket", "err", err)
+		slog.Warn("failed to set the receive buffer of a socket", "err", err)
 	}
 }
--- a/internal/conn/listener.go
+++ b/internal/conn/listener.go
@@ -14,38 +14,38 @@
 	"time"
 )
 
-// Listener accepts connections.
+// Listener accepts connections from a TCP socket, up to a limit.
 type Listener struct {
 	loop      Poster
 	handler   func(*Conn) Handler
 	tcp       *net.TCPListener
 	shared    atomic.Bool // another process accepts from the same socket
-	accepting *acceptLoop // nil before Start and after Stop; event loop only
+	accepting *acceptLoop // nil before Start and after Stop; used on the event loop only
 
 	mu              sync.Mutex
-	capacityChanged *sync.Cond // signalled when a connection may have become acceptable
-	conns           map[*Conn]struct{}
-	maxConns        int
-	lingering       []*Conn // closed by this side, oldest first; some may have ended since
+	capacityChanged *sync.Cond         // signalled when another connection may fit within the limit
+	conns           map[*Conn]struct{} // connections that hold a descriptor
+	maxConns        int                // 0 for no limit
+	lingering       []*Conn            // closed by this side, oldest first; some may have ended since
 }
 
-// Limit bounds the connections that hold a descriptor at once; 0 is no bound. Open ones stay. What comes beyond the bound waits in the
-// kernel's queue until there is room: closed at once, it would lose what it has sent.
-func (l *Listener) Limit(most int) {
+// Limit sets the maximum number of connections that hold a descriptor at once; 0 means no limit. Open connections are kept. Connections
+// beyond the limit wait in the kernel's backlog instead of being closed, which would lose what their peers have sent.
+func (l *Listener) Limit(maxConns int) {
 	l.mu.Lock()
-	l.maxConns = most
+	l.maxConns = maxConns
 	l.mu.Unlock()
 	l.capacityChanged.Broadcast()
 }
 
-// Held is the number of connections that hold a descriptor, those that are being closed included.
+// Held returns the number of connections that hold a descriptor, including connections that linger after a close.
 func (l *Listener) Held() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
 }
 
-// Full reports whether no more connections are accepted for now.
+// Full reports whether the limit on connections is reached.
 func (l *Listener) Full() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,20 +54,20 @@
 
 func (l *Listener) full() bool { return l.maxConns > 0 && len(l.conns) >= l.maxConns }
 
-// soReusePort is SO_REUSEPORT, which package syscall lacks for some machines.
+// soReusePort is SO_REUSEPORT, which package syscall does not define for every architecture.
 const soReusePort = 0xf
 
-// BindShared opens a socket that listens at the address. Another process may listen there too: that is how one can start
-// beside its predecessor where the socket cannot be handed over.
+// BindShared opens a listening socket with SO_REUSEPORT, so that another process can listen at the same address. A successor uses it to
+// start beside its predecessor when the socket cannot be handed over.
 func BindShared(address string) (*net.TCPListener, error) { return bind(address, 1) }
 
-func bind(address string, shared int) (*net.TCPListener, error) {
-	// What is accepted has the listener's bound from its first byte on.
+func bind(address string, reusePort int) (*net.TCPListener, error) {
+	// Accepted connections inherit the receive buffer size of the listener, so that it holds from their first byte on.
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
 		return errors.Join(raw.Control(func(fd uintptr) {
 			limitReceiveBuffer(int(fd))
-			err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, soReusePort, shared)
+			err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, soReusePort, reusePort)
 		}), err)
 	}}
 	ln, err := config.Listen(context.Background(), "tcp", address)
@@ -76,33 +76,33 @@
 	}
 	tcp, ok := ln.(*net.TCPListener)
 	if !ok {
-		return nil, errors.Join(fmt.Errorf("listening at %s: not TCP", address), ln.Close())
+		return nil, errors.Join(fmt.Errorf("listening at %s: the listener is not TCP", address), ln.Close())
 	}
 	return tcp, nil
 }
 
-// NewListener prepares to accept connections from a socket, of which at most so many are open at once if most is above
-// 0; handler is called on the loop for each one.
-func NewListener(loop Poster, tcp *net.TCPListener, most int, handler func(*Conn) Handler) *Listener {
-	l := &Listener{loop: loop, handler: handler, tcp: tcp, maxConns: most, conns: map[*Conn]struct{}{}}
+// NewListener returns a Listener for the socket that accepts nothing until Start. At most maxConns connections are open at once; 0 means
+// no limit. The function handler is called on the event loop for each connection.
+func NewListener(loop Poster, tcp *net.TCPListener, maxConns int, handler func(*Conn) Handler) *Listener {
+	l := &Listener{loop: loop, handler: handler, tcp: tcp, maxConns: maxConns, conns: map[*Conn]struct{}{}}
 	l.capacityChanged = sync.NewCond(&l.mu)
 	return l
 }
 
-// Listen accepts connections at the address until Shutdown.
-func Listen(loop Poster, address string, most int, handler func(*Conn) Handler) (*Listener, error) {
+// Listen binds the address and returns a started Listener.
+func Listen(loop Poster, address string, maxConns int, handler func(*Conn) Handler) (*Listener, error) {
 	tcp, err := bind(address, 0)
 	if err != nil {
 		return nil, err
 	}
-	l := NewListener(loop, tcp, most, handler)
+	l := NewListener(loop, tcp, maxConns, handler)
 	if err := l.Start(); err != nil {
 		return nil, errors.Join(err, tcp.Close())
 	}
 	return l, nil
 }
 
-// Start begins to accept, or does so again after a Stop.
+// Start starts to accept connections, also after Stop.
 func (l *Listener) Start() error {
 	if l.accepting != nil {
 		return nil
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// Stop accepts no more. The socket stays open, and what waits there is left to whoever shares it.
+// Stop stops accepting connections. The socket stays open, and another process that shares it can accept the connections in its backlog.
 func (l *Listener) Stop() {
 	if l.accepting != nil {
 		l.accepting.stop()
@@ -124,30 +124,30 @@
 	}
 }
 
-// Share is another descriptor of the socket, for a process that is to accept from it as well.
+// Share returns a file with a duplicate of the socket's descriptor, to be passed to a process that accepts from the same socket.
 func (l *Listener) Share() (*os.File, error) {
 	f, err := l.tcp.File()
 	if err != nil {
-		return nil, fmt.Errorf("sharing %s: %w", l.Address(), err)
+		return nil, fmt.Errorf("duplicating the socket of %s: %w", l.Address(), err)
 	}
 	return f, nil
 }
 
-// Shared tells whether another process accepts from the socket as well. Then its end here leaves it as it is.
+// Shared sets whether another process accepts from the same socket. Shutdown then leaves the socket usable for that process.
 func (l *Listener) Shared(shared bool) { l.shared.Store(shared) }
 
-// Address is where the listener listens.
+// Address returns the address of the listening socket.
 func (l *Listener) Address() string { return l.tcp.Addr().String() }
 
-// Shutdown stops accepting; open connections end too, after a moment in which their peers can read what was sent last. The event loop need
-// not run any more.
+// Shutdown stops accepting connections and closes the open ones. It waits up to shutdownLinger for their peers to read the last output.
+// It does not need a running event loop.
 func (l *Listener) Shutdown() error {
 	if l.accepting == nil {
-		return l.tcp.Close() //nolint:wrapcheck // it says what it is
+		return l.tcp.Close() //nolint:wrapcheck // the error names the operation and the address
 	}
 	var err error
-	l.accepting.stopped.Store(true) // before its socket is shut down, which ends a wait there
-	if !l.shared.Load() {           // a socket that another process has as well must not be shut down
+	l.accepting.stopped.Store(true) // before the shutdown of the socket, which ends a pending accept
+	if !l.shared.Load() {           // shutting down a shared socket would stop the other process from accepting
 		err = l.accepting.shutdownSocket()
 	}
 	l.Stop()
@@ -155,7 +155,7 @@
 	for _, c := range l.connections() {
 		c.halfClose(ErrClosedHere)
 	}
-	for until := time.Now().Add(shutdownLinger); l.Held() > 0 && time.Now().Before(until); {
+	for deadline := time.Now().Add(shutdownLinger); l.Held() > 0 && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	for _, c := range l.connections() {
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// connections are those that hold a descriptor.
+// connections returns the connections that hold a descriptor.
 func (l *Listener) connections() []*Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/conn/read.go
+++ b/internal/conn/read.go
@@ -13,25 +13,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// start begins to read what a dialled connection brings. It must not run on the loop: if more has come already
-// than the ring holds, it waits for the loop.
+// start registers the callbacks with netpoll, which begins to read. It must not run on the event loop, because it waits for the event
+// loop if more input has arrived already than the ring holds.
 func (c *Conn) start() error {
 	if err := c.nc.AddCloseCallback(func(netpoll.Connection) error { c.readRemaining(); c.onHangup(); c.onSocketClosed(); return nil }); err != nil {
 		return err
 	}
 	err := c.nc.SetOnRequest(func(_ context.Context, nc netpoll.Connection) error { return c.fill(nc.Reader()) })
 	if !c.nc.IsActive() {
-		// It closed before netpoll knew whom to tell. netpoll leaves such a socket to its owner: without the close, each
-		// connection that is reset when new would keep its descriptor for good. The close has the callback run, after the one
-		// that takes in what came, if that runs.
+		// The connection ended before the callbacks were registered. netpoll does not close such a socket itself, so without this
+		// Close each connection that is reset when new would leak its descriptor. Close runs the close callback, after the
+		// callback for input if that is running.
 		err = errors.Join(err, c.nc.Close())
 	}
 	return err
 }
 
-// fill runs on netpoll's pool, once at a time for a connection. It moves what came into the ring and waits while that
-// is full; the loop empties every ring each turn, so the wait is short. netpoll reads on meanwhile without bound, so what a
-// peer sends that is too far ahead is discarded, and its connection closed once the loop has taken in what came before.
+// fill moves input from netpoll into the ring and waits while the ring is full. The wait is short, because the event loop empties every
+// ring in each iteration. netpoll goes on reading meanwhile without a limit: beyond maxReadAhead, input is discarded and the connection is
+// closed once the event loop has processed the input before it. fill runs on netpoll's goroutine pool, once at a time per connection.
 func (c *Conn) fill(r netpoll.Reader) error {
 	c.mu.Lock()
 	c.filling = true
@@ -42,21 +42,21 @@
 		c.mu.Unlock()
 	}()
 	for n := r.Len(); n > 0; n = r.Len() {
-		discards, tooMuch := c.countDiscarded(n)
-		if discards {
+		discard, overLimit := c.countDiscarded(n)
+		if discard {
 			c.countRead(n)
 			err := errors.Join(r.Skip(n), r.Release())
-			if tooMuch {
+			if overLimit {
 				c.Abort(ErrFlood)
 			}
-			if tooMuch || err != nil {
+			if overLimit || err != nil {
 				return err
 			}
 			continue
 		}
 		free := c.in.Free()
 		if n > maxReadAhead && free == 0 {
-			c.discardFlood() // what fits into the ring is taken in, and has its answer
+			c.discardFlood() // the content of the ring is still processed and answered
 			continue
 		}
 		if free == 0 {
@@ -81,6 +81,7 @@
 	return nil
 }
 
+// postInput posts deliverInput to the event loop, unless it is posted already.
 func (c *Conn) postInput() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,14 +95,15 @@
 	}
 }
 
+// deliverInput passes the content of the ring to the handler. It runs on the event loop.
 func (c *Conn) deliverInput() {
 	c.mu.Lock()
 	at := c.inputSince
 	c.inputPosted = false
-	deaf := c.closedLocally
+	closedLocally := c.closedLocally
 	c.mu.Unlock()
-	if c.closedDelivered || deaf {
-		return // what crosses a close by this side is not taken: its peer sends it again, or has forfeited it
+	if c.closedDelivered || closedLocally {
+		return // input that crosses a close by this side is dropped: the peer sends it again or loses it
 	}
 	err := c.handler.Data(c.in, at)
 	select {
@@ -121,21 +123,21 @@
 	return c.ended
 }
 
-// readRemaining takes in what a peer that has closed sent last. netpoll hands over what comes while a callback runs in another turn of that
-// callback, but not if the close comes before it begins: then the bytes are in its reader still, and would go with it. A close by
-// this side leaves them: what crosses it is not taken.
+// readRemaining reads the last input of a peer that has closed. netpoll runs its callback again for input that arrives during the
+// callback, but not if the close precedes the next run: the bytes then remain in its reader and would be lost with it. After a close by
+// this side they are left there, because input that crosses such a close is dropped.
 func (c *Conn) readRemaining() {
 	if c.hasEnded() {
 		return
 	}
 	if r := c.nc.Reader(); r.Len() > 0 {
 		if err := c.fill(r); err != nil {
-			slog.Debug("what came last is lost", "err", err)
+			slog.Debug("failed to read the last input of a connection", "err", err)
 		}
 	}
 }
 
-// onHangup runs when netpoll closes the connection, whoever asked for it.
+// onHangup records the end of the connection and its reason. It runs when netpoll closes the connection, for either side.
 func (c *Conn) onHangup() {
 	c.mu.Lock()
 	if c.reason == nil {
@@ -151,8 +153,9 @@
 	c.loop.Post(c.deliverClosed)
 }
 
-// wasReset reports whether the peer of a socket that has ended reset it. A socket whose peer has only closed its side still has a peer; where both
-// sides have closed there is none in either case, and the kernel has counted the peer's close as one more byte.
+// wasReset reports whether the peer has reset the socket of an ended connection. If only the peer has closed its side, the socket still
+// has a peer address; after a reset it has none. If both sides have closed, it has none in either case, but the kernel counts an orderly
+// close by the peer as one more received byte.
 func (c *Conn) wasReset(fd int) bool {
 	if _, err := syscall.Getpeername(fd); !errors.Is(err, syscall.ENOTCONN) {
 		return false
@@ -164,11 +167,12 @@
 	return err == nil && info.Bytes_received <= c.bytesRead
 }
 
+// deliverClosed passes the remaining input and then the close reason to the handler, once. It runs on the event loop.
 func (c *Conn) deliverClosed() {
 	if c.closedDelivered {
 		return
 	}
-	c.deliverInput() // what came before the close still counts
+	c.deliverInput() // input that arrived before the close still counts
 	if c.closedDelivered {
 		return
 	}
@@ -176,8 +180,8 @@
 	c.handler.Closed(c.reason)
 }
 
-// Quiet reports whether nothing of the peer's is on its way to the handler, nor waits in the socket. A connection that is
-// of no use may be closed then; else what has come already would be lost with it.
+// Quiet reports whether no input waits for the handler, neither in the ring nor in netpoll nor in the socket. Otherwise closing a
+// connection that is not needed any more would lose input that has arrived already.
 func (c *Conn) Quiet() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,16 +196,16 @@
 	return n <= 0
 }
 
-// countRead counts bytes that have been taken from netpoll.
+// countRead adds to the number of bytes that were read from netpoll.
 func (c *Conn) countRead(n int) {
 	c.mu.Lock()
 	c.bytesRead += uint64(n)
 	c.mu.Unlock()
 }
 
-// AllTaken reports whether all bytes that the kernel has received are in the ring, or were taken from there. netpoll may have read some, and
-// not show them yet: its poller may have to wait for its core just then, and neither the socket nor Quiet knows of them. Where the kernel does
-// not count what it has received, it is taken for so.
+// AllTaken reports whether all bytes that the kernel has received were read into the ring or discarded. netpoll's poller can be descheduled
+// between reading bytes from the socket and making them available; in between, neither the socket nor Quiet shows them. AllTaken returns
+// true if the kernel does not count received bytes.
 func (c *Conn) AllTaken() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -213,8 +217,8 @@
 	return err != nil || info.Bytes_received <= c.bytesRead
 }
 
-// Unread reports whether bytes wait that the ring could take and has not. After a pause they may tell what must be known before what is
-// overdue is done.
+// Unread reports whether there is unread input for which the ring has space. After a pause of the process, such input may concern overdue
+// timers, so it must be processed before them.
 func (c *Conn) Unread() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -225,25 +229,26 @@
 	if c.nc.Reader().Len() == 0 && !c.filling {
 		n, _, _ := syscall.Recvfrom(fd.Fd(), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		if n <= 0 {
-			return c.unreadReported // neither here nor there: netpoll has read it, and does not show it yet
+			return c.unreadReported // netpoll has read the reported input but does not make it available yet
 		}
 	}
 	c.unreadReported = true
 	return true
 }
 
-// Hear has the handler take in at once what has come and waits for its turn. Only the loop may call it, and no handler of callers.
+// Hear passes input that waits for its event loop iteration to the handler at once. It must be called on the event loop, and not from
+// within a handler of a caller's connection.
 func (c *Conn) Hear() {
 	c.mu.Lock()
-	waits := c.inputPosted
+	posted := c.inputPosted
 	c.mu.Unlock()
-	if waits {
+	if posted {
 		c.deliverInput()
 	}
 }
 
-// Left reports whether the peer has closed its side or reset the connection, also where nobody has looked at that yet: after a
-// pause, what is overdue runs beside what has come meanwhile.
+// Left reports whether the peer has closed its side or reset the connection. It asks the socket itself, because after a pause of the
+// process overdue timers can run before netpoll has noticed the close.
 func (c *Conn) Left() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/conn/write.go
+++ b/internal/conn/write.go
@@ -11,17 +11,17 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// writeCallback is a function that waits for all bytes of a message to leave.
+// writeCallback is a function that runs when the socket has accepted all bytes of a message.
 type writeCallback struct {
-	start, end uint64
+	start, end uint64 // the message's range in the output, counted in bytes from the beginning of the connection
 	callback   func()
 	ticket     Ticket
 }
 
-// Ticket names a message that WriteThen has queued; 0 names none.
+// Ticket identifies a message that WriteThen has queued; 0 stands for no message.
 type Ticket uint64
 
-// Write queues a whole message for Flush. The connection is closed if the peer has left too much unread.
+// Write queues a whole message for Flush. It closes the connection with ErrSlowReader if the outbound ring has no space for the message.
 func (c *Conn) Write(p []byte) {
 	if c.closedDelivered {
 		return
@@ -37,8 +37,8 @@
 	c.bytesQueued += uint64(len(p))
 }
 
-// WriteThen is Write with a function that runs once the last byte has gone to the socket, if it ever does. The ticket is what
-// Recall takes.
+// WriteThen queues a message like Write and calls the function then once the socket has accepted its last byte, which may never happen.
+// The ticket can be passed to Recall; it is 0 if the message was not queued.
 func (c *Conn) WriteThen(p []byte, then func()) Ticket {
 	before := c.bytesQueued
 	if c.Write(p); c.bytesQueued == before {
@@ -49,15 +49,16 @@
 	return c.lastTicket
 }
 
-// Recall takes back a message of which no byte has left yet, and reports whether it was one. Its function does not run then.
+// Recall removes a queued message of which no byte was written to the socket, and returns false if there is no such message. The function
+// given to WriteThen does not run for a removed message.
 func (c *Conn) Recall(t Ticket) bool {
-	i := slices.IndexFunc(c.writeCallbacks, func(m writeCallback) bool { return m.ticket == t })
+	i := slices.IndexFunc(c.writeCallbacks, func(w writeCallback) bool { return w.ticket == t })
 	if t == 0 || i < 0 || c.closedDelivered || c.writeCallbacks[i].start < c.bytesWritten {
 		return false
 	}
-	m := c.writeCallbacks[i]
-	n := m.end - m.start
-	c.out.Cut(int(m.start-c.bytesWritten), int(n))
+	w := c.writeCallbacks[i]
+	n := w.end - w.start
+	c.out.Cut(int(w.start-c.bytesWritten), int(n))
 	c.bytesQueued -= n
 	c.writeCallbacks = slices.Delete(c.writeCallbacks, i, i+1)
 	for j := range c.writeCallbacks[i:] {
@@ -67,19 +68,19 @@
 	return true
 }
 
-// onWritten notes that the socket has taken bytes.
+// onWritten removes bytes that the socket has accepted from the outbound ring, and runs the callbacks of messages that are complete.
 func (c *Conn) onWritten(n int) {
 	c.out.Discard(n)
 	c.bytesWritten += uint64(n)
 	for len(c.writeCallbacks) > 0 && c.writeCallbacks[0].end <= c.bytesWritten {
-		then := c.writeCallbacks[0].callback
+		callback := c.writeCallbacks[0].callback
 		c.writeCallbacks = c.writeCallbacks[1:]
-		then()
+		callback()
 	}
 }
 
-// Flush writes what is queued as far as the socket takes it. netpoll's own Flush waits for the peer to read;
-// here one slow reader would hold up every call, so the socket is written without waiting and tried again.
+// Flush writes as much of the buffered output as the socket accepts, and retries the rest after writeRetryDelay. netpoll's own Flush is
+// not used because it waits for the peer to read, so that one slow reader would block the event loop and with it every call.
 func (c *Conn) Flush() {
 	if c.closedDelivered || c.out.Len() == 0 {
 		return
@@ -107,20 +108,21 @@
 	c.out.Empty()
 }
 
-// discardOutput drops what is queued, as the peer has ended the connection. Its end follows from netpoll, behind what the peer sent before it: a close by
-// this side would have that discarded.
+// discardOutput drops the buffered output after the peer has ended the connection. It does not close the connection, because that would
+// discard the peer's last input: netpoll reports the end after that input.
 func (c *Conn) discardOutput() {
 	c.out.Discard(c.out.Len())
 	c.writeCallbacks, c.bytesWritten = nil, c.bytesQueued
 }
 
-// commit has what was decided kept, if it is to be, before it is told.
+// commit commits the decisions on the event loop, if it is a committer, before messages about them leave the process.
 func (c *Conn) commit() {
 	if l, ok := c.loop.(committer); ok {
 		l.Commit()
 	}
 }
 
+// write writes the first contiguous part of the outbound ring to the socket.
 func (c *Conn) write() (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,5 +134,5 @@
 	return syscall.Write(fd.Fd(), first)
 }
 
-// Unsent is the number of bytes that wait for the socket.
+// Unsent returns the number of bytes of buffered output.
 func (c *Conn) Unsent() int { return c.out.Len() }
