--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,4 +1,4 @@
-// Package ring holds a bounded byte queue of fixed capacity.
+// Package ring implements a bounded byte queue for one reader and one writer.
 package ring
 
 import (
@@ -6,27 +6,28 @@
 	"sync/atomic"
 )
 
-// minStorage is the first storage of a ring; nothing that is sent by itself needs more.
+// minStorage is the size in bytes of the first storage of a ring. Any message that is sent on its own fits into it.
 const minStorage = 1 << 10
 
-// Buffer is a ring of bytes. One goroutine may write while another reads; neither takes a lock. It has no storage until
-// something is written, and what it has grows with what waits: most connections say little or nothing, and hundreds of
-// them must fit into a small memory.
+// Buffer is a ring buffer of bytes. One goroutine may write while another reads, without locks. Buffer allocates no storage before the
+// first write, and the storage grows with the content: most connections send little or nothing, and hundreds of them must fit into a small
+// memory.
 type Buffer struct {
-	size    int
-	data    atomic.Pointer[[]byte] // replaced by the writer alone
-	scratch []byte
-	head    atomic.Uint64 // read so far; moved by the reader alone
-	tail    atomic.Uint64 // written so far; moved by the writer alone
+	size    int                    // capacity in bytes, a power of two
+	data    atomic.Pointer[[]byte] // storage; replaced by the writer only
+	scratch []byte                 // joins the two parts for Peek
+	head    atomic.Uint64          // total of bytes read; changed by the reader only
+	tail    atomic.Uint64          // total of bytes written; changed by the writer only
 }
 
-// New returns a Buffer that holds up to size bytes; size is rounded up to a power of two.
+// New returns an empty Buffer with a capacity of size bytes, rounded up to a power of two.
 func New(size int) *Buffer {
 	b := &Buffer{size: nextPowerOfTwo(size)}
 	b.data.Store(new([]byte))
 	return b
 }
 
+// nextPowerOfTwo returns the smallest power of two that is not below size.
 func nextPowerOfTwo(size int) int {
 	n := 1
 	for n < size {
@@ -35,16 +36,16 @@
 	return n
 }
 
-// Len is the number of bytes that can be read.
+// Len returns the number of bytes that can be read.
 func (b *Buffer) Len() int { return int(b.tail.Load() - b.head.Load()) }
 
-// Free is the number of bytes that can be written.
+// Free returns the number of bytes that can be written.
 func (b *Buffer) Free() int { return b.size - b.Len() }
 
-// Cap is the storage that is held.
+// Cap returns the size in bytes of the allocated storage, which is at most the capacity.
 func (b *Buffer) Cap() int { return len(*b.data.Load()) }
 
-// Write takes in as much of p as there is room for and returns how much that was.
+// Write appends as much of p as fits and returns the number of bytes written.
 func (b *Buffer) Write(p []byte) int {
 	n := min(len(p), b.Free())
 	if n == 0 {
@@ -55,12 +56,12 @@
 	at := int(tail % uint64(len(data)))
 	k := copy(data[at:], p[:n])
 	copy(data, p[k:n])
-	b.tail.Store(tail + uint64(n)) // after the storage: who sees the bytes sees where they are
+	b.tail.Store(tail + uint64(n)) // after the storage: a reader that sees the new tail also sees the storage with the bytes
 	return n
 }
 
-// reserve makes storage for n more bytes. The reader may go on with the old one: what it can see stays there as it is. Much
-// storage that was needed once is given back at the next write.
+// reserve returns storage with space for n more bytes, allocated anew if necessary. A concurrent reader may go on with the old storage,
+// whose readable bytes do not change. An empty ring whose storage is much larger than needed gets a smaller one.
 func (b *Buffer) reserve(n int) []byte {
 	data := *b.data.Load()
 	head, tail := b.head.Load(), b.tail.Load()
@@ -77,16 +78,16 @@
 	return data
 }
 
-// Empty gives the storage back if nothing waits. Only who both writes and reads may call it.
+// Empty releases the storage if the ring is empty. It must not run concurrently with reads or writes.
 func (b *Buffer) Empty() {
 	if b.Len() == 0 && b.Cap() > 0 {
 		b.data.Store(new([]byte))
 	}
 }
 
-// Parts returns what can be read, in at most two pieces, without taking it.
+// Parts returns the readable bytes in one or two parts without removing them.
 func (b *Buffer) Parts() (first, second []byte) {
-	n := b.Len() // before the storage, which the writer may replace
+	n := b.Len() // before the storage, which the writer may replace at any time
 	data := *b.data.Load()
 	if n == 0 {
 		return nil, nil
@@ -98,8 +99,8 @@
 	return data[at:], data[:at+n-len(data)]
 }
 
-// Peek returns the first n bytes in one piece, or fewer if fewer are there. The slice is good until the
-// next Peek or Discard.
+// Peek returns the first n bytes as one slice without removing them, or all bytes if there are fewer. The slice is valid until the next
+// Peek or Discard.
 func (b *Buffer) Peek(n int) []byte {
 	first, second := b.Parts()
 	if n <= len(first) {
@@ -112,7 +113,7 @@
 	return b.scratch
 }
 
-// Index is the place of the first c at or after from, or -1.
+// Index returns the offset of the first c at or after the offset from, or -1.
 func (b *Buffer) Index(c byte, from int) int {
 	first, second := b.Parts()
 	if from < len(first) {
@@ -129,10 +130,10 @@
 	return -1
 }
 
-// Discard takes n bytes out.
+// Discard removes the first n bytes, or all bytes if there are fewer.
 func (b *Buffer) Discard(n int) { b.head.Add(uint64(min(n, b.Len()))) }
 
-// Cut takes n bytes out of the middle, from the place from on. Only who both writes and reads may call it.
+// Cut removes n bytes at the offset from. It must not run concurrently with reads or writes.
 func (b *Buffer) Cut(from, n int) {
 	all := b.Peek(b.Len())
 	if from < 0 || n <= 0 || from+n > len(all) {
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// FuzzBuffer holds a ring against a plain queue.
+// FuzzBuffer compares a ring with a plain slice over random writes and reads.
 func FuzzBuffer(f *testing.F) {
 	f.Add([]byte("\x05hello\x83\x07worlds!\x90\x02xy"))
 	f.Fuzz(func(t *testing.T, script []byte) {
@@ -25,15 +25,15 @@
 				script = script[len(p):]
 				n := b.Write(p)
 				if free := 16 - len(want); n != min(len(p), free) {
-					t.Fatalf("took %d of %d bytes with room for %d", n, len(p), free)
+					t.Fatalf("wrote %d of %d bytes with %d bytes free", n, len(p), free)
 				}
 				want = append(want, p[:n]...)
 			}
 			if got := b.Peek(100); !bytes.Equal(got, want) {
-				t.Fatalf("holds %q, want %q", got, want)
+				t.Fatalf("the content is %q, want %q", got, want)
 			}
 			if half := len(want) / 2; !bytes.Equal(b.Peek(half), want[:half]) {
-				t.Fatalf("peek of %d: %q, want %q", half, b.Peek(half), want[:half])
+				t.Fatalf("Peek(%d) = %q, want %q", half, b.Peek(half), want[:half])
 			}
 			for from := range want {
 				got, i := b.Index('x', from), bytes.IndexByte(want[from:], 'x')
@@ -41,14 +41,15 @@
 					i += from
 				}
 				if got != i {
-					t.Fatalf("first x of %q from %d at %d, want %d", want, from, got, i)
+					t.Fatalf("Index of x in %q from %d is %d, want %d", want, from, got, i)
 				}
 			}
 		}
 	})
 }
 
-// TestStorageFollowsContent: rings of 96 KiB for each connection on accept were 100 MB for a thousand that say nothing.
+// TestStorageFollowsContent guards against storage that is allocated in advance: with 96 KiB of rings for each accepted connection, a
+// thousand connections that sent nothing took 100 MB.
 func TestStorageFollowsContent(t *testing.T) {
 	b := New(32 << 10)
 	text := bytes.Repeat([]byte("0123456789abcdef!"), 2000)
@@ -60,16 +61,16 @@
 		got = append(got, b.Peek(step.read)...)
 		b.Discard(step.read)
 		if b.Cap() != step.storage {
-			t.Errorf("holds %d bytes of storage after writing %d, want %d", b.Cap(), step.write, step.storage)
+			t.Errorf("the storage has %d bytes after writing %d, want %d", b.Cap(), step.write, step.storage)
 		}
 	}
 	want := slices.Concat(text[:900], text[:900], text[:100], text[:9000], text[:10])
 	if !bytes.Equal(got, want) {
-		t.Error("what was read is not what was written")
+		t.Error("the bytes read differ from the bytes written")
 	}
 }
 
-// TestConcurrentReadAndWrite has the storage change under the reader; the race detector looks on.
+// TestConcurrentReadAndWrite replaces the storage while another goroutine reads. It also serves the race detector.
 func TestConcurrentReadAndWrite(t *testing.T) {
 	const total = 1 << 20
 	b := New(8 << 10)
@@ -95,7 +96,7 @@
 	}
 }
 
-// TestCut takes bytes out of the middle, wherever the ring's end lies, and finds what a plain slice has.
+// TestCut compares a ring with a plain slice over random writes, reads and cuts, also where the content wraps around.
 func TestCut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, model := New(1<<12), []byte(nil)
@@ -114,7 +115,7 @@
 				model = append(append([]byte(nil), model[:from]...), model[from+n:]...)
 			}
 			if got := b.Peek(b.Len()); !bytes.Equal(got, model) {
-				t.Fatalf("%d bytes, want %d", len(got), len(model))
+				t.Fatalf("the content differs from the model: %d bytes, want %d", len(got), len(model))
 			}
 		}
 	})
--- a/internal/ring/ringtest/ringtest.go
+++ b/internal/ring/ringtest/ringtest.go
@@ -1,4 +1,4 @@
-// Package ringtest feeds decoders in tests.
+// Package ringtest feeds input to decoders in tests.
 package ringtest
 
 import (
@@ -7,11 +7,11 @@
 	"cherryrelay/internal/ring"
 )
 
-// ErrStuck ends a stream whose decoder reads nothing though the ring is full.
-var ErrStuck = errors.New("ringtest: the ring is full and nothing is read")
+// ErrStuck is the error of Feed if the ring is full and the decoder reads nothing from it.
+var ErrStuck = errors.New("ringtest: the ring is full and the decoder reads nothing")
 
-// Feed writes text to a ring of the size in pieces of at most so many bytes, and returns the messages that the decoder's next finds, up to its
-// first error. Next returns nil where no message is whole yet.
+// Feed writes text to a ring of the given size in pieces of at most piece bytes, and returns the messages that next decodes up to its
+// first error. The function next returns nil while no message is complete.
 func Feed[M any](next func(*ring.Buffer) (*M, error), size int, text []byte, piece int) (all []*M, err error) {
 	in := ring.New(size)
 	for len(text) > 0 {
--- a/internal/sip/sip.go
+++ b/internal/sip/sip.go
@@ -1,5 +1,5 @@
-// Package sip reads and writes the SIP messages that dispatchers speak, framed as RFC 3261 has it for
-// streams: headers up to an empty line, then as many bytes as Content-Length says.
+// Package sip reads and writes the SIP messages that are exchanged with dispatchers. Messages are framed as RFC 3261 defines it for
+// stream transports: headers up to an empty line, then a body of Content-Length bytes.
 package sip
 
 import (
@@ -12,32 +12,32 @@
 	"cherryrelay/internal/ring"
 )
 
-// MaxMessage is the largest message, headers and body.
+// MaxMessage is the size in bytes of the largest message, with its headers and its body.
 const MaxMessage = 16 << 10
 
-// Errors of a stream that cannot be read on.
+// Errors after which a stream cannot be read any further.
 var (
-	ErrTooLong  = errors.New("message of over 16 KiB")
-	ErrNoLength = errors.New("message without a usable Content-Length")
+	ErrTooLong  = errors.New("message longer than 16 KiB")
+	ErrNoLength = errors.New("message with a missing or invalid Content-Length")
 )
 
-// Message is a request, if Method is set, or a response.
+// Message is a request if Method is set, and a response otherwise.
 type Message struct {
 	Method  string
 	URI     string
 	Status  int
-	Phrase  string
+	Phrase  string // the reason phrase of a response
 	CallID  string
-	Seq     uint32 // CSeq's number
-	SeqOf   string // CSeq's method
+	Seq     uint32 // the number in CSeq
+	SeqOf   string // the method in CSeq
 	Headers []Header
 	Body    []byte
 }
 
-// Header is any header but those that Message names.
+// Header is a header that has no field of its own in Message.
 type Header struct{ Name, Value string }
 
-// Get returns the first header of that name, whatever its case.
+// Get returns the value of the first header with the name, which is compared without regard to case. It returns "" if there is none.
 func (m *Message) Get(name string) string {
 	for _, h := range m.Headers {
 		if strings.EqualFold(h.Name, name) {
@@ -47,11 +47,11 @@
 	return ""
 }
 
-// fullNames has the full names of the compact forms.
+// fullNames maps the compact forms of header names to the full names, in lower case.
 var fullNames = map[string]string{"i": "call-id", "l": "content-length", "v": "via", "f": "from", "t": "to",
 	"m": "contact", "c": "content-type", "s": "subject", "k": "supported", "e": "content-encoding"}
 
-// Decoder takes messages off a ring.
+// Decoder reads messages from a ring.
 type Decoder struct {
 	scanned    int // bytes in which no end of the headers was found
 	headLength int // length of the headers, once known
@@ -59,7 +59,7 @@
 	bodyLength int
 }
 
-// Next returns the next message, or nil if it is not whole yet.
+// Next returns the next message and removes it from the ring, or returns nil if the message is not complete yet.
 func (d *Decoder) Next(in *ring.Buffer) (*Message, error) {
 	if d.message == nil {
 		if err := d.readHead(in); d.message == nil {
@@ -76,14 +76,15 @@
 	return m, nil
 }
 
-// MayBegin reports whether what is on the ring can begin a message: line ends, a method, or a response's version.
+// MayBegin reports whether the content of the ring can be the start of a message: line breaks, then a method or the version of a
+// response, each of them possibly incomplete.
 func MayBegin(in *ring.Buffer) bool {
 	start := bytes.TrimLeft(in.Peek(maxStartPeek), "\r\n")
-	word, _, _ := bytes.Cut(start, []byte(" "))
-	if version := []byte("SIP/2.0"); len(word) > 0 && (bytes.HasPrefix(word, version) || bytes.HasPrefix(version, word)) {
+	token, _, _ := bytes.Cut(start, []byte(" "))
+	if version := []byte("SIP/2.0"); len(token) > 0 && (bytes.HasPrefix(token, version) || bytes.HasPrefix(version, token)) {
 		return true
 	}
-	for _, c := range word {
+	for _, c := range token {
 		if c < 'A' || c > 'Z' {
 			return false
 		}
@@ -91,15 +92,16 @@
 	return true
 }
 
-// maxStartPeek is as much as any method and the line ends before it.
+// maxStartPeek is the number of bytes that MayBegin inspects, enough for any method and the line breaks before it.
 const maxStartPeek = 24
 
+// readHead parses the first line and the headers of the next message once they are complete. It leaves them on the ring.
 func (d *Decoder) readHead(in *ring.Buffer) error {
 	for d.scanned == 0 && in.Len() > 0 && (in.Peek(1)[0] == '\r' || in.Peek(1)[0] == '\n') {
-		in.Discard(1) // RFC 3261 7.5: line ends before the first line are passed over
+		in.Discard(1) // RFC 3261, 7.5: line breaks before the first line are ignored
 	}
 	for {
-		seen := in.Len() // before the look: more may come meanwhile, its end among it
+		seen := in.Len() // read before the search, because the end of the line may arrive in between
 		end := in.Index('\n', d.scanned)
 		if end >= MaxMessage || end < 0 && seen >= MaxMessage {
 			return ErrTooLong
@@ -124,9 +126,10 @@
 	}
 }
 
+// parseHead parses the first line and the headers of a message. It returns the length of the body.
 func parseHead(text string) (m *Message, length int, err error) {
 	text = strings.ReplaceAll(text, "\r\n", "\n")
-	text = strings.NewReplacer("\n ", " ", "\n\t", " ").Replace(text) // a folded header
+	text = strings.NewReplacer("\n ", " ", "\n\t", " ").Replace(text) // unfold headers that span several lines
 	lines := strings.Split(strings.TrimRight(text, "\n"), "\n")
 	if m, err = parseStart(lines[0]); err != nil {
 		return nil, 0, err
@@ -135,7 +138,7 @@
 	for _, line := range lines[1:] {
 		name, value, ok := strings.Cut(line, ":")
 		if name = strings.TrimSpace(name); !ok || name == "" {
-			return nil, 0, fmt.Errorf("unreadable header %.40q", line)
+			return nil, 0, fmt.Errorf("malformed header %.40q", line)
 		}
 		value = strings.TrimSpace(value)
 		key := strings.ToLower(name)
@@ -155,7 +158,7 @@
 			number, method, _ := strings.Cut(value, " ")
 			n, err := strconv.ParseUint(number, 10, 32)
 			if err != nil {
-				return nil, 0, fmt.Errorf("unreadable CSeq %.40q", value)
+				return nil, 0, fmt.Errorf("invalid CSeq %.40q", value)
 			}
 			m.Seq, m.SeqOf = uint32(n), strings.TrimSpace(method)
 		default:
@@ -168,23 +171,24 @@
 	return m, length, nil
 }
 
+// parseStart parses the first line of a message: a status line or a request line.
 func parseStart(line string) (*Message, error) {
 	if rest, ok := strings.CutPrefix(line, "SIP/2.0 "); ok {
 		code, phrase, _ := strings.Cut(rest, " ")
 		status, err := strconv.Atoi(code)
 		if err != nil || status < 100 || status > 699 {
-			return nil, fmt.Errorf("unreadable status line %.40q", line)
+			return nil, fmt.Errorf("malformed status line %.40q", line)
 		}
 		return &Message{Status: status, Phrase: phrase}, nil
 	}
 	parts := strings.Split(line, " ")
 	if len(parts) != 3 || parts[0] == "" || parts[1] == "" || parts[2] != "SIP/2.0" {
-		return nil, fmt.Errorf("unreadable first line %.40q", line)
+		return nil, fmt.Errorf("malformed request line %.40q", line)
 	}
 	return &Message{Method: parts[0], URI: parts[1]}, nil
 }
 
-// Append adds the message to p as it goes on the wire.
+// Append appends the wire format of the message to p.
 func Append(p []byte, m *Message) []byte {
 	if m.Method != "" {
 		p = fmt.Appendf(p, "%s %s SIP/2.0\r\n", m.Method, m.URI)
--- a/internal/sip/sip_test.go
+++ b/internal/sip/sip_test.go
@@ -9,7 +9,7 @@
 	"cherryrelay/internal/ring/ringtest"
 )
 
-// decode feeds text in pieces and returns the messages and the error that ended them.
+// decode feeds text in pieces to a decoder and returns the messages up to the first error, and that error.
 func decode(text string, piece int) (all []*Message, err error) {
 	return ringtest.Feed(new(Decoder).Next, 32<<10, []byte(text), piece)
 }
@@ -18,48 +18,48 @@
 	"Content-Length: 4\r\n\r\na\r\nb"
 
 func TestDecoder(t *testing.T) {
-	asked := &Message{Method: "INVITE", URI: "sip:7f@net", CallID: "9b", Seq: 1, SeqOf: "INVITE", Body: []byte("a\r\nb"),
+	wantInvite := &Message{Method: "INVITE", URI: "sip:7f@net", CallID: "9b", Seq: 1, SeqOf: "INVITE", Body: []byte("a\r\nb"),
 		Headers: []Header{{"Via", "SIP/2.0/TCP peer"}, {"P-Kind", "voice"}}}
 	for name, test := range map[string]struct {
 		text string
 		want []*Message
-		bad  bool
+		fail bool
 	}{
-		"two in a row":        {invite + invite, []*Message{asked, asked}, false},
-		"line ends before it": {"\r\n\r\n" + invite, []*Message{asked}, false},
-		"compact, folded, bare line feeds": {"SIP/2.0 503 Full up\ni: 9b\nl:0\nCSEQ:  7  INVITE\nReason: a\n  b\n\n",
+		"two in a row":                      {invite + invite, []*Message{wantInvite, wantInvite}, false},
+		"line breaks before the first line": {"\r\n\r\n" + invite, []*Message{wantInvite}, false},
+		"compact and folded headers, bare line feeds": {"SIP/2.0 503 Full up\ni: 9b\nl:0\nCSEQ:  7  INVITE\nReason: a\n  b\n\n",
 			[]*Message{{Status: 503, Phrase: "Full up", CallID: "9b", Seq: 7, SeqOf: "INVITE", Body: []byte{},
 				Headers: []Header{{"Reason", "a  b"}}}}, false},
-		"part of a body":    {invite[:len(invite)-1], nil, false},
-		"no length":         {"BYE sip:x SIP/2.0\r\nCall-ID: 1\r\n\r\n", nil, true},
-		"two lengths":       {"BYE sip:x SIP/2.0\r\nl: 1\r\nContent-Length: 2\r\n\r\n", nil, true},
-		"length below zero": {"BYE sip:x SIP/2.0\r\nContent-Length: -1\r\n\r\n", nil, true},
-		"other protocol":    {"GET / HTTP/1.1\r\nContent-Length: 0\r\n\r\n", nil, true},
-		"bad status":        {"SIP/2.0 999 X\r\nContent-Length: 0\r\n\r\n", nil, true},
-		"no header":         {"BYE sip:x SIP/2.0\r\nwhat\r\nContent-Length: 0\r\n\r\n", nil, true},
-		"too long a body":   {"BYE sip:x SIP/2.0\r\nContent-Length: 16384\r\n\r\n", nil, true},
-		"too long a head":   {"BYE sip:x SIP/2.0\r\nX: " + strings.Repeat("y", MaxMessage), nil, true},
+		"incomplete body":        {invite[:len(invite)-1], nil, false},
+		"no Content-Length":      {"BYE sip:x SIP/2.0\r\nCall-ID: 1\r\n\r\n", nil, true},
+		"two different lengths":  {"BYE sip:x SIP/2.0\r\nl: 1\r\nContent-Length: 2\r\n\r\n", nil, true},
+		"negative length":        {"BYE sip:x SIP/2.0\r\nContent-Length: -1\r\n\r\n", nil, true},
+		"other protocol":         {"GET / HTTP/1.1\r\nContent-Length: 0\r\n\r\n", nil, true},
+		"invalid status":         {"SIP/2.0 999 X\r\nContent-Length: 0\r\n\r\n", nil, true},
+		"header without a colon": {"BYE sip:x SIP/2.0\r\nwhat\r\nContent-Length: 0\r\n\r\n", nil, true},
+		"body too long":          {"BYE sip:x SIP/2.0\r\nContent-Length: 16384\r\n\r\n", nil, true},
+		"headers too long":       {"BYE sip:x SIP/2.0\r\nX: " + strings.Repeat("y", MaxMessage), nil, true},
 	} {
 		for _, piece := range []int{1, 5, 1 << 20} {
 			got, err := decode(test.text, piece)
-			if diff := cmp.Diff(test.want, got); diff != "" || (err != nil) != test.bad {
+			if diff := cmp.Diff(test.want, got); diff != "" || (err != nil) != test.fail {
 				t.Errorf("%s, in pieces of %d: error %v, messages (-want +got):\n%s", name, piece, err, diff)
 			}
 		}
 	}
 }
 
-// FuzzDecoder checks that pieces make no difference and that what is read survives being written.
+// FuzzDecoder checks that the size of the pieces makes no difference, and that a decoded message is equal after encoding and decoding.
 func FuzzDecoder(f *testing.F) {
 	f.Add(invite+"SIP/2.0 200 OK\r\nl: 0\r\n\r\n", 3)
 	f.Fuzz(func(t *testing.T, text string, piece int) {
 		whole, err := decode(text, len(text)+1)
 		parts, errParts := decode(text, 1+max(piece, 0)%64)
 		if len(text) > 32<<10 {
-			return // more than the ring takes at once
+			return // whole does not fit into the ring at once
 		}
 		if diff := cmp.Diff(whole, parts); diff != "" || (err == nil) != (errParts == nil) {
-			t.Fatalf("in pieces: %v and %v\n%s", err, errParts, diff)
+			t.Fatalf("at once: error %v; in pieces: error %v; messages (-at once +in pieces):\n%s", err, errParts, diff)
 		}
 		for _, m := range whole {
 			m.Headers = nil
@@ -67,11 +67,11 @@
 			if len(again) == 1 {
 				again[0].Headers = nil
 			}
-			if m.SeqOf == "" { // a message without CSeq gets an empty one
+			if m.SeqOf == "" { // Append writes an empty CSeq for a message without one
 				continue
 			}
 			if diff := cmp.Diff([]*Message{m}, again); diff != "" || err != nil {
-				t.Fatalf("written and read: %v\n%s", err, diff)
+				t.Fatalf("after encoding and decoding: error %v, messages (-want +got):\n%s", err, diff)
 			}
 		}
 	})
--- a/internal/websocket/websocket.go
+++ b/internal/websocket/websocket.go
@@ -1,5 +1,5 @@
-// Package websocket is the framing of RFC 6455 without sockets: frames are taken off a ring, put together to
-// messages, and written. See handshake.go for the opening.
+// Package websocket implements the framing and the opening handshake of RFC 6455 without sockets. It reads frames from a ring, joins
+// them to messages, and encodes frames.
 package websocket
 
 import (
@@ -31,19 +31,19 @@
 	GoingAway     = 1001
 	ProtocolError = 1002
 	Unsupported   = 1003
-	noStatus      = 1005 // never sent
+	noStatus      = 1005 // stands for a close frame without a code; never sent
 	BadData       = 1007
 	PolicyError   = 1008
 	TooBig        = 1009
 )
 
-// MaxMessage is the largest message, all its fragments together.
+// MaxMessage is the size in bytes of the largest message, with all its fragments.
 const MaxMessage = 16 << 10
 
-// maxControl is the largest payload of a control frame.
-const maxControl = 125
+// maxControlPayload is the size in bytes of the largest payload of a control frame.
+const maxControlPayload = 125
 
-// Error is a fault of the peer, with the code to close with.
+// Error is a protocol violation by the peer, with the code to close the connection with.
 type Error struct {
 	Code int
 	Text string
@@ -51,7 +51,7 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("websocket: %s (%d)", e.Text, e.Code) }
 
-// CloseCode is the code to close a connection with for an error.
+// CloseCode returns the code to close a connection with after an error, or Normal if err is nil.
 func CloseCode(err error) int {
 	var e *Error
 	switch {
@@ -63,23 +63,23 @@
 	return PolicyError
 }
 
-// Message is a whole message or a control frame. For Close, Code is what the peer gave.
+// Message is a complete message or a control frame. Code is the peer's close code if Op is Close.
 type Message struct {
 	Op      Opcode
 	Payload []byte
 	Code    int
 }
 
-// Decoder takes messages off a ring.
+// Decoder reads messages from a ring.
 type Decoder struct {
-	// Masked says whether the peer must mask its frames: clients must, servers must not.
+	// Masked is set if the peer must mask its frames. Clients must, and servers must not.
 	Masked bool
 
-	message []byte // fragments so far
-	op      Opcode // of the message under way; Continuation for none
+	message []byte // payload of the fragments of the current message
+	op      Opcode // opcode of the current message; Continuation if there is none
 }
 
-// Next returns the next message or control frame, or nil if none is whole yet.
+// Next returns the next message or control frame and removes it from the ring, or returns nil if none is complete yet.
 func (d *Decoder) Next(in *ring.Buffer) (*Message, error) {
 	for {
 		f, size, err := d.readFrame(in)
@@ -93,11 +93,11 @@
 		case f.op >= Close:
 			return &Message{Op: f.op, Payload: f.payload}, nil
 		case f.op != Continuation && d.op != Continuation:
-			return nil, &Error{ProtocolError, "a message began inside another"}
+			return nil, &Error{ProtocolError, "data frame within a fragmented message"}
 		case f.op == Continuation && d.op == Continuation:
-			return nil, &Error{ProtocolError, "a continuation of nothing"}
+			return nil, &Error{ProtocolError, "continuation frame without a message"}
 		case len(d.message)+len(f.payload) > MaxMessage:
-			return nil, &Error{TooBig, "message of over 16 KiB"}
+			return nil, &Error{TooBig, "message longer than 16 KiB"}
 		}
 		if f.op != Continuation {
 			d.op = f.op
@@ -109,7 +109,7 @@
 		m := &Message{Op: d.op, Payload: d.message}
 		d.op, d.message = Continuation, nil
 		if m.Op == Text && !utf8.Valid(m.Payload) {
-			return nil, &Error{BadData, "text that is not UTF-8"}
+			return nil, &Error{BadData, "text message is not valid UTF-8"}
 		}
 		return m, nil
 	}
@@ -121,23 +121,23 @@
 	payload []byte
 }
 
-// readFrame reads one frame without taking it off; it is nil if the frame is not whole yet. Faults are found as soon
-// as the header shows them.
+// readFrame decodes the next frame and leaves it on the ring. The frame is nil if it is not complete yet; errors in its header are
+// returned before the payload has arrived. size is the length of the frame in bytes.
 func (d *Decoder) readFrame(in *ring.Buffer) (f *frame, size int, err error) {
 	head := in.Peek(14)
 	if len(head) < 2 {
 		return nil, 0, nil
 	}
 	f = &frame{fin: head[0]&0x80 != 0, op: Opcode(head[0] & 0x0f)}
-	masked, length, at := head[1]&0x80 != 0, int(head[1]&0x7f), 2
+	masked, length, payloadStart := head[1]&0x80 != 0, int(head[1]&0x7f), 2
 	switch {
 	case head[0]&0x70 != 0:
-		return nil, 0, &Error{ProtocolError, "reserved bits are set"}
+		return nil, 0, &Error{ProtocolError, "frame with reserved bits set"}
 	case f.op > Binary && f.op < Close || f.op > Pong:
 		return nil, 0, &Error{ProtocolError, "unknown opcode"}
 	case masked != d.Masked:
-		return nil, 0, &Error{ProtocolError, "wrong masking"}
-	case f.op >= Close && (!f.fin || length > maxControl):
+		return nil, 0, &Error{ProtocolError, "unmasked frame from a client or masked frame from a server"}
+	case f.op >= Close && (!f.fin || length > maxControlPayload):
 		return nil, 0, &Error{ProtocolError, "fragmented or oversized control frame"}
 	}
 	switch {
@@ -145,87 +145,87 @@
 		if len(head) < 4 {
 			return nil, 0, nil
 		}
-		length, at = int(binary.BigEndian.Uint16(head[2:])), 4
+		length, payloadStart = int(binary.BigEndian.Uint16(head[2:])), 4
 		if length < 126 {
-			return nil, 0, &Error{ProtocolError, "length not in its shortest form"}
+			return nil, 0, &Error{ProtocolError, "length not encoded in its shortest form"}
 		}
 	case length == 127:
 		if len(head) < 10 {
 			return nil, 0, nil
 		}
-		long := binary.BigEndian.Uint64(head[2:])
-		if long < 1<<16 || long>>63 != 0 {
-			return nil, 0, &Error{ProtocolError, "length not in its shortest form"}
+		length64 := binary.BigEndian.Uint64(head[2:])
+		if length64 < 1<<16 || length64>>63 != 0 {
+			return nil, 0, &Error{ProtocolError, "length not encoded in its shortest form"}
 		}
-		return nil, 0, &Error{TooBig, "message of over 16 KiB"}
+		return nil, 0, &Error{TooBig, "message longer than 16 KiB"}
 	}
 	if length > MaxMessage {
-		return nil, 0, &Error{TooBig, "message of over 16 KiB"}
+		return nil, 0, &Error{TooBig, "message longer than 16 KiB"}
 	}
 	if masked {
-		at += 4
+		payloadStart += 4
 	}
-	if size = at + length; in.Len() < size {
+	if size = payloadStart + length; in.Len() < size {
 		return nil, 0, nil
 	}
-	whole := in.Peek(size)
-	f.payload = append([]byte{}, whole[at:]...)
+	encoded := in.Peek(size)
+	f.payload = append([]byte{}, encoded[payloadStart:]...)
 	if masked {
 		for i := range f.payload {
-			f.payload[i] ^= whole[at-4+i%4]
+			f.payload[i] ^= encoded[payloadStart-4+i%4]
 		}
 	}
 	return f, size, nil
 }
 
-// parseClose reads a close frame.
+// parseClose decodes the payload of a close frame.
 func parseClose(payload []byte) (*Message, error) {
 	m := &Message{Op: Close, Code: noStatus}
 	switch {
 	case len(payload) == 0:
 		return m, nil
 	case len(payload) == 1:
-		return nil, &Error{ProtocolError, "close frame with half a code"}
+		return nil, &Error{ProtocolError, "close frame with an incomplete code"}
 	}
 	m.Code, m.Payload = int(binary.BigEndian.Uint16(payload)), payload[2:]
-	known := m.Code >= Normal && m.Code <= Unsupported || m.Code >= BadData && m.Code <= 1014 ||
+	valid := m.Code >= Normal && m.Code <= Unsupported || m.Code >= BadData && m.Code <= 1014 ||
 		m.Code >= 3000 && m.Code <= 4999
-	if !known {
-		return nil, &Error{ProtocolError, "close frame with a code that is not for use"}
+	if !valid {
+		return nil, &Error{ProtocolError, "close frame with an invalid code"}
 	}
 	if !utf8.Valid(m.Payload) {
-		return nil, &Error{BadData, "close reason that is not UTF-8"}
+		return nil, &Error{BadData, "close reason is not valid UTF-8"}
 	}
 	return m, nil
 }
 
-// Append adds a whole frame to p; mask is for clients.
+// Append appends an unfragmented frame to p. Clients must set mask.
 func Append(p []byte, op Opcode, payload []byte, mask bool) []byte {
 	return AppendFragment(p, op, payload, mask, true)
 }
 
-// AppendFragment adds a frame to p, which ends its message if fin is set.
+// AppendFragment appends a frame to p. The frame is the last one of its message if fin is set. Clients must set mask.
 func AppendFragment(p []byte, op Opcode, payload []byte, mask, fin bool) []byte {
-	first, bit := byte(op), byte(0)
+	first, maskBit := byte(op), byte(0)
 	if fin {
 		first |= 0x80
 	}
 	if mask {
-		bit = 0x80
+		maskBit = 0x80
 	}
 	switch n := len(payload); {
 	case n < 126:
-		p = append(p, first, bit|byte(n))
+		p = append(p, first, maskBit|byte(n))
 	case n < 1<<16:
-		p = binary.BigEndian.AppendUint16(append(p, first, bit|126), uint16(n))
+		p = binary.BigEndian.AppendUint16(append(p, first, maskBit|126), uint16(n))
 	default:
-		p = binary.BigEndian.AppendUint64(append(p, first, bit|127), uint64(n))
+		p = binary.BigEndian.AppendUint64(append(p, first, maskBit|127), uint64(n))
 	}
 	if !mask {
 		return append(p, payload...)
 	}
 	var key [4]byte
-	_, _ = rand.Read(key[:]) // it never fails: crypto/rand ends the program instead
+	_, _ = rand.Read(key[:]) // never fails: crypto/rand terminates the program instead
 	p = append(p, key[:]...)
 	for i, b := range payload {
 		p = append(p, b^key[i%4])
@@ -233,12 +233,12 @@
 	return p
 }
 
-// AppendClose adds a close frame to p. The reason is cut to what fits.
+// AppendClose appends a close frame to p. The reason is truncated to the size of a control frame.
 func AppendClose(p []byte, code int, reason string, mask bool) []byte {
 	if code == noStatus {
 		return Append(p, Close, nil, mask)
 	}
-	for len(reason) > maxControl-2 || !utf8.ValidString(reason) {
+	for len(reason) > maxControlPayload-2 || !utf8.ValidString(reason) {
 		reason = reason[:len(reason)-1]
 	}
 	return Append(p, Close, append(binary.BigEndian.AppendUint16(nil, uint16(code)), reason...), mask)
