--- a/internal/conn/close_test.go
+++ b/internal/conn/close_test.go
@@ -14,7 +14,7 @@
 	"cherryrelay/internal/ring"
 )
 
-// answeringHandler is a handler that answers the first bytes and closes its connection.
+// answeringHandler is a handler that answers the first input and closes its connection.
 type answeringHandler struct {
 	conn   *Conn
 	closed chan<- error
@@ -31,21 +31,21 @@
 }
 func (a answeringHandler) Closed(reason error) { a.closed <- reason }
 
-// startAnsweringListener serves a listener whose connections are answered and closed.
-func startAnsweringListener(t *testing.T, most int) (*Listener, chan error) {
+// startAnsweringListener starts a listener with an answeringHandler for each connection. The channel receives the close reasons.
+func startAnsweringListener(t *testing.T, maxConns int) (*Listener, chan error) {
 	t.Helper()
-	posts, ends := make(fakeLoop, 1024), make(chan error, 1024)
+	loop, closed := make(fakeLoop, 1024), make(chan error, 1024)
 	go func() {
-		for f := range posts {
+		for f := range loop {
 			f()
 		}
 	}()
-	l, err := Listen(posts, "127.0.0.1:0", most, func(c *Conn) Handler { return answeringHandler{c, ends} })
+	l, err := Listen(loop, "127.0.0.1:0", maxConns, func(c *Conn) Handler { return answeringHandler{c, closed} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Shutdown() })
-	return l, ends
+	return l, closed
 }
 
 func dialListener(t *testing.T, l *Listener) *net.TCPConn {
@@ -61,46 +61,46 @@
 	return c.(*net.TCPConn)
 }
 
-// expectClosingMessage wants the answer and an end in good order.
+// expectClosingMessage reads the connection to its end and expects the closing message and an orderly close.
 func expectClosingMessage(t *testing.T, c net.Conn) {
 	t.Helper()
 	if text, err := io.ReadAll(c); err != nil || string(text) != closingMessage {
-		t.Errorf("%q, %v: want the last words, and an end without a reset", text, err)
+		t.Errorf("received %q and the error %v, want the closing message and an end without a reset", text, err)
 	}
 }
 
-// TestClosingMessageSurvivesLateInput: a socket that is closed with bytes unread sends a reset, and what its peer has not read by then is
-// lost. So what still comes after the close is read and discarded.
+// TestClosingMessageSurvivesLateInput guards against the loss of the closing message: a socket that is closed with unread input sends a
+// reset, and the peer loses what it has not read by then. Input after the close must therefore be read and discarded.
 func TestClosingMessageSurvivesLateInput(t *testing.T) {
-	l, ends := startAnsweringListener(t, 0)
+	l, closed := startAnsweringListener(t, 0)
 	c := dialListener(t, l)
 	if _, err := c.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-ends; !errors.Is(err, errAnswered) {
+	if err := <-closed; !errors.Is(err, errAnswered) {
 		t.Fatal(err)
 	}
-	if _, err := c.Write([]byte(strings.Repeat("more", 64<<10))); err != nil { // behind the close
+	if _, err := c.Write([]byte(strings.Repeat("more", 64<<10))); err != nil { // after the close
 		t.Fatal(err)
 	}
 	expectClosingMessage(t, c)
 }
 
-// waitForSocketCount waits until the listener's connections hold so many descriptors.
-func waitForSocketCount(t *testing.T, l *Listener, n int, within time.Duration) {
+// waitForSocketCount waits until the listener's connections hold n descriptors.
+func waitForSocketCount(t *testing.T, l *Listener, n int, timeout time.Duration) {
 	t.Helper()
-	for begun := time.Now(); l.Held() != n; time.Sleep(time.Millisecond) {
-		if time.Since(begun) > within {
-			t.Fatalf("%d descriptors are held after %v, want %d", l.Held(), within, n)
+	for start := time.Now(); l.Held() != n; time.Sleep(time.Millisecond) {
+		if time.Since(start) > timeout {
+			t.Fatalf("the connections hold %d descriptors after %v, want %d", l.Held(), timeout, n)
 		}
 	}
 }
 
-// TestCloseIsBounded: a peer that does not close, or that goes on writing, holds its descriptor for a moment only.
+// TestCloseIsBounded checks that a closed connection releases its descriptor soon, even if the peer does not close or goes on sending.
 func TestCloseIsBounded(t *testing.T) {
-	for name, goOn := range map[string]func(*net.TCPConn){
-		"silent": func(*net.TCPConn) {},
-		"writes": func(c *net.TCPConn) {
+	for name, afterClose := range map[string]func(*net.TCPConn){
+		"peer stays idle": func(*net.TCPConn) {},
+		"peer goes on sending": func(c *net.TCPConn) {
 			for chunk := make([]byte, 64<<10); ; {
 				if _, err := c.Write(chunk); err != nil {
 					return
@@ -116,14 +116,14 @@
 			}
 			expectClosingMessage(t, c)
 			waitForSocketCount(t, l, 1, testTimeout)
-			go goOn(c)
+			go afterClose(c)
 			waitForSocketCount(t, l, 0, testTimeout)
 		})
 	}
 }
 
-// TestConnectionBeyondLimitWaits: it isn't closed, and is accepted as soon as another has ended, or one that this side has closed has
-// had its moment.
+// TestConnectionBeyondLimitWaits checks that a connection beyond the limit is not closed, and is accepted once another one has ended or
+// has lingered for minLinger after a close by this side.
 func TestConnectionBeyondLimitWaits(t *testing.T) {
 	l, _ := startAnsweringListener(t, 1)
 	first, second := dialListener(t, l), dialListener(t, l)
@@ -134,20 +134,21 @@
 		}
 	}
 	expectClosingMessage(t, first)
-	expectClosingMessage(t, second) // the first one's peer has not closed its side
+	expectClosingMessage(t, second) // the first connection lingers, because its peer has not closed
 }
 
-// TestShutdownSendsClosingMessage: what is queued as the listener ends is read, though the peer goes on writing.
+// TestShutdownSendsClosingMessage checks that the peer can read output that is buffered at the shutdown of the listener, even if the peer
+// goes on sending.
 func TestShutdownSendsClosingMessage(t *testing.T) {
-	posts, up := make(fakeLoop, 1024), make(chan *Conn, 1)
-	l, err := Listen(posts, "127.0.0.1:0", 0, func(c *Conn) Handler { up <- c; return make(closedRecorder, 1) })
+	loop, connected := make(fakeLoop, 1024), make(chan *Conn, 1)
+	l, err := Listen(loop, "127.0.0.1:0", 0, func(c *Conn) Handler { connected <- c; return make(closedRecorder, 1) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	peer := dialListener(t, l)
-	(<-posts)()
-	c := <-up
-	c.Write([]byte(closingMessage)) // the loop has ended by now, and does not flush it
+	(<-loop)()
+	c := <-connected
+	c.Write([]byte(closingMessage)) // the event loop runs nothing more and does not flush it
 	done := make(chan error, 1)
 	go func() { done <- l.Shutdown() }()
 	_, _ = peer.Write([]byte(strings.Repeat("more", 16<<10)))
@@ -157,8 +158,8 @@
 	}
 }
 
-// TestInputHeldByPollerIsReported: bytes that the kernel has received, and that are neither in its socket any more nor with the loop, are known.
-// On a busy machine netpoll's poller had read a set-up and waited for its core for 0.1 s, and the connection was closed as quiet.
+// TestInputHeldByPollerIsReported guards against closing a connection whose input was read from the socket but has not reached the ring. On
+// a busy machine netpoll's poller was descheduled for 0.1 s after it had read a set-up, and the connection was closed as idle.
 func TestInputHeldByPollerIsReported(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -182,33 +183,33 @@
 	fd := int(file.Fd())
 	c := newConn(make(fakeLoop, 16), stubPolledConnection{fd: fd, reader: netpoll.NewLinkBuffer()})
 	if !c.AllTaken() || !c.Quiet() {
-		t.Error("not all is taken before anything has come")
+		t.Error("input is reported before any has arrived")
 	}
 	if _, err := peer.Write([]byte("set-up")); err != nil {
 		t.Fatal(err)
 	}
 	read := make([]byte, 16)
-	if n, err := syscall.Read(fd, read); n != len("set-up") || err != nil { // by the poller, which shows it to nobody yet
+	if n, err := syscall.Read(fd, read); n != len("set-up") || err != nil { // like the poller before it makes the bytes available
 		t.Fatal(n, err)
 	}
 	if !c.Quiet() {
-		t.Error("Quiet knows of the bytes: AllTaken is not needed any more")
+		t.Error("the bytes are reported as pending, so that the count of received bytes is not needed any more")
 	}
 	if c.AllTaken() {
-		t.Error("all is taken, though the ring has had nothing")
+		t.Error("all input is reported as read before any has reached the ring")
 	}
 	c.countRead(len("set-up"))
 	if !c.AllTaken() {
-		t.Error("not all is taken once the ring has it")
+		t.Error("input is reported as unread after it has reached the ring")
 	}
 }
 
-// stubPolledConnection is a connection of netpoll's whose poller has read bytes and shows none.
+// stubPolledConnection is a netpoll connection whose poller has read bytes and has not made them available.
 type stubPolledConnection struct {
 	netpoll.Connection
 	fd     int
 	reader netpoll.Reader
 }
 
-func (h stubPolledConnection) Reader() netpoll.Reader { return h.reader }
-func (h stubPolledConnection) Fd() int                { return h.fd }
+func (s stubPolledConnection) Reader() netpoll.Reader { return s.reader }
+func (s stubPolledConnection) Fd() int                { return s.fd }
--- a/internal/conn/conn_test.go
+++ b/internal/conn/conn_test.go
@@ -17,28 +17,28 @@
 
 const testTimeout = 20 * time.Second
 
-// fakeLoop runs what is posted, one at a time.
+// fakeLoop is an event loop whose posted functions are run by the test.
 type fakeLoop chan func()
 
 func (l fakeLoop) Post(f func()) { l <- f }
 
-// closedRecorder is a handler that tells of the end.
+// closedRecorder is a handler that discards the input and records the close reason.
 type closedRecorder chan error
 
-func (e closedRecorder) Data(in *ring.Buffer, _ time.Time) error { in.Discard(in.Len()); return nil }
-func (e closedRecorder) Closed(reason error)                     { e <- reason }
+func (r closedRecorder) Data(in *ring.Buffer, _ time.Time) error { in.Discard(in.Len()); return nil }
+func (r closedRecorder) Closed(reason error)                     { r <- reason }
 
 func countDescriptors(t *testing.T) int {
 	t.Helper()
 	open, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
-		t.Skip("no list of descriptors here")
+		t.Skip("this system does not list open descriptors in /proc")
 	}
 	return len(open)
 }
 
-// TestResetOfNewConnectionLeaksNoDescriptor: one that closes before its callbacks are known to netpoll is closed by
-// nobody, and its descriptor was kept for good.
+// TestResetOfNewConnectionLeaksNoDescriptor guards against a descriptor leak: netpoll does not close a connection that ends before its
+// callbacks are registered.
 func TestResetOfNewConnectionLeaksNoDescriptor(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,91 +57,93 @@
 			_ = nc.Close()
 		}
 	}()
-	posts := make(fakeLoop, 1024)
+	loop := make(fakeLoop, 1024)
 	go func() {
-		for f := range posts {
+		for f := range loop {
 			f()
 		}
 	}()
 	dial := func() {
 		t.Helper()
-		end := make(closedRecorder, 2)
-		Dial(posts, ln.Addr().String(), testTimeout, func(*Conn) Handler { return end }, func(err error) {
+		closed := make(closedRecorder, 2)
+		Dial(loop, ln.Addr().String(), testTimeout, func(*Conn) Handler { return closed }, func(err error) {
 			if err != nil {
-				end <- errors.New("no connection")
+				closed <- errors.New("dial failed")
 			}
 		})
 		select {
-		case <-end:
+		case <-closed:
 		case <-time.After(testTimeout):
-			t.Fatal("a connection that was reset never ends")
+			t.Fatal("the end of a reset connection is not reported")
 		}
 	}
-	dial() // netpoll has its own by now
+	dial() // the first dial makes netpoll open descriptors of its own
 	before := countDescriptors(t)
-	const times = 1000
-	for range times {
+	const dials = 1000
+	for range dials {
 		dial()
 	}
-	for begin := time.Now(); ; time.Sleep(10 * time.Millisecond) {
-		kept := countDescriptors(t) - before
-		if kept <= 0 {
+	for start := time.Now(); ; time.Sleep(10 * time.Millisecond) {
+		leaked := countDescriptors(t) - before
+		if leaked <= 0 {
 			return
 		}
-		if time.Since(begin) > testTimeout/4 {
-			t.Fatalf("%d descriptors are kept of %d connections", kept, times)
+		if time.Since(start) > testTimeout/4 {
+			t.Fatalf("%d descriptors leaked after %d connections", leaked, dials)
 		}
 	}
 }
 
-// TestPendingInputIsReported: a connection that seemed idle was closed with a set-up on its way to the loop.
+// TestPendingInputIsReported guards against closing a connection as idle while a set-up is on its way to the event loop.
 func TestPendingInputIsReported(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	posts := make(fakeLoop, 16)
+	loop := make(fakeLoop, 16)
 	var c *Conn
-	up := make(chan error, 1)
-	Dial(posts, ln.Addr().String(), testTimeout, func(made *Conn) Handler { c = made; return make(closedRecorder, 1) }, func(err error) { up <- err })
+	connected := make(chan error, 1)
+	Dial(loop, ln.Addr().String(), testTimeout, func(dialled *Conn) Handler { c = dialled; return make(closedRecorder, 1) },
+		func(err error) { connected <- err })
 	peer, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	(<-posts)() // and then the loop is busy
-	if err := <-up; err != nil {
+	(<-loop)() // from here on, the event loop runs nothing
+	if err := <-connected; err != nil {
 		t.Fatal(err)
 	}
 	if !c.Quiet() {
-		t.Error("not quiet before anything has come")
+		t.Error("input is reported before any has arrived")
 	}
 	if _, err := peer.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	for begin := time.Now(); c.Quiet(); time.Sleep(time.Millisecond) {
-		if time.Since(begin) > testTimeout {
-			t.Fatal("quiet though a byte has come")
+	for start := time.Now(); c.Quiet(); time.Sleep(time.Millisecond) {
+		if time.Since(start) > testTimeout {
+			t.Fatal("no input is reported after a byte has arrived")
 		}
 	}
-	(<-posts)() // the loop takes it in
+	(<-loop)() // delivers the byte
 	if !c.Quiet() {
-		t.Error("not quiet after all is taken in")
+		t.Error("input is reported after all was delivered")
 	}
 }
 
-// inputRecorder is a handler that tells what came, and its end.
+// inputRecorder is a handler that records the input, and closes the channel at the end of the connection.
 type inputRecorder chan string
 
-func (h inputRecorder) Data(in *ring.Buffer, _ time.Time) error {
-	h <- string(in.Peek(in.Len()))
+func (r inputRecorder) Data(in *ring.Buffer, _ time.Time) error {
+	r <- string(in.Peek(in.Len()))
 	in.Discard(in.Len())
 	return nil
 }
-func (h inputRecorder) Closed(error) { close(h) }
+func (r inputRecorder) Closed(error) { close(r) }
 
-// TestCloseWriteDeliversLateInput: what the peer had sent when this side closed was lost, and with it the end of a call.
+// TestCloseWriteDeliversLateInput guards against the loss of input that arrives after this side has closed its writing side. The end of a
+// call was lost that way.
 func TestCloseWriteDeliversLateInput(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -153,31 +155,32 @@
 		if err != nil {
 			return
 		}
-		_, _ = nc.Read(make([]byte, 1)) // until the other side has closed
+		_, _ = nc.Read(make([]byte, 1)) // returns when the other side has closed its writing side
 		_, _ = nc.Write([]byte("late"))
 		_ = nc.Close()
 	}()
-	posts, heard := make(fakeLoop, 1024), make(inputRecorder, 16)
+	loop, received := make(fakeLoop, 1024), make(inputRecorder, 16)
 	go func() {
-		for f := range posts {
+		for f := range loop {
 			f()
 		}
 	}()
-	Dial(posts, ln.Addr().String(), testTimeout, func(c *Conn) Handler {
-		posts.Post(func() { c.Finish(testTimeout) })
-		return heard
+	Dial(loop, ln.Addr().String(), testTimeout, func(c *Conn) Handler {
+		loop.Post(func() { c.Finish(testTimeout) })
+		return received
 	}, func(error) {})
 	select {
-	case text := <-heard:
+	case text := <-received:
 		if text != "late" {
-			t.Errorf("%q came, want what was sent last", text)
+			t.Errorf("received %q, want the bytes sent after the half-close", text)
 		}
 	case <-time.After(testTimeout):
-		t.Error("nothing came")
+		t.Error("the bytes sent after the half-close were not received")
 	}
 }
 
-// TestCloseWriteWithFullSocket guards against what a peer still sends being discarded, as what was queued for it can't be written after this side's end.
+// TestCloseWriteWithFullSocket guards against the loss of late input when output is still buffered at the half-close: a retry of the write
+// would fail and close the connection.
 func TestCloseWriteWithFullSocket(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -195,35 +198,36 @@
 		_, _ = nc.Write([]byte("late"))
 		_, _ = io.Copy(io.Discard, nc)
 	}()
-	posts, heard := make(fakeLoop, 1024), make(inputRecorder, 16)
+	loop, received := make(fakeLoop, 1024), make(inputRecorder, 16)
 	go func() {
-		for f := range posts {
+		for f := range loop {
 			f()
 		}
 	}()
-	Dial(posts, ln.Addr().String(), testTimeout, func(c *Conn) Handler {
-		posts.Post(func() {
+	Dial(loop, ln.Addr().String(), testTimeout, func(c *Conn) Handler {
+		loop.Post(func() {
 			for c.Unsent() == 0 {
 				c.Write(make([]byte, outboundCapacity/2))
 				c.Flush()
 			}
 			c.Finish(testTimeout)
-			c.Flush() // as the full socket is tried again
+			c.Flush() // like the scheduled retry
 			close(finished)
 		})
-		return heard
+		return received
 	}, func(error) {})
 	select {
-	case text := <-heard:
+	case text := <-received:
 		if text != "late" {
-			t.Errorf("%q came, want what was sent last", text)
+			t.Errorf("received %q, want the bytes sent after the half-close", text)
 		}
 	case <-time.After(testTimeout):
-		t.Error("nothing came")
+		t.Error("the bytes sent after the half-close were not received")
 	}
 }
 
-// TestInputBeforeCloseOfNewConnectionIsDelivered: what a peer had sent was lost if it closed before netpoll knew whom to tell.
+// TestInputBeforeCloseOfNewConnectionIsDelivered guards against the loss of input from a peer that closes before the callbacks are
+// registered with netpoll.
 func TestInputBeforeCloseOfNewConnectionIsDelivered(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -243,44 +247,45 @@
 		if err := errors.Join(err, peer.Close()); err != nil {
 			t.Fatal(err)
 		}
-		for begin := time.Now(); nc.IsActive(); time.Sleep(100 * time.Microsecond) {
-			if time.Since(begin) > testTimeout {
-				t.Fatal("netpoll does not see the close")
+		for start := time.Now(); nc.IsActive(); time.Sleep(100 * time.Microsecond) {
+			if time.Since(start) > testTimeout {
+				t.Fatal("netpoll does not notice the close")
 			}
 		}
-		posts, heard := make(fakeLoop, 16), make(inputRecorder, 16)
-		c := newConn(posts, nc)
-		c.handler = heard
+		loop, received := make(fakeLoop, 16), make(inputRecorder, 16)
+		c := newConn(loop, nc)
+		c.handler = received
 		if err := c.start(); err != nil {
 			t.Fatal(err)
 		}
 		text := ""
 		for open := true; open; {
 			select {
-			case f := <-posts:
+			case f := <-loop:
 				f()
-			case more, ok := <-heard:
-				text += more
+			case part, ok := <-received:
+				text += part
 				open = ok
 			case <-time.After(testTimeout):
-				t.Fatal("the connection never ends")
+				t.Fatal("the end of the connection is not reported")
 			}
 		}
 		if text != "last" {
-			t.Fatalf("%q came, want what was sent before the close", text)
+			t.Fatalf("received %q, want the bytes sent before the close", text)
 		}
 	}
 }
 
-// stubConnection is a connection of netpoll's that its peer has closed, with bytes that no callback was run for.
+// stubConnection is a netpoll connection with bytes in its reader for which no callback was run.
 type stubConnection struct {
 	netpoll.Connection
 	reader netpoll.Reader
 }
 
-func (u stubConnection) Reader() netpoll.Reader { return u.reader }
+func (s stubConnection) Reader() netpoll.Reader { return s.reader }
 
-// TestRemainingInputIsRead: netpoll runs the callback of a close without one for what came between the last look at its reader and the close.
+// TestRemainingInputIsRead guards against the loss of input that arrives between netpoll's last input callback and the close: netpoll runs
+// only the close callback then.
 func TestRemainingInputIsRead(t *testing.T) {
 	buffer := netpoll.NewLinkBuffer()
 	if _, err := buffer.WriteString("last"); err != nil {
@@ -289,83 +294,84 @@
 	if err := buffer.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	posts, heard := make(fakeLoop, 16), make(inputRecorder, 16)
-	c := newConn(posts, stubConnection{reader: buffer})
-	c.handler = heard
+	loop, received := make(fakeLoop, 16), make(inputRecorder, 16)
+	c := newConn(loop, stubConnection{reader: buffer})
+	c.handler = received
 	c.readRemaining()
 	c.onHangup()
-	for len(posts) > 0 {
-		(<-posts)()
+	for len(loop) > 0 {
+		(<-loop)()
 	}
-	if text := <-heard; text != "last" {
-		t.Errorf("%q came, want what is in the reader", text)
+	if text := <-received; text != "last" {
+		t.Errorf("received %q, want the content of the reader", text)
 	}
 }
 
-// TestCancelWrite: what still lies whole in the queue can be taken back, and nothing around it changes.
+// TestCancelWrite checks that a message of which no byte was written can be removed, and that the messages around it are unaffected.
 func TestCancelWrite(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	posts := make(fakeLoop, 1024)
+	loop := make(fakeLoop, 1024)
 	go func() {
-		for f := range posts {
+		for f := range loop {
 			f()
 		}
 	}()
-	up := make(chan *Conn, 1)
-	Dial(posts, ln.Addr().String(), testTimeout, func(c *Conn) Handler { up <- c; return make(closedRecorder, 1) }, func(error) {})
+	connected := make(chan *Conn, 1)
+	Dial(loop, ln.Addr().String(), testTimeout, func(c *Conn) Handler { connected <- c; return make(closedRecorder, 1) }, func(error) {})
 	peer, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	c := <-up
+	c := <-connected
 	var want []byte
-	var left []string
-	wrote := make(chan struct{})
-	posts <- func() {
-		defer close(wrote)
+	var written []string
+	queued := make(chan struct{})
+	loop <- func() {
+		defer close(queued)
 		first := Ticket(0)
-		for fill := bytes.Repeat([]byte("."), 16<<10); c.Unsent() == 0; { // until the peer, which does not read, takes no more
+		for fill := bytes.Repeat([]byte("."), 16<<10); c.Unsent() == 0; { // the peer does not read, so the socket becomes full
 			first = c.WriteThen(fill, func() {})
 			want = append(want, fill...)
 			c.Flush()
 		}
 		if c.Unsent() < 16<<10 && c.Recall(first) {
-			t.Error("what has left in part was taken back")
+			t.Error("a partly written message was removed")
 		}
-		message := func(name string) Ticket { return c.WriteThen([]byte(name), func() { left = append(left, name) }) }
+		message := func(name string) Ticket { return c.WriteThen([]byte(name), func() { written = append(written, name) }) }
 		a, b, d := message("<a>"), message("<bb>"), message("<d>")
 		if !c.Recall(b) || c.Recall(b) || c.Recall(0) || !c.Recall(d) {
-			t.Error("what lies whole in the queue is taken back once")
+			t.Error("want each queued message removed once, and no message removed for ticket 0")
 		}
 		message("<eeee>")
 		if a == 0 || c.bytesQueued-c.bytesWritten != uint64(c.Unsent()) {
-			t.Errorf("%d bytes are counted as waiting, and %d wait", c.bytesQueued-c.bytesWritten, c.Unsent())
+			t.Errorf("%d bytes are counted as buffered, and %d are in the ring", c.bytesQueued-c.bytesWritten, c.Unsent())
 		}
 		want = append(want, "<a><eeee>"...)
 	}
-	<-wrote
+	<-queued
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(peer, got); err != nil || !bytes.Equal(got, want) {
-		t.Errorf("%v: the last that came is %q, want %q", err, got[len(got)-16:], want[len(want)-16:])
+		t.Errorf("error %v; the last bytes received are %q, want %q", err, got[len(got)-16:], want[len(want)-16:])
 	}
 	done := make(chan struct{})
-	posts <- func() { close(done) }
+	loop <- func() { close(done) }
 	<-done
-	if diff := cmp.Diff([]string{"<a>", "<eeee>"}, left); diff != "" {
-		t.Errorf("what was told to have left (-want +got):\n%s", diff)
+	if diff := cmp.Diff([]string{"<a>", "<eeee>"}, written); diff != "" {
+		t.Errorf("messages reported as written (-want +got):\n%s", diff)
 	}
 	c.Close(ErrClosedHere)
 }
 
-// TestPeerClosed: a peer's close and its reset are known before anybody has looked at them, and a reset is told from a close.
+// TestPeerClosed checks that a close or a reset by the peer is detected before the event loop has processed it, and that the close reason
+// distinguishes the two.
 func TestPeerClosed(t *testing.T) {
 	for name, test := range map[string]struct {
-		leave  func(*net.TCPConn) error
+		end    func(*net.TCPConn) error
 		reason error
 	}{
 		"close":      {func(c *net.TCPConn) error { return c.Close() }, io.EOF},
@@ -378,31 +384,31 @@
 				t.Fatal(err)
 			}
 			defer ln.Close()
-			posts, up, end := make(fakeLoop, 1024), make(chan *Conn, 1), make(closedRecorder, 1)
-			Dial(posts, ln.Addr().String(), testTimeout, func(c *Conn) Handler { up <- c; return end }, func(error) {})
+			loop, connected, closed := make(fakeLoop, 1024), make(chan *Conn, 1), make(closedRecorder, 1)
+			Dial(loop, ln.Addr().String(), testTimeout, func(c *Conn) Handler { connected <- c; return closed }, func(error) {})
 			peer, err := ln.AcceptTCP()
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer peer.Close()
-			(<-posts)()
-			c := <-up
+			(<-loop)()
+			c := <-connected
 			if c.Left() {
-				t.Error("it has left before it did")
+				t.Error("a close is reported before the peer has closed")
 			}
-			if err := test.leave(peer); err != nil {
+			if err := test.end(peer); err != nil {
 				t.Fatal(err)
 			}
-			for until := time.Now().Add(testTimeout); !c.Left(); time.Sleep(time.Millisecond) { // no function of the loop runs meanwhile
-				if time.Now().After(until) {
-					t.Fatal("never known")
+			for deadline := time.Now().Add(testTimeout); !c.Left(); time.Sleep(time.Millisecond) { // the event loop runs nothing meanwhile
+				if time.Now().After(deadline) {
+					t.Fatal("the close is not reported")
 				}
 			}
-			for len(end) == 0 {
-				(<-posts)()
+			for len(closed) == 0 {
+				(<-loop)()
 			}
-			if reason := <-end; !errors.Is(reason, test.reason) || errors.Is(reason, ErrReset) != errors.Is(test.reason, ErrReset) {
-				t.Errorf("ended with %v, want %v", reason, test.reason)
+			if reason := <-closed; !errors.Is(reason, test.reason) || errors.Is(reason, ErrReset) != errors.Is(test.reason, ErrReset) {
+				t.Errorf("closed with %v, want %v", reason, test.reason)
 			}
 		})
 	}
