--- a/internal/conn/accept.go
+++ b/internal/conn/accept.go
@@ -28,6 +28,7 @@
 	paused   bool // the limit was reached and the backlog has not been empty since, so the next connection may have waited long
 }
 
+// newAcceptLoop returns an acceptLoop with a duplicate of the listener's descriptor.
 func (l *Listener) newAcceptLoop() (*acceptLoop, error) {
 	socket, err := l.tcp.File()
 	if err != nil {
@@ -77,6 +78,7 @@
 	return fd, toAddrPort(from), nil
 }
 
+// toAddrPort converts a socket address, or returns the zero AddrPort if it is no IP address.
 func toAddrPort(from syscall.Sockaddr) netip.AddrPort {
 	switch from := from.(type) {
 	case *syscall.SockaddrInet4:
--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -72,10 +72,10 @@
 
 // Handler has the callbacks of a connection. All run on the event loop.
 type Handler interface {
-	// Data is called when the inbound ring has new bytes, of which the oldest arrived at the given time. An error closes the connection
-	// with that reason.
+	// Data is called when the inbound ring has new bytes, of which the oldest arrived at the given time. An error closes the connection,
+	// with the error as its reason.
 	Data(in *ring.Buffer, at time.Time) error
-	// Closed is called once, after all other calls of Data.
+	// Closed is called once, after the last call of Data.
 	Closed(reason error)
 }
 
@@ -90,7 +90,7 @@
 	remote       net.Addr  // nil if the connection was dialled
 	firstArrival time.Time // arrival of the first bytes if they waited in the kernel, until it is reported
 
-	mu             sync.Mutex // guards the fields below, and prevents writes to the socket after its close
+	mu             sync.Mutex // guards the fields up to endedAt, and prevents writes to the socket after its close
 	inputPosted    bool       // deliverInput is posted to the event loop
 	filling        bool       // fill is running
 	unreadReported bool       // unread input was reported and not yet posted to the event loop
--- a/internal/conn/conn_test.go
+++ b/internal/conn/conn_test.go
@@ -28,6 +28,7 @@
 func (r closedRecorder) Data(in *ring.Buffer, _ time.Time) error { in.Discard(in.Len()); return nil }
 func (r closedRecorder) Closed(reason error)                     { r <- reason }
 
+// countDescriptors returns the number of open descriptors of the process.
 func countDescriptors(t *testing.T) int {
 	t.Helper()
 	open, err := os.ReadDir("/proc/self/fd")
@@ -187,14 +188,14 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	finished := make(chan struct{})
+	halfClosed := make(chan struct{})
 	go func() {
 		nc, err := ln.Accept()
 		if err != nil {
 			return
 		}
 		defer nc.Close()
-		<-finished
+		<-halfClosed
 		_, _ = nc.Write([]byte("late"))
 		_, _ = io.Copy(io.Discard, nc)
 	}()
@@ -212,7 +213,7 @@
 			}
 			c.Finish(testTimeout)
 			c.Flush() // like the scheduled retry
-			close(finished)
+			close(halfClosed)
 		})
 		return received
 	}, func(error) {})
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -67,13 +67,13 @@
 	head, tail := b.head.Load(), b.tail.Load()
 	need := int(tail-head) + n
 	if want := max(minStorage, nextPowerOfTwo(need)); need > len(data) || head == tail && len(data) > 4*want {
-		grown := make([]byte, min(want, b.size))
+		resized := make([]byte, min(want, b.size))
 		for at := head; at < tail; {
-			from, to := int(at%uint64(len(data))), int(at%uint64(len(grown)))
-			at += uint64(copy(grown[to:min(len(grown), to+int(tail-at))], data[from:]))
+			from, to := int(at%uint64(len(data))), int(at%uint64(len(resized)))
+			at += uint64(copy(resized[to:min(len(resized), to+int(tail-at))], data[from:]))
 		}
-		b.data.Store(&grown)
-		return grown
+		b.data.Store(&resized)
+		return resized
 	}
 	return data
 }
@@ -87,7 +87,7 @@
 
 // Parts returns the readable bytes in one or two parts without removing them.
 func (b *Buffer) Parts() (first, second []byte) {
-	n := b.Len() // before the storage, which the writer may replace at any time
+	n := b.Len() // read before the storage, which the writer may replace at any time
 	data := *b.data.Load()
 	if n == 0 {
 		return nil, nil
--- a/internal/websocket/websocket.go
+++ b/internal/websocket/websocket.go
@@ -115,13 +115,14 @@
 	}
 }
 
+// frame is a decoded frame with its payload unmasked.
 type frame struct {
 	fin     bool
 	op      Opcode
 	payload []byte
 }
 
-// readFrame decodes the next frame and leaves it on the ring. The frame is nil if it is not complete yet; errors in its header are
+// readFrame decodes the next frame without removing it from the ring. The frame is nil if it is not complete yet; errors in its header are
 // returned before the payload has arrived. size is the length of the frame in bytes.
 func (d *Decoder) readFrame(in *ring.Buffer) (f *frame, size int, err error) {
 	head := in.Peek(14)
