--- a/internal/dispatchers/address_reused_test.go
+++ b/internal/dispatchers/address_reused_test.go
@@ -9,61 +9,61 @@
 	"cherryrelay/internal/call"
 )
 
-// TestAnEndOnAConnectionUnderAnEarlierNameIsTold guards against the untold end of a call at a dispatcher that has taken another's address: it was connected
+// TestAnEndOnAConnectionUnderAnEarlierNameIsReported guards against the untold end of a call at a dispatcher that has taken another's address: it was connected
 // to under the other's name before the list told of it, and tells the end there, as the connection of the call has closed.
-func TestAnEndOnAConnectionUnderAnEarlierNameIsTold(t *testing.T) {
+func TestAnEndOnAConnectionUnderAnEarlierNameIsReported(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := newOrderSite(t, orderStart{})
+		s := newHarness(t, initialState{})
 		go s.core.Loop().Run()
 		defer func() {
 			s.core.Loop().Quit()
 			synctest.Wait()
 		}()
-		s.do(func() { s.list(control.Active, "first") })
+		s.runOnLoop(func() { s.updateList(control.Active, "first") })
 		time.Sleep(time.Second)
-		s.do(s.takePlaceOfFirst)
+		s.runOnLoop(s.replaceFirst)
 		time.Sleep(time.Second)
-		s.do(s.listOther)
+		s.runOnLoop(s.listReplacement)
 		time.Sleep(time.Second)
-		s.do(func() { s.offer(orderedID, orderDeadline) })
+		s.runOnLoop(func() { s.placeCall(testCallID, callTimeout) })
 		time.Sleep(time.Second)
-		s.do(s.arrive)
-		s.do(func() {
-			c := s.first.established[orderedID]
-			if c == nil || !s.knows(orderedID, "other") || len(s.pool.servers["first"].links) != 1 {
+		s.runOnLoop(s.deliverAll)
+		s.runOnLoop(func() {
+			c := s.first.established[testCallID]
+			if c == nil || !s.isEstablished(testCallID, "other") || len(s.pool.servers["first"].conns) != 1 {
 				t.Errorf("established: %v; want the call at the other dispatcher, and a connection under the earlier name", c != nil)
 				return
 			}
 			c.close()
-			c.deliver()
+			c.deliverToPool()
 		})
 		time.Sleep(time.Second)
-		s.do(func() { s.end(s.first, orderedID) })
+		s.runOnLoop(func() { s.endCall(s.first, testCallID) })
 		time.Sleep(time.Second)
-		s.do(s.arrive)
-		s.do(func() {
-			if overs := s.calls[orderedID].overs; overs != 1 {
+		s.runOnLoop(s.deliverAll)
+		s.runOnLoop(func() {
+			if overs := s.calls[testCallID].ends; overs != 1 {
 				t.Errorf("the end of the call is told %d times", overs)
 			}
-			if n := len(s.pool.servers["other"].standing); n != 0 {
+			if n := len(s.pool.servers["other"].established); n != 0 {
 				t.Errorf("%d entries of calls that are over", n)
 			}
 		})
 	})
 }
 
-// takePlaceOfFirst has the first dispatcher die, and another one listen at its address, of which the list does not tell yet.
-func (s *orderSite) takePlaceOfFirst() {
-	s.first.dies()
-	s.first = newProcess(s)
-	s.first.prompt = true
-	s.first.chat(s.network.loop)
-	s.network.processes["first"] = s.first
+// replaceFirst has the first dispatcher die, and another one listen at its address, of which the list does not tell yet.
+func (s *harness) replaceFirst() {
+	s.first.die()
+	s.first = newFakeDispatcher(s)
+	s.first.answersAll = true
+	s.first.startReporting(s.network.loop)
+	s.network.dispatchers["first"] = s.first
 }
 
-// listOther has the list tell that the first dispatcher is gone, and that the other one has its address.
-func (s *orderSite) listOther() {
+// listReplacement has the list tell that the first dispatcher is gone, and that the other one has its address.
+func (s *harness) listReplacement() {
 	s.core.Update(call.Update{Servers: []call.Server{
 		{ServerEntry: control.ServerEntry{ID: "first", Status: control.Removed}, Address: "first"},
 		{ServerEntry: control.ServerEntry{ID: "other", Status: control.Active}, Address: "first"},
--- a/internal/dispatchers/address_taken_test.go
+++ b/internal/dispatchers/address_taken_test.go
@@ -8,73 +8,73 @@
 	"cherryrelay/control"
 )
 
-// settles is a time in which the dispatcher is looked at again, and nothing else happens.
-const settles = 3 * time.Second
+// settleTime is a time in which the dispatcher is looked at again, and nothing else happens.
+const settleTime = 3 * time.Second
 
 // addressTaken is an event in which the list tells that another dispatcher has the address of the first one.
-func addressTaken() orderEvent {
-	return event("the list tells of another dispatcher at its address", settles, (*orderSite).listOther)
+func addressTaken() scenarioStep {
+	return newStep("the list tells of another dispatcher at its address", settleTime, (*harness).listReplacement)
 }
 
-// goesOnUntold is an event after which the call must not have been told as over.
-func goesOnUntold() orderEvent {
-	return event("its end is not told", 0, func(s *orderSite) {
-		if s.calls[orderedID].overs > 0 {
-			s.fault("a call is told as over that its dispatcher holds")
+// expectNotEnded is an event after which the call must not have been told as over.
+func expectNotEnded() scenarioStep {
+	return newStep("its end is not told", 0, func(s *harness) {
+		if s.calls[testCallID].ends > 0 {
+			s.violation("a call is told as over that its dispatcher holds")
 		}
 	})
 }
 
-// allReset is an event in which all connections to the first dispatcher are reset, and it holds the call on.
-func allReset() orderEvent {
-	return event("all connections are reset", time.Second, func(s *orderSite) {
-		for _, c := range slices.Clone(s.first.connections) {
+// resetAll is an event in which all connections to the first dispatcher are reset, and it holds the call on.
+func resetAll() scenarioStep {
+	return newStep("all connections are reset", time.Second, func(s *harness) {
+		for _, c := range slices.Clone(s.first.openConns) {
 			c.reset()
 		}
-		s.first.ambiguous[orderedID] = true // nobody can tell that its process lives
+		s.first.ambiguous[testCallID] = true // nobody can tell that its process lives
 	})
 }
 
-// TestCallsOfADispatcherThatOutlivesItsPlaceOnTheListGoOn guards against calls that are cut as they stand: the list tells that another dispatcher has the
+// TestCallsOfAReplacedDispatcherContinue guards against calls that are cut as they stand: the list tells that another dispatcher has the
 // address, while a connection of the one that holds them is open.
-func TestCallsOfADispatcherThatOutlivesItsPlaceOnTheListGoOn(t *testing.T) {
+func TestCallsOfAReplacedDispatcherContinue(t *testing.T) {
 	t.Parallel()
-	for name, order := range map[string][]orderEvent{
-		"the connection of the call is open":    {addressTaken(), goesOnUntold()},
-		"another one is open":                   slices.Concat(spelledOrder("Hdt"), []orderEvent{addressTaken(), goesOnUntold()}),
-		"it is at its address, by the list":     slices.Concat([]orderEvent{allReset()}, []orderEvent{passes('-', settles), goesOnUntold()}),
-		"it is off the list, and has its place": slices.Concat([]orderEvent{allReset()}, spelledOrder("x"), []orderEvent{passes('-', settles), goesOnUntold()}),
+	for name, order := range map[string][]scenarioStep{
+		"the connection of the call is open":    {addressTaken(), expectNotEnded()},
+		"another one is open":                   slices.Concat(stepsFor("Hdt"), []scenarioStep{addressTaken(), expectNotEnded()}),
+		"it is at its address, by the list":     slices.Concat([]scenarioStep{resetAll()}, []scenarioStep{waitStep('-', settleTime), expectNotEnded()}),
+		"it is off the list, and has its place": slices.Concat([]scenarioStep{resetAll()}, stepsFor("x"), []scenarioStep{waitStep('-', settleTime), expectNotEnded()}),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			chatting.playWithoutFault(t, order)
+			reportingCall.playWithoutViolation(t, order)
 		})
 	}
 }
 
-// TestACallThatCountsAsStrandedIsReleased guards against a call that is told as cut and that its dispatcher goes on to hold: all connections to it were
+// TestAnOrphanedCallIsReleased guards against a call that is told as cut and that its dispatcher goes on to hold: all connections to it were
 // reset, and the list tells that another one has its address.
-func TestACallThatCountsAsStrandedIsReleased(t *testing.T) {
+func TestAnOrphanedCallIsReleased(t *testing.T) {
 	t.Parallel()
-	chatting.playWithoutFault(t, []orderEvent{allReset(), addressTaken(), bothKnowItIsOver()})
+	reportingCall.playWithoutViolation(t, []scenarioStep{resetAll(), addressTaken(), endReportedAndReleased()})
 }
 
-// TestACallAtADispatcherWhoseAddressIsTakenEndsAsTheListTells guards against the end of a call that is told late, as its dispatcher died and another one
+// TestCallsEndWhenTheListReplacesTheirDispatcher guards against the end of a call that is told late, as its dispatcher died and another one
 // at its address was connected to under its name.
-func TestACallAtADispatcherWhoseAddressIsTakenEndsAsTheListTells(t *testing.T) {
+func TestCallsEndWhenTheListReplacesTheirDispatcher(t *testing.T) {
 	t.Parallel()
-	withSite(t, orderStart{links: 2, called: true, chats: true}, func(s *orderSite) {
-		s.setsUp(orderedID)
-		s.do(func() { s.first.finalAnswer(orderedID, 200); s.arrive() })
+	withHarness(t, initialState{conns: 2, established: true, reportsPeriodically: true}, func(s *harness) {
+		s.setUpCall(testCallID)
+		s.runOnLoop(func() { s.first.sendFinalAnswer(testCallID, 200); s.deliverAll() })
 		time.Sleep(time.Second)
-		s.do(s.arrive)
-		s.do(s.takePlaceOfFirst)
+		s.runOnLoop(s.deliverAll)
+		s.runOnLoop(s.replaceFirst)
 		time.Sleep(time.Second)
-		s.do(s.listOther)
-		time.Sleep(3 * checkEvery)
-		s.do(func() {
-			if c := s.calls[orderedID]; c.answers != 1 || c.overs != 1 || len(s.pool.servers["first"].standing) != 0 {
-				t.Errorf("%d answers, %d ends, %d entries of calls; want 1, 1, 0", c.answers, c.overs, len(s.pool.servers["first"].standing))
+		s.runOnLoop(s.listReplacement)
+		time.Sleep(3 * checkInterval)
+		s.runOnLoop(func() {
+			if c := s.calls[testCallID]; c.answers != 1 || c.ends != 1 || len(s.pool.servers["first"].established) != 0 {
+				t.Errorf("%d answers, %d ends, %d entries of calls; want 1, 1, 0", c.answers, c.ends, len(s.pool.servers["first"].established))
 			}
 			if s.pool.servers["other"].Status != control.Active {
 				t.Error("the other dispatcher is not in use")
--- a/internal/dispatchers/after_attempt_test.go
+++ b/internal/dispatchers/after_attempt_test.go
@@ -6,27 +6,27 @@
 	"cherryrelay/internal/call"
 )
 
-// TestAnAttemptDoesNotFollowAReleaseToWhereAnEarlierOneWas guards against a late answer to a withdrawn attempt that is taken for that of the next one,
+// TestAnAttemptAvoidsTheConnectionOfACancelledAttempt guards against a late answer to a withdrawn attempt that is taken for that of the next one,
 // as a release of their call has both go out on the same connection.
-func TestAnAttemptDoesNotFollowAReleaseToWhereAnEarlierOneWas(t *testing.T) {
+func TestAnAttemptAvoidsTheConnectionOfACancelledAttempt(t *testing.T) {
 	t.Parallel()
-	withSite(t, orderStart{}, func(s *orderSite) {
-		s.do(func() {
-			s.calls[orderedID], s.calls[otherID] = &orderedCall{}, &orderedCall{}
-			s.pool.SetUp("first", attemptOf(otherID, 0))
-			s.pool.SetUp("first", attemptOf(orderedID, 0))
+	withHarness(t, initialState{}, func(s *harness) {
+		s.runOnLoop(func() {
+			s.calls[testCallID], s.calls[otherCallID] = &callRecord{}, &callRecord{}
+			s.pool.SetUp("first", attemptOf(otherCallID, 0))
+			s.pool.SetUp("first", attemptOf(testCallID, 0))
 		})
-		s.do(func() { s.pool.CancelAttempt("first", orderedID, 0) })
-		s.do(func() {
-			c := s.first.all[0]
-			c.flight = nil // the withdrawn attempt has no final answer yet
-			s.first.finalAnswerOn(c, otherID, 486)
-			c.deliver()
-			s.pool.Release("first", orderedID, call.CauseNormal)
-			s.pool.SetUp("first", attemptOf(orderedID, 1))
-			l := s.pool.servers["first"].links[0]
-			if i := l.invites[orderedID]; !l.releases(orderedID) || i == nil || i.attempt != 0 {
-				t.Errorf("the first connection has the release: %v, and the set-up %+v; want that of attempt 0", l.releases(orderedID), i)
+		s.runOnLoop(func() { s.pool.CancelAttempt("first", testCallID, 0) })
+		s.runOnLoop(func() {
+			c := s.first.allConns[0]
+			c.inTransit = nil // the withdrawn attempt has no final answer yet
+			s.first.sendFinalAnswerOn(c, otherCallID, 486)
+			c.deliverToPool()
+			s.pool.Release("first", testCallID, call.CauseNormal)
+			s.pool.SetUp("first", attemptOf(testCallID, 1))
+			poolConn := s.pool.servers["first"].conns[0]
+			if i := poolConn.setUps[testCallID]; !poolConn.hasUnconfirmedRelease(testCallID) || i == nil || i.attempt != 0 {
+				t.Errorf("the first connection has the release: %v, and the set-up %+v; want that of attempt 0", poolConn.hasUnconfirmedRelease(testCallID), i)
 			}
 		})
 	})
--- a/internal/dispatchers/ambiguous_end_test.go
+++ b/internal/dispatchers/ambiguous_end_test.go
@@ -6,44 +6,44 @@
 	"time"
 )
 
-// lostAttempt is a dispatcher with three connections, on the oldest of which the first attempt of a call is out. It tells ends on its newest one.
-var lostAttempt = orderStart{links: 3, chats: true, newest: true}
+// lostAttemptState is a dispatcher with three connections, on the oldest of which the first attempt of a call is out. It tells ends on its newest one.
+var lostAttemptState = initialState{conns: 3, reportsPeriodically: true, endsOnNewest: true}
 
-// nextIsOut is when the next attempt is out, and the next connection has not opened yet.
-const nextIsOut = 100 * time.Millisecond
+// nextAttemptDelay is when the next attempt is out, and the next connection has not opened yet.
+const nextAttemptDelay = 100 * time.Millisecond
 
-// TestAnEndAheadOfItsAnswerWhereAnAttemptWasLostIsTold guards against the untold end of a call whose connection its dispatcher closed, and which is read on
+// TestAnEndAheadOfItsAnswerAfterALostAttemptIsReported guards against the untold end of a call whose connection its dispatcher closed, and which is read on
 // another one ahead of its answer, where an earlier attempt was lost with its connection or withdrawn.
-func TestAnEndAheadOfItsAnswerWhereAnAttemptWasLostIsTold(t *testing.T) {
+func TestAnEndAheadOfItsAnswerAfterALostAttemptIsReported(t *testing.T) {
 	t.Parallel()
-	withdrawn := lostAttempt
-	withdrawn.doubted, withdrawn.newest = true, false
-	playNamed(t, map[string]namedOrder{
-		"the attempt was lost":      {lostAttempt, "rtaHeD"},
+	withdrawn := lostAttemptState
+	withdrawn.suspect, withdrawn.endsOnNewest = true, false
+	playScenarios(t, map[string]scenario{
+		"the attempt was lost":      {lostAttemptState, "rtaHeD"},
 		"the attempt was withdrawn": {withdrawn, "TaHedd"},
 	})
 }
 
-// notTold is an event in which time passes, after which the caller must not have been told the end of its call.
-func notTold(within time.Duration) []orderEvent {
-	return []orderEvent{passes('-', within), event("its end is not told yet", 0, func(s *orderSite) {
-		if s.calls[orderedID].overs > 0 {
-			s.fault("the end of an earlier attempt is told as that of the call")
+// expectNoEnd is an event in which time passes, after which the caller must not have been told the end of its call.
+func expectNoEnd(within time.Duration) []scenarioStep {
+	return []scenarioStep{waitStep('-', within), newStep("its end is not told yet", 0, func(s *harness) {
+		if s.calls[testCallID].ends > 0 {
+			s.violation("the end of an earlier attempt is told as that of the call")
 		}
 	})}
 }
 
-// TestTheEndOfALostAttemptLeavesTheNextOne guards against a call that is cut as it stands: the end of an earlier attempt, whose answer was lost with its
+// TestTheEndOfALostAttemptDoesNotEndTheNextOne guards against a call that is cut as it stands: the end of an earlier attempt, whose answer was lost with its
 // connection, is read while the next attempt at the same dispatcher is out.
-func TestTheEndOfALostAttemptLeavesTheNextOne(t *testing.T) {
+func TestTheEndOfALostAttemptDoesNotEndTheNextOne(t *testing.T) {
 	t.Parallel()
-	for name, order := range map[string][]orderEvent{
-		"the next attempt is answered later":           slices.Concat(spelledOrder("aerta"), notTold(2*time.Second)),
-		"the answer to the next attempt is on its way": slices.Concat(spelledOrder("aer"), []orderEvent{passes('-', nextIsOut)}, spelledOrder("a"), notTold(2*time.Second)),
+	for name, order := range map[string][]scenarioStep{
+		"the next attempt is answered later":           slices.Concat(stepsFor("aerta"), expectNoEnd(2*time.Second)),
+		"the answer to the next attempt is on its way": slices.Concat(stepsFor("aer"), []scenarioStep{waitStep('-', nextAttemptDelay)}, stepsFor("a"), expectNoEnd(2*time.Second)),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			lostAttempt.playWithoutFault(t, order)
+			lostAttemptState.playWithoutViolation(t, order)
 		})
 	}
 }
@@ -52,19 +52,19 @@
 // whose the end is: nothing reaches the dispatcher on the connection of the attempt.
 func TestAnAmbiguousEndWithoutAReplyReleasesTheCall(t *testing.T) {
 	t.Parallel()
-	toldAndReleased := event("its end is told, and the dispatcher has released it", 0, func(s *orderSite) {
-		_, holds := s.first.established[orderedID]
-		if s.calls[orderedID].overs != 1 || holds {
-			s.fault("%d ends are told a second after one was read, held by its dispatcher: %v", s.calls[orderedID].overs, holds)
+	reportedAndReleased := newStep("its end is told, and the dispatcher has released it", 0, func(s *harness) {
+		_, holds := s.first.established[testCallID]
+		if s.calls[testCallID].ends != 1 || holds {
+			s.violation("%d ends are told a second after one was read, held by its dispatcher: %v", s.calls[testCallID].ends, holds)
 		}
 	})
-	lostAttempt.playWithoutFault(t, slices.Concat(spelledOrder("aer"), []orderEvent{passes('-', nextIsOut)}, spelledOrder("ia"),
-		[]orderEvent{passes('-', releaseUntold), toldAndReleased}))
+	lostAttemptState.playWithoutViolation(t, slices.Concat(stepsFor("aer"), []scenarioStep{waitStep('-', nextAttemptDelay)}, stepsFor("ia"),
+		[]scenarioStep{waitStep('-', releaseTimeout), reportedAndReleased}))
 }
 
-// TestTheEndOfALostAttemptLeavesTheCallThatStands guards against a call that is cut as it stands, and that its dispatcher goes on to hold: the end of an
+// TestTheEndOfALostAttemptDoesNotEndTheEstablishedCall guards against a call that is cut as it stands, and that its dispatcher goes on to hold: the end of an
 // earlier attempt, whose answer was lost with its connection, is read on another one behind the answer to the next attempt.
-func TestTheEndOfALostAttemptLeavesTheCallThatStands(t *testing.T) {
+func TestTheEndOfALostAttemptDoesNotEndTheEstablishedCall(t *testing.T) {
 	t.Parallel()
-	lostAttempt.playWithoutFault(t, slices.Concat(spelledOrder("aer"), []orderEvent{passes('-', nextIsOut)}, spelledOrder("ad"), notTold(2*time.Second)))
+	lostAttemptState.playWithoutViolation(t, slices.Concat(stepsFor("aer"), []scenarioStep{waitStep('-', nextAttemptDelay)}, stepsFor("ad"), expectNoEnd(2*time.Second)))
 }
--- a/internal/dispatchers/behind_release_test.go
+++ b/internal/dispatchers/behind_release_test.go
@@ -12,24 +12,24 @@
 // and went out on a faster one.
 func TestAnAttemptThatWaitedFollowsTheReleaseOfItsCall(t *testing.T) {
 	t.Parallel()
-	withSite(t, orderStart{}, func(s *orderSite) {
-		time.Sleep(silence)
-		s.do(func() {
-			s.calls[orderedID] = &orderedCall{}
-			s.pool.Release("first", orderedID, call.CauseNormal)
-			s.pool.SetUp("first", attemptOf(orderedID, 1))
+	withHarness(t, initialState{}, func(s *harness) {
+		time.Sleep(silenceThreshold)
+		s.runOnLoop(func() {
+			s.calls[testCallID] = &callRecord{}
+			s.pool.Release("first", testCallID, call.CauseNormal)
+			s.pool.SetUp("first", attemptOf(testCallID, 1))
 			if len(s.pool.servers["first"].waiting) != 1 {
 				t.Error("the attempt does not wait for a connection")
 			}
-			s.first.connections[0].reports() // the one with the release is heard from again
+			s.first.openConns[0].sendReport() // the one with the release is heard from again
 		})
 		time.Sleep(time.Second)
-		s.do(func() {
-			links := s.pool.servers["first"].links
-			i := slices.IndexFunc(links, func(l *link) bool { return l.invites[orderedID] != nil })
-			if len(links) != 2 || i < 0 {
-				t.Errorf("the attempt is on connection %d of %d, want 2 of them", i, len(links))
-			} else if !links[i].releases(orderedID) {
+		s.runOnLoop(func() {
+			conns := s.pool.servers["first"].conns
+			i := slices.IndexFunc(conns, func(poolConn *connection) bool { return poolConn.setUps[testCallID] != nil })
+			if len(conns) != 2 || i < 0 {
+				t.Errorf("the attempt is on connection %d of %d, want 2 of them", i, len(conns))
+			} else if !conns[i].hasUnconfirmedRelease(testCallID) {
 				t.Error("the attempt went out on another connection than the release of its call")
 			}
 		})
--- a/internal/dispatchers/budget_test.go
+++ b/internal/dispatchers/budget_test.go
@@ -13,16 +13,16 @@
 	"cherryrelay/internal/peer"
 )
 
-// standings is a core with calls at dispatchers; it notes how attempts ended.
-type standings struct {
-	ends
-	at map[control.ServerID][]string // calls that stand
+// fakeCore is a core with calls at dispatchers; it notes how attempts ended.
+type fakeCore struct {
+	outcomeRecorder
+	calls map[control.ServerID][]string // calls that stand
 }
 
-func (s *standings) EstablishedCount(id control.ServerID) int { return len(s.at[id]) }
-func (s *standings) EstablishedAt(id control.ServerID) iter.Seq[string] {
+func (s *fakeCore) EstablishedCount(id control.ServerID) int { return len(s.calls[id]) }
+func (s *fakeCore) EstablishedAt(id control.ServerID) iter.Seq[string] {
 	return func(yield func(string) bool) {
-		for _, call := range s.at[id] {
+		for _, call := range s.calls[id] {
 			if !yield(call) {
 				return
 			}
@@ -30,39 +30,39 @@
 	}
 }
 
-func (s *standings) EachEstablished(f func(control.ServerID)) {
-	for id, calls := range s.at {
+func (s *fakeCore) EachEstablished(f func(control.ServerID)) {
+	for id, calls := range s.calls {
 		for range calls {
 			f(id)
 		}
 	}
 }
 
-func (s *standings) Answered(server control.ServerID, id string, _ int, _ string) bool {
-	s.at[server] = append(s.at[server], id)
+func (s *fakeCore) Answered(server control.ServerID, id string, _ int, _ string) bool {
+	s.calls[server] = append(s.calls[server], id)
 	return true
 }
 
-// budgeted is a pool with a budget and dispatchers to connect to.
-type budgeted struct {
+// poolFixture is a pool with a budget and dispatchers to connect to.
+type poolFixture struct {
 	*testing.T
 	pool        *Pool
 	loop        *call.Loop
-	core        *standings
+	core        *fakeCore
 	dispatchers []*peer.Dispatcher
 	list        call.Update
 }
 
-func newBudgeted(t *testing.T, budget, n int) *budgeted {
+func newPoolFixture(t *testing.T, budget, n int) *poolFixture {
 	t.Helper()
-	b := &budgeted{T: t, loop: call.NewLoop(), core: &standings{ends: ends{told: map[string]control.Outcome{}}, at: map[control.ServerID][]string{}}}
+	b := &poolFixture{T: t, loop: call.NewLoop(), core: &fakeCore{outcomeRecorder: outcomeRecorder{outcomes: map[string]control.Outcome{}}, calls: map[control.ServerID][]string{}}}
 	for range n {
-		b.lists(dispatcherAt(t, "tcp", "127.0.0.1:0"))
+		b.addDispatcher(dispatcherAt(t, "tcp", "127.0.0.1:0"))
 	}
 	b.list.Complete = true
 	go b.loop.Run()
 	t.Cleanup(b.loop.Quit)
-	b.do(func() {
+	b.runOnLoop(func() {
 		b.pool = New(b.loop, b.core, Options{ConnectTimeout: 10 * time.Second, Log: slog.New(slog.DiscardHandler)})
 		b.pool.SetSocketBudget(budget)
 	})
@@ -80,40 +80,40 @@
 	return d
 }
 
-// lists puts a dispatcher on the list, and has it tell of its connections.
-func (b *budgeted) lists(d *peer.Dispatcher) {
+// addDispatcher puts a dispatcher on the list, and has it tell of its connections.
+func (b *poolFixture) addDispatcher(d *peer.Dispatcher) {
 	d.TellLinks()
-	id := name(len(b.dispatchers))
+	id := dispatcherName(len(b.dispatchers))
 	b.dispatchers = append(b.dispatchers, d)
 	b.list.Servers = append(b.list.Servers, call.Server{ServerEntry: control.ServerEntry{ID: id}, Address: d.Address()})
 }
 
-func name(i int) control.ServerID { return control.ServerID(fmt.Sprint("d", i)) }
+func dispatcherName(i int) control.ServerID { return control.ServerID(fmt.Sprint("d", i)) }
 
-// do runs a function on the loop.
-func (b *budgeted) do(f func()) {
+// runOnLoop runs a function on the loop.
+func (b *poolFixture) runOnLoop(f func()) {
 	done := make(chan struct{})
 	b.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
 // setUp places a call at a dispatcher.
-func (b *budgeted) setUp(i int, id string) {
-	b.do(func() {
-		b.pool.SetUp(name(i), attemptOf(id, 0))
+func (b *poolFixture) setUp(i int, id string) {
+	b.runOnLoop(func() {
+		b.pool.SetUp(dispatcherName(i), attemptOf(id, 0))
 		b.pool.Flush()
 	})
 }
 
-// comes waits for an event of a kind at a dispatcher.
-func (b *budgeted) comes(i int, kind string) peer.Event {
+// waitFor waits for an event of a kind at a dispatcher.
+func (b *poolFixture) waitFor(i int, kind string) peer.Event {
 	b.Helper()
 	for begun := time.Now(); ; {
 		if time.Since(begun) > peer.Patience {
 			b.Fatalf("no %s comes to dispatcher %d", kind, i)
 		}
 		// What was queued while the pool was flushed goes out with the next turn.
-		b.do(b.pool.Flush)
+		b.runOnLoop(b.pool.Flush)
 		select {
 		case e := <-b.dispatchers[i].Events:
 			if e.Kind == kind {
@@ -127,21 +127,21 @@
 	}
 }
 
-// establishes has a dispatcher answer a set-up, and waits until the call stands, the only one there.
-func (b *budgeted) establishes(i int, setUp peer.Event) {
+// establish has a dispatcher answer a set-up, and waits until the call stands, the only one there.
+func (b *poolFixture) establish(i int, setUp peer.Event) {
 	b.Helper()
 	if err := setUp.Answer("y"); err != nil {
 		b.Fatal(err)
 	}
-	waitOnLoop(b, func() bool { return len(b.core.at[name(i)]) == 1 })
+	waitUntil(b, func() bool { return len(b.core.calls[dispatcherName(i)]) == 1 })
 }
 
 // setUpWithoutRelease places a call at a dispatcher, ahead of which releases would go out, and wants none to come there.
-func (b *budgeted) setUpWithoutRelease(i int, id string) {
+func (b *poolFixture) setUpWithoutRelease(i int, id string) {
 	b.Helper()
 	b.setUp(i, id)
 	for until := time.Now().Add(peer.Patience); time.Now().Before(until); {
-		b.do(b.pool.Flush)
+		b.runOnLoop(b.pool.Flush)
 		select {
 		case e := <-b.dispatchers[i].Events:
 			switch {
@@ -156,52 +156,52 @@
 	b.Error("the next set-up never comes")
 }
 
-// TestASetUpMakesRoom: with two sockets for three dispatchers, a set-up for one without a connection has an idle one closed, and waits
+// TestASetUpEvictsAnIdleConnection: with two sockets for three dispatchers, a set-up for one without a connection has an idle one closed, and waits
 // while both have set-ups open.
-func TestASetUpMakesRoom(t *testing.T) {
+func TestASetUpEvictsAnIdleConnection(t *testing.T) {
 	t.Parallel()
-	b := newBudgeted(t, 2, 3)
-	b.do(func() { b.pool.Update(b.list) })
-	b.comes(0, "opened") // ahead of need, one of the two is used
+	b := newPoolFixture(t, 2, 3)
+	b.runOnLoop(func() { b.pool.Update(b.list) })
+	b.waitFor(0, "opened") // ahead of need, one of the two is used
 	b.setUp(0, "a")
-	first := b.comes(0, "setup")
+	first := b.waitFor(0, "setup")
 	b.setUp(1, "b")
-	second := b.comes(1, "setup")
+	second := b.waitFor(1, "setup")
 	b.setUp(2, "c")
-	b.do(func() {
-		if l := b.pool.servers["d0"].links; len(l) != 1 || b.pool.sockets.held != 2 || len(b.pool.servers["d1"].links) != 1 {
-			t.Errorf("%d sockets are held, %d links to d0", b.pool.sockets.held, len(l))
+	b.runOnLoop(func() {
+		if conns := b.pool.servers["d0"].conns; len(conns) != 1 || b.pool.sockets.held != 2 || len(b.pool.servers["d1"].conns) != 1 {
+			t.Errorf("%d sockets are held, %d links to d0", b.pool.sockets.held, len(conns))
 		}
 	})
 	if err := second.Refuse(peer.Broken); err != nil {
 		t.Fatal(err)
 	}
-	b.comes(1, "closed")
-	third := b.comes(2, "setup")
+	b.waitFor(1, "closed")
+	third := b.waitFor(2, "setup")
 	for _, e := range []peer.Event{first, third} {
 		if err := e.Answer("y"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for stand := 0; stand < 2; {
-		b.do(func() { stand = len(b.core.at["d0"]) + len(b.core.at["d2"]) })
+	for established := 0; established < 2; {
+		b.runOnLoop(func() { established = len(b.core.calls["d0"]) + len(b.core.calls["d2"]) })
 	}
-	b.do(func() {
-		if got := maps.Collect(maps.All(b.core.told)); len(got) != 1 {
+	b.runOnLoop(func() {
+		if got := maps.Collect(maps.All(b.core.outcomes)); len(got) != 1 {
 			t.Errorf("attempts that ended: %v, want the second alone", got)
 		}
 	})
 }
 
-// TestDispatchersWithCallsTakeTurns: calls stand at more dispatchers than there may be connections. Each one comes to have a new
+// TestDispatchersWithCallsShareTheBudget: calls stand at more dispatchers than there may be connections. Each one comes to have a new
 // connection, on which it can repeat the ends of its calls, within 8 s, again and again.
-func TestDispatchersWithCallsTakeTurns(t *testing.T) {
+func TestDispatchersWithCallsShareTheBudget(t *testing.T) {
 	t.Parallel()
 	const budget, n, rounds = 4, 10, 2
-	b := newBudgeted(t, budget, n)
-	b.do(func() {
+	b := newPoolFixture(t, budget, n)
+	b.runOnLoop(func() {
 		for i := range n {
-			b.core.at[name(i)] = []string{fmt.Sprint("call ", i)}
+			b.core.calls[dispatcherName(i)] = []string{fmt.Sprint("call ", i)}
 		}
 		b.pool.Update(b.list)
 	})
@@ -211,7 +211,7 @@
 	}
 	for least := 0; least < rounds; {
 		most := 0
-		b.do(func() { most = b.pool.sockets.held })
+		b.runOnLoop(func() { most = b.pool.sockets.held })
 		if most > budget {
 			t.Fatalf("%d sockets are held", most)
 		}
@@ -235,29 +235,29 @@
 	t.Log("openings:", opened)
 }
 
-// TestThoseThatRefuseAreDialledRarely: each on the list is dialled once, and from then on one a second of all of them; but one for which
+// TestRefusingDispatchersAreDialledRarely: each on the list is dialled once, and from then on one a second of all of them; but one for which
 // a set-up waits at once.
-func TestThoseThatRefuseAreDialledRarely(t *testing.T) {
+func TestRefusingDispatchersAreDialledRarely(t *testing.T) {
 	t.Parallel()
-	const n, lasting = 50, 3 * time.Second
-	b := newBudgeted(t, 0, n)
+	const n, duration = 50, 3 * time.Second
+	b := newPoolFixture(t, 0, n)
 	for _, d := range b.dispatchers {
 		d.Die()
 	}
 	begun := time.Now()
-	b.do(func() { b.pool.Update(b.list) })
-	dials := func() (dials int) { b.do(func() { dials = b.pool.sockets.dials }); return dials }
+	b.runOnLoop(func() { b.pool.Update(b.list) })
+	dials := func() (dials int) { b.runOnLoop(func() { dials = b.pool.sockets.dialCount }); return dials }
 	for dials() < n {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(lasting)
-	if got, most := dials(), n+1+int(time.Since(begun)/time.Second); got > most || got < n+int(lasting/time.Second)-1 {
+	time.Sleep(duration)
+	if got, most := dials(), n+1+int(time.Since(begun)/time.Second); got > most || got < n+int(duration/time.Second)-1 {
 		t.Errorf("%d dials in %v, want %d at most", got, time.Since(begun), most)
 	}
 	b.dispatchers[n-1] = dispatcherAt(t, "tcp", b.dispatchers[n-1].Address())
 	since := time.Now()
 	b.setUp(n-1, "a")
-	b.comes(n-1, "setup")
+	b.waitFor(n-1, "setup")
 	if took := time.Since(since); took > time.Second {
 		t.Errorf("a set-up had to wait for %v", took)
 	}
--- a/internal/dispatchers/dial.go
+++ b/internal/dispatchers/dial.go
@@ -12,101 +12,101 @@
 // connect opens one more connection if that is allowed now.
 func (s *server) connect() {
 	now := time.Now()
-	if s.dialing || !s.reachable(now) || len(s.links) >= s.pool.links || !s.pool.admit(s, now) {
+	if s.dialing || !s.reachable(now) || len(s.conns) >= s.pool.maxConns || !s.pool.mayDial(s, now) {
 		return
 	}
 	s.dialing = true
 	s.pool.sockets.held++
-	s.pool.sockets.dials++
+	s.pool.sockets.dialCount++
 	address := s.Address
-	dial, wire := ParseAddress(address, &s.pool.ReportFields)
-	var l *link
-	handler := func(c connection) conn.Handler {
+	dialAddress, protocol := ParseAddress(address, &s.pool.ReportFields)
+	var c *connection
+	handler := func(transport transportConn) conn.Handler {
 		now := time.Now()
-		s.pool.opened++
-		l = &link{server: s, number: s.pool.opened, process: s.process, lifetime: &lifetime{generation: s.generation}, conn: c, wire: wire, invites: map[string]*invite{}, openedAt: now, heardAt: now, since: now, usedAt: now}
-		return socket{l}
+		s.pool.lastConnNumber++
+		c = &connection{server: s, number: s.pool.lastConnNumber, process: s.process, lifetime: &lifetime{generation: s.generation}, conn: transport, protocol: protocol, setUps: map[string]*setUpState{}, openedAt: now, lastReceivedAt: now, stateSince: now, usedAt: now}
+		return countedConn{c}
 	}
-	s.pool.dial(dial, s.pool.ConnectTimeout, handler, func(err error) {
+	s.pool.dial(dialAddress, s.pool.ConnectTimeout, handler, func(err error) {
 		s.dialing = false
-		s.pool.touch(s)
+		s.pool.markActive(s)
 		if err != nil {
-			s.refused(err)
+			s.dialFailed(err)
 			s.renewalFailed()
-			s.pool.released(false)
+			s.pool.socketReleased(false)
 			return
 		}
 		if s.Address != address || !s.reachable(time.Now()) {
-			l.conn.Close(conn.ErrClosedHere)
+			c.conn.Close(conn.ErrClosedHere)
 			return
 		}
-		s.opened(l, now)
+		s.connOpened(c, now)
 	})
 }
 
 // reachable reports whether connections to the dispatcher are of use.
 func (s *server) reachable(now time.Time) bool {
-	return !s.gone() || s.mayRelease(now) || (s.renewal.EndsMissing() || s.renewal.Pending()) && !s.replaced && s.pool.core.EstablishedCount(s.ID) > 0
+	return !s.obsolete() || s.mayDialForRelease(now) || (s.renewal.EndsMissing() || s.renewal.Pending()) && !s.replaced && s.pool.core.EstablishedCount(s.ID) > 0
 }
 
-func (s *server) refused(err error) {
+func (s *server) dialFailed(err error) {
 	if errors.Is(err, conn.ErrNoSocket) { // says nothing of the dispatcher
 		s.backoff.RecordFailure(time.Now(), rand.Float64())
 		s.pool.Log.Warn("no descriptor for a connection", "server", s.ID, "err", err)
 		return
 	}
 	s.backoff.RecordFailure(time.Now(), rand.Float64())
-	s.refuses = errors.Is(err, conn.ErrRefused)
-	s.dialTimedOut = !s.refuses
+	s.lastDialRefused = errors.Is(err, conn.ErrRefused)
+	s.lastDialTimedOut = !s.lastDialRefused
 	s.pool.Log.Info("no connection", "server", s.ID, "err", err)
-	if len(s.links) > 0 && (s.dialTimedOut || time.Since(s.heardAt) <= silence) {
+	if len(s.conns) > 0 && (s.lastDialTimedOut || time.Since(s.lastReceivedAt) <= silenceThreshold) {
 		return
 	}
-	if len(s.links) > 0 && !s.holds() {
+	if len(s.conns) > 0 && !s.hasCalls() {
 		return // it has nothing to say
 	}
 	switch {
-	case s.dialTimedOut:
-		s.expire(time.Time{})
-	case len(s.links) == 0:
-		s.stopped()
+	case s.lastDialTimedOut:
+		s.failExpired(time.Time{})
+	case len(s.conns) == 0:
+		s.handleStopped()
 	}
 }
 
-// stopped takes in that nothing listens, and that every connection is gone or has long been silent: a process that stops at the end of its
+// handleStopped takes in that nothing listens, and that every connection is gone or has long been silent: a process that stops at the end of its
 // drain may leave its connections open. It is no more, and its calls with it.
-func (s *server) stopped() {
-	s.log(endlog.Stopped, nil)
-	s.drop(errors.New("dispatcher has stopped"))
+func (s *server) handleStopped() {
+	s.logStep(endlog.Stopped, nil)
+	s.disconnect(errors.New("dispatcher has stopped"))
 	s.releases = nil // there is no way to send them
 	s.pool.core.DispatcherFailed(s.ID)
 }
 
-// track notes whether the dispatcher has connections.
-func (s *server) track() {
-	if len(s.links)+len(s.givenUp) > 0 {
-		s.pool.linked[s] = struct{}{}
+// updateConnected notes whether the dispatcher has connections.
+func (s *server) updateConnected() {
+	if len(s.conns)+len(s.abandoned) > 0 {
+		s.pool.connected[s] = struct{}{}
 	} else {
-		delete(s.pool.linked, s)
+		delete(s.pool.connected, s)
 	}
 }
 
-func (s *server) opened(l *link, dialedAt time.Time) {
+func (s *server) connOpened(c *connection, dialedAt time.Time) {
 	s.backoff.Reset()
-	s.dialTimedOut, s.refuses = false, false
+	s.lastDialTimedOut, s.lastDialRefused = false, false
 	s.renewal.RecordOpened(dialedAt)
-	s.links = append(s.links, l)
-	s.track()
-	l.log(endlog.LinkOpened, nil)
-	l.send(l.wire.Handshake())
-	l.conn.Flush()
-	if l.ready() {
-		s.ready(l) // it goes out at the end of the turn: who has left meanwhile is seen before
+	s.conns = append(s.conns, c)
+	s.updateConnected()
+	c.logStep(endlog.LinkOpened, nil)
+	c.send(c.protocol.Handshake())
+	c.conn.Flush()
+	if c.ready() {
+		s.connReady(c) // it goes out at the end of the turn: who has left meanwhile is seen before
 	}
 }
 
-// ready tells that calls can be placed.
-func (s *server) ready(l *link) {
+// connReady tells that calls can be placed.
+func (s *server) connReady(c *connection) {
 	s.pool.core.DispatcherReached()
-	s.serve(l)
+	s.sendWaiting(c)
 }
--- a/internal/dispatchers/dispatchers.go
+++ b/internal/dispatchers/dispatchers.go
@@ -15,47 +15,47 @@
 	// MaxConnections is how many connections a dispatcher is given at most; it takes four. How many it is worth by now
 	// is decided in decide/links.
 	MaxConnections = 4
-	// checkEvery is the pace at which dispatchers are looked at that something is to be done for.
-	checkEvery = 100 * time.Millisecond
-	// wholeWithin is how long a message may take to become whole: a dispatcher writes it in one go.
-	wholeWithin = 250 * time.Millisecond
-	// overtakenBy is how much later than a set-up another one must have been sent that has its answer already. A
+	// checkInterval is the pace at which dispatchers are looked at that something is to be done for.
+	checkInterval = 100 * time.Millisecond
+	// messageTimeout is how long a message may take to become whole: a dispatcher writes it in one go.
+	messageTimeout = 250 * time.Millisecond
+	// overtakenAfter is how much later than a set-up another one must have been sent that has its answer already. A
 	// dispatcher's processor takes them in turn, so this is far more than they differ by.
-	overtakenBy = 250 * time.Millisecond
-	// silence without a word where calls are held has a new connection tried: a machine that has vanished leaves
+	overtakenAfter = 250 * time.Millisecond
+	// silenceThreshold without a word where calls are held has a new connection tried: a machine that has vanished leaves
 	// the old ones open.
-	silence = 2500 * time.Millisecond
-	// probeWithin is how long a dispatcher that has long been silent, and refuses connections or is off the list, has to answer a probe. What
+	silenceThreshold = 2500 * time.Millisecond
+	// probeTimeout is how long a dispatcher that has long been silent, and refuses connections or is off the list, has to answer a probe. What
 	// it had must be released within 8 s of its end.
-	probeWithin = time.Second
-	// deadAfter is the silence after which, with no new connection coming up, calls are held no more. A call's end
+	probeTimeout = time.Second
+	// silenceTimeout is the silence after which, with no new connection coming up, calls are held no more. A call's end
 	// may stay untold for 8 s.
-	deadAfter = 5 * time.Second
-	// forgetAfter is how long a withdrawn attempt is kept for the answer that its dispatcher may still send.
-	forgetAfter = 10 * time.Second
-	// halfClosedFor is how long a connection that is given up is still read, unless its dispatcher closes it first. One that stands still for
+	silenceTimeout = 5 * time.Second
+	// cancelledRetention is how long a withdrawn attempt is kept for the answer that its dispatcher may still send.
+	cancelledRetention = 10 * time.Second
+	// halfCloseTimeout is how long a connection that is given up is still read, unless its dispatcher closes it first. One that stands still for
 	// a while has not seen the end yet: as it goes on, it may tell the end of a call there before it does, and tells it again only on the
-	// next connection that opens after that. What stands still for longer is no more (deadAfter).
-	halfClosedFor = deadAfter
-	// evictedFor is as much where its descriptor is wanted: a dispatcher that lives has closed it by then.
-	evictedFor = 50 * time.Millisecond
-	// closesWithin is how long a dispatcher is given to close its side of a connection that is given up here, or to answer what takes a
+	// next connection that opens after that. What stands still for longer is no more (silenceTimeout).
+	halfCloseTimeout = silenceTimeout
+	// evictedReadTimeout is as much where its descriptor is wanted: a dispatcher that lives has closed it by then.
+	evictedReadTimeout = 50 * time.Millisecond
+	// responseTimeout is how long a dispatcher is given to close its side of a connection that is given up here, or to answer what takes a
 	// set-up back. One that lives does so at once. After that, ends may be told there in vain: each must come within 8 s all the same, the
-	// deadAfter included in which a connection with nothing to do is found out.
-	closesWithin = time.Second
-	// unresponsiveFor is how long after the end of a set-up nothing may have come on a connection before it is given up.
-	unresponsiveFor = 100 * time.Millisecond
+	// silenceTimeout included in which a connection with nothing to do is found out.
+	responseTimeout = time.Second
+	// unresponsiveAfter is how long after the end of a set-up nothing may have come on a connection before it is given up.
+	unresponsiveAfter = 100 * time.Millisecond
 	// unansweredWeight is how many open set-ups one counts for that was given up without an answer.
 	unansweredWeight = 8
-	// maxReleases bounds the releases of calls that nothing is known of, of which anybody may send any number, as they wait for a
+	// maxUnknownReleases bounds the releases of calls that nothing is known of, of which anybody may send any number, as they wait for a
 	// connection. Those of calls that stood need no bound: no more can stand before there is one.
-	maxReleases = 1024
-	// releasesAtOnce is how many of those go out in one turn: they, and what their dispatcher says to them, must not close the connection
+	maxUnknownReleases = 1024
+	// releaseBatchSize is how many of those go out in one turn: they, and what their dispatcher says to them, must not close the connection
 	// as too slow or too fast.
-	releasesAtOnce = 256
-	// endsAtOnce is how early a connection ends that counts as one that never came up: a dispatcher that closes whatever is new is not
+	releaseBatchSize = 256
+	// minConnLifetime is how early a connection ends that counts as one that never came up: a dispatcher that closes whatever is new is not
 	// dialled without pause.
-	endsAtOnce = 100 * time.Millisecond
+	minConnLifetime = 100 * time.Millisecond
 )
 
 // Core is what the connections report to; *call.Core is one.
@@ -89,25 +89,25 @@
 // Pool is all dispatchers.
 type Pool struct {
 	Options
-	core      Core
-	loop      *call.Loop
-	dial      dialer
-	servers   map[control.ServerID]*server
-	order     []*server
-	links     int    // that each may be given
-	opened    uint64 // connections so far: the number of the last one
-	sockets   sockets
-	linked    map[*server]struct{} // those with connections, half-closed ones among them
-	touchedAt time.Time            // when those were touched at which calls stand
-	active    []*server            // to be looked at with the next check
-	ahead     aheadQueue           // those without a connection that no call needs
-	at        map[string][]*server // by address
-	dirty     []*link              // that were written to since the last Flush
+	core                Core
+	loop                *call.Loop
+	dial                dialer
+	servers             map[control.ServerID]*server
+	order               []*server
+	maxConns            int    // that each may be given
+	lastConnNumber      uint64 // connections so far: the number of the last one
+	sockets             socketUsage
+	connected           map[*server]struct{} // those with connections, half-closed ones among them
+	establishedMarkedAt time.Time            // when those were touched at which calls stand
+	active              []*server            // to be looked at with the next check
+	dialQueue           dialQueue            // those without a connection that no call needs
+	byAddress           map[string][]*server // by address
+	dirty               []*connection        // that were written to since the last Flush
 }
 
 // New returns an empty Pool.
 func New(loop *call.Loop, core Core, o Options) *Pool {
-	p := &Pool{Options: o, core: core, loop: loop, dial: dialTCP(loop), servers: map[control.ServerID]*server{}, at: map[string][]*server{}, linked: map[*server]struct{}{}, links: MaxConnections}
+	p := &Pool{Options: o, core: core, loop: loop, dial: dialTCP(loop), servers: map[control.ServerID]*server{}, byAddress: map[string][]*server{}, connected: map[*server]struct{}{}, maxConns: MaxConnections}
 	p.check()
 	return p
 }
@@ -119,9 +119,9 @@
 
 // SetMaxConnections sets how many connections each dispatcher may be given. Beyond them, those go that have nothing to do.
 func (p *Pool) SetMaxConnections(links int) {
-	p.links = links
-	for s := range p.linked {
-		s.trim()
+	p.maxConns = links
+	for s := range p.connected {
+		s.closeExcess()
 	}
 }
 
@@ -133,18 +133,18 @@
 		return
 	}
 	s.demand.Observe(time.Now(), s.openSetUps()+len(s.waiting)+1)
-	if l := s.releasing(a.ID); l != nil && len(s.releases) == 0 {
-		l.setUp(a)
+	if c := s.connWithRelease(a.ID); c != nil && len(s.releases) == 0 {
+		c.setUp(a)
 		return
 	}
 	now := time.Now()
-	l := s.least(a.ID)
-	if l != nil && len(s.releases) == 0 && (l.healthy(now) || !s.room(now)) {
-		l.setUp(a)
+	c := s.leastLoaded(a.ID)
+	if c != nil && len(s.releases) == 0 && (c.healthy(now) || !s.ensureCapacity(now)) {
+		c.setUp(a)
 		return
 	}
-	s.waiting = append(s.waiting, waiting{a, now, now.Add(p.ConnectTimeout)})
-	p.touch(s)
+	s.waiting = append(s.waiting, waitingSetUp{a, now, now.Add(p.ConnectTimeout)})
+	p.markActive(s)
 	s.connect()
 }
 
@@ -154,10 +154,10 @@
 	if s == nil {
 		return
 	}
-	s.waiting = slices.DeleteFunc(s.waiting, func(w waiting) bool { return w.ID == callID })
-	for _, l := range s.links {
-		if i := l.invites[callID]; i != nil && i.attempt == attempt && i.withdrawn.IsZero() {
-			l.withdraw(callID, i)
+	s.waiting = slices.DeleteFunc(s.waiting, func(w waitingSetUp) bool { return w.ID == callID })
+	for _, c := range s.conns {
+		if setUp := c.setUps[callID]; setUp != nil && setUp.attempt == attempt && setUp.cancelledAt.IsZero() {
+			c.cancelSetUp(callID, setUp)
 		}
 	}
 }
@@ -166,7 +166,7 @@
 // may be, one that has nothing to do makes room.
 func (p *Pool) Reconnect(id control.ServerID) {
 	if s := p.servers[id]; s != nil {
-		s.wantRenewal()
+		s.requestRenewal()
 	}
 }
 
@@ -174,7 +174,7 @@
 // open have nothing to say that could be waited for.
 func (p *Pool) NoUnreadInput() bool {
 	return !slices.ContainsFunc(p.active, func(s *server) bool {
-		return slices.ContainsFunc(s.links, func(l *link) bool { return l.conn.Unread() })
+		return slices.ContainsFunc(s.conns, func(c *connection) bool { return c.conn.Unread() })
 	})
 }
 
@@ -182,8 +182,8 @@
 func (p *Pool) Flush() {
 	dirty := p.dirty
 	p.dirty = nil
-	for _, l := range dirty {
-		l.dirty = false
-		l.conn.Flush()
+	for _, c := range dirty {
+		c.dirty = false
+		c.conn.Flush()
 	}
 }
--- a/internal/dispatchers/earlier_test.go
+++ b/internal/dispatchers/earlier_test.go
@@ -10,18 +10,18 @@
 	"cherryrelay/internal/peer"
 )
 
-// releaseLog is a core that records releases by attempt.
-type releaseLog struct {
-	standings
+// releaseRecorder is a core that records releases by attempt.
+type releaseRecorder struct {
+	fakeCore
 	attempts []int
 }
 
-func (r *releaseLog) Released(_ control.ServerID, _ string, attempt, _ int, _ []float64) {
+func (r *releaseRecorder) Released(_ control.ServerID, _ string, attempt, _ int, _ []float64) {
 	r.attempts = append(r.attempts, attempt)
 }
 
 // ReleasedOnOtherConnection records a release without an attempt.
-func (r *releaseLog) ReleasedOnOtherConnection(control.ServerID, string, int, []float64) (goesOn bool) {
+func (r *releaseRecorder) ReleasedOnOtherConnection(control.ServerID, string, int, []float64) (goesOn bool) {
 	r.attempts = append(r.attempts, noAttempt)
 	return false
 }
@@ -41,24 +41,24 @@
 
 func endOnEarlierConnection(t *testing.T, closed bool, want int) {
 	const id = "00000000000000a1"
-	b := newBudgeted(t, 0, 1)
-	core, first, _ := b.standsBySecondAttempt(id)
+	b := newPoolFixture(t, 0, 1)
+	core, first, _ := b.establishBySecondAttempt(id)
 	if closed {
-		b.do(func() {
-			s := b.pool.servers[name(0)]
-			for _, l := range s.links {
-				if l.lifetime == s.standing[id] {
-					l.conn.Close(errors.New("broken"))
+		b.runOnLoop(func() {
+			s := b.pool.servers[dispatcherName(0)]
+			for _, poolConn := range s.conns {
+				if poolConn.lifetime == s.established[id] {
+					poolConn.conn.Close(errors.New("broken"))
 				}
 			}
 		})
-		waitOnLoop(b, func() bool { return b.dispatchers[0].Links() == 1 })
+		waitUntil(b, func() bool { return b.dispatchers[0].Links() == 1 })
 	}
 	if err := first.ReleaseHere(id, call.CauseNormal); err != nil {
 		t.Fatal(err)
 	}
-	waitOnLoop(b, func() bool { return len(core.attempts) > 0 })
-	b.do(func() {
+	waitUntil(b, func() bool { return len(core.attempts) > 0 })
+	b.runOnLoop(func() {
 		if got := core.attempts[0]; got != want {
 			t.Errorf("the release is that of attempt %d, want %d", got, want)
 		}
@@ -70,52 +70,52 @@
 func TestAnEndThatIsReadBeforeTheCloseOfItsConnection(t *testing.T) {
 	t.Parallel()
 	const id = "00000000000000a2"
-	b := newBudgeted(t, 0, 1)
-	core, first, second := b.standsBySecondAttempt(id)
+	b := newPoolFixture(t, 0, 1)
+	core, first, second := b.establishBySecondAttempt(id)
 	if err := first.ReleaseHere(id, call.CauseNormal); err != nil {
 		t.Fatal(err)
 	}
-	waitOnLoop(b, func() bool { return len(core.attempts) > 0 })
+	waitUntil(b, func() bool { return len(core.attempts) > 0 })
 	if err := second.CloseHere(); err != nil {
 		t.Fatal(err)
 	}
-	waitOnLoop(b, func() bool { return len(b.pool.servers[name(0)].links) == 1 })
-	b.do(func() {
+	waitUntil(b, func() bool { return len(b.pool.servers[dispatcherName(0)].conns) == 1 })
+	b.runOnLoop(func() {
 		if last := core.attempts[len(core.attempts)-1]; last != noAttempt {
 			t.Errorf("the release is that of attempt %d, want it to end the call that stands", last)
 		}
 	})
 }
 
-// standsBySecondAttempt has a call stand by its second attempt at the first dispatcher, on a second connection, where the first attempt was withdrawn;
+// establishBySecondAttempt has a call stand by its second attempt at the first dispatcher, on a second connection, where the first attempt was withdrawn;
 // first and second are their set-ups. No further connection comes up, on which an end would be told again.
-func (b *budgeted) standsBySecondAttempt(id string) (core *releaseLog, first, second peer.Event) {
+func (b *poolFixture) establishBySecondAttempt(id string) (core *releaseRecorder, first, second peer.Event) {
 	b.Helper()
-	core = &releaseLog{standings: *b.core}
-	b.do(func() {
+	core = &releaseRecorder{fakeCore: *b.core}
+	b.runOnLoop(func() {
 		b.pool.core = core
 		b.pool.Update(b.list)
 	})
-	b.comes(0, "opened")
+	b.waitFor(0, "opened")
 	b.setUp(0, id)
-	first = b.comes(0, "setup")
-	b.do(func() {
-		b.pool.CancelAttempt(name(0), id, 0)
-		b.pool.SetUp(name(0), attemptOf(id, 1))
+	first = b.waitFor(0, "setup")
+	b.runOnLoop(func() {
+		b.pool.CancelAttempt(dispatcherName(0), id, 0)
+		b.pool.SetUp(dispatcherName(0), attemptOf(id, 1))
 	})
-	b.comes(0, "opened")
-	second = b.comes(0, "setup")
-	b.establishes(0, second)
+	b.waitFor(0, "opened")
+	second = b.waitFor(0, "setup")
+	b.establish(0, second)
 	b.dispatchers[0].Stop()
 	return core, first, second
 }
 
-// waitOnLoop waits until a condition holds on the loop.
-func waitOnLoop(b *budgeted, condition func() bool) {
+// waitUntil waits until a condition holds on the loop.
+func waitUntil(b *poolFixture, condition func() bool) {
 	b.Helper()
 	for begun := time.Now(); ; time.Sleep(time.Millisecond) {
 		holds := false
-		b.do(func() {
+		b.runOnLoop(func() {
 			b.pool.Flush()
 			holds = condition()
 		})
--- a/internal/dispatchers/early_test.go
+++ b/internal/dispatchers/early_test.go
@@ -19,22 +19,22 @@
 		ends   bool
 	}{
 		"the call's connection closes right after": {1, 0, true},
-		"the call's connection closes later":       {1, 2 * closesWithin, false},
+		"the call's connection closes later":       {1, 2 * responseTimeout, false},
 		"another connection closes":                {2, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				s, core, quit := siteWithEarlyRelease(t)
+				s, core, quit := harnessWithDeferredRelease(t)
 				defer quit()
 				time.Sleep(test.after)
-				s.do(func() {
-					c := s.first.all[test.closes]
-					c.flight = nil
+				s.runOnLoop(func() {
+					c := s.first.allConns[test.closes]
+					c.inTransit = nil
 					c.close()
-					c.deliver()
+					c.deliverToPool()
 				})
-				s.do(func() {
+				s.runOnLoop(func() {
 					want := []int{0}
 					if test.ends {
 						want = append(want, noAttempt)
@@ -48,53 +48,53 @@
 	}
 }
 
-// siteWithWithdrawnAttempt is a site on whose first connection an attempt was withdrawn, which has no final answer yet. Its loop runs until quit is called.
-func siteWithWithdrawnAttempt(t *testing.T) (s *orderSite, core *releaseLog, quit func()) {
+// harnessWithCancelledAttempt is a site on whose first connection an attempt was withdrawn, which has no final answer yet. Its loop runs until quit is called.
+func harnessWithCancelledAttempt(t *testing.T) (s *harness, core *releaseRecorder, quit func()) {
 	t.Helper()
-	s = newOrderSite(t, orderStart{})
-	core = &releaseLog{standings: standings{ends: ends{told: map[string]control.Outcome{}}, at: map[control.ServerID][]string{}}}
+	s = newHarness(t, initialState{})
+	core = &releaseRecorder{fakeCore: fakeCore{outcomeRecorder: outcomeRecorder{outcomes: map[string]control.Outcome{}}, calls: map[control.ServerID][]string{}}}
 	s.pool.core = core
 	quit = s.run()
-	s.do(func() { s.list(control.Active, "first") })
+	s.runOnLoop(func() { s.updateList(control.Active, "first") })
 	time.Sleep(time.Second)
-	s.do(func() {
-		s.calls[orderedID] = &orderedCall{}
-		s.pool.SetUp("first", attemptOf(orderedID, 0))
+	s.runOnLoop(func() {
+		s.calls[testCallID] = &callRecord{}
+		s.pool.SetUp("first", attemptOf(testCallID, 0))
 	})
-	s.do(func() { s.pool.CancelAttempt("first", orderedID, 0) })
-	s.do(func() {
-		c := s.first.all[0]
-		c.flight = nil
-		c.reports()
+	s.runOnLoop(func() { s.pool.CancelAttempt("first", testCallID, 0) })
+	s.runOnLoop(func() {
+		c := s.first.allConns[0]
+		c.inTransit = nil
+		c.sendReport()
 	})
 	return s, core, quit
 }
 
-// siteWithEarlyRelease is a site with three connections: a release has come on the first one, where an attempt was withdrawn, of the call that stands
+// harnessWithDeferredRelease is a site with three connections: a release has come on the first one, where an attempt was withdrawn, of the call that stands
 // by the next attempt on the second. Its loop runs until quit is called.
-func siteWithEarlyRelease(t *testing.T) (s *orderSite, core *releaseLog, quit func()) {
+func harnessWithDeferredRelease(t *testing.T) (s *harness, core *releaseRecorder, quit func()) {
 	t.Helper()
-	s, core, quit = siteWithWithdrawnAttempt(t)
-	s.do(func() { s.pool.SetUp("first", attemptOf(orderedID, 1)) })
+	s, core, quit = harnessWithCancelledAttempt(t)
+	s.runOnLoop(func() { s.pool.SetUp("first", attemptOf(testCallID, 1)) })
 	time.Sleep(time.Second)
-	s.do(func() { s.first.finalAnswer(orderedID, 200); s.first.all[1].deliver() })
-	s.do(func() { s.pool.Reconnect("first") })
+	s.runOnLoop(func() { s.first.sendFinalAnswer(testCallID, 200); s.first.allConns[1].deliverToPool() })
+	s.runOnLoop(func() { s.pool.Reconnect("first") })
 	time.Sleep(time.Second)
-	s.do(s.releasedOnTheFirst)
+	s.runOnLoop(s.releaseOnFirst)
 	return s, core, quit
 }
 
-// releasedOnTheFirst has a release of the call come on the first connection.
-func (s *orderSite) releasedOnTheFirst() {
-	s.first.all[0].tell(byeOf(orderedID))
-	s.first.all[0].deliver()
+// releaseOnFirst has a release of the call come on the first connection.
+func (s *harness) releaseOnFirst() {
+	s.first.allConns[0].send(releaseOf(testCallID))
+	s.first.allConns[0].deliverToPool()
 }
 
 // connectionWithSetUp is the connection on which the call's set-up is open at its dispatcher.
-func (s *orderSite) connectionWithSetUp(t *testing.T) *standInConnection {
+func (s *harness) connectionWithSetUp(t *testing.T) *fakeConn {
 	t.Helper()
-	for _, c := range s.first.all[1:] {
-		if _, ok := c.setUps[orderedID]; ok {
+	for _, c := range s.first.allConns[1:] {
+		if _, ok := c.setUps[testCallID]; ok {
 			return c
 		}
 	}
@@ -102,68 +102,68 @@
 	return nil
 }
 
-// TestAReleaseKeptForOneCloseEndsNothingByAnother guards against a call that is cut as it stands: a release of an earlier attempt was kept for the close of
+// TestADeferredReleaseEndsNoCallEstablishedLater guards against a call that is cut as it stands: a release of an earlier attempt was kept for the close of
 // a connection on which the next attempt had not left yet, or was refused, and the call came to stand after that.
-func TestAReleaseKeptForOneCloseEndsNothingByAnother(t *testing.T) {
+func TestADeferredReleaseEndsNoCallEstablishedLater(t *testing.T) {
 	t.Parallel()
 	const refused = 486
-	isRefused := func(t *testing.T, s *orderSite) (on *standInConnection) {
-		s.do(func() { s.pool.SetUp("first", attemptOf(orderedID, 1)) })
-		s.do(s.releasedOnTheFirst)
+	refuseNext := func(t *testing.T, s *harness) (on *fakeConn) {
+		s.runOnLoop(func() { s.pool.SetUp("first", attemptOf(testCallID, 1)) })
+		s.runOnLoop(s.releaseOnFirst)
 		on = s.connectionWithSetUp(t)
-		s.do(func() {
-			s.first.finalAnswerOn(on, orderedID, refused)
-			on.deliver()
-			s.calls[otherID] = &orderedCall{}
-			s.pool.SetUp("first", attemptOf(otherID, 0)) // on the same connection: the next attempt takes another one
+		s.runOnLoop(func() {
+			s.first.sendFinalAnswerOn(on, testCallID, refused)
+			on.deliverToPool()
+			s.calls[otherCallID] = &callRecord{}
+			s.pool.SetUp("first", attemptOf(otherCallID, 0)) // on the same connection: the next attempt takes another one
 		})
-		s.do(func() { s.pool.SetUp("first", attemptOf(orderedID, 2)) })
+		s.runOnLoop(func() { s.pool.SetUp("first", attemptOf(testCallID, 2)) })
 		if s.connectionWithSetUp(t) == on {
 			t.Fatal("the next attempt is on the same connection")
 		}
 		return on
 	}
-	for name, goesOn := range map[string]func(t *testing.T, s *orderSite) (closes *standInConnection){
-		"the next attempt had not left": func(t *testing.T, s *orderSite) *standInConnection {
-			s.do(func() {
-				for _, c := range s.first.all[1:] {
-					c.full = true
+	for name, prepare := range map[string]func(t *testing.T, s *harness) (closes *fakeConn){
+		"the next attempt had not left": func(t *testing.T, s *harness) *fakeConn {
+			s.runOnLoop(func() {
+				for _, c := range s.first.allConns[1:] {
+					c.writeBlocked = true
 				}
-				s.pool.SetUp("first", attemptOf(orderedID, 1))
+				s.pool.SetUp("first", attemptOf(testCallID, 1))
 			})
-			s.do(s.releasedOnTheFirst)
-			s.do(func() {
-				for _, c := range s.first.all[1:] {
-					c.flows()
+			s.runOnLoop(s.releaseOnFirst)
+			s.runOnLoop(func() {
+				for _, c := range s.first.allConns[1:] {
+					c.unblock()
 				}
 			})
 			return s.connectionWithSetUp(t)
 		},
-		"the next attempt was refused": func(t *testing.T, s *orderSite) *standInConnection {
-			isRefused(t, s)
+		"the next attempt was refused": func(t *testing.T, s *harness) *fakeConn {
+			refuseNext(t, s)
 			return s.connectionWithSetUp(t)
 		},
-		"the next attempt was refused, and its connection closes": isRefused,
+		"the next attempt was refused, and its connection closes": refuseNext,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				s, core, quit := siteWithWithdrawnAttempt(t)
+				s, core, quit := harnessWithCancelledAttempt(t)
 				defer quit()
 				for range 2 {
-					s.do(func() { s.pool.Reconnect("first") })
+					s.runOnLoop(func() { s.pool.Reconnect("first") })
 					time.Sleep(time.Second)
 				}
-				closes, c := goesOn(t, s), s.connectionWithSetUp(t)
-				s.do(func() {
-					s.first.finalAnswerOn(c, orderedID, 200)
-					c.deliver()
+				closing, c := prepare(t, s), s.connectionWithSetUp(t)
+				s.runOnLoop(func() {
+					s.first.sendFinalAnswerOn(c, testCallID, 200)
+					c.deliverToPool()
 				})
-				s.do(func() {
-					closes.close()
-					closes.deliver()
+				s.runOnLoop(func() {
+					closing.close()
+					closing.deliverToPool()
 				})
-				s.do(func() {
+				s.runOnLoop(func() {
 					if !slices.Equal(core.attempts, []int{0}) {
 						t.Errorf("releases are those of the attempts %d, want 0 alone", core.attempts)
 					}
--- a/internal/dispatchers/evict_test.go
+++ b/internal/dispatchers/evict_test.go
@@ -7,142 +7,142 @@
 	"cherryrelay/control"
 )
 
-// TestAConnectionThatMakesRoomIsNotHeldForLong guards against set-ups that wait for a descriptor, as one that was to make room is read on while its
+// TestAnEvictedConnectionIsClosedSoon guards against set-ups that wait for a descriptor, as one that was to make room is read on while its
 // dispatcher does not close it.
-func TestAConnectionThatMakesRoomIsNotHeldForLong(t *testing.T) {
+func TestAnEvictedConnectionIsClosedSoon(t *testing.T) {
 	t.Parallel()
-	for name, stands := range map[string]bool{"a call stands": true, "no call stands": false} {
+	for name, established := range map[string]bool{"a call stands": true, "no call stands": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			withSite(t, orderStart{keeps: true}, func(s *orderSite) {
-				if stands {
-					s.do(func() { s.offer(orderedID, orderDeadline) })
-					s.do(func() { s.first.finalAnswer(orderedID, 200); s.first.all[0].deliver() })
+			withHarness(t, initialState{neverCloses: true}, func(s *harness) {
+				if established {
+					s.runOnLoop(func() { s.placeCall(testCallID, callTimeout) })
+					s.runOnLoop(func() { s.first.sendFinalAnswer(testCallID, 200); s.first.allConns[0].deliverToPool() })
 				}
 				closed := func() (closed bool) {
-					s.do(func() { closed = s.first.all[0].closed })
+					s.runOnLoop(func() { closed = s.first.allConns[0].closed })
 					return closed
 				}
-				s.do(func() { s.pool.servers["first"].links[0].evict() })
-				if closed() == stands {
-					t.Errorf("it is closed at once: %v, want %v", stands, !stands)
+				s.runOnLoop(func() { s.pool.servers["first"].conns[0].evict() })
+				if closed() == established {
+					t.Errorf("it is closed at once: %v, want %v", established, !established)
 				}
-				time.Sleep(evictedFor + checkEvery)
+				time.Sleep(evictedReadTimeout + checkInterval)
 				if !closed() {
-					t.Errorf("it is open after %v", evictedFor+checkEvery)
+					t.Errorf("it is open after %v", evictedReadTimeout+checkInterval)
 				}
 			})
 		})
 	}
 }
 
-// TestAnEndOnAConnectionThatMadeRoom guards against the end of a call that is never told, as its dispatcher tells it on a connection that made room
+// TestAnEndOnAnEvictedConnection guards against the end of a call that is never told, as its dispatcher tells it on a connection that made room
 // and that it holds for open still.
-func TestAnEndOnAConnectionThatMadeRoom(t *testing.T) {
+func TestAnEndOnAnEvictedConnection(t *testing.T) {
 	t.Parallel()
-	order := []orderEvent{
-		event("the call's connection is dead, and makes room", 2*time.Second, func(s *orderSite) {
-			c := s.first.established[orderedID]
-			c.deaden()
-			for _, l := range s.pool.servers["first"].links {
-				if l.conn == connection(c) {
-					l.evict()
+	order := []scenarioStep{
+		newStep("the call's connection is dead, and makes room", 2*time.Second, func(s *harness) {
+			c := s.first.established[testCallID]
+			c.isolate()
+			for _, poolConn := range s.pool.servers["first"].conns {
+				if poolConn.conn == transportConn(c) {
+					poolConn.evict()
 					return
 				}
 			}
 		}),
-		event("the call ends", 0, func(s *orderSite) { s.end(s.first, orderedID) }),
+		newStep("the call ends", 0, func(s *harness) { s.endCall(s.first, testCallID) }),
 	}
-	orderStart{called: true, links: 2, chats: true}.playWithoutFault(t, order)
+	initialState{established: true, conns: 2, reportsPeriodically: true}.playWithoutViolation(t, order)
 }
 
-// TestAReleaseThatHasNotLeftAsItsConnectionMakesRoom guards against a call that its dispatcher holds and nobody releases, as the release was queued on a
+// TestAnUnsentReleaseOnAnEvictedConnection guards against a call that its dispatcher holds and nobody releases, as the release was queued on a
 // connection that made room and whose socket was full.
-func TestAReleaseThatHasNotLeftAsItsConnectionMakesRoom(t *testing.T) {
+func TestAnUnsentReleaseOnAnEvictedConnection(t *testing.T) {
 	t.Parallel()
-	makesRoom := event("the connection with the release makes room", 0, func(s *orderSite) {
-		for _, l := range s.pool.servers["first"].links {
-			if l.conn.Unsent() > 0 {
-				l.evict()
+	evicts := newStep("the connection with the release makes room", 0, func(s *harness) {
+		for _, poolConn := range s.pool.servers["first"].conns {
+			if poolConn.conn.Unsent() > 0 {
+				poolConn.evict()
 				return
 			}
 		}
-		s.fault("no release waits")
+		s.violation("no release waits")
 	})
-	for name, test := range map[string]namedOrder{
-		"the only connection":                            {orderStart{called: true}, "jc"},
-		"the only connection, where another call stands": {orderStart{called: true}, "mjc"},
-		"one of two":                            {orderStart{called: true, links: 2}, "jc"},
-		"one of two, where another call stands": {orderStart{called: true, links: 2}, "mjc"},
+	for name, test := range map[string]scenario{
+		"the only connection":                            {initialState{established: true}, "jc"},
+		"the only connection, where another call stands": {initialState{established: true}, "mjc"},
+		"one of two":                            {initialState{established: true, conns: 2}, "jc"},
+		"one of two, where another call stands": {initialState{established: true, conns: 2}, "mjc"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			order := append(spelledOrder(test.order), makesRoom)
-			test.start.playWithoutFault(t, order)
+			order := append(stepsFor(test.steps), evicts)
+			test.start.playWithoutViolation(t, order)
 		})
 	}
 }
 
-// drainsBesideAnother has a call established at the first dispatcher, which then drains and listens no more, and another call set up at the second.
-func (s *orderSite) drainsBesideAnother() {
-	s.establish(orderedID)
-	s.do(func() {
-		s.list(control.Draining, "first")
-		s.first.listens = false
-		s.list(control.Active, "second")
+// drainFirstUseSecond has a call established at the first dispatcher, which then drains and listens no more, and another call set up at the second.
+func (s *harness) drainFirstUseSecond() {
+	s.establish(testCallID)
+	s.runOnLoop(func() {
+		s.updateList(control.Draining, "first")
+		s.first.listening = false
+		s.updateList(control.Active, "second")
 	})
 	time.Sleep(time.Second)
-	s.do(func() { s.offer(otherID, orderDeadline) })
+	s.runOnLoop(func() { s.placeCall(otherCallID, callTimeout) })
 	time.Sleep(time.Second)
 }
 
-// TestTheOnlyConnectionToADispatcherThatDrainsMakesRoomLast guards against calls that are cut as they stand, and whose ends are told to nobody, as the
+// TestTheOnlyConnectionToADrainingDispatcherIsEvictedLast guards against calls that are cut as they stand, and whose ends are told to nobody, as the
 // only connection to their dispatcher, which takes no new ones, makes room while another one could.
-func TestTheOnlyConnectionToADispatcherThatDrainsMakesRoomLast(t *testing.T) {
+func TestTheOnlyConnectionToADrainingDispatcherIsEvictedLast(t *testing.T) {
 	t.Parallel()
-	withSite(t, orderStart{second: true}, func(s *orderSite) {
-		s.drainsBesideAnother()
-		s.do(func() {
-			if !s.knows(otherID, "second") {
+	withHarness(t, initialState{secondDispatcher: true}, func(s *harness) {
+		s.drainFirstUseSecond()
+		s.runOnLoop(func() {
+			if !s.isEstablished(otherCallID, "second") {
 				t.Error("no call stands at the other dispatcher")
 			}
 			s.pool.SetSocketBudget(1)
 		})
-		time.Sleep(evictedFor + checkEvery)
-		s.do(func() {
-			if !s.knows(orderedID, "first") || len(s.pool.servers["first"].links) != 1 {
-				t.Errorf("%d ends are told of the call as it stands; %d connections", s.calls[orderedID].overs, len(s.pool.servers["first"].links))
+		time.Sleep(evictedReadTimeout + checkInterval)
+		s.runOnLoop(func() {
+			if !s.isEstablished(testCallID, "first") || len(s.pool.servers["first"].conns) != 1 {
+				t.Errorf("%d ends are told of the call as it stands; %d connections", s.calls[testCallID].ends, len(s.pool.servers["first"].conns))
 			}
-			s.end(s.first, orderedID)
+			s.endCall(s.first, testCallID)
 		})
-		s.pass(onItsWay + arrivalStep)
-		if c := s.calls[orderedID]; c.overs != 1 {
-			t.Errorf("%d ends are told as its dispatcher has told one", c.overs)
+		s.advance(maxTransit + deliveryInterval)
+		if c := s.calls[testCallID]; c.ends != 1 {
+			t.Errorf("%d ends are told as its dispatcher has told one", c.ends)
 		}
 	})
 }
 
-// TestAConnectionWithAReleaseToADispatcherThatDrainsMakesRoomLast guards against a call that its dispatcher holds and nobody releases, as the release
+// TestAConnectionWithAReleaseToADrainingDispatcherIsEvictedLast guards against a call that its dispatcher holds and nobody releases, as the release
 // waits on the only connection there, which makes room while another one could, and no other can be opened.
-func TestAConnectionWithAReleaseToADispatcherThatDrainsMakesRoomLast(t *testing.T) {
+func TestAConnectionWithAReleaseToADrainingDispatcherIsEvictedLast(t *testing.T) {
 	t.Parallel()
-	withSite(t, orderStart{second: true}, func(s *orderSite) {
-		s.drainsBesideAnother()
-		s.do(func() {
-			s.first.all[0].full = true
-			s.cancel(orderedID)
+	withHarness(t, initialState{secondDispatcher: true}, func(s *harness) {
+		s.drainFirstUseSecond()
+		s.runOnLoop(func() {
+			s.first.allConns[0].writeBlocked = true
+			s.cancelCall(testCallID)
 		})
-		time.Sleep(2 * checkEvery)
-		s.do(func() {
-			if !s.knows(otherID, "second") || s.first.all[0].Unsent() == 0 {
+		time.Sleep(2 * checkInterval)
+		s.runOnLoop(func() {
+			if !s.isEstablished(otherCallID, "second") || s.first.allConns[0].Unsent() == 0 {
 				t.Error("no call stands at the other dispatcher, or no release waits")
 			}
 			s.pool.SetSocketBudget(1)
 		})
-		time.Sleep(evictedFor + checkEvery)
-		s.do(s.first.all[0].flows)
-		s.do(func() {
-			if _, held := s.first.established[orderedID]; held {
+		time.Sleep(evictedReadTimeout + checkInterval)
+		s.runOnLoop(s.first.allConns[0].unblock)
+		s.runOnLoop(func() {
+			if _, held := s.first.established[testCallID]; held {
 				t.Error("the dispatcher holds the call")
 			}
 		})
--- a/internal/dispatchers/gone.go
+++ b/internal/dispatchers/gone.go
@@ -11,35 +11,35 @@
 
 // Dispatchers that count as no more, or are about to.
 
-// checkGone looks at a dispatcher of which nothing is to be expected any more. The list may be ahead of the process: it is let go when it is quiet,
+// checkObsolete looks at a dispatcher of which nothing is to be expected any more. The list may be ahead of the process: it is let go when it is quiet,
 // and dialled only to release calls, and for ends that may have been lost.
-func (s *server) checkGone(now time.Time) {
-	if len(s.links) == 0 || now.Sub(s.heardAt) > silence && s.quietForGood(now) {
-		s.drop(errors.New("dispatcher is gone"))
+func (s *server) checkObsolete(now time.Time) {
+	if len(s.conns) == 0 || now.Sub(s.lastReceivedAt) > silenceThreshold && s.presumedStopped(now) {
+		s.disconnect(errors.New("dispatcher is gone"))
 		s.pool.core.DispatcherFailed(s.ID)
 	}
-	if !s.mayRelease(now) {
+	if !s.mayDialForRelease(now) {
 		s.releases = nil
 	}
-	if len(s.links) == 0 || s.renewal.EndsMissing() {
+	if len(s.conns) == 0 || s.renewal.EndsMissing() {
 		s.connect()
 	}
-	for _, l := range slices.Clone(s.links) {
-		s.checkSilent(l, now)
+	for _, c := range slices.Clone(s.conns) {
+		s.checkSilent(c, now)
 	}
 	if s.replaced {
-		s.endStranded()
+		s.endOrphaned()
 	}
-	s.repeatEnds(now)
+	s.requestRepeats(now)
 	s.renew(now)
 }
 
-// endStranded ends the calls at a dispatcher whose place is another's, and to which no connection is open that its process had. Those that have been
+// endOrphaned ends the calls at a dispatcher whose place is another's, and to which no connection is open that its process had. Those that have been
 // opened since under its name lead to whoever has the address. Should that be its process all the same, the calls are released there.
-func (s *server) endStranded() {
+func (s *server) endOrphaned() {
 	for _, id := range slices.Sorted(s.pool.core.EstablishedAt(s.ID)) {
-		answered := s.standing[id]
-		if answered == nil || answered.generation == s.generation {
+		answeredOn := s.established[id]
+		if answeredOn == nil || answeredOn.generation == s.generation {
 			continue
 		}
 		endlog.Call(s.pool.Log, endlog.Stranded, id, endlog.Server(s.ID))
@@ -48,23 +48,23 @@
 	}
 }
 
-// quietForGood reports whether a silent dispatcher counts as no more: it leaves a probe unanswered, or ends of its calls may have been lost and it
+// presumedStopped reports whether a silent dispatcher counts as no more: it leaves a probe unanswered, or ends of its calls may have been lost and it
 // can't be connected to for what it would tell again. The end of a call whose own connection is open comes there.
-func (s *server) quietForGood(now time.Time) bool {
-	return s.renewal.EndsMissing() && s.hasEndsAtRisk() && (s.refuses || s.dialTimedOut || s.replaced) || s.probeUnanswered(now)
+func (s *server) presumedStopped(now time.Time) bool {
+	return s.renewal.EndsMissing() && s.hasEndsAtRisk() && (s.lastDialRefused || s.lastDialTimedOut || s.replaced) || s.probeUnanswered(now)
 }
 
-// probeUnanswered reports whether the dispatcher leaves a probe unanswered for probeWithin on the connection that was heard from last. It sends
+// probeUnanswered reports whether the dispatcher leaves a probe unanswered for probeTimeout on the connection that was heard from last. It sends
 // the probe first. One that drains may listen no more, and have nothing to say of its calls until they end.
 func (s *server) probeUnanswered(now time.Time) bool {
-	if s.probedAt.IsZero() || s.heardAt.After(s.probedAt) {
-		l := s.best()
-		if l == nil {
+	if s.probedAt.IsZero() || s.lastReceivedAt.After(s.probedAt) {
+		c := s.latestConn()
+		if c == nil {
 			return true
 		}
 		s.probedAt = now
-		l.probe()
+		c.probe()
 		return false
 	}
-	return now.Sub(s.probedAt) > probeWithin
+	return now.Sub(s.probedAt) > probeTimeout
 }
--- a/internal/dispatchers/last_connection_test.go
+++ b/internal/dispatchers/last_connection_test.go
@@ -11,25 +11,25 @@
 // is given up while it takes no new ones. Its end is told to nobody either.
 func TestALateAnswerAtADispatcherThatRefusesIsReleased(t *testing.T) {
 	t.Parallel()
-	withSite(t, orderStart{}, func(s *orderSite) {
-		s.setsUp(orderedID)
-		s.do(func() {
-			s.list(control.Draining, "first")
-			s.first.listens = false
-			s.first.all[0].deaf = true // it is slow to read
-			s.cancel(orderedID)
+	withHarness(t, initialState{}, func(s *harness) {
+		s.setUpCall(testCallID)
+		s.runOnLoop(func() {
+			s.updateList(control.Draining, "first")
+			s.first.listening = false
+			s.first.allConns[0].blockedToDispatcher = true // it is slow to read
+			s.cancelCall(testCallID)
 		})
-		time.Sleep(2 * checkEvery)
-		s.do(func() {
-			if !s.first.finalAnswer(orderedID, 200) {
+		time.Sleep(2 * checkInterval)
+		s.runOnLoop(func() {
+			if !s.first.sendFinalAnswer(testCallID, 200) {
 				t.Error("the set-up is not open at its dispatcher")
 			}
-			s.arrive()
+			s.deliverAll()
 		})
-		time.Sleep(2 * checkEvery)
-		s.do(s.first.all[0].flows)
+		time.Sleep(2 * checkInterval)
+		s.runOnLoop(s.first.allConns[0].unblock)
 		time.Sleep(time.Second)
-		s.do(func() {
+		s.runOnLoop(func() {
 			if len(s.first.established) > 0 {
 				t.Error("its dispatcher holds the call, and nobody releases it")
 			}
--- a/internal/dispatchers/list.go
+++ b/internal/dispatchers/list.go
@@ -13,90 +13,90 @@
 // Update takes in changes of the list.
 func (p *Pool) Update(u call.Update) {
 	now := time.Now()
-	named := map[control.ServerID]bool{}
+	listed := map[control.ServerID]bool{}
 	for _, entry := range u.Servers {
-		named[entry.ID] = true
+		listed[entry.ID] = true
 		s := p.servers[entry.ID]
 		if s == nil {
-			s = &server{Server: entry, pool: p, heardAt: now, withoutSince: now, standing: map[string]*lifetime{}}
+			s = &server{Server: entry, pool: p, lastReceivedAt: now, disconnectedSince: now, established: map[string]*lifetime{}}
 			p.servers[entry.ID] = s
 			p.order = append(p.order, s)
-			p.at[s.Address] = append(p.at[s.Address], s)
+			p.byAddress[s.Address] = append(p.byAddress[s.Address], s)
 		}
-		p.touch(s)
+		p.markActive(s)
 		restarted := entry.StartedAt != 0 && entry.StartedAt != s.StartedAt
 		moved := entry.Address != "" && entry.Address != s.Address
 		if entry.Address == "" {
 			entry.Address = s.Address
 		}
 		if s.Status == control.Removed && entry.Status != control.Removed {
-			s.heardAt = now
+			s.lastReceivedAt = now
 		}
 		if restarted || moved || s.Status != control.Active && entry.Status == control.Active {
 			s.backoff.Reset()
 		}
 		if moved {
-			p.leave(s)
-			p.at[entry.Address] = append(p.at[entry.Address], s)
+			p.removeAddress(s)
+			p.byAddress[entry.Address] = append(p.byAddress[entry.Address], s)
 		}
 		s.Server = entry
 		if restarted || moved {
 			// Its calls went with the old process, and old connections may look open still.
 			p.Log.Info("dispatcher began anew", "server", s.ID)
-			s.drop(errors.New("dispatcher began anew"))
+			s.disconnect(errors.New("dispatcher began anew"))
 			s.releases = nil
 			s.process++
 			p.core.DispatcherFailed(s.ID)
 		}
 		if entry.Status != control.Removed {
-			for _, o := range p.at[s.Address] { // a new dispatcher may have the address of one that has gone
+			for _, o := range p.byAddress[s.Address] { // a new dispatcher may have the address of one that has gone
 				if o != s {
 					o.replaced = true
-					p.touch(o)
+					p.markActive(o)
 				}
 			}
 			s.replaced = false
-			if len(s.links) == 0 { // each event that named it opened one more, up to four
+			if len(s.conns) == 0 { // each event that named it opened one more, up to four
 				s.connect()
 			}
 		}
 	}
 	if u.Complete {
 		for _, s := range p.order {
-			if !named[s.ID] {
+			if !listed[s.ID] {
 				s.Status = control.Removed
-				p.touch(s)
+				p.markActive(s)
 			}
 		}
 	}
 	for _, s := range p.active {
 		if s.Status != control.Active {
-			s.callBack()
+			s.recallUnsent()
 		}
 	}
 }
 
-// leave forgets where a dispatcher is.
-func (p *Pool) leave(s *server) {
-	there := slices.DeleteFunc(p.at[s.Address], func(o *server) bool { return o == s })
-	if p.at[s.Address] = there; len(there) == 0 {
-		delete(p.at, s.Address)
+// removeAddress forgets where a dispatcher is.
+func (p *Pool) removeAddress(s *server) {
+	rest := slices.DeleteFunc(p.byAddress[s.Address], func(o *server) bool { return o == s })
+	if p.byAddress[s.Address] = rest; len(rest) == 0 {
+		delete(p.byAddress, s.Address)
 	}
 }
 
-// callBack takes back what has not gone out to a dispatcher that drains or is gone: set-ups that wait for a connection, which may come
+// recallUnsent takes back what has not gone out to a dispatcher that drains or is gone: set-ups that wait for a connection, which may come
 // up after the time in which the last may arrive there, and those that lie in a queue. They go elsewhere at once, as never sent.
-func (s *server) callBack() {
-	waited := s.waiting
+func (s *server) recallUnsent() {
+	waiting := s.waiting
 	s.waiting = nil
-	for _, w := range waited {
+	for _, w := range waiting {
 		s.pool.core.AttemptEnded(s.ID, w.ID, w.Attempt, control.NotSent, false, nil)
 	}
-	for _, l := range s.links {
-		for _, id := range slices.Sorted(maps.Keys(l.invites)) {
-			if i := l.invites[id]; i.withdrawn.IsZero() && l.conn.Recall(i.ticket) {
-				delete(l.invites, id)
-				s.pool.core.AttemptEnded(s.ID, id, i.attempt, control.NotSent, false, nil)
+	for _, c := range s.conns {
+		for _, id := range slices.Sorted(maps.Keys(c.setUps)) {
+			if setUp := c.setUps[id]; setUp.cancelledAt.IsZero() && c.conn.Recall(setUp.ticket) {
+				delete(c.setUps, id)
+				s.pool.core.AttemptEnded(s.ID, id, setUp.attempt, control.NotSent, false, nil)
 			}
 		}
 	}
--- a/internal/dispatchers/orders_events_test.go
+++ b/internal/dispatchers/orders_events_test.go
@@ -8,127 +8,127 @@
 	"cherryrelay/control"
 )
 
-// orderEvent is one thing that may happen. It reports whether it could.
-type orderEvent struct {
+// scenarioStep is one thing that may happen. It reports whether it could.
+type scenarioStep struct {
 	letter byte
-	what   string
-	occurs func(s *orderSite) bool
+	name   string
+	run    func(s *harness) bool
 	after  time.Duration // that passes after it
 	idle   bool          // nothing else happens
 }
 
-// connectionWithFlight is the oldest or newest connection on which something is on its way.
-func (p *process) connectionWithFlight(newest bool) *standInConnection {
-	var found *standInConnection
-	for _, c := range p.all {
-		if (len(c.flight) > 0 || c.peerClosed) && !c.closed && (found == nil || newest) {
+// connInTransit is the oldest or newest connection on which something is on its way.
+func (p *fakeDispatcher) connInTransit(newest bool) *fakeConn {
+	var found *fakeConn
+	for _, c := range p.allConns {
+		if (len(c.inTransit) > 0 || c.dispatcherClosed) && !c.closed && (found == nil || newest) {
 			found = c
 		}
 	}
 	return found
 }
 
-func deliverTo(newest bool) func(*orderSite) bool {
-	return func(s *orderSite) bool {
-		c := s.first.connectionWithFlight(newest)
-		if c == nil || s.first.cutOff || newest && c == s.first.connectionWithFlight(false) {
+func deliverStep(newest bool) func(*harness) bool {
+	return func(s *harness) bool {
+		c := s.first.connInTransit(newest)
+		if c == nil || s.first.partitioned || newest && c == s.first.connInTransit(false) {
 			return false
 		}
-		c.deliver()
+		c.deliverToPool()
 		return true
 	}
 }
 
-// passes is an event in which nothing happens for a time.
-func passes(letter byte, d time.Duration) orderEvent {
-	return orderEvent{letter, "time passes: " + d.String(), func(*orderSite) bool { return true }, d, true}
+// waitStep is an event in which nothing happens for a time.
+func waitStep(letter byte, d time.Duration) scenarioStep {
+	return scenarioStep{letter, "time passes: " + d.String(), func(*harness) bool { return true }, d, true}
 }
 
-func orderEvents() []orderEvent {
-	return []orderEvent{
-		{'a', "the first dispatcher answers", func(s *orderSite) bool { return s.first.finalAnswer(orderedID, 200) }, 0, false},
-		{'f', "it refuses", func(s *orderSite) bool { return s.first.finalAnswer(orderedID, 504) }, 0, false},
-		{'e', "it ends the call", func(s *orderSite) bool { return s.end(s.first, orderedID) }, 0, false},
-		{'d', "what is on its way on the oldest connection arrives", deliverTo(false), 0, false},
-		{'D', "what is on its way on the newest connection arrives", deliverTo(true), 0, false},
-		{'r', "the oldest connection is reset", func(s *orderSite) bool { return s.onOldest((*standInConnection).reset) }, 0, false},
-		{'h', "it closes the oldest connection in good order", func(s *orderSite) bool { return s.onOldest((*standInConnection).close) }, 0, false},
-		{'n', "one more connection is opened", func(s *orderSite) bool {
-			if len(s.first.connections) >= MaxConnections {
+func baseSteps() []scenarioStep {
+	return []scenarioStep{
+		{'a', "the first dispatcher answers", func(s *harness) bool { return s.first.sendFinalAnswer(testCallID, 200) }, 0, false},
+		{'f', "it refuses", func(s *harness) bool { return s.first.sendFinalAnswer(testCallID, 504) }, 0, false},
+		{'e', "it ends the call", func(s *harness) bool { return s.endCall(s.first, testCallID) }, 0, false},
+		{'d', "what is on its way on the oldest connection arrives", deliverStep(false), 0, false},
+		{'D', "what is on its way on the newest connection arrives", deliverStep(true), 0, false},
+		{'r', "the oldest connection is reset", func(s *harness) bool { return s.withOldest((*fakeConn).reset) }, 0, false},
+		{'h', "it closes the oldest connection in good order", func(s *harness) bool { return s.withOldest((*fakeConn).close) }, 0, false},
+		{'n', "one more connection is opened", func(s *harness) bool {
+			if len(s.first.openConns) >= MaxConnections {
 				return false
 			}
 			s.pool.Reconnect("first")
 			return true
-		}, 2 * checkEvery, false},
-		{'c', "the caller cancels", func(s *orderSite) bool { return s.cancel(orderedID) }, 0, false},
-		{'l', "the caller's connection closes", func(s *orderSite) bool {
-			if s.left {
+		}, 2 * checkInterval, false},
+		{'c', "the caller cancels", func(s *harness) bool { return s.cancelCall(testCallID) }, 0, false},
+		{'l', "the caller's connection closes", func(s *harness) bool {
+			if s.callerDisconnected {
 				return false
 			}
-			s.left = true
+			s.callerDisconnected = true
 			s.core.CallerDisconnected(s)
 			return true
 		}, 0, false},
-		{'g', "the first dispatcher drains", func(s *orderSite) bool { s.list(control.Draining, "first"); return true }, 0, false},
-		{'x', "it is taken off the list", func(s *orderSite) bool { s.list(control.Removed, "first"); return true }, 0, false},
-		{'y', "it is on the list", func(s *orderSite) bool { s.list(control.Active, "first"); return true }, 0, false},
-		{'s', "it listens no more", func(s *orderSite) bool {
-			listened := s.first.listens
-			s.first.listens = false
+		{'g', "the first dispatcher drains", func(s *harness) bool { s.updateList(control.Draining, "first"); return true }, 0, false},
+		{'x', "it is taken off the list", func(s *harness) bool { s.updateList(control.Removed, "first"); return true }, 0, false},
+		{'y', "it is on the list", func(s *harness) bool { s.updateList(control.Active, "first"); return true }, 0, false},
+		{'s', "it listens no more", func(s *harness) bool {
+			listened := s.first.listening
+			s.first.listening = false
 			return listened
 		}, 0, false},
-		{'v', "it is cut off", func(s *orderSite) bool {
-			cutOff := s.first.cutOff
-			s.first.cutOff = true
+		{'v', "it is cut off", func(s *harness) bool {
+			cutOff := s.first.partitioned
+			s.first.partitioned = true
 			return !cutOff
 		}, 0, false},
-		{'w', "it can be reached again", func(s *orderSite) bool {
-			if !s.first.cutOff {
+		{'w', "it can be reached again", func(s *harness) bool {
+			if !s.first.partitioned {
 				return false
 			}
-			s.first.returns()
+			s.first.reconnect()
 			return true
 		}, 0, false},
-		{'k', "it dies", func(s *orderSite) bool {
-			listened := s.first.listens
-			s.first.dies()
+		{'k', "it dies", func(s *harness) bool {
+			listened := s.first.listening
+			s.first.die()
 			return listened
 		}, 0, false},
-		{'b', "it dies and begins anew", func(s *orderSite) bool { s.beginAnew(); return true }, 2 * checkEvery, false},
-		passes('t', 700*time.Millisecond),
-		passes('T', silence+3*checkEvery),
-		passes('q', deadAfter+10*checkEvery),
+		{'b', "it dies and begins anew", func(s *harness) bool { s.restartFirst(); return true }, 2 * checkInterval, false},
+		waitStep('t', 700*time.Millisecond),
+		waitStep('T', silenceThreshold+3*checkInterval),
+		waitStep('q', silenceTimeout+10*checkInterval),
 	}
 }
 
-// stallEvents are of connections on which nothing gets through, though their dispatcher lives and others get on.
-func stallEvents() []orderEvent {
-	return []orderEvent{
-		{'i', "nothing reaches the dispatcher on the call's connection", func(s *orderSite) bool {
-			return s.onConnectionOf(orderedID, func(c *standInConnection) bool { return !c.deaf }, func(c *standInConnection) { c.deaf = true })
+// stallSteps are of connections on which nothing gets through, though their dispatcher lives and others get on.
+func stallSteps() []scenarioStep {
+	return []scenarioStep{
+		{'i', "nothing reaches the dispatcher on the call's connection", func(s *harness) bool {
+			return s.withConnectionOf(testCallID, func(c *fakeConn) bool { return !c.blockedToDispatcher }, func(c *fakeConn) { c.blockedToDispatcher = true })
 		}, 0, false},
-		{'o', "nothing comes from it there", func(s *orderSite) bool {
-			return s.onConnectionOf(orderedID, func(c *standInConnection) bool { return !c.mute }, func(c *standInConnection) { c.mute = true })
+		{'o', "nothing comes from it there", func(s *harness) bool {
+			return s.withConnectionOf(testCallID, func(c *fakeConn) bool { return !c.blockedToPool }, func(c *fakeConn) { c.blockedToPool = true })
 		}, 0, false},
-		{'u', "all gets through again", (*orderSite).flows, 0, false},
-		{'m', "another call comes, and is answered", (*orderSite).otherCall, otherComes + checkEvery - promptly/2, false},
-		{'I', "nothing reaches the dispatcher on its newest connection", func(s *orderSite) bool {
-			return s.onNewest(func(c *standInConnection) { c.deaf, s.stalled = true, true })
+		{'u', "all gets through again", (*harness).unblockAll, 0, false},
+		{'m', "another call comes, and is answered", (*harness).placeOtherCall, otherCallDelay + checkInterval - answerDelay/2, false},
+		{'I', "nothing reaches the dispatcher on its newest connection", func(s *harness) bool {
+			return s.withNewest(func(c *fakeConn) { c.blockedToDispatcher, s.stalled = true, true })
 		}, 0, false},
-		{'N', "it tells its state there", func(s *orderSite) bool {
-			return s.onNewest((*standInConnection).reports)
+		{'N', "it tells its state there", func(s *harness) bool {
+			return s.withNewest((*fakeConn).sendReport)
 		}, 0, false},
-		{'p', "the first dispatcher answers by itself from now on", func(s *orderSite) bool {
-			before := s.first.promptly[orderedID]
-			s.first.promptly[orderedID] = true
+		{'p', "the first dispatcher answers by itself from now on", func(s *harness) bool {
+			before := s.first.answersCall[testCallID]
+			s.first.answersCall[testCallID] = true
 			return !before
 		}, 0, false},
-		{'E', "the other call ends", func(s *orderSite) bool { return s.end(s.first, otherID) }, 0, false},
+		{'E', "the other call ends", func(s *harness) bool { return s.endCall(s.first, otherCallID) }, 0, false},
 	}
 }
 
-// onConnectionOf does something to the connection of a call at the first dispatcher, if it may.
-func (s *orderSite) onConnectionOf(id string, may func(*standInConnection) bool, f func(*standInConnection)) bool {
+// withConnectionOf does something to the connection of a call at the first dispatcher, if it may.
+func (s *harness) withConnectionOf(id string, may func(*fakeConn) bool, f func(*fakeConn)) bool {
 	c := s.first.pending(id)
 	if c == nil {
 		c = s.first.established[id]
@@ -141,86 +141,86 @@
 	return true
 }
 
-// standstillEvents are of a dispatcher that stands still and goes on, and of what waits in queues meanwhile.
-func standstillEvents() []orderEvent {
-	return []orderEvent{
-		{'z', "the first dispatcher stands still", func(s *orderSite) bool {
-			before := s.first.still
-			s.first.still, s.stalled = true, true
-			return !before && !s.first.cutOff
+// pauseSteps are of a dispatcher that stands still and goes on, and of what waits in queues meanwhile.
+func pauseSteps() []scenarioStep {
+	return []scenarioStep{
+		{'z', "the first dispatcher stands still", func(s *harness) bool {
+			before := s.first.paused
+			s.first.paused, s.stalled = true, true
+			return !before && !s.first.partitioned
 		}, 0, false},
-		{'Z', "it goes on", func(s *orderSite) bool { return s.goesOn(true) }, 0, false},
-		{'A', "it goes on, and reads later", func(s *orderSite) bool { return s.goesOn(false) }, 0, false},
-		{'j', "the pool's side can write nothing on the call's connection", func(s *orderSite) bool {
-			return s.onConnectionOf(orderedID, func(c *standInConnection) bool { return !c.full }, func(c *standInConnection) { c.full = true })
+		{'Z', "it goes on", func(s *harness) bool { return s.unpauseFirst(true) }, 0, false},
+		{'A', "it goes on, and reads later", func(s *harness) bool { return s.unpauseFirst(false) }, 0, false},
+		{'j', "the pool's side can write nothing on the call's connection", func(s *harness) bool {
+			return s.withConnectionOf(testCallID, func(c *fakeConn) bool { return !c.writeBlocked }, func(c *fakeConn) { c.writeBlocked = true })
 		}, 0, false},
-		{'H', "the dispatcher closes the call's connection in good order", func(s *orderSite) bool {
-			may := func(c *standInConnection) bool { return !c.peerClosed && !s.first.still }
-			return s.onConnectionOf(orderedID, may, (*standInConnection).close)
+		{'H', "the dispatcher closes the call's connection in good order", func(s *harness) bool {
+			may := func(c *fakeConn) bool { return !c.dispatcherClosed && !s.first.paused }
+			return s.withConnectionOf(testCallID, may, (*fakeConn).close)
 		}, 0, false},
-		{'J', "it closes the other call's connection in good order", func(s *orderSite) bool {
-			may := func(c *standInConnection) bool { return !c.peerClosed && !s.first.still }
-			return s.onConnectionOf(otherID, may, (*standInConnection).close)
+		{'J', "it closes the other call's connection in good order", func(s *harness) bool {
+			may := func(c *fakeConn) bool { return !c.dispatcherClosed && !s.first.paused }
+			return s.withConnectionOf(otherCallID, may, (*fakeConn).close)
 		}, 0, false},
-		{'V', "a connection is closed for its descriptor", func(s *orderSite) bool {
-			before := s.pool.sockets.evicted
+		{'V', "a connection is closed for its descriptor", func(s *harness) bool {
+			before := s.pool.sockets.evicting
 			s.pool.SetSocketBudget(s.pool.SocketCount() - 1)
 			s.pool.SetSocketBudget(0)
-			s.first.reset = s.first.reset || s.pool.sockets.evicted > before
-			return s.pool.sockets.evicted > before
+			s.first.hadReset = s.first.hadReset || s.pool.sockets.evicting > before
+			return s.pool.sockets.evicting > before
 		}, 0, false},
-		{'R', "the next connection will be refused", func(s *orderSite) bool { s.first.refuses++; return true }, 0, false},
-		{'B', "the next connection will not come up", func(s *orderSite) bool { s.first.loses++; return true }, 0, false},
+		{'R', "the next connection will be refused", func(s *harness) bool { s.first.refuseNext++; return true }, 0, false},
+		{'B', "the next connection will not come up", func(s *harness) bool { s.first.timeOutNext++; return true }, 0, false},
 	}
 }
 
-// goesOn ends a standstill of the first dispatcher.
-func (s *orderSite) goesOn(reads bool) bool {
-	if !s.first.still {
+// unpauseFirst ends a standstill of the first dispatcher.
+func (s *harness) unpauseFirst(reads bool) bool {
+	if !s.first.paused {
 		return false
 	}
-	s.first.goesOn(reads)
+	s.first.unpause(reads)
 	return true
 }
 
-// onNewest does something to the newest open connection of the first dispatcher.
-func (s *orderSite) onNewest(f func(*standInConnection)) bool {
-	open := s.first.open()
-	if s.first.cutOff || len(open) == 0 {
+// withNewest does something to the newest open connection of the first dispatcher.
+func (s *harness) withNewest(f func(*fakeConn)) bool {
+	open := s.first.usableConns()
+	if s.first.partitioned || len(open) == 0 {
 		return false
 	}
 	f(open[len(open)-1])
 	return true
 }
 
-// flows has all get through again on connections to the first dispatcher on which it did not.
-func (s *orderSite) flows() bool {
+// unblockAll has all get through again on connections to the first dispatcher on which it did not.
+func (s *harness) unblockAll() bool {
 	stalled := false
-	for _, c := range s.first.all {
-		if c.deaf || c.mute || c.full {
+	for _, c := range s.first.allConns {
+		if c.blockedToDispatcher || c.blockedToPool || c.writeBlocked {
 			stalled = true
-			c.flows()
+			c.unblock()
 		}
 	}
 	return stalled
 }
 
-// otherCall has the caller set up another call, which the first dispatcher answers at once if it comes there.
-func (s *orderSite) otherCall() bool {
-	id := otherID
+// placeOtherCall has the caller set up another call, which the first dispatcher answers at once if it comes there.
+func (s *harness) placeOtherCall() bool {
+	id := otherCallID
 	if s.calls[id] != nil {
-		id = thirdID
+		id = thirdCallID
 	}
-	if s.calls[id] != nil || s.left {
+	if s.calls[id] != nil || s.callerDisconnected {
 		return false
 	}
-	s.calls[id] = &orderedCall{}
-	s.first.promptly[id] = true
-	s.core.Loop().After(otherComes, func() { s.offer(id, orderDeadline) })
+	s.calls[id] = &callRecord{}
+	s.first.answersCall[id] = true
+	s.core.Loop().After(otherCallDelay, func() { s.placeCall(id, callTimeout) })
 	return true
 }
 
-func spellOrder(order []orderEvent) string {
+func stepLetters(order []scenarioStep) string {
 	var letters strings.Builder
 	for _, e := range order {
 		letters.WriteByte(e.letter)
@@ -228,11 +228,11 @@
 	return letters.String()
 }
 
-// spelledOrder has the events of the letters.
-func spelledOrder(letters string) []orderEvent {
-	var order []orderEvent
+// stepsFor has the events of the letters.
+func stepsFor(letters string) []scenarioStep {
+	var order []scenarioStep
 	for _, letter := range []byte(letters) {
-		for _, e := range slices.Concat(orderEvents(), stallEvents(), standstillEvents()) {
+		for _, e := range slices.Concat(baseSteps(), stallSteps(), pauseSteps()) {
 			if e.letter == letter {
 				order = append(order, e)
 			}
--- a/internal/dispatchers/ping.go
+++ b/internal/dispatchers/ping.go
@@ -8,17 +8,17 @@
 
 // Probes of single connections.
 
-// ping is a probe whose reply somebody waits for.
-type ping struct {
-	number uint32 // of the probe, on its connection
-	done   func(replied bool)
+// pendingPing is a probe whose reply somebody waits for.
+type pendingPing struct {
+	number  uint32 // of the probe, on its connection
+	onReply func(replied bool)
 }
 
 // Probe asks a dispatcher for a report.
 func (p *Pool) Probe(id control.ServerID) {
 	if s := p.servers[id]; s != nil {
-		if l := s.best(); l != nil {
-			l.probe()
+		if c := s.latestConn(); c != nil {
+			c.probe()
 		}
 	}
 }
@@ -26,73 +26,75 @@
 // Ping probes the connection of an attempt, and has done called once its reply has been read there: by then all has been read that the dispatcher had
 // told there before. What has not left is at no dispatcher yet: then done is called at once. If the connection ends first, or has ended, it is called
 // with false.
-func (p *Pool) Ping(id control.ServerID, callID string, attempt int, done func(replied bool)) {
+func (p *Pool) Ping(id control.ServerID, callID string, attempt int, onReply func(replied bool)) {
 	s := p.servers[id]
 	if s == nil {
 		return
 	}
-	if answered := s.standing[callID]; answered != nil {
-		s.pingAnswered(answered, done)
+	if answeredOn := s.established[callID]; answeredOn != nil {
+		s.pingEstablished(answeredOn, onReply)
 		return
 	}
-	if slices.ContainsFunc(s.waiting, func(w waiting) bool { return w.ID == callID && w.Attempt == attempt }) {
-		done(true)
+	if slices.ContainsFunc(s.waiting, func(w waitingSetUp) bool { return w.ID == callID && w.Attempt == attempt }) {
+		onReply(true)
 		return
 	}
-	for _, l := range s.links {
-		i := l.invites[callID]
+	for _, c := range s.conns {
+		setUp := c.setUps[callID]
 		switch {
-		case i == nil || i.attempt != attempt:
-		case i.left:
-			l.ping(done)
+		case setUp == nil || setUp.attempt != attempt:
+		case setUp.written:
+			c.ping(onReply)
 			return
 		default:
-			done(true)
+			onReply(true)
 			return
 		}
 	}
 }
 
-// pingAnswered is Ping of the connection of an answer.
-func (s *server) pingAnswered(answered *lifetime, done func(replied bool)) {
-	i := slices.IndexFunc(s.links, func(l *link) bool { return l.lifetime == answered })
+// pingEstablished is Ping of the connection of an answer.
+func (s *server) pingEstablished(answeredOn *lifetime, onReply func(replied bool)) {
+	i := slices.IndexFunc(s.conns, func(c *connection) bool { return c.lifetime == answeredOn })
 	if i < 0 {
-		done(false)
+		onReply(false)
 		return
 	}
-	s.links[i].ping(done)
+	s.conns[i].ping(onReply)
 }
 
 // ping sends a probe, and has done called with its reply.
-func (l *link) ping(done func(replied bool)) { l.pings = append(l.pings, ping{l.probe(), done}) }
+func (c *connection) ping(onReply func(replied bool)) {
+	c.pings = append(c.pings, pendingPing{c.probe(), onReply})
+}
 
 // probe sends a probe, and returns its number.
-func (l *link) probe() uint32 {
-	message, number := l.wire.Probe()
-	l.send(message)
+func (c *connection) probe() uint32 {
+	message, number := c.protocol.Probe()
+	c.send(message)
 	return number
 }
 
-// probeReplied takes in the reply to the probe of a number. It stands for those to earlier ones, too.
-func (l *link) probeReplied(number uint32) {
-	var due []ping
-	l.pings = slices.DeleteFunc(l.pings, func(p ping) bool {
+// handleProbeReply takes in the reply to the probe of a number. It stands for those to earlier ones, too.
+func (c *connection) handleProbeReply(number uint32) {
+	var replied []pendingPing
+	c.pings = slices.DeleteFunc(c.pings, func(p pendingPing) bool {
 		if p.number > number {
 			return false
 		}
-		due = append(due, p)
+		replied = append(replied, p)
 		return true
 	})
-	for _, p := range due {
-		p.done(true)
+	for _, p := range replied {
+		p.onReply(true)
 	}
 }
 
-// endPings tells that no more replies come.
-func (l *link) endPings() {
-	pings := l.pings
-	l.pings = nil
+// failPings tells that no more replies come.
+func (c *connection) failPings() {
+	pings := c.pings
+	c.pings = nil
 	for _, p := range pings {
-		p.done(false)
+		p.onReply(false)
 	}
 }
--- a/internal/dispatchers/queue_test.go
+++ b/internal/dispatchers/queue_test.go
@@ -15,35 +15,35 @@
 	"cherryrelay/internal/call"
 )
 
-// ends is a core that notes how attempts ended.
-type ends struct {
-	Core // what is not asked here
-	told map[string]control.Outcome
+// outcomeRecorder is a core that notes how attempts ended.
+type outcomeRecorder struct {
+	Core     // what is not asked here
+	outcomes map[string]control.Outcome
 }
 
-func (e *ends) EstablishedCount(control.ServerID) int  { return 0 }
-func (e *ends) EachEstablished(func(control.ServerID)) {}
-func (e *ends) EstablishedAt(control.ServerID) iter.Seq[string] {
+func (e *outcomeRecorder) EstablishedCount(control.ServerID) int  { return 0 }
+func (e *outcomeRecorder) EachEstablished(func(control.ServerID)) {}
+func (e *outcomeRecorder) EstablishedAt(control.ServerID) iter.Seq[string] {
 	return func(func(string) bool) {}
 }
-func (e *ends) DispatcherReached()                       {}
-func (e *ends) SetUpWritten()                            {}
-func (e *ends) LoadReported(control.ServerID, []float64) {}
-func (e *ends) DispatcherFailed(control.ServerID)        {}
-func (e *ends) AttemptEnded(_ control.ServerID, id string, _ int, o control.Outcome, _ bool, _ []float64) {
-	e.told[id] = o
+func (e *outcomeRecorder) DispatcherReached()                       {}
+func (e *outcomeRecorder) SetUpWritten()                            {}
+func (e *outcomeRecorder) LoadReported(control.ServerID, []float64) {}
+func (e *outcomeRecorder) DispatcherFailed(control.ServerID)        {}
+func (e *outcomeRecorder) AttemptEnded(_ control.ServerID, id string, _ int, o control.Outcome, _ bool, _ []float64) {
+	e.outcomes[id] = o
 }
 
-// TestWhatLiesInTheQueue: a dispatcher does not read. A set-up that lies in the queue to it goes out no more once its caller has left,
+// TestQueuedSetUpsAreRecalled: a dispatcher does not read. A set-up that lies in the queue to it goes out no more once its caller has left,
 // nor once the dispatcher is told to be leaving; one that has begun to leave is taken back by a message, as ever.
-func TestWhatLiesInTheQueue(t *testing.T) {
+func TestQueuedSetUpsAreRecalled(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	loop, core := call.NewLoop(), &ends{told: map[string]control.Outcome{}}
+	loop, core := call.NewLoop(), &outcomeRecorder{outcomes: map[string]control.Outcome{}}
 	do := func(f func()) {
 		done := make(chan struct{})
 		loop.Post(func() { f(); close(done) })
@@ -66,23 +66,23 @@
 	setUp := func(id, description string) {
 		p.SetUp("d", call.SetUp{ID: id, Class: "c", Called: "k", Description: description, Timeout: time.Minute})
 	}
-	links := func() (n int) { do(func() { n = len(p.servers["d"].links) }); return n }
-	for links() == 0 {
+	connCount := func() (n int) { do(func() { n = len(p.servers["d"].conns) }); return n }
+	for connCount() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	var last string
-	var whole bool
+	var lastID string
+	var unsent bool
 	do(func() {
-		l := p.servers["d"].links[0]
+		poolConn := p.servers["d"].conns[0]
 		n := 0
-		for long := strings.Repeat("x", call.MaxDescription); l.conn.Unsent() == 0; p.Flush() {
-			last = fmt.Sprint("begun-", n)
-			setUp(last, long)
+		for long := strings.Repeat("x", call.MaxDescription); poolConn.conn.Unsent() == 0; p.Flush() {
+			lastID = fmt.Sprint("begun-", n)
+			setUp(lastID, long)
 			n++
 		}
 		want := map[string]control.Outcome{"moved": control.NotSent}
-		if whole = l.conn.Unsent() > call.MaxDescription; whole { // nothing of it was taken
-			want[last] = control.NotSent
+		if unsent = poolConn.conn.Unsent() > call.MaxDescription; unsent { // nothing of it was taken
+			want[lastID] = control.NotSent
 		}
 		setUp("left", "its caller leaves")
 		setUp("moved", "it goes elsewhere")
@@ -90,27 +90,27 @@
 		p.CancelAttempt("d", "left", 0)
 		server.Status = control.Draining
 		p.Update(call.Update{Servers: []call.Server{server}})
-		p.CancelAttempt("d", last, 0)
+		p.CancelAttempt("d", lastID, 0)
 		setUp("end", "nothing comes behind it")
 		p.Flush()
-		if diff := cmp.Diff(want, core.told); diff != "" {
+		if diff := cmp.Diff(want, core.outcomes); diff != "" {
 			t.Errorf("what was told of attempts (-want +got):\n%s", diff)
 		}
 	})
-	var came strings.Builder
+	var received strings.Builder
 	_ = peer.SetReadDeadline(time.Now().Add(20 * time.Second))
-	for part := make([]byte, 64<<10); !strings.Contains(came.String(), "nothing comes behind it"); {
+	for part := make([]byte, 64<<10); !strings.Contains(received.String(), "nothing comes behind it"); {
 		n, err := peer.Read(part)
 		if err != nil {
 			t.Fatal(err)
 		}
-		came.Write(part[:n])
+		received.Write(part[:n])
 	}
-	if taken := strings.Contains(came.String(), "CANCEL sip:"); taken == whole {
-		t.Errorf("the set-up that had begun to leave was taken back by a message: %v", taken)
+	if cancelled := strings.Contains(received.String(), "CANCEL sip:"); cancelled == unsent {
+		t.Errorf("the set-up that had begun to leave was taken back by a message: %v", cancelled)
 	}
 	for _, id := range []string{"left", "moved"} {
-		if strings.Contains(came.String(), "Call-ID: "+id+"\r\n") {
+		if strings.Contains(received.String(), "Call-ID: "+id+"\r\n") {
 			t.Errorf("the set-up %q went out", id)
 		}
 	}
--- a/internal/dispatchers/quiet_test.go
+++ b/internal/dispatchers/quiet_test.go
@@ -7,43 +7,43 @@
 	"cherryrelay/control"
 )
 
-// TestLossOfAnotherConnectionCutsNoCall guards against a call that is cut, as its dispatcher listens no more, for ends that another connection
+// TestLossOfAnotherConnectionEndsNoCall guards against a call that is cut, as its dispatcher listens no more, for ends that another connection
 // may have lost: its own is open.
-func TestLossOfAnotherConnectionCutsNoCall(t *testing.T) {
+func TestLossOfAnotherConnectionEndsNoCall(t *testing.T) {
 	t.Parallel()
-	for name, before := range map[string]bool{"the call stands": true, "its set-up is open": false} {
+	for name, established := range map[string]bool{"the call stands": true, "its set-up is open": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			withSite(t, orderStart{links: 2}, func(s *orderSite) {
-				if before {
-					s.establish(orderedID)
+			withHarness(t, initialState{conns: 2}, func(s *harness) {
+				if established {
+					s.establish(testCallID)
 				} else {
-					s.do(func() { s.offer(orderedID, orderDeadline) })
+					s.runOnLoop(func() { s.placeCall(testCallID, callTimeout) })
 				}
 				time.Sleep(10 * time.Millisecond)
-				own := s.first.established[orderedID]
+				own := s.first.established[testCallID]
 				if own == nil {
-					own = s.first.pending(orderedID)
+					own = s.first.pending(testCallID)
 				}
-				s.do(func() {
-					s.list(control.Draining, "first")
-					s.first.listens = false
-					for _, c := range s.first.open() {
+				s.runOnLoop(func() {
+					s.updateList(control.Draining, "first")
+					s.first.listening = false
+					for _, c := range s.first.usableConns() {
 						if c != own {
 							c.reset()
 						}
 					}
 				})
 				time.Sleep(500 * time.Millisecond)
-				s.do(func() { s.first.finalAnswer(orderedID, 200) })
-				s.pass(2 * deadAfter)
-				if c := s.calls[orderedID]; c.answers != 1 || c.overs != 0 {
-					t.Errorf("%d answers, %d ends; want 1, 0", c.answers, c.overs)
+				s.runOnLoop(func() { s.first.sendFinalAnswer(testCallID, 200) })
+				s.advance(2 * silenceTimeout)
+				if c := s.calls[testCallID]; c.answers != 1 || c.ends != 0 {
+					t.Errorf("%d answers, %d ends; want 1, 0", c.answers, c.ends)
 				}
-				s.do(func() { s.end(s.first, orderedID) })
-				s.pass(onItsWay)
-				if c := s.calls[orderedID]; c.overs != 1 {
-					t.Errorf("%d ends as its dispatcher has told one", c.overs)
+				s.runOnLoop(func() { s.endCall(s.first, testCallID) })
+				s.advance(maxTransit)
+				if c := s.calls[testCallID]; c.ends != 1 {
+					t.Errorf("%d ends as its dispatcher has told one", c.ends)
 				}
 			})
 		})
--- a/internal/dispatchers/release.go
+++ b/internal/dispatchers/release.go
@@ -14,164 +14,164 @@
 
 // release is one of a call.
 type release struct {
-	id    string
-	cause int
-	here  bool // the call is known to be at this dispatcher
+	id        string
+	cause     int
+	knownHere bool // the call is known to be at this dispatcher
 }
 
 // sentRelease is a release on a connection, until its dispatcher has confirmed it.
 type sentRelease struct {
 	release
-	leftAt time.Time // when all of it had gone to the socket; zero before
+	writtenAt time.Time // when all of it had gone to the socket; zero before
 }
 
-// releaseFor is how long a dispatcher that is off the list is dialled, once it has no connection, to release calls there.
-const releaseFor = 10 * time.Second
+// releaseDialPeriod is how long a dispatcher that is off the list is dialled, once it has no connection, to release calls there.
+const releaseDialPeriod = 10 * time.Second
 
 // Release cuts a call that stands.
 func (p *Pool) Release(id control.ServerID, callID string, cause int) {
 	for _, s := range p.order {
-		if id != "" && s.ID != id || s.gone() && len(s.links) == 0 && (id == "" || s.replaced) {
+		if id != "" && s.ID != id || s.obsolete() && len(s.conns) == 0 && (id == "" || s.replaced) {
 			continue
 		}
-		delete(s.standing, callID)
-		if l := s.best(); l != nil && len(s.releases) == 0 {
-			l.release(release{callID, cause, id != ""})
-		} else if id != "" || len(s.releases) < maxReleases {
+		delete(s.established, callID)
+		if c := s.latestConn(); c != nil && len(s.releases) == 0 {
+			c.sendRelease(release{callID, cause, id != ""})
+		} else if id != "" || len(s.releases) < maxUnknownReleases {
 			r := release{callID, cause, id != ""}
 			s.logRelease(endlog.WaitingRelease, r, 0)
 			s.releases = append(s.releases, r)
-			p.touch(s)
+			p.markActive(s)
 		}
 	}
 }
 
-// releaseUnknown releases what may have come of set-ups whose connection ended without a word of theirs: an answer may have gone down with it,
+// releaseUnknownOutcomes releases what may have come of set-ups whose connection ended without a word of theirs: an answer may have gone down with it,
 // and its dispatcher hold the call.
-func (l *link) releaseUnknown(invites map[string]*invite) {
-	s := l.server
-	if l.process != s.process || s.replaced {
+func (c *connection) releaseUnknownOutcomes(setUps map[string]*setUpState) {
+	s := c.server
+	if c.process != s.process || s.replaced {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(invites)) {
-		if !s.serves(id) && len(s.releases) < maxReleases {
+	for _, id := range slices.Sorted(maps.Keys(setUps)) {
+		if !s.hasCallOrAttempt(id) && len(s.releases) < maxUnknownReleases {
 			r := release{id, call.CauseNormal, true}
-			s.logRelease(endlog.LostAnswer, r, l.number)
+			s.logRelease(endlog.LostAnswer, r, c.number)
 			s.releases = append(s.releases, r)
-			s.pool.touch(s)
+			s.pool.markActive(s)
 		}
 	}
 }
 
-// serves reports whether another attempt of a call is at the dispatcher, or on its way there. A release would end that one too.
-func (s *server) serves(id string) bool {
-	if s.standing[id] != nil || slices.ContainsFunc(s.waiting, func(w waiting) bool { return w.ID == id }) {
+// hasCallOrAttempt reports whether another attempt of a call is at the dispatcher, or on its way there. A release would end that one too.
+func (s *server) hasCallOrAttempt(id string) bool {
+	if s.established[id] != nil || slices.ContainsFunc(s.waiting, func(w waitingSetUp) bool { return w.ID == id }) {
 		return true
 	}
-	return slices.ContainsFunc(s.links, func(l *link) bool {
-		i := l.invites[id]
-		return i != nil && i.withdrawn.IsZero()
+	return slices.ContainsFunc(s.conns, func(c *connection) bool {
+		setUp := c.setUps[id]
+		return setUp != nil && setUp.cancelledAt.IsZero()
 	})
 }
 
-// releasing is the connection with a release of a call that its dispatcher may not have heard; nil if there is none. The next attempt of the
+// connWithRelease is the connection with a release of a call that its dispatcher may not have heard; nil if there is none. The next attempt of the
 // call at the dispatcher follows it there: on another connection it could be established first, and the release would cut it.
-func (s *server) releasing(id string) *link {
+func (s *server) connWithRelease(id string) *connection {
 	now := time.Now()
-	for _, l := range s.links {
-		if l.ready() && l.healthy(now) && l.invites[id] == nil && l.releases(id) {
-			return l
+	for _, c := range s.conns {
+		if c.ready() && c.healthy(now) && c.setUps[id] == nil && c.hasUnconfirmedRelease(id) {
+			return c
 		}
 	}
 	return nil
 }
 
-// behindRelease is the connection for an attempt that waited: the one with a release of its call, or else the one that is ready now.
-func (s *server) behindRelease(id string, ready *link) *link {
-	if l := s.releasing(id); l != nil {
-		return l
+// connAfterRelease is the connection for an attempt that waited: the one with a release of its call, or else the one that is ready now.
+func (s *server) connAfterRelease(id string, readyConn *connection) *connection {
+	if c := s.connWithRelease(id); c != nil {
+		return c
 	}
-	return ready
+	return readyConn
 }
 
-// releases reports whether a release of a call has been sent that the dispatcher may not have heard.
-func (l *link) releases(id string) bool {
-	l.forgetDelivered()
-	return slices.ContainsFunc(l.unconfirmed, func(r *sentRelease) bool { return r.id == id })
+// hasUnconfirmedRelease reports whether a release of a call has been sent that the dispatcher may not have heard.
+func (c *connection) hasUnconfirmedRelease(id string) bool {
+	c.dropDelivered()
+	return slices.ContainsFunc(c.unconfirmed, func(r *sentRelease) bool { return r.id == id })
 }
 
-// takeReleases takes the releases of calls that are known to be at the dispatcher: those that wait for a connection, and those of calls that stand,
+// collectReleases takes the releases of calls that are known to be at the dispatcher: those that wait for a connection, and those of calls that stand,
 // which are about to count as cut.
-func (s *server) takeReleases() []release {
-	taken := slices.DeleteFunc(s.releases, func(r release) bool { return !r.here })
+func (s *server) collectReleases() []release {
+	collected := slices.DeleteFunc(s.releases, func(r release) bool { return !r.knownHere })
 	s.releases = nil
 	for _, id := range slices.Sorted(s.pool.core.EstablishedAt(s.ID)) {
-		taken = append(taken, release{id, call.CauseTemporary, true})
+		collected = append(collected, release{id, call.CauseTemporary, true})
 	}
-	return taken
+	return collected
 }
 
-// mayRelease reports whether a dispatcher of which nothing is to be expected any more may be dialled to release calls: its process may live.
-func (s *server) mayRelease(now time.Time) bool {
-	return !s.replaced && s.hasRelease() && s.without(now) < releaseFor
+// mayDialForRelease reports whether a dispatcher of which nothing is to be expected any more may be dialled to release calls: its process may live.
+func (s *server) mayDialForRelease(now time.Time) bool {
+	return !s.replaced && s.hasWaitingRelease() && s.disconnectedFor(now) < releaseDialPeriod
 }
 
-// serveReleases sends releases that have waited for a connection, and reports whether none is left. Of many, some go at once; the rest comes
+// sendReleases sends releases that have waited for a connection, and reports whether none is left. Of many, some go at once; the rest comes
 // with the next look at the dispatcher.
-func (s *server) serveReleases(l *link) bool {
-	if l.conn.Unsent() > 0 && len(s.releases) > 0 {
+func (s *server) sendReleases(c *connection) bool {
+	if c.conn.Unsent() > 0 && len(s.releases) > 0 {
 		return false // it has not taken the last ones yet
 	}
-	some := s.releases[:min(len(s.releases), releasesAtOnce)]
-	for _, r := range some {
-		l.release(r)
+	batch := s.releases[:min(len(s.releases), releaseBatchSize)]
+	for _, r := range batch {
+		c.sendRelease(r)
 	}
-	if s.releases = s.releases[len(some):]; len(s.releases) > 0 {
+	if s.releases = s.releases[len(batch):]; len(s.releases) > 0 {
 		return false
 	}
 	s.releases = nil
 	return true
 }
 
-// owesRelease reports whether the release of a call that is known to be at the dispatcher has not left, or may not have been heard.
-func (l *link) owesRelease() bool {
-	l.forgetDelivered()
-	return slices.ContainsFunc(l.unconfirmed, func(r *sentRelease) bool { return r.here })
+// hasUnconfirmedKnownRelease reports whether the release of a call that is known to be at the dispatcher has not left, or may not have been heard.
+func (c *connection) hasUnconfirmedKnownRelease() bool {
+	c.dropDelivered()
+	return slices.ContainsFunc(c.unconfirmed, func(r *sentRelease) bool { return r.knownHere })
 }
 
-// release ends a call that stands at the dispatcher, or may. It is kept until the dispatcher has confirmed it.
-func (l *link) release(r release) {
-	if !l.writable() {
+// sendRelease ends a call that stands at the dispatcher, or may. It is kept until the dispatcher has confirmed it.
+func (c *connection) sendRelease(r release) {
+	if !c.writable() {
 		return
 	}
-	l.server.logRelease(endlog.SentRelease, r, l.number)
+	c.server.logRelease(endlog.SentRelease, r, c.number)
 	sent := &sentRelease{release: r}
-	l.forgetDelivered()
-	l.unconfirmed = append(l.unconfirmed, sent)
-	l.conn.WriteThen(l.wire.Release(r.id, r.cause), func() { sent.leftAt = time.Now() })
-	l.written()
+	c.dropDelivered()
+	c.unconfirmed = append(c.unconfirmed, sent)
+	c.conn.WriteThen(c.protocol.Release(r.id, r.cause), func() { sent.writtenAt = time.Now() })
+	c.markDirty()
 }
 
-// confirmed takes in that the dispatcher has heard the release of a call.
-func (l *link) confirmed(id string) {
-	l.unconfirmed = slices.DeleteFunc(l.unconfirmed, func(r *sentRelease) bool { return r.id == id })
+// confirmRelease takes in that the dispatcher has heard the release of a call.
+func (c *connection) confirmRelease(id string) {
+	c.unconfirmed = slices.DeleteFunc(c.unconfirmed, func(r *sentRelease) bool { return r.id == id })
 }
 
-// forgetDelivered drops releases that the dispatcher has not confirmed, and must have heard: what it has said since came well after them.
-func (l *link) forgetDelivered() {
-	l.unconfirmed = slices.DeleteFunc(l.unconfirmed, func(r *sentRelease) bool {
-		return !r.leftAt.IsZero() && l.heardAt.Sub(r.leftAt) > closesWithin
+// dropDelivered drops releases that the dispatcher has not confirmed, and must have heard: what it has said since came well after them.
+func (c *connection) dropDelivered() {
+	c.unconfirmed = slices.DeleteFunc(c.unconfirmed, func(r *sentRelease) bool {
+		return !r.writtenAt.IsZero() && c.lastReceivedAt.Sub(r.writtenAt) > responseTimeout
 	})
 }
 
-// keepUnconfirmed has the releases of calls that are known to be at the dispatcher wait for the next connection, if they may not have come
+// requeueUnconfirmed has the releases of calls that are known to be at the dispatcher wait for the next connection, if they may not have come
 // through on this one. One over which another attempt has gone there since would end that one.
-func (l *link) keepUnconfirmed() {
-	l.forgetDelivered()
-	for _, r := range l.unconfirmed {
-		if r.here && l.process == l.server.process && !l.server.serves(r.id) {
-			l.server.releases = append(l.server.releases, r.release)
+func (c *connection) requeueUnconfirmed() {
+	c.dropDelivered()
+	for _, r := range c.unconfirmed {
+		if r.knownHere && c.process == c.server.process && !c.server.hasCallOrAttempt(r.id) {
+			c.server.releases = append(c.server.releases, r.release)
 		}
 	}
-	l.unconfirmed = nil
+	c.unconfirmed = nil
 }
--- a/internal/dispatchers/renew_test.go
+++ b/internal/dispatchers/renew_test.go
@@ -11,24 +11,24 @@
 // refused, while another connection is open and the dispatcher speaks there: it is dialled again until one comes up.
 func TestARenewalThatIsRefusedIsTriedAgain(t *testing.T) {
 	t.Parallel()
-	b := newBudgeted(t, 0, 1)
-	b.do(func() {
-		b.core.at[name(0)] = []string{"a call"}
+	b := newPoolFixture(t, 0, 1)
+	b.runOnLoop(func() {
+		b.core.calls[dispatcherName(0)] = []string{"a call"}
 		b.pool.Update(b.list)
 	})
-	b.comes(0, "opened")
+	b.waitFor(0, "opened")
 	b.dispatchers[0].Stop()
-	speaks := time.NewTicker(20 * time.Millisecond)
-	defer speaks.Stop()
-	dialled := func() (dials int, dialing bool) {
-		b.do(func() { dials, dialing = b.pool.sockets.dials, b.pool.servers[name(0)].dialing })
+	ticker := time.NewTicker(20 * time.Millisecond)
+	defer ticker.Stop()
+	dialState := func() (dials int, dialing bool) {
+		b.runOnLoop(func() { dials, dialing = b.pool.sockets.dialCount, b.pool.servers[dispatcherName(0)].dialing })
 		return dials, dialing
 	}
-	before, _ := dialled()
-	b.do(func() { b.pool.Reconnect(name(0)) })
-	speak := func(until func() bool) {
+	before, _ := dialState()
+	b.runOnLoop(func() { b.pool.Reconnect(dispatcherName(0)) })
+	reportUntil := func(until func() bool) {
 		t.Helper()
-		for begun := time.Now(); !until(); <-speaks.C {
+		for begun := time.Now(); !until(); <-ticker.C {
 			if err := b.dispatchers[0].Report("x0:40"); err != nil {
 				t.Fatal(err)
 			}
@@ -37,10 +37,10 @@
 			}
 		}
 	}
-	speak(func() bool { // until the dial has been refused
-		dials, dialing := dialled()
+	reportUntil(func() bool { // until the dial has been refused
+		dials, dialing := dialState()
 		return dials > before && !dialing
 	})
-	back := dispatcherAt(t, "tcp", b.dispatchers[0].Address())
-	speak(func() bool { return back.Links() > 0 })
+	restarted := dispatcherAt(t, "tcp", b.dispatchers[0].Address())
+	reportUntil(func() bool { return restarted.Links() > 0 })
 }
--- a/internal/dispatchers/renewal.go
+++ b/internal/dispatchers/renewal.go
@@ -12,34 +12,34 @@
 
 // Connections that are opened for the ends of calls that may have been lost with another one.
 
-// losesEnds reports whether ends of calls may be lost with the connection as it ends for the reason, whether it was open until now or given
+// mayLoseEnds reports whether ends of calls may be lost with the connection as it ends for the reason, whether it was open until now or given
 // up before.
-func (l *link) losesEnds(reason error) bool {
+func (c *connection) mayLoseEnds(reason error) bool {
 	switch {
-	case l.state == linkClosed, l.closedInOrder, inOrder(reason):
+	case c.state == connClosed, c.closedCleanly, isCleanClose(reason):
 		return false
 	case errors.Is(reason, conn.ErrClosedHere):
-		return l.givenUp()
+		return c.isAbandoned()
 	}
 	return true
 }
 
-// wantRenewal asks for a connection on which the ends are repeated that were told until now.
-func (s *server) wantRenewal() {
-	s.log(endlog.RenewalAsked, nil)
+// requestRenewal asks for a connection on which the ends are repeated that were told until now.
+func (s *server) requestRenewal() {
+	s.logStep(endlog.RenewalAsked, nil)
 	s.renewal.Request(time.Now())
-	s.pool.touch(s)
+	s.pool.markActive(s)
 }
 
-// noteLostEnds takes in that ends which were told until now may have been lost.
-func (s *server) noteLostEnds() {
-	s.log(endlog.RenewalAsked, nil)
+// recordLostEnds takes in that ends which were told until now may have been lost.
+func (s *server) recordLostEnds() {
+	s.logStep(endlog.RenewalAsked, nil)
 	s.renewal.RecordLoss(time.Now())
-	s.pool.touch(s)
+	s.pool.markActive(s)
 }
 
-// logEndsInDoubt logs the calls whose ends may be told on a connection that is being given up.
-func (s *server) logEndsInDoubt() {
+// logCallsAtRisk logs the calls whose ends may be told on a connection that is being given up.
+func (s *server) logCallsAtRisk() {
 	if !endlog.Enabled(s.pool.Log) {
 		return
 	}
@@ -48,23 +48,23 @@
 	}
 }
 
-// repeatEnds has ends repeated on new connections, one after the other, for as long as the dispatcher may tell them on one that is not read
+// requestRepeats has ends repeated on new connections, one after the other, for as long as the dispatcher may tell them on one that is not read
 // any more.
-func (s *server) repeatEnds(now time.Time) {
-	if s.holdsUnread(now) && s.hasEndsAtRisk() {
+func (s *server) requestRepeats(now time.Time) {
+	if s.mayHoldUnreadConn(now) && s.hasEndsAtRisk() {
 		s.renewal.RequestPeriodic(now)
 	}
 }
 
-// holdsUnread reports whether the dispatcher may hold a connection for open that was given up: one that lives closes it soon.
-func (s *server) holdsUnread(now time.Time) bool {
-	return s.renewal.HasUnreadConnection() || slices.ContainsFunc(s.givenUp, func(l *link) bool { return now.Sub(l.since) > closesWithin })
+// mayHoldUnreadConn reports whether the dispatcher may hold a connection for open that was given up: one that lives closes it soon.
+func (s *server) mayHoldUnreadConn(now time.Time) bool {
+	return s.renewal.HasUnreadConnection() || slices.ContainsFunc(s.abandoned, func(c *connection) bool { return now.Sub(c.stateSince) > responseTimeout })
 }
 
 // hasEndsAtRisk reports whether a call stands whose own connection is open no more: its end may come on any other.
 func (s *server) hasEndsAtRisk() bool {
 	for id := range s.pool.core.EstablishedAt(s.ID) {
-		if answered := s.standing[id]; answered == nil || answered.over {
+		if answeredOn := s.established[id]; answeredOn == nil || answeredOn.closed {
 			return true
 		}
 	}
@@ -77,34 +77,34 @@
 	if !s.renewal.Due(now) || s.dialing || !s.reachable(now) {
 		return
 	}
-	if len(s.links) >= s.pool.links {
-		idle := slices.IndexFunc(s.links, func(l *link) bool { return l.open() == 0 })
+	if len(s.conns) >= s.pool.maxConns {
+		idle := slices.IndexFunc(s.conns, func(c *connection) bool { return c.openSetUps() == 0 })
 		if idle < 0 {
-			s.vacate()
+			s.startVacating()
 			return // once it has nothing to do
 		}
-		s.vacated = nil
-		s.links[idle].retire(conn.ErrClosedHere)
+		s.vacating = nil
+		s.conns[idle].halfClose(conn.ErrClosedHere)
 	}
 	if s.connect(); s.dialing {
-		s.log(endlog.RenewalBegun, nil)
+		s.logStep(endlog.RenewalBegun, nil)
 	}
 }
 
-// vacate has the connection with the fewest open set-ups given no more of them, unless another makes room already.
-func (s *server) vacate() {
-	if !slices.Contains(s.links, s.vacated) {
-		s.vacated = slices.MinFunc(s.links, func(a, b *link) int { return cmp.Compare(a.open(), b.open()) })
+// startVacating has the connection with the fewest open set-ups given no more of them, unless another makes room already.
+func (s *server) startVacating() {
+	if !slices.Contains(s.conns, s.vacating) {
+		s.vacating = slices.MinFunc(s.conns, func(a, b *connection) int { return cmp.Compare(a.openSetUps(), b.openSetUps()) })
 	}
 }
 
-// vacates reports whether the connection is to make room for one that is due: set-ups go out on others that are healthy.
-func (s *server) vacates(l *link) bool { return l == s.vacated && s.renewal.Pending() }
+// isVacating reports whether the connection is to make room for one that is due: set-ups go out on others that are healthy.
+func (s *server) isVacating(c *connection) bool { return c == s.vacating && s.renewal.Pending() }
 
 // renewalFailed takes in that a dial has failed. While calls stand it is dialled again, at the pace of the dispatcher's backoff.
 func (s *server) renewalFailed() {
 	if s.renewal.Pending() {
-		s.log(endlog.RenewalFailed, nil)
+		s.logStep(endlog.RenewalFailed, nil)
 	}
 	if s.pool.core.EstablishedCount(s.ID) == 0 {
 		s.renewal.Cancel()
--- a/internal/dispatchers/sip_test.go
+++ b/internal/dispatchers/sip_test.go
@@ -8,8 +8,8 @@
 	"cherryrelay/internal/ring"
 )
 
-// TestAnswersThatCannotBeReadOn: an answer passed on cut off would be one that no dispatcher gave.
-func TestAnswersThatCannotBeReadOn(t *testing.T) {
+// TestInvalidAnswers: an answer passed on cut off would be one that no dispatcher gave.
+func TestInvalidAnswers(t *testing.T) {
 	const body = "9d41c07a5be2f318\r\nm=audio 31000 RTP/AVP 0 8 101\r\n"
 	text := func(length, rest string) string {
 		return "SIP/2.0 200 OK\r\nCall-ID: 9b1f03aa5c7e2d41\r\nCSeq: 1 INVITE\r\nContent-Length: " + length + "\r\n\r\n" + rest
--- a/internal/dispatchers/site_play_test.go
+++ b/internal/dispatchers/site_play_test.go
@@ -12,11 +12,11 @@
 
 // What tests over an order site have in common.
 
-// setUpTime is how long a set-up is given to be out at its dispatcher.
-const setUpTime = 10 * time.Millisecond
+// setUpDelay is how long a set-up is given to be out at its dispatcher.
+const setUpDelay = 10 * time.Millisecond
 
 // run runs the loop until the returned function is called.
-func (s *orderSite) run() (quit func()) {
+func (s *harness) run() (quit func()) {
 	go s.core.Loop().Run()
 	return func() {
 		s.core.Loop().Quit()
@@ -24,27 +24,27 @@
 	}
 }
 
-// withSite runs a test over a site whose first dispatcher is connected to as the start says.
-func withSite(t *testing.T, start orderStart, test func(s *orderSite)) {
+// withHarness runs a test over a site whose first dispatcher is connected to as the start says.
+func withHarness(t *testing.T, start initialState, test func(s *harness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := newOrderSite(t, start)
+		s := newHarness(t, start)
 		defer s.run()()
-		s.do(func() { s.list(control.Active, "first") })
+		s.runOnLoop(func() { s.updateList(control.Active, "first") })
 		time.Sleep(time.Second)
-		for range start.links - 1 {
-			s.do(func() { s.pool.Reconnect("first") })
+		for range start.conns - 1 {
+			s.runOnLoop(func() { s.pool.Reconnect("first") })
 			time.Sleep(time.Second)
 		}
 		test(s)
 	})
 }
 
-// playWithoutFault plays an order of events, and wants it to be possible and without a fault.
-func (start orderStart) playWithoutFault(t *testing.T, order []orderEvent) {
+// playWithoutViolation plays an order of events, and wants it to be possible and without a fault.
+func (start initialState) playWithoutViolation(t *testing.T, order []scenarioStep) {
 	t.Helper()
-	if result := start.play(t, order); !result.possible || len(result.faults) > 0 {
-		t.Errorf("order %s, possible: %v: %s", start.before+spellOrder(order), result.possible, strings.Join(result.faults, "; "))
+	if result := start.play(t, order); !result.possible || len(result.violations) > 0 {
+		t.Errorf("order %s, possible: %v: %s", start.prefix+stepLetters(order), result.possible, strings.Join(result.violations, "; "))
 	}
 }
 
@@ -53,24 +53,24 @@
 	return call.SetUp{ID: id, Attempt: number, Class: "c", Called: "k", Description: "x", Timeout: time.Minute}
 }
 
-// setsUp has the caller set a call up, and waits until the set-up is out.
-func (s *orderSite) setsUp(id string) {
-	s.do(func() { s.offer(id, orderDeadline) })
-	time.Sleep(setUpTime)
+// setUpCall has the caller set a call up, and waits until the set-up is out.
+func (s *harness) setUpCall(id string) {
+	s.runOnLoop(func() { s.placeCall(id, callTimeout) })
+	time.Sleep(setUpDelay)
 }
 
 // establish has a call set up at the first dispatcher, and answered there.
-func (s *orderSite) establish(id string) {
-	s.setsUp(id)
-	s.do(func() { s.first.finalAnswer(id, 200) })
+func (s *harness) establish(id string) {
+	s.setUpCall(id)
+	s.runOnLoop(func() { s.first.sendFinalAnswer(id, 200) })
 	time.Sleep(time.Millisecond)
-	s.do(s.arrive)
+	s.runOnLoop(s.deliverAll)
 }
 
-// speaksFor has the first dispatcher report on all its connections that live for a time.
-func (s *orderSite) speaksFor(d time.Duration) {
-	for _, e := range speaks(d) {
-		s.do(func() { e.occurs(s) })
+// reportFor has the first dispatcher report on all its connections that live for a time.
+func (s *harness) reportFor(d time.Duration) {
+	for _, e := range reportSteps(d) {
+		s.runOnLoop(func() { e.run(s) })
 		time.Sleep(e.after)
 	}
 }
--- a/internal/dispatchers/standin_test.go
+++ b/internal/dispatchers/standin_test.go
@@ -11,136 +11,138 @@
 	"cherryrelay/internal/sip"
 )
 
-// promptly is how soon a stand-in answers that does so by itself.
-const promptly = 20 * time.Millisecond
+// answerDelay is how soon a stand-in answers that does so by itself.
+const answerDelay = 20 * time.Millisecond
 
 // dialTime is how long a connection takes to come up.
 const dialTime = time.Millisecond
 
-// standInNetwork connects a pool with stand-in dispatchers, without sockets. All of it runs on the loop.
-type standInNetwork struct {
-	loop      *call.Loop
-	processes map[string]*process // by address
+// fakeNetwork connects a pool with stand-in dispatchers, without sockets. All of it runs on the loop.
+type fakeNetwork struct {
+	loop        *call.Loop
+	dispatchers map[string]*fakeDispatcher // by address
 }
 
 // dial is the pool's dialer.
-func (n *standInNetwork) dial(address string, timeout time.Duration, opened func(connection) conn.Handler, done func(error)) {
-	p := n.processes[address]
-	if p != nil && p.cutOff {
+func (n *fakeNetwork) dial(address string, timeout time.Duration, opened func(transportConn) conn.Handler, done func(error)) {
+	p := n.dispatchers[address]
+	if p != nil && p.partitioned {
 		n.loop.After(timeout, func() { done(io.ErrNoProgress) })
 		return
 	}
-	if p != nil && p.loses > 0 {
-		p.loses--
+	if p != nil && p.timeOutNext > 0 {
+		p.timeOutNext--
 		n.loop.After(timeout, func() { done(io.ErrNoProgress) })
 		return
 	}
 	n.loop.After(dialTime, func() {
-		if p == nil || !p.listens || p.refusesNext() {
+		if p == nil || !p.listening || p.shouldRefuse() {
 			done(conn.ErrRefused)
 			return
 		}
-		s := &standInConnection{loop: n.loop, process: p, setUps: map[string]int{}, cancelled: map[string]bool{}, in: ring.New(32 << 10), read: ring.New(64 << 10)}
+		s := &fakeConn{loop: n.loop, dispatcher: p, setUps: map[string]int{}, cancelled: map[string]bool{}, poolInput: ring.New(32 << 10), dispatcherInput: ring.New(64 << 10)}
 		s.handler = opened(s)
 		done(nil)
-		p.accepts(s)
+		p.accept(s)
 	})
 }
 
-// process is a stand-in dispatcher, which does as the protocol page has it.
-type process struct {
-	site        *orderSite
-	listens     bool
-	cutOff      bool                          // nothing gets through, in either direction
-	still       bool                          // it takes nothing in and sends nothing; its kernel accepts connections
-	waiting     []*standInConnection          // that its kernel has accepted meanwhile
-	keeps       bool                          // it never closes its side of a connection that the pool's side has ended
-	resets      bool                          // or resets it as it sees that
-	newest      bool                          // it tells the end of a call whose connection has closed on the newest one
-	unconfirmed bool                          // it confirms no release
-	refuses     int                           // so many of the next connections, as others are open
-	refused     bool                          // the last connection was
-	loses       int                           // so many of the next connections do not come up
-	prompt      bool                          // it answers each set-up by itself
-	again       bool                          // or each after the first one of a call
-	promptly    map[string]bool               // or those of these calls
-	connections []*standInConnection          // that it has open
-	all         []*standInConnection          // and those that have ended, on which something may be on its way
-	established map[string]*standInConnection // calls, with the connection of their set-up
-	ambiguous   map[string]bool               // of them, those under whose id the end of an earlier attempt is still to be told
-	repeats     []string                      // calls whose ends are told again on the next connection
-	reset       bool                          // a connection was reset, and none has come up since
+// fakeDispatcher is a stand-in dispatcher, which does as the protocol page has it.
+type fakeDispatcher struct {
+	harness         *harness
+	listening       bool
+	partitioned     bool                 // nothing gets through, in either direction
+	paused          bool                 // it takes nothing in and sends nothing; its kernel accepts connections
+	backlog         []*fakeConn          // that its kernel has accepted meanwhile
+	neverCloses     bool                 // it never closes its side of a connection that the pool's side has ended
+	resetsOnClose   bool                 // or resets it as it sees that
+	endsOnNewest    bool                 // it tells the end of a call whose connection has closed on the newest one
+	ignoresReleases bool                 // it confirms no release
+	refuseNext      int                  // so many of the next connections, as others are open
+	lastRefused     bool                 // the last connection was
+	timeOutNext     int                  // so many of the next connections do not come up
+	answersAll      bool                 // it answers each set-up by itself
+	answersRetries  bool                 // or each after the first one of a call
+	answersCall     map[string]bool      // or those of these calls
+	openConns       []*fakeConn          // that it has open
+	allConns        []*fakeConn          // and those that have ended, on which something may be on its way
+	established     map[string]*fakeConn // calls, with the connection of their set-up
+	ambiguous       map[string]bool      // of them, those under whose id the end of an earlier attempt is still to be told
+	endsToRepeat    []string             // calls whose ends are told again on the next connection
+	hadReset        bool                 // a connection was reset, and none has come up since
 }
 
-func newProcess(site *orderSite) *process {
-	return &process{site: site, listens: true, established: map[string]*standInConnection{}, promptly: map[string]bool{}, ambiguous: map[string]bool{}}
+func newFakeDispatcher(site *harness) *fakeDispatcher {
+	return &fakeDispatcher{harness: site, listening: true, established: map[string]*fakeConn{}, answersCall: map[string]bool{}, ambiguous: map[string]bool{}}
 }
 
-func (p *process) accepts(s *standInConnection) {
-	p.all = append(p.all, s)
-	if p.still {
-		p.waiting = append(p.waiting, s)
+func (p *fakeDispatcher) accept(s *fakeConn) {
+	p.allConns = append(p.allConns, s)
+	if p.paused {
+		p.backlog = append(p.backlog, s)
 		return
 	}
-	p.opens(s)
+	p.useConn(s)
 }
 
-// refusesNext reports whether a connection is refused though the process lives. Where no other one is open, a refusal would prove that it doesn't.
-func (p *process) refusesNext() bool {
-	if p.refuses == 0 || len(p.open()) == 0 {
+// shouldRefuse reports whether a connection is refused though the process lives. Where no other one is open, a refusal would prove that it doesn't.
+func (p *fakeDispatcher) shouldRefuse() bool {
+	if p.refuseNext == 0 || len(p.usableConns()) == 0 {
 		return false
 	}
-	p.refuses--
-	p.refused = true
+	p.refuseNext--
+	p.lastRefused = true
 	return true
 }
 
-// opens has the process use a connection.
-func (p *process) opens(s *standInConnection) {
-	p.connections, p.refused = append(p.connections, s), false
-	s.tell(stateReport())
-	for _, id := range p.repeats {
-		s.tellEnd(id)
+// useConn has the process use a connection.
+func (p *fakeDispatcher) useConn(s *fakeConn) {
+	p.openConns, p.lastRefused = append(p.openConns, s), false
+	s.send(loadReport())
+	for _, id := range p.endsToRepeat {
+		s.sendEnd(id)
 	}
-	p.repeats, p.reset = nil, false
-	s.deliver()
+	p.endsToRepeat, p.hadReset = nil, false
+	s.deliverToPool()
 }
 
-// stateReport is the state of a dispatcher, as it tells it unasked.
-func stateReport() []byte {
+// loadReport is the state of a dispatcher, as it tells it unasked.
+func loadReport() []byte {
 	return sip.Append(nil, &sip.Message{Method: "NOTIFY", URI: "sip:state@net", CallID: "state", Seq: 1, SeqOf: "NOTIFY",
 		Headers: []sip.Header{{Name: "P-Report", Value: "idle:8"}}})
 }
 
-// reports has the process tell its state on a connection, which arrives at once.
-func (s *standInConnection) reports() {
-	s.tell(stateReport())
-	s.deliver()
+// sendReport has the process tell its state on a connection, which arrives at once.
+func (s *fakeConn) sendReport() {
+	s.send(loadReport())
+	s.deliverToPool()
 }
 
-func byeOf(id string) []byte {
+func releaseOf(id string) []byte {
 	return sip.Append(nil, &sip.Message{Method: "BYE", URI: "sip:call@net", CallID: id, Seq: 1, SeqOf: "BYE",
 		Headers: []sip.Header{{Name: "Reason", Value: "Q.850;cause=16"}}})
 }
 
-// open are the connections on which the process can tell something.
-func (p *process) open() []*standInConnection {
-	return slices.DeleteFunc(slices.Clone(p.connections), func(s *standInConnection) bool { return s.peerClosed || s.finished && !s.unseen() })
+// usableConns are the connections on which the process can tell something.
+func (p *fakeDispatcher) usableConns() []*fakeConn {
+	return slices.DeleteFunc(slices.Clone(p.openConns), func(s *fakeConn) bool { return s.dispatcherClosed || s.poolHalfClosed && !s.dispatcherUnaware() })
 }
 
-// unreached reports whether there is a connection on which a release would not get through, though the pool's side takes it for open.
-func (p *process) unreached() bool {
-	return p.cutOff || p.still || slices.ContainsFunc(p.all, func(s *standInConnection) bool { return !s.closed && (s.deaf || s.full || s.mute && s.peerClosed) })
+// hasBlockedConn reports whether there is a connection on which a release would not get through, though the pool's side takes it for open.
+func (p *fakeDispatcher) hasBlockedConn() bool {
+	return p.partitioned || p.paused || slices.ContainsFunc(p.allConns, func(s *fakeConn) bool {
+		return !s.closed && (s.blockedToDispatcher || s.writeBlocked || s.blockedToPool && s.dispatcherClosed)
+	})
 }
 
 // reachable reports whether there is a connection on which messages get through in both directions.
-func (p *process) reachable() bool {
-	return !p.cutOff && !p.still && slices.ContainsFunc(p.open(), func(s *standInConnection) bool { return !s.deaf && !s.mute })
+func (p *fakeDispatcher) reachable() bool {
+	return !p.partitioned && !p.paused && slices.ContainsFunc(p.usableConns(), func(s *fakeConn) bool { return !s.blockedToDispatcher && !s.blockedToPool })
 }
 
 // pending is the first connection with the set-up of a call open; nil if there is none.
-func (p *process) pending(id string) *standInConnection {
-	for _, s := range p.connections {
+func (p *fakeDispatcher) pending(id string) *fakeConn {
+	for _, s := range p.openConns {
 		if _, ok := s.setUps[id]; ok {
 			return s
 		}
@@ -148,14 +150,14 @@
 	return nil
 }
 
-// finalAnswer tells the final answer to a set-up; 200 establishes the call.
-func (p *process) finalAnswer(id string, status int) bool {
+// sendFinalAnswer tells the final answer to a set-up; 200 establishes the call.
+func (p *fakeDispatcher) sendFinalAnswer(id string, status int) bool {
 	s := p.pending(id)
-	return s != nil && !p.still && p.finalAnswerOn(s, id, status)
+	return s != nil && !p.paused && p.sendFinalAnswerOn(s, id, status)
 }
 
-// finalAnswerOn tells it on a connection, if the set-up is open there.
-func (p *process) finalAnswerOn(s *standInConnection, id string, status int) bool {
+// sendFinalAnswerOn tells it on a connection, if the set-up is open there.
+func (p *fakeDispatcher) sendFinalAnswerOn(s *fakeConn, id string, status int) bool {
 	if _, ok := s.setUps[id]; !ok {
 		return false
 	}
@@ -164,61 +166,61 @@
 	if status == 200 {
 		m.Body = []byte("description")
 		p.established[id] = s
-		p.site.established(id)
-		p.ambiguous[id] = p.ambiguous[id] || p.tellsEnd(id)
+		p.harness.callEstablished(id)
+		p.ambiguous[id] = p.ambiguous[id] || p.hasUndeliveredEnd(id)
 	}
-	s.tell(sip.Append(nil, m))
+	s.send(sip.Append(nil, m))
 	return true
 }
 
-// ends ends an established call, and tells it where the protocol has it.
-func (p *process) ends(id string) bool {
+// endCall ends an established call, and tells it where the protocol has it.
+func (p *fakeDispatcher) endCall(id string) bool {
 	s, ok := p.established[id]
-	if !ok || p.still {
+	if !ok || p.paused {
 		return false
 	}
 	delete(p.established, id)
-	p.repeats = append(p.repeats, id)
-	open := p.open()
+	p.endsToRepeat = append(p.endsToRepeat, id)
+	open := p.usableConns()
 	if !slices.Contains(open, s) {
 		if len(open) == 0 {
 			return true
 		}
 		s = open[0]
-		if p.newest {
+		if p.endsOnNewest {
 			s = open[len(open)-1]
 		}
 	}
-	s.tellEnd(id)
+	s.sendEnd(id)
 	return true
 }
 
-// chat has the process tell its state on each connection, every second.
-func (p *process) chat(loop *call.Loop) {
+// startReporting has the process tell its state on each connection, every second.
+func (p *fakeDispatcher) startReporting(loop *call.Loop) {
 	loop.After(time.Second, func() {
-		for _, s := range p.open() {
-			if !p.still {
-				s.reports()
+		for _, s := range p.usableConns() {
+			if !p.paused {
+				s.sendReport()
 			}
 		}
-		p.chat(loop)
+		p.startReporting(loop)
 	})
 }
 
-// tellsEnd reports whether the end of a call is on its way, or is to be told on the next connection.
-func (p *process) tellsEnd(id string) bool {
-	return slices.Contains(p.repeats, id) || slices.ContainsFunc(p.all, func(s *standInConnection) bool {
-		return slices.ContainsFunc(s.flight, func(m standInMessage) bool { return m.ends == id })
+// hasUndeliveredEnd reports whether the end of a call is on its way, or is to be told on the next connection.
+func (p *fakeDispatcher) hasUndeliveredEnd(id string) bool {
+	return slices.Contains(p.endsToRepeat, id) || slices.ContainsFunc(p.allConns, func(s *fakeConn) bool {
+		return slices.ContainsFunc(s.inTransit, func(m fakeMessage) bool { return m.endOf == id })
 	})
 }
 
-// takes acts on a message of the controller.
-func (p *process) takes(s *standInConnection, m *sip.Message) {
+// handle acts on a message of the controller.
+func (p *fakeDispatcher) handle(s *fakeConn, m *sip.Message) {
 	switch m.Method {
 	case "INVITE":
 		s.setUps[m.CallID] = int(m.Seq) - 1
-		if p.prompt || p.promptly[m.CallID] || p.again && m.Seq > 1 {
-			p.answersSoon(s, m.CallID)
+		if p.answersAll || p.answersCall[m.CallID] || p.answersRetries && m.Seq > 1 {
+			p.answerLater(s, m.CallID)
 		}
 	case "CANCEL":
 		delete(s.setUps, m.CallID)
@@ -227,51 +229,51 @@
 	case "ACK", "":
 		return
 	}
-	if m.Method != "INVITE" && !(m.Method == "BYE" && p.unconfirmed) {
-		s.tell(sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: m.CallID, Seq: m.Seq, SeqOf: m.Method}))
+	if m.Method != "INVITE" && !(m.Method == "BYE" && p.ignoresReleases) {
+		s.send(sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: m.CallID, Seq: m.Seq, SeqOf: m.Method}))
 	}
 }
 
-// answersSoon has a set-up answered promptly, or as the process goes on.
-func (p *process) answersSoon(s *standInConnection, id string) {
-	s.loop.After(promptly, func() {
-		if p.still {
-			p.answersSoon(s, id)
+// answerLater has a set-up answered promptly, or as the process goes on.
+func (p *fakeDispatcher) answerLater(s *fakeConn, id string) {
+	s.loop.After(answerDelay, func() {
+		if p.paused {
+			p.answerLater(s, id)
 			return
 		}
-		p.finalAnswerOn(s, id, 200)
-		s.deliver()
+		p.sendFinalAnswerOn(s, id, 200)
+		s.deliverToPool()
 	})
 }
 
-// goesOn ends a standstill. What has been written meanwhile is read now, unless that is yet to come.
-func (p *process) goesOn(reads bool) {
-	p.still = false
-	before := slices.Clone(p.all)
-	for _, s := range p.waiting {
-		p.opens(s)
+// unpause ends a standstill. What has been written meanwhile is read now, unless that is yet to come.
+func (p *fakeDispatcher) unpause(reads bool) {
+	p.paused = false
+	before := slices.Clone(p.allConns)
+	for _, s := range p.backlog {
+		p.useConn(s)
 	}
-	p.waiting = nil
+	p.backlog = nil
 	for _, s := range before {
-		s.deaf = s.deaf || !reads && !s.peerClosed
-		s.reaches()
+		s.blockedToDispatcher = s.blockedToDispatcher || !reads && !s.dispatcherClosed
+		s.deliverToDispatcher()
 	}
 }
 
-// returns ends the time in which nothing got through. What was written meanwhile gets through now.
-func (p *process) returns() {
-	p.cutOff = false
-	for _, s := range p.all {
-		s.reaches()
-		s.deliver()
+// reconnect ends the time in which nothing got through. What was written meanwhile gets through now.
+func (p *fakeDispatcher) reconnect() {
+	p.partitioned = false
+	for _, s := range p.allConns {
+		s.deliverToDispatcher()
+		s.deliverToPool()
 	}
 }
 
-// dies resets all connections and cuts all calls.
-func (p *process) dies() {
-	p.listens = false
+// die resets all connections and cuts all calls.
+func (p *fakeDispatcher) die() {
+	p.listening = false
 	clear(p.established)
-	for _, s := range slices.Clone(p.connections) {
+	for _, s := range slices.Clone(p.openConns) {
 		s.reset()
 	}
 }
--- a/internal/dispatchers/steps.go
+++ b/internal/dispatchers/steps.go
@@ -9,34 +9,34 @@
 // Steps of ends of calls, as the connections to dispatchers see them.
 
 // String names the state in the log.
-func (s linkState) String() string {
+func (s connState) String() string {
 	return [...]string{"open", "draining", "half-closed", "closed"}[s]
 }
 
-// logCall logs a step of a call that came about on the connection.
-func (l *link) logCall(step endlog.Step, id string, attempt int) {
-	endlog.Call(l.server.pool.Log, step, id, endlog.Server(l.server.ID), endlog.Connection(l.number),
-		slog.String(endlog.StateKey, l.state.String()), endlog.Attempt(attempt))
+// logCallStep logs a step of a call that came about on the connection.
+func (c *connection) logCallStep(step endlog.Step, id string, attempt int) {
+	endlog.Call(c.server.pool.Log, step, id, endlog.Server(c.server.ID), endlog.Connection(c.number),
+		slog.String(endlog.StateKey, c.state.String()), endlog.Attempt(attempt))
 }
 
 // logRelease logs a step of the release of a call towards the dispatcher; connection is 0 while there is none for it.
-func (s *server) logRelease(step endlog.Step, r release, connection uint64) {
-	endlog.Call(s.pool.Log, step, r.id, endlog.Server(s.ID), endlog.Connection(connection), slog.Int("cause", r.cause))
+func (s *server) logRelease(step endlog.Step, r release, number uint64) {
+	endlog.Call(s.pool.Log, step, r.id, endlog.Server(s.ID), endlog.Connection(number), slog.Int("cause", r.cause))
 }
 
-// log logs a step of the connection, with the set-ups that are open on it.
-func (l *link) log(step endlog.Step, reason error) {
-	log := l.server.pool.Log
+// logStep logs a step of the connection, with the set-ups that are open on it.
+func (c *connection) logStep(step endlog.Step, reason error) {
+	log := c.server.pool.Log
 	if endlog.Enabled(log) {
-		endlog.Dispatcher(log, step, string(l.server.ID), endlog.Connection(l.number), slog.String(endlog.StateKey, l.state.String()),
-			slog.Int("open", l.open()), endlog.Reason(reason))
+		endlog.Dispatcher(log, step, string(c.server.ID), endlog.Connection(c.number), slog.String(endlog.StateKey, c.state.String()),
+			slog.Int("open", c.openSetUps()), endlog.Reason(reason))
 	}
 }
 
-// log logs a step of the dispatcher.
-func (s *server) log(step endlog.Step, reason error) {
+// logStep logs a step of the dispatcher.
+func (s *server) logStep(step endlog.Step, reason error) {
 	log := s.pool.Log
 	if endlog.Enabled(log) {
-		endlog.Dispatcher(log, step, string(s.ID), slog.Int("connections", len(s.links)), slog.Int("given_up", len(s.givenUp)), endlog.Reason(reason))
+		endlog.Dispatcher(log, step, string(s.ID), slog.Int("connections", len(s.conns)), slog.Int("given_up", len(s.abandoned)), endlog.Reason(reason))
 	}
 }
--- a/internal/dispatchers/steps_test.go
+++ b/internal/dispatchers/steps_test.go
@@ -12,28 +12,28 @@
 )
 
 // logTo has the pool log its steps.
-func (s *orderSite) logTo(w io.Writer) {
+func (s *harness) logTo(w io.Writer) {
 	s.pool.Log = slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: slog.LevelDebug}))
 }
 
-// TestTheStepsOfAGivenUpConnectionAreLogged guards against ends that are read on a connection that was given up without the log saying so.
-func TestTheStepsOfAGivenUpConnectionAreLogged(t *testing.T) {
-	start := orderStart{name: "established", called: true}
+// TestTheStepsOfAnAbandonedConnectionAreLogged guards against ends that are read on a connection that was given up without the log saying so.
+func TestTheStepsOfAnAbandonedConnectionAreLogged(t *testing.T) {
+	start := initialState{name: "established", established: true}
 	var log bytes.Buffer
-	order := []orderEvent{
-		event("the end of the call is on its way", 0, func(s *orderSite) { s.end(s.first, orderedID) }),
-		event("its connection is given up", 0, func(s *orderSite) {
+	order := []scenarioStep{
+		newStep("the end of the call is on its way", 0, func(s *harness) { s.endCall(s.first, testCallID) }),
+		newStep("its connection is given up", 0, func(s *harness) {
 			s.logTo(&log)
-			s.pool.servers["first"].links[0].retire(errors.New("for the test"))
+			s.pool.servers["first"].conns[0].halfClose(errors.New("for the test"))
 		}),
 	}
-	if result := start.play(t, order); !result.possible || len(result.faults) > 0 {
-		t.Fatalf("possible: %v, faults: %v", result.possible, result.faults)
+	if result := start.play(t, order); !result.possible || len(result.violations) > 0 {
+		t.Fatalf("possible: %v, faults: %v", result.possible, result.violations)
 	}
 	for _, want := range []string{
 		`step="` + string(endlog.LinkGivenUp) + `" server=first connection=1 state=half-closed`,
-		`step="` + string(endlog.InDoubt) + `" id=` + orderedID + ` server=first`,
-		`step="` + string(endlog.ReleaseRead) + `" id=` + orderedID + ` server=first connection=1 state=half-closed`,
+		`step="` + string(endlog.InDoubt) + `" id=` + testCallID + ` server=first`,
+		`step="` + string(endlog.ReleaseRead) + `" id=` + testCallID + ` server=first connection=1 state=half-closed`,
 		`step="` + string(endlog.LinkEnded) + `" server=first connection=1`,
 	} {
 		if !strings.Contains(log.String(), want) {
@@ -47,12 +47,12 @@
 
 // TestTheStepsOfADispatcherAreLogged guards against connections that are asked for, and calls that are released, without the log saying so.
 func TestTheStepsOfADispatcherAreLogged(t *testing.T) {
-	events := map[byte]orderEvent{}
-	for _, e := range orderEvents() {
+	events := map[byte]scenarioStep{}
+	for _, e := range baseSteps() {
 		events[e.letter] = e
 	}
-	events['!'] = event("the first dispatcher is dropped", 0, func(s *orderSite) { s.pool.servers["first"].drop(errors.New("for the test")) })
-	events['%'], events['@'] = allReset(), addressTaken()
+	events['!'] = newStep("the first dispatcher is dropped", 0, func(s *harness) { s.pool.servers["first"].disconnect(errors.New("for the test")) })
+	events['%'], events['@'] = resetAll(), addressTaken()
 	for step, order := range map[endlog.Step]string{
 		endlog.RenewalAsked:     "rT",
 		endlog.RenewalBegun:     "n",
@@ -68,11 +68,11 @@
 	} {
 		t.Run(string(step), func(t *testing.T) {
 			var log bytes.Buffer
-			all := []orderEvent{event("steps are logged", 0, func(s *orderSite) { s.logTo(&log) })}
+			all := []scenarioStep{newStep("steps are logged", 0, func(s *harness) { s.logTo(&log) })}
 			for _, letter := range []byte(order) {
 				all = append(all, events[letter])
 			}
-			if result := (orderStart{name: "set up", links: 2}).play(t, all); !result.possible {
+			if result := (initialState{name: "set up", conns: 2}).play(t, all); !result.possible {
 				t.Fatal("the order did not come about")
 			}
 			if !strings.Contains(log.String(), "step=\""+string(step)+"\"") {
--- a/internal/dispatchers/transport.go
+++ b/internal/dispatchers/transport.go
@@ -6,8 +6,8 @@
 	"cherryrelay/internal/conn"
 )
 
-// connection is one connection to a dispatcher; *conn.Conn is one, and documents the methods.
-type connection interface {
+// transportConn is one connection to a dispatcher; *conn.Conn is one, and documents the methods.
+type transportConn interface {
 	Write(p []byte)
 	WriteThen(p []byte, then func()) conn.Ticket
 	Recall(ticket conn.Ticket) bool
@@ -22,11 +22,11 @@
 
 // dialer opens a connection without holding up the loop. Once it is up, opened makes what takes its callbacks; then, or as the dial has
 // failed, done is called. Both run on the loop.
-type dialer func(address string, timeout time.Duration, opened func(connection) conn.Handler, done func(error))
+type dialer func(address string, timeout time.Duration, opened func(transportConn) conn.Handler, done func(error))
 
 // dialTCP returns the dialer of TCP connections.
 func dialTCP(loop conn.Poster) dialer {
-	return func(address string, timeout time.Duration, opened func(connection) conn.Handler, done func(error)) {
+	return func(address string, timeout time.Duration, opened func(transportConn) conn.Handler, done func(error)) {
 		conn.Dial(loop, address, timeout, func(c *conn.Conn) conn.Handler { return opened(c) }, done)
 	}
 }
--- a/internal/dispatchers/vanished_test.go
+++ b/internal/dispatchers/vanished_test.go
@@ -13,40 +13,40 @@
 	"cherryrelay/internal/call"
 )
 
-// holding is a core that has a call at a dispatcher until that is no more.
-type holding struct {
-	Core // what is not asked here
-	died chan control.ServerID
-	gone bool
+// oneCallCore is a core that has a call at a dispatcher until that is no more.
+type oneCallCore struct {
+	Core   // what is not asked here
+	failed chan control.ServerID
+	ended  bool
 }
 
-func (h *holding) EstablishedCount(control.ServerID) int {
-	if h.gone {
+func (h *oneCallCore) EstablishedCount(control.ServerID) int {
+	if h.ended {
 		return 0
 	}
 	return 1
 }
 
-func (h *holding) EachEstablished(f func(control.ServerID)) {
-	if !h.gone {
+func (h *oneCallCore) EachEstablished(f func(control.ServerID)) {
+	if !h.ended {
 		f("d")
 	}
 }
 
-func (h *holding) EstablishedAt(control.ServerID) iter.Seq[string] {
+func (h *oneCallCore) EstablishedAt(control.ServerID) iter.Seq[string] {
 	return func(yield func(string) bool) {
-		if !h.gone {
+		if !h.ended {
 			yield("a call")
 		}
 	}
 }
 
-func (h *holding) DispatcherReached() {}
+func (h *oneCallCore) DispatcherReached() {}
 
-func (h *holding) DispatcherFailed(id control.ServerID) {
-	if !h.gone {
-		h.gone = true
-		h.died <- id
+func (h *oneCallCore) DispatcherFailed(id control.ServerID) {
+	if !h.ended {
+		h.ended = true
+		h.failed <- id
 	}
 }
 
@@ -96,7 +96,7 @@
 	t.Parallel()
 	address := unreachable(t)
 	loop := call.NewLoop()
-	core := &holding{died: make(chan control.ServerID, 1)}
+	core := &oneCallCore{failed: make(chan control.ServerID, 1)}
 	begun := time.Now()
 	loop.Post(func() {
 		p := New(loop, core, Options{ConnectTimeout: 200 * time.Millisecond, Log: slog.New(slog.DiscardHandler)})
@@ -105,11 +105,11 @@
 	go loop.Run()
 	t.Cleanup(loop.Quit)
 	select {
-	case <-core.died:
-		if early := deadAfter - time.Since(begun); early > 0 {
+	case <-core.failed:
+		if early := silenceTimeout - time.Since(begun); early > 0 {
 			t.Errorf("given up %v too early", early)
 		}
-	case <-time.After(4 * deadAfter):
+	case <-time.After(4 * silenceTimeout):
 		t.Error("its calls are held for ever")
 	}
 }
--- a/internal/dispatchers/waiting_test.go
+++ b/internal/dispatchers/waiting_test.go
@@ -11,24 +11,24 @@
 	"cherryrelay/internal/peer"
 )
 
-// TestWhatHasWaitedTellsWhatIsLeft: a set-up that waited for its connection was sent with its whole limit.
-func TestWhatHasWaitedTellsWhatIsLeft(t *testing.T) {
+// TestWaitingSetUpSendsTheTimeLeft: a set-up that waited for its connection was sent with its whole limit.
+func TestWaitingSetUpSendsTheTimeLeft(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for waited, want := range map[time.Duration]time.Duration{
 		0: 400 * time.Millisecond, 153 * time.Millisecond: 247 * time.Millisecond, 400 * time.Millisecond: 0, time.Second: 0,
 		-time.Second: 400 * time.Millisecond, // a clock that was set back
 	} {
-		w := waiting{SetUp: call.SetUp{ID: "1", Timeout: 400 * time.Millisecond}, since: start}
-		a, ok := w.due(start.Add(waited))
+		w := waitingSetUp{SetUp: call.SetUp{ID: "1", Timeout: 400 * time.Millisecond}, queuedAt: start}
+		a, ok := w.withTimeLeft(start.Add(waited))
 		if ok != (want > 0) || ok && a.Timeout != want {
 			t.Errorf("after %v: %v, %v, want %v", waited, a.Timeout, ok, want)
 		}
 	}
 }
 
-// TestReleasesThatWait: more releases than a socket takes at once wait for a connection, and a set-up behind them. All go out, in that
+// TestWaitingReleases: more releases than a socket takes at once wait for a connection, and a set-up behind them. All go out, in that
 // order; those beyond 1,024 were dropped, and their calls stood until their own end.
-func TestReleasesThatWait(t *testing.T) {
+func TestWaitingReleases(t *testing.T) {
 	t.Parallel()
 	d, err := peer.DispatchLate("tcp", "x0:40")
 	if err != nil {
@@ -40,16 +40,16 @@
 	t.Cleanup(loop.Quit)
 	const many = 6000 // about a megabyte
 	loop.Post(func() {
-		p := New(loop, &ends{told: map[string]control.Outcome{}}, Options{ConnectTimeout: time.Minute, Log: slog.New(slog.DiscardHandler)})
+		p := New(loop, &outcomeRecorder{outcomes: map[string]control.Outcome{}}, Options{ConnectTimeout: time.Minute, Log: slog.New(slog.DiscardHandler)})
 		p.SetMaxConnections(1)
-		var turn func()
-		turn = func() { p.Flush(); loop.After(time.Millisecond, turn) } // as the core's
-		turn()
+		var iterate func()
+		iterate = func() { p.Flush(); loop.After(time.Millisecond, iterate) } // as the core's
+		iterate()
 		p.Update(call.Update{Servers: []call.Server{{ServerEntry: control.ServerEntry{ID: "d"}, Address: d.Address()}}, Complete: true})
 		for n := range many {
 			p.Release("d", fmt.Sprint("stood-", n), 31)
 		}
-		for n := range 2 * maxReleases {
+		for n := range 2 * maxUnknownReleases {
 			p.Release("", fmt.Sprint("unknown-", n), 31) // anybody may send these: they are bounded
 		}
 		p.SetUp("d", attemptOf("last", 0))
--- a/internal/dispatchers/websocket.go
+++ b/internal/dispatchers/websocket.go
@@ -17,18 +17,18 @@
 
 // WebSocket speaks the call-control API to a dispatcher, as its client.
 type WebSocket struct {
-	fields     *[]string // of load reports, as the settings have them now
-	host, path string
-	opening    websocket.Opening
-	open, bye  bool
-	dec        websocket.Decoder
-	probes     uint32 // sent
-	replies    uint32 // to them, which come in their order
+	fields                       *[]string // of load reports, as the settings have them now
+	host, path                   string
+	opening                      websocket.Opening
+	handshakeDone, closeReceived bool
+	dec                          websocket.Decoder
+	probes                       uint32 // sent
+	probeReplies                 uint32 // to them, which come in their order
 }
 
 // ParseAddress tells where an address of the list leads and in which form to speak there: "host:port" is SIP over TCP,
 // "ws://host:port/path" the call-control API.
-func ParseAddress(address string, fields *[]string) (dial string, w Protocol) {
+func ParseAddress(address string, fields *[]string) (dial string, protocol Protocol) {
 	if !strings.HasPrefix(address, "ws://") {
 		return address, &SIP{fields: fields}
 	}
@@ -44,20 +44,20 @@
 }
 
 // Handshake is the opening request.
-func (w *WebSocket) Handshake() []byte { return w.opening.Request(w.host, w.path) }
+func (p *WebSocket) Handshake() []byte { return p.opening.Request(p.host, p.path) }
 
 // HandshakeDone reports whether the dispatcher has taken the connection.
-func (w *WebSocket) HandshakeDone() bool { return w.open }
+func (p *WebSocket) HandshakeDone() bool { return p.handshakeDone }
 
 // ClosingMessage closes in good order.
-func (w *WebSocket) ClosingMessage(err error) []byte {
-	if !w.open {
+func (p *WebSocket) ClosingMessage(err error) []byte {
+	if !p.handshakeDone {
 		return nil
 	}
 	return websocket.AppendClose(nil, websocket.CloseCode(err), "", true)
 }
 
-func frame(m jsonl.Message) []byte {
+func textFrame(m jsonl.Message) []byte {
 	text, err := jsonl.Append(nil, m)
 	if err != nil {
 		return nil // a message of strings and numbers can always be written
@@ -66,88 +66,88 @@
 }
 
 // SetUp is a "setup".
-func (w *WebSocket) SetUp(a call.SetUp) []byte {
-	return frame(jsonl.Message{Type: "setup", ID: a.ID, SDP: &a.Description, Fields: map[string]jsonl.Value{
+func (p *WebSocket) SetUp(a call.SetUp) []byte {
+	return textFrame(jsonl.Message{Type: "setup", ID: a.ID, SDP: &a.Description, Fields: map[string]jsonl.Value{
 		"class": jsonl.Value(a.Class), "key": jsonl.Value(a.Called),
 		"left": jsonl.Value(strconv.FormatInt(a.Timeout.Milliseconds(), 10)),
 	}})
 }
 
 // Cancel is a "release" with cause 16.
-func (w *WebSocket) Cancel(id string, _ int, _ string) []byte { return w.Release(id, call.CauseNormal) }
+func (p *WebSocket) Cancel(id string, _ int, _ string) []byte { return p.Release(id, call.CauseNormal) }
 
 // Release is a "release".
-func (w *WebSocket) Release(id string, cause int) []byte {
-	return frame(jsonl.Message{Type: "release", ID: id, Cause: &cause})
+func (p *WebSocket) Release(id string, cause int) []byte {
+	return textFrame(jsonl.Message{Type: "release", ID: id, Cause: &cause})
 }
 
 // Probe is a "ping".
-func (w *WebSocket) Probe() (message []byte, number uint32) {
-	w.probes++
-	none := 0
-	return frame(jsonl.Message{Type: "ping", ID: "load", Cause: &none}), w.probes
+func (p *WebSocket) Probe() (message []byte, number uint32) {
+	p.probes++
+	zero := 0
+	return textFrame(jsonl.Message{Type: "ping", ID: "load", Cause: &zero}), p.probes
 }
 
 // Next reads a message.
-func (w *WebSocket) Next(in *ring.Buffer) (*Message, error) {
+func (p *WebSocket) Next(in *ring.Buffer) (*Message, error) {
 	switch {
-	case w.bye:
+	case p.closeReceived:
 		return nil, io.EOF
-	case !w.open:
-		open, err := w.opening.Done(in)
-		if err != nil || !open {
+	case !p.handshakeDone:
+		done, err := p.opening.Done(in)
+		if err != nil || !done {
 			return nil, err
 		}
-		w.open = true
-		return &Message{kind: hello}, nil
+		p.handshakeDone = true
+		return &Message{kind: handshakeComplete}, nil
 	}
-	m, err := w.dec.Next(in)
+	m, err := p.dec.Next(in)
 	if m == nil || err != nil {
 		return nil, err
 	}
 	switch m.Op {
 	case websocket.Ping:
-		return reply(websocket.Append(nil, websocket.Pong, m.Payload, true)), nil
+		return replyMessage(websocket.Append(nil, websocket.Pong, m.Payload, true)), nil
 	case websocket.Close:
-		w.bye = true
-		return reply(websocket.AppendClose(nil, m.Code, "", true)), nil
+		p.closeReceived = true
+		return replyMessage(websocket.AppendClose(nil, m.Code, "", true)), nil
 	case websocket.Text:
 		message, err := jsonl.Parse(m.Payload)
 		if err != nil {
 			return nil, errors.Join(&websocket.Error{Code: websocket.BadData, Text: "unreadable message"}, err)
 		}
-		return w.meaning(message), nil
+		return p.interpret(message), nil
 	case websocket.Binary:
 		return nil, &websocket.Error{Code: websocket.Unsupported, Text: "messages are text"}
 	}
 	return &Message{}, nil
 }
 
-func reply(p []byte) *Message { return &Message{reply: func(string) []byte { return p }} }
+func replyMessage(p []byte) *Message { return &Message{encodeReply: func(string) []byte { return p }} }
 
-func (w *WebSocket) meaning(m *jsonl.Message) *Message {
-	got := &Message{id: m.ID}
+func (p *WebSocket) interpret(m *jsonl.Message) *Message {
+	message := &Message{id: m.ID}
 	if text := string(m.Fields["report"]); text != "" {
-		got.kind, got.report = report, settings.ParseReport(text, *w.fields)
+		message.kind, message.report = report, settings.ParseReport(text, *p.fields)
 	}
 	switch m.Type {
 	case "answer":
-		got.kind, got.final, got.description = answer, true, m.Description()
-		got.damaged = !call.ValidDescription(got.description)
+		message.kind, message.final, message.description = answer, true, m.Description()
+		message.damaged = !call.ValidDescription(message.description)
 	case "released":
-		got.kind = confirmation
+		message.kind = releaseConfirmed
 	case "pong":
-		w.replies++
-		got.probe = w.replies
+		p.probeReplies++
+		message.probeReply = p.probeReplies
 	case "release":
-		got.kind, got.final, got.cause = ended, true, m.CauseOr(call.CauseNormal)
-		got.outcome, got.noLine = outcome(got.cause)
+		message.kind, message.final, message.cause = refusedOrReleased, true, m.CauseOr(call.CauseNormal)
+		message.outcome, message.noLine = releaseOutcome(message.cause)
 	}
-	return got
+	return message
 }
 
-// outcome of a set-up that a dispatcher releases instead of answering it; docs/api.md has the table.
-func outcome(cause int) (o control.Outcome, noLine bool) {
+// releaseOutcome of a set-up that a dispatcher releases instead of answering it; docs/api.md has the table.
+func releaseOutcome(cause int) (o control.Outcome, noLine bool) {
 	switch cause {
 	case 34:
 		return control.Full, true
--- a/internal/dispatchers/wire.go
+++ b/internal/dispatchers/wire.go
@@ -12,13 +12,13 @@
 type kind int
 
 const (
-	nothing kind = iota // progress, or what wants no more than its reply
-	hello               // the connection may be used now
+	noAction          kind = iota // progress, or what wants no more than its reply
+	handshakeComplete             // the connection may be used now
 	answer
 	refusal
 	released
-	ended        // a refusal if the set-up is open, else the end of a call that stood
-	confirmation // of a release
+	refusedOrReleased // a refusal if the set-up is open, else the end of a call that stood
+	releaseConfirmed  // of a release
 	report
 )
 
@@ -31,10 +31,10 @@
 	noLine      bool
 	cause       int
 	report      []float64
-	reply       func(called string) []byte // what the wire owes for it; nil for nothing
+	encodeReply func(called string) []byte // what the wire owes for it; nil for nothing
 	final       bool                       // nothing more comes for the set-up
 	damaged     bool                       // the description cannot be what was meant
-	probe       uint32                     // the number of the probe that it is the reply to; 0 for none
+	probeReply  uint32                     // the number of the probe that it is the reply to; 0 for none
 }
 
 // Protocol is the form in which one connection speaks to a dispatcher.
