--- a/cmd/cherryrelay/replacement_soak_test.go
+++ b/cmd/cherryrelay/replacement_soak_test.go
@@ -415,7 +415,7 @@
 	begun, s := time.Now(), drawReplacement(seed)
 	r := playReplacement(t, seed)
 	t.Logf("seed %d: %d ends judged, %d of calls tried again at their dispatcher, %d answers crossed a give-up, %d connections given up as dead, %v in all; %v; %v",
-		seed, r.ends, r.again, r.crossed, strings.Count(r.log, "open but dead"), time.Since(begun).Round(time.Millisecond), r.counts, &s)
+		seed, r.ends, r.again, r.crossed, strings.Count(r.log, "open but unresponsive"), time.Since(begun).Round(time.Millisecond), r.counts, &s)
 	if len(r.faults) > 0 {
 		again := fmt.Sprintf("again with `make soak SOAK=SoakReplacements SEEDS=1 FIRST=%d`", seed)
 		t.Error(failureReport(again, r.faults, r.log))
--- a/internal/dispatchers/budget.go
+++ b/internal/dispatchers/budget.go
@@ -9,57 +9,58 @@
 	"cherryrelay/internal/decide/links"
 )
 
-// socketUsage counts what the connections to all dispatchers hold, against the budget that they have together. What is decided about them is
-// decided in decide/links.
+// socketUsage counts the sockets that the connections to all dispatchers hold, against the budget that they share. The package
+// decide/links makes the decisions about them.
 type socketUsage struct {
 	budget         links.Budget
 	pace           links.DialLimiter
-	dialCount      int       // since the start
-	held           int       // open connections, half-closed ones, and those being dialled
-	evicting       int       // of them, closed to make room and not told to have ended yet
-	awaitingSocket []*server // whose need waits for the end of an evicted one
-	established    map[control.ServerID]int
-	countedAt      time.Time // when standing was counted
+	dialCount      int                      // number of dials since the start
+	held           int                      // sockets of open and half-closed connections, and of those being dialled
+	evicting       int                      // number of held sockets whose connection was evicted and has not ended yet
+	awaitingSocket []*server                // dispatchers whose next connection waits for the end of an evicted one
+	established    map[control.ServerID]int // number of established calls by dispatcher
+	countedAt      time.Time                // time at which the established calls were counted
 }
 
-// SetSocketBudget sets how many sockets the connections to all dispatchers may hold together; 0 is no bound. Beyond it, those are closed that no
-// set-up is open on.
+// SetSocketBudget sets how many sockets the connections to all dispatchers may hold together; 0 means no limit. While the limit is
+// exceeded, connections without an open set-up are closed.
 func (p *Pool) SetSocketBudget(sockets int) {
 	p.sockets.budget = links.Budget(sockets)
 	p.enforceBudget()
 }
 
-// SocketCount is how many sockets the connections to all dispatchers hold.
+// SocketCount returns the number of sockets that the connections to all dispatchers hold.
 func (p *Pool) SocketCount() int { return p.sockets.held }
 
-// enforceBudget closes connections while there are more than there may be.
+// enforceBudget evicts connections while the budget is exceeded.
 func (p *Pool) enforceBudget() {
 	for p.sockets.budget.Exceeded(p.sockets.held-p.sockets.evicting) && p.evictLeastNeeded(links.SetUp, 0) {
 	}
 }
 
-// mayDial reports whether a connection to a dispatcher may be dialled now. If the budget is against it, another connection is closed to make
-// room where the need is greater than what that one is kept for; the dispatcher is connected to once it has ended.
+// mayDial reports whether a connection to a dispatcher may be dialled now. If the budget does not allow it, mayDial evicts a less needed
+// connection if there is one; the dispatcher is dialled once that connection has ended.
 func (p *Pool) mayDial(s *server, now time.Time) bool {
-	plenty := p.hasSpareSockets()
-	if plenty && !s.backoff.Failed() {
-		return true // nobody needs to know what for
+	spare := p.hasSpareSockets()
+	if spare && !s.backoff.Failed() {
+		return true // the purpose does not matter
 	}
 	purpose := s.purpose(now)
 	if !s.backoff.Due(now, purpose) {
 		return false
 	}
-	if plenty || p.sockets.budget.Allows(purpose, p.sockets.held) {
+	if spare || p.sockets.budget.Allows(purpose, p.sockets.held) {
 		return purpose >= links.ActiveCalls || !s.backoff.Failed() || p.sockets.pace.Allow(now)
 	}
 	p.evictFor(s, purpose, now)
 	return false
 }
 
-// hasSpareSockets reports whether connections are opened whatever they are for.
+// hasSpareSockets reports whether the budget allows connections for any purpose.
 func (p *Pool) hasSpareSockets() bool { return p.sockets.budget.Allows(links.Draining, p.sockets.held) }
 
-// evictFor has a connection closed to make room for one to the dispatcher, if the purpose is worth it. It is dialled then.
+// evictFor evicts a connection in favour of one to the dispatcher, if the purpose justifies it. The dispatcher is dialled once the
+// evicted connection has ended.
 func (p *Pool) evictFor(s *server, purpose links.Purpose, now time.Time) {
 	if s.awaitsSocket {
 		return
@@ -71,7 +72,7 @@
 	}
 }
 
-// disconnectedFor is how long the dispatcher has had no open connection.
+// disconnectedFor returns how long the dispatcher has had no open connection.
 func (s *server) disconnectedFor(now time.Time) time.Duration {
 	if len(s.conns) > 0 {
 		return 0
@@ -79,7 +80,7 @@
 	return now.Sub(s.disconnectedSince)
 }
 
-// purpose is what the next connection to the dispatcher is opened for.
+// purpose returns the purpose of the next connection to the dispatcher.
 func (s *server) purpose(now time.Time) links.Purpose {
 	switch {
 	case len(s.waiting) > 0:
@@ -94,18 +95,20 @@
 	return links.Preconnect
 }
 
-// hasWaitingRelease reports whether the release of a call at this dispatcher waits for a connection: until then the call keeps its line.
+// hasWaitingRelease reports whether the release of a call at this dispatcher waits for a connection. The call occupies its line until
+// then.
 func (s *server) hasWaitingRelease() bool {
 	return slices.ContainsFunc(s.releases, func(r release) bool { return r.knownHere })
 }
 
-// establishedCount is how many calls stood at a dispatcher a moment ago. They are counted for all dispatchers at once.
+// establishedCount returns the number of calls established at a dispatcher, which may be up to checkInterval old. The calls of all
+// dispatchers are counted together.
 func (p *Pool) establishedCount(id control.ServerID, now time.Time) int {
 	p.refreshEstablished(now, checkInterval)
 	return p.sockets.established[id]
 }
 
-// refreshEstablished counts the calls that stand at each dispatcher, unless that was done a moment ago.
+// refreshEstablished counts the established calls of each dispatcher, unless the last count is younger than maxAge.
 func (p *Pool) refreshEstablished(now time.Time, maxAge time.Duration) {
 	if age := now.Sub(p.sockets.countedAt); p.sockets.established != nil && age >= 0 && age < maxAge {
 		return
@@ -114,7 +117,7 @@
 	p.core.EachEstablished(func(server control.ServerID) { p.sockets.established[server]++ })
 }
 
-// evictLeastNeeded closes the connection that is missed least, if the purpose is worth it.
+// evictLeastNeeded closes the connection that is needed least, if the purpose justifies it.
 func (p *Pool) evictLeastNeeded(purpose links.Purpose, disconnectedFor time.Duration) bool {
 	now := time.Now()
 	var conns []*connection
@@ -135,31 +138,32 @@
 	return true
 }
 
-// evictionCandidate is the connection as it counts when one must make room.
+// evictionCandidate describes the connection for the choice of the one to evict.
 func (c *connection) evictionCandidate(now time.Time) links.Connection {
 	s := c.server
 	return links.Connection{
 		Draining: s.Status != control.Active || s.replaced, Sole: len(s.conns) == 1, HalfClosed: c.isAbandoned(),
 		HasReceived: c.lastReceivedAt.After(c.openedAt), PendingSetUps: len(c.setUps),
-		HasCalls: s.pool.establishedCount(s.ID, now) > 0 || c.hasUnconfirmedKnownRelease(), Since: c.stateSince, UsedAt: c.usedAt,
+		HasCalls: s.pool.establishedCount(s.ID, now) > 0 || c.hasUnconfirmedKnownRelease(), Since: c.since, UsedAt: c.usedAt,
 	}
 }
 
-// evict closes the connection to make room. Where calls stand, an end may be on its way here, and be told again only on the next connection that
-// opens: an open one is read for a moment more, in which its dispatcher closes it too.
+// evict closes the connection to free its socket. If calls are established at the dispatcher, an end may be in transit here, and the
+// dispatcher would repeat it only on the next connection that opens. An open connection is therefore half-closed and read for
+// evictedReadTimeout, in which a working dispatcher closes its side.
 func (c *connection) evict() {
 	c.evicted = true
 	if s := c.server; c.state == connOpen && s.pool.core.EstablishedCount(s.ID) > 0 {
 		c.halfCloseWithin(conn.ErrClosedHere, evictedReadTimeout)
 		return
 	}
-	c.conn.Abort(conn.ErrClosedHere) // nothing is open on it, and its descriptor is wanted
+	c.conn.Abort(conn.ErrClosedHere) // no set-up is open on it, and its descriptor is needed
 	if c.state == connOpen {
 		c.Closed(conn.ErrClosedHere)
 	}
 }
 
-// socketReleased tells that a socket is no more. Those that waited for it are connected to now.
+// socketReleased updates the count of sockets when one was closed, and dials the dispatchers that waited for it.
 func (p *Pool) socketReleased(evicted bool) {
 	p.sockets.held--
 	if evicted {
@@ -174,8 +178,9 @@
 	}
 }
 
-// countedConn is a link as its connection knows it: it counts until the connection holds no descriptor, however early the link was given up.
+// countedConn is the handler that a transport gets for a connection. It counts the socket until the transport has closed its descriptor,
+// which may be long after the connection was abandoned.
 type countedConn struct{ *connection }
 
-// Released comes once, last.
-func (s countedConn) Released() { s.server.pool.socketReleased(s.evicted) }
+// Released updates the count of sockets. It is called once, as the last callback.
+func (c countedConn) Released() { c.server.pool.socketReleased(c.evicted) }
--- a/internal/dispatchers/check.go
+++ b/internal/dispatchers/check.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// establishedCountInterval is the pace at which the calls that stand are counted, and dispatchers that have some are looked at.
+	// establishedCountInterval is the interval at which established calls are counted and the dispatchers that have some are checked.
 	establishedCountInterval = time.Second
-	// drainingRetryInterval is when a connection to a dispatcher that drains is asked for again that the budget was against.
+	// drainingRetryInterval is the interval between attempts to connect to a draining dispatcher while the budget does not allow it.
 	drainingRetryInterval = time.Second
 )
 
-// markActive has a dispatcher looked at with the next check.
+// markActive includes a dispatcher in the next check.
 func (p *Pool) markActive(s *server) {
 	if !s.active {
 		s.active = true
@@ -26,7 +26,7 @@
 	}
 }
 
-// check runs at a steady pace. It goes over the dispatchers that something is to be done for, however many are on the list.
+// check runs every checkInterval. It visits only the active dispatchers, however many the list has.
 func (p *Pool) check() {
 	now := time.Now()
 	p.enforceBudget()
@@ -34,7 +34,7 @@
 	p.dialQueued(now)
 	active := p.active
 	p.active = nil
-	if !p.hasSpareSockets() { // who has been without a connection for longest asks first
+	if !p.hasSpareSockets() { // longest without a connection first
 		slices.SortStableFunc(active, func(a, b *server) int { return cmp.Compare(b.disconnectedFor(now), a.disconnectedFor(now)) })
 	}
 	deleted := false
@@ -58,16 +58,16 @@
 	p.loop.After(checkInterval, p.check)
 }
 
-// check looks at one dispatcher.
+// check handles the timeouts of one dispatcher, and opens and closes its connections as needed.
 func (s *server) check(now time.Time) {
 	silentFor := now.Sub(s.lastReceivedAt)
 	switch {
 	case s.obsolete():
 		s.checkObsolete(now)
 		return
-	case silentFor > silenceTimeout && s.lastDialTimedOut && s.hasCalls(): // also where all connections were given up before: as each was unresponsive
-		s.pool.Log.Warn("dispatcher is silent", "server", s.ID, "for", silentFor)
-		s.disconnect(errors.New("dispatcher is silent"))
+	case silentFor > silenceTimeout && s.lastDialTimedOut && s.hasCalls(): // also if all connections were abandoned before, each as unresponsive
+		s.pool.Log.Warn("dispatcher is unresponsive", "server", s.ID, "for", silentFor)
+		s.disconnect(errors.New("dispatcher is unresponsive"))
 		s.pool.core.DispatcherFailed(s.ID)
 		return
 	case s.lastDialRefused && len(s.conns) > 0 && silentFor > silenceThreshold && s.hasCalls() && s.presumedStopped(now):
@@ -77,7 +77,7 @@
 		if s.purpose(now) >= links.ActiveCalls {
 			s.connect()
 		}
-	case len(s.conns) < s.wantedConns(now) && silentFor <= silenceThreshold: // also to one that drains: a new one brings the releases of a lost one
+	case len(s.conns) < s.wantedConns(now) && silentFor <= silenceThreshold: // also if it drains: a new connection brings the releases of a lost one
 		s.connect()
 	case silentFor > silenceThreshold && s.hasCalls() && (len(s.conns) < s.pool.maxConns || s.probeUnanswered(now) && s.ensureCapacity(now)):
 		s.connect()
@@ -85,7 +85,7 @@
 	for _, c := range slices.Clone(s.conns) {
 		for id, setUp := range c.setUps {
 			if !setUp.cancelledAt.IsZero() && now.Sub(setUp.cancelledAt) > cancelledRetention {
-				delete(c.setUps, id) // its dispatcher will say nothing more of it
+				delete(c.setUps, id) // the dispatcher sends nothing about it any more
 			}
 		}
 		if c.overtaken() || c.openSetUps() == 0 && c.unresponsive(now) {
@@ -103,29 +103,30 @@
 	s.failExpired(now)
 }
 
-// checkSilent looks at a connection that has brought nothing for long while others did.
+// checkSilent handles a connection that has received nothing for long while others have.
 func (s *server) checkSilent(c *connection, now time.Time) {
 	switch {
 	case s.lastReceivedAt.Sub(c.lastReceivedAt) <= silenceTimeout:
 	case c.openSetUps() == 0:
-		s.closeIdle(c) // the others are alive, and this one has nothing to do
-	case s.pool.core.EstablishedCount(s.ID) > 0: // its set-ups may have their answers yet, but ends may be told here in vain
+		s.closeIdle(c) // the other connections work, and this one is idle
+	case s.pool.core.EstablishedCount(s.ID) > 0: // answers to its set-ups may still come, but ends sent here may be lost
 		s.renewal.RequestPeriodic(now)
 	}
 }
 
-// replaceStalled gives up a connection that is open but dead. The only one is kept until the next one is up: it may be that its dispatcher is
-// slow and takes no new ones, and there would be no way to it for the releases of calls that it holds.
+// replaceStalled half-closes an unresponsive connection. The only connection is kept until another one is open: the dispatcher may be
+// slow and accept no new ones, and there would be no connection for the releases of its calls.
 func (s *server) replaceStalled(c *connection) {
 	if len(s.conns) == 1 && (s.pool.maxConns > 1 || s.Status != control.Active) {
 		s.connect()
 		return
 	}
-	s.pool.Log.Warn("connection to dispatcher is open but dead", "server", s.ID, "open", c.openSetUps())
+	s.pool.Log.Warn("connection to dispatcher is open but unresponsive", "server", s.ID, "open", c.openSetUps())
 	c.halfClose(errUnresponsive)
 }
 
-// markEstablishedActive has dispatchers looked at where calls stand, some of which the pool has not seen to stand: those of a predecessor.
+// markEstablishedActive marks the dispatchers with established calls as active. The pool has not seen the answers to some of these calls:
+// those of a predecessor.
 func (p *Pool) markEstablishedActive(now time.Time) {
 	if age := now.Sub(p.establishedMarkedAt); age >= 0 && age < establishedCountInterval {
 		return
@@ -139,7 +140,7 @@
 	}
 }
 
-// needsCheck reports whether there is anything to look at again with the next check.
+// needsCheck reports whether the dispatcher stays active for the next check.
 func (s *server) needsCheck(now time.Time) bool {
 	switch {
 	case s.Status == control.Removed, s.dialing, len(s.waiting) > 0, len(s.abandoned) > 0, s.renewal.Pending():
@@ -154,7 +155,7 @@
 	return s.pool.sockets.established[s.ID] > 0 || now.Sub(s.establishedAt) < establishedCountInterval || s.wantedConns(now) > len(s.conns)
 }
 
-// enqueueDial has a dispatcher without a connection dialled when that is due, as no call needs it.
+// enqueueDial queues a dispatcher without a connection for a dial that no call needs.
 func (p *Pool) enqueueDial(s *server) {
 	if s.dialQueued || len(s.conns) > 0 || s.dialing || s.obsolete() {
 		return
@@ -163,7 +164,7 @@
 	heap.Push(&p.dialQueue, s)
 }
 
-// dialQueued dials those that no call needs and that are due, as far as pace and budget allow.
+// dialQueued dials the queued dispatchers that are due, as far as the dial limiter and the budget allow.
 func (p *Pool) dialQueued(now time.Time) {
 	for len(p.dialQueue) > 0 && !p.dialQueue[0].dialDueAt.After(now) {
 		s := p.dialQueue[0]
@@ -188,21 +189,21 @@
 	}
 }
 
-// dialQueue is a heap of dispatchers by when they are due.
+// dialQueue is a heap of dispatchers, ordered by the time at which their dial is due.
 type dialQueue []*server
 
 func (q dialQueue) Len() int           { return len(q) }
 func (q dialQueue) Less(i, j int) bool { return q[i].dialDueAt.Before(q[j].dialDueAt) }
 func (q dialQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (q *dialQueue) Push(x any) {
 	if s, ok := x.(*server); ok {
 		*q = append(*q, s)
 	}
 }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (q *dialQueue) Pop() any {
 	last := len(*q) - 1
 	s := (*q)[last]
--- a/internal/dispatchers/connection.go
+++ b/internal/dispatchers/connection.go
@@ -11,38 +11,38 @@
 	"cherryrelay/internal/ring"
 )
 
-// errIncomplete ends a connection inside a message.
-var errIncomplete = errors.New("a message that does not end")
+// errIncomplete closes a connection on which a message stays incomplete.
+var errIncomplete = errors.New("incomplete message")
 
-// errUnresponsive ends a connection that brings nothing while others do.
-var errUnresponsive = errors.New("a connection that is open but dead")
+// errUnresponsive closes a connection that receives nothing while others of its dispatcher do.
+var errUnresponsive = errors.New("connection is open but unresponsive")
 
-// noAttempt is the number of an attempt where a message belongs to none.
+// noAttempt is the attempt number of a message that belongs to no attempt.
 const noAttempt = -1
 
-// setUpState is a set-up on a connection that has had no final answer there.
+// setUpState is a set-up on a connection until its final answer.
 type setUpState struct {
 	attempt     int
 	sentAt      time.Time
 	called      string
-	cancelledAt time.Time // when it was given up, if it was
+	cancelledAt time.Time // time of the cancellation; zero if it was not cancelled
 	ticket      conn.Ticket
-	written     bool // all of it is with the kernel
+	written     bool // written to the socket completely
 }
 
-// lifetime tells whether a connection has closed. What refers to it keeps none of the connection's buffers.
+// lifetime records whether a connection has closed. References to it don't keep the buffers of the connection in memory.
 type lifetime struct {
 	closed     bool
-	generation int // of the dispatcher's connections
+	generation int // generation of the dispatcher's connections
 }
 
-// connState is how far a connection is used.
+// connState is the state of a connection.
 type connState int
 
 const (
 	connOpen       connState = iota
-	connDraining             // no set-up goes out; what still comes is taken, and may be replied to
-	connHalfClosed           // this side has ended; what still comes is taken
+	connDraining             // no set-ups are sent; input is processed and may be replied to
+	connHalfClosed           // this side has closed; input is processed
 	connClosed
 )
 
@@ -50,36 +50,38 @@
 type connection struct {
 	server  *server
 	number  uint64
-	process int // of those that have run under the server's name
+	process int // number of the process under the server's name
 	*lifetime
 	conn     transportConn
 	protocol Protocol
 	state    connState
-	evicted  bool // closed to make room
-	suspect  bool // given up as dead, or with a dispatcher that counts as gone
+	evicted  bool // closed to free its socket
+	suspect  bool // abandoned as unresponsive, or because its dispatcher counts as lost
 	dirty    bool // written to since the last Flush
-	// closedCleanly is set where the dispatcher has closed the connection by a message of the wire, behind all that it had to say.
+	// closedCleanly is set if the dispatcher has closed the connection by a message of the protocol, after all its other messages.
 	closedCleanly bool
 	openedAt,
 	lastReceivedAt time.Time
-	stateSince      time.Time // when it was opened or, if it is, half-closed
-	usedAt          time.Time // when a set-up was sent here last; when it was opened if none was
-	finalAnswerAt   time.Time // when a set-up last had its final answer here
-	incompleteSince time.Time // since when a message has not been whole; zero if none is under way
+	since           time.Time // when the connection was opened or, if it is, half-closed
+	usedAt          time.Time // when a set-up was last sent; the opening time if none was
+	finalAnswerAt   time.Time // when the last final answer to a set-up was received
+	incompleteSince time.Time // since when a message has been incomplete; zero if none is
 	setUps          map[string]*setUpState
-	// unconfirmed are releases that the dispatcher may not have heard.
+	// unconfirmed are the releases that the dispatcher may not have received.
 	unconfirmed []*sentRelease
-	pings       []pendingPing // whose replies have not come, in the order of their numbers
+	pings       []pendingPing // pings without a reply, by number
 }
 
+// ready reports whether set-ups can be sent.
 func (c *connection) ready() bool { return c.state == connOpen && c.protocol.HandshakeDone() }
 
-// writable reports whether messages can go out.
+// writable reports whether messages can be sent.
 func (c *connection) writable() bool { return c.state == connOpen || c.state == connDraining }
 
-// isAbandoned reports whether the connection is only read until it ends.
+// isAbandoned reports whether the connection takes no more set-ups and is only read until it closes.
 func (c *connection) isAbandoned() bool { return c.state == connDraining || c.state == connHalfClosed }
 
+// send queues a message for the next flush, if messages can be sent.
 func (c *connection) send(p []byte) {
 	if len(p) > 0 && c.writable() {
 		c.conn.Write(p)
@@ -87,7 +89,7 @@
 	}
 }
 
-// markDirty has the link flushed with the others at the end of the turn.
+// markDirty includes the connection in the flush at the end of the event loop iteration.
 func (c *connection) markDirty() {
 	if !c.dirty {
 		c.dirty = true
@@ -95,6 +97,7 @@
 	}
 }
 
+// setUp sends a set-up.
 func (c *connection) setUp(a call.SetUp) {
 	setUp := &setUpState{attempt: a.Attempt, called: a.Called, sentAt: time.Now()}
 	c.usedAt = setUp.sentAt
@@ -107,8 +110,8 @@
 	c.server.pool.markActive(c.server)
 }
 
-// cancelSetUp gives a set-up up. One that still lies in the queue does not go out at all: its caller may have left long before the
-// dispatcher reads on, or the dispatcher may drain by then.
+// cancelSetUp cancels a set-up. One that is still queued is not sent at all: its caller may have disconnected long before the dispatcher
+// reads on, or the dispatcher may be draining by then.
 func (c *connection) cancelSetUp(id string, setUp *setUpState) {
 	if c.conn.Recall(setUp.ticket) {
 		delete(c.setUps, id)
@@ -118,7 +121,7 @@
 	c.send(c.protocol.Cancel(id, setUp.attempt, setUp.called))
 }
 
-// Data takes in what a dispatcher has sent.
+// Data processes input from the dispatcher.
 func (c *connection) Data(in *ring.Buffer, at time.Time) error {
 	if c.state == connClosed {
 		c.logStep(endlog.LinkDiscards, nil)
@@ -151,8 +154,8 @@
 	}
 }
 
-// trackIncomplete notes when a message began that is not whole. One that stops short ends the connection: what follows would
-// be taken for its rest, and nothing else can come meanwhile.
+// trackIncomplete records when an incomplete message began. A message that stays incomplete closes the connection: later input would be
+// taken for the rest of it, and no other message can arrive before it.
 func (c *connection) trackIncomplete(in *ring.Buffer, at time.Time) {
 	if in.Len() == 0 {
 		c.incompleteSince = time.Time{}
@@ -169,7 +172,7 @@
 	})
 }
 
-// openSetUps is the number of set-ups that wait for an answer on the connection.
+// openSetUps returns the number of set-ups on the connection that wait for an answer.
 func (c *connection) openSetUps() int {
 	n := 0
 	for _, setUp := range c.setUps {
@@ -180,8 +183,8 @@
 	return n
 }
 
-// overtaken reports whether a set-up waits here that others, sent well after it, have overtaken on other connections,
-// while this one brought no answer at all: it is open, but of no use any more.
+// overtaken reports whether a set-up still waits here although others, sent well after it, were answered on other connections, and this
+// connection has brought no answer since. Such a connection is open but no longer of use.
 func (c *connection) overtaken() bool {
 	for _, setUp := range c.setUps {
 		if c.unanswered(setUp) && setUp.cancelledAt.IsZero() && c.server.answeredSentAt.Sub(setUp.sentAt) > overtakenAfter {
@@ -191,12 +194,12 @@
 	return false
 }
 
-// unanswered reports whether no answer has come at all since the set-up was sent.
+// unanswered reports whether no answer at all was received since the set-up was sent.
 func (c *connection) unanswered(setUp *setUpState) bool { return c.finalAnswerAt.Before(setUp.sentAt) }
 
-// unresponsive reports whether a set-up was given up here without a word since it was sent, not even of the dispatcher's state; or without one
-// since it was given up, while others brought some: what takes it back has an answer at once where the connection lives. The next one
-// is better tried elsewhere: it may be the connection that is dead, and not the dispatcher.
+// unresponsive reports whether a set-up was cancelled here and nothing was received since it was sent, not even a load report; or nothing
+// since it was cancelled, while other connections received input: a working dispatcher replies to a cancellation at once. The next set-up
+// had better use another connection, as the connection may be broken and not the dispatcher.
 func (c *connection) unresponsive(now time.Time) bool {
 	for _, setUp := range c.setUps {
 		if setUp.cancelledAt.IsZero() || !c.unanswered(setUp) {
@@ -210,8 +213,8 @@
 	return false
 }
 
-// load is what speaks against one more set-up here: those that are open, and more so those that were given up with no
-// answer having come since.
+// load returns the weight of the set-ups on the connection: that of the open ones, and a higher one for those that were cancelled without
+// an answer since.
 func (c *connection) load() int {
 	n := 0
 	for _, setUp := range c.setUps {
@@ -225,14 +228,15 @@
 	return n
 }
 
-// healthy reports whether one more set-up may go out here while a new connection may be opened. On one that has long been silent,
-// a set-up and what takes it back may both be stuck, if its dispatcher is cut off: they arrive together as that ends, and the
-// guard counts from there. And where one was given up without an answer, it may be the connection that is dead.
+// healthy reports whether one more set-up may be sent here while a new connection could be opened instead. On a connection that has long
+// been silent, a set-up and its cancellation may both be stuck if the dispatcher is cut off: they arrive together when that ends, and the
+// guard counts from there. And if a set-up was cancelled without an answer, the connection itself may be broken.
 func (c *connection) healthy(now time.Time) bool {
 	return now.Sub(c.lastReceivedAt) <= silenceThreshold && c.load() < unansweredWeight
 }
 
-// writtenSetUp is the set-up of a call that a message of the dispatcher may be about; nil if there is none. It can't be about one that has not left.
+// writtenSetUp returns the set-up of a call that a message from the dispatcher can refer to, or nil. A message can't refer to a set-up
+// that has not been sent completely.
 func (c *connection) writtenSetUp(id string) *setUpState {
 	if setUp := c.setUps[id]; setUp != nil && setUp.written {
 		return setUp
--- a/internal/dispatchers/connection_close.go
+++ b/internal/dispatchers/connection_close.go
@@ -12,21 +12,22 @@
 	"cherryrelay/internal/endlog"
 )
 
-// How connections to dispatchers end.
+// This file closes connections to dispatchers.
 
-// halfClose gives the connection up. Its set-ups end at once, but an end of a call may be on its way here: a dispatcher that
-// has sent it does not send it again. So this side is closed alone, and the rest is read until the dispatcher closes too.
+// halfClose closes this side of the connection and fails its set-ups. The end of a call may be in transit, and a dispatcher that has sent
+// an end does not send it again. The connection is therefore read until the dispatcher closes its side too.
 func (c *connection) halfClose(reason error) { c.halfCloseWithin(reason, halfCloseTimeout) }
 
-// halfCloseWithin is retire with a bound on how long the connection is still read.
+// halfCloseWithin is halfClose with a limit on how long the connection is still read.
 func (c *connection) halfCloseWithin(reason error, within time.Duration) {
-	c.conn.Flush() // what the socket takes has left
+	c.conn.Flush() // send what the socket accepts
 	c.abandon(reason, connHalfClosed)
 	c.conn.Finish(within)
 }
 
-// drain gives the connection up whose dispatcher may live, though it counts as gone. Its set-ups end at once and are cancelled. A call that the
-// dispatcher has established meanwhile is released, as are those that it had: it may have no other connection, and listen no more.
+// drain abandons the connection of a dispatcher that may still run although it counts as lost. Its set-ups fail at once and are
+// cancelled. Calls that the dispatcher has established meanwhile are released, and so are its earlier ones: it may have no other
+// connection, and may have stopped listening.
 func (c *connection) drain(reason error) {
 	c.abandon(reason, connDraining)
 	for id, setUp := range c.setUps {
@@ -37,7 +38,7 @@
 	c.server.pool.loop.After(halfCloseTimeout, func() { c.conn.Close(conn.ErrClosedHere) })
 }
 
-// abandon ends the set-ups on an open connection, which is read on in the given state.
+// abandon fails the set-ups on an open connection, which is read on in the given state.
 func (c *connection) abandon(reason error, state connState) {
 	s, setUps := c.server, c.setUps
 	c.suspect = !errors.Is(reason, conn.ErrClosedHere)
@@ -46,10 +47,10 @@
 		s.requestRenewal()
 	}
 	c.detach(reason)
-	c.state, c.setUps, c.stateSince = state, setUps, time.Now()
+	c.state, c.setUps, c.since = state, setUps, time.Now()
 	c.logStep(endlog.LinkGivenUp, reason)
 	s.pool.markActive(s)
-	if s.abandoned = append(s.abandoned, c); len(s.abandoned) > MaxConnections { // of one dispatcher, so many are held at most
+	if s.abandoned = append(s.abandoned, c); len(s.abandoned) > MaxConnections { // limits the abandoned connections per dispatcher
 		s.abandoned[0].logStep(endlog.LinkPushedOut, reason)
 		s.abandoned[0].conn.Abort(conn.ErrClosedHere)
 		s.abandoned = s.abandoned[1:]
@@ -57,7 +58,7 @@
 	s.updateConnected()
 }
 
-// Closed takes in that the connection has ended.
+// Closed handles the end of the connection.
 func (c *connection) Closed(reason error) {
 	s, setUps := c.server, c.setUps
 	c.logStep(endlog.LinkEnded, reason)
@@ -65,7 +66,7 @@
 		s.recordLostEnds()
 	}
 	if c.state != connClosed && closedForFault(reason) {
-		s.renewal.SetUnreadConnection(true) // its dispatcher may tell ends here until it sees the close
+		s.renewal.SetUnreadConnection(true) // the dispatcher may send ends here until it notices the close
 	}
 	if c.state == connOpen {
 		c.detach(reason)
@@ -82,24 +83,25 @@
 	}
 }
 
-// isCleanClose reports whether a connection was ended by its dispatcher, behind all that it had to say.
+// isCleanClose reports whether the dispatcher closed the connection after all its messages.
 func isCleanClose(reason error) bool {
 	return errors.Is(reason, io.EOF) && !errors.Is(reason, conn.ErrReset)
 }
 
-// closedForFault reports whether this side closed a connection for a fault. What its dispatcher sends there after that is discarded.
+// closedForFault reports whether this side closed the connection because of a fault. What the dispatcher sends there afterwards is
+// discarded.
 func closedForFault(reason error) bool {
 	return !errors.Is(reason, io.EOF) && !errors.Is(reason, conn.ErrClosedHere)
 }
 
-// finishClose takes in the end of a connection that had been given up.
+// finishClose handles the end of an abandoned connection.
 func (c *connection) finishClose(reason error) {
 	s := c.server
 	if errors.Is(reason, conn.ErrClosedHere) && !c.closedCleanly && (c.isAbandoned() || !c.evicted) {
-		s.renewal.SetUnreadConnection(true) // its dispatcher may hold it for open still
+		s.renewal.SetUnreadConnection(true) // the dispatcher may still hold it open
 	}
 	if c.suspect && s.hasEndsAtRisk() {
-		s.requestRenewal() // its dispatcher may have told ends here until now, and reset it as it saw the close
+		s.requestRenewal() // the dispatcher may have sent ends here until now, and reset the connection when it noticed the close
 	}
 	c.state, c.setUps = connClosed, nil
 	c.requeueUnconfirmed()
@@ -107,11 +109,11 @@
 	s.updateConnected()
 }
 
-// detach ends the set-ups that were open on the connection.
+// detach removes the connection from its dispatcher and fails its open set-ups.
 func (c *connection) detach(reason error) {
 	c.state, c.lifetime.closed = connClosed, true
 	s := c.server
-	s.probedAt = time.Time{} // it may have gone out here
+	s.probedAt = time.Time{} // the probe may have been sent here
 	s.pool.markActive(s)
 	if closedForFault(reason) && !errors.Is(reason, errUnresponsive) {
 		s.pool.Log.Warn("connection to dispatcher closed", "server", s.ID, "reason", reason)
@@ -132,7 +134,7 @@
 	}
 }
 
-// failSetUps tells the core that the set-ups on the connection have broken, in the order of their ids.
+// failSetUps reports to the core that the set-ups on the connection were reset, in the order of their ids.
 func (c *connection) failSetUps() {
 	s := c.server
 	ids := make([]string, 0, len(c.setUps))
--- a/internal/dispatchers/deferred_release.go
+++ b/internal/dispatchers/deferred_release.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// deferredRelease is a release that came on the connection of an earlier attempt while that of the attempt that stands, or may as its answer is read, was
-// open here. Its dispatcher may have closed the latter, and the close not have been read yet: then it is the end of the call that stands.
+// deferredRelease is a release that was received on the connection of an earlier attempt, while the connection of the established
+// attempt, or of one that may be established once its answer is read, was open here. The dispatcher may have closed the latter connection
+// without that being read yet; the release is then the end of the established call.
 type deferredRelease struct {
 	cause       int
 	report      []float64
 	receivedAt  time.Time
-	awaitsClose *lifetime // the connection that its dispatcher may have closed
+	awaitsClose *lifetime // the connection that the dispatcher may have closed
 }
 
-// laterAttemptConn is the connection of a later attempt than the given one, whose call a release on this connection ends if its dispatcher has closed that;
-// nil if there is none.
+// laterAttemptConn returns the connection of a later attempt than the given one, if there is one. A release on this connection ends the
+// call of that attempt if the dispatcher has closed that connection.
 func (c *connection) laterAttemptConn(id string, attempt int) *lifetime {
 	if attempt == noAttempt {
 		return nil
@@ -44,7 +45,7 @@
 	s.deferredReleases[id] = r
 }
 
-// deliverDeferred ends the calls that stood on a connection that its dispatcher has closed, and whose releases were read before the close.
+// deliverDeferred ends the calls whose connection the dispatcher has closed and whose releases were read before the close.
 func (s *server) deliverDeferred(closed *lifetime) {
 	for _, id := range slices.Sorted(maps.Keys(s.deferredReleases)) {
 		r := s.deferredReleases[id]
--- a/internal/dispatchers/dial.go
+++ b/internal/dispatchers/dial.go
@@ -9,7 +9,7 @@
 	"cherryrelay/internal/endlog"
 )
 
-// connect opens one more connection if that is allowed now.
+// connect dials one more connection if that is allowed now.
 func (s *server) connect() {
 	now := time.Now()
 	if s.dialing || !s.reachable(now) || len(s.conns) >= s.pool.maxConns || !s.pool.mayDial(s, now) {
@@ -24,7 +24,9 @@
 	handler := func(transport transportConn) conn.Handler {
 		now := time.Now()
 		s.pool.lastConnNumber++
-		c = &connection{server: s, number: s.pool.lastConnNumber, process: s.process, lifetime: &lifetime{generation: s.generation}, conn: transport, protocol: protocol, setUps: map[string]*setUpState{}, openedAt: now, lastReceivedAt: now, stateSince: now, usedAt: now}
+		c = &connection{server: s, number: s.pool.lastConnNumber, process: s.process, lifetime: &lifetime{generation: s.generation},
+			conn: transport, protocol: protocol, setUps: map[string]*setUpState{},
+			openedAt: now, lastReceivedAt: now, since: now, usedAt: now}
 		return countedConn{c}
 	}
 	s.pool.dial(dialAddress, s.pool.ConnectTimeout, handler, func(err error) {
@@ -44,15 +46,17 @@
 	})
 }
 
-// reachable reports whether connections to the dispatcher are of use.
+// reachable reports whether a connection to the dispatcher is of use.
 func (s *server) reachable(now time.Time) bool {
-	return !s.obsolete() || s.mayDialForRelease(now) || (s.renewal.EndsMissing() || s.renewal.Pending()) && !s.replaced && s.pool.core.EstablishedCount(s.ID) > 0
+	return !s.obsolete() ||
+		s.mayDialForRelease(now) || (s.renewal.EndsMissing() || s.renewal.Pending()) && !s.replaced && s.pool.core.EstablishedCount(s.ID) > 0
 }
 
+// dialFailed handles a failed dial.
 func (s *server) dialFailed(err error) {
-	if errors.Is(err, conn.ErrNoSocket) { // says nothing of the dispatcher
+	if errors.Is(err, conn.ErrNoSocket) { // it says nothing about the dispatcher
 		s.backoff.RecordFailure(time.Now(), rand.Float64())
-		s.pool.Log.Warn("no descriptor for a connection", "server", s.ID, "err", err)
+		s.pool.Log.Warn("no file descriptor for a connection", "server", s.ID, "err", err)
 		return
 	}
 	s.backoff.RecordFailure(time.Now(), rand.Float64())
@@ -63,7 +67,7 @@
 		return
 	}
 	if len(s.conns) > 0 && !s.hasCalls() {
-		return // it has nothing to say
+		return // there is nothing that it could send
 	}
 	switch {
 	case s.lastDialTimedOut:
@@ -73,16 +77,16 @@
 	}
 }
 
-// handleStopped takes in that nothing listens, and that every connection is gone or has long been silent: a process that stops at the end of its
-// drain may leave its connections open. It is no more, and its calls with it.
+// handleStopped handles a dispatcher that refuses connections while all its connections have closed or been silent for long: a process
+// that stops at the end of its drain may leave its connections open. The process has stopped, and its calls have ended.
 func (s *server) handleStopped() {
 	s.logStep(endlog.Stopped, nil)
 	s.disconnect(errors.New("dispatcher has stopped"))
-	s.releases = nil // there is no way to send them
+	s.releases = nil // no connection can be opened for them
 	s.pool.core.DispatcherFailed(s.ID)
 }
 
-// updateConnected notes whether the dispatcher has connections.
+// updateConnected updates the pool's set of dispatchers that have connections.
 func (s *server) updateConnected() {
 	if len(s.conns)+len(s.abandoned) > 0 {
 		s.pool.connected[s] = struct{}{}
@@ -91,6 +95,7 @@
 	}
 }
 
+// connOpened handles a connection whose dial, begun at dialedAt, has succeeded.
 func (s *server) connOpened(c *connection, dialedAt time.Time) {
 	s.backoff.Reset()
 	s.lastDialTimedOut, s.lastDialRefused = false, false
@@ -101,11 +106,11 @@
 	c.send(c.protocol.Handshake())
 	c.conn.Flush()
 	if c.ready() {
-		s.connReady(c) // it goes out at the end of the turn: who has left meanwhile is seen before
+		s.connReady(c) // flushed at the end of the event loop iteration: callers that disconnect before are noticed first
 	}
 }
 
-// connReady tells that calls can be placed.
+// connReady reports to the core that calls can be placed, and sends what waits for a connection.
 func (s *server) connReady(c *connection) {
 	s.pool.core.DispatcherReached()
 	s.sendWaiting(c)
--- a/internal/dispatchers/dispatchers.go
+++ b/internal/dispatchers/dispatchers.go
@@ -1,4 +1,4 @@
-// Package dispatchers keeps the connections to dispatchers and places attempts over them.
+// Package dispatchers maintains the connections to dispatchers and places call attempts on them.
 package dispatchers
 
 import (
@@ -12,81 +12,87 @@
 )
 
 const (
-	// MaxConnections is how many connections a dispatcher is given at most; it takes four. How many it is worth by now
-	// is decided in decide/links.
+	// MaxConnections is the maximum number of connections to one dispatcher; a dispatcher accepts four. The package decide/links decides how
+	// many of them are opened.
 	MaxConnections = 4
-	// checkInterval is the pace at which dispatchers are looked at that something is to be done for.
+	// checkInterval is the interval at which active dispatchers are checked.
 	checkInterval = 100 * time.Millisecond
-	// messageTimeout is how long a message may take to become whole: a dispatcher writes it in one go.
+	// messageTimeout is the time within which a message must be complete; a dispatcher writes each message at once.
 	messageTimeout = 250 * time.Millisecond
-	// overtakenAfter is how much later than a set-up another one must have been sent that has its answer already. A
-	// dispatcher's processor takes them in turn, so this is far more than they differ by.
+	// overtakenAfter is how much later than an unanswered set-up another one must have been sent, and been answered, for the connection of
+	// the first to count as unresponsive. A dispatcher's processor handles set-ups in order, so their answers differ by much less.
 	overtakenAfter = 250 * time.Millisecond
-	// silenceThreshold without a word where calls are held has a new connection tried: a machine that has vanished leaves
-	// the old ones open.
+	// silenceThreshold is the time without input after which a new connection to a dispatcher with calls is tried: a machine that has
+	// vanished leaves the old connections open.
 	silenceThreshold = 2500 * time.Millisecond
-	// probeTimeout is how long a dispatcher that has long been silent, and refuses connections or is off the list, has to answer a probe. What
-	// it had must be released within 8 s of its end.
+	// probeTimeout is the time within which a long silent dispatcher that refuses connections or is off the list must reply to a probe. Its
+	// calls must be released within 8 s of its end.
 	probeTimeout = time.Second
-	// silenceTimeout is the silence after which, with no new connection coming up, calls are held no more. A call's end
-	// may stay untold for 8 s.
+	// silenceTimeout is the time without input after which, if no new connection opens, the calls of a dispatcher are ended. The end of a
+	// call may stay unreported for 8 s.
 	silenceTimeout = 5 * time.Second
-	// cancelledRetention is how long a withdrawn attempt is kept for the answer that its dispatcher may still send.
+	// cancelledRetention is how long a cancelled attempt is kept for an answer that its dispatcher may still send.
 	cancelledRetention = 10 * time.Second
-	// halfCloseTimeout is how long a connection that is given up is still read, unless its dispatcher closes it first. One that stands still for
-	// a while has not seen the end yet: as it goes on, it may tell the end of a call there before it does, and tells it again only on the
-	// next connection that opens after that. What stands still for longer is no more (silenceTimeout).
+	// halfCloseTimeout is how long an abandoned connection is still read, unless its dispatcher closes it first. A dispatcher that is paused
+	// has not noticed the close: when it continues, it may first send the end of a call there, and it repeats that end only on the next
+	// connection that opens afterwards. A dispatcher that is paused for longer counts as lost (silenceTimeout).
 	halfCloseTimeout = silenceTimeout
-	// evictedReadTimeout is as much where its descriptor is wanted: a dispatcher that lives has closed it by then.
+	// evictedReadTimeout replaces halfCloseTimeout if the descriptor is needed; a working dispatcher has closed its side by then.
 	evictedReadTimeout = 50 * time.Millisecond
-	// responseTimeout is how long a dispatcher is given to close its side of a connection that is given up here, or to answer what takes a
-	// set-up back. One that lives does so at once. After that, ends may be told there in vain: each must come within 8 s all the same, the
-	// silenceTimeout included in which a connection with nothing to do is found out.
+	// responseTimeout is the time within which a dispatcher must close its side of a connection that was half-closed here, or reply to a
+	// cancellation. A working dispatcher does so at once. After the timeout, ends may be lost there. Each end must still be reported within
+	// 8 s, which includes the silenceTimeout in which an idle connection is found to be unresponsive.
 	responseTimeout = time.Second
-	// unresponsiveAfter is how long after the end of a set-up nothing may have come on a connection before it is given up.
+	// unresponsiveAfter is the time without input after the cancellation of a set-up after which a connection is half-closed.
 	unresponsiveAfter = 100 * time.Millisecond
-	// unansweredWeight is how many open set-ups one counts for that was given up without an answer.
+	// unansweredWeight is the number of open set-ups that a cancelled set-up without an answer counts as.
 	unansweredWeight = 8
-	// maxUnknownReleases bounds the releases of calls that nothing is known of, of which anybody may send any number, as they wait for a
-	// connection. Those of calls that stood need no bound: no more can stand before there is one.
+	// maxUnknownReleases limits how many releases of unknown calls wait for a connection, as any client can send any number of them.
+	// Releases of established calls need no limit: no call is established before there is a connection.
 	maxUnknownReleases = 1024
-	// releaseBatchSize is how many of those go out in one turn: they, and what their dispatcher says to them, must not close the connection
-	// as too slow or too fast.
+	// releaseBatchSize is the number of waiting releases sent in one event loop iteration. A larger number, together with the replies to
+	// them, could close the connection as too slow or too fast.
 	releaseBatchSize = 256
-	// minConnLifetime is how early a connection ends that counts as one that never came up: a dispatcher that closes whatever is new is not
-	// dialled without pause.
+	// minConnLifetime is the time within which the end of a connection counts as a failed dial, so that a dispatcher that closes each new
+	// connection is not dialled continuously.
 	minConnLifetime = 100 * time.Millisecond
 )
 
-// Core is what the connections report to; *call.Core is one.
+// Core receives the events of the connections; *call.Core implements it.
 type Core interface {
-	// DispatcherReached tells that calls can be placed at some dispatcher.
+	// DispatcherReached reports that calls can be placed at some dispatcher.
 	DispatcherReached()
-	// SetUpWritten tells that all of a set-up has gone to a dispatcher.
+	// SetUpWritten reports that a set-up was written to a dispatcher's socket completely.
 	SetUpWritten()
-	// Answered reports whether the call is established by the answer.
+	// Answered reports the answer to an attempt, and returns whether the answer establishes the call.
 	Answered(server control.ServerID, id string, attempt int, description string) bool
+	// AttemptEnded reports the outcome of an attempt that has not established its call.
 	AttemptEnded(server control.ServerID, id string, attempt int, o control.Outcome, noLine bool, report []float64)
+	// Released reports the release of a call by a dispatcher. The attempt is the one on whose connection it arrived; noAttempt if there is none.
 	Released(server control.ServerID, id string, attempt, cause int, report []float64)
-	// ReleasedOnOtherConnection is Released on another connection than that of the answer. It reports whether the call goes on there.
-	ReleasedOnOtherConnection(server control.ServerID, id string, cause int, report []float64) (goesOn bool)
+	// ReleasedOnOtherConnection is like Released, for a release on another connection than that of the answer. It returns whether the call
+	// continues there.
+	ReleasedOnOtherConnection(server control.ServerID, id string, cause int, report []float64) (continues bool)
+	// LoadReported reports a load report that belongs to no attempt.
 	LoadReported(server control.ServerID, report []float64)
+	// DispatcherFailed reports that a dispatcher has stopped or counts as lost.
 	DispatcherFailed(server control.ServerID)
+	// EstablishedCount returns the number of calls established at a dispatcher.
 	EstablishedCount(server control.ServerID) int
-	// EstablishedAt names those calls.
+	// EstablishedAt returns the ids of those calls.
 	EstablishedAt(server control.ServerID) iter.Seq[string]
-	// EachEstablished calls f for each call that stands, in no order.
+	// EachEstablished calls f for each established call, in no particular order.
 	EachEstablished(f func(server control.ServerID))
 }
 
 // Options are the settings of a Pool.
 type Options struct {
 	ConnectTimeout time.Duration
-	ReportFields   []string // of load reports
+	ReportFields   []string // names of the fields of load reports
 	Log            *slog.Logger
 }
 
-// Pool is all dispatchers.
+// Pool manages the connections to all dispatchers.
 type Pool struct {
 	Options
 	core                Core
@@ -94,32 +100,33 @@
 	dial                dialer
 	servers             map[control.ServerID]*server
 	order               []*server
-	maxConns            int    // that each may be given
-	lastConnNumber      uint64 // connections so far: the number of the last one
+	maxConns            int    // maximum number of connections per dispatcher
+	lastConnNumber      uint64 // number of the last connection that was opened, counted from 1
 	sockets             socketUsage
-	connected           map[*server]struct{} // those with connections, half-closed ones among them
-	establishedMarkedAt time.Time            // when those were touched at which calls stand
-	active              []*server            // to be looked at with the next check
-	dialQueue           dialQueue            // those without a connection that no call needs
-	byAddress           map[string][]*server // by address
-	dirty               []*connection        // that were written to since the last Flush
+	connected           map[*server]struct{} // dispatchers with connections, including half-closed ones
+	establishedMarkedAt time.Time            // time at which the dispatchers with established calls were last marked active
+	active              []*server            // dispatchers to visit in the next check
+	dialQueue           dialQueue            // dispatchers without a connection that no call needs
+	byAddress           map[string][]*server // dispatchers by address
+	dirty               []*connection        // connections written to since the last Flush
 }
 
 // New returns an empty Pool.
 func New(loop *call.Loop, core Core, o Options) *Pool {
-	p := &Pool{Options: o, core: core, loop: loop, dial: dialTCP(loop), servers: map[control.ServerID]*server{}, byAddress: map[string][]*server{}, connected: map[*server]struct{}{}, maxConns: MaxConnections}
+	p := &Pool{Options: o, core: core, loop: loop, dial: dialTCP(loop), servers: map[control.ServerID]*server{},
+		byAddress: map[string][]*server{}, connected: map[*server]struct{}{}, maxConns: MaxConnections}
 	p.check()
 	return p
 }
 
-// Reconfigure gives the pool, and the connections it has, other settings.
+// Reconfigure changes the settings of the pool and of its connections.
 func (p *Pool) Reconfigure(connectTimeout time.Duration, fields []string) {
 	p.ConnectTimeout, p.ReportFields = connectTimeout, fields
 }
 
-// SetMaxConnections sets how many connections each dispatcher may be given. Beyond them, those go that have nothing to do.
-func (p *Pool) SetMaxConnections(links int) {
-	p.maxConns = links
+// SetMaxConnections sets the maximum number of connections per dispatcher. Idle connections beyond it are closed.
+func (p *Pool) SetMaxConnections(connections int) {
+	p.maxConns = connections
 	for s := range p.connected {
 		s.closeExcess()
 	}
@@ -148,7 +155,7 @@
 	s.connect()
 }
 
-// CancelAttempt gives up an attempt.
+// CancelAttempt cancels an attempt.
 func (p *Pool) CancelAttempt(id control.ServerID, callID string, attempt int) {
 	s := p.servers[id]
 	if s == nil {
@@ -162,23 +169,23 @@
 	}
 }
 
-// Reconnect opens one more connection to a dispatcher, soon: others that ask meanwhile are served by the same. Where there are as many as there
-// may be, one that has nothing to do makes room.
+// Reconnect opens one more connection to a dispatcher, after a short delay that combines several requests. If the dispatcher has the
+// maximum number of connections, an idle one is closed first.
 func (p *Pool) Reconnect(id control.ServerID) {
 	if s := p.servers[id]; s != nil {
 		s.requestRenewal()
 	}
 }
 
-// NoUnreadInput reports whether all that dispatchers have sent is with the loop, as far as it may be. Those at which nothing stands and nothing is
-// open have nothing to say that could be waited for.
+// NoUnreadInput reports whether the event loop has received all that dispatchers have sent, as far as it may be. Dispatchers without
+// established calls and open set-ups are not considered, as nothing that they send needs to be awaited.
 func (p *Pool) NoUnreadInput() bool {
 	return !slices.ContainsFunc(p.active, func(s *server) bool {
 		return slices.ContainsFunc(s.conns, func(c *connection) bool { return c.conn.Unread() })
 	})
 }
 
-// Flush sends what was written since the last time.
+// Flush sends what was written since the last Flush.
 func (p *Pool) Flush() {
 	dirty := p.dirty
 	p.dirty = nil
--- a/internal/dispatchers/earlier_attempt_test.go
+++ b/internal/dispatchers/earlier_attempt_test.go
@@ -21,7 +21,7 @@
 }
 
 // ReleasedOnOtherConnection records a release without an attempt.
-func (r *releaseRecorder) ReleasedOnOtherConnection(control.ServerID, string, int, []float64) (goesOn bool) {
+func (r *releaseRecorder) ReleasedOnOtherConnection(control.ServerID, string, int, []float64) (continues bool) {
 	r.attempts = append(r.attempts, noAttempt)
 	return false
 }
--- a/internal/dispatchers/list.go
+++ b/internal/dispatchers/list.go
@@ -10,7 +10,7 @@
 	"cherryrelay/internal/call"
 )
 
-// Update takes in changes of the list.
+// Update applies changes of the list.
 func (p *Pool) Update(u call.Update) {
 	now := time.Now()
 	listed := map[control.ServerID]bool{}
@@ -41,22 +41,22 @@
 		}
 		s.Server = entry
 		if restarted || moved {
-			// Its calls went with the old process, and old connections may look open still.
-			p.Log.Info("dispatcher began anew", "server", s.ID)
-			s.disconnect(errors.New("dispatcher began anew"))
+			// The calls ended with the old process, and its connections may still look open.
+			p.Log.Info("dispatcher restarted", "server", s.ID)
+			s.disconnect(errors.New("dispatcher restarted"))
 			s.releases = nil
 			s.process++
 			p.core.DispatcherFailed(s.ID)
 		}
 		if entry.Status != control.Removed {
-			for _, o := range p.byAddress[s.Address] { // a new dispatcher may have the address of one that has gone
+			for _, o := range p.byAddress[s.Address] { // a new dispatcher may have the address of a removed one
 				if o != s {
 					o.replaced = true
 					p.markActive(o)
 				}
 			}
 			s.replaced = false
-			if len(s.conns) == 0 { // each event that named it opened one more, up to four
+			if len(s.conns) == 0 { // without this check, each update that names the dispatcher opened one more connection, up to four
 				s.connect()
 			}
 		}
@@ -76,7 +76,7 @@
 	}
 }
 
-// removeAddress forgets where a dispatcher is.
+// removeAddress removes a dispatcher from the index by address.
 func (p *Pool) removeAddress(s *server) {
 	rest := slices.DeleteFunc(p.byAddress[s.Address], func(o *server) bool { return o == s })
 	if p.byAddress[s.Address] = rest; len(rest) == 0 {
@@ -84,8 +84,9 @@
 	}
 }
 
-// recallUnsent takes back what has not gone out to a dispatcher that drains or is gone: set-ups that wait for a connection, which may come
-// up after the time in which the last may arrive there, and those that lie in a queue. They go elsewhere at once, as never sent.
+// recallUnsent recalls the set-ups that have not been sent to a dispatcher that drains or is removed: those that wait for a connection,
+// which may open after the time by which the last set-up may arrive there, and those in a write queue. They are reported as not sent, and
+// can be placed elsewhere at once.
 func (s *server) recallUnsent() {
 	waiting := s.waiting
 	s.waiting = nil
--- a/internal/dispatchers/log.go
+++ b/internal/dispatchers/log.go
@@ -6,25 +6,25 @@
 	"cherryrelay/internal/endlog"
 )
 
-// Steps of ends of calls, as the connections to dispatchers see them.
+// This file logs the steps by which the ends of calls pass through the connections to dispatchers.
 
-// String names the state in the log.
+// String returns the name of the state in the log.
 func (s connState) String() string {
 	return [...]string{"open", "draining", "half-closed", "closed"}[s]
 }
 
-// logCallStep logs a step of a call that came about on the connection.
+// logCallStep logs a step of a call on the connection.
 func (c *connection) logCallStep(step endlog.Step, id string, attempt int) {
 	endlog.Call(c.server.pool.Log, step, id, endlog.Server(c.server.ID), endlog.Connection(c.number),
 		slog.String(endlog.StateKey, c.state.String()), endlog.Attempt(attempt))
 }
 
-// logRelease logs a step of the release of a call towards the dispatcher; connection is 0 while there is none for it.
+// logRelease logs a step of the release of a call at the dispatcher; connection is 0 if there is none for it yet.
 func (s *server) logRelease(step endlog.Step, r release, number uint64) {
 	endlog.Call(s.pool.Log, step, r.id, endlog.Server(s.ID), endlog.Connection(number), slog.Int("cause", r.cause))
 }
 
-// logStep logs a step of the connection, with the set-ups that are open on it.
+// logStep logs a step of the connection, with its number of open set-ups.
 func (c *connection) logStep(step endlog.Step, reason error) {
 	log := c.server.pool.Log
 	if endlog.Enabled(log) {
--- a/internal/dispatchers/messages.go
+++ b/internal/dispatchers/messages.go
@@ -9,18 +9,18 @@
 	"cherryrelay/internal/websocket"
 )
 
-// What becomes of messages that dispatchers send.
+// This file handles the messages that dispatchers send.
 
-// errDamagedAnswer is an answer whose description cannot be what its dispatcher meant.
-var errDamagedAnswer = &websocket.Error{Code: websocket.BadData, Text: "answer that came spoilt"}
+// errDamagedAnswer closes a connection on which an answer came with an invalid description.
+var errDamagedAnswer = &websocket.Error{Code: websocket.BadData, Text: "damaged answer"}
 
-// handle acts on a message. An error ends the connection.
+// handle processes a message. An error closes the connection.
 func (c *connection) handle(m *Message) error {
 	s, core := c.server, c.server.pool.core
 	setUp := c.writtenSetUp(m.id)
 	if setUp == nil && m.final && m.kind != refusedOrReleased {
-		// A second copy, or an answer to what was not asked here: there is nothing that it could be the answer to.
-		s.pool.Log.Debug("answer to no set-up", "server", s.ID, "id", m.id)
+		// A duplicate, or an answer to a set-up that was not sent here.
+		s.pool.Log.Debug("answer without a matching set-up", "server", s.ID, "id", m.id)
 		return nil
 	}
 	if m.damaged {
@@ -63,7 +63,8 @@
 	return nil
 }
 
-// reply sends what the wire owes for a message about a set-up; nil for none.
+// reply sends the reply that the protocol requires to a message; setUp is the one that the
+// message refers to, or nil.
 func (c *connection) reply(m *Message, setUp *setUpState) {
 	if m.encodeReply == nil {
 		return
@@ -75,19 +76,19 @@
 	c.send(m.encodeReply(called))
 }
 
-// finishSetUp takes in the final answer to a set-up.
+// finishSetUp handles the final answer to a set-up.
 func (c *connection) finishSetUp(m *Message, setUp *setUpState) {
 	delete(c.setUps, m.id)
 	c.finalAnswerAt = time.Now()
 	if s := c.server; m.outcome != control.Full && setUp.sentAt.After(s.answeredSentAt) {
-		s.answeredSentAt = setUp.sentAt // what is turned away does not wait in line
+		s.answeredSentAt = setUp.sentAt // a set-up refused for lack of capacity does not wait in the queue
 	}
 }
 
-// handleAnswer takes in that a call is established by an attempt.
+// handleAnswer handles an answer, which establishes the call.
 func (c *connection) handleAnswer(m *Message, attempt int) {
 	s := c.server
-	if c.state == connDraining { // the attempt has ended here
+	if c.state == connDraining { // the attempt has already failed here
 		c.logCallStep(endlog.AnswerOnDraining, m.id, attempt)
 		c.sendRelease(release{m.id, call.CauseNormal, true})
 		return
@@ -98,7 +99,7 @@
 	}
 }
 
-// handleRelease takes in the end of a call. The attempt is that of the set-up that is open here, if there is one.
+// handleRelease handles the end of a call. The attempt is that of the set-up that is open here, if there is one.
 func (c *connection) handleRelease(m *Message, setUp *setUpState, attempt int) {
 	s := c.server
 	if !call.ValidID(m.id) {
@@ -117,11 +118,11 @@
 		c.deliverRelease(m, attempt)
 	}
 	if setUp != nil && setUp.cancelledAt.IsZero() {
-		setUp.cancelledAt = time.Now() // its answer may still come, late
+		setUp.cancelledAt = time.Now() // a late answer may still arrive
 	}
 }
 
-// deliverRelease takes in the end of what the given attempt led to or, without one, of the call that stands.
+// deliverRelease reports the end of the call of the given attempt or, for noAttempt, of the established call.
 func (c *connection) deliverRelease(m *Message, attempt int) {
 	s := c.server
 	s.pool.core.Released(s.ID, m.id, attempt, m.cause, m.report)
@@ -132,16 +133,16 @@
 	}
 }
 
-// handleReleaseElsewhere takes in the end of a call that came on another connection than that of its answer.
+// handleReleaseElsewhere handles the end of a call on another connection than that of its answer.
 func (s *server) handleReleaseElsewhere(m *Message) {
 	if !s.pool.core.ReleasedOnOtherConnection(s.ID, m.id, m.cause, m.report) {
 		delete(s.established, m.id)
 	}
 }
 
-// releasedAttempt is the attempt whose call a release ends that came on the connection of the given attempt. A dispatcher sends the end of a
-// call on the connection of its set-up and, once that is closed, on any other: there an earlier attempt of the same call may have been
-// withdrawn, whose call it is not.
+// releasedAttempt returns the attempt whose call is ended by a release on the connection of the given attempt. A dispatcher sends the end
+// of a call on the connection of its set-up and, once that is closed, on any other. An earlier attempt of the same call may have been
+// cancelled on that other connection; the release does not belong to it then.
 func (s *server) releasedAttempt(id string, attempt int) int {
 	answeredOn := s.established[id]
 	if answeredOn != nil && answeredOn.closed {
@@ -150,8 +151,9 @@
 	return attempt
 }
 
-// otherHolder is another dispatcher at this one's address at which a call stands that does not stand here; nil if there is none. Before the list told
-// of it, its process may have been connected to under this one's name, and it tells the ends of its calls on any connection.
+// otherHolder returns another dispatcher at this one's address at which a call is established that is not established here, or nil.
+// Before the list contained it, connections to its process may have been opened under this one's name, and it sends the ends of its calls
+// on any connection.
 func (s *server) otherHolder(id string) *server {
 	if s.established[id] != nil {
 		return nil
--- a/internal/dispatchers/obsolete.go
+++ b/internal/dispatchers/obsolete.go
@@ -9,13 +9,13 @@
 	"cherryrelay/internal/endlog"
 )
 
-// Dispatchers that count as no more, or are about to.
+// This file handles dispatchers that were replaced or are off the list.
 
-// checkObsolete looks at a dispatcher of which nothing is to be expected any more. The list may be ahead of the process: it is let go when it is quiet,
-// and dialled only to release calls, and for ends that may have been lost.
+// checkObsolete checks a dispatcher that is off the list or replaced. Its process may still run: it is disconnected once it is idle, and
+// dialled only to release calls and to receive ends that may have been lost.
 func (s *server) checkObsolete(now time.Time) {
 	if len(s.conns) == 0 || now.Sub(s.lastReceivedAt) > silenceThreshold && s.presumedStopped(now) {
-		s.disconnect(errors.New("dispatcher is gone"))
+		s.disconnect(errors.New("dispatcher was removed or replaced"))
 		s.pool.core.DispatcherFailed(s.ID)
 	}
 	if !s.mayDialForRelease(now) {
@@ -34,8 +34,9 @@
 	s.renew(now)
 }
 
-// endOrphaned ends the calls at a dispatcher whose place is another's, and to which no connection is open that its process had. Those that have been
-// opened since under its name lead to whoever has the address. Should that be its process all the same, the calls are released there.
+// endOrphaned ends the calls at a replaced dispatcher that no longer has any connection of the generation in which they were answered.
+// Connections opened since under its name lead to the dispatcher that now has the address. In case that is the same process, the calls
+// are released there.
 func (s *server) endOrphaned() {
 	for _, id := range slices.Sorted(s.pool.core.EstablishedAt(s.ID)) {
 		answeredOn := s.established[id]
@@ -48,14 +49,15 @@
 	}
 }
 
-// presumedStopped reports whether a silent dispatcher counts as no more: it leaves a probe unanswered, or ends of its calls may have been lost and it
-// can't be connected to for what it would tell again. The end of a call whose own connection is open comes there.
+// presumedStopped reports whether a silent dispatcher is presumed to have stopped: it has not replied to a probe, or ends of its calls
+// may have been lost and no connection can be opened on which it would repeat them. The end of a call whose own connection is open
+// arrives there.
 func (s *server) presumedStopped(now time.Time) bool {
 	return s.renewal.EndsMissing() && s.hasEndsAtRisk() && (s.lastDialRefused || s.lastDialTimedOut || s.replaced) || s.probeUnanswered(now)
 }
 
-// probeUnanswered reports whether the dispatcher leaves a probe unanswered for probeTimeout on the connection that was heard from last. It sends
-// the probe first. One that drains may listen no more, and have nothing to say of its calls until they end.
+// probeUnanswered reports whether the dispatcher has not replied within probeTimeout to a probe on the connection with the latest input.
+// It sends the probe first. A draining dispatcher may have stopped listening, and has nothing to send until its calls end.
 func (s *server) probeUnanswered(now time.Time) bool {
 	if s.probedAt.IsZero() || s.lastReceivedAt.After(s.probedAt) {
 		c := s.latestConn()
--- a/internal/dispatchers/ping.go
+++ b/internal/dispatchers/ping.go
@@ -6,15 +6,15 @@
 	"cherryrelay/control"
 )
 
-// Probes of single connections.
+// This file probes single connections.
 
-// pendingPing is a probe whose reply somebody waits for.
+// pendingPing is a probe that waits for its reply.
 type pendingPing struct {
-	number  uint32 // of the probe, on its connection
+	number  uint32 // number of the probe on its connection
 	onReply func(replied bool)
 }
 
-// Probe asks a dispatcher for a report.
+// Probe requests a load report from a dispatcher.
 func (p *Pool) Probe(id control.ServerID) {
 	if s := p.servers[id]; s != nil {
 		if c := s.latestConn(); c != nil {
@@ -23,9 +23,9 @@
 	}
 }
 
-// Ping probes the connection of an attempt, and has done called once its reply has been read there: by then all has been read that the dispatcher had
-// told there before. What has not left is at no dispatcher yet: then done is called at once. If the connection ends first, or has ended, it is called
-// with false.
+// Ping probes the connection of an attempt and calls onReply once the reply has been read there: by then, all that the dispatcher had
+// sent there before has been read too. If the set-up has not been sent completely, the dispatcher does not have it yet, and onReply is
+// called at once. If the connection closes first, or has closed, onReply is called with false.
 func (p *Pool) Ping(id control.ServerID, callID string, attempt int, onReply func(replied bool)) {
 	s := p.servers[id]
 	if s == nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// pingEstablished is Ping of the connection of an answer.
+// pingEstablished is Ping for the connection on which an answer was received.
 func (s *server) pingEstablished(answeredOn *lifetime, onReply func(replied bool)) {
 	i := slices.IndexFunc(s.conns, func(c *connection) bool { return c.lifetime == answeredOn })
 	if i < 0 {
@@ -63,19 +63,19 @@
 	s.conns[i].ping(onReply)
 }
 
-// ping sends a probe, and has done called with its reply.
+// ping sends a probe and calls onReply with its result.
 func (c *connection) ping(onReply func(replied bool)) {
 	c.pings = append(c.pings, pendingPing{c.probe(), onReply})
 }
 
-// probe sends a probe, and returns its number.
+// probe sends a probe and returns its number.
 func (c *connection) probe() uint32 {
 	message, number := c.protocol.Probe()
 	c.send(message)
 	return number
 }
 
-// handleProbeReply takes in the reply to the probe of a number. It stands for those to earlier ones, too.
+// handleProbeReply handles the reply to the probe with the given number. It counts as the reply to earlier probes too.
 func (c *connection) handleProbeReply(number uint32) {
 	var replied []pendingPing
 	c.pings = slices.DeleteFunc(c.pings, func(p pendingPing) bool {
@@ -90,7 +90,7 @@
 	}
 }
 
-// failPings tells that no more replies come.
+// failPings reports that no replies will come.
 func (c *connection) failPings() {
 	pings := c.pings
 	c.pings = nil
--- a/internal/dispatchers/protocol.go
+++ b/internal/dispatchers/protocol.go
@@ -6,23 +6,23 @@
 	"cherryrelay/internal/ring"
 )
 
-// What dispatchers say and are told, whatever the form.
+// This file defines the messages that are exchanged with dispatchers, independently of the protocol.
 
-// kind says what a dispatcher's message means.
+// kind is the meaning of a message from a dispatcher.
 type kind int
 
 const (
-	noAction          kind = iota // progress, or what wants no more than its reply
-	handshakeComplete             // the connection may be used now
+	noAction          kind = iota // a provisional response, or a message that needs only its reply
+	handshakeComplete             // the connection can be used now
 	answer
 	refusal
 	released
-	refusedOrReleased // a refusal if the set-up is open, else the end of a call that stood
-	releaseConfirmed  // of a release
+	refusedOrReleased // a refusal if the set-up is open, else the end of an established call
+	releaseConfirmed  // the dispatcher has confirmed a release
 	report
 )
 
-// Message is what a dispatcher says, whatever the wire.
+// Message is a decoded message from a dispatcher.
 type Message struct {
 	kind        kind
 	id          string
@@ -31,25 +31,25 @@
 	noLine      bool
 	cause       int
 	report      []float64
-	encodeReply func(called string) []byte // what the wire owes for it; nil for nothing
-	final       bool                       // nothing more comes for the set-up
-	damaged     bool                       // the description cannot be what was meant
-	probeReply  uint32                     // the number of the probe that it is the reply to; 0 for none
+	encodeReply func(called string) []byte // encodes the reply that the protocol requires; nil if it requires none
+	final       bool                       // no more messages about the set-up follow
+	damaged     bool                       // the description is invalid
+	probeReply  uint32                     // number of the probe that it replies to; 0 if it is no reply to a probe
 }
 
-// Protocol is the form in which one connection speaks to a dispatcher.
+// Protocol encodes and decodes the messages on one connection to a dispatcher.
 type Protocol interface {
-	// Handshake opens the conversation; nil if the wire has no such thing.
+	// Handshake returns the opening message, or nil if the protocol has none.
 	Handshake() []byte
 	// HandshakeDone reports whether calls can be placed.
 	HandshakeDone() bool
 	SetUp(call.SetUp) []byte
 	Cancel(id string, attempt int, called string) []byte
 	Release(id string, cause int) []byte
-	// Probe is a probe and its number on the connection, from 1 on.
+	// Probe returns a probe and its number on the connection, counted from 1.
 	Probe() (message []byte, number uint32)
-	// Next takes one message off the ring; nil if none is whole yet.
+	// Next decodes the next message from the buffer; it returns nil if none is complete.
 	Next(*ring.Buffer) (*Message, error)
-	// ClosingMessage are the last words before the connection is closed for an error.
+	// ClosingMessage returns the message that is sent before the connection is closed because of an error.
 	ClosingMessage(err error) []byte
 }
--- a/internal/dispatchers/release.go
+++ b/internal/dispatchers/release.go
@@ -10,25 +10,25 @@
 	"cherryrelay/internal/endlog"
 )
 
-// Releases of calls, from here to the dispatchers that hold them.
+// This file releases calls at the dispatchers that hold them.
 
-// release is one of a call.
+// release is the release of a call at a dispatcher.
 type release struct {
 	id        string
 	cause     int
 	knownHere bool // the call is known to be at this dispatcher
 }
 
-// sentRelease is a release on a connection, until its dispatcher has confirmed it.
+// sentRelease is a release on a connection that its dispatcher has not confirmed.
 type sentRelease struct {
 	release
-	writtenAt time.Time // when all of it had gone to the socket; zero before
+	writtenAt time.Time // when it was written to the socket completely; zero before
 }
 
-// releaseDialPeriod is how long a dispatcher that is off the list is dialled, once it has no connection, to release calls there.
+// releaseDialPeriod is how long a removed dispatcher without a connection is dialled to release its calls.
 const releaseDialPeriod = 10 * time.Second
 
-// Release cuts a call that stands.
+// Release releases a call; an empty id stands for all dispatchers.
 func (p *Pool) Release(id control.ServerID, callID string, cause int) {
 	for _, s := range p.order {
 		if id != "" && s.ID != id || s.obsolete() && len(s.conns) == 0 && (id == "" || s.replaced) {
@@ -46,8 +46,8 @@
 	}
 }
 
-// releaseUnknownOutcomes releases what may have come of set-ups whose connection ended without a word of theirs: an answer may have gone down with it,
-// and its dispatcher hold the call.
+// releaseUnknownOutcomes releases the calls of set-ups whose connection closed without an answer: an answer may have been lost with it,
+// and the dispatcher may have established the call.
 func (c *connection) releaseUnknownOutcomes(setUps map[string]*setUpState) {
 	s := c.server
 	if c.process != s.process || s.replaced {
@@ -63,7 +63,8 @@
 	}
 }
 
-// hasCallOrAttempt reports whether another attempt of a call is at the dispatcher, or on its way there. A release would end that one too.
+// hasCallOrAttempt reports whether the call is established at the dispatcher, or another attempt of it is waiting or open there. A
+// release would end that one too.
 func (s *server) hasCallOrAttempt(id string) bool {
 	if s.established[id] != nil || slices.ContainsFunc(s.waiting, func(w waitingSetUp) bool { return w.ID == id }) {
 		return true
@@ -74,8 +75,8 @@
 	})
 }
 
-// connWithRelease is the connection with a release of a call that its dispatcher may not have heard; nil if there is none. The next attempt of the
-// call at the dispatcher follows it there: on another connection it could be established first, and the release would cut it.
+// connWithRelease returns a connection with an unconfirmed release of a call, or nil. The next attempt of the call at the dispatcher is
+// sent behind the release: on another connection it could be established first, and the release would then end it.
 func (s *server) connWithRelease(id string) *connection {
 	now := time.Now()
 	for _, c := range s.conns {
@@ -86,7 +87,8 @@
 	return nil
 }
 
-// connAfterRelease is the connection for an attempt that waited: the one with a release of its call, or else the one that is ready now.
+// connAfterRelease returns the connection for an attempt that has waited: one with a release of its call, or else the one that is ready
+// now.
 func (s *server) connAfterRelease(id string, readyConn *connection) *connection {
 	if c := s.connWithRelease(id); c != nil {
 		return c
@@ -94,14 +96,14 @@
 	return readyConn
 }
 
-// hasUnconfirmedRelease reports whether a release of a call has been sent that the dispatcher may not have heard.
+// hasUnconfirmedRelease reports whether a release of a call was sent that the dispatcher may not have received.
 func (c *connection) hasUnconfirmedRelease(id string) bool {
 	c.dropDelivered()
 	return slices.ContainsFunc(c.unconfirmed, func(r *sentRelease) bool { return r.id == id })
 }
 
-// collectReleases takes the releases of calls that are known to be at the dispatcher: those that wait for a connection, and those of calls that stand,
-// which are about to count as cut.
+// collectReleases returns the releases of the calls that are known to be at the dispatcher: those that wait for a connection, and those
+// of the established calls, which are about to be reported as ended.
 func (s *server) collectReleases() []release {
 	collected := slices.DeleteFunc(s.releases, func(r release) bool { return !r.knownHere })
 	s.releases = nil
@@ -111,16 +113,16 @@
 	return collected
 }
 
-// mayDialForRelease reports whether a dispatcher of which nothing is to be expected any more may be dialled to release calls: its process may live.
+// mayDialForRelease reports whether a dispatcher that is off the list may be dialled to release calls, as its process may still run.
 func (s *server) mayDialForRelease(now time.Time) bool {
 	return !s.replaced && s.hasWaitingRelease() && s.disconnectedFor(now) < releaseDialPeriod
 }
 
-// sendReleases sends releases that have waited for a connection, and reports whether none is left. Of many, some go at once; the rest comes
-// with the next look at the dispatcher.
+// sendReleases sends releases that have waited for a connection, and reports whether none is left. It sends at most releaseBatchSize of
+// them; the rest follows with the next check.
 func (s *server) sendReleases(c *connection) bool {
 	if c.conn.Unsent() > 0 && len(s.releases) > 0 {
-		return false // it has not taken the last ones yet
+		return false // the previous ones have not been sent yet
 	}
 	batch := s.releases[:min(len(s.releases), releaseBatchSize)]
 	for _, r := range batch {
@@ -133,13 +135,14 @@
 	return true
 }
 
-// hasUnconfirmedKnownRelease reports whether the release of a call that is known to be at the dispatcher has not left, or may not have been heard.
+// hasUnconfirmedKnownRelease reports whether the release of a call that is known to be at the dispatcher has not been sent, or may not
+// have been received.
 func (c *connection) hasUnconfirmedKnownRelease() bool {
 	c.dropDelivered()
 	return slices.ContainsFunc(c.unconfirmed, func(r *sentRelease) bool { return r.knownHere })
 }
 
-// sendRelease ends a call that stands at the dispatcher, or may. It is kept until the dispatcher has confirmed it.
+// sendRelease releases a call that is, or may be, established at the dispatcher. The release is kept until the dispatcher confirms it.
 func (c *connection) sendRelease(r release) {
 	if !c.writable() {
 		return
@@ -152,20 +155,21 @@
 	c.markDirty()
 }
 
-// confirmRelease takes in that the dispatcher has heard the release of a call.
+// confirmRelease handles the dispatcher's confirmation of a release.
 func (c *connection) confirmRelease(id string) {
 	c.unconfirmed = slices.DeleteFunc(c.unconfirmed, func(r *sentRelease) bool { return r.id == id })
 }
 
-// dropDelivered drops releases that the dispatcher has not confirmed, and must have heard: what it has said since came well after them.
+// dropDelivered drops unconfirmed releases that the dispatcher must have received, as input has arrived more than responseTimeout after
+// they were sent.
 func (c *connection) dropDelivered() {
 	c.unconfirmed = slices.DeleteFunc(c.unconfirmed, func(r *sentRelease) bool {
 		return !r.writtenAt.IsZero() && c.lastReceivedAt.Sub(r.writtenAt) > responseTimeout
 	})
 }
 
-// requeueUnconfirmed has the releases of calls that are known to be at the dispatcher wait for the next connection, if they may not have come
-// through on this one. One over which another attempt has gone there since would end that one.
+// requeueUnconfirmed queues the unconfirmed releases of calls that are known to be at the dispatcher for the next connection. A release
+// of a call of which another attempt is at the dispatcher by now is dropped, as it would end that attempt.
 func (c *connection) requeueUnconfirmed() {
 	c.dropDelivered()
 	for _, r := range c.unconfirmed {
--- a/internal/dispatchers/renewal.go
+++ b/internal/dispatchers/renewal.go
@@ -10,10 +10,10 @@
 	"cherryrelay/internal/endlog"
 )
 
-// Connections that are opened for the ends of calls that may have been lost with another one.
+// This file opens connections for ends of calls that may have been lost with another connection.
 
-// mayLoseEnds reports whether ends of calls may be lost with the connection as it ends for the reason, whether it was open until now or given
-// up before.
+// mayLoseEnds reports whether ends of calls may be lost with the connection as it closes for the given reason, whether it was open or
+// already abandoned.
 func (c *connection) mayLoseEnds(reason error) bool {
 	switch {
 	case c.state == connClosed, c.closedCleanly, isCleanClose(reason):
@@ -24,21 +24,21 @@
 	return true
 }
 
-// requestRenewal asks for a connection on which the ends are repeated that were told until now.
+// requestRenewal requests a new connection, on which the dispatcher repeats the ends that it has sent until now.
 func (s *server) requestRenewal() {
 	s.logStep(endlog.RenewalAsked, nil)
 	s.renewal.Request(time.Now())
 	s.pool.markActive(s)
 }
 
-// recordLostEnds takes in that ends which were told until now may have been lost.
+// recordLostEnds records that ends sent until now may have been lost.
 func (s *server) recordLostEnds() {
 	s.logStep(endlog.RenewalAsked, nil)
 	s.renewal.RecordLoss(time.Now())
 	s.pool.markActive(s)
 }
 
-// logCallsAtRisk logs the calls whose ends may be told on a connection that is being given up.
+// logCallsAtRisk logs the calls whose ends may be sent on a connection that is being abandoned.
 func (s *server) logCallsAtRisk() {
 	if !endlog.Enabled(s.pool.Log) {
 		return
@@ -48,20 +48,20 @@
 	}
 }
 
-// requestRepeats has ends repeated on new connections, one after the other, for as long as the dispatcher may tell them on one that is not read
-// any more.
+// requestRepeats requests new connections, one after the other, for as long as the dispatcher may send ends on a connection that is no
+// longer read.
 func (s *server) requestRepeats(now time.Time) {
 	if s.mayHoldUnreadConn(now) && s.hasEndsAtRisk() {
 		s.renewal.RequestPeriodic(now)
 	}
 }
 
-// mayHoldUnreadConn reports whether the dispatcher may hold a connection for open that was given up: one that lives closes it soon.
+// mayHoldUnreadConn reports whether the dispatcher may still hold an abandoned connection open; a working one closes it soon.
 func (s *server) mayHoldUnreadConn(now time.Time) bool {
-	return s.renewal.HasUnreadConnection() || slices.ContainsFunc(s.abandoned, func(c *connection) bool { return now.Sub(c.stateSince) > responseTimeout })
+	return s.renewal.HasUnreadConnection() || slices.ContainsFunc(s.abandoned, func(c *connection) bool { return now.Sub(c.since) > responseTimeout })
 }
 
-// hasEndsAtRisk reports whether a call stands whose own connection is open no more: its end may come on any other.
+// hasEndsAtRisk reports whether a call is established whose own connection has closed: its end may come on any other connection.
 func (s *server) hasEndsAtRisk() bool {
 	for id := range s.pool.core.EstablishedAt(s.ID) {
 		if answeredOn := s.established[id]; answeredOn == nil || answeredOn.closed {
@@ -71,8 +71,8 @@
 	return false
 }
 
-// renew opens the connection that is due. Where there are as many as there may be, one that has nothing to do makes room. If each has set-ups
-// open, one is given no more of them while another is healthy.
+// renew opens the requested connection when it is due. If the dispatcher has the maximum number of connections, an idle one is closed
+// first. If all have open set-ups, one of them gets no more set-ups while another is healthy.
 func (s *server) renew(now time.Time) {
 	if !s.renewal.Due(now) || s.dialing || !s.reachable(now) {
 		return
@@ -81,7 +81,7 @@
 		idle := slices.IndexFunc(s.conns, func(c *connection) bool { return c.openSetUps() == 0 })
 		if idle < 0 {
 			s.startVacating()
-			return // once it has nothing to do
+			return // until a connection is idle
 		}
 		s.vacating = nil
 		s.conns[idle].halfClose(conn.ErrClosedHere)
@@ -91,17 +91,19 @@
 	}
 }
 
-// startVacating has the connection with the fewest open set-ups given no more of them, unless another makes room already.
+// startVacating selects the connection with the fewest open set-ups to get no more of them, unless one is selected already.
 func (s *server) startVacating() {
 	if !slices.Contains(s.conns, s.vacating) {
-		s.vacating = slices.MinFunc(s.conns, func(a, b *connection) int { return cmp.Compare(a.openSetUps(), b.openSetUps()) })
+		s.vacating = slices.MinFunc(s.conns, func(a, b *connection) int {
+			return cmp.Compare(a.openSetUps(), b.openSetUps())
+		})
 	}
 }
 
-// isVacating reports whether the connection is to make room for one that is due: set-ups go out on others that are healthy.
+// isVacating reports whether the connection is to be replaced by the requested one. Set-ups are then sent on other healthy connections.
 func (s *server) isVacating(c *connection) bool { return c == s.vacating && s.renewal.Pending() }
 
-// renewalFailed takes in that a dial has failed. While calls stand it is dialled again, at the pace of the dispatcher's backoff.
+// renewalFailed handles a failed dial for the requested connection. While calls are established, dials continue at the pace of the dispatcher's backoff.
 func (s *server) renewalFailed() {
 	if s.renewal.Pending() {
 		s.logStep(endlog.RenewalFailed, nil)
--- a/internal/dispatchers/server.go
+++ b/internal/dispatchers/server.go
@@ -12,7 +12,7 @@
 	"cherryrelay/internal/endlog"
 )
 
-// closeExcess closes connections beyond the limit, as far as no set-up is open on them. A call that stands needs none of its own.
+// closeExcess closes connections beyond the limit that have no open set-ups. An established call needs no connection of its own.
 func (s *server) closeExcess() {
 	for _, c := range slices.Clone(s.conns) {
 		if len(s.conns) <= s.pool.maxConns {
@@ -24,8 +24,8 @@
 	}
 }
 
-// closeIdle gives up a connection that has nothing to do. An end may be on its way there, and its dispatcher may reset it in the moment in
-// which it closes: while calls stand, another connection brings what has been told since.
+// closeIdle half-closes an idle connection. An end may be in transit there, and the dispatcher may reset the connection while it closes.
+// If calls are established, another connection is therefore opened, on which the dispatcher repeats the ends sent since.
 func (s *server) closeIdle(c *connection) {
 	reason := conn.ErrClosedHere
 	if s.pool.core.EstablishedCount(s.ID) > 0 {
@@ -39,49 +39,49 @@
 	call.Server
 	pool             *Pool
 	conns            []*connection
-	renewal          links.Renewal // of connections, for ends that may have been lost
-	vacating         *connection   // to make room for one, if one is due; nil if none is
-	abandoned        []*connection // that are still read; MaxConnections at most
+	renewal          links.Renewal // requests new connections for ends that may have been lost
+	vacating         *connection   // connection to be replaced by a requested one, or nil
+	abandoned        []*connection // abandoned connections that are still read; at most MaxConnections
 	dialing          bool
 	backoff          links.Backoff
 	waiting          []waitingSetUp
 	lastReceivedAt   time.Time
-	answeredSentAt   time.Time // when the latest set-up was sent that has an answer
-	establishedAt    time.Time // when a call last came to stand here
-	lastDialTimedOut bool      // the last connection tried did not come up in time
-	lastDialRefused  bool      // the last connection tried was refused
-	probedAt         time.Time // when a probe was sent to see whether it lives; zero for never
-	replaced         bool      // another dispatcher has its address now
+	answeredSentAt   time.Time // when the latest set-up that has an answer was sent
+	establishedAt    time.Time // when a call was last established here
+	lastDialTimedOut bool      // whether the last dial timed out
+	lastDialRefused  bool      // whether the last dial was refused
+	probedAt         time.Time // when a probe was sent to check whether it responds; zero if none was
+	replaced         bool      // another dispatcher has the address now
 	releases         []release
-	process          int                  // counts the processes that have run under its name
-	established      map[string]*lifetime // of the connection on which the set-up was answered, for each call that stands
+	process          int                  // number of processes that have run under its name
+	established      map[string]*lifetime // for each established call, the connection on which the answer was received
 	deferredReleases map[string]deferredRelease
 	demand           links.Demand
 
-	active            bool      // it is looked at with the next check
-	dialQueued        bool      // it is in the queue of those that no call needs
-	dialDueAt         time.Time // there
-	awaitsSocket      bool      // room is being made for a connection
-	disconnectedSince time.Time // when it last came to have no open connection
-	generation        int       // counts how often it did
+	active            bool      // visited in the next check
+	dialQueued        bool      // in the queue of dials that no call needs
+	dialDueAt         time.Time // when that dial is due
+	awaitsSocket      bool      // waits for an evicted connection to end
+	disconnectedSince time.Time // when it last lost its last open connection
+	generation        int       // number of times that happened; the generation of the connections opened since
 }
 
-// waitingSetUp is an attempt for which there is no connection yet.
+// waitingSetUp is an attempt that waits for a connection.
 type waitingSetUp struct {
 	call.SetUp
 	queuedAt, deadline time.Time
 }
 
-// withTimeLeft is the set-up as it is to be sent by now; not ok if its time has passed. What it tells its dispatcher is how long the
-// controller will wait: told the whole limit, the dispatcher would still have it out when the controller has given it up,
-// and the next attempt would come before the end of the guard.
+// withTimeLeft returns the set-up with the time that is left; ok is false if none is. The timeout sent to the dispatcher is how long the
+// controller will still wait. With the full timeout, the dispatcher would still work on the set-up when the controller has cancelled it,
+// and the next attempt would be made before the end of the guard.
 func (w *waitingSetUp) withTimeLeft(now time.Time) (a call.SetUp, ok bool) {
 	a = w.SetUp
 	a.Timeout -= max(now.Sub(w.queuedAt), 0)
 	return a, a.Timeout > 0
 }
 
-// failExpired tells of attempts that no connection came up for: they never ran.
+// failExpired reports the attempts for which no connection opened in time as unreachable, or all of them if now is zero.
 func (s *server) failExpired(now time.Time) {
 	for len(s.waiting) > 0 && (now.After(s.waiting[0].deadline) || now.IsZero()) {
 		w := s.waiting[0]
@@ -90,18 +90,18 @@
 	}
 }
 
-// obsolete reports whether nothing is to be expected of a dispatcher any more: its place is another's, or it is off the list. One
-// that people left out, and whose calls may go on, is kept until they have ended.
+// obsolete reports whether the entry of the dispatcher is no longer in use: another dispatcher has its address, or it is off the list. A
+// dispatcher that was taken off the list by an operator and whose calls may continue is kept until they have ended.
 func (s *server) obsolete() bool {
 	return s.replaced || s.Status == control.Removed && !(s.CallsContinue && s.pool.core.EstablishedCount(s.ID) > 0)
 }
 
-// wantedConns is how many connections there should be.
+// wantedConns returns the target number of connections.
 func (s *server) wantedConns(now time.Time) int {
 	return s.demand.Target(now, s.oldestWithoutInput(now), s.pool.maxConns)
 }
 
-// oldestWithoutInput is the age of the oldest open set-up since which nothing has come on its connection.
+// oldestWithoutInput returns the age of the oldest open set-up since which its connection has received nothing.
 func (s *server) oldestWithoutInput(now time.Time) time.Duration {
 	oldest := time.Duration(0)
 	for _, c := range s.conns {
@@ -114,7 +114,7 @@
 	return oldest
 }
 
-// hasCalls reports whether a dispatcher has anything to say: set-ups are open at it, or calls stand.
+// hasCalls reports whether set-ups are open or calls are established at the dispatcher.
 func (s *server) hasCalls() bool {
 	return s.openSetUps() > 0 || s.pool.establishedCount(s.ID, time.Now()) > 0
 }
@@ -127,7 +127,7 @@
 	return n
 }
 
-// sendWaiting sends what has waited for a connection. Releases go first: a set-up under the same id is not to be ended by one.
+// sendWaiting sends what waits for a connection. Releases go first, so that none ends a later set-up with the same id.
 func (s *server) sendWaiting(c *connection) {
 	if !s.sendReleases(c) {
 		return
@@ -143,8 +143,8 @@
 	}
 }
 
-// disconnect gives up all connections, ends what was under way, and releases what stood. The dispatcher may live, and not listen any more: what it
-// still says is taken for a while. Where no connection is open, releases wait for one.
+// disconnect abandons all connections, fails the open attempts and releases the established calls. The dispatcher may still run without
+// listening: its connections are read for a while longer. If no connection is open, the releases wait for one.
 func (s *server) disconnect(reason error) {
 	latest := s.latestConn()
 	toRelease := s.collectReleases()
@@ -171,7 +171,7 @@
 	clear(s.established)
 }
 
-// latestConn is the connection that was heard from last.
+// latestConn returns the ready connection with the latest input, or nil.
 func (s *server) latestConn() *connection {
 	var best *connection
 	for _, c := range s.conns {
@@ -182,13 +182,13 @@
 	return best
 }
 
-// leastLoaded is the connection for a set-up: the one with the fewest, so that little is lost with any. An attempt does not
-// follow an earlier one of its call on the same connection, where a late answer to that could be taken for its own.
+// leastLoaded returns the connection for a set-up: the one with the lowest load, so that few set-ups are lost with any connection. An
+// attempt is not sent on the connection of an earlier attempt of its call, where a late answer to that one could be taken for its own.
 func (s *server) leastLoaded(id string) *connection {
 	var least *connection
 	now := time.Now()
 	for i, c := range s.conns {
-		if !c.ready() || !c.incompleteSince.IsZero() || c.setUps[id] != nil || i >= s.pool.maxConns { // beyond those, one is to go
+		if !c.ready() || !c.incompleteSince.IsZero() || c.setUps[id] != nil || i >= s.pool.maxConns { // connections beyond the limit are to be closed
 			continue
 		}
 		if least == nil || s.compareForSetUp(c, least, now) < 0 {
@@ -198,8 +198,8 @@
 	return least
 }
 
-// compareForSetUp orders connections by how well one more set-up goes on them, the best first: healthy ones, and of these first those that make no
-// room for another.
+// compareForSetUp orders connections by their suitability for one more set-up, best first: healthy ones before others, and of these,
+// those that are not to be replaced before the one that is.
 func (s *server) compareForSetUp(a, b *connection, now time.Time) int {
 	switch {
 	case a.healthy(now) != b.healthy(now):
@@ -221,7 +221,8 @@
 	return 1
 }
 
-// ensureCapacity reports whether one more connection may be opened. One that has long been silent and has nothing to do makes room.
+// ensureCapacity reports whether one more connection may be opened. At the limit, it half-closes an idle connection that has long been
+// silent.
 func (s *server) ensureCapacity(now time.Time) bool {
 	if len(s.conns) < s.pool.maxConns {
 		return true
--- a/internal/dispatchers/sip.go
+++ b/internal/dispatchers/sip.go
@@ -11,32 +11,32 @@
 	"cherryrelay/internal/sip"
 )
 
-// probeIDPrefix begins the Call-ID of probes.
+// probeIDPrefix begins the Call-ID of each probe.
 const probeIDPrefix = "probe-"
 
-// releaseCSeq is the CSeq number of releases, beyond those of attempts.
+// releaseCSeq is the CSeq number of releases; it is higher than that of any attempt.
 const releaseCSeq = 100
 
-// SIP speaks the platform's SIP over TCP.
+// SIP implements Protocol for the platform's SIP over TCP.
 type SIP struct {
-	fields *[]string // of load reports, as the settings have them now
+	fields *[]string // fields of load reports in the active configuration
 	dec    sip.Decoder
 	probes uint32
 }
 
-// Handshake is not needed.
+// Handshake returns nil: SIP has no handshake.
 func (p *SIP) Handshake() []byte { return nil }
 
-// HandshakeDone is always so.
+// HandshakeDone always reports true.
 func (p *SIP) HandshakeDone() bool { return true }
 
-// ClosingMessage has no form.
+// ClosingMessage returns nil: SIP has no closing message.
 func (p *SIP) ClosingMessage(error) []byte { return nil }
 
 func uri(called string) string { return "sip:" + called + "@net" }
 
-// SetUp is an INVITE. Its CSeq numbers the attempt, but answers are not matched by that number: dispatchers answer
-// a second attempt under the number 1 as well.
+// SetUp encodes an INVITE. Its CSeq numbers the attempt, but answers are not matched by that number: dispatchers answer a second attempt
+// with the number 1 as well.
 func (p *SIP) SetUp(a call.SetUp) []byte {
 	return sip.Append(nil, &sip.Message{
 		Method: "INVITE", URI: uri(a.Called), CallID: a.ID, Seq: uint32(a.Attempt) + 1, SeqOf: "INVITE",
@@ -48,13 +48,13 @@
 	})
 }
 
-// Cancel is a CANCEL.
+// Cancel encodes a CANCEL.
 func (p *SIP) Cancel(id string, attempt int, called string) []byte {
 	return sip.Append(nil, &sip.Message{
 		Method: "CANCEL", URI: uri(called), CallID: id, Seq: uint32(attempt) + 1, SeqOf: "CANCEL"})
 }
 
-// Release is a BYE.
+// Release encodes a BYE.
 func (p *SIP) Release(id string, cause int) []byte {
 	return sip.Append(nil, &sip.Message{
 		Method: "BYE", URI: uri("call"), CallID: id, Seq: releaseCSeq, SeqOf: "BYE",
@@ -62,14 +62,14 @@
 	})
 }
 
-// Probe is OPTIONS. Its Call-ID numbers it.
+// Probe encodes an OPTIONS request. Its Call-ID contains the number.
 func (p *SIP) Probe() (message []byte, number uint32) {
 	p.probes++
 	return sip.Append(nil, &sip.Message{
 		Method: "OPTIONS", URI: uri("load"), CallID: probeIDPrefix + strconv.FormatUint(uint64(p.probes), 10), Seq: p.probes, SeqOf: "OPTIONS"}), p.probes
 }
 
-// probeNumber is the number of the probe with a Call-ID; 0 if it is that of none.
+// probeNumber returns the number of the probe with the given Call-ID, or 0 if it is not that of a probe.
 func probeNumber(callID string) uint32 {
 	text, ok := strings.CutPrefix(callID, probeIDPrefix)
 	if !ok {
@@ -82,7 +82,7 @@
 	return uint32(number)
 }
 
-// Next reads a message.
+// Next decodes the next message.
 func (p *SIP) Next(in *ring.Buffer) (*Message, error) {
 	m, err := p.dec.Next(in)
 	if m == nil || err != nil {
@@ -106,8 +106,8 @@
 	case m.SeqOf != "INVITE":
 	case m.Status >= 200:
 		p.readFinalAnswer(m, message)
-		// A length that is too short leaves the rest of the description as the beginning of the next message; one that is
-		// too long takes that into the description.
+		// A length that is too short makes the rest of the description the beginning of the next message; one that is too long adds that
+		// message to the description.
 		message.damaged = message.kind == answer && (!call.ValidDescription(message.description) ||
 			strings.Contains(message.description, "SIP/2.0") || !sip.MayBegin(in))
 	default:
@@ -116,7 +116,7 @@
 	return message, nil
 }
 
-// readFinalAnswer reads a final answer to INVITE. The ACK follows any of them: without it the dispatcher repeats itself.
+// readFinalAnswer interprets a final answer to INVITE. Each is acknowledged with an ACK, without which the dispatcher sends it again.
 func (p *SIP) readFinalAnswer(m *sip.Message, message *Message) {
 	message.final = true
 	message.encodeReply = func(called string) []byte {
@@ -147,7 +147,7 @@
 	}
 }
 
-// parseCause reads "Q.850;cause=N"; a release that does not say why is a plain one.
+// parseCause parses "Q.850;cause=N". A release without a cause counts as normal.
 func parseCause(reason string) int {
 	for part := range strings.SplitSeq(reason, ";") {
 		if text, ok := strings.CutPrefix(strings.TrimSpace(part), "cause="); ok {
--- a/internal/dispatchers/transport.go
+++ b/internal/dispatchers/transport.go
@@ -6,7 +6,7 @@
 	"cherryrelay/internal/conn"
 )
 
-// transportConn is one connection to a dispatcher; *conn.Conn is one, and documents the methods.
+// transportConn is the transport of one connection to a dispatcher. *conn.Conn implements it and documents the methods.
 type transportConn interface {
 	Write(p []byte)
 	WriteThen(p []byte, then func()) conn.Ticket
@@ -20,8 +20,8 @@
 	Abort(reason error)
 }
 
-// dialer opens a connection without holding up the loop. Once it is up, opened makes what takes its callbacks; then, or as the dial has
-// failed, done is called. Both run on the loop.
+// dialer opens a connection without blocking the event loop. Once it is open, opened returns the handler of its callbacks. Then, or when
+// the dial has failed, done is called. Both run on the loop.
 type dialer func(address string, timeout time.Duration, opened func(transportConn) conn.Handler, done func(error))
 
 // dialTCP returns the dialer of TCP connections.
--- a/internal/dispatchers/websocket.go
+++ b/internal/dispatchers/websocket.go
@@ -15,18 +15,18 @@
 	"cherryrelay/internal/websocket"
 )
 
-// WebSocket speaks the call-control API to a dispatcher, as its client.
+// WebSocket implements Protocol for the call-control API, as its client.
 type WebSocket struct {
-	fields                       *[]string // of load reports, as the settings have them now
+	fields                       *[]string // fields of load reports in the active configuration
 	host, path                   string
 	opening                      websocket.Opening
 	handshakeDone, closeReceived bool
 	dec                          websocket.Decoder
-	probes                       uint32 // sent
-	probeReplies                 uint32 // to them, which come in their order
+	probes                       uint32 // number of probes sent
+	probeReplies                 uint32 // number of replies to probes, which arrive in the order of the probes
 }
 
-// ParseAddress tells where an address of the list leads and in which form to speak there: "host:port" is SIP over TCP,
+// ParseAddress returns the address to dial and the protocol for an address of the list: "host:port" is SIP over TCP,
 // "ws://host:port/path" the call-control API.
 func ParseAddress(address string, fields *[]string) (dial string, protocol Protocol) {
 	if !strings.HasPrefix(address, "ws://") {
@@ -34,7 +34,7 @@
 	}
 	u, err := url.Parse(address)
 	if err != nil {
-		return address, &SIP{fields: fields} // no such host: the dial says so
+		return address, &SIP{fields: fields} // the dial will fail and report the host
 	}
 	path := u.EscapedPath()
 	if path == "" {
@@ -43,13 +43,13 @@
 	return u.Host, &WebSocket{fields: fields, host: u.Host, path: path}
 }
 
-// Handshake is the opening request.
+// Handshake returns the opening request.
 func (p *WebSocket) Handshake() []byte { return p.opening.Request(p.host, p.path) }
 
-// HandshakeDone reports whether the dispatcher has taken the connection.
+// HandshakeDone reports whether the dispatcher has accepted the opening request.
 func (p *WebSocket) HandshakeDone() bool { return p.handshakeDone }
 
-// ClosingMessage closes in good order.
+// ClosingMessage returns a close frame with the code of the error.
 func (p *WebSocket) ClosingMessage(err error) []byte {
 	if !p.handshakeDone {
 		return nil
@@ -60,12 +60,12 @@
 func textFrame(m jsonl.Message) []byte {
 	text, err := jsonl.Append(nil, m)
 	if err != nil {
-		return nil // a message of strings and numbers can always be written
+		return nil // a message of strings and numbers can always be encoded
 	}
 	return websocket.Append(nil, websocket.Text, text, true)
 }
 
-// SetUp is a "setup".
+// SetUp encodes a "setup" message.
 func (p *WebSocket) SetUp(a call.SetUp) []byte {
 	return textFrame(jsonl.Message{Type: "setup", ID: a.ID, SDP: &a.Description, Fields: map[string]jsonl.Value{
 		"class": jsonl.Value(a.Class), "key": jsonl.Value(a.Called),
@@ -73,22 +73,22 @@
 	}})
 }
 
-// Cancel is a "release" with cause 16.
+// Cancel encodes a "release" message with cause 16.
 func (p *WebSocket) Cancel(id string, _ int, _ string) []byte { return p.Release(id, call.CauseNormal) }
 
-// Release is a "release".
+// Release encodes a "release" message.
 func (p *WebSocket) Release(id string, cause int) []byte {
 	return textFrame(jsonl.Message{Type: "release", ID: id, Cause: &cause})
 }
 
-// Probe is a "ping".
+// Probe encodes a "ping" message.
 func (p *WebSocket) Probe() (message []byte, number uint32) {
 	p.probes++
 	zero := 0
 	return textFrame(jsonl.Message{Type: "ping", ID: "load", Cause: &zero}), p.probes
 }
 
-// Next reads a message.
+// Next decodes the next message.
 func (p *WebSocket) Next(in *ring.Buffer) (*Message, error) {
 	switch {
 	case p.closeReceived:
@@ -118,7 +118,7 @@
 		}
 		return p.interpret(message), nil
 	case websocket.Binary:
-		return nil, &websocket.Error{Code: websocket.Unsupported, Text: "messages are text"}
+		return nil, &websocket.Error{Code: websocket.Unsupported, Text: "binary messages are not supported"}
 	}
 	return &Message{}, nil
 }
@@ -146,7 +146,7 @@
 	return message
 }
 
-// releaseOutcome of a set-up that a dispatcher releases instead of answering it; docs/api.md has the table.
+// releaseOutcome returns the outcome of a set-up that a dispatcher releases instead of answering it; docs/api.md has the table.
 func releaseOutcome(cause int) (o control.Outcome, noLine bool) {
 	switch cause {
 	case 34:
