--- a/internal/dispatchers/address_reused_test.go
+++ b/internal/dispatchers/address_reused_test.go
@@ -9,8 +9,9 @@
 	"cherryrelay/internal/call"
 )
 
-// TestAnEndOnAConnectionUnderAnEarlierNameIsReported guards against the untold end of a call at a dispatcher that has taken another's address: it was connected
-// to under the other's name before the list told of it, and tells the end there, as the connection of the call has closed.
+// TestAnEndOnAConnectionUnderAnEarlierNameIsReported guards against the lost end of a call at a dispatcher that has taken over another's
+// address: a connection to it was opened under the other's name before the list contained it, and it sends the end there because the
+// connection of the call has closed.
 func TestAnEndOnAConnectionUnderAnEarlierNameIsReported(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -32,7 +33,7 @@
 		s.runOnLoop(func() {
 			c := s.first.established[testCallID]
 			if c == nil || !s.isEstablished(testCallID, "other") || len(s.pool.servers["first"].conns) != 1 {
-				t.Errorf("established: %v; want the call at the other dispatcher, and a connection under the earlier name", c != nil)
+				t.Errorf("established: %v; want the call at the other dispatcher and one connection under the earlier name", c != nil)
 				return
 			}
 			c.close()
@@ -44,16 +45,16 @@
 		s.runOnLoop(s.deliverAll)
 		s.runOnLoop(func() {
 			if overs := s.calls[testCallID].ends; overs != 1 {
-				t.Errorf("the end of the call is told %d times", overs)
+				t.Errorf("the end of the call was reported %d times, want 1", overs)
 			}
 			if n := len(s.pool.servers["other"].established); n != 0 {
-				t.Errorf("%d entries of calls that are over", n)
+				t.Errorf("%d terminated calls still have an entry", n)
 			}
 		})
 	})
 }
 
-// replaceFirst has the first dispatcher die, and another one listen at its address, of which the list does not tell yet.
+// replaceFirst stops the first dispatcher and starts another one at its address, which is not on the list yet.
 func (s *harness) replaceFirst() {
 	s.first.die()
 	s.first = newFakeDispatcher(s)
@@ -62,7 +63,7 @@
 	s.network.dispatchers["first"] = s.first
 }
 
-// listReplacement has the list tell that the first dispatcher is gone, and that the other one has its address.
+// listReplacement updates the list: the first dispatcher is removed, and another one has its address.
 func (s *harness) listReplacement() {
 	s.core.Update(call.Update{Servers: []call.Server{
 		{ServerEntry: control.ServerEntry{ID: "first", Status: control.Removed}, Address: "first"},
--- a/internal/dispatchers/address_taken_test.go
+++ b/internal/dispatchers/address_taken_test.go
@@ -8,42 +8,44 @@
 	"cherryrelay/control"
 )
 
-// settleTime is a time in which the dispatcher is looked at again, and nothing else happens.
+// settleTime is long enough for the dispatcher to be checked again while nothing else happens.
 const settleTime = 3 * time.Second
 
-// addressTaken is an event in which the list tells that another dispatcher has the address of the first one.
+// addressTaken returns a step in which the list gives the address of the first dispatcher to another one.
 func addressTaken() scenarioStep {
-	return newStep("the list tells of another dispatcher at its address", settleTime, (*harness).listReplacement)
+	return newStep("the list has another dispatcher at its address", settleTime, (*harness).listReplacement)
 }
 
-// expectNotEnded is an event after which the call must not have been told as over.
+// expectNotEnded returns a step that fails if the end of the call was reported.
 func expectNotEnded() scenarioStep {
-	return newStep("its end is not told", 0, func(s *harness) {
+	return newStep("its end is not reported", 0, func(s *harness) {
 		if s.calls[testCallID].ends > 0 {
-			s.violation("a call is told as over that its dispatcher holds")
+			s.violation("the end of a call was reported that its dispatcher still holds")
 		}
 	})
 }
 
-// resetAll is an event in which all connections to the first dispatcher are reset, and it holds the call on.
+// resetAll returns a step in which all connections to the first dispatcher are reset while it keeps the call.
 func resetAll() scenarioStep {
 	return newStep("all connections are reset", time.Second, func(s *harness) {
 		for _, c := range slices.Clone(s.first.openConns) {
 			c.reset()
 		}
-		s.first.ambiguous[testCallID] = true // nobody can tell that its process lives
+		s.first.ambiguous[testCallID] = true // the controller can't know that its process still runs
 	})
 }
 
-// TestCallsOfAReplacedDispatcherContinue guards against calls that are cut as they stand: the list tells that another dispatcher has the
-// address, while a connection of the one that holds them is open.
+// TestCallsOfAReplacedDispatcherContinue guards against established calls that are ended because the list gives the address of their
+// dispatcher to another one while a connection to the former is open.
 func TestCallsOfAReplacedDispatcherContinue(t *testing.T) {
 	t.Parallel()
 	for name, order := range map[string][]scenarioStep{
-		"the connection of the call is open":    {addressTaken(), expectNotEnded()},
-		"another one is open":                   slices.Concat(stepsFor("Hdt"), []scenarioStep{addressTaken(), expectNotEnded()}),
-		"it is at its address, by the list":     slices.Concat([]scenarioStep{resetAll()}, []scenarioStep{waitStep('-', settleTime), expectNotEnded()}),
-		"it is off the list, and has its place": slices.Concat([]scenarioStep{resetAll()}, stepsFor("x"), []scenarioStep{waitStep('-', settleTime), expectNotEnded()}),
+		"the connection of the call is open": {addressTaken(), expectNotEnded()},
+		"another connection is open":         slices.Concat(stepsFor("Hdt"), []scenarioStep{addressTaken(), expectNotEnded()}),
+		"the list has it at its address": slices.Concat([]scenarioStep{resetAll()},
+			[]scenarioStep{waitStep('-', settleTime), expectNotEnded()}),
+		"it is off the list, and no other has its address": slices.Concat([]scenarioStep{resetAll()}, stepsFor("x"),
+			[]scenarioStep{waitStep('-', settleTime), expectNotEnded()}),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -52,15 +54,15 @@
 	}
 }
 
-// TestAnOrphanedCallIsReleased guards against a call that is told as cut and that its dispatcher goes on to hold: all connections to it were
-// reset, and the list tells that another one has its address.
+// TestAnOrphanedCallIsReleased guards against a call that is reported as ended while its dispatcher keeps it: all connections to the
+// dispatcher were reset, and the list gives its address to another one.
 func TestAnOrphanedCallIsReleased(t *testing.T) {
 	t.Parallel()
 	reportingCall.playWithoutViolation(t, []scenarioStep{resetAll(), addressTaken(), endReportedAndReleased()})
 }
 
-// TestCallsEndWhenTheListReplacesTheirDispatcher guards against the end of a call that is told late, as its dispatcher died and another one
-// at its address was connected to under its name.
+// TestCallsEndWhenTheListReplacesTheirDispatcher guards against the end of a call that is reported late because its dispatcher stopped
+// and connections to another one at its address were opened under its name.
 func TestCallsEndWhenTheListReplacesTheirDispatcher(t *testing.T) {
 	t.Parallel()
 	withHarness(t, initialState{conns: 2, established: true, reportsPeriodically: true}, func(s *harness) {
@@ -77,7 +79,7 @@
 				t.Errorf("%d answers, %d ends, %d entries of calls; want 1, 1, 0", c.answers, c.ends, len(s.pool.servers["first"].established))
 			}
 			if s.pool.servers["other"].Status != control.Active {
-				t.Error("the other dispatcher is not in use")
+				t.Error("the other dispatcher is not active")
 			}
 		})
 	})
--- a/internal/dispatchers/attempt_after_release_test.go
+++ b/internal/dispatchers/attempt_after_release_test.go
@@ -8,8 +8,8 @@
 	"cherryrelay/internal/call"
 )
 
-// TestAnAttemptThatWaitedFollowsTheReleaseOfItsCall guards against a release that cuts the next attempt of its call, which waited for a connection
-// and went out on a faster one.
+// TestAnAttemptThatWaitedFollowsTheReleaseOfItsCall guards against a release that ends the next attempt of its call, which waited for a
+// connection and was sent on a faster one.
 func TestAnAttemptThatWaitedFollowsTheReleaseOfItsCall(t *testing.T) {
 	t.Parallel()
 	withHarness(t, initialState{}, func(s *harness) {
@@ -21,7 +21,7 @@
 			if len(s.pool.servers["first"].waiting) != 1 {
 				t.Error("the attempt does not wait for a connection")
 			}
-			s.first.openConns[0].sendReport() // the one with the release is heard from again
+			s.first.openConns[0].sendReport() // the connection with the release receives input again
 		})
 		time.Sleep(time.Second)
 		s.runOnLoop(func() {
--- a/internal/dispatchers/budget_test.go
+++ b/internal/dispatchers/budget_test.go
@@ -13,10 +13,10 @@
 	"cherryrelay/internal/peer"
 )
 
-// fakeCore is a core with calls at dispatchers; it notes how attempts ended.
+// fakeCore is a core with calls established at dispatchers. It records the outcomes of attempts.
 type fakeCore struct {
 	outcomeRecorder
-	calls map[control.ServerID][]string // calls that stand
+	calls map[control.ServerID][]string // established calls by dispatcher
 }
 
 func (s *fakeCore) EstablishedCount(id control.ServerID) int { return len(s.calls[id]) }
@@ -43,7 +43,7 @@
 	return true
 }
 
-// poolFixture is a pool with a budget and dispatchers to connect to.
+// poolFixture is a pool with a socket budget, and dispatchers for it.
 type poolFixture struct {
 	*testing.T
 	pool        *Pool
@@ -55,7 +55,8 @@
 
 func newPoolFixture(t *testing.T, budget, n int) *poolFixture {
 	t.Helper()
-	b := &poolFixture{T: t, loop: call.NewLoop(), core: &fakeCore{outcomeRecorder: outcomeRecorder{outcomes: map[string]control.Outcome{}}, calls: map[control.ServerID][]string{}}}
+	b := &poolFixture{T: t, loop: call.NewLoop(),
+		core: &fakeCore{outcomeRecorder: outcomeRecorder{outcomes: map[string]control.Outcome{}}, calls: map[control.ServerID][]string{}}}
 	for range n {
 		b.addDispatcher(dispatcherAt(t, "tcp", "127.0.0.1:0"))
 	}
@@ -69,7 +70,7 @@
 	return b
 }
 
-// dispatcherAt listens at an address until the test ends.
+// dispatcherAt starts a dispatcher at an address. It is stopped when the test ends.
 func dispatcherAt(t *testing.T, transport, address string) *peer.Dispatcher {
 	t.Helper()
 	d, err := peer.Dispatch(transport, address, "x0:40")
@@ -80,7 +81,7 @@
 	return d
 }
 
-// addDispatcher puts a dispatcher on the list, and has it tell of its connections.
+// addDispatcher adds a dispatcher to the list, and has it report events of its connections.
 func (b *poolFixture) addDispatcher(d *peer.Dispatcher) {
 	d.TellLinks()
 	id := dispatcherName(len(b.dispatchers))
@@ -90,7 +91,7 @@
 
 func dispatcherName(i int) control.ServerID { return control.ServerID(fmt.Sprint("d", i)) }
 
-// runOnLoop runs a function on the loop.
+// runOnLoop runs a function on the event loop.
 func (b *poolFixture) runOnLoop(f func()) {
 	done := make(chan struct{})
 	b.loop.Post(func() { f(); close(done) })
@@ -110,9 +111,9 @@
 	b.Helper()
 	for begun := time.Now(); ; {
 		if time.Since(begun) > peer.Patience {
-			b.Fatalf("no %s comes to dispatcher %d", kind, i)
+			b.Fatalf("no %s event at dispatcher %d", kind, i)
 		}
-		// What was queued while the pool was flushed goes out with the next turn.
+		// What was queued during a flush is sent with the next iteration.
 		b.runOnLoop(b.pool.Flush)
 		select {
 		case e := <-b.dispatchers[i].Events:
@@ -127,7 +128,7 @@
 	}
 }
 
-// establish has a dispatcher answer a set-up, and waits until the call stands, the only one there.
+// establish has a dispatcher answer a set-up, and waits until the call is the only one established there.
 func (b *poolFixture) establish(i int, setUp peer.Event) {
 	b.Helper()
 	if err := setUp.Answer("y"); err != nil {
@@ -136,7 +137,7 @@
 	waitUntil(b, func() bool { return len(b.core.calls[dispatcherName(i)]) == 1 })
 }
 
-// setUpWithoutRelease places a call at a dispatcher, ahead of which releases would go out, and wants none to come there.
+// setUpWithoutRelease places a call at a dispatcher, where waiting releases would be sent first, and fails if one arrives.
 func (b *poolFixture) setUpWithoutRelease(i int, id string) {
 	b.Helper()
 	b.setUp(i, id)
@@ -146,23 +147,23 @@
 		case e := <-b.dispatchers[i].Events:
 			switch {
 			case e.Kind == "release":
-				b.Fatalf("call %s is released", e.ID)
+				b.Fatalf("call %s was released", e.ID)
 			case e.Kind == "setup" && e.ID == id:
 				return
 			}
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	b.Error("the next set-up never comes")
+	b.Error("the next set-up did not arrive")
 }
 
-// TestASetUpEvictsAnIdleConnection: with two sockets for three dispatchers, a set-up for one without a connection has an idle one closed, and waits
-// while both have set-ups open.
+// TestASetUpEvictsAnIdleConnection checks a budget of two sockets for three dispatchers: a set-up for a dispatcher without a connection
+// evicts an idle connection, and waits while both connections have open set-ups.
 func TestASetUpEvictsAnIdleConnection(t *testing.T) {
 	t.Parallel()
 	b := newPoolFixture(t, 2, 3)
 	b.runOnLoop(func() { b.pool.Update(b.list) })
-	b.waitFor(0, "opened") // ahead of need, one of the two is used
+	b.waitFor(0, "opened") // one of the two sockets is used before a call needs it
 	b.setUp(0, "a")
 	first := b.waitFor(0, "setup")
 	b.setUp(1, "b")
@@ -170,7 +171,7 @@
 	b.setUp(2, "c")
 	b.runOnLoop(func() {
 		if conns := b.pool.servers["d0"].conns; len(conns) != 1 || b.pool.sockets.held != 2 || len(b.pool.servers["d1"].conns) != 1 {
-			t.Errorf("%d sockets are held, %d links to d0", b.pool.sockets.held, len(conns))
+			t.Errorf("%d sockets are held, want 2; %d connections to d0, want 1", b.pool.sockets.held, len(conns))
 		}
 	})
 	if err := second.Refuse(peer.Broken); err != nil {
@@ -188,13 +189,13 @@
 	}
 	b.runOnLoop(func() {
 		if got := maps.Collect(maps.All(b.core.outcomes)); len(got) != 1 {
-			t.Errorf("attempts that ended: %v, want the second alone", got)
+			t.Errorf("attempts that ended: %v, want only the second", got)
 		}
 	})
 }
 
-// TestDispatchersWithCallsShareTheBudget: calls stand at more dispatchers than there may be connections. Each one comes to have a new
-// connection, on which it can repeat the ends of its calls, within 8 s, again and again.
+// TestDispatchersWithCallsShareTheBudget checks the budget while more dispatchers have established calls than there may be connections:
+// each gets a new connection, on which it can repeat the ends of its calls, within 8 s, repeatedly.
 func TestDispatchersWithCallsShareTheBudget(t *testing.T) {
 	t.Parallel()
 	const budget, n, rounds = 4, 10, 2
@@ -213,7 +214,7 @@
 		most := 0
 		b.runOnLoop(func() { most = b.pool.sockets.held })
 		if most > budget {
-			t.Fatalf("%d sockets are held", most)
+			t.Fatalf("%d sockets are held, more than the budget", most)
 		}
 		least = rounds
 		for i, d := range b.dispatchers {
@@ -235,8 +236,8 @@
 	t.Log("openings:", opened)
 }
 
-// TestRefusingDispatchersAreDialledRarely: each on the list is dialled once, and from then on one a second of all of them; but one for which
-// a set-up waits at once.
+// TestRefusingDispatchersAreDialledRarely checks that each dispatcher on the list is dialled once, and then only one per second of all of
+// them, except for one that a set-up waits for, which is dialled at once.
 func TestRefusingDispatchersAreDialledRarely(t *testing.T) {
 	t.Parallel()
 	const n, duration = 50, 3 * time.Second
@@ -259,6 +260,6 @@
 	b.setUp(n-1, "a")
 	b.waitFor(n-1, "setup")
 	if took := time.Since(since); took > time.Second {
-		t.Errorf("a set-up had to wait for %v", took)
+		t.Errorf("a set-up waited for %v", took)
 	}
 }
--- a/internal/dispatchers/busy_connections_test.go
+++ b/internal/dispatchers/busy_connections_test.go
@@ -8,12 +8,12 @@
 	"cherryrelay/internal/call"
 )
 
-// TestEndIsReportedWhenAllConnectionsAreBusy guards against an end that was told on a dead connection, and that no further one brings, as none of
-// the others is ever without a set-up.
+// TestEndIsReportedWhenAllConnectionsAreBusy guards against an end that was sent on a dead connection and that no new connection brings,
+// as none of the others is ever without a set-up.
 func TestEndIsReportedWhenAllConnectionsAreBusy(t *testing.T) {
 	t.Parallel()
 	withHarness(t, initialState{conns: 2, maxConns: 2}, func(s *harness) {
-		const step, open = reportInterval, 4 // set-ups are open at once
+		const step, open = reportInterval, 4 // number of set-ups open at once
 		offered := 0x100
 		busy := func(d time.Duration) {
 			for range d / step {
--- a/internal/dispatchers/cancelled_attempt_test.go
+++ b/internal/dispatchers/cancelled_attempt_test.go
@@ -6,8 +6,8 @@
 	"cherryrelay/internal/call"
 )
 
-// TestAnAttemptAvoidsTheConnectionOfACancelledAttempt guards against a late answer to a withdrawn attempt that is taken for that of the next one,
-// as a release of their call has both go out on the same connection.
+// TestAnAttemptAvoidsTheConnectionOfACancelledAttempt guards against a late answer to a cancelled attempt that is taken for the answer to
+// the next one because a release of their call directs both to the same connection.
 func TestAnAttemptAvoidsTheConnectionOfACancelledAttempt(t *testing.T) {
 	t.Parallel()
 	withHarness(t, initialState{}, func(s *harness) {
@@ -19,14 +19,15 @@
 		s.runOnLoop(func() { s.pool.CancelAttempt("first", testCallID, 0) })
 		s.runOnLoop(func() {
 			c := s.first.allConns[0]
-			c.inTransit = nil // the withdrawn attempt has no final answer yet
+			c.inTransit = nil // the cancelled attempt has no final answer yet
 			s.first.sendFinalAnswerOn(c, otherCallID, 486)
 			c.deliverToPool()
 			s.pool.Release("first", testCallID, call.CauseNormal)
 			s.pool.SetUp("first", attemptOf(testCallID, 1))
 			poolConn := s.pool.servers["first"].conns[0]
 			if i := poolConn.setUps[testCallID]; !poolConn.hasUnconfirmedRelease(testCallID) || i == nil || i.attempt != 0 {
-				t.Errorf("the first connection has the release: %v, and the set-up %+v; want that of attempt 0", poolConn.hasUnconfirmedRelease(testCallID), i)
+				t.Errorf("the first connection has the release: %v, and the set-up %+v; want the set-up of attempt 0",
+					poolConn.hasUnconfirmedRelease(testCallID), i)
 			}
 		})
 	})
--- a/internal/dispatchers/check_test.go
+++ b/internal/dispatchers/check_test.go
@@ -9,7 +9,7 @@
 	"cherryrelay/internal/peer"
 )
 
-// activeNames names the dispatchers that the next check looks at.
+// activeNames returns the names of the dispatchers that the next check visits.
 func (b *poolFixture) activeNames() (names []control.ServerID) {
 	b.runOnLoop(func() {
 		for _, s := range b.pool.active {
@@ -20,7 +20,7 @@
 	return names
 }
 
-// waitActive waits until the next check looks at just these.
+// waitActive waits until the next check visits exactly these dispatchers.
 func (b *poolFixture) waitActive(what string, want ...control.ServerID) {
 	b.Helper()
 	for until := time.Now().Add(peer.Patience); ; time.Sleep(10 * time.Millisecond) {
@@ -29,13 +29,13 @@
 			return
 		}
 		if time.Now().After(until) {
-			b.Fatalf("%s: %v are looked at, want %v", what, got, want)
+			b.Fatalf("%s: the next check visits %v, want %v", what, got, want)
 		}
 	}
 }
 
-// TestOnlyActiveDispatchersAreChecked: of a list of live dispatchers and some that refuse, none is looked at while nothing happens; one
-// is from a set-up to the end of its call, and so is one at which a predecessor left a call.
+// TestOnlyActiveDispatchersAreChecked checks that of a list of working and refusing dispatchers none is checked while nothing happens,
+// while a dispatcher is checked from a set-up to the end of its call, and also if a predecessor has left a call there.
 func TestOnlyActiveDispatchersAreChecked(t *testing.T) {
 	t.Parallel()
 	const n, refuse = 40, 10
@@ -44,11 +44,11 @@
 		d.Die()
 	}
 	b.runOnLoop(func() { b.pool.Update(b.list) })
-	b.waitActive("at rest")
+	b.waitActive("idle")
 	b.runOnLoop(func() {
 		waits := 0
 		for _, s := range b.pool.order {
-			if s.dialQueued || s.dialing || s.active { // it may be its turn at this moment
+			if s.dialQueued || s.dialing || s.active { // its dial may be due at this moment
 				waits++
 			}
 		}
@@ -66,7 +66,7 @@
 		b.runOnLoop(func() { established = len(b.core.calls[dispatcherName(n-1)]) > 0 })
 	}
 	b.runOnLoop(func() { b.core.calls[dispatcherName(n-2)] = []string{"of a predecessor"} })
-	b.waitActive("calls stand", dispatcherName(n-2), dispatcherName(n-1))
+	b.waitActive("calls are established", dispatcherName(n-2), dispatcherName(n-1))
 	b.runOnLoop(func() { clear(b.core.calls) })
 	b.waitActive("all have ended")
 	b.runOnLoop(func() {
@@ -74,10 +74,10 @@
 		shorter.Servers = shorter.Servers[refuse:]
 		b.pool.Update(shorter)
 	})
-	b.waitActive("some have left")
+	b.waitActive("some are removed")
 	b.runOnLoop(func() {
 		if len(b.pool.order) != n-refuse || len(b.pool.servers) != n-refuse || len(b.pool.byAddress) != n-refuse {
-			t.Errorf("%d, %d and %d are kept", len(b.pool.order), len(b.pool.servers), len(b.pool.byAddress))
+			t.Errorf("%d, %d and %d dispatchers are kept", len(b.pool.order), len(b.pool.servers), len(b.pool.byAddress))
 		}
 	})
 }
--- a/internal/dispatchers/clean_close_test.go
+++ b/internal/dispatchers/clean_close_test.go
@@ -9,13 +9,13 @@
 	"cherryrelay/internal/ring"
 )
 
-// closingProtocol is that of a dispatcher that answers the end of the other side with a close in good order, inside the connection.
+// closingProtocol is the protocol of a dispatcher that responds to the half-close with a closing message on the connection.
 type closingProtocol struct {
 	Protocol
 	on *fakeConn
 }
 
-// Next tells the close once this side has ended.
+// Next reports the closing message once this side has half-closed.
 func (w closingProtocol) Next(in *ring.Buffer) (*Message, error) {
 	if w.on.poolHalfClosed {
 		return nil, io.EOF
@@ -23,15 +23,15 @@
 	return w.Protocol.Next(in)
 }
 
-// useClosingProtocol gives a connection such a wire.
+// useClosingProtocol gives a connection such a protocol.
 func useClosingProtocol(poolConn *connection) {
 	if fake, ok := poolConn.conn.(*fakeConn); ok {
 		poolConn.protocol = closingProtocol{poolConn.protocol, fake}
 	}
 }
 
-// TestCleanClosesDoNotRequestMoreConnections guards against connections that follow one another without end, as each makes room for the next
-// one and is closed in good order, inside the connection.
+// TestCleanClosesDoNotRequestMoreConnections guards against an endless sequence of connections, each closed to make room for the next one
+// and closed by its dispatcher with a closing message.
 func TestCleanClosesDoNotRequestMoreConnections(t *testing.T) {
 	t.Parallel()
 	withHarness(t, initialState{conns: 2, maxConns: 2, neverCloses: true}, func(s *harness) {
@@ -61,19 +61,19 @@
 			s.pool.Reconnect("first")
 		})
 		for range 10 * time.Second / (dialTime / 2) {
-			time.Sleep(dialTime / 2) // before the next one is up
+			time.Sleep(dialTime / 2) // before the next one is open
 			s.runOnLoop(func() {
 				for _, c := range s.first.allConns {
 					if ended[c] && !c.closed {
 						c.sendReport()
 					}
-					ended[c] = c.poolHalfClosed // and it takes a moment to come back
+					ended[c] = c.poolHalfClosed // the dispatcher's close takes a moment to arrive
 				}
 			})
 		}
 		s.runOnLoop(func() {
 			if got, most := len(s.first.allConns)-before, 1; got > most {
-				t.Errorf("%d connections after one was asked for, want %d at most", got, most)
+				t.Errorf("%d connections after one was requested, want at most %d", got, most)
 			}
 		})
 	})
--- a/internal/dispatchers/deferred_release_test.go
+++ b/internal/dispatchers/deferred_release_test.go
@@ -9,12 +9,12 @@
 	"cherryrelay/control"
 )
 
-// TestAReleaseOfAnEarlierAttemptEndsNoLaterCall guards against a release of a withdrawn attempt that ends the call which stands by the next one at
-// the same dispatcher, as a connection closes that the call is not on, or long after.
+// TestAReleaseOfAnEarlierAttemptEndsNoLaterCall guards against a release of a cancelled attempt that ends the call established by the
+// next attempt at the same dispatcher, when a connection closes that is not the call's, or long after the release.
 func TestAReleaseOfAnEarlierAttemptEndsNoLaterCall(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
-		closes int // the connection
+		closes int // index of the connection
 		after  time.Duration
 		ends   bool
 	}{
@@ -40,7 +40,7 @@
 						want = append(want, noAttempt)
 					}
 					if !slices.Equal(core.attempts, want) {
-						t.Errorf("releases are those of the attempts %d, want %d", core.attempts, want)
+						t.Errorf("releases belong to the attempts %d, want %d", core.attempts, want)
 					}
 				})
 			})
@@ -48,11 +48,13 @@
 	}
 }
 
-// harnessWithCancelledAttempt is a site on whose first connection an attempt was withdrawn, which has no final answer yet. Its loop runs until quit is called.
+// harnessWithCancelledAttempt returns a harness on whose first connection an attempt was cancelled, which has no final answer yet. Its
+// event loop runs until quit is called.
 func harnessWithCancelledAttempt(t *testing.T) (s *harness, core *releaseRecorder, quit func()) {
 	t.Helper()
 	s = newHarness(t, initialState{})
-	core = &releaseRecorder{fakeCore: fakeCore{outcomeRecorder: outcomeRecorder{outcomes: map[string]control.Outcome{}}, calls: map[control.ServerID][]string{}}}
+	core = &releaseRecorder{fakeCore: fakeCore{outcomeRecorder: outcomeRecorder{outcomes: map[string]control.Outcome{}},
+		calls: map[control.ServerID][]string{}}}
 	s.pool.core = core
 	quit = s.run()
 	s.runOnLoop(func() { s.updateList(control.Active, "first") })
@@ -70,8 +72,8 @@
 	return s, core, quit
 }
 
-// harnessWithDeferredRelease is a site with three connections: a release has come on the first one, where an attempt was withdrawn, of the call that stands
-// by the next attempt on the second. Its loop runs until quit is called.
+// harnessWithDeferredRelease returns a harness with three connections: a release was received on the first one, where an attempt was
+// cancelled, and the next attempt has established the call on the second. Its event loop runs until quit is called.
 func harnessWithDeferredRelease(t *testing.T) (s *harness, core *releaseRecorder, quit func()) {
 	t.Helper()
 	s, core, quit = harnessWithCancelledAttempt(t)
@@ -84,13 +86,13 @@
 	return s, core, quit
 }
 
-// releaseOnFirst has a release of the call come on the first connection.
+// releaseOnFirst delivers a release of the call on the first connection.
 func (s *harness) releaseOnFirst() {
 	s.first.allConns[0].send(releaseOf(testCallID))
 	s.first.allConns[0].deliverToPool()
 }
 
-// connectionWithSetUp is the connection on which the call's set-up is open at its dispatcher.
+// connectionWithSetUp returns the connection on which the call's set-up is open at its dispatcher.
 func (s *harness) connectionWithSetUp(t *testing.T) *fakeConn {
 	t.Helper()
 	for _, c := range s.first.allConns[1:] {
@@ -98,12 +100,13 @@
 			return c
 		}
 	}
-	t.Fatal("the set-up is on no connection")
+	t.Fatal("no connection has the set-up")
 	return nil
 }
 
-// TestADeferredReleaseEndsNoCallEstablishedLater guards against a call that is cut as it stands: a release of an earlier attempt was kept for the close of
-// a connection on which the next attempt had not left yet, or was refused, and the call came to stand after that.
+// TestADeferredReleaseEndsNoCallEstablishedLater guards against an established call that is ended: a release of an earlier attempt was
+// deferred until the close of a connection on which the next attempt was not sent yet, or was refused, and the call was established
+// afterwards.
 func TestADeferredReleaseEndsNoCallEstablishedLater(t *testing.T) {
 	t.Parallel()
 	const refused = 486
@@ -115,7 +118,7 @@
 			s.first.sendFinalAnswerOn(on, testCallID, refused)
 			on.deliverToPool()
 			s.calls[otherCallID] = &callRecord{}
-			s.pool.SetUp("first", attemptOf(otherCallID, 0)) // on the same connection: the next attempt takes another one
+			s.pool.SetUp("first", attemptOf(otherCallID, 0)) // on the same connection, so that the next attempt uses another one
 		})
 		s.runOnLoop(func() { s.pool.SetUp("first", attemptOf(testCallID, 2)) })
 		if s.connectionWithSetUp(t) == on {
@@ -124,7 +127,7 @@
 		return on
 	}
 	for name, prepare := range map[string]func(t *testing.T, s *harness) (closes *fakeConn){
-		"the next attempt had not left": func(t *testing.T, s *harness) *fakeConn {
+		"the next attempt had not been sent": func(t *testing.T, s *harness) *fakeConn {
 			s.runOnLoop(func() {
 				for _, c := range s.first.allConns[1:] {
 					c.writeBlocked = true
@@ -165,7 +168,7 @@
 				})
 				s.runOnLoop(func() {
 					if !slices.Equal(core.attempts, []int{0}) {
-						t.Errorf("releases are those of the attempts %d, want 0 alone", core.attempts)
+						t.Errorf("releases belong to the attempts %d, want only 0", core.attempts)
 					}
 				})
 			})
--- a/internal/dispatchers/earlier_attempt_test.go
+++ b/internal/dispatchers/earlier_attempt_test.go
@@ -10,7 +10,7 @@
 	"cherryrelay/internal/peer"
 )
 
-// releaseRecorder is a core that records releases by attempt.
+// releaseRecorder is a core that records the attempt numbers of releases.
 type releaseRecorder struct {
 	fakeCore
 	attempts []int
@@ -26,9 +26,9 @@
 	return false
 }
 
-// TestAnEndOnTheConnectionOfAnEarlierAttempt: a call stands by its second attempt at a dispatcher, on a second connection. Once that one has
-// closed, the end comes on the first one, where the withdrawn attempt is still known: it is the end of the call that stands. While it is open,
-// what comes on the first one belongs to the earlier attempt.
+// TestAnEndOnTheConnectionOfAnEarlierAttempt checks a call that was established by its second attempt at a dispatcher, on a second
+// connection, while the cancelled first attempt is still known on the first one. Once the second connection has closed, the end arrives
+// on the first and ends the established call. While it is open, what arrives on the first belongs to the earlier attempt.
 func TestAnEndOnTheConnectionOfAnEarlierAttempt(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
@@ -60,13 +60,13 @@
 	waitUntil(b, func() bool { return len(core.attempts) > 0 })
 	b.runOnLoop(func() {
 		if got := core.attempts[0]; got != want {
-			t.Errorf("the release is that of attempt %d, want %d", got, want)
+			t.Errorf("the release belongs to attempt %d, want %d", got, want)
 		}
 	})
 }
 
-// TestAnEndThatIsReadBeforeTheCloseOfItsConnection guards against an end that is taken for that of a withdrawn attempt: the dispatcher closes the
-// connection of the attempt that stands, in order, and tells the end on the earlier one, which is read first.
+// TestAnEndThatIsReadBeforeTheCloseOfItsConnection guards against an end that is taken for that of a cancelled attempt: the dispatcher
+// closes the connection of the established attempt cleanly and sends the end on the earlier connection, which is read first.
 func TestAnEndThatIsReadBeforeTheCloseOfItsConnection(t *testing.T) {
 	t.Parallel()
 	const id = "00000000000000a2"
@@ -82,13 +82,13 @@
 	waitUntil(b, func() bool { return len(b.pool.servers[dispatcherName(0)].conns) == 1 })
 	b.runOnLoop(func() {
 		if last := core.attempts[len(core.attempts)-1]; last != noAttempt {
-			t.Errorf("the release is that of attempt %d, want it to end the call that stands", last)
+			t.Errorf("the release belongs to attempt %d, want it to end the established call", last)
 		}
 	})
 }
 
-// establishBySecondAttempt has a call stand by its second attempt at the first dispatcher, on a second connection, where the first attempt was withdrawn;
-// first and second are their set-ups. No further connection comes up, on which an end would be told again.
+// establishBySecondAttempt establishes a call by its second attempt at the first dispatcher, on a second connection, after the first
+// attempt was cancelled; first and second are their set-ups. No further connection can be opened, on which an end would be repeated.
 func (b *poolFixture) establishBySecondAttempt(id string) (core *releaseRecorder, first, second peer.Event) {
 	b.Helper()
 	core = &releaseRecorder{fakeCore: *b.core}
@@ -110,7 +110,7 @@
 	return core, first, second
 }
 
-// waitUntil waits until a condition holds on the loop.
+// waitUntil waits until a condition holds on the event loop.
 func waitUntil(b *poolFixture, condition func() bool) {
 	b.Helper()
 	for begun := time.Now(); ; time.Sleep(time.Millisecond) {
@@ -123,7 +123,7 @@
 			return
 		}
 		if time.Since(begun) > peer.Patience {
-			b.Fatal("it does not come to that")
+			b.Fatal("the condition did not become true")
 		}
 	}
 }
--- a/internal/dispatchers/evict_test.go
+++ b/internal/dispatchers/evict_test.go
@@ -7,11 +7,11 @@
 	"cherryrelay/control"
 )
 
-// TestAnEvictedConnectionIsClosedSoon guards against set-ups that wait for a descriptor, as one that was to make room is read on while its
-// dispatcher does not close it.
+// TestAnEvictedConnectionIsClosedSoon guards against set-ups that wait for a descriptor because an evicted connection is read on while
+// its dispatcher does not close it.
 func TestAnEvictedConnectionIsClosedSoon(t *testing.T) {
 	t.Parallel()
-	for name, established := range map[string]bool{"a call stands": true, "no call stands": false} {
+	for name, established := range map[string]bool{"a call is established": true, "no call is established": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			withHarness(t, initialState{neverCloses: true}, func(s *harness) {
@@ -36,12 +36,12 @@
 	}
 }
 
-// TestAnEndOnAnEvictedConnection guards against the end of a call that is never told, as its dispatcher tells it on a connection that made room
-// and that it holds for open still.
+// TestAnEndOnAnEvictedConnection guards against the end of a call that is never reported because its dispatcher sends it on a connection
+// that was evicted here and that the dispatcher still holds open.
 func TestAnEndOnAnEvictedConnection(t *testing.T) {
 	t.Parallel()
 	order := []scenarioStep{
-		newStep("the call's connection is dead, and makes room", 2*time.Second, func(s *harness) {
+		newStep("the call's connection is dead, and is evicted", 2*time.Second, func(s *harness) {
 			c := s.first.established[testCallID]
 			c.isolate()
 			for _, poolConn := range s.pool.servers["first"].conns {
@@ -56,24 +56,24 @@
 	initialState{established: true, conns: 2, reportsPeriodically: true}.playWithoutViolation(t, order)
 }
 
-// TestAnUnsentReleaseOnAnEvictedConnection guards against a call that its dispatcher holds and nobody releases, as the release was queued on a
-// connection that made room and whose socket was full.
+// TestAnUnsentReleaseOnAnEvictedConnection guards against a call that its dispatcher keeps and nobody releases, as the release was queued
+// on an evicted connection whose socket was full.
 func TestAnUnsentReleaseOnAnEvictedConnection(t *testing.T) {
 	t.Parallel()
-	evicts := newStep("the connection with the release makes room", 0, func(s *harness) {
+	evicts := newStep("the connection with the release is evicted", 0, func(s *harness) {
 		for _, poolConn := range s.pool.servers["first"].conns {
 			if poolConn.conn.Unsent() > 0 {
 				poolConn.evict()
 				return
 			}
 		}
-		s.violation("no release waits")
+		s.violation("no release is waiting")
 	})
 	for name, test := range map[string]scenario{
-		"the only connection":                            {initialState{established: true}, "jc"},
-		"the only connection, where another call stands": {initialState{established: true}, "mjc"},
-		"one of two":                            {initialState{established: true, conns: 2}, "jc"},
-		"one of two, where another call stands": {initialState{established: true, conns: 2}, "mjc"},
+		"the only connection": {initialState{established: true}, "jc"},
+		"the only connection, where another call is established": {initialState{established: true}, "mjc"},
+		"one of two": {initialState{established: true, conns: 2}, "jc"},
+		"one of two, where another call is established": {initialState{established: true, conns: 2}, "mjc"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -83,7 +83,8 @@
 	}
 }
 
-// drainFirstUseSecond has a call established at the first dispatcher, which then drains and listens no more, and another call set up at the second.
+// drainFirstUseSecond establishes a call at the first dispatcher, which then drains and stops listening, and sets up another call at the
+// second.
 func (s *harness) drainFirstUseSecond() {
 	s.establish(testCallID)
 	s.runOnLoop(func() {
@@ -96,34 +97,35 @@
 	time.Sleep(time.Second)
 }
 
-// TestTheOnlyConnectionToADrainingDispatcherIsEvictedLast guards against calls that are cut as they stand, and whose ends are told to nobody, as the
-// only connection to their dispatcher, which takes no new ones, makes room while another one could.
+// TestTheOnlyConnectionToADrainingDispatcherIsEvictedLast guards against established calls that are ended, and lost ends, because the
+// only connection to their dispatcher, which accepts no new ones, is evicted although another connection could be.
 func TestTheOnlyConnectionToADrainingDispatcherIsEvictedLast(t *testing.T) {
 	t.Parallel()
 	withHarness(t, initialState{secondDispatcher: true}, func(s *harness) {
 		s.drainFirstUseSecond()
 		s.runOnLoop(func() {
 			if !s.isEstablished(otherCallID, "second") {
-				t.Error("no call stands at the other dispatcher")
+				t.Error("no call is established at the other dispatcher")
 			}
 			s.pool.SetSocketBudget(1)
 		})
 		time.Sleep(evictedReadTimeout + checkInterval)
 		s.runOnLoop(func() {
 			if !s.isEstablished(testCallID, "first") || len(s.pool.servers["first"].conns) != 1 {
-				t.Errorf("%d ends are told of the call as it stands; %d connections", s.calls[testCallID].ends, len(s.pool.servers["first"].conns))
+				t.Errorf("%d ends were reported while the call is established, want 0; %d connections, want 1", s.calls[testCallID].ends,
+					len(s.pool.servers["first"].conns))
 			}
 			s.endCall(s.first, testCallID)
 		})
 		s.advance(maxTransit + deliveryInterval)
 		if c := s.calls[testCallID]; c.ends != 1 {
-			t.Errorf("%d ends are told as its dispatcher has told one", c.ends)
+			t.Errorf("%d ends were reported, want the one that its dispatcher sent", c.ends)
 		}
 	})
 }
 
-// TestAConnectionWithAReleaseToADrainingDispatcherIsEvictedLast guards against a call that its dispatcher holds and nobody releases, as the release
-// waits on the only connection there, which makes room while another one could, and no other can be opened.
+// TestAConnectionWithAReleaseToADrainingDispatcherIsEvictedLast guards against a call that its dispatcher keeps and nobody releases: the
+// release waits on the only connection there, which is evicted although another connection could be, and no new one can be opened.
 func TestAConnectionWithAReleaseToADrainingDispatcherIsEvictedLast(t *testing.T) {
 	t.Parallel()
 	withHarness(t, initialState{secondDispatcher: true}, func(s *harness) {
@@ -135,7 +137,7 @@
 		time.Sleep(2 * checkInterval)
 		s.runOnLoop(func() {
 			if !s.isEstablished(otherCallID, "second") || s.first.allConns[0].Unsent() == 0 {
-				t.Error("no call stands at the other dispatcher, or no release waits")
+				t.Error("no call is established at the other dispatcher, or no release waits")
 			}
 			s.pool.SetSocketBudget(1)
 		})
@@ -143,7 +145,7 @@
 		s.runOnLoop(s.first.allConns[0].unblock)
 		s.runOnLoop(func() {
 			if _, held := s.first.established[testCallID]; held {
-				t.Error("the dispatcher holds the call")
+				t.Error("the dispatcher still holds the call")
 			}
 		})
 	})
--- a/internal/dispatchers/fake_conn_test.go
+++ b/internal/dispatchers/fake_conn_test.go
@@ -11,34 +11,34 @@
 	"cherryrelay/internal/sip"
 )
 
-// fakeConn is a connection between the pool and a process.
+// fakeConn is a connection between the pool and a fake dispatcher.
 type fakeConn struct {
 	loop                *call.Loop
 	dispatcher          *fakeDispatcher
 	handler             conn.Handler
-	poolInput           *ring.Buffer   // what the pool's side has received
-	dispatcherInput     *ring.Buffer   // what the process has received
-	dec                 sip.Decoder    // of the process
-	setUps              map[string]int // at the process, by call: the attempt
-	sentAt              time.Time      // the last of it
-	inTransit           []fakeMessage  // on its way to the pool's side
-	writeQueue          []queuedWrite  // queued at the pool's side
+	poolInput           *ring.Buffer   // input of the pool's side
+	dispatcherInput     *ring.Buffer   // input of the dispatcher
+	dec                 sip.Decoder    // decoder of the dispatcher
+	setUps              map[string]int // open set-ups at the dispatcher: the attempt, by call
+	sentAt              time.Time      // when the last message in transit was sent
+	inTransit           []fakeMessage  // messages in transit to the pool's side
+	writeQueue          []queuedWrite  // messages queued at the pool's side
 	lastTicket          conn.Ticket
-	blockedToDispatcher bool            // nothing of the pool's side reaches the process
-	writeBlocked        bool            // the socket of the pool's side takes nothing more
-	blockedToPool       bool            // nothing of the process reaches the pool's side
+	blockedToDispatcher bool            // nothing from the pool's side reaches the dispatcher
+	writeBlocked        bool            // the socket of the pool's side accepts no more output
+	blockedToPool       bool            // nothing from the dispatcher reaches the pool's side
 	cancelled           map[string]bool // set-ups that the pool's side has cancelled, by call
-	poolHalfClosed      bool            // the pool's side has ended its part
-	dispatcherClosed    bool            // the process has closed; that is on its way, behind flight
-	closed              bool            // the pool's side takes nothing any more
+	poolHalfClosed      bool            // the pool's side has closed its direction
+	dispatcherClosed    bool            // the dispatcher has closed; the pool's side sees that after the messages in transit
+	closed              bool            // the pool's side receives nothing any more
 	closeReported       bool
 	endedAt             time.Time
 }
 
-// fakeMessage is a message of a process.
+// fakeMessage is a message of a fake dispatcher.
 type fakeMessage struct {
 	text  []byte
-	endOf string // the call whose end it is; empty if it is none
+	endOf string // the call whose end it is; empty if it is no end
 }
 
 type queuedWrite struct {
@@ -47,13 +47,13 @@
 	ticket conn.Ticket
 }
 
-// send queues a message of the process.
+// send queues a message of the dispatcher.
 func (s *fakeConn) send(text []byte) { s.enqueue(fakeMessage{text: text}) }
 
 // sendEnd queues the release of a call.
 func (s *fakeConn) sendEnd(id string) { s.enqueue(fakeMessage{releaseOf(id), id}) }
 
-// enqueue has a message on its way. One to a pool's side that is gone is lost, and has the process see that.
+// enqueue puts a message in transit. If the pool's side has closed, the message is lost, and the dispatcher notices the close.
 func (s *fakeConn) enqueue(m fakeMessage) {
 	switch {
 	case s.dispatcherClosed:
@@ -64,17 +64,17 @@
 	}
 }
 
-// dispatcherUnaware reports whether the process does not see what the pool's side has done: it takes the connection for open.
+// dispatcherUnaware reports whether the dispatcher does not notice what the pool's side has done, and takes the connection for open.
 func (s *fakeConn) dispatcherUnaware() bool {
 	return s.blockedToDispatcher || s.dispatcher.partitioned || s.dispatcher.paused
 }
 
-// cancelUnread reports whether the set-up of a call has been given up here, and the process does not see it.
+// cancelUnread reports whether the set-up of a call was cancelled here and the dispatcher does not know it.
 func (s *fakeConn) cancelUnread(id string) bool {
 	return s.dispatcherUnaware() && (s.poolHalfClosed || s.cancelled[id])
 }
 
-// unblock has all get through again, in both directions.
+// unblock unblocks the connection in both directions.
 func (s *fakeConn) unblock() {
 	s.blockedToDispatcher, s.blockedToPool, s.writeBlocked = false, false, false
 	s.Flush()
@@ -82,7 +82,7 @@
 	s.deliverToPool()
 }
 
-// deliverToPool has all that is on its way reach the pool.
+// deliverToPool delivers all that is in transit to the pool.
 func (s *fakeConn) deliverToPool() {
 	if s.dispatcher.partitioned || s.blockedToPool {
 		return
@@ -109,26 +109,26 @@
 	}
 }
 
-// close has the process close the connection, in good order.
+// close has the dispatcher close the connection cleanly.
 func (s *fakeConn) close() {
 	clear(s.setUps)
 	s.dispatcherClosed = true
 	s.dispatcher.openConns = slices.DeleteFunc(s.dispatcher.openConns, func(o *fakeConn) bool { return o == s })
 }
 
-// reset has the connection reset: what is on its way is lost.
+// reset resets the connection: what is in transit is lost.
 func (s *fakeConn) reset() {
 	s.inTransit = nil
 	s.dispatcher.hadReset = true
 	s.close()
-	if s.poolHalfClosed { // where both sides have ended their part, the kernel does not tell how
+	if s.poolHalfClosed { // if both sides have closed their direction, the kernel does not report the reset
 		s.reportClosed(io.EOF)
 		return
 	}
 	s.reportClosed(conn.ErrReset)
 }
 
-// reportClosed tells the pool of the end of its connection, once.
+// reportClosed reports the end of the connection to the pool, once.
 func (s *fakeConn) reportClosed(reason error) {
 	s.closed = true
 	if s.closeReported {
@@ -143,7 +143,7 @@
 	})
 }
 
-// deliverToDispatcher has what the pool wrote reach the process, and its end behind it.
+// deliverToDispatcher delivers what the pool has written to the dispatcher, followed by the pool's close.
 func (s *fakeConn) deliverToDispatcher() {
 	if s.dispatcherUnaware() || s.dispatcherClosed {
 		return
@@ -172,7 +172,8 @@
 	}
 }
 
-// cancelledIn reports whether the set-up of a call comes with what gives it up right behind it, as after a time in which nothing got through.
+// cancelledIn reports whether the set-up of a call arrives together with its cancellation, as after a time in which the connection was
+// blocked.
 func (s *fakeConn) cancelledIn(id string, messages []*sip.Message) bool {
 	return s.poolHalfClosed || slices.ContainsFunc(messages, func(m *sip.Message) bool { return m.Method == "CANCEL" && m.CallID == id })
 }
@@ -180,7 +181,7 @@
 // Write queues a message.
 func (s *fakeConn) Write(p []byte) { s.WriteThen(p, func() {}) }
 
-// WriteThen queues a message.
+// WriteThen queues a message and calls then once it was sent.
 func (s *fakeConn) WriteThen(p []byte, then func()) conn.Ticket {
 	if s.closed || s.poolHalfClosed {
 		return 0
@@ -190,7 +191,7 @@
 	return s.lastTicket
 }
 
-// Recall takes a message back that has not left.
+// Recall removes a message that was not sent.
 func (s *fakeConn) Recall(ticket conn.Ticket) bool {
 	i := slices.IndexFunc(s.writeQueue, func(w queuedWrite) bool { return w.ticket == ticket })
 	if i < 0 {
@@ -215,7 +216,7 @@
 	s.deliverToDispatcher()
 }
 
-// recordCancel keeps which set-ups the pool's side has cancelled.
+// recordCancel records which set-ups the pool's side has cancelled.
 func (s *fakeConn) recordCancel(text []byte) {
 	copied := ring.New(len(text) + 1)
 	copied.Write(text)
@@ -225,16 +226,16 @@
 	}
 }
 
-// Unsent is what waits for the socket.
+// Unsent returns the number of queued messages.
 func (s *fakeConn) Unsent() int { return len(s.writeQueue) }
 
-// Unread reports that nothing waits.
+// Unread reports that there is no unread input.
 func (s *fakeConn) Unread() bool { return false }
 
-// EndedAt is when the connection ended.
+// EndedAt returns when the connection ended.
 func (s *fakeConn) EndedAt() time.Time { return s.endedAt }
 
-// Finish ends the pool's side and reads on.
+// Finish closes the pool's direction and reads on.
 func (s *fakeConn) Finish(within time.Duration) {
 	s.Flush()
 	s.poolHalfClosed = true
@@ -243,7 +244,7 @@
 	s.loop.After(within, func() { s.Abort(conn.ErrClosedHere) })
 }
 
-// Close ends the pool's side, and discards what still comes.
+// Close closes the pool's side, and discards further input.
 func (s *fakeConn) Close(reason error) {
 	if s.closed {
 		return
@@ -254,7 +255,7 @@
 	s.reportClosed(reason)
 }
 
-// Abort ends the connection at once.
+// Abort closes the connection at once.
 func (s *fakeConn) Abort(reason error) {
 	if s.closed {
 		return
--- a/internal/dispatchers/fake_dispatcher_test.go
+++ b/internal/dispatchers/fake_dispatcher_test.go
@@ -11,13 +11,13 @@
 	"cherryrelay/internal/sip"
 )
 
-// answerDelay is how soon a stand-in answers that does so by itself.
+// answerDelay is the delay after which a fake dispatcher answers without being told to by a step.
 const answerDelay = 20 * time.Millisecond
 
-// dialTime is how long a connection takes to come up.
+// dialTime is the time that a dial takes.
 const dialTime = time.Millisecond
 
-// fakeNetwork connects a pool with stand-in dispatchers, without sockets. All of it runs on the loop.
+// fakeNetwork connects a pool with fake dispatchers, without sockets. All of it runs on the event loop.
 type fakeNetwork struct {
 	loop        *call.Loop
 	dispatchers map[string]*fakeDispatcher // by address
@@ -40,40 +40,42 @@
 			done(conn.ErrRefused)
 			return
 		}
-		s := &fakeConn{loop: n.loop, dispatcher: p, setUps: map[string]int{}, cancelled: map[string]bool{}, poolInput: ring.New(32 << 10), dispatcherInput: ring.New(64 << 10)}
+		s := &fakeConn{loop: n.loop, dispatcher: p, setUps: map[string]int{}, cancelled: map[string]bool{}, poolInput: ring.New(32 << 10),
+			dispatcherInput: ring.New(64 << 10)}
 		s.handler = opened(s)
 		done(nil)
 		p.accept(s)
 	})
 }
 
-// fakeDispatcher is a stand-in dispatcher, which does as the protocol page has it.
+// fakeDispatcher is a fake dispatcher that follows the protocol description.
 type fakeDispatcher struct {
 	harness         *harness
 	listening       bool
 	partitioned     bool                 // nothing gets through, in either direction
-	paused          bool                 // it takes nothing in and sends nothing; its kernel accepts connections
-	backlog         []*fakeConn          // that its kernel has accepted meanwhile
-	neverCloses     bool                 // it never closes its side of a connection that the pool's side has ended
-	resetsOnClose   bool                 // or resets it as it sees that
-	endsOnNewest    bool                 // it tells the end of a call whose connection has closed on the newest one
+	paused          bool                 // it reads and sends nothing; its kernel accepts connections
+	backlog         []*fakeConn          // connections that its kernel has accepted meanwhile
+	neverCloses     bool                 // it never closes its side of a connection that the pool's side has closed
+	resetsOnClose   bool                 // it resets such a connection when it notices the close
+	endsOnNewest    bool                 // it sends the end of a call whose connection has closed on the newest one
 	ignoresReleases bool                 // it confirms no release
-	refuseNext      int                  // so many of the next connections, as others are open
-	lastRefused     bool                 // the last connection was
-	timeOutNext     int                  // so many of the next connections do not come up
-	answersAll      bool                 // it answers each set-up by itself
-	answersRetries  bool                 // or each after the first one of a call
-	answersCall     map[string]bool      // or those of these calls
-	openConns       []*fakeConn          // that it has open
-	allConns        []*fakeConn          // and those that have ended, on which something may be on its way
+	refuseNext      int                  // number of next connections to refuse while others are open
+	lastRefused     bool                 // the last connection was refused
+	timeOutNext     int                  // number of next dials that time out
+	answersAll      bool                 // it answers every set-up
+	answersRetries  bool                 // it answers every attempt of a call after the first one
+	answersCall     map[string]bool      // it answers the set-ups of these calls
+	openConns       []*fakeConn          // connections that it has open
+	allConns        []*fakeConn          // those and the ended ones, on which something may be in transit
 	established     map[string]*fakeConn // calls, with the connection of their set-up
-	ambiguous       map[string]bool      // of them, those under whose id the end of an earlier attempt is still to be told
-	endsToRepeat    []string             // calls whose ends are told again on the next connection
-	hadReset        bool                 // a connection was reset, and none has come up since
+	ambiguous       map[string]bool      // calls under whose id the end of an earlier attempt is still to be sent
+	endsToRepeat    []string             // calls whose ends are repeated on the next connection
+	hadReset        bool                 // a connection was reset, and none has opened since
 }
 
 func newFakeDispatcher(site *harness) *fakeDispatcher {
-	return &fakeDispatcher{harness: site, listening: true, established: map[string]*fakeConn{}, answersCall: map[string]bool{}, ambiguous: map[string]bool{}}
+	return &fakeDispatcher{harness: site, listening: true, established: map[string]*fakeConn{}, answersCall: map[string]bool{},
+		ambiguous: map[string]bool{}}
 }
 
 func (p *fakeDispatcher) accept(s *fakeConn) {
@@ -85,7 +87,8 @@
 	p.useConn(s)
 }
 
-// shouldRefuse reports whether a connection is refused though the process lives. Where no other one is open, a refusal would prove that it doesn't.
+// shouldRefuse reports whether a connection is refused although the process runs. If no other one is open, a refusal would prove that it
+// does not run.
 func (p *fakeDispatcher) shouldRefuse() bool {
 	if p.refuseNext == 0 || len(p.usableConns()) == 0 {
 		return false
@@ -95,7 +98,7 @@
 	return true
 }
 
-// useConn has the process use a connection.
+// useConn has the dispatcher use a connection.
 func (p *fakeDispatcher) useConn(s *fakeConn) {
 	p.openConns, p.lastRefused = append(p.openConns, s), false
 	s.send(loadReport())
@@ -106,13 +109,13 @@
 	s.deliverToPool()
 }
 
-// loadReport is the state of a dispatcher, as it tells it unasked.
+// loadReport returns a report, as a dispatcher sends it without a request.
 func loadReport() []byte {
 	return sip.Append(nil, &sip.Message{Method: "NOTIFY", URI: "sip:state@net", CallID: "state", Seq: 1, SeqOf: "NOTIFY",
 		Headers: []sip.Header{{Name: "P-Report", Value: "idle:8"}}})
 }
 
-// sendReport has the process tell its state on a connection, which arrives at once.
+// sendReport has the dispatcher send a report on a connection. It arrives at once.
 func (s *fakeConn) sendReport() {
 	s.send(loadReport())
 	s.deliverToPool()
@@ -123,24 +126,27 @@
 		Headers: []sip.Header{{Name: "Reason", Value: "Q.850;cause=16"}}})
 }
 
-// usableConns are the connections on which the process can tell something.
+// usableConns returns the connections on which the dispatcher can send.
 func (p *fakeDispatcher) usableConns() []*fakeConn {
-	return slices.DeleteFunc(slices.Clone(p.openConns), func(s *fakeConn) bool { return s.dispatcherClosed || s.poolHalfClosed && !s.dispatcherUnaware() })
+	return slices.DeleteFunc(slices.Clone(p.openConns),
+		func(s *fakeConn) bool { return s.dispatcherClosed || s.poolHalfClosed && !s.dispatcherUnaware() })
 }
 
-// hasBlockedConn reports whether there is a connection on which a release would not get through, though the pool's side takes it for open.
+// hasBlockedConn reports whether there is a connection on which a release would not get through although the pool's side takes it for
+// open.
 func (p *fakeDispatcher) hasBlockedConn() bool {
 	return p.partitioned || p.paused || slices.ContainsFunc(p.allConns, func(s *fakeConn) bool {
 		return !s.closed && (s.blockedToDispatcher || s.writeBlocked || s.blockedToPool && s.dispatcherClosed)
 	})
 }
 
-// reachable reports whether there is a connection on which messages get through in both directions.
+// reachable reports whether there is a connection that works in both directions.
 func (p *fakeDispatcher) reachable() bool {
-	return !p.partitioned && !p.paused && slices.ContainsFunc(p.usableConns(), func(s *fakeConn) bool { return !s.blockedToDispatcher && !s.blockedToPool })
+	return !p.partitioned && !p.paused && slices.ContainsFunc(p.usableConns(),
+		func(s *fakeConn) bool { return !s.blockedToDispatcher && !s.blockedToPool })
 }
 
-// pending is the first connection with the set-up of a call open; nil if there is none.
+// pending returns the first connection with an open set-up of a call, or nil.
 func (p *fakeDispatcher) pending(id string) *fakeConn {
 	for _, s := range p.openConns {
 		if _, ok := s.setUps[id]; ok {
@@ -150,13 +156,13 @@
 	return nil
 }
 
-// sendFinalAnswer tells the final answer to a set-up; 200 establishes the call.
+// sendFinalAnswer sends the final answer to a set-up; 200 establishes the call.
 func (p *fakeDispatcher) sendFinalAnswer(id string, status int) bool {
 	s := p.pending(id)
 	return s != nil && !p.paused && p.sendFinalAnswerOn(s, id, status)
 }
 
-// sendFinalAnswerOn tells it on a connection, if the set-up is open there.
+// sendFinalAnswerOn sends it on a connection, if the set-up is open there.
 func (p *fakeDispatcher) sendFinalAnswerOn(s *fakeConn, id string, status int) bool {
 	if _, ok := s.setUps[id]; !ok {
 		return false
@@ -173,7 +179,7 @@
 	return true
 }
 
-// endCall ends an established call, and tells it where the protocol has it.
+// endCall ends an established call, and sends the end as the protocol prescribes.
 func (p *fakeDispatcher) endCall(id string) bool {
 	s, ok := p.established[id]
 	if !ok || p.paused {
@@ -195,7 +201,7 @@
 	return true
 }
 
-// startReporting has the process tell its state on each connection, every second.
+// startReporting has the dispatcher send a report on each connection, every second.
 func (p *fakeDispatcher) startReporting(loop *call.Loop) {
 	loop.After(time.Second, func() {
 		for _, s := range p.usableConns() {
@@ -207,14 +213,14 @@
 	})
 }
 
-// hasUndeliveredEnd reports whether the end of a call is on its way, or is to be told on the next connection.
+// hasUndeliveredEnd reports whether the end of a call is in transit, or is to be sent on the next connection.
 func (p *fakeDispatcher) hasUndeliveredEnd(id string) bool {
 	return slices.Contains(p.endsToRepeat, id) || slices.ContainsFunc(p.allConns, func(s *fakeConn) bool {
 		return slices.ContainsFunc(s.inTransit, func(m fakeMessage) bool { return m.endOf == id })
 	})
 }
 
-// handle acts on a message of the controller.
+// handle processes a message of the controller.
 func (p *fakeDispatcher) handle(s *fakeConn, m *sip.Message) {
 	switch m.Method {
 	case "INVITE":
@@ -234,7 +240,7 @@
 	}
 }
 
-// answerLater has a set-up answered promptly, or as the process goes on.
+// answerLater answers a set-up after answerDelay or, if the dispatcher is paused, after the pause.
 func (p *fakeDispatcher) answerLater(s *fakeConn, id string) {
 	s.loop.After(answerDelay, func() {
 		if p.paused {
@@ -246,7 +252,7 @@
 	})
 }
 
-// unpause ends a standstill. What has been written meanwhile is read now, unless that is yet to come.
+// unpause ends a pause. What was written meanwhile is read now if reads is set, and otherwise later.
 func (p *fakeDispatcher) unpause(reads bool) {
 	p.paused = false
 	before := slices.Clone(p.allConns)
@@ -260,7 +266,7 @@
 	}
 }
 
-// reconnect ends the time in which nothing got through. What was written meanwhile gets through now.
+// reconnect ends a time in which nothing got through. What was written meanwhile is delivered now.
 func (p *fakeDispatcher) reconnect() {
 	p.partitioned = false
 	for _, s := range p.allConns {
@@ -269,7 +275,7 @@
 	}
 }
 
-// die resets all connections and cuts all calls.
+// die resets all connections and ends all calls.
 func (p *fakeDispatcher) die() {
 	p.listening = false
 	clear(p.established)
--- a/internal/dispatchers/harness_helpers_test.go
+++ b/internal/dispatchers/harness_helpers_test.go
@@ -10,12 +10,12 @@
 	"cherryrelay/internal/call"
 )
 
-// What tests over an order site have in common.
+// This file has helpers for tests with a harness.
 
-// setUpDelay is how long a set-up is given to be out at its dispatcher.
+// setUpDelay is the time after which a set-up has reached its dispatcher.
 const setUpDelay = 10 * time.Millisecond
 
-// run runs the loop until the returned function is called.
+// run runs the event loop until the returned function is called.
 func (s *harness) run() (quit func()) {
 	go s.core.Loop().Run()
 	return func() {
@@ -24,7 +24,7 @@
 	}
 }
 
-// withHarness runs a test over a site whose first dispatcher is connected to as the start says.
+// withHarness runs a test with a harness whose first dispatcher has the connections of the initial state.
 func withHarness(t *testing.T, start initialState, test func(s *harness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -40,26 +40,26 @@
 	})
 }
 
-// playWithoutViolation plays an order of events, and wants it to be possible and without a fault.
+// playWithoutViolation plays a sequence of steps, and requires it to be possible and without a violation.
 func (start initialState) playWithoutViolation(t *testing.T, order []scenarioStep) {
 	t.Helper()
 	if result := start.play(t, order); !result.possible || len(result.violations) > 0 {
-		t.Errorf("order %s, possible: %v: %s", start.prefix+stepLetters(order), result.possible, strings.Join(result.violations, "; "))
+		t.Errorf("steps %s, possible: %v: %s", start.prefix+stepLetters(order), result.possible, strings.Join(result.violations, "; "))
 	}
 }
 
-// attemptOf is a call's attempt of a number, for which a dispatcher has a minute.
+// attemptOf returns an attempt of a call with the given number and a timeout of a minute.
 func attemptOf(id string, number int) call.SetUp {
 	return call.SetUp{ID: id, Attempt: number, Class: "c", Called: "k", Description: "x", Timeout: time.Minute}
 }
 
-// setUpCall has the caller set a call up, and waits until the set-up is out.
+// setUpCall has the caller set a call up, and waits until the set-up has reached the dispatcher.
 func (s *harness) setUpCall(id string) {
 	s.runOnLoop(func() { s.placeCall(id, callTimeout) })
 	time.Sleep(setUpDelay)
 }
 
-// establish has a call set up at the first dispatcher, and answered there.
+// establish sets a call up at the first dispatcher, which answers it.
 func (s *harness) establish(id string) {
 	s.setUpCall(id)
 	s.runOnLoop(func() { s.first.sendFinalAnswer(id, 200) })
@@ -67,7 +67,7 @@
 	s.runOnLoop(s.deliverAll)
 }
 
-// reportFor has the first dispatcher report on all its connections that live for a time.
+// reportFor has the first dispatcher send reports on all its working connections for a time.
 func (s *harness) reportFor(d time.Duration) {
 	for _, e := range reportSteps(d) {
 		s.runOnLoop(func() { e.run(s) })
--- a/internal/dispatchers/harness_test.go
+++ b/internal/dispatchers/harness_test.go
@@ -18,7 +18,7 @@
 
 const (
 	testCallID = "00000000000000c1"
-	// otherCallID and thirdCallID are those of calls beside it, which come otherCallDelay later and are answered at once.
+	// otherCallID and thirdCallID are those of further calls, which are placed otherCallDelay later and are answered at once.
 	otherCallID    = "00000000000000c2"
 	thirdCallID    = "00000000000000c3"
 	otherCallDelay = overtakenAfter + 50*time.Millisecond
@@ -28,84 +28,85 @@
 "requestClasses":[{"aimUs":900000,"deadlineUs":9000000,"name":"c","semantics":"read_like","worth":1}],"resolutionUs":5000,
 "rules":{"coldUs":1000000,"startCapacity":0.3,"tipMultiple":2}}`
 	callTimeout = 9 * time.Second
-	// suspectCallTimeout is how long the caller of a call waits by which its dispatcher comes to be doubted.
+	// suspectCallTimeout is how long the caller of a call waits whose missing answer makes its dispatcher suspect.
 	suspectCallTimeout = 2 * time.Second
-	// maxTransit is the longest that anything is on its way, and deliveryInterval the pace at which it arrives after that.
+	// maxTransit is the longest time for which anything is in transit, and deliveryInterval the interval of deliveries after that.
 	maxTransit, deliveryInterval = time.Second, 50 * time.Millisecond
-	// endTimeout is how soon the end of a call must reach its caller though its dispatcher could not tell it at first.
+	// endTimeout is the time within which the end of a call must be reported although its dispatcher could not send it at first.
 	endTimeout = 8 * time.Second
-	// releaseTimeout is how soon it must once the release by its dispatcher has come.
+	// releaseTimeout is the time within which it must be reported once the release by its dispatcher has arrived.
 	releaseTimeout = time.Second
 )
 
-// callRecord is what its caller and its dispatcher know of a call.
+// callRecord records what the caller and the dispatcher know about a call.
 type callRecord struct {
 	answers, refusals, ends int
 	cancelled               bool
-	endedAt, endReportedAt  time.Time // at its dispatcher, and as its caller was told
-	releaseDeliveredAt      time.Time // of a call that stood, to the pool's side; zero if it has not
+	endedAt, endReportedAt  time.Time // at its dispatcher, and as reported to its caller
+	releaseDeliveredAt      time.Time // arrival of the release of an established call at the pool's side; zero if none
 }
 
-// harness is a core and a pool over stand-in dispatchers, with one call and, as an event, another.
+// harness has a core and a pool with fake dispatchers, one call and, by a step, another call.
 type harness struct {
 	initialState
 	core       *call.Core
 	pool       *Pool
 	network    *fakeNetwork
-	first      *fakeDispatcher // the dispatcher that events are about
-	startedAt  time.Duration   // when its process began, as the list has it; 0 for long ago
+	first      *fakeDispatcher // the dispatcher that steps refer to
+	startedAt  time.Duration   // start of its process according to the list; 0 for long ago
 	violations []string
 
-	lastStepAt time.Time // when the last event was that is more than time that passes
+	lastStepAt time.Time // time of the last step in which more than time passed
 
 	calls              map[string]*callRecord
 	callerDisconnected bool // the caller's connection has closed
-	stalled            bool // nothing got through on a connection for a while
+	stalled            bool // a connection was blocked for a while
 }
 
 func (s *harness) violation(format string, args ...any) {
 	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
-// Answer tells the caller that the call is established.
+// Answer records that the call is established.
 func (s *harness) Answer(id, _ string) error { s.calls[id].answers++; return nil }
 
-// End is the final answer.
+// End records the final answer.
 func (s *harness) End(id string, _ call.End) { s.calls[id].refusals++ }
 
-// Disconnected reports whether the caller has gone.
+// Disconnected reports whether the caller has disconnected.
 func (s *harness) Disconnected() bool { return s.callerDisconnected }
 
-// NotifyTerminated tells the caller the end of the call.
+// NotifyTerminated records the end of the call, and checks that it is justified.
 func (s *harness) NotifyTerminated(id string, _ call.End) {
 	c := s.calls[id]
 	_, holds := s.first.established[id]
-	holds = holds && !s.first.ambiguous[id]                                     // nobody can tell whose end it is
+	holds = holds && !s.first.ambiguous[id]                                     // it is unknown whose end it is
 	canRepeat := s.first.listening && !s.first.lastRefused || !s.first.hadReset // ends that may have been lost
 	if holds && canRepeat && s.first.reachable() && !c.cancelled {
-		s.violation("the end of %s is told while it goes on, at a dispatcher that can be reached", id)
+		s.violation("the end of %s was reported while it continues at a reachable dispatcher", id)
 	}
 	c.ends++
 	c.endReportedAt = time.Now()
 }
 
-// fakeFront passes on the ends of calls whose connection has closed.
+// fakeFront forwards the ends of calls whose connection has closed.
 type fakeFront struct{ *harness }
 
-// Release tells the caller the end of the call on another connection.
+// Release records the end of the call on another connection.
 func (f fakeFront) Release(id string, end call.End) { f.NotifyTerminated(id, end) }
 
-// Connections is the number of connections.
+// Connections returns the number of connections.
 func (f fakeFront) Connections() int { return 1 }
 
-// Idle reports that nothing waits.
+// Idle reports that nothing is pending.
 func (f fakeFront) Idle() bool { return true }
 
-// attemptArrived takes in the arrival of an attempt at a dispatcher. One that nothing reaches can't be told that an earlier attempt is given up.
+// attemptArrived checks the arrival of an attempt at a dispatcher. A dispatcher that nothing reaches can't learn that an earlier attempt
+// was cancelled.
 func (s *harness) attemptArrived(id string) {
 	for _, p := range s.network.dispatchers {
 		if pending := p.pending(id); pending != nil && !p.partitioned && !pending.cancelUnread(id) {
-			s.violation("an attempt of %s while another one is out", id)
+			s.violation("an attempt of %s while another one is in progress", id)
 		}
 	}
 	if c := s.calls[id]; c.answers+c.refusals > 0 {
@@ -113,10 +114,11 @@
 	}
 }
 
-// callEstablished takes in that a dispatcher holds a call.
+// callEstablished records that a dispatcher holds a call.
 func (s *harness) callEstablished(id string) { s.calls[id].releaseDeliveredAt = time.Time{} }
 
-// releaseDelivered takes in that a release by a dispatcher has come. One that comes while the call goes on there is that of an earlier attempt.
+// releaseDelivered records that a release by a dispatcher has arrived. One that arrives while the call continues there belongs to an
+// earlier attempt.
 func (s *harness) releaseDelivered(by *fakeDispatcher, id string) {
 	c := s.calls[id]
 	if _, goesOn := by.established[id]; c != nil && !goesOn && c.releaseDeliveredAt.IsZero() {
@@ -124,7 +126,7 @@
 	}
 }
 
-// newHarness must be called on the loop's goroutine or before it runs.
+// newHarness must be called on the loop's goroutine or before the loop runs.
 func newHarness(t *testing.T, start initialState) *harness {
 	t.Helper()
 	set := new(settings.Settings)
@@ -136,7 +138,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &harness{initialState: start, core: core, network: &fakeNetwork{loop: loop, dispatchers: map[string]*fakeDispatcher{}}, calls: map[string]*callRecord{}}
+	s := &harness{initialState: start, core: core, network: &fakeNetwork{loop: loop, dispatchers: map[string]*fakeDispatcher{}},
+		calls: map[string]*callRecord{}}
 	s.pool = New(loop, core, Options{ConnectTimeout: 500 * time.Millisecond, ReportFields: []string{"idle"}, Log: log})
 	s.pool.dial = s.network.dial
 	if start.maxConns > 0 {
@@ -146,7 +149,8 @@
 	core.AddFront(fakeFront{s})
 	core.OnFlush(s.pool.Flush)
 	s.first = newFakeDispatcher(s)
-	s.first.answersRetries, s.first.neverCloses, s.first.ignoresReleases, s.first.resetsOnClose = start.answersRetries, start.neverCloses, start.ignoresReleases, start.resetsOnClose
+	s.first.answersRetries, s.first.neverCloses, s.first.ignoresReleases, s.first.resetsOnClose = start.answersRetries, start.neverCloses,
+		start.ignoresReleases, start.resetsOnClose
 	s.first.endsOnNewest = start.endsOnNewest
 	if start.reportsPeriodically {
 		s.first.startReporting(loop)
@@ -159,7 +163,7 @@
 	return s
 }
 
-// updateList tells the core of dispatchers.
+// updateList passes a list of dispatchers with the given status to the core.
 func (s *harness) updateList(status control.ServerStatus, names ...control.ServerID) {
 	var u call.Update
 	for i, name := range names {
@@ -172,13 +176,13 @@
 	s.core.Update(u)
 }
 
-// runOnLoop runs a function on the loop, and waits until all that it leads to at once has been done.
+// runOnLoop runs a function on the event loop, and waits until everything that it causes at once has happened.
 func (s *harness) runOnLoop(f func()) {
 	s.core.Loop().Post(f)
 	synctest.Wait()
 }
 
-// restartFirst has another process run under the name of the first dispatcher, at its address.
+// restartFirst replaces the process of the first dispatcher by a new one, under its name and at its address.
 func (s *harness) restartFirst() {
 	s.first.die()
 	s.first = newFakeDispatcher(s)
@@ -212,7 +216,7 @@
 	_ = s.core.Offer(call.Request{ID: id, Class: "c", Deadline: time.Now().Add(within), Caller: s, Description: "x"})
 }
 
-// cancelCall has the caller give a call up, or end it.
+// cancelCall has the caller cancel a call, or end it.
 func (s *harness) cancelCall(id string) bool {
 	c := s.calls[id]
 	if c == nil || c.cancelled || s.callerDisconnected {
@@ -223,7 +227,7 @@
 	return true
 }
 
-// play plays an order of events, and then has everything arrive and come to its end. It reports false if one of the events could not be.
+// play runs the steps, and then delivers everything and ends the calls. It reports false if one of the steps was not possible.
 func (s *harness) play(order []scenarioStep) bool {
 	defer s.run()()
 	s.runOnLoop(func() {
@@ -263,7 +267,7 @@
 	return true
 }
 
-// advance has time pass. Nothing is on its way for longer than maxTransit after the last event, unless it is cut off.
+// advance lets time pass. Nothing is in transit for longer than maxTransit after the last step, unless it is blocked.
 func (s *harness) advance(d time.Duration) {
 	for until := time.Now().Add(d); time.Now().Before(until); {
 		if time.Since(s.lastStepAt) >= maxTransit {
@@ -273,13 +277,13 @@
 	}
 }
 
-// settle has what is on its way arrive, until the call's time is over; then what is established ends.
+// settle delivers what is in transit until the call's timeout has passed, and then ends what is established.
 func (s *harness) settle() {
 	s.advance(maxTransit + callTimeout + time.Second)
 	s.runOnLoop(s.checkAnswered)
 	s.runOnLoop(func() { s.unpauseFirst(true) })
 	if s.stalled {
-		s.advance(halfCloseTimeout) // until a connection is given up for good
+		s.advance(halfCloseTimeout) // until an abandoned connection is closed
 	}
 	s.runOnLoop(s.checkEstablished)
 	s.runOnLoop(func() {
@@ -293,7 +297,7 @@
 	s.runOnLoop(s.checkEnd)
 }
 
-// deliverAll has all arrive that is on its way. What was sent in this instant is not yet there.
+// deliverAll delivers all that is in transit, except what was sent at this instant.
 func (s *harness) deliverAll() {
 	for _, p := range s.network.dispatchers {
 		for _, c := range p.allConns {
@@ -304,7 +308,7 @@
 	}
 }
 
-// checkAnswered checks that each call has its one final answer.
+// checkAnswered checks that each call has exactly one final answer.
 func (s *harness) checkAnswered() {
 	for id, c := range s.calls {
 		if want := 1; !c.cancelled && !s.callerDisconnected && c.answers+c.refusals != want {
@@ -313,18 +317,19 @@
 	}
 }
 
-// checkEstablished checks that each call that a dispatcher holds is known here.
+// checkEstablished checks that each call that a dispatcher holds is known to the core.
 func (s *harness) checkEstablished() {
 	for id := range s.calls {
 		for name, p := range s.network.dispatchers {
-			if _, ok := p.established[id]; ok && !p.ambiguous[id] && !p.hasBlockedConn() && !s.isEstablished(id, name) && (p.listening && !p.lastRefused || len(p.usableConns()) > 0) {
-				s.violation("%s holds %s, which is not known here, and nobody releases it", name, id)
+			if _, ok := p.established[id]; ok && !p.ambiguous[id] && !p.hasBlockedConn() && !s.isEstablished(id, name) &&
+				(p.listening && !p.lastRefused || len(p.usableConns()) > 0) {
+				s.violation("%s holds %s, which the core does not know and nobody releases", name, id)
 			}
 		}
 	}
 }
 
-// isEstablished reports whether a call is known to be established at a dispatcher.
+// isEstablished reports whether the core has a call as established at a dispatcher.
 func (s *harness) isEstablished(id, dispatcher string) bool {
 	for known := range s.core.EstablishedAt(control.ServerID(dispatcher)) {
 		if known == id {
@@ -334,33 +339,33 @@
 	return false
 }
 
-// checkEnd checks that the end of what was established was told, and that nothing is left.
+// checkEnd checks that the ends of the established calls were reported, and that no entry is left.
 func (s *harness) checkEnd() {
 	for id, c := range s.calls {
 		c.check(func(format string, args ...any) { s.violation(id+": "+format, args...) })
 	}
 	for name, server := range s.pool.servers {
 		if len(server.established) > 0 {
-			s.violation("%s has an entry of a call that is over", name)
+			s.violation("%s has an entry of a terminated call", name)
 		}
 	}
 }
 
-// check checks that the end of the call was told once, and in time.
+// check checks that the end of the call was reported once, and in time.
 func (c *callRecord) check(fault func(string, ...any)) {
 	if c.answers+c.refusals > 1 || c.ends > 1 {
 		fault("%d answers, %d refusals, %d ends", c.answers, c.refusals, c.ends)
 	}
 	if c.answers == 1 && c.ends == 0 && !c.cancelled {
-		fault("its end is not told")
+		fault("its end was not reported")
 	}
 	if c.answers != 1 || c.ends != 1 {
 		return
 	}
 	if late := c.endReportedAt.Sub(c.endedAt); !c.endedAt.IsZero() && late > endTimeout {
-		fault("its end is told %v late", late)
+		fault("its end was reported after %v", late)
 	}
 	if late := c.endReportedAt.Sub(c.releaseDeliveredAt); !c.releaseDeliveredAt.IsZero() && late > releaseTimeout {
-		fault("its end is told %v after its release has come", late)
+		fault("its end was reported %v after its release had arrived", late)
 	}
 }
--- a/internal/dispatchers/invalid_input_test.go
+++ b/internal/dispatchers/invalid_input_test.go
@@ -5,11 +5,12 @@
 	"testing"
 )
 
-// TestAnEndOnAHalfClosedConnectionClosedForInvalidInputIsReported guards against the untold end of a call whose connection was given up as dead and then closed
-// here, for noise, while its dispatcher stood still: that tells the end there as it goes on, after the connection that replaces it has come up.
+// TestAnEndOnAHalfClosedConnectionClosedForInvalidInputIsReported guards against the lost end of a call whose connection was half-closed
+// as unresponsive, and then closed here for invalid input while its dispatcher was paused: the dispatcher sends the end there when it
+// continues, after the connection that replaces it has opened.
 func TestAnEndOnAHalfClosedConnectionClosedForInvalidInputIsReported(t *testing.T) {
 	t.Parallel()
-	invalidInput := newStep("noise comes on the call's connection, which brings something again", 0, func(s *harness) {
+	invalidInput := newStep("invalid input arrives on the call's connection, which delivers again", 0, func(s *harness) {
 		s.withConnectionOf(testCallID, func(*fakeConn) bool { return true }, func(c *fakeConn) {
 			c.blockedToPool = false
 			c.send([]byte("noise\r\n\r\n"))
--- a/internal/dispatchers/last_connection_test.go
+++ b/internal/dispatchers/last_connection_test.go
@@ -7,8 +7,8 @@
 	"cherryrelay/control"
 )
 
-// TestLastConnectionToNonListeningDispatcherIsKept guards against calls that are left at a dispatcher for good, or cut, as the last
-// connection to it was given up while it was silent for a moment.
+// TestLastConnectionToNonListeningDispatcherIsKept guards against calls that stay at a dispatcher for ever, or are ended, because the
+// last connection to it was abandoned while it was silent for a moment.
 func TestLastConnectionToNonListeningDispatcherIsKept(t *testing.T) {
 	t.Parallel()
 	for name, start := range map[string]initialState{"four connections": {conns: 1}, "one connection": {conns: 1, maxConns: 1}} {
@@ -30,15 +30,15 @@
 				s.runOnLoop(func() { s.first.allConns[0].unblock() })
 				s.advance(2 * silenceTimeout)
 				if _, held := s.first.established[testCallID]; held {
-					t.Error("the dispatcher holds the call that was answered late")
+					t.Error("the dispatcher still holds the call that was answered late")
 				}
 				if !s.isEstablished(otherCallID, "first") {
-					t.Errorf("the call that stands there is not known here; %d ends", s.calls[otherCallID].ends)
+					t.Errorf("the core does not know the call that is established there; %d ends", s.calls[otherCallID].ends)
 				}
 				s.runOnLoop(func() { s.endCall(s.first, otherCallID) })
 				s.advance(maxTransit)
 				if c := s.calls[otherCallID]; c.ends != 1 {
-					t.Errorf("%d ends as its dispatcher has told one", c.ends)
+					t.Errorf("%d ends were reported, want the one that its dispatcher sent", c.ends)
 				}
 			})
 		})
--- a/internal/dispatchers/late_answer_test.go
+++ b/internal/dispatchers/late_answer_test.go
@@ -7,8 +7,8 @@
 	"cherryrelay/control"
 )
 
-// TestALateAnswerAtADispatcherThatRefusesIsReleased guards against a call that its dispatcher holds and nobody releases, as the only connection to it
-// is given up while it takes no new ones. Its end is told to nobody either.
+// TestALateAnswerAtADispatcherThatRefusesIsReleased guards against a call that its dispatcher keeps and nobody releases, because the only
+// connection to it is abandoned while it accepts no new ones. The end of such a call is lost as well.
 func TestALateAnswerAtADispatcherThatRefusesIsReleased(t *testing.T) {
 	t.Parallel()
 	withHarness(t, initialState{}, func(s *harness) {
@@ -31,7 +31,7 @@
 		time.Sleep(time.Second)
 		s.runOnLoop(func() {
 			if len(s.first.established) > 0 {
-				t.Error("its dispatcher holds the call, and nobody releases it")
+				t.Error("its dispatcher holds the call, and nobody has released it")
 			}
 		})
 	})
--- a/internal/dispatchers/log_test.go
+++ b/internal/dispatchers/log_test.go
@@ -16,13 +16,13 @@
 	s.pool.Log = slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: slog.LevelDebug}))
 }
 
-// TestTheStepsOfAnAbandonedConnectionAreLogged guards against ends that are read on a connection that was given up without the log saying so.
+// TestTheStepsOfAnAbandonedConnectionAreLogged guards against ends that are read on an abandoned connection without a trace in the log.
 func TestTheStepsOfAnAbandonedConnectionAreLogged(t *testing.T) {
 	start := initialState{name: "established", established: true}
 	var log bytes.Buffer
 	order := []scenarioStep{
-		newStep("the end of the call is on its way", 0, func(s *harness) { s.endCall(s.first, testCallID) }),
-		newStep("its connection is given up", 0, func(s *harness) {
+		newStep("the end of the call is in transit", 0, func(s *harness) { s.endCall(s.first, testCallID) }),
+		newStep("its connection is abandoned", 0, func(s *harness) {
 			s.logTo(&log)
 			s.pool.servers["first"].conns[0].halfClose(errors.New("for the test"))
 		}),
@@ -45,13 +45,14 @@
 	}
 }
 
-// TestTheStepsOfADispatcherAreLogged guards against connections that are asked for, and calls that are released, without the log saying so.
+// TestTheStepsOfADispatcherAreLogged guards against connections that are requested, and calls that are released, without a trace in the
+// log.
 func TestTheStepsOfADispatcherAreLogged(t *testing.T) {
 	events := map[byte]scenarioStep{}
 	for _, e := range baseSteps() {
 		events[e.letter] = e
 	}
-	events['!'] = newStep("the first dispatcher is dropped", 0, func(s *harness) { s.pool.servers["first"].disconnect(errors.New("for the test")) })
+	events['!'] = newStep("the first dispatcher is disconnected", 0, func(s *harness) { s.pool.servers["first"].disconnect(errors.New("for the test")) })
 	events['%'], events['@'] = resetAll(), addressTaken()
 	for step, order := range map[endlog.Step]string{
 		endlog.RenewalAsked:     "rT",
@@ -73,7 +74,7 @@
 				all = append(all, events[letter])
 			}
 			if result := (initialState{name: "set up", conns: 2}).play(t, all); !result.possible {
-				t.Fatal("the order did not come about")
+				t.Fatal("the scenario was not possible")
 			}
 			if !strings.Contains(log.String(), "step=\""+string(step)+"\"") {
 				t.Errorf("not logged:\n%s", &log)
--- a/internal/dispatchers/lost_connection_test.go
+++ b/internal/dispatchers/lost_connection_test.go
@@ -7,11 +7,11 @@
 	"cherryrelay/control"
 )
 
-// TestLossOfAnotherConnectionEndsNoCall guards against a call that is cut, as its dispatcher listens no more, for ends that another connection
-// may have lost: its own is open.
+// TestLossOfAnotherConnectionEndsNoCall guards against a call that is ended because its dispatcher has stopped listening and another
+// connection may have lost ends: the call's own connection is open.
 func TestLossOfAnotherConnectionEndsNoCall(t *testing.T) {
 	t.Parallel()
-	for name, established := range map[string]bool{"the call stands": true, "its set-up is open": false} {
+	for name, established := range map[string]bool{"the call is established": true, "its set-up is open": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			withHarness(t, initialState{conns: 2}, func(s *harness) {
@@ -43,7 +43,7 @@
 				s.runOnLoop(func() { s.endCall(s.first, testCallID) })
 				s.advance(maxTransit)
 				if c := s.calls[testCallID]; c.ends != 1 {
-					t.Errorf("%d ends as its dispatcher has told one", c.ends)
+					t.Errorf("%d ends were reported, want the one that its dispatcher sent", c.ends)
 				}
 			})
 		})
--- a/internal/dispatchers/lost_ends_test.go
+++ b/internal/dispatchers/lost_ends_test.go
@@ -10,29 +10,30 @@
 	"cherryrelay/internal/decide/links"
 )
 
-// Orders in which the end of a call goes down with a connection, while the dispatcher speaks on another one: only a further connection brings it.
+// This file has scenarios in which the end of a call is lost with a connection while the dispatcher sends on another one: only a further
+// connection brings the end.
 
-// reportInterval is how often the dispatcher speaks on a connection that lives.
+// reportInterval is the interval at which the dispatcher sends reports on a working connection.
 const reportInterval = 500 * time.Millisecond
 
-// wantedFor is how long a second connection is wanted after two set-ups were open at once, but for a moment.
+// wantedFor is how long a second connection stays wanted after two set-ups were open at once, less a short time.
 const wantedFor = 4100 * time.Millisecond
 
-// newStep is one that always can be, and that is followed by nothing else for a time.
+// newStep returns a step that is always possible and is followed by a time in which nothing else happens.
 func newStep(what string, after time.Duration, f func(s *harness)) scenarioStep {
 	return scenarioStep{'-', what, func(s *harness) bool { f(s); return true }, after, false}
 }
 
-// isolate has nothing get through any more on a connection, which both sides hold for open.
+// isolate blocks a connection in both directions while both sides hold it open.
 func (s *fakeConn) isolate() {
 	s.dispatcher = &fakeDispatcher{harness: s.dispatcher.harness, partitioned: true}
 }
 
-// reportSteps has the first dispatcher report on all its connections that live for a time, which arrives at once.
+// reportSteps returns steps in which the first dispatcher sends reports on all its working connections for a time. They arrive at once.
 func reportSteps(d time.Duration) []scenarioStep {
 	var events []scenarioStep
 	for range d / reportInterval {
-		events = append(events, newStep("it reports", reportInterval, func(s *harness) {
+		events = append(events, newStep("it sends reports", reportInterval, func(s *harness) {
 			for _, c := range s.first.usableConns() {
 				if c.dispatcher == s.first {
 					c.sendReport()
@@ -43,7 +44,8 @@
 	return events
 }
 
-// sendEndOn has the first dispatcher end the call and tell it on a connection, where it does not arrive yet, and on the next one that opens.
+// sendEndOn has the first dispatcher end the call and send the end on a connection, where it is not delivered yet, and on the next one
+// that opens.
 func (s *harness) sendEndOn(c *fakeConn) {
 	delete(s.first.established, testCallID)
 	s.first.endsToRepeat = append(s.first.endsToRepeat, testCallID)
@@ -51,25 +53,26 @@
 	s.calls[testCallID].endedAt = time.Now()
 }
 
-// lostEnd is an order in which the end of a call goes down with a connection.
+// lostEnd is a scenario in which the end of a call is lost with a connection.
 type lostEnd struct {
 	start initialState
 	steps []scenarioStep
 }
 
-// lostEnds are the orders. A set-up goes out on the first connection.
+// lostEnds returns the scenarios. A set-up is sent on the first connection.
 func lostEnds() map[string]lostEnd {
 	called := initialState{conns: 2, established: true}
-	sendsEnd := newStep("the end is told on the first connection", 0, func(s *harness) { s.sendEndOn(s.first.allConns[0]) })
+	sendsEnd := newStep("the end is sent on the first connection", 0, func(s *harness) { s.sendEndOn(s.first.allConns[0]) })
 	resetsFirst := newStep("the first connection is reset", 0, func(s *harness) { s.first.allConns[0].reset() })
 	blocksFirst := newStep("the first connection is dead", 0, func(s *harness) { s.first.allConns[0].isolate() })
-	resetsAndRefuses := newStep("the first connection is reset as two are wanted for the last time, and a dial is refused", 0, func(s *harness) {
-		server := s.pool.servers["first"]
-		server.demand = links.Demand{}
-		server.demand.Observe(time.Now().Add(-wantedFor), 2)
-		s.first.listening = false
-		s.first.allConns[0].reset()
-	})
+	resetsAndRefuses := newStep("the first connection is reset just before a second one is no longer wanted, and a dial is refused", 0,
+		func(s *harness) {
+			server := s.pool.servers["first"]
+			server.demand = links.Demand{}
+			server.demand.Observe(time.Now().Add(-wantedFor), 2)
+			s.first.listening = false
+			s.first.allConns[0].reset()
+		})
 	listens := newStep("it listens again", 0, func(s *harness) { s.first.listening = true })
 	opensThird := newStep("a third connection is opened", time.Second, func(s *harness) { s.pool.Reconnect("first") })
 	blocksSecond := newStep("the second connection is dead", 0, func(s *harness) { s.first.allConns[1].isolate() })
@@ -77,25 +80,31 @@
 		s.first.sendFinalAnswer(testCallID, 200)
 		s.deliverAll()
 	})
-	closesFirst := newStep("the first connection is closed in good order", 50*time.Millisecond, func(s *harness) {
+	closesFirst := newStep("the first connection is closed cleanly", 50*time.Millisecond, func(s *harness) {
 		s.first.allConns[0].close()
 		s.first.allConns[0].deliverToPool()
 	})
-	sendsEndOnSecond := newStep("the end is told on the second connection", 0, func(s *harness) { s.sendEndOn(s.first.allConns[1]) })
+	sendsEndOnSecond := newStep("the end is sent on the second connection", 0, func(s *harness) { s.sendEndOn(s.first.allConns[1]) })
 	reportsLong := reportSteps(20 * time.Second)
 	return map[string]lostEnd{
-		"it is reset":                          {called, slices.Concat([]scenarioStep{sendsEnd, resetsFirst}, reportsLong)},
-		"it is reset, and a dial is refused":   {called, slices.Concat([]scenarioStep{sendsEnd, resetsAndRefuses}, reportSteps(time.Second), []scenarioStep{listens}, reportsLong)},
-		"it is dead":                           {called, slices.Concat([]scenarioStep{blocksFirst, sendsEnd}, reportsLong)},
-		"it is dead and was given up":          {called, slices.Concat([]scenarioStep{blocksFirst}, reportSteps(8*time.Second), []scenarioStep{sendsEnd}, reportsLong)},
-		"it is dead and was given up for long": {called, slices.Concat([]scenarioStep{blocksFirst}, reportSteps(25*time.Second), []scenarioStep{sendsEnd}, reportsLong)},
-		"it was given up and is reset":         {called, slices.Concat([]scenarioStep{blocksFirst}, reportSteps(6*time.Second), []scenarioStep{sendsEnd, resetsFirst}, reportsLong)},
-		"the call came to stand after it was given up": {initialState{conns: 2}, slices.Concat([]scenarioStep{opensThird, blocksSecond}, reportSteps(7*time.Second),
-			[]scenarioStep{answers, closesFirst, sendsEndOnSecond}, reportsLong)},
+		"it is reset": {called, slices.Concat([]scenarioStep{sendsEnd, resetsFirst}, reportsLong)},
+		"it is reset, and a dial is refused": {called,
+			slices.Concat([]scenarioStep{sendsEnd, resetsAndRefuses}, reportSteps(time.Second), []scenarioStep{listens}, reportsLong)},
+		"it is dead": {called, slices.Concat([]scenarioStep{blocksFirst, sendsEnd}, reportsLong)},
+		"it is dead and was abandoned": {called,
+			slices.Concat([]scenarioStep{blocksFirst}, reportSteps(8*time.Second), []scenarioStep{sendsEnd}, reportsLong)},
+		"it is dead and was abandoned long ago": {called,
+			slices.Concat([]scenarioStep{blocksFirst}, reportSteps(25*time.Second), []scenarioStep{sendsEnd}, reportsLong)},
+		"it was abandoned and is reset": {called,
+			slices.Concat([]scenarioStep{blocksFirst}, reportSteps(6*time.Second), []scenarioStep{sendsEnd, resetsFirst}, reportsLong)},
+		"the call was established after it was abandoned": {initialState{conns: 2},
+			slices.Concat([]scenarioStep{opensThird, blocksSecond}, reportSteps(7*time.Second),
+				[]scenarioStep{answers, closesFirst, sendsEndOnSecond}, reportsLong)},
 	}
 }
 
-// TestEndsLostWithAConnectionAreReported guards against the end of a call that is told on a connection that never brings it, while others live.
+// TestEndsLostWithAConnectionAreReported guards against the end of a call that is sent on a connection which never delivers it, while
+// other connections work.
 func TestEndsLostWithAConnectionAreReported(t *testing.T) {
 	t.Parallel()
 	for name, test := range lostEnds() {
@@ -112,11 +121,12 @@
 	}
 }
 
-// TestEndsOnAnUnclosedConnectionAreRepeated guards against ends on a dead connection of calls that came to stand after all that were in doubt.
+// TestEndsOnAnUnclosedConnectionAreRepeated guards against lost ends on a dead connection of calls that were established after all calls
+// at risk had ended.
 func TestEndsOnAnUnclosedConnectionAreRepeated(t *testing.T) {
 	t.Parallel()
 	withHarness(t, initialState{conns: 2}, func(s *harness) {
-		establish := func(id string) { // the answer arrives with what the dispatcher says next
+		establish := func(id string) { // the answer arrives with the next message of the dispatcher
 			s.setUpCall(id)
 			s.runOnLoop(func() { s.first.sendFinalAnswer(id, 200); s.deliverAll() })
 		}
@@ -145,7 +155,7 @@
 			}
 		}
 		if took := s.calls[otherCallID].endReportedAt.Sub(endedAt); took > endTimeout {
-			t.Errorf("the last end after %v, want within %v", took, endTimeout)
+			t.Errorf("the last end was reported after %v, want within %v", took, endTimeout)
 		}
 	})
 }
--- a/internal/dispatchers/lost_releases_test.go
+++ b/internal/dispatchers/lost_releases_test.go
@@ -11,16 +11,17 @@
 	"cherryrelay/internal/call"
 )
 
-// TestAReleaseOnAnUnresponsiveDrainedConnection guards against a call that its dispatcher holds on, as its release went out on a connection that was
-// drained and never brought it.
+// TestAReleaseOnAnUnresponsiveDrainedConnection guards against a call that its dispatcher keeps because its release was sent on a drained
+// connection that never delivered it.
 func TestAReleaseOnAnUnresponsiveDrainedConnection(t *testing.T) {
 	t.Parallel()
-	order := slices.Concat(stepsFor("vq"), []scenarioStep{newStep("the connection is dead", 0, func(s *harness) { s.first.allConns[0].isolate() })}, stepsFor("w"))
+	order := slices.Concat(stepsFor("vq"), []scenarioStep{newStep("the connection is dead", 0,
+		func(s *harness) { s.first.allConns[0].isolate() })}, stepsFor("w"))
 	initialState{established: true}.playWithoutViolation(t, order)
 }
 
-// TestAnEarlierConnectionReleasesNoLaterAttempt guards against a release of what may have come of a withdrawn attempt that ends the next attempt
-// at the same dispatcher, whether that is answered already or not.
+// TestAnEarlierConnectionReleasesNoLaterAttempt guards against a release for the unknown outcome of a cancelled attempt that ends the
+// next attempt at the same dispatcher, whether that one is answered already or not.
 func TestAnEarlierConnectionReleasesNoLaterAttempt(t *testing.T) {
 	t.Parallel()
 	for state, answered := range map[string]bool{"the next attempt is answered": true, "the next attempt is open": false} {
@@ -55,10 +56,11 @@
 	}
 }
 
-// TestDeliveredReleasesAreDropped guards against releases that are kept once their dispatcher has confirmed them, or must have heard them.
+// TestDeliveredReleasesAreDropped guards against releases that are kept although their dispatcher has confirmed them, or must have
+// received them.
 func TestDeliveredReleasesAreDropped(t *testing.T) {
 	t.Parallel()
-	for name, confirms := range map[string]bool{"confirmed": true, "heard from since": false} {
+	for name, confirms := range map[string]bool{"confirmed": true, "input received since": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			withHarness(t, initialState{}, func(s *harness) {
@@ -80,7 +82,7 @@
 						most = 0
 					}
 					if kept := len(s.pool.servers["first"].conns[0].unconfirmed); kept > most {
-						t.Errorf("%d releases are kept, want %d at most", kept, most)
+						t.Errorf("%d releases are kept, want at most %d", kept, most)
 					}
 				})
 			})
@@ -88,8 +90,8 @@
 	}
 }
 
-// TestAReleaseInPlaceOfARefusal guards against the end of a call that stands which is taken for the refusal of an earlier attempt: over the API one
-// message means either.
+// TestAReleaseInPlaceOfARefusal guards against the end of an established call that is taken for the refusal of an earlier attempt: in the
+// call-control API, the same message has both meanings.
 func TestAReleaseInPlaceOfARefusal(t *testing.T) {
 	t.Parallel()
 	const id = "00000000000000d3"
@@ -100,40 +102,41 @@
 		t.Fatal(err)
 	}
 	if !slices.Equal(core.attempts, []int{noAttempt}) {
-		t.Errorf("the end is told of the attempts %v, want of the call that stands (%d)", core.attempts, noAttempt)
+		t.Errorf("the end was reported for the attempts %v, want only the established call (%d)", core.attempts, noAttempt)
 	}
 }
 
-// TestReleasesInScenariosThatNeedThem guards against calls that a dispatcher holds on, calls told as cut that go on, and entries of calls that are over,
-// in the orders that show one mechanism each to be needed.
+// TestReleasesInScenariosThatNeedThem guards against calls that a dispatcher keeps, calls reported as ended that continue, and entries of
+// terminated calls, by scenarios that each depend on one mechanism.
 func TestReleasesInScenariosThatNeedThem(t *testing.T) {
 	t.Parallel()
 	established := initialState{established: true}
 	playScenarios(t, map[string]scenario{
-		"an answer is read after its dispatcher is off the list, and listens no more":    {initialState{}, "sax"},
-		"a call goes on at a dispatcher that is off the list, and listens no more":       {established, "sxT"},
-		"a release waits as its dispatcher is off the list, and can't be reached":        {initialState{established: true, maxConns: 1}, "vTttcxTw"},
-		"an end is read ahead of its answer, and leaves no entry":                        {initialState{conns: 2}, "aheDd"},
-		"a dispatcher returns whose calls were told as cut":                              {established, "vqw"},
-		"an answer is on its way as its dispatcher is cut off":                           {initialState{}, "avqw"},
-		"a dispatcher that is connected to anew listens no more":                         {established, "rtsT"},
-		"a set-up is given up at a dispatcher that is off the list, and listens no more": {initialState{}, "sx"},
+		"an answer is read after its dispatcher is off the list, and has stopped listening":     {initialState{}, "sax"},
+		"a call continues at a dispatcher that is off the list, and has stopped listening":      {established, "sxT"},
+		"a release waits as its dispatcher is off the list, and can't be reached":               {initialState{established: true, maxConns: 1}, "vTttcxTw"},
+		"an end is read ahead of its answer, and leaves no entry":                               {initialState{conns: 2}, "aheDd"},
+		"a dispatcher returns whose calls were reported as ended":                               {established, "vqw"},
+		"an answer is in transit while its dispatcher is cut off":                               {initialState{}, "avqw"},
+		"a dispatcher stops listening after a new connection has opened":                        {established, "rtsT"},
+		"a set-up is abandoned at a dispatcher that is off the list, and has stopped listening": {initialState{}, "sx"},
 	})
 }
 
-// TestARemovedDispatcherIsDeleted guards against a dispatcher that is dialled for ever for a release that it never takes.
+// TestARemovedDispatcherIsDeleted guards against a dispatcher that is dialled for ever because of a release that it never accepts.
 func TestARemovedDispatcherIsDeleted(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := newHarness(t, initialState{established: true})
 		s.play(stepsFor("vxqqqq"))
 		if len(s.pool.servers) > 0 {
-			t.Error("it is still known")
+			t.Error("the dispatcher is still known")
 		}
 	})
 }
 
-// TestAReleaseDoesNotGoToANewDispatcherAtTheAddress guards against the release of a call that cuts one under the same id at another dispatcher.
+// TestAReleaseDoesNotGoToANewDispatcherAtTheAddress guards against the release of a call that ends another call with the same id at a new
+// dispatcher at the address.
 func TestAReleaseDoesNotGoToANewDispatcherAtTheAddress(t *testing.T) {
 	t.Parallel()
 	var other *fakeDispatcher
@@ -150,12 +153,13 @@
 		s := newHarness(t, initialState{established: true})
 		s.play(order)
 		if _, holds := other.established["00000000000000c9"]; !holds {
-			t.Error("the call at the other dispatcher was cut")
+			t.Error("the call at the other dispatcher was released")
 		}
 	})
 }
 
-// expectNoOpenSetUp has the end of a call come without its answer, and wants one final answer to its caller, and no set-up that counts as open.
+// expectNoOpenSetUp plays a scenario in which the end of a call arrives without its answer, and requires one final answer to its caller
+// and no open set-up.
 func expectNoOpenSetUp(t *testing.T, start initialState, endArrives scenarioStep) {
 	t.Helper()
 	order := slices.Concat([]scenarioStep{endArrives}, stepsFor("qq"))
@@ -168,10 +172,11 @@
 	})
 }
 
-// TestAnEndWithoutAnAnswerLeavesNoSetUp guards against a connection that counts as busy for ever, as the end of a call came and its answer never did.
+// TestAnEndWithoutAnAnswerLeavesNoSetUp guards against a connection that counts as busy for ever because the end of a call arrived and
+// its answer never did.
 func TestAnEndWithoutAnAnswerLeavesNoSetUp(t *testing.T) {
 	t.Parallel()
-	expectNoOpenSetUp(t, initialState{}, newStep("the end of the call comes, and its answer does not", 0, func(s *harness) {
+	expectNoOpenSetUp(t, initialState{}, newStep("the end of the call arrives, and its answer does not", 0, func(s *harness) {
 		c := s.first.pending(testCallID)
 		delete(c.setUps, testCallID)
 		c.send(releaseOf(testCallID))
@@ -179,8 +184,8 @@
 	}))
 }
 
-// TestAnAttemptAtADisconnectedDispatcherIsCancelled guards against an attempt elsewhere beside the first one, whose dispatcher returns in the moment in
-// which it counts as gone.
+// TestAnAttemptAtADisconnectedDispatcherIsCancelled guards against an attempt elsewhere at the same time as the first one, whose
+// dispatcher returns at the moment at which it counts as lost.
 func TestAnAttemptAtADisconnectedDispatcherIsCancelled(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -202,7 +207,8 @@
 	})
 }
 
-// TestReleasesAreSentInBatches guards against releases that close their connection, as more are written at once than its dispatcher reads.
+// TestReleasesAreSentInBatches guards against releases that close their connection because more are written at once than its dispatcher
+// reads.
 func TestReleasesAreSentInBatches(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -213,23 +219,24 @@
 			poolConn.server.releases = append(poolConn.server.releases, release{testCallID, call.CauseNormal, true})
 		}
 		if poolConn.server.sendReleases(poolConn) || len(poolConn.server.releases) != 1 {
-			t.Errorf("%d releases wait still, want 1", len(poolConn.server.releases))
+			t.Errorf("%d releases still wait, want 1", len(poolConn.server.releases))
 		}
-		fake.writeQueue = nil // they have left
+		fake.writeQueue = nil // they were sent
 		if !poolConn.server.sendReleases(poolConn) || len(poolConn.server.releases) != 0 {
-			t.Errorf("%d releases wait still, want none", len(poolConn.server.releases))
+			t.Errorf("%d releases still wait, want none", len(poolConn.server.releases))
 		}
 	})
 }
 
-// TestAnEndAheadOfAnAnswerThatNeverComesLeavesNoSetUp guards against a connection that counts as busy for ever, as the end of a call came on another
-// one and its answer never did.
+// TestAnEndAheadOfAnAnswerThatNeverComesLeavesNoSetUp guards against a connection that counts as busy for ever because the end of a call
+// arrived on another one and its answer never did.
 func TestAnEndAheadOfAnAnswerThatNeverComesLeavesNoSetUp(t *testing.T) {
 	t.Parallel()
-	expectNoOpenSetUp(t, initialState{conns: 2}, newStep("the end of the call comes on another connection, and its answer does not", 0, func(s *harness) {
-		delete(s.first.pending(testCallID).setUps, testCallID)
-		c := s.first.openConns[1]
-		c.send(releaseOf(testCallID))
-		c.deliverToPool()
-	}))
+	expectNoOpenSetUp(t, initialState{conns: 2},
+		newStep("the end of the call arrives on another connection, and its answer does not", 0, func(s *harness) {
+			delete(s.first.pending(testCallID).setUps, testCallID)
+			c := s.first.openConns[1]
+			c.send(releaseOf(testCallID))
+			c.deliverToPool()
+		}))
 }
--- a/internal/dispatchers/ping_test.go
+++ b/internal/dispatchers/ping_test.go
@@ -12,8 +12,8 @@
 	"cherryrelay/internal/websocket"
 )
 
-// TestPingResults guards against a reply that counts before all has been read that its dispatcher told ahead of it, and against a ping of which
-// nothing is heard.
+// TestPingResults guards against a reply that counts before everything that its dispatcher sent ahead of it was read, and against a ping
+// without a result.
 func TestPingResults(t *testing.T) {
 	t.Parallel()
 	ping := func(s *harness, done func(bool)) { s.pool.Ping("first", testCallID, 0, done) }
@@ -21,24 +21,26 @@
 	reset := func(s *harness) { s.first.allConns[0].reset() }
 	full := func(s *harness) { s.first.allConns[0].writeBlocked = true }
 	for name, test := range map[string]struct {
-		before []func(s *harness) // each in a turn of its own, ahead of the ping
+		before []func(s *harness) // each in its own loop iteration, before the ping
 		after  []func(s *harness)
 		want   []bool
 	}{
-		"its reply is on its way":             {[]func(*harness){setUp}, nil, nil},
-		"its reply comes":                     {[]func(*harness){setUp}, []func(*harness){(*harness).deliverFirst}, []bool{true}},
-		"the reply to an earlier probe comes": {[]func(*harness){setUp, (*harness).probeFirst}, []func(*harness){(*harness).deliverOneMessage}, nil},
-		"its connection is closed in order":   {[]func(*harness){setUp, (*harness).answerFirst}, []func(*harness){(*harness).closeFirst, (*harness).deliverFirst}, []bool{false}},
-		"its connection is reset":             {[]func(*harness){setUp}, []func(*harness){reset}, []bool{false}},
-		"its attempt lies in the queue":       {[]func(*harness){full, setUp}, nil, []bool{true}},
-		"its attempt waits for a connection":  {[]func(*harness){reset, setUp}, nil, []bool{true}},
-		"there is no such attempt":            {nil, []func(*harness){(*harness).deliverFirst}, nil},
+		"its reply is in transit":               {[]func(*harness){setUp}, nil, nil},
+		"its reply arrives":                     {[]func(*harness){setUp}, []func(*harness){(*harness).deliverFirst}, []bool{true}},
+		"the reply to an earlier probe arrives": {[]func(*harness){setUp, (*harness).probeFirst}, []func(*harness){(*harness).deliverOneMessage}, nil},
+		"its connection is closed cleanly": {[]func(*harness){setUp, (*harness).answerFirst},
+			[]func(*harness){(*harness).closeFirst, (*harness).deliverFirst}, []bool{false}},
+		"its connection is reset":            {[]func(*harness){setUp}, []func(*harness){reset}, []bool{false}},
+		"its attempt is queued":              {[]func(*harness){full, setUp}, nil, []bool{true}},
+		"its attempt waits for a connection": {[]func(*harness){reset, setUp}, nil, []bool{true}},
+		"there is no such attempt":           {nil, []func(*harness){(*harness).deliverFirst}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				s := newHarness(t, initialState{})
-				s.pool.core = &releaseRecorder{fakeCore: fakeCore{outcomeRecorder: outcomeRecorder{outcomes: map[string]control.Outcome{}}, calls: map[control.ServerID][]string{}}}
+				s.pool.core = &releaseRecorder{fakeCore: fakeCore{outcomeRecorder: outcomeRecorder{outcomes: map[string]control.Outcome{}},
+					calls: map[control.ServerID][]string{}}}
 				defer s.run()()
 				s.runOnLoop(func() { s.updateList(control.Active, "first") })
 				time.Sleep(time.Second)
@@ -53,17 +55,17 @@
 					s.runOnLoop(func() { step(s) })
 				}
 				if !slices.Equal(got, test.want) {
-					t.Errorf("done is called with %v, want %v", got, test.want)
+					t.Errorf("onReply was called with %v, want %v", got, test.want)
 				}
 			})
 		})
 	}
 }
 
-// deliverFirst has all arrive that is on its way on the first connection.
+// deliverFirst delivers all that is in transit on the first connection.
 func (s *harness) deliverFirst() { s.first.allConns[0].deliverToPool() }
 
-// deliverOneMessage has the first message arrive that is on its way there.
+// deliverOneMessage delivers the first message that is in transit there.
 func (s *harness) deliverOneMessage() {
 	c := s.first.allConns[0]
 	rest := c.inTransit[1:]
@@ -72,13 +74,13 @@
 	c.inTransit = rest
 }
 
-// probeFirst has a report asked for, on the only connection.
+// probeFirst requests a report on the only connection.
 func (s *harness) probeFirst() { s.pool.Probe("first") }
 
-// answerFirst has the call established, though its answer has not come yet.
+// answerFirst has the first dispatcher establish the call; its answer does not arrive yet.
 func (s *harness) answerFirst() { s.first.sendFinalAnswer(testCallID, 200) }
 
-// closeFirst has the dispatcher close the first connection, without a reply to the probe.
+// closeFirst has the dispatcher close the first connection without a reply to the probe.
 func (s *harness) closeFirst() {
 	c := s.first.allConns[0]
 	c.inTransit = slices.DeleteFunc(c.inTransit, func(m fakeMessage) bool { return isProbeReply(m.text) })
@@ -93,7 +95,7 @@
 	return err == nil && m != nil && m.probeReply > 0
 }
 
-// TestRepliesToProbesAreNumbered guards against a reply that is taken for that to another probe, in either form.
+// TestRepliesToProbesAreNumbered guards against a reply that is taken for that to another probe, in either protocol.
 func TestRepliesToProbesAreNumbered(t *testing.T) {
 	t.Parallel()
 	fields := []string{"idle"}
--- a/internal/dispatchers/queued_set_up_test.go
+++ b/internal/dispatchers/queued_set_up_test.go
@@ -15,9 +15,9 @@
 	"cherryrelay/internal/call"
 )
 
-// outcomeRecorder is a core that notes how attempts ended.
+// outcomeRecorder is a core that records the outcomes of attempts.
 type outcomeRecorder struct {
-	Core     // what is not asked here
+	Core     // panics in methods that are not expected
 	outcomes map[string]control.Outcome
 }
 
@@ -34,8 +34,8 @@
 	e.outcomes[id] = o
 }
 
-// TestQueuedSetUpsAreRecalled: a dispatcher does not read. A set-up that lies in the queue to it goes out no more once its caller has left,
-// nor once the dispatcher is told to be leaving; one that has begun to leave is taken back by a message, as ever.
+// TestQueuedSetUpsAreRecalled checks a dispatcher that does not read: a queued set-up is not sent once its caller has cancelled it, nor
+// once the dispatcher is listed as draining. One that was sent in part is cancelled by a message.
 func TestQueuedSetUpsAreRecalled(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -81,25 +81,25 @@
 			n++
 		}
 		want := map[string]control.Outcome{"moved": control.NotSent}
-		if unsent = poolConn.conn.Unsent() > call.MaxDescription; unsent { // nothing of it was taken
+		if unsent = poolConn.conn.Unsent() > call.MaxDescription; unsent { // nothing of it was written
 			want[lastID] = control.NotSent
 		}
-		setUp("left", "its caller leaves")
-		setUp("moved", "it goes elsewhere")
+		setUp("left", "its caller cancels")
+		setUp("moved", "it is placed elsewhere")
 		p.Flush()
 		p.CancelAttempt("d", "left", 0)
 		server.Status = control.Draining
 		p.Update(call.Update{Servers: []call.Server{server}})
 		p.CancelAttempt("d", lastID, 0)
-		setUp("end", "nothing comes behind it")
+		setUp("end", "nothing follows")
 		p.Flush()
 		if diff := cmp.Diff(want, core.outcomes); diff != "" {
-			t.Errorf("what was told of attempts (-want +got):\n%s", diff)
+			t.Errorf("outcomes of attempts (-want +got):\n%s", diff)
 		}
 	})
 	var received strings.Builder
 	_ = peer.SetReadDeadline(time.Now().Add(20 * time.Second))
-	for part := make([]byte, 64<<10); !strings.Contains(received.String(), "nothing comes behind it"); {
+	for part := make([]byte, 64<<10); !strings.Contains(received.String(), "nothing follows"); {
 		n, err := peer.Read(part)
 		if err != nil {
 			t.Fatal(err)
@@ -107,11 +107,11 @@
 		received.Write(part[:n])
 	}
 	if cancelled := strings.Contains(received.String(), "CANCEL sip:"); cancelled == unsent {
-		t.Errorf("the set-up that had begun to leave was taken back by a message: %v", cancelled)
+		t.Errorf("the set-up that was sent in part was cancelled by a message: %v", cancelled)
 	}
 	for _, id := range []string{"left", "moved"} {
 		if strings.Contains(received.String(), "Call-ID: "+id+"\r\n") {
-			t.Errorf("the set-up %q went out", id)
+			t.Errorf("the set-up %q was sent", id)
 		}
 	}
 }
--- a/internal/dispatchers/release_test.go
+++ b/internal/dispatchers/release_test.go
@@ -11,7 +11,7 @@
 	"cherryrelay/internal/websocket"
 )
 
-// TestAReleaseIsNotHeldUpByTheBackoff guards against a release that waits for as long as a dispatcher is dialled rarely.
+// TestAReleaseIsNotHeldUpByTheBackoff guards against a release that is delayed by the backoff of its dispatcher.
 func TestAReleaseIsNotHeldUpByTheBackoff(t *testing.T) {
 	t.Parallel()
 	const id, refusals = "00000000000000b1", 20
@@ -32,11 +32,12 @@
 		t.Errorf("released %s, want %s", e.ID, id)
 	}
 	if took, most := time.Since(begun), 3*time.Second; took > most {
-		t.Errorf("the release went out after %v, want %v", took, most)
+		t.Errorf("the release was sent after %v, want at most %v", took, most)
 	}
 }
 
-// TestAnUnsentReleaseOnAResetConnection guards against a release that is queued on a connection as its dispatcher resets it.
+// TestAnUnsentReleaseOnAResetConnection guards against the loss of a release that is queued on a connection when its dispatcher resets
+// it.
 func TestAnUnsentReleaseOnAResetConnection(t *testing.T) {
 	t.Parallel()
 	const id = "00000000000000b2"
@@ -48,7 +49,8 @@
 		poolConn := b.pool.servers[dispatcherName(0)].latestConn()
 		b.pool.Release(dispatcherName(0), id, call.CauseNormal)
 		b.dispatchers[0].Cut()
-		for until := time.Now().Add(peer.Patience); poolConn.conn.EndedAt().IsZero() && time.Now().Before(until); time.Sleep(time.Millisecond) { // netpoll takes it in
+		for until := time.Now().Add(peer.Patience); poolConn.conn.EndedAt().IsZero() &&
+			time.Now().Before(until); time.Sleep(time.Millisecond) { // until netpoll has noticed the reset
 		}
 	})
 	if e := b.waitFor(0, "release"); e.ID != id {
@@ -56,7 +58,8 @@
 	}
 }
 
-// TestReleasesAreConfirmed guards against releases that are taken for heard as they have left: what confirms them, on either wire.
+// TestReleasesAreConfirmed guards against releases that count as received when they were only sent: it checks the confirmations of both
+// protocols.
 func TestReleasesAreConfirmed(t *testing.T) {
 	const id = "00000000000000b3"
 	fields := []string{"idle"}
@@ -69,11 +72,13 @@
 		}
 	}
 	checkConfirmation(&SIP{fields: &fields}, sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: id, Seq: releaseCSeq, SeqOf: "BYE"}))
-	checkConfirmation(&WebSocket{fields: &fields, handshakeDone: true}, websocket.Append(nil, websocket.Text, []byte(`{"type":"released","id":"`+id+`","fields":{}}`), false))
+	checkConfirmation(&WebSocket{fields: &fields, handshakeDone: true},
+		websocket.Append(nil, websocket.Text, []byte(`{"type":"released","id":"`+id+`","fields":{}}`), false))
 }
 
-// TestAReleaseIsNotRepeatedAfterTheNextAttempt guards against calls that are cut as they stand, and of which nobody tells their callers: the release
-// of an earlier attempt, which its dispatcher had not confirmed as the connection ended, was sent again when the next attempt had been established there.
+// TestAReleaseIsNotRepeatedAfterTheNextAttempt guards against established calls that are ended without a notification to their callers:
+// the release of an earlier attempt, which its dispatcher had not confirmed when the connection closed, was sent again after the next
+// attempt had been established there.
 func TestAReleaseIsNotRepeatedAfterTheNextAttempt(t *testing.T) {
 	t.Parallel()
 	const id, next = "00000000000000b4", "00000000000000b5"
@@ -83,7 +88,7 @@
 	b.waitFor(0, "opened")
 	b.setUp(0, id)
 	first := b.waitFor(0, "setup")
-	if err := first.Reset(); err != nil { // an answer may have gone down with it
+	if err := first.Reset(); err != nil { // an answer may have been lost with it
 		t.Fatal(err)
 	}
 	released := b.waitFor(0, "release")
--- a/internal/dispatchers/removed_test.go
+++ b/internal/dispatchers/removed_test.go
@@ -7,11 +7,12 @@
 	"cherryrelay/control"
 )
 
-// TestEndIsReportedWhenItsDispatcherIsOffTheList guards against an end that a dispatcher tells on a dead connection, where it is off the list and
-// speaks on another one.
+// TestEndIsReportedWhenItsDispatcherIsOffTheList guards against the loss of an end that a dispatcher sends on a dead connection while it
+// is off the list and sends reports on another connection.
 func TestEndIsReportedWhenItsDispatcherIsOffTheList(t *testing.T) {
 	t.Parallel()
-	for name, status := range map[string]control.ServerStatus{"active": control.Active, "draining": control.Draining, "removed": control.Removed, "removed long ago": control.Removed} {
+	for name, status := range map[string]control.ServerStatus{"active": control.Active, "draining": control.Draining,
+		"removed": control.Removed, "removed long ago": control.Removed} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			withHarness(t, initialState{conns: 2}, func(s *harness) {
@@ -27,7 +28,7 @@
 				}
 				s.reportFor(before)
 				if s.calls[testCallID].ends > 0 {
-					t.Fatal("it is cut while it goes on")
+					t.Fatal("the call was reported as ended while it continues")
 				}
 				s.runOnLoop(func() { s.sendEndOn(own) })
 				s.reportFor(20 * time.Second)
--- a/internal/dispatchers/renewal.go
+++ b/internal/dispatchers/renewal.go
@@ -103,7 +103,8 @@
 // isVacating reports whether the connection is to be replaced by the requested one. Set-ups are then sent on other healthy connections.
 func (s *server) isVacating(c *connection) bool { return c == s.vacating && s.renewal.Pending() }
 
-// renewalFailed handles a failed dial for the requested connection. While calls are established, dials continue at the pace of the dispatcher's backoff.
+// renewalFailed handles a failed dial for the requested connection. While calls are established, dials continue at the pace of the
+// dispatcher's backoff.
 func (s *server) renewalFailed() {
 	if s.renewal.Pending() {
 		s.logStep(endlog.RenewalFailed, nil)
--- a/internal/dispatchers/renewal_test.go
+++ b/internal/dispatchers/renewal_test.go
@@ -7,8 +7,8 @@
 	"cherryrelay/internal/peer"
 )
 
-// TestARenewalThatIsRefusedIsTriedAgain: a connection has broken, and the end of a call may be told on the next one alone. The dial for it is
-// refused, while another connection is open and the dispatcher speaks there: it is dialled again until one comes up.
+// TestARenewalThatIsRefusedIsTriedAgain checks that a dispatcher is dialled until a connection opens if a connection has broken, the end
+// of a call may be repeated only on the next one, and the dial for it is refused while another connection is open and brings reports.
 func TestARenewalThatIsRefusedIsTriedAgain(t *testing.T) {
 	t.Parallel()
 	b := newPoolFixture(t, 0, 1)
@@ -33,7 +33,7 @@
 				t.Fatal(err)
 			}
 			if time.Since(begun) > peer.Patience {
-				t.Fatal("the dispatcher is not connected to anew")
+				t.Fatal("no new connection to the dispatcher was opened")
 			}
 		}
 	}
--- a/internal/dispatchers/scenario_steps_test.go
+++ b/internal/dispatchers/scenario_steps_test.go
@@ -8,16 +8,16 @@
 	"cherryrelay/control"
 )
 
-// scenarioStep is one thing that may happen. It reports whether it could.
+// scenarioStep is a step of a scenario. Its run function reports whether the step was possible.
 type scenarioStep struct {
 	letter byte
 	name   string
 	run    func(s *harness) bool
-	after  time.Duration // that passes after it
-	idle   bool          // nothing else happens
+	after  time.Duration // time that passes after it
+	idle   bool          // nothing but time passes
 }
 
-// connInTransit is the oldest or newest connection on which something is on its way.
+// connInTransit returns the oldest or newest connection on which something is in transit to the pool.
 func (p *fakeDispatcher) connInTransit(newest bool) *fakeConn {
 	var found *fakeConn
 	for _, c := range p.allConns {
@@ -39,7 +39,7 @@
 	}
 }
 
-// waitStep is an event in which nothing happens for a time.
+// waitStep returns a step in which nothing happens for a time.
 func waitStep(letter byte, d time.Duration) scenarioStep {
 	return scenarioStep{letter, "time passes: " + d.String(), func(*harness) bool { return true }, d, true}
 }
@@ -49,10 +49,10 @@
 		{'a', "the first dispatcher answers", func(s *harness) bool { return s.first.sendFinalAnswer(testCallID, 200) }, 0, false},
 		{'f', "it refuses", func(s *harness) bool { return s.first.sendFinalAnswer(testCallID, 504) }, 0, false},
 		{'e', "it ends the call", func(s *harness) bool { return s.endCall(s.first, testCallID) }, 0, false},
-		{'d', "what is on its way on the oldest connection arrives", deliverStep(false), 0, false},
-		{'D', "what is on its way on the newest connection arrives", deliverStep(true), 0, false},
+		{'d', "what is in transit on the oldest connection arrives", deliverStep(false), 0, false},
+		{'D', "what is in transit on the newest connection arrives", deliverStep(true), 0, false},
 		{'r', "the oldest connection is reset", func(s *harness) bool { return s.withOldest((*fakeConn).reset) }, 0, false},
-		{'h', "it closes the oldest connection in good order", func(s *harness) bool { return s.withOldest((*fakeConn).close) }, 0, false},
+		{'h', "it closes the oldest connection cleanly", func(s *harness) bool { return s.withOldest((*fakeConn).close) }, 0, false},
 		{'n', "one more connection is opened", func(s *harness) bool {
 			if len(s.first.openConns) >= MaxConnections {
 				return false
@@ -72,7 +72,7 @@
 		{'g', "the first dispatcher drains", func(s *harness) bool { s.updateList(control.Draining, "first"); return true }, 0, false},
 		{'x', "it is taken off the list", func(s *harness) bool { s.updateList(control.Removed, "first"); return true }, 0, false},
 		{'y', "it is on the list", func(s *harness) bool { s.updateList(control.Active, "first"); return true }, 0, false},
-		{'s', "it listens no more", func(s *harness) bool {
+		{'s', "it stops listening", func(s *harness) bool {
 			listened := s.first.listening
 			s.first.listening = false
 			return listened
@@ -89,36 +89,36 @@
 			s.first.reconnect()
 			return true
 		}, 0, false},
-		{'k', "it dies", func(s *harness) bool {
+		{'k', "it stops", func(s *harness) bool {
 			listened := s.first.listening
 			s.first.die()
 			return listened
 		}, 0, false},
-		{'b', "it dies and begins anew", func(s *harness) bool { s.restartFirst(); return true }, 2 * checkInterval, false},
+		{'b', "it restarts", func(s *harness) bool { s.restartFirst(); return true }, 2 * checkInterval, false},
 		waitStep('t', 700*time.Millisecond),
 		waitStep('T', silenceThreshold+3*checkInterval),
 		waitStep('q', silenceTimeout+10*checkInterval),
 	}
 }
 
-// stallSteps are of connections on which nothing gets through, though their dispatcher lives and others get on.
+// stallSteps returns steps with connections that are blocked while their dispatcher and its other connections work.
 func stallSteps() []scenarioStep {
 	return []scenarioStep{
 		{'i', "nothing reaches the dispatcher on the call's connection", func(s *harness) bool {
 			return s.withConnectionOf(testCallID, func(c *fakeConn) bool { return !c.blockedToDispatcher }, func(c *fakeConn) { c.blockedToDispatcher = true })
 		}, 0, false},
-		{'o', "nothing comes from it there", func(s *harness) bool {
+		{'o', "nothing arrives from it there", func(s *harness) bool {
 			return s.withConnectionOf(testCallID, func(c *fakeConn) bool { return !c.blockedToPool }, func(c *fakeConn) { c.blockedToPool = true })
 		}, 0, false},
-		{'u', "all gets through again", (*harness).unblockAll, 0, false},
-		{'m', "another call comes, and is answered", (*harness).placeOtherCall, otherCallDelay + checkInterval - answerDelay/2, false},
+		{'u', "no connection is blocked any more", (*harness).unblockAll, 0, false},
+		{'m', "another call is placed, and is answered", (*harness).placeOtherCall, otherCallDelay + checkInterval - answerDelay/2, false},
 		{'I', "nothing reaches the dispatcher on its newest connection", func(s *harness) bool {
 			return s.withNewest(func(c *fakeConn) { c.blockedToDispatcher, s.stalled = true, true })
 		}, 0, false},
-		{'N', "it tells its state there", func(s *harness) bool {
+		{'N', "it sends a report there", func(s *harness) bool {
 			return s.withNewest((*fakeConn).sendReport)
 		}, 0, false},
-		{'p', "the first dispatcher answers by itself from now on", func(s *harness) bool {
+		{'p', "the first dispatcher answers the call's attempts from now on", func(s *harness) bool {
 			before := s.first.answersCall[testCallID]
 			s.first.answersCall[testCallID] = true
 			return !before
@@ -127,7 +127,7 @@
 	}
 }
 
-// withConnectionOf does something to the connection of a call at the first dispatcher, if it may.
+// withConnectionOf calls f with the connection of a call at the first dispatcher, if there is one and may allows it.
 func (s *harness) withConnectionOf(id string, may func(*fakeConn) bool, f func(*fakeConn)) bool {
 	c := s.first.pending(id)
 	if c == nil {
@@ -141,28 +141,28 @@
 	return true
 }
 
-// pauseSteps are of a dispatcher that stands still and goes on, and of what waits in queues meanwhile.
+// pauseSteps returns steps with a dispatcher that is paused and continues, and with queues that fill meanwhile.
 func pauseSteps() []scenarioStep {
 	return []scenarioStep{
-		{'z', "the first dispatcher stands still", func(s *harness) bool {
+		{'z', "the first dispatcher is paused", func(s *harness) bool {
 			before := s.first.paused
 			s.first.paused, s.stalled = true, true
 			return !before && !s.first.partitioned
 		}, 0, false},
-		{'Z', "it goes on", func(s *harness) bool { return s.unpauseFirst(true) }, 0, false},
-		{'A', "it goes on, and reads later", func(s *harness) bool { return s.unpauseFirst(false) }, 0, false},
-		{'j', "the pool's side can write nothing on the call's connection", func(s *harness) bool {
+		{'Z', "it continues", func(s *harness) bool { return s.unpauseFirst(true) }, 0, false},
+		{'A', "it continues, and reads later", func(s *harness) bool { return s.unpauseFirst(false) }, 0, false},
+		{'j', "the pool's side can't write on the call's connection", func(s *harness) bool {
 			return s.withConnectionOf(testCallID, func(c *fakeConn) bool { return !c.writeBlocked }, func(c *fakeConn) { c.writeBlocked = true })
 		}, 0, false},
-		{'H', "the dispatcher closes the call's connection in good order", func(s *harness) bool {
+		{'H', "the dispatcher closes the call's connection cleanly", func(s *harness) bool {
 			may := func(c *fakeConn) bool { return !c.dispatcherClosed && !s.first.paused }
 			return s.withConnectionOf(testCallID, may, (*fakeConn).close)
 		}, 0, false},
-		{'J', "it closes the other call's connection in good order", func(s *harness) bool {
+		{'J', "it closes the other call's connection cleanly", func(s *harness) bool {
 			may := func(c *fakeConn) bool { return !c.dispatcherClosed && !s.first.paused }
 			return s.withConnectionOf(otherCallID, may, (*fakeConn).close)
 		}, 0, false},
-		{'V', "a connection is closed for its descriptor", func(s *harness) bool {
+		{'V', "a connection is evicted", func(s *harness) bool {
 			before := s.pool.sockets.evicting
 			s.pool.SetSocketBudget(s.pool.SocketCount() - 1)
 			s.pool.SetSocketBudget(0)
@@ -170,11 +170,11 @@
 			return s.pool.sockets.evicting > before
 		}, 0, false},
 		{'R', "the next connection will be refused", func(s *harness) bool { s.first.refuseNext++; return true }, 0, false},
-		{'B', "the next connection will not come up", func(s *harness) bool { s.first.timeOutNext++; return true }, 0, false},
+		{'B', "the next dial will time out", func(s *harness) bool { s.first.timeOutNext++; return true }, 0, false},
 	}
 }
 
-// unpauseFirst ends a standstill of the first dispatcher.
+// unpauseFirst ends a pause of the first dispatcher.
 func (s *harness) unpauseFirst(reads bool) bool {
 	if !s.first.paused {
 		return false
@@ -183,7 +183,7 @@
 	return true
 }
 
-// withNewest does something to the newest open connection of the first dispatcher.
+// withNewest calls f with the newest open connection of the first dispatcher.
 func (s *harness) withNewest(f func(*fakeConn)) bool {
 	open := s.first.usableConns()
 	if s.first.partitioned || len(open) == 0 {
@@ -193,7 +193,7 @@
 	return true
 }
 
-// unblockAll has all get through again on connections to the first dispatcher on which it did not.
+// unblockAll unblocks the blocked connections to the first dispatcher.
 func (s *harness) unblockAll() bool {
 	stalled := false
 	for _, c := range s.first.allConns {
@@ -205,7 +205,7 @@
 	return stalled
 }
 
-// placeOtherCall has the caller set up another call, which the first dispatcher answers at once if it comes there.
+// placeOtherCall has the caller set up another call, which the first dispatcher answers at once if it is placed there.
 func (s *harness) placeOtherCall() bool {
 	id := otherCallID
 	if s.calls[id] != nil {
@@ -228,7 +228,7 @@
 	return letters.String()
 }
 
-// stepsFor has the events of the letters.
+// stepsFor returns the steps with the given letters.
 func stepsFor(letters string) []scenarioStep {
 	var order []scenarioStep
 	for _, letter := range []byte(letters) {
--- a/internal/dispatchers/vanished_test.go
+++ b/internal/dispatchers/vanished_test.go
@@ -13,9 +13,9 @@
 	"cherryrelay/internal/call"
 )
 
-// oneCallCore is a core that has a call at a dispatcher until that is no more.
+// oneCallCore is a core with one call at a dispatcher, until the dispatcher counts as lost.
 type oneCallCore struct {
-	Core   // what is not asked here
+	Core   // panics in methods that are not expected
 	failed chan control.ServerID
 	ended  bool
 }
@@ -50,7 +50,7 @@
 	}
 }
 
-// unreachable listens, and takes the first connection alone: a connection that is tried later gets no answer at all.
+// unreachable returns an address that accepts only one connection: later dials get no answer at all.
 func unreachable(t *testing.T) (address string) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -60,7 +60,7 @@
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := syscall.Listen(fd, 0); err != nil { // room for one that is not accepted
+	if err := syscall.Listen(fd, 0); err != nil { // the backlog has space for one connection
 		t.Fatal(err)
 	}
 	f := os.NewFile(uintptr(fd), "")
@@ -91,7 +91,8 @@
 	}
 }
 
-// TestAVanishedMachineWithNoConnectionLeft guards against calls held for ever at a machine that vanished after its connections were given up.
+// TestAVanishedMachineWithNoConnectionLeft guards against calls that are held for ever at a machine that vanished after its connections
+// were abandoned.
 func TestAVanishedMachineWithNoConnectionLeft(t *testing.T) {
 	t.Parallel()
 	address := unreachable(t)
@@ -107,9 +108,9 @@
 	select {
 	case <-core.failed:
 		if early := silenceTimeout - time.Since(begun); early > 0 {
-			t.Errorf("given up %v too early", early)
+			t.Errorf("its calls were ended %v too early", early)
 		}
 	case <-time.After(4 * silenceTimeout):
-		t.Error("its calls are held for ever")
+		t.Error("its calls were not ended")
 	}
 }
--- a/internal/dispatchers/waiting_test.go
+++ b/internal/dispatchers/waiting_test.go
@@ -11,7 +11,7 @@
 	"cherryrelay/internal/peer"
 )
 
-// TestWaitingSetUpSendsTheTimeLeft: a set-up that waited for its connection was sent with its whole limit.
+// TestWaitingSetUpSendsTheTimeLeft guards against a set-up that waited for its connection and was sent with its full timeout.
 func TestWaitingSetUpSendsTheTimeLeft(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for waited, want := range map[time.Duration]time.Duration{
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestWaitingReleases: more releases than a socket takes at once wait for a connection, and a set-up behind them. All go out, in that
-// order; those beyond 1,024 were dropped, and their calls stood until their own end.
+// TestWaitingReleases checks that more releases than a socket accepts at once, and a set-up after them, are sent in order when a
+// connection opens. Those beyond 1,024 were once dropped, and their calls lasted until their own end.
 func TestWaitingReleases(t *testing.T) {
 	t.Parallel()
 	d, err := peer.DispatchLate("tcp", "x0:40")
@@ -43,14 +43,14 @@
 		p := New(loop, &outcomeRecorder{outcomes: map[string]control.Outcome{}}, Options{ConnectTimeout: time.Minute, Log: slog.New(slog.DiscardHandler)})
 		p.SetMaxConnections(1)
 		var iterate func()
-		iterate = func() { p.Flush(); loop.After(time.Millisecond, iterate) } // as the core's
+		iterate = func() { p.Flush(); loop.After(time.Millisecond, iterate) } // like the event loop of the core
 		iterate()
 		p.Update(call.Update{Servers: []call.Server{{ServerEntry: control.ServerEntry{ID: "d"}, Address: d.Address()}}, Complete: true})
 		for n := range many {
 			p.Release("d", fmt.Sprint("stood-", n), 31)
 		}
 		for n := range 2 * maxUnknownReleases {
-			p.Release("", fmt.Sprint("unknown-", n), 31) // anybody may send these: they are bounded
+			p.Release("", fmt.Sprint("unknown-", n), 31) // any client can send these, so they are limited
 		}
 		p.SetUp("d", attemptOf("last", 0))
 	})
