--- a/internal/dispatchers/address_reused_test.go
+++ b/internal/dispatchers/address_reused_test.go
@@ -15,24 +15,24 @@
 func TestAnEndOnAConnectionUnderAnEarlierNameIsReported(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := newHarness(t, initialState{})
-		go s.core.Loop().Run()
+		h := newHarness(t, initialState{})
+		go h.core.Loop().Run()
 		defer func() {
-			s.core.Loop().Quit()
+			h.core.Loop().Quit()
 			synctest.Wait()
 		}()
-		s.runOnLoop(func() { s.updateList(control.Active, "first") })
+		h.runOnLoop(func() { h.updateList(control.Active, "first") })
 		time.Sleep(time.Second)
-		s.runOnLoop(s.replaceFirst)
+		h.runOnLoop(h.replaceFirst)
 		time.Sleep(time.Second)
-		s.runOnLoop(s.listReplacement)
+		h.runOnLoop(h.listReplacement)
 		time.Sleep(time.Second)
-		s.runOnLoop(func() { s.placeCall(testCallID, callTimeout) })
+		h.runOnLoop(func() { h.placeCall(testCallID, callTimeout) })
 		time.Sleep(time.Second)
-		s.runOnLoop(s.deliverAll)
-		s.runOnLoop(func() {
-			c := s.first.established[testCallID]
-			if c == nil || !s.isEstablished(testCallID, "other") || len(s.pool.servers["first"].conns) != 1 {
+		h.runOnLoop(h.deliverAll)
+		h.runOnLoop(func() {
+			c := h.first.established[testCallID]
+			if c == nil || !h.isEstablished(testCallID, "other") || len(h.pool.servers["first"].conns) != 1 {
 				t.Errorf("established: %v; want the call at the other dispatcher and one connection under the earlier name", c != nil)
 				return
 			}
@@ -40,14 +40,14 @@
 			c.deliverToPool()
 		})
 		time.Sleep(time.Second)
-		s.runOnLoop(func() { s.endCall(s.first, testCallID) })
+		h.runOnLoop(func() { h.endCall(h.first, testCallID) })
 		time.Sleep(time.Second)
-		s.runOnLoop(s.deliverAll)
-		s.runOnLoop(func() {
-			if overs := s.calls[testCallID].ends; overs != 1 {
-				t.Errorf("the end of the call was reported %d times, want 1", overs)
+		h.runOnLoop(h.deliverAll)
+		h.runOnLoop(func() {
+			if ends := h.calls[testCallID].ends; ends != 1 {
+				t.Errorf("the end of the call was reported %d times, want 1", ends)
 			}
-			if n := len(s.pool.servers["other"].established); n != 0 {
+			if n := len(h.pool.servers["other"].established); n != 0 {
 				t.Errorf("%d terminated calls still have an entry", n)
 			}
 		})
@@ -55,17 +55,17 @@
 }
 
 // replaceFirst stops the first dispatcher and starts another one at its address, which is not on the list yet.
-func (s *harness) replaceFirst() {
-	s.first.die()
-	s.first = newFakeDispatcher(s)
-	s.first.answersAll = true
-	s.first.startReporting(s.network.loop)
-	s.network.dispatchers["first"] = s.first
+func (h *harness) replaceFirst() {
+	h.first.die()
+	h.first = newFakeDispatcher(h)
+	h.first.answersAll = true
+	h.first.startReporting(h.network.loop)
+	h.network.dispatchers["first"] = h.first
 }
 
 // listReplacement updates the list: the first dispatcher is removed, and another one has its address.
-func (s *harness) listReplacement() {
-	s.core.Update(call.Update{Servers: []call.Server{
+func (h *harness) listReplacement() {
+	h.core.Update(call.Update{Servers: []call.Server{
 		{ServerEntry: control.ServerEntry{ID: "first", Status: control.Removed}, Address: "first"},
 		{ServerEntry: control.ServerEntry{ID: "other", Status: control.Active}, Address: "first"},
 	}})
--- a/internal/dispatchers/address_taken_test.go
+++ b/internal/dispatchers/address_taken_test.go
@@ -18,20 +18,20 @@
 
 // expectNotEnded returns a step that fails if the end of the call was reported.
 func expectNotEnded() scenarioStep {
-	return newStep("its end is not reported", 0, func(s *harness) {
-		if s.calls[testCallID].ends > 0 {
-			s.violation("the end of a call was reported that its dispatcher still holds")
+	return newStep("its end is not reported", 0, func(h *harness) {
+		if h.calls[testCallID].ends > 0 {
+			h.violation("the end of a call was reported that its dispatcher still holds")
 		}
 	})
 }
 
 // resetAll returns a step in which all connections to the first dispatcher are reset while it keeps the call.
 func resetAll() scenarioStep {
-	return newStep("all connections are reset", time.Second, func(s *harness) {
-		for _, c := range slices.Clone(s.first.openConns) {
+	return newStep("all connections are reset", time.Second, func(h *harness) {
+		for _, c := range slices.Clone(h.first.openConns) {
 			c.reset()
 		}
-		s.first.ambiguous[testCallID] = true // the controller can't know that its process still runs
+		h.first.ambiguous[testCallID] = true // the controller can't know that its process still runs
 	})
 }
 
@@ -39,7 +39,7 @@
 // dispatcher to another one while a connection to the former is open.
 func TestCallsOfAReplacedDispatcherContinue(t *testing.T) {
 	t.Parallel()
-	for name, order := range map[string][]scenarioStep{
+	for name, steps := range map[string][]scenarioStep{
 		"the connection of the call is open": {addressTaken(), expectNotEnded()},
 		"another connection is open":         slices.Concat(stepsFor("Hdt"), []scenarioStep{addressTaken(), expectNotEnded()}),
 		"the list has it at its address": slices.Concat([]scenarioStep{resetAll()},
@@ -49,7 +49,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			reportingCall.playWithoutViolation(t, order)
+			reportingCall.playWithoutViolation(t, steps)
 		})
 	}
 }
@@ -65,20 +65,20 @@
 // and connections to another one at its address were opened under its name.
 func TestCallsEndWhenTheListReplacesTheirDispatcher(t *testing.T) {
 	t.Parallel()
-	withHarness(t, initialState{conns: 2, established: true, reportsPeriodically: true}, func(s *harness) {
-		s.setUpCall(testCallID)
-		s.runOnLoop(func() { s.first.sendFinalAnswer(testCallID, 200); s.deliverAll() })
+	withHarness(t, initialState{conns: 2, established: true, reportsPeriodically: true}, func(h *harness) {
+		h.setUpCall(testCallID)
+		h.runOnLoop(func() { h.first.sendFinalAnswer(testCallID, 200); h.deliverAll() })
 		time.Sleep(time.Second)
-		s.runOnLoop(s.deliverAll)
-		s.runOnLoop(s.replaceFirst)
+		h.runOnLoop(h.deliverAll)
+		h.runOnLoop(h.replaceFirst)
 		time.Sleep(time.Second)
-		s.runOnLoop(s.listReplacement)
+		h.runOnLoop(h.listReplacement)
 		time.Sleep(3 * checkInterval)
-		s.runOnLoop(func() {
-			if c := s.calls[testCallID]; c.answers != 1 || c.ends != 1 || len(s.pool.servers["first"].established) != 0 {
-				t.Errorf("%d answers, %d ends, %d entries of calls; want 1, 1, 0", c.answers, c.ends, len(s.pool.servers["first"].established))
+		h.runOnLoop(func() {
+			if c := h.calls[testCallID]; c.answers != 1 || c.ends != 1 || len(h.pool.servers["first"].established) != 0 {
+				t.Errorf("%d answers, %d ends, %d entries of calls; want 1, 1, 0", c.answers, c.ends, len(h.pool.servers["first"].established))
 			}
-			if s.pool.servers["other"].Status != control.Active {
+			if h.pool.servers["other"].Status != control.Active {
 				t.Error("the other dispatcher is not active")
 			}
 		})
--- a/internal/dispatchers/ambiguous_end_test.go
+++ b/internal/dispatchers/ambiguous_end_test.go
@@ -27,9 +27,9 @@
 
 // expectNoEnd returns steps in which time passes and that fail if the caller was notified of the end of its call.
 func expectNoEnd(within time.Duration) []scenarioStep {
-	return []scenarioStep{waitStep('-', within), newStep("its end is not reported yet", 0, func(s *harness) {
-		if s.calls[testCallID].ends > 0 {
-			s.violation("the end of an earlier attempt was reported as that of the call")
+	return []scenarioStep{waitStep('-', within), newStep("its end is not reported yet", 0, func(h *harness) {
+		if h.calls[testCallID].ends > 0 {
+			h.violation("the end of an earlier attempt was reported as that of the call")
 		}
 	})}
 }
@@ -38,14 +38,14 @@
 // attempt, whose answer was lost with its connection, is read while the next attempt at the same dispatcher is in progress.
 func TestTheEndOfALostAttemptDoesNotEndTheNextOne(t *testing.T) {
 	t.Parallel()
-	for name, order := range map[string][]scenarioStep{
+	for name, steps := range map[string][]scenarioStep{
 		"the next attempt is answered later": slices.Concat(stepsFor("aerta"), expectNoEnd(2*time.Second)),
 		"the answer to the next attempt is in transit": slices.Concat(stepsFor("aer"), []scenarioStep{waitStep('-', nextAttemptDelay)},
 			stepsFor("a"), expectNoEnd(2*time.Second)),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			lostAttemptState.playWithoutViolation(t, order)
+			lostAttemptState.playWithoutViolation(t, steps)
 		})
 	}
 }
@@ -54,10 +54,10 @@
 // is ambiguous, and nothing reaches the dispatcher on the connection of the attempt.
 func TestAnAmbiguousEndWithoutAReplyReleasesTheCall(t *testing.T) {
 	t.Parallel()
-	reportedAndReleased := newStep("its end is reported, and the dispatcher has released it", 0, func(s *harness) {
-		_, holds := s.first.established[testCallID]
-		if s.calls[testCallID].ends != 1 || holds {
-			s.violation("%d ends were reported a second after one was read, held by its dispatcher: %v; want 1, false", s.calls[testCallID].ends, holds)
+	reportedAndReleased := newStep("its end is reported, and the dispatcher has released it", 0, func(h *harness) {
+		_, holds := h.first.established[testCallID]
+		if h.calls[testCallID].ends != 1 || holds {
+			h.violation("%d ends were reported a second after one was read, held by its dispatcher: %v; want 1, false", h.calls[testCallID].ends, holds)
 		}
 	})
 	lostAttemptState.playWithoutViolation(t, slices.Concat(stepsFor("aer"), []scenarioStep{waitStep('-', nextAttemptDelay)}, stepsFor("ia"),
--- a/internal/dispatchers/attempt_after_release_test.go
+++ b/internal/dispatchers/attempt_after_release_test.go
@@ -12,20 +12,20 @@
 // connection and was sent on a faster one.
 func TestAnAttemptThatWaitedFollowsTheReleaseOfItsCall(t *testing.T) {
 	t.Parallel()
-	withHarness(t, initialState{}, func(s *harness) {
-		time.Sleep(silenceThreshold)
-		s.runOnLoop(func() {
-			s.calls[testCallID] = &callRecord{}
-			s.pool.Release("first", testCallID, call.CauseNormal)
-			s.pool.SetUp("first", attemptOf(testCallID, 1))
-			if len(s.pool.servers["first"].waiting) != 1 {
+	withHarness(t, initialState{}, func(h *harness) {
+		time.Sleep(suspectAfter)
+		h.runOnLoop(func() {
+			h.calls[testCallID] = &callRecord{}
+			h.pool.Release("first", testCallID, call.CauseNormal)
+			h.pool.SetUp("first", attemptOf(testCallID, 1))
+			if len(h.pool.servers["first"].waiting) != 1 {
 				t.Error("the attempt does not wait for a connection")
 			}
-			s.first.openConns[0].sendReport() // the connection with the release receives input again
+			h.first.openConns[0].sendReport() // the connection with the release receives input again
 		})
 		time.Sleep(time.Second)
-		s.runOnLoop(func() {
-			conns := s.pool.servers["first"].conns
+		h.runOnLoop(func() {
+			conns := h.pool.servers["first"].conns
 			i := slices.IndexFunc(conns, func(poolConn *connection) bool { return poolConn.setUps[testCallID] != nil })
 			if len(conns) != 2 || i < 0 {
 				t.Errorf("the attempt is on connection %d of %d, want 2 of them", i, len(conns))
--- a/internal/dispatchers/budget.go
+++ b/internal/dispatchers/budget.go
@@ -85,7 +85,7 @@
 	switch {
 	case len(s.waiting) > 0:
 		return links.SetUp
-	case (len(s.conns) == 0 || s.renewal.Pending() || now.Sub(s.lastReceivedAt) > silenceThreshold) && s.pool.establishedCount(s.ID, now) > 0:
+	case (len(s.conns) == 0 || s.renewal.Pending() || now.Sub(s.lastReceivedAt) > suspectAfter) && s.pool.establishedCount(s.ID, now) > 0:
 		return links.ActiveCalls
 	case links.IsSuspect(s.oldestWithoutInput(now)), len(s.conns) == 0 && s.hasWaitingRelease():
 		return links.ActiveCalls
--- a/internal/dispatchers/budget_test.go
+++ b/internal/dispatchers/budget_test.go
@@ -19,10 +19,10 @@
 	calls map[control.ServerID][]string // established calls by dispatcher
 }
 
-func (s *fakeCore) EstablishedCount(id control.ServerID) int { return len(s.calls[id]) }
-func (s *fakeCore) EstablishedAt(id control.ServerID) iter.Seq[string] {
+func (c *fakeCore) EstablishedCount(id control.ServerID) int { return len(c.calls[id]) }
+func (c *fakeCore) EstablishedAt(id control.ServerID) iter.Seq[string] {
 	return func(yield func(string) bool) {
-		for _, call := range s.calls[id] {
+		for _, call := range c.calls[id] {
 			if !yield(call) {
 				return
 			}
@@ -30,16 +30,16 @@
 	}
 }
 
-func (s *fakeCore) EachEstablished(f func(control.ServerID)) {
-	for id, calls := range s.calls {
+func (c *fakeCore) EachEstablished(f func(control.ServerID)) {
+	for id, calls := range c.calls {
 		for range calls {
 			f(id)
 		}
 	}
 }
 
-func (s *fakeCore) Answered(server control.ServerID, id string, _ int, _ string) bool {
-	s.calls[server] = append(s.calls[server], id)
+func (c *fakeCore) Answered(server control.ServerID, id string, _ int, _ string) bool {
+	c.calls[server] = append(c.calls[server], id)
 	return true
 }
 
@@ -55,19 +55,19 @@
 
 func newPoolFixture(t *testing.T, budget, n int) *poolFixture {
 	t.Helper()
-	b := &poolFixture{T: t, loop: call.NewLoop(),
+	fx := &poolFixture{T: t, loop: call.NewLoop(),
 		core: &fakeCore{outcomeRecorder: outcomeRecorder{outcomes: map[string]control.Outcome{}}, calls: map[control.ServerID][]string{}}}
 	for range n {
-		b.addDispatcher(dispatcherAt(t, "tcp", "127.0.0.1:0"))
+		fx.addDispatcher(dispatcherAt(t, "tcp", "127.0.0.1:0"))
 	}
-	b.list.Complete = true
-	go b.loop.Run()
-	t.Cleanup(b.loop.Quit)
-	b.runOnLoop(func() {
-		b.pool = New(b.loop, b.core, Options{ConnectTimeout: 10 * time.Second, Log: slog.New(slog.DiscardHandler)})
-		b.pool.SetSocketBudget(budget)
+	fx.list.Complete = true
+	go fx.loop.Run()
+	t.Cleanup(fx.loop.Quit)
+	fx.runOnLoop(func() {
+		fx.pool = New(fx.loop, fx.core, Options{ConnectTimeout: 10 * time.Second, Log: slog.New(slog.DiscardHandler)})
+		fx.pool.SetSocketBudget(budget)
 	})
-	return b
+	return fx
 }
 
 // dispatcherAt starts a dispatcher at an address. It is stopped when the test ends.
@@ -82,113 +82,113 @@
 }
 
 // addDispatcher adds a dispatcher to the list, and has it report events of its connections.
-func (b *poolFixture) addDispatcher(d *peer.Dispatcher) {
+func (fx *poolFixture) addDispatcher(d *peer.Dispatcher) {
 	d.TellLinks()
-	id := dispatcherName(len(b.dispatchers))
-	b.dispatchers = append(b.dispatchers, d)
-	b.list.Servers = append(b.list.Servers, call.Server{ServerEntry: control.ServerEntry{ID: id}, Address: d.Address()})
+	id := dispatcherName(len(fx.dispatchers))
+	fx.dispatchers = append(fx.dispatchers, d)
+	fx.list.Servers = append(fx.list.Servers, call.Server{ServerEntry: control.ServerEntry{ID: id}, Address: d.Address()})
 }
 
 func dispatcherName(i int) control.ServerID { return control.ServerID(fmt.Sprint("d", i)) }
 
 // runOnLoop runs a function on the event loop.
-func (b *poolFixture) runOnLoop(f func()) {
+func (fx *poolFixture) runOnLoop(f func()) {
 	done := make(chan struct{})
-	b.loop.Post(func() { f(); close(done) })
+	fx.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
 // setUp places a call at a dispatcher.
-func (b *poolFixture) setUp(i int, id string) {
-	b.runOnLoop(func() {
-		b.pool.SetUp(dispatcherName(i), attemptOf(id, 0))
-		b.pool.Flush()
+func (fx *poolFixture) setUp(i int, id string) {
+	fx.runOnLoop(func() {
+		fx.pool.SetUp(dispatcherName(i), attemptOf(id, 0))
+		fx.pool.Flush()
 	})
 }
 
 // waitFor waits for an event of a kind at a dispatcher.
-func (b *poolFixture) waitFor(i int, kind string) peer.Event {
-	b.Helper()
+func (fx *poolFixture) waitFor(i int, kind string) peer.Event {
+	fx.Helper()
 	for begun := time.Now(); ; {
 		if time.Since(begun) > peer.Patience {
-			b.Fatalf("no %s event at dispatcher %d", kind, i)
+			fx.Fatalf("no %s event at dispatcher %d", kind, i)
 		}
 		// What was queued during a flush is sent with the next iteration.
-		b.runOnLoop(b.pool.Flush)
+		fx.runOnLoop(fx.pool.Flush)
 		select {
-		case e := <-b.dispatchers[i].Events:
+		case e := <-fx.dispatchers[i].Events:
 			if e.Kind == kind {
 				return e
 			}
 		case <-time.After(10 * time.Millisecond):
 		}
-		if b.Failed() {
-			b.FailNow()
+		if fx.Failed() {
+			fx.FailNow()
 		}
 	}
 }
 
 // establish has a dispatcher answer a set-up, and waits until the call is the only one established there.
-func (b *poolFixture) establish(i int, setUp peer.Event) {
-	b.Helper()
+func (fx *poolFixture) establish(i int, setUp peer.Event) {
+	fx.Helper()
 	if err := setUp.Answer("y"); err != nil {
-		b.Fatal(err)
+		fx.Fatal(err)
 	}
-	waitUntil(b, func() bool { return len(b.core.calls[dispatcherName(i)]) == 1 })
+	waitUntil(fx, func() bool { return len(fx.core.calls[dispatcherName(i)]) == 1 })
 }
 
 // setUpWithoutRelease places a call at a dispatcher, where waiting releases would be sent first, and fails if one arrives.
-func (b *poolFixture) setUpWithoutRelease(i int, id string) {
-	b.Helper()
-	b.setUp(i, id)
+func (fx *poolFixture) setUpWithoutRelease(i int, id string) {
+	fx.Helper()
+	fx.setUp(i, id)
 	for until := time.Now().Add(peer.Patience); time.Now().Before(until); {
-		b.runOnLoop(b.pool.Flush)
+		fx.runOnLoop(fx.pool.Flush)
 		select {
-		case e := <-b.dispatchers[i].Events:
+		case e := <-fx.dispatchers[i].Events:
 			switch {
 			case e.Kind == "release":
-				b.Fatalf("call %s was released", e.ID)
+				fx.Fatalf("call %s was released", e.ID)
 			case e.Kind == "setup" && e.ID == id:
 				return
 			}
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	b.Error("the next set-up did not arrive")
+	fx.Error("the next set-up did not arrive")
 }
 
 // TestASetUpEvictsAnIdleConnection checks a budget of two sockets for three dispatchers: a set-up for a dispatcher without a connection
 // evicts an idle connection, and waits while both connections have open set-ups.
 func TestASetUpEvictsAnIdleConnection(t *testing.T) {
 	t.Parallel()
-	b := newPoolFixture(t, 2, 3)
-	b.runOnLoop(func() { b.pool.Update(b.list) })
-	b.waitFor(0, "opened") // one of the two sockets is used before a call needs it
-	b.setUp(0, "a")
-	first := b.waitFor(0, "setup")
-	b.setUp(1, "b")
-	second := b.waitFor(1, "setup")
-	b.setUp(2, "c")
-	b.runOnLoop(func() {
-		if conns := b.pool.servers["d0"].conns; len(conns) != 1 || b.pool.sockets.held != 2 || len(b.pool.servers["d1"].conns) != 1 {
-			t.Errorf("%d sockets are held, want 2; %d connections to d0, want 1", b.pool.sockets.held, len(conns))
+	fx := newPoolFixture(t, 2, 3)
+	fx.runOnLoop(func() { fx.pool.Update(fx.list) })
+	fx.waitFor(0, "opened") // one of the two sockets is used before a call needs it
+	fx.setUp(0, "a")
+	first := fx.waitFor(0, "setup")
+	fx.setUp(1, "b")
+	second := fx.waitFor(1, "setup")
+	fx.setUp(2, "c")
+	fx.runOnLoop(func() {
+		if conns := fx.pool.servers["d0"].conns; len(conns) != 1 || fx.pool.sockets.held != 2 || len(fx.pool.servers["d1"].conns) != 1 {
+			t.Errorf("%d sockets are held, want 2; %d connections to d0, want 1", fx.pool.sockets.held, len(conns))
 		}
 	})
 	if err := second.Refuse(peer.Broken); err != nil {
 		t.Fatal(err)
 	}
-	b.waitFor(1, "closed")
-	third := b.waitFor(2, "setup")
+	fx.waitFor(1, "closed")
+	third := fx.waitFor(2, "setup")
 	for _, e := range []peer.Event{first, third} {
 		if err := e.Answer("y"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for established := 0; established < 2; {
-		b.runOnLoop(func() { established = len(b.core.calls["d0"]) + len(b.core.calls["d2"]) })
+		fx.runOnLoop(func() { established = len(fx.core.calls["d0"]) + len(fx.core.calls["d2"]) })
 	}
-	b.runOnLoop(func() {
-		if got := maps.Collect(maps.All(b.core.outcomes)); len(got) != 1 {
+	fx.runOnLoop(func() {
+		if got := maps.Collect(maps.All(fx.core.outcomes)); len(got) != 1 {
 			t.Errorf("attempts that ended: %v, want only the second", got)
 		}
 	})
@@ -199,12 +199,12 @@
 func TestDispatchersWithCallsShareTheBudget(t *testing.T) {
 	t.Parallel()
 	const budget, n, rounds = 4, 10, 2
-	b := newPoolFixture(t, budget, n)
-	b.runOnLoop(func() {
+	fx := newPoolFixture(t, budget, n)
+	fx.runOnLoop(func() {
 		for i := range n {
-			b.core.calls[dispatcherName(i)] = []string{fmt.Sprint("call ", i)}
+			fx.core.calls[dispatcherName(i)] = []string{fmt.Sprint("call ", i)}
 		}
-		b.pool.Update(b.list)
+		fx.pool.Update(fx.list)
 	})
 	opened, since := [n]int{}, [n]time.Time{}
 	for i := range since {
@@ -212,12 +212,12 @@
 	}
 	for least := 0; least < rounds; {
 		most := 0
-		b.runOnLoop(func() { most = b.pool.sockets.held })
+		fx.runOnLoop(func() { most = fx.pool.sockets.held })
 		if most > budget {
 			t.Fatalf("%d sockets are held, more than the budget", most)
 		}
 		least = rounds
-		for i, d := range b.dispatchers {
+		for i, d := range fx.dispatchers {
 			select {
 			case e := <-d.Events:
 				if e.Kind != "opened" {
@@ -241,13 +241,13 @@
 func TestRefusingDispatchersAreDialledRarely(t *testing.T) {
 	t.Parallel()
 	const n, duration = 50, 3 * time.Second
-	b := newPoolFixture(t, 0, n)
-	for _, d := range b.dispatchers {
+	fx := newPoolFixture(t, 0, n)
+	for _, d := range fx.dispatchers {
 		d.Die()
 	}
 	begun := time.Now()
-	b.runOnLoop(func() { b.pool.Update(b.list) })
-	dials := func() (dials int) { b.runOnLoop(func() { dials = b.pool.sockets.dialCount }); return dials }
+	fx.runOnLoop(func() { fx.pool.Update(fx.list) })
+	dials := func() (dials int) { fx.runOnLoop(func() { dials = fx.pool.sockets.dialCount }); return dials }
 	for dials() < n {
 		time.Sleep(time.Millisecond)
 	}
@@ -255,10 +255,10 @@
 	if got, most := dials(), n+1+int(time.Since(begun)/time.Second); got > most || got < n+int(duration/time.Second)-1 {
 		t.Errorf("%d dials in %v, want %d at most", got, time.Since(begun), most)
 	}
-	b.dispatchers[n-1] = dispatcherAt(t, "tcp", b.dispatchers[n-1].Address())
+	fx.dispatchers[n-1] = dispatcherAt(t, "tcp", fx.dispatchers[n-1].Address())
 	since := time.Now()
-	b.setUp(n-1, "a")
-	b.waitFor(n-1, "setup")
+	fx.setUp(n-1, "a")
+	fx.waitFor(n-1, "setup")
 	if took := time.Since(since); took > time.Second {
 		t.Errorf("a set-up waited for %v", took)
 	}
--- a/internal/dispatchers/check.go
+++ b/internal/dispatchers/check.go
@@ -60,26 +60,26 @@
 
 // check handles the timeouts of one dispatcher, and opens and closes its connections as needed.
 func (s *server) check(now time.Time) {
-	silentFor := now.Sub(s.lastReceivedAt)
+	withoutInput := now.Sub(s.lastReceivedAt)
 	switch {
 	case s.obsolete():
 		s.checkObsolete(now)
 		return
-	case silentFor > silenceTimeout && s.lastDialTimedOut && s.hasCalls(): // also if all connections were abandoned before, each as unresponsive
-		s.pool.Log.Warn("dispatcher is unresponsive", "server", s.ID, "for", silentFor)
+	case withoutInput > unresponsiveTimeout && s.lastDialTimedOut && s.hasCalls(): // also if all connections were abandoned before, each as unresponsive
+		s.pool.Log.Warn("dispatcher is unresponsive", "server", s.ID, "for", withoutInput)
 		s.disconnect(errors.New("dispatcher is unresponsive"))
 		s.pool.core.DispatcherFailed(s.ID)
 		return
-	case s.lastDialRefused && len(s.conns) > 0 && silentFor > silenceThreshold && s.hasCalls() && s.presumedStopped(now):
+	case s.lastDialRefused && len(s.conns) > 0 && withoutInput > suspectAfter && s.hasCalls() && s.presumedStopped(now):
 		s.handleStopped()
 		return
 	case len(s.conns) == 0:
 		if s.purpose(now) >= links.ActiveCalls {
 			s.connect()
 		}
-	case len(s.conns) < s.wantedConns(now) && silentFor <= silenceThreshold: // also if it drains: a new connection brings the releases of a lost one
+	case len(s.conns) < s.wantedConns(now) && withoutInput <= suspectAfter: // also if it drains: a new connection brings the releases of a lost one
 		s.connect()
-	case silentFor > silenceThreshold && s.hasCalls() && (len(s.conns) < s.pool.maxConns || s.probeUnanswered(now) && s.ensureCapacity(now)):
+	case withoutInput > suspectAfter && s.hasCalls() && (len(s.conns) < s.pool.maxConns || s.probeUnanswered(now) && s.ensureCapacity(now)):
 		s.connect()
 	}
 	for _, c := range slices.Clone(s.conns) {
@@ -92,7 +92,7 @@
 			s.replaceStalled(c)
 			continue
 		}
-		s.checkSilent(c, now)
+		s.checkUnresponsive(c, now)
 	}
 	s.closeExcess()
 	s.requestRepeats(now)
@@ -103,10 +103,10 @@
 	s.failExpired(now)
 }
 
-// checkSilent handles a connection that has received nothing for long while others have.
-func (s *server) checkSilent(c *connection, now time.Time) {
+// checkUnresponsive handles a connection that has received nothing for long while others have.
+func (s *server) checkUnresponsive(c *connection, now time.Time) {
 	switch {
-	case s.lastReceivedAt.Sub(c.lastReceivedAt) <= silenceTimeout:
+	case s.lastReceivedAt.Sub(c.lastReceivedAt) <= unresponsiveTimeout:
 	case c.openSetUps() == 0:
 		s.closeIdle(c) // the other connections work, and this one is idle
 	case s.pool.core.EstablishedCount(s.ID) > 0: // answers to its set-ups may still come, but ends sent here may be lost
--- a/internal/dispatchers/clean_close_test.go
+++ b/internal/dispatchers/clean_close_test.go
@@ -16,11 +16,11 @@
 }
 
 // Next reports the closing message once this side has half-closed.
-func (w closingProtocol) Next(in *ring.Buffer) (*Message, error) {
-	if w.on.poolHalfClosed {
+func (p closingProtocol) Next(in *ring.Buffer) (*Message, error) {
+	if p.on.poolHalfClosed {
 		return nil, io.EOF
 	}
-	return w.Protocol.Next(in)
+	return p.Protocol.Next(in)
 }
 
 // useClosingProtocol gives a connection such a protocol.
@@ -34,10 +34,10 @@
 // and closed by its dispatcher with a closing message.
 func TestCleanClosesDoNotRequestMoreConnections(t *testing.T) {
 	t.Parallel()
-	withHarness(t, initialState{conns: 2, maxConns: 2, neverCloses: true}, func(s *harness) {
-		s.runOnLoop(func() {
-			dial := s.pool.dial
-			s.pool.dial = func(address string, timeout time.Duration, opened func(transportConn) conn.Handler, done func(error)) {
+	withHarness(t, initialState{conns: 2, maxConns: 2, neverCloses: true}, func(h *harness) {
+		h.runOnLoop(func() {
+			dial := h.pool.dial
+			h.pool.dial = func(address string, timeout time.Duration, opened func(transportConn) conn.Handler, done func(error)) {
 				dial(address, timeout, func(c transportConn) conn.Handler {
 					handler := opened(c)
 					if counted, ok := handler.(countedConn); ok {
@@ -46,24 +46,24 @@
 					return handler
 				}, done)
 			}
-			for _, poolConn := range s.pool.servers["first"].conns {
+			for _, poolConn := range h.pool.servers["first"].conns {
 				useClosingProtocol(poolConn)
 			}
 		})
 		for range 2 {
-			s.runOnLoop(func() { s.pool.Reconnect("first") })
+			h.runOnLoop(func() { h.pool.Reconnect("first") })
 			time.Sleep(3 * checkInterval)
 		}
 		ended := map[*fakeConn]bool{}
 		before := 0
-		s.runOnLoop(func() {
-			before = len(s.first.allConns)
-			s.pool.Reconnect("first")
+		h.runOnLoop(func() {
+			before = len(h.first.allConns)
+			h.pool.Reconnect("first")
 		})
 		for range 10 * time.Second / (dialTime / 2) {
 			time.Sleep(dialTime / 2) // before the next one is open
-			s.runOnLoop(func() {
-				for _, c := range s.first.allConns {
+			h.runOnLoop(func() {
+				for _, c := range h.first.allConns {
 					if ended[c] && !c.closed {
 						c.sendReport()
 					}
@@ -71,8 +71,8 @@
 				}
 			})
 		}
-		s.runOnLoop(func() {
-			if got, most := len(s.first.allConns)-before, 1; got > most {
+		h.runOnLoop(func() {
+			if got, most := len(h.first.allConns)-before, 1; got > most {
 				t.Errorf("%d connections after one was requested, want at most %d", got, most)
 			}
 		})
--- a/internal/dispatchers/connection.go
+++ b/internal/dispatchers/connection.go
@@ -205,7 +205,7 @@
 		if setUp.cancelledAt.IsZero() || !c.unanswered(setUp) {
 			continue
 		}
-		if now.Sub(setUp.cancelledAt) > unresponsiveAfter && c.lastReceivedAt.Before(setUp.sentAt) ||
+		if now.Sub(setUp.cancelledAt) > cancelTimeout && c.lastReceivedAt.Before(setUp.sentAt) ||
 			now.Sub(setUp.cancelledAt) > responseTimeout && c.lastReceivedAt.Before(setUp.cancelledAt) && c.server.lastReceivedAt.After(setUp.cancelledAt) {
 			return true
 		}
@@ -228,11 +228,11 @@
 	return n
 }
 
-// healthy reports whether one more set-up may be sent here while a new connection could be opened instead. On a connection that has long
-// been silent, a set-up and its cancellation may both be stuck if the dispatcher is cut off: they arrive together when that ends, and the
+// healthy reports whether one more set-up may be sent here while a new connection could be opened instead. On a connection without input
+// for long, a set-up and its cancellation may both be stuck if the dispatcher is cut off: they arrive together when that ends, and the
 // guard counts from there. And if a set-up was cancelled without an answer, the connection itself may be broken.
 func (c *connection) healthy(now time.Time) bool {
-	return now.Sub(c.lastReceivedAt) <= silenceThreshold && c.load() < unansweredWeight
+	return now.Sub(c.lastReceivedAt) <= suspectAfter && c.load() < unansweredWeight
 }
 
 // writtenSetUp returns the set-up of a call that a message from the dispatcher can refer to, or nil. A message can't refer to a set-up
--- a/internal/dispatchers/dial.go
+++ b/internal/dispatchers/dial.go
@@ -63,7 +63,7 @@
 	s.lastDialRefused = errors.Is(err, conn.ErrRefused)
 	s.lastDialTimedOut = !s.lastDialRefused
 	s.pool.Log.Info("no connection", "server", s.ID, "err", err)
-	if len(s.conns) > 0 && (s.lastDialTimedOut || time.Since(s.lastReceivedAt) <= silenceThreshold) {
+	if len(s.conns) > 0 && (s.lastDialTimedOut || time.Since(s.lastReceivedAt) <= suspectAfter) {
 		return
 	}
 	if len(s.conns) > 0 && !s.hasCalls() {
@@ -77,7 +77,7 @@
 	}
 }
 
-// handleStopped handles a dispatcher that refuses connections while all its connections have closed or been silent for long: a process
+// handleStopped handles a dispatcher that refuses connections while all its connections have closed or had no input for long: a process
 // that stops at the end of its drain may leave its connections open. The process has stopped, and its calls have ended.
 func (s *server) handleStopped() {
 	s.logStep(endlog.Stopped, nil)
--- a/internal/dispatchers/dispatchers.go
+++ b/internal/dispatchers/dispatchers.go
@@ -22,29 +22,29 @@
 	// overtakenAfter is how much later than an unanswered set-up another one must have been sent, and been answered, for the connection of
 	// the first to count as unresponsive. A dispatcher's processor handles set-ups in order, so their answers differ by much less.
 	overtakenAfter = 250 * time.Millisecond
-	// silenceThreshold is the time without input after which a new connection to a dispatcher with calls is tried: a machine that has
+	// suspectAfter is the time without input after which a new connection to a dispatcher with calls is tried: a machine that has
 	// vanished leaves the old connections open.
-	silenceThreshold = 2500 * time.Millisecond
-	// probeTimeout is the time within which a long silent dispatcher that refuses connections or is off the list must reply to a probe. Its
-	// calls must be released within 8 s of its end.
+	suspectAfter = 2500 * time.Millisecond
+	// probeTimeout is the time within which a dispatcher that has long sent nothing and refuses connections, or is off the list, must reply
+	// to a probe. Its calls must be released within 8 s of its end.
 	probeTimeout = time.Second
-	// silenceTimeout is the time without input after which, if no new connection opens, the calls of a dispatcher are ended. The end of a
+	// unresponsiveTimeout is the time without input after which, if no new connection opens, the calls of a dispatcher are ended. The end of a
 	// call may stay unreported for 8 s.
-	silenceTimeout = 5 * time.Second
+	unresponsiveTimeout = 5 * time.Second
 	// cancelledRetention is how long a cancelled attempt is kept for an answer that its dispatcher may still send.
 	cancelledRetention = 10 * time.Second
 	// halfCloseTimeout is how long an abandoned connection is still read, unless its dispatcher closes it first. A dispatcher that is paused
 	// has not noticed the close: when it continues, it may first send the end of a call there, and it repeats that end only on the next
-	// connection that opens afterwards. A dispatcher that is paused for longer counts as lost (silenceTimeout).
-	halfCloseTimeout = silenceTimeout
+	// connection that opens afterwards. A dispatcher that is paused for longer counts as lost (unresponsiveTimeout).
+	halfCloseTimeout = unresponsiveTimeout
 	// evictedReadTimeout replaces halfCloseTimeout if the descriptor is needed; a working dispatcher has closed its side by then.
 	evictedReadTimeout = 50 * time.Millisecond
 	// responseTimeout is the time within which a dispatcher must close its side of a connection that was half-closed here, or reply to a
 	// cancellation. A working dispatcher does so at once. After the timeout, ends may be lost there. Each end must still be reported within
-	// 8 s, which includes the silenceTimeout in which an idle connection is found to be unresponsive.
+	// 8 s, which includes the unresponsiveTimeout in which an idle connection is found to be unresponsive.
 	responseTimeout = time.Second
-	// unresponsiveAfter is the time without input after the cancellation of a set-up after which a connection is half-closed.
-	unresponsiveAfter = 100 * time.Millisecond
+	// cancelTimeout is the time without input after the cancellation of a set-up after which a connection is half-closed.
+	cancelTimeout = 100 * time.Millisecond
 	// unansweredWeight is the number of open set-ups that a cancelled set-up without an answer counts as.
 	unansweredWeight = 8
 	// maxUnknownReleases limits how many releases of unknown calls wait for a connection, as any client can send any number of them.
@@ -68,7 +68,8 @@
 	Answered(server control.ServerID, id string, attempt int, description string) bool
 	// AttemptEnded reports the outcome of an attempt that has not established its call.
 	AttemptEnded(server control.ServerID, id string, attempt int, o control.Outcome, noLine bool, report []float64)
-	// Released reports the release of a call by a dispatcher. The attempt is the one on whose connection it arrived; noAttempt if there is none.
+	// Released reports the release of a call by a dispatcher. The attempt is the one on whose connection it arrived; noAttempt if there is
+	// none.
 	Released(server control.ServerID, id string, attempt, cause int, report []float64)
 	// ReleasedOnOtherConnection is like Released, for a release on another connection than that of the answer. It returns whether the call
 	// continues there.
--- a/internal/dispatchers/earlier_attempt_test.go
+++ b/internal/dispatchers/earlier_attempt_test.go
@@ -41,24 +41,24 @@
 
 func endOnEarlierConnection(t *testing.T, closed bool, want int) {
 	const id = "00000000000000a1"
-	b := newPoolFixture(t, 0, 1)
-	core, first, _ := b.establishBySecondAttempt(id)
+	fx := newPoolFixture(t, 0, 1)
+	core, first, _ := fx.establishBySecondAttempt(id)
 	if closed {
-		b.runOnLoop(func() {
-			s := b.pool.servers[dispatcherName(0)]
+		fx.runOnLoop(func() {
+			s := fx.pool.servers[dispatcherName(0)]
 			for _, poolConn := range s.conns {
 				if poolConn.lifetime == s.established[id] {
 					poolConn.conn.Close(errors.New("broken"))
 				}
 			}
 		})
-		waitUntil(b, func() bool { return b.dispatchers[0].Links() == 1 })
+		waitUntil(fx, func() bool { return fx.dispatchers[0].Links() == 1 })
 	}
 	if err := first.ReleaseHere(id, call.CauseNormal); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(b, func() bool { return len(core.attempts) > 0 })
-	b.runOnLoop(func() {
+	waitUntil(fx, func() bool { return len(core.attempts) > 0 })
+	fx.runOnLoop(func() {
 		if got := core.attempts[0]; got != want {
 			t.Errorf("the release belongs to attempt %d, want %d", got, want)
 		}
@@ -70,17 +70,17 @@
 func TestAnEndThatIsReadBeforeTheCloseOfItsConnection(t *testing.T) {
 	t.Parallel()
 	const id = "00000000000000a2"
-	b := newPoolFixture(t, 0, 1)
-	core, first, second := b.establishBySecondAttempt(id)
+	fx := newPoolFixture(t, 0, 1)
+	core, first, second := fx.establishBySecondAttempt(id)
 	if err := first.ReleaseHere(id, call.CauseNormal); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(b, func() bool { return len(core.attempts) > 0 })
+	waitUntil(fx, func() bool { return len(core.attempts) > 0 })
 	if err := second.CloseHere(); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(b, func() bool { return len(b.pool.servers[dispatcherName(0)].conns) == 1 })
-	b.runOnLoop(func() {
+	waitUntil(fx, func() bool { return len(fx.pool.servers[dispatcherName(0)].conns) == 1 })
+	fx.runOnLoop(func() {
 		if last := core.attempts[len(core.attempts)-1]; last != noAttempt {
 			t.Errorf("the release belongs to attempt %d, want it to end the established call", last)
 		}
@@ -89,41 +89,41 @@
 
 // establishBySecondAttempt establishes a call by its second attempt at the first dispatcher, on a second connection, after the first
 // attempt was cancelled; first and second are their set-ups. No further connection can be opened, on which an end would be repeated.
-func (b *poolFixture) establishBySecondAttempt(id string) (core *releaseRecorder, first, second peer.Event) {
-	b.Helper()
-	core = &releaseRecorder{fakeCore: *b.core}
-	b.runOnLoop(func() {
-		b.pool.core = core
-		b.pool.Update(b.list)
+func (fx *poolFixture) establishBySecondAttempt(id string) (core *releaseRecorder, first, second peer.Event) {
+	fx.Helper()
+	core = &releaseRecorder{fakeCore: *fx.core}
+	fx.runOnLoop(func() {
+		fx.pool.core = core
+		fx.pool.Update(fx.list)
 	})
-	b.waitFor(0, "opened")
-	b.setUp(0, id)
-	first = b.waitFor(0, "setup")
-	b.runOnLoop(func() {
-		b.pool.CancelAttempt(dispatcherName(0), id, 0)
-		b.pool.SetUp(dispatcherName(0), attemptOf(id, 1))
+	fx.waitFor(0, "opened")
+	fx.setUp(0, id)
+	first = fx.waitFor(0, "setup")
+	fx.runOnLoop(func() {
+		fx.pool.CancelAttempt(dispatcherName(0), id, 0)
+		fx.pool.SetUp(dispatcherName(0), attemptOf(id, 1))
 	})
-	b.waitFor(0, "opened")
-	second = b.waitFor(0, "setup")
-	b.establish(0, second)
-	b.dispatchers[0].Stop()
+	fx.waitFor(0, "opened")
+	second = fx.waitFor(0, "setup")
+	fx.establish(0, second)
+	fx.dispatchers[0].Stop()
 	return core, first, second
 }
 
 // waitUntil waits until a condition holds on the event loop.
-func waitUntil(b *poolFixture, condition func() bool) {
-	b.Helper()
+func waitUntil(fx *poolFixture, condition func() bool) {
+	fx.Helper()
 	for begun := time.Now(); ; time.Sleep(time.Millisecond) {
 		holds := false
-		b.runOnLoop(func() {
-			b.pool.Flush()
+		fx.runOnLoop(func() {
+			fx.pool.Flush()
 			holds = condition()
 		})
 		if holds {
 			return
 		}
 		if time.Since(begun) > peer.Patience {
-			b.Fatal("the condition did not become true")
+			fx.Fatal("the condition did not become true")
 		}
 	}
 }
--- a/internal/dispatchers/end_after_answer_test.go
+++ b/internal/dispatchers/end_after_answer_test.go
@@ -15,9 +15,9 @@
 // endReportedAndReleased returns a step that fails unless the caller was notified of the end of its call and the dispatcher no longer
 // holds it.
 func endReportedAndReleased() scenarioStep {
-	return newStep("its end is reported, and its dispatcher has released it", 0, func(s *harness) {
-		if _, holds := s.first.established[testCallID]; holds || s.calls[testCallID].ends != 1 {
-			s.violation("%d ends were reported, held by its dispatcher: %v; want 1, false", s.calls[testCallID].ends, holds)
+	return newStep("its end is reported, and its dispatcher has released it", 0, func(h *harness) {
+		if _, holds := h.first.established[testCallID]; holds || h.calls[testCallID].ends != 1 {
+			h.violation("%d ends were reported, held by its dispatcher: %v; want 1, false", h.calls[testCallID].ends, holds)
 		}
 	})
 }
@@ -26,7 +26,7 @@
 // end may be that of a lost attempt, and nothing is received on the connection of the answer that shows which.
 func TestAnEndAfterTheAnswerWithoutAReplyReleasesTheCall(t *testing.T) {
 	t.Parallel()
-	for name, order := range map[string][]scenarioStep{
+	for name, steps := range map[string][]scenarioStep{
 		"nothing reaches the dispatcher on its connection": slices.Concat(stepsFor("i"), []scenarioStep{waitStep('-', 2*time.Second)}),
 		"its connection is closed before the end":          slices.Concat(stepsFor("Hd"), []scenarioStep{waitStep('-', 2*time.Second)}),
 		"its connection is closed after the end": slices.Concat(stepsFor("i"), []scenarioStep{waitStep('-', 500*time.Millisecond)},
@@ -34,7 +34,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			lostAttemptState.playWithoutViolation(t, slices.Concat(establishedAfterLostAttempt(), order, []scenarioStep{endReportedAndReleased()}))
+			lostAttemptState.playWithoutViolation(t, slices.Concat(establishedAfterLostAttempt(), steps, []scenarioStep{endReportedAndReleased()}))
 		})
 	}
 }
@@ -43,9 +43,9 @@
 // lost attempt is read after the answer to the next one, and again on the next connection.
 func TestTheRepeatedEndOfALostAttemptDoesNotEndTheEstablishedCall(t *testing.T) {
 	t.Parallel()
-	resetAndEnded := newStep("the oldest connection is reset, and the call ends before it is released", 0, func(s *harness) {
-		s.first.openConns[0].reset()
-		s.endCall(s.first, testCallID)
+	resetAndEnded := newStep("the oldest connection is reset, and the call ends before it is released", 0, func(h *harness) {
+		h.first.openConns[0].reset()
+		h.endCall(h.first, testCallID)
 	})
 	start := lostAttemptState
 	start.endsOnNewest = false
@@ -57,7 +57,7 @@
 // read.
 func TestTheEndOfACallAfterTheEndOfALostAttemptIsReported(t *testing.T) {
 	t.Parallel()
-	for name, order := range map[string][]scenarioStep{
+	for name, steps := range map[string][]scenarioStep{
 		"on its own connection":                   stepsFor("e"),
 		"when its own connection is closed":       stepsFor("He"),
 		"when its own connection is reset":        slices.Concat(stepsFor("r"), stepsFor("e")),
@@ -65,7 +65,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			lostAttemptState.playWithoutViolation(t, slices.Concat(establishedAfterLostAttempt(), expectNoEnd(2*time.Second), order))
+			lostAttemptState.playWithoutViolation(t, slices.Concat(establishedAfterLostAttempt(), expectNoEnd(2*time.Second), steps))
 		})
 	}
 }
--- a/internal/dispatchers/evict_test.go
+++ b/internal/dispatchers/evict_test.go
@@ -14,16 +14,16 @@
 	for name, established := range map[string]bool{"a call is established": true, "no call is established": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			withHarness(t, initialState{neverCloses: true}, func(s *harness) {
+			withHarness(t, initialState{neverCloses: true}, func(h *harness) {
 				if established {
-					s.runOnLoop(func() { s.placeCall(testCallID, callTimeout) })
-					s.runOnLoop(func() { s.first.sendFinalAnswer(testCallID, 200); s.first.allConns[0].deliverToPool() })
+					h.runOnLoop(func() { h.placeCall(testCallID, callTimeout) })
+					h.runOnLoop(func() { h.first.sendFinalAnswer(testCallID, 200); h.first.allConns[0].deliverToPool() })
 				}
 				closed := func() (closed bool) {
-					s.runOnLoop(func() { closed = s.first.allConns[0].closed })
+					h.runOnLoop(func() { closed = h.first.allConns[0].closed })
 					return closed
 				}
-				s.runOnLoop(func() { s.pool.servers["first"].conns[0].evict() })
+				h.runOnLoop(func() { h.pool.servers["first"].conns[0].evict() })
 				if closed() == established {
 					t.Errorf("it is closed at once: %v, want %v", established, !established)
 				}
@@ -40,34 +40,34 @@
 // that was evicted here and that the dispatcher still holds open.
 func TestAnEndOnAnEvictedConnection(t *testing.T) {
 	t.Parallel()
-	order := []scenarioStep{
-		newStep("the call's connection is dead, and is evicted", 2*time.Second, func(s *harness) {
-			c := s.first.established[testCallID]
+	steps := []scenarioStep{
+		newStep("the call's connection is unresponsive, and is evicted", 2*time.Second, func(h *harness) {
+			c := h.first.established[testCallID]
 			c.isolate()
-			for _, poolConn := range s.pool.servers["first"].conns {
+			for _, poolConn := range h.pool.servers["first"].conns {
 				if poolConn.conn == transportConn(c) {
 					poolConn.evict()
 					return
 				}
 			}
 		}),
-		newStep("the call ends", 0, func(s *harness) { s.endCall(s.first, testCallID) }),
+		newStep("the call ends", 0, func(h *harness) { h.endCall(h.first, testCallID) }),
 	}
-	initialState{established: true, conns: 2, reportsPeriodically: true}.playWithoutViolation(t, order)
+	initialState{established: true, conns: 2, reportsPeriodically: true}.playWithoutViolation(t, steps)
 }
 
 // TestAnUnsentReleaseOnAnEvictedConnection guards against a call that its dispatcher keeps and nobody releases, as the release was queued
 // on an evicted connection whose socket was full.
 func TestAnUnsentReleaseOnAnEvictedConnection(t *testing.T) {
 	t.Parallel()
-	evicts := newStep("the connection with the release is evicted", 0, func(s *harness) {
-		for _, poolConn := range s.pool.servers["first"].conns {
+	evicts := newStep("the connection with the release is evicted", 0, func(h *harness) {
+		for _, poolConn := range h.pool.servers["first"].conns {
 			if poolConn.conn.Unsent() > 0 {
 				poolConn.evict()
 				return
 			}
 		}
-		s.violation("no release is waiting")
+		h.violation("no release is waiting")
 	})
 	for name, test := range map[string]scenario{
 		"the only connection": {initialState{established: true}, "jc"},
@@ -77,23 +77,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			order := append(stepsFor(test.steps), evicts)
-			test.start.playWithoutViolation(t, order)
+			steps := append(stepsFor(test.steps), evicts)
+			test.start.playWithoutViolation(t, steps)
 		})
 	}
 }
 
 // drainFirstUseSecond establishes a call at the first dispatcher, which then drains and stops listening, and sets up another call at the
 // second.
-func (s *harness) drainFirstUseSecond() {
-	s.establish(testCallID)
-	s.runOnLoop(func() {
-		s.updateList(control.Draining, "first")
-		s.first.listening = false
-		s.updateList(control.Active, "second")
+func (h *harness) drainFirstUseSecond() {
+	h.establish(testCallID)
+	h.runOnLoop(func() {
+		h.updateList(control.Draining, "first")
+		h.first.listening = false
+		h.updateList(control.Active, "second")
 	})
 	time.Sleep(time.Second)
-	s.runOnLoop(func() { s.placeCall(otherCallID, callTimeout) })
+	h.runOnLoop(func() { h.placeCall(otherCallID, callTimeout) })
 	time.Sleep(time.Second)
 }
 
@@ -101,24 +101,24 @@
 // only connection to their dispatcher, which accepts no new ones, is evicted although another connection could be.
 func TestTheOnlyConnectionToADrainingDispatcherIsEvictedLast(t *testing.T) {
 	t.Parallel()
-	withHarness(t, initialState{secondDispatcher: true}, func(s *harness) {
-		s.drainFirstUseSecond()
-		s.runOnLoop(func() {
-			if !s.isEstablished(otherCallID, "second") {
+	withHarness(t, initialState{secondDispatcher: true}, func(h *harness) {
+		h.drainFirstUseSecond()
+		h.runOnLoop(func() {
+			if !h.isEstablished(otherCallID, "second") {
 				t.Error("no call is established at the other dispatcher")
 			}
-			s.pool.SetSocketBudget(1)
+			h.pool.SetSocketBudget(1)
 		})
 		time.Sleep(evictedReadTimeout + checkInterval)
-		s.runOnLoop(func() {
-			if !s.isEstablished(testCallID, "first") || len(s.pool.servers["first"].conns) != 1 {
-				t.Errorf("%d ends were reported while the call is established, want 0; %d connections, want 1", s.calls[testCallID].ends,
-					len(s.pool.servers["first"].conns))
+		h.runOnLoop(func() {
+			if !h.isEstablished(testCallID, "first") || len(h.pool.servers["first"].conns) != 1 {
+				t.Errorf("%d ends were reported while the call is established, want 0; %d connections, want 1", h.calls[testCallID].ends,
+					len(h.pool.servers["first"].conns))
 			}
-			s.endCall(s.first, testCallID)
+			h.endCall(h.first, testCallID)
 		})
-		s.advance(maxTransit + deliveryInterval)
-		if c := s.calls[testCallID]; c.ends != 1 {
+		h.advance(maxTransit + deliveryInterval)
+		if c := h.calls[testCallID]; c.ends != 1 {
 			t.Errorf("%d ends were reported, want the one that its dispatcher sent", c.ends)
 		}
 	})
@@ -128,23 +128,23 @@
 // release waits on the only connection there, which is evicted although another connection could be, and no new one can be opened.
 func TestAConnectionWithAReleaseToADrainingDispatcherIsEvictedLast(t *testing.T) {
 	t.Parallel()
-	withHarness(t, initialState{secondDispatcher: true}, func(s *harness) {
-		s.drainFirstUseSecond()
-		s.runOnLoop(func() {
-			s.first.allConns[0].writeBlocked = true
-			s.cancelCall(testCallID)
+	withHarness(t, initialState{secondDispatcher: true}, func(h *harness) {
+		h.drainFirstUseSecond()
+		h.runOnLoop(func() {
+			h.first.allConns[0].writeBlocked = true
+			h.cancelCall(testCallID)
 		})
 		time.Sleep(2 * checkInterval)
-		s.runOnLoop(func() {
-			if !s.isEstablished(otherCallID, "second") || s.first.allConns[0].Unsent() == 0 {
+		h.runOnLoop(func() {
+			if !h.isEstablished(otherCallID, "second") || h.first.allConns[0].Unsent() == 0 {
 				t.Error("no call is established at the other dispatcher, or no release waits")
 			}
-			s.pool.SetSocketBudget(1)
+			h.pool.SetSocketBudget(1)
 		})
 		time.Sleep(evictedReadTimeout + checkInterval)
-		s.runOnLoop(s.first.allConns[0].unblock)
-		s.runOnLoop(func() {
-			if _, held := s.first.established[testCallID]; held {
+		h.runOnLoop(h.first.allConns[0].unblock)
+		h.runOnLoop(func() {
+			if _, held := h.first.established[testCallID]; held {
 				t.Error("the dispatcher still holds the call")
 			}
 		})
--- a/internal/dispatchers/fake_conn_test.go
+++ b/internal/dispatchers/fake_conn_test.go
@@ -48,219 +48,219 @@
 }
 
 // send queues a message of the dispatcher.
-func (s *fakeConn) send(text []byte) { s.enqueue(fakeMessage{text: text}) }
+func (c *fakeConn) send(text []byte) { c.enqueue(fakeMessage{text: text}) }
 
 // sendEnd queues the release of a call.
-func (s *fakeConn) sendEnd(id string) { s.enqueue(fakeMessage{releaseOf(id), id}) }
+func (c *fakeConn) sendEnd(id string) { c.enqueue(fakeMessage{releaseOf(id), id}) }
 
 // enqueue puts a message in transit. If the pool's side has closed, the message is lost, and the dispatcher notices the close.
-func (s *fakeConn) enqueue(m fakeMessage) {
+func (c *fakeConn) enqueue(m fakeMessage) {
 	switch {
-	case s.dispatcherClosed:
-	case s.closed && !s.dispatcherUnaware():
-		s.close()
+	case c.dispatcherClosed:
+	case c.closed && !c.dispatcherUnaware():
+		c.close()
 	default:
-		s.inTransit, s.sentAt = append(s.inTransit, m), time.Now()
+		c.inTransit, c.sentAt = append(c.inTransit, m), time.Now()
 	}
 }
 
 // dispatcherUnaware reports whether the dispatcher does not notice what the pool's side has done, and takes the connection for open.
-func (s *fakeConn) dispatcherUnaware() bool {
-	return s.blockedToDispatcher || s.dispatcher.partitioned || s.dispatcher.paused
+func (c *fakeConn) dispatcherUnaware() bool {
+	return c.blockedToDispatcher || c.dispatcher.partitioned || c.dispatcher.paused
 }
 
 // cancelUnread reports whether the set-up of a call was cancelled here and the dispatcher does not know it.
-func (s *fakeConn) cancelUnread(id string) bool {
-	return s.dispatcherUnaware() && (s.poolHalfClosed || s.cancelled[id])
+func (c *fakeConn) cancelUnread(id string) bool {
+	return c.dispatcherUnaware() && (c.poolHalfClosed || c.cancelled[id])
 }
 
 // unblock unblocks the connection in both directions.
-func (s *fakeConn) unblock() {
-	s.blockedToDispatcher, s.blockedToPool, s.writeBlocked = false, false, false
-	s.Flush()
-	s.deliverToDispatcher()
-	s.deliverToPool()
+func (c *fakeConn) unblock() {
+	c.blockedToDispatcher, c.blockedToPool, c.writeBlocked = false, false, false
+	c.Flush()
+	c.deliverToDispatcher()
+	c.deliverToPool()
 }
 
 // deliverToPool delivers all that is in transit to the pool.
-func (s *fakeConn) deliverToPool() {
-	if s.dispatcher.partitioned || s.blockedToPool {
+func (c *fakeConn) deliverToPool() {
+	if c.dispatcher.partitioned || c.blockedToPool {
 		return
 	}
-	for _, m := range s.inTransit {
-		if s.closed {
+	for _, m := range c.inTransit {
+		if c.closed {
 			continue
 		}
-		s.poolInput.Write(m.text)
-		s.dispatcher.harness.releaseDelivered(s.dispatcher, m.endOf)
+		c.poolInput.Write(m.text)
+		c.dispatcher.harness.releaseDelivered(c.dispatcher, m.endOf)
 	}
-	s.inTransit = nil
-	if s.closed {
+	c.inTransit = nil
+	if c.closed {
 		return
 	}
-	if s.poolInput.Len() > 0 {
-		if err := s.handler.Data(s.poolInput, time.Now()); err != nil {
-			s.Close(err)
+	if c.poolInput.Len() > 0 {
+		if err := c.handler.Data(c.poolInput, time.Now()); err != nil {
+			c.Close(err)
 			return
 		}
 	}
-	if s.dispatcherClosed {
-		s.reportClosed(io.EOF)
+	if c.dispatcherClosed {
+		c.reportClosed(io.EOF)
 	}
 }
 
 // close has the dispatcher close the connection cleanly.
-func (s *fakeConn) close() {
-	clear(s.setUps)
-	s.dispatcherClosed = true
-	s.dispatcher.openConns = slices.DeleteFunc(s.dispatcher.openConns, func(o *fakeConn) bool { return o == s })
+func (c *fakeConn) close() {
+	clear(c.setUps)
+	c.dispatcherClosed = true
+	c.dispatcher.openConns = slices.DeleteFunc(c.dispatcher.openConns, func(o *fakeConn) bool { return o == c })
 }
 
 // reset resets the connection: what is in transit is lost.
-func (s *fakeConn) reset() {
-	s.inTransit = nil
-	s.dispatcher.hadReset = true
-	s.close()
-	if s.poolHalfClosed { // if both sides have closed their direction, the kernel does not report the reset
-		s.reportClosed(io.EOF)
+func (c *fakeConn) reset() {
+	c.inTransit = nil
+	c.dispatcher.hadReset = true
+	c.close()
+	if c.poolHalfClosed { // if both sides have closed their direction, the kernel does not report the reset
+		c.reportClosed(io.EOF)
 		return
 	}
-	s.reportClosed(conn.ErrReset)
+	c.reportClosed(conn.ErrReset)
 }
 
 // reportClosed reports the end of the connection to the pool, once.
-func (s *fakeConn) reportClosed(reason error) {
-	s.closed = true
-	if s.closeReported {
+func (c *fakeConn) reportClosed(reason error) {
+	c.closed = true
+	if c.closeReported {
 		return
 	}
-	s.closeReported, s.endedAt = true, time.Now()
-	s.loop.Post(func() {
-		s.handler.Closed(reason)
-		if r, ok := s.handler.(conn.Releaser); ok {
+	c.closeReported, c.endedAt = true, time.Now()
+	c.loop.Post(func() {
+		c.handler.Closed(reason)
+		if r, ok := c.handler.(conn.Releaser); ok {
 			r.Released()
 		}
 	})
 }
 
 // deliverToDispatcher delivers what the pool has written to the dispatcher, followed by the pool's close.
-func (s *fakeConn) deliverToDispatcher() {
-	if s.dispatcherUnaware() || s.dispatcherClosed {
+func (c *fakeConn) deliverToDispatcher() {
+	if c.dispatcherUnaware() || c.dispatcherClosed {
 		return
 	}
 	var messages []*sip.Message
 	for {
-		m, err := s.dec.Next(s.dispatcherInput)
+		m, err := c.dec.Next(c.dispatcherInput)
 		if m == nil || err != nil {
 			break
 		}
 		messages = append(messages, m)
 	}
 	for i, m := range messages {
-		if m.Method == "INVITE" && !s.cancelledIn(m.CallID, messages[i:]) {
-			s.dispatcher.harness.attemptArrived(m.CallID)
+		if m.Method == "INVITE" && !c.cancelledIn(m.CallID, messages[i:]) {
+			c.dispatcher.harness.attemptArrived(m.CallID)
 		}
-		s.dispatcher.handle(s, m)
+		c.dispatcher.handle(c, m)
 	}
 	switch {
-	case s.poolHalfClosed && s.dispatcher.neverCloses:
-		clear(s.setUps)
-	case s.poolHalfClosed && s.dispatcher.resetsOnClose:
-		s.reset()
-	case s.poolHalfClosed:
-		s.close()
+	case c.poolHalfClosed && c.dispatcher.neverCloses:
+		clear(c.setUps)
+	case c.poolHalfClosed && c.dispatcher.resetsOnClose:
+		c.reset()
+	case c.poolHalfClosed:
+		c.close()
 	}
 }
 
 // cancelledIn reports whether the set-up of a call arrives together with its cancellation, as after a time in which the connection was
 // blocked.
-func (s *fakeConn) cancelledIn(id string, messages []*sip.Message) bool {
-	return s.poolHalfClosed || slices.ContainsFunc(messages, func(m *sip.Message) bool { return m.Method == "CANCEL" && m.CallID == id })
+func (c *fakeConn) cancelledIn(id string, messages []*sip.Message) bool {
+	return c.poolHalfClosed || slices.ContainsFunc(messages, func(m *sip.Message) bool { return m.Method == "CANCEL" && m.CallID == id })
 }
 
 // Write queues a message.
-func (s *fakeConn) Write(p []byte) { s.WriteThen(p, func() {}) }
+func (c *fakeConn) Write(p []byte) { c.WriteThen(p, func() {}) }
 
 // WriteThen queues a message and calls then once it was sent.
-func (s *fakeConn) WriteThen(p []byte, then func()) conn.Ticket {
-	if s.closed || s.poolHalfClosed {
+func (c *fakeConn) WriteThen(p []byte, then func()) conn.Ticket {
+	if c.closed || c.poolHalfClosed {
 		return 0
 	}
-	s.lastTicket++
-	s.writeQueue = append(s.writeQueue, queuedWrite{p, then, s.lastTicket})
-	return s.lastTicket
+	c.lastTicket++
+	c.writeQueue = append(c.writeQueue, queuedWrite{p, then, c.lastTicket})
+	return c.lastTicket
 }
 
 // Recall removes a message that was not sent.
-func (s *fakeConn) Recall(ticket conn.Ticket) bool {
-	i := slices.IndexFunc(s.writeQueue, func(w queuedWrite) bool { return w.ticket == ticket })
+func (c *fakeConn) Recall(ticket conn.Ticket) bool {
+	i := slices.IndexFunc(c.writeQueue, func(w queuedWrite) bool { return w.ticket == ticket })
 	if i < 0 {
 		return false
 	}
-	s.writeQueue = slices.Delete(s.writeQueue, i, i+1)
+	c.writeQueue = slices.Delete(c.writeQueue, i, i+1)
 	return true
 }
 
 // Flush sends what is queued.
-func (s *fakeConn) Flush() {
-	if s.writeBlocked {
+func (c *fakeConn) Flush() {
+	if c.writeBlocked {
 		return
 	}
-	out := s.writeQueue
-	s.writeQueue = nil
+	out := c.writeQueue
+	c.writeQueue = nil
 	for _, w := range out {
-		s.dispatcherInput.Write(w.text)
-		s.recordCancel(w.text)
+		c.dispatcherInput.Write(w.text)
+		c.recordCancel(w.text)
 		w.then()
 	}
-	s.deliverToDispatcher()
+	c.deliverToDispatcher()
 }
 
 // recordCancel records which set-ups the pool's side has cancelled.
-func (s *fakeConn) recordCancel(text []byte) {
+func (c *fakeConn) recordCancel(text []byte) {
 	copied := ring.New(len(text) + 1)
 	copied.Write(text)
 	var dec sip.Decoder
 	if m, err := dec.Next(copied); err == nil && m != nil && m.Method == "CANCEL" {
-		s.cancelled[m.CallID] = true
+		c.cancelled[m.CallID] = true
 	}
 }
 
 // Unsent returns the number of queued messages.
-func (s *fakeConn) Unsent() int { return len(s.writeQueue) }
+func (c *fakeConn) Unsent() int { return len(c.writeQueue) }
 
 // Unread reports that there is no unread input.
-func (s *fakeConn) Unread() bool { return false }
+func (c *fakeConn) Unread() bool { return false }
 
 // EndedAt returns when the connection ended.
-func (s *fakeConn) EndedAt() time.Time { return s.endedAt }
+func (c *fakeConn) EndedAt() time.Time { return c.endedAt }
 
 // Finish closes the pool's direction and reads on.
-func (s *fakeConn) Finish(within time.Duration) {
-	s.Flush()
-	s.poolHalfClosed = true
-	s.deliverToDispatcher()
-	s.writeQueue = nil
-	s.loop.After(within, func() { s.Abort(conn.ErrClosedHere) })
+func (c *fakeConn) Finish(within time.Duration) {
+	c.Flush()
+	c.poolHalfClosed = true
+	c.deliverToDispatcher()
+	c.writeQueue = nil
+	c.loop.After(within, func() { c.Abort(conn.ErrClosedHere) })
 }
 
 // Close closes the pool's side, and discards further input.
-func (s *fakeConn) Close(reason error) {
-	if s.closed {
+func (c *fakeConn) Close(reason error) {
+	if c.closed {
 		return
 	}
-	s.Flush()
-	s.poolHalfClosed = true
-	s.deliverToDispatcher()
-	s.reportClosed(reason)
+	c.Flush()
+	c.poolHalfClosed = true
+	c.deliverToDispatcher()
+	c.reportClosed(reason)
 }
 
 // Abort closes the connection at once.
-func (s *fakeConn) Abort(reason error) {
-	if s.closed {
+func (c *fakeConn) Abort(reason error) {
+	if c.closed {
 		return
 	}
-	s.poolHalfClosed = true
-	s.deliverToDispatcher()
-	s.reportClosed(reason)
+	c.poolHalfClosed = true
+	c.deliverToDispatcher()
+	c.reportClosed(reason)
 }
--- a/internal/dispatchers/fake_dispatcher_test.go
+++ b/internal/dispatchers/fake_dispatcher_test.go
@@ -25,26 +25,26 @@
 
 // dial is the pool's dialer.
 func (n *fakeNetwork) dial(address string, timeout time.Duration, opened func(transportConn) conn.Handler, done func(error)) {
-	p := n.dispatchers[address]
-	if p != nil && p.partitioned {
+	d := n.dispatchers[address]
+	if d != nil && d.partitioned {
 		n.loop.After(timeout, func() { done(io.ErrNoProgress) })
 		return
 	}
-	if p != nil && p.timeOutNext > 0 {
-		p.timeOutNext--
+	if d != nil && d.timeOutNext > 0 {
+		d.timeOutNext--
 		n.loop.After(timeout, func() { done(io.ErrNoProgress) })
 		return
 	}
 	n.loop.After(dialTime, func() {
-		if p == nil || !p.listening || p.shouldRefuse() {
+		if d == nil || !d.listening || d.shouldRefuse() {
 			done(conn.ErrRefused)
 			return
 		}
-		s := &fakeConn{loop: n.loop, dispatcher: p, setUps: map[string]int{}, cancelled: map[string]bool{}, poolInput: ring.New(32 << 10),
+		c := &fakeConn{loop: n.loop, dispatcher: d, setUps: map[string]int{}, cancelled: map[string]bool{}, poolInput: ring.New(32 << 10),
 			dispatcherInput: ring.New(64 << 10)}
-		s.handler = opened(s)
+		c.handler = opened(c)
 		done(nil)
-		p.accept(s)
+		d.accept(c)
 	})
 }
 
@@ -73,40 +73,40 @@
 	hadReset        bool                 // a connection was reset, and none has opened since
 }
 
-func newFakeDispatcher(site *harness) *fakeDispatcher {
-	return &fakeDispatcher{harness: site, listening: true, established: map[string]*fakeConn{}, answersCall: map[string]bool{},
+func newFakeDispatcher(h *harness) *fakeDispatcher {
+	return &fakeDispatcher{harness: h, listening: true, established: map[string]*fakeConn{}, answersCall: map[string]bool{},
 		ambiguous: map[string]bool{}}
 }
 
-func (p *fakeDispatcher) accept(s *fakeConn) {
-	p.allConns = append(p.allConns, s)
-	if p.paused {
-		p.backlog = append(p.backlog, s)
+func (d *fakeDispatcher) accept(c *fakeConn) {
+	d.allConns = append(d.allConns, c)
+	if d.paused {
+		d.backlog = append(d.backlog, c)
 		return
 	}
-	p.useConn(s)
+	d.useConn(c)
 }
 
 // shouldRefuse reports whether a connection is refused although the process runs. If no other one is open, a refusal would prove that it
 // does not run.
-func (p *fakeDispatcher) shouldRefuse() bool {
-	if p.refuseNext == 0 || len(p.usableConns()) == 0 {
+func (d *fakeDispatcher) shouldRefuse() bool {
+	if d.refuseNext == 0 || len(d.usableConns()) == 0 {
 		return false
 	}
-	p.refuseNext--
-	p.lastRefused = true
+	d.refuseNext--
+	d.lastRefused = true
 	return true
 }
 
 // useConn has the dispatcher use a connection.
-func (p *fakeDispatcher) useConn(s *fakeConn) {
-	p.openConns, p.lastRefused = append(p.openConns, s), false
-	s.send(loadReport())
-	for _, id := range p.endsToRepeat {
-		s.sendEnd(id)
+func (d *fakeDispatcher) useConn(c *fakeConn) {
+	d.openConns, d.lastRefused = append(d.openConns, c), false
+	c.send(loadReport())
+	for _, id := range d.endsToRepeat {
+		c.sendEnd(id)
 	}
-	p.endsToRepeat, p.hadReset = nil, false
-	s.deliverToPool()
+	d.endsToRepeat, d.hadReset = nil, false
+	c.deliverToPool()
 }
 
 // loadReport returns a report, as a dispatcher sends it without a request.
@@ -116,9 +116,9 @@
 }
 
 // sendReport has the dispatcher send a report on a connection. It arrives at once.
-func (s *fakeConn) sendReport() {
-	s.send(loadReport())
-	s.deliverToPool()
+func (c *fakeConn) sendReport() {
+	c.send(loadReport())
+	c.deliverToPool()
 }
 
 func releaseOf(id string) []byte {
@@ -127,159 +127,159 @@
 }
 
 // usableConns returns the connections on which the dispatcher can send.
-func (p *fakeDispatcher) usableConns() []*fakeConn {
-	return slices.DeleteFunc(slices.Clone(p.openConns),
-		func(s *fakeConn) bool { return s.dispatcherClosed || s.poolHalfClosed && !s.dispatcherUnaware() })
+func (d *fakeDispatcher) usableConns() []*fakeConn {
+	return slices.DeleteFunc(slices.Clone(d.openConns),
+		func(c *fakeConn) bool { return c.dispatcherClosed || c.poolHalfClosed && !c.dispatcherUnaware() })
 }
 
 // hasBlockedConn reports whether there is a connection on which a release would not get through although the pool's side takes it for
 // open.
-func (p *fakeDispatcher) hasBlockedConn() bool {
-	return p.partitioned || p.paused || slices.ContainsFunc(p.allConns, func(s *fakeConn) bool {
-		return !s.closed && (s.blockedToDispatcher || s.writeBlocked || s.blockedToPool && s.dispatcherClosed)
+func (d *fakeDispatcher) hasBlockedConn() bool {
+	return d.partitioned || d.paused || slices.ContainsFunc(d.allConns, func(c *fakeConn) bool {
+		return !c.closed && (c.blockedToDispatcher || c.writeBlocked || c.blockedToPool && c.dispatcherClosed)
 	})
 }
 
 // reachable reports whether there is a connection that works in both directions.
-func (p *fakeDispatcher) reachable() bool {
-	return !p.partitioned && !p.paused && slices.ContainsFunc(p.usableConns(),
-		func(s *fakeConn) bool { return !s.blockedToDispatcher && !s.blockedToPool })
+func (d *fakeDispatcher) reachable() bool {
+	return !d.partitioned && !d.paused && slices.ContainsFunc(d.usableConns(),
+		func(c *fakeConn) bool { return !c.blockedToDispatcher && !c.blockedToPool })
 }
 
 // pending returns the first connection with an open set-up of a call, or nil.
-func (p *fakeDispatcher) pending(id string) *fakeConn {
-	for _, s := range p.openConns {
-		if _, ok := s.setUps[id]; ok {
-			return s
+func (d *fakeDispatcher) pending(id string) *fakeConn {
+	for _, c := range d.openConns {
+		if _, ok := c.setUps[id]; ok {
+			return c
 		}
 	}
 	return nil
 }
 
 // sendFinalAnswer sends the final answer to a set-up; 200 establishes the call.
-func (p *fakeDispatcher) sendFinalAnswer(id string, status int) bool {
-	s := p.pending(id)
-	return s != nil && !p.paused && p.sendFinalAnswerOn(s, id, status)
+func (d *fakeDispatcher) sendFinalAnswer(id string, status int) bool {
+	c := d.pending(id)
+	return c != nil && !d.paused && d.sendFinalAnswerOn(c, id, status)
 }
 
 // sendFinalAnswerOn sends it on a connection, if the set-up is open there.
-func (p *fakeDispatcher) sendFinalAnswerOn(s *fakeConn, id string, status int) bool {
-	if _, ok := s.setUps[id]; !ok {
+func (d *fakeDispatcher) sendFinalAnswerOn(c *fakeConn, id string, status int) bool {
+	if _, ok := c.setUps[id]; !ok {
 		return false
 	}
-	m := &sip.Message{Status: status, Phrase: "x", CallID: id, Seq: uint32(s.setUps[id]) + 1, SeqOf: "INVITE"}
-	delete(s.setUps, id)
+	m := &sip.Message{Status: status, Phrase: "x", CallID: id, Seq: uint32(c.setUps[id]) + 1, SeqOf: "INVITE"}
+	delete(c.setUps, id)
 	if status == 200 {
 		m.Body = []byte("description")
-		p.established[id] = s
-		p.harness.callEstablished(id)
-		p.ambiguous[id] = p.ambiguous[id] || p.hasUndeliveredEnd(id)
+		d.established[id] = c
+		d.harness.callEstablished(id)
+		d.ambiguous[id] = d.ambiguous[id] || d.hasUndeliveredEnd(id)
 	}
-	s.send(sip.Append(nil, m))
+	c.send(sip.Append(nil, m))
 	return true
 }
 
 // endCall ends an established call, and sends the end as the protocol prescribes.
-func (p *fakeDispatcher) endCall(id string) bool {
-	s, ok := p.established[id]
-	if !ok || p.paused {
+func (d *fakeDispatcher) endCall(id string) bool {
+	c, ok := d.established[id]
+	if !ok || d.paused {
 		return false
 	}
-	delete(p.established, id)
-	p.endsToRepeat = append(p.endsToRepeat, id)
-	open := p.usableConns()
-	if !slices.Contains(open, s) {
+	delete(d.established, id)
+	d.endsToRepeat = append(d.endsToRepeat, id)
+	open := d.usableConns()
+	if !slices.Contains(open, c) {
 		if len(open) == 0 {
 			return true
 		}
-		s = open[0]
-		if p.endsOnNewest {
-			s = open[len(open)-1]
+		c = open[0]
+		if d.endsOnNewest {
+			c = open[len(open)-1]
 		}
 	}
-	s.sendEnd(id)
+	c.sendEnd(id)
 	return true
 }
 
 // startReporting has the dispatcher send a report on each connection, every second.
-func (p *fakeDispatcher) startReporting(loop *call.Loop) {
+func (d *fakeDispatcher) startReporting(loop *call.Loop) {
 	loop.After(time.Second, func() {
-		for _, s := range p.usableConns() {
-			if !p.paused {
-				s.sendReport()
+		for _, c := range d.usableConns() {
+			if !d.paused {
+				c.sendReport()
 			}
 		}
-		p.startReporting(loop)
+		d.startReporting(loop)
 	})
 }
 
 // hasUndeliveredEnd reports whether the end of a call is in transit, or is to be sent on the next connection.
-func (p *fakeDispatcher) hasUndeliveredEnd(id string) bool {
-	return slices.Contains(p.endsToRepeat, id) || slices.ContainsFunc(p.allConns, func(s *fakeConn) bool {
-		return slices.ContainsFunc(s.inTransit, func(m fakeMessage) bool { return m.endOf == id })
+func (d *fakeDispatcher) hasUndeliveredEnd(id string) bool {
+	return slices.Contains(d.endsToRepeat, id) || slices.ContainsFunc(d.allConns, func(c *fakeConn) bool {
+		return slices.ContainsFunc(c.inTransit, func(m fakeMessage) bool { return m.endOf == id })
 	})
 }
 
 // handle processes a message of the controller.
-func (p *fakeDispatcher) handle(s *fakeConn, m *sip.Message) {
+func (d *fakeDispatcher) handle(c *fakeConn, m *sip.Message) {
 	switch m.Method {
 	case "INVITE":
-		s.setUps[m.CallID] = int(m.Seq) - 1
-		if p.answersAll || p.answersCall[m.CallID] || p.answersRetries && m.Seq > 1 {
-			p.answerLater(s, m.CallID)
+		c.setUps[m.CallID] = int(m.Seq) - 1
+		if d.answersAll || d.answersCall[m.CallID] || d.answersRetries && m.Seq > 1 {
+			d.answerLater(c, m.CallID)
 		}
 	case "CANCEL":
-		delete(s.setUps, m.CallID)
+		delete(c.setUps, m.CallID)
 	case "BYE":
-		delete(p.established, m.CallID)
+		delete(d.established, m.CallID)
 	case "ACK", "":
 		return
 	}
-	if m.Method != "INVITE" && !(m.Method == "BYE" && p.ignoresReleases) {
-		s.send(sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: m.CallID, Seq: m.Seq, SeqOf: m.Method}))
+	if m.Method != "INVITE" && !(m.Method == "BYE" && d.ignoresReleases) {
+		c.send(sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: m.CallID, Seq: m.Seq, SeqOf: m.Method}))
 	}
 }
 
 // answerLater answers a set-up after answerDelay or, if the dispatcher is paused, after the pause.
-func (p *fakeDispatcher) answerLater(s *fakeConn, id string) {
-	s.loop.After(answerDelay, func() {
-		if p.paused {
-			p.answerLater(s, id)
+func (d *fakeDispatcher) answerLater(c *fakeConn, id string) {
+	c.loop.After(answerDelay, func() {
+		if d.paused {
+			d.answerLater(c, id)
 			return
 		}
-		p.sendFinalAnswerOn(s, id, 200)
-		s.deliverToPool()
+		d.sendFinalAnswerOn(c, id, 200)
+		c.deliverToPool()
 	})
 }
 
 // unpause ends a pause. What was written meanwhile is read now if reads is set, and otherwise later.
-func (p *fakeDispatcher) unpause(reads bool) {
-	p.paused = false
-	before := slices.Clone(p.allConns)
-	for _, s := range p.backlog {
-		p.useConn(s)
+func (d *fakeDispatcher) unpause(reads bool) {
+	d.paused = false
+	before := slices.Clone(d.allConns)
+	for _, c := range d.backlog {
+		d.useConn(c)
 	}
-	p.backlog = nil
-	for _, s := range before {
-		s.blockedToDispatcher = s.blockedToDispatcher || !reads && !s.dispatcherClosed
-		s.deliverToDispatcher()
+	d.backlog = nil
+	for _, c := range before {
+		c.blockedToDispatcher = c.blockedToDispatcher || !reads && !c.dispatcherClosed
+		c.deliverToDispatcher()
 	}
 }
 
 // reconnect ends a time in which nothing got through. What was written meanwhile is delivered now.
-func (p *fakeDispatcher) reconnect() {
-	p.partitioned = false
-	for _, s := range p.allConns {
-		s.deliverToDispatcher()
-		s.deliverToPool()
+func (d *fakeDispatcher) reconnect() {
+	d.partitioned = false
+	for _, c := range d.allConns {
+		c.deliverToDispatcher()
+		c.deliverToPool()
 	}
 }
 
 // die resets all connections and ends all calls.
-func (p *fakeDispatcher) die() {
-	p.listening = false
-	clear(p.established)
-	for _, s := range slices.Clone(p.openConns) {
-		s.reset()
+func (d *fakeDispatcher) die() {
+	d.listening = false
+	clear(d.established)
+	for _, c := range slices.Clone(d.openConns) {
+		c.reset()
 	}
 }
--- a/internal/dispatchers/harness_helpers_test.go
+++ b/internal/dispatchers/harness_helpers_test.go
@@ -16,35 +16,35 @@
 const setUpDelay = 10 * time.Millisecond
 
 // run runs the event loop until the returned function is called.
-func (s *harness) run() (quit func()) {
-	go s.core.Loop().Run()
+func (h *harness) run() (quit func()) {
+	go h.core.Loop().Run()
 	return func() {
-		s.core.Loop().Quit()
+		h.core.Loop().Quit()
 		synctest.Wait()
 	}
 }
 
 // withHarness runs a test with a harness whose first dispatcher has the connections of the initial state.
-func withHarness(t *testing.T, start initialState, test func(s *harness)) {
+func withHarness(t *testing.T, start initialState, test func(h *harness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := newHarness(t, start)
-		defer s.run()()
-		s.runOnLoop(func() { s.updateList(control.Active, "first") })
+		h := newHarness(t, start)
+		defer h.run()()
+		h.runOnLoop(func() { h.updateList(control.Active, "first") })
 		time.Sleep(time.Second)
 		for range start.conns - 1 {
-			s.runOnLoop(func() { s.pool.Reconnect("first") })
+			h.runOnLoop(func() { h.pool.Reconnect("first") })
 			time.Sleep(time.Second)
 		}
-		test(s)
+		test(h)
 	})
 }
 
 // playWithoutViolation plays a sequence of steps, and requires it to be possible and without a violation.
-func (start initialState) playWithoutViolation(t *testing.T, order []scenarioStep) {
+func (start initialState) playWithoutViolation(t *testing.T, steps []scenarioStep) {
 	t.Helper()
-	if result := start.play(t, order); !result.possible || len(result.violations) > 0 {
-		t.Errorf("steps %s, possible: %v: %s", start.prefix+stepLetters(order), result.possible, strings.Join(result.violations, "; "))
+	if result := start.play(t, steps); !result.possible || len(result.violations) > 0 {
+		t.Errorf("steps %s, possible: %v: %s", start.prefix+stepLetters(steps), result.possible, strings.Join(result.violations, "; "))
 	}
 }
 
@@ -54,23 +54,23 @@
 }
 
 // setUpCall has the caller set a call up, and waits until the set-up has reached the dispatcher.
-func (s *harness) setUpCall(id string) {
-	s.runOnLoop(func() { s.placeCall(id, callTimeout) })
+func (h *harness) setUpCall(id string) {
+	h.runOnLoop(func() { h.placeCall(id, callTimeout) })
 	time.Sleep(setUpDelay)
 }
 
 // establish sets a call up at the first dispatcher, which answers it.
-func (s *harness) establish(id string) {
-	s.setUpCall(id)
-	s.runOnLoop(func() { s.first.sendFinalAnswer(id, 200) })
+func (h *harness) establish(id string) {
+	h.setUpCall(id)
+	h.runOnLoop(func() { h.first.sendFinalAnswer(id, 200) })
 	time.Sleep(time.Millisecond)
-	s.runOnLoop(s.deliverAll)
+	h.runOnLoop(h.deliverAll)
 }
 
 // reportFor has the first dispatcher send reports on all its working connections for a time.
-func (s *harness) reportFor(d time.Duration) {
+func (h *harness) reportFor(d time.Duration) {
 	for _, e := range reportSteps(d) {
-		s.runOnLoop(func() { e.run(s) })
+		h.runOnLoop(func() { e.run(h) })
 		time.Sleep(e.after)
 	}
 }
--- a/internal/dispatchers/harness_test.go
+++ b/internal/dispatchers/harness_test.go
@@ -63,27 +63,27 @@
 	stalled            bool // a connection was blocked for a while
 }
 
-func (s *harness) violation(format string, args ...any) {
-	s.violations = append(s.violations, fmt.Sprintf(format, args...))
+func (h *harness) violation(format string, args ...any) {
+	h.violations = append(h.violations, fmt.Sprintf(format, args...))
 }
 
 // Answer records that the call is established.
-func (s *harness) Answer(id, _ string) error { s.calls[id].answers++; return nil }
+func (h *harness) Answer(id, _ string) error { h.calls[id].answers++; return nil }
 
 // End records the final answer.
-func (s *harness) End(id string, _ call.End) { s.calls[id].refusals++ }
+func (h *harness) End(id string, _ call.End) { h.calls[id].refusals++ }
 
 // Disconnected reports whether the caller has disconnected.
-func (s *harness) Disconnected() bool { return s.callerDisconnected }
+func (h *harness) Disconnected() bool { return h.callerDisconnected }
 
 // NotifyTerminated records the end of the call, and checks that it is justified.
-func (s *harness) NotifyTerminated(id string, _ call.End) {
-	c := s.calls[id]
-	_, holds := s.first.established[id]
-	holds = holds && !s.first.ambiguous[id]                                     // it is unknown whose end it is
-	canRepeat := s.first.listening && !s.first.lastRefused || !s.first.hadReset // ends that may have been lost
-	if holds && canRepeat && s.first.reachable() && !c.cancelled {
-		s.violation("the end of %s was reported while it continues at a reachable dispatcher", id)
+func (h *harness) NotifyTerminated(id string, _ call.End) {
+	c := h.calls[id]
+	_, holds := h.first.established[id]
+	holds = holds && !h.first.ambiguous[id]                                     // it is unknown whose end it is
+	canRepeat := h.first.listening && !h.first.lastRefused || !h.first.hadReset // ends that may have been lost
+	if holds && canRepeat && h.first.reachable() && !c.cancelled {
+		h.violation("the end of %s was reported while it continues at a reachable dispatcher", id)
 	}
 	c.ends++
 	c.endReportedAt = time.Now()
@@ -103,24 +103,24 @@
 
 // attemptArrived checks the arrival of an attempt at a dispatcher. A dispatcher that nothing reaches can't learn that an earlier attempt
 // was cancelled.
-func (s *harness) attemptArrived(id string) {
-	for _, p := range s.network.dispatchers {
-		if pending := p.pending(id); pending != nil && !p.partitioned && !pending.cancelUnread(id) {
-			s.violation("an attempt of %s while another one is in progress", id)
+func (h *harness) attemptArrived(id string) {
+	for _, d := range h.network.dispatchers {
+		if pending := d.pending(id); pending != nil && !d.partitioned && !pending.cancelUnread(id) {
+			h.violation("an attempt of %s while another one is in progress", id)
 		}
 	}
-	if c := s.calls[id]; c.answers+c.refusals > 0 {
-		s.violation("an attempt of %s after the final answer", id)
+	if c := h.calls[id]; c.answers+c.refusals > 0 {
+		h.violation("an attempt of %s after the final answer", id)
 	}
 }
 
 // callEstablished records that a dispatcher holds a call.
-func (s *harness) callEstablished(id string) { s.calls[id].releaseDeliveredAt = time.Time{} }
+func (h *harness) callEstablished(id string) { h.calls[id].releaseDeliveredAt = time.Time{} }
 
 // releaseDelivered records that a release by a dispatcher has arrived. One that arrives while the call continues there belongs to an
 // earlier attempt.
-func (s *harness) releaseDelivered(by *fakeDispatcher, id string) {
-	c := s.calls[id]
+func (h *harness) releaseDelivered(by *fakeDispatcher, id string) {
+	c := h.calls[id]
 	if _, goesOn := by.established[id]; c != nil && !goesOn && c.releaseDeliveredAt.IsZero() {
 		c.releaseDeliveredAt = time.Now()
 	}
@@ -138,169 +138,169 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &harness{initialState: start, core: core, network: &fakeNetwork{loop: loop, dispatchers: map[string]*fakeDispatcher{}},
+	h := &harness{initialState: start, core: core, network: &fakeNetwork{loop: loop, dispatchers: map[string]*fakeDispatcher{}},
 		calls: map[string]*callRecord{}}
-	s.pool = New(loop, core, Options{ConnectTimeout: 500 * time.Millisecond, ReportFields: []string{"idle"}, Log: log})
-	s.pool.dial = s.network.dial
+	h.pool = New(loop, core, Options{ConnectTimeout: 500 * time.Millisecond, ReportFields: []string{"idle"}, Log: log})
+	h.pool.dial = h.network.dial
 	if start.maxConns > 0 {
-		s.pool.SetMaxConnections(start.maxConns)
+		h.pool.SetMaxConnections(start.maxConns)
 	}
-	core.SetDispatchers(s.pool)
-	core.AddFront(fakeFront{s})
-	core.OnFlush(s.pool.Flush)
-	s.first = newFakeDispatcher(s)
-	s.first.answersRetries, s.first.neverCloses, s.first.ignoresReleases, s.first.resetsOnClose = start.answersRetries, start.neverCloses,
+	core.SetDispatchers(h.pool)
+	core.AddFront(fakeFront{h})
+	core.OnFlush(h.pool.Flush)
+	h.first = newFakeDispatcher(h)
+	h.first.answersRetries, h.first.neverCloses, h.first.ignoresReleases, h.first.resetsOnClose = start.answersRetries, start.neverCloses,
 		start.ignoresReleases, start.resetsOnClose
-	s.first.endsOnNewest = start.endsOnNewest
+	h.first.endsOnNewest = start.endsOnNewest
 	if start.reportsPeriodically {
-		s.first.startReporting(loop)
+		h.first.startReporting(loop)
 	}
-	s.network.dispatchers["first"] = s.first
+	h.network.dispatchers["first"] = h.first
 	if start.secondDispatcher {
-		s.network.dispatchers["second"] = newFakeDispatcher(s)
-		s.network.dispatchers["second"].answersAll = true
+		h.network.dispatchers["second"] = newFakeDispatcher(h)
+		h.network.dispatchers["second"].answersAll = true
 	}
-	return s
+	return h
 }
 
 // updateList passes a list of dispatchers with the given status to the core.
-func (s *harness) updateList(status control.ServerStatus, names ...control.ServerID) {
+func (h *harness) updateList(status control.ServerStatus, names ...control.ServerID) {
 	var u call.Update
 	for i, name := range names {
 		entry := control.ServerEntry{ID: name, Cell: i, Status: status}
 		if name == "first" {
-			entry.StartedAt = s.startedAt
+			entry.StartedAt = h.startedAt
 		}
 		u.Servers = append(u.Servers, call.Server{ServerEntry: entry, Address: string(name)})
 	}
-	s.core.Update(u)
+	h.core.Update(u)
 }
 
 // runOnLoop runs a function on the event loop, and waits until everything that it causes at once has happened.
-func (s *harness) runOnLoop(f func()) {
-	s.core.Loop().Post(f)
+func (h *harness) runOnLoop(f func()) {
+	h.core.Loop().Post(f)
 	synctest.Wait()
 }
 
 // restartFirst replaces the process of the first dispatcher by a new one, under its name and at its address.
-func (s *harness) restartFirst() {
-	s.first.die()
-	s.first = newFakeDispatcher(s)
-	s.network.dispatchers["first"] = s.first
-	s.startedAt += time.Second
-	s.updateList(control.Active, "first")
+func (h *harness) restartFirst() {
+	h.first.die()
+	h.first = newFakeDispatcher(h)
+	h.network.dispatchers["first"] = h.first
+	h.startedAt += time.Second
+	h.updateList(control.Active, "first")
 }
 
-func (s *harness) withOldest(f func(*fakeConn)) bool {
-	if s.first.partitioned || s.first.paused || len(s.first.openConns) == 0 {
+func (h *harness) withOldest(f func(*fakeConn)) bool {
+	if h.first.partitioned || h.first.paused || len(h.first.openConns) == 0 {
 		return false
 	}
-	f(s.first.openConns[0])
+	f(h.first.openConns[0])
 	return true
 }
 
 // endCall has a dispatcher end the call.
-func (s *harness) endCall(at *fakeDispatcher, id string) bool {
+func (h *harness) endCall(at *fakeDispatcher, id string) bool {
 	if !at.endCall(id) {
 		return false
 	}
-	s.calls[id].endedAt = time.Now()
+	h.calls[id].endedAt = time.Now()
 	return true
 }
 
 // placeCall has the caller set a call up.
-func (s *harness) placeCall(id string, within time.Duration) {
-	if s.calls[id] == nil {
-		s.calls[id] = &callRecord{}
+func (h *harness) placeCall(id string, within time.Duration) {
+	if h.calls[id] == nil {
+		h.calls[id] = &callRecord{}
 	}
-	_ = s.core.Offer(call.Request{ID: id, Class: "c", Deadline: time.Now().Add(within), Caller: s, Description: "x"})
+	_ = h.core.Offer(call.Request{ID: id, Class: "c", Deadline: time.Now().Add(within), Caller: h, Description: "x"})
 }
 
 // cancelCall has the caller cancel a call, or end it.
-func (s *harness) cancelCall(id string) bool {
-	c := s.calls[id]
-	if c == nil || c.cancelled || s.callerDisconnected {
+func (h *harness) cancelCall(id string) bool {
+	c := h.calls[id]
+	if c == nil || c.cancelled || h.callerDisconnected {
 		return false
 	}
 	c.cancelled = true
-	s.core.CallerReleased(s, id, call.CauseNormal)
+	h.core.CallerReleased(h, id, call.CauseNormal)
 	return true
 }
 
 // play runs the steps, and then delivers everything and ends the calls. It reports false if one of the steps was not possible.
-func (s *harness) play(order []scenarioStep) bool {
-	defer s.run()()
-	s.runOnLoop(func() {
-		if s.secondDispatcher {
-			s.updateList(control.Active, "first", "second")
+func (h *harness) play(steps []scenarioStep) bool {
+	defer h.run()()
+	h.runOnLoop(func() {
+		if h.secondDispatcher {
+			h.updateList(control.Active, "first", "second")
 		} else {
-			s.updateList(control.Active, "first")
+			h.updateList(control.Active, "first")
 		}
 	})
 	time.Sleep(time.Second)
-	for range s.conns - 1 {
-		s.runOnLoop(func() { s.pool.Reconnect("first") })
+	for range h.conns - 1 {
+		h.runOnLoop(func() { h.pool.Reconnect("first") })
 		time.Sleep(3 * checkInterval)
 	}
-	if s.suspect {
-		s.runOnLoop(func() { s.placeCall(otherCallID, suspectCallTimeout) })
+	if h.suspect {
+		h.runOnLoop(func() { h.placeCall(otherCallID, suspectCallTimeout) })
 		time.Sleep(time.Second)
 	}
-	s.setUpCall(testCallID)
-	if s.established {
-		s.runOnLoop(func() { s.first.sendFinalAnswer(testCallID, 200) })
+	h.setUpCall(testCallID)
+	if h.established {
+		h.runOnLoop(func() { h.first.sendFinalAnswer(testCallID, 200) })
 		time.Sleep(time.Millisecond)
-		s.runOnLoop(s.deliverAll)
+		h.runOnLoop(h.deliverAll)
 	}
-	for _, e := range order {
-		could := false
+	for _, e := range steps {
+		possible := false
 		if !e.idle {
-			s.lastStepAt = time.Now()
+			h.lastStepAt = time.Now()
 		}
-		s.runOnLoop(func() { could = e.run(s) })
-		if !could {
+		h.runOnLoop(func() { possible = e.run(h) })
+		if !possible {
 			return false
 		}
-		s.advance(e.after)
+		h.advance(e.after)
 	}
-	s.settle()
+	h.settle()
 	return true
 }
 
 // advance lets time pass. Nothing is in transit for longer than maxTransit after the last step, unless it is blocked.
-func (s *harness) advance(d time.Duration) {
+func (h *harness) advance(d time.Duration) {
 	for until := time.Now().Add(d); time.Now().Before(until); {
-		if time.Since(s.lastStepAt) >= maxTransit {
-			s.runOnLoop(s.deliverAll)
+		if time.Since(h.lastStepAt) >= maxTransit {
+			h.runOnLoop(h.deliverAll)
 		}
 		time.Sleep(min(deliveryInterval, time.Until(until)))
 	}
 }
 
 // settle delivers what is in transit until the call's timeout has passed, and then ends what is established.
-func (s *harness) settle() {
-	s.advance(maxTransit + callTimeout + time.Second)
-	s.runOnLoop(s.checkAnswered)
-	s.runOnLoop(func() { s.unpauseFirst(true) })
-	if s.stalled {
-		s.advance(halfCloseTimeout) // until an abandoned connection is closed
+func (h *harness) settle() {
+	h.advance(maxTransit + callTimeout + time.Second)
+	h.runOnLoop(h.checkAnswered)
+	h.runOnLoop(func() { h.unpauseFirst(true) })
+	if h.stalled {
+		h.advance(halfCloseTimeout) // until an abandoned connection is closed
 	}
-	s.runOnLoop(s.checkEstablished)
-	s.runOnLoop(func() {
-		for _, p := range s.network.dispatchers {
-			for _, id := range slices.Sorted(maps.Keys(s.calls)) {
-				s.endCall(p, id)
+	h.runOnLoop(h.checkEstablished)
+	h.runOnLoop(func() {
+		for _, d := range h.network.dispatchers {
+			for _, id := range slices.Sorted(maps.Keys(h.calls)) {
+				h.endCall(d, id)
 			}
 		}
 	})
-	s.advance(maxTransit + endTimeout + time.Second)
-	s.runOnLoop(s.checkEnd)
+	h.advance(maxTransit + endTimeout + time.Second)
+	h.runOnLoop(h.checkEnd)
 }
 
 // deliverAll delivers all that is in transit, except what was sent at this instant.
-func (s *harness) deliverAll() {
-	for _, p := range s.network.dispatchers {
-		for _, c := range p.allConns {
+func (h *harness) deliverAll() {
+	for _, d := range h.network.dispatchers {
+		for _, c := range d.allConns {
 			if c.sentAt.Before(time.Now()) {
 				c.deliverToPool()
 			}
@@ -309,29 +309,29 @@
 }
 
 // checkAnswered checks that each call has exactly one final answer.
-func (s *harness) checkAnswered() {
-	for id, c := range s.calls {
-		if want := 1; !c.cancelled && !s.callerDisconnected && c.answers+c.refusals != want {
-			s.violation("%s has %d answers and %d refusals", id, c.answers, c.refusals)
+func (h *harness) checkAnswered() {
+	for id, c := range h.calls {
+		if want := 1; !c.cancelled && !h.callerDisconnected && c.answers+c.refusals != want {
+			h.violation("%s has %d answers and %d refusals", id, c.answers, c.refusals)
 		}
 	}
 }
 
 // checkEstablished checks that each call that a dispatcher holds is known to the core.
-func (s *harness) checkEstablished() {
-	for id := range s.calls {
-		for name, p := range s.network.dispatchers {
-			if _, ok := p.established[id]; ok && !p.ambiguous[id] && !p.hasBlockedConn() && !s.isEstablished(id, name) &&
-				(p.listening && !p.lastRefused || len(p.usableConns()) > 0) {
-				s.violation("%s holds %s, which the core does not know and nobody releases", name, id)
+func (h *harness) checkEstablished() {
+	for id := range h.calls {
+		for name, d := range h.network.dispatchers {
+			if _, ok := d.established[id]; ok && !d.ambiguous[id] && !d.hasBlockedConn() && !h.isEstablished(id, name) &&
+				(d.listening && !d.lastRefused || len(d.usableConns()) > 0) {
+				h.violation("%s holds %s, which the core does not know and nobody releases", name, id)
 			}
 		}
 	}
 }
 
 // isEstablished reports whether the core has a call as established at a dispatcher.
-func (s *harness) isEstablished(id, dispatcher string) bool {
-	for known := range s.core.EstablishedAt(control.ServerID(dispatcher)) {
+func (h *harness) isEstablished(id, dispatcher string) bool {
+	for known := range h.core.EstablishedAt(control.ServerID(dispatcher)) {
 		if known == id {
 			return true
 		}
@@ -340,13 +340,13 @@
 }
 
 // checkEnd checks that the ends of the established calls were reported, and that no entry is left.
-func (s *harness) checkEnd() {
-	for id, c := range s.calls {
-		c.check(func(format string, args ...any) { s.violation(id+": "+format, args...) })
+func (h *harness) checkEnd() {
+	for id, c := range h.calls {
+		c.check(func(format string, args ...any) { h.violation(id+": "+format, args...) })
 	}
-	for name, server := range s.pool.servers {
+	for name, server := range h.pool.servers {
 		if len(server.established) > 0 {
-			s.violation("%s has an entry of a terminated call", name)
+			h.violation("%s has an entry of a terminated call", name)
 		}
 	}
 }
--- a/internal/dispatchers/invalid_input_test.go
+++ b/internal/dispatchers/invalid_input_test.go
@@ -10,8 +10,8 @@
 // continues, after the connection that replaces it has opened.
 func TestAnEndOnAHalfClosedConnectionClosedForInvalidInputIsReported(t *testing.T) {
 	t.Parallel()
-	invalidInput := newStep("invalid input arrives on the call's connection, which delivers again", 0, func(s *harness) {
-		s.withConnectionOf(testCallID, func(*fakeConn) bool { return true }, func(c *fakeConn) {
+	invalidInput := newStep("invalid input arrives on the call's connection, which delivers again", 0, func(h *harness) {
+		h.withConnectionOf(testCallID, func(*fakeConn) bool { return true }, func(c *fakeConn) {
 			c.blockedToPool = false
 			c.send([]byte("noise\r\n\r\n"))
 			c.deliverToPool()
--- a/internal/dispatchers/known_scenarios_test.go
+++ b/internal/dispatchers/known_scenarios_test.go
@@ -20,8 +20,8 @@
 // it has opened.
 func TestAnEndOnAConnectionClosedForInvalidInputIsReported(t *testing.T) {
 	t.Parallel()
-	invalidInput := newStep("invalid input arrives on the call's connection", 0, func(s *harness) {
-		s.withConnectionOf(testCallID, func(*fakeConn) bool { return true }, func(c *fakeConn) {
+	invalidInput := newStep("invalid input arrives on the call's connection", 0, func(h *harness) {
+		h.withConnectionOf(testCallID, func(*fakeConn) bool { return true }, func(c *fakeConn) {
 			c.send([]byte("noise\r\n\r\n"))
 			c.deliverToPool()
 		})
@@ -33,11 +33,11 @@
 // one at its address were opened under its name before the list changed.
 func TestCallsOfADispatcherWhoseAddressIsTakenEnd(t *testing.T) {
 	t.Parallel()
-	replaces := newStep("another dispatcher starts at its address", 0, func(s *harness) {
-		s.first.die()
-		other := newFakeDispatcher(s)
-		other.startReporting(s.network.loop)
-		s.network.dispatchers["first"] = other
+	replaces := newStep("another dispatcher starts at its address", 0, func(h *harness) {
+		h.first.die()
+		other := newFakeDispatcher(h)
+		other.startReporting(h.network.loop)
+		h.network.dispatchers["first"] = other
 	})
 	listed := newStep("the list contains the other dispatcher", 0, (*harness).listReplacement)
 	reportingCall.playWithoutViolation(t, slices.Concat([]scenarioStep{replaces}, stepsFor("t"), []scenarioStep{listed}))
--- a/internal/dispatchers/late_abandon_test.go
+++ b/internal/dispatchers/late_abandon_test.go
@@ -6,22 +6,22 @@
 // lost on is found unresponsive late, and the next one is opened later still.
 func TestAnEndOnAConnectionThatIsAbandonedLate(t *testing.T) {
 	t.Parallel()
-	const reportPeriod = silenceThreshold - checkInterval // no connection is opened because of silence
-	var dead *fakeConn
-	order := []scenarioStep{newStep("the call ends, and its connection is dead", reportPeriod, func(s *harness) {
-		dead = s.first.established[testCallID]
-		dead.blockedToPool = true
-		s.endCall(s.first, testCallID)
+	const reportPeriod = suspectAfter - checkInterval // no connection is opened for lack of input
+	var stalled *fakeConn
+	steps := []scenarioStep{newStep("the call ends, and its connection is unresponsive", reportPeriod, func(h *harness) {
+		stalled = h.first.established[testCallID]
+		stalled.blockedToPool = true
+		h.endCall(h.first, testCallID)
 	})}
 	for range 3 {
-		order = append(order, newStep("another connection brings a report", reportPeriod, func(s *harness) {
-			for _, c := range s.first.openConns {
-				if c != dead {
+		steps = append(steps, newStep("another connection brings a report", reportPeriod, func(h *harness) {
+			for _, c := range h.first.openConns {
+				if c != stalled {
 					c.sendReport()
 					return
 				}
 			}
 		}))
 	}
-	initialState{established: true, conns: 2}.playWithoutViolation(t, order)
+	initialState{established: true, conns: 2}.playWithoutViolation(t, steps)
 }
--- a/internal/dispatchers/log_test.go
+++ b/internal/dispatchers/log_test.go
@@ -12,22 +12,22 @@
 )
 
 // logTo has the pool log its steps.
-func (s *harness) logTo(w io.Writer) {
-	s.pool.Log = slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: slog.LevelDebug}))
+func (h *harness) logTo(w io.Writer) {
+	h.pool.Log = slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: slog.LevelDebug}))
 }
 
 // TestTheStepsOfAnAbandonedConnectionAreLogged guards against ends that are read on an abandoned connection without a trace in the log.
 func TestTheStepsOfAnAbandonedConnectionAreLogged(t *testing.T) {
 	start := initialState{name: "established", established: true}
 	var log bytes.Buffer
-	order := []scenarioStep{
-		newStep("the end of the call is in transit", 0, func(s *harness) { s.endCall(s.first, testCallID) }),
-		newStep("its connection is abandoned", 0, func(s *harness) {
-			s.logTo(&log)
-			s.pool.servers["first"].conns[0].halfClose(errors.New("for the test"))
+	steps := []scenarioStep{
+		newStep("the end of the call is in transit", 0, func(h *harness) { h.endCall(h.first, testCallID) }),
+		newStep("its connection is abandoned", 0, func(h *harness) {
+			h.logTo(&log)
+			h.pool.servers["first"].conns[0].halfClose(errors.New("for the test"))
 		}),
 	}
-	if result := start.play(t, order); !result.possible || len(result.violations) > 0 {
+	if result := start.play(t, steps); !result.possible || len(result.violations) > 0 {
 		t.Fatalf("possible: %v, faults: %v", result.possible, result.violations)
 	}
 	for _, want := range []string{
@@ -48,13 +48,14 @@
 // TestTheStepsOfADispatcherAreLogged guards against connections that are requested, and calls that are released, without a trace in the
 // log.
 func TestTheStepsOfADispatcherAreLogged(t *testing.T) {
-	events := map[byte]scenarioStep{}
+	byLetter := map[byte]scenarioStep{}
 	for _, e := range baseSteps() {
-		events[e.letter] = e
+		byLetter[e.letter] = e
 	}
-	events['!'] = newStep("the first dispatcher is disconnected", 0, func(s *harness) { s.pool.servers["first"].disconnect(errors.New("for the test")) })
-	events['%'], events['@'] = resetAll(), addressTaken()
-	for step, order := range map[endlog.Step]string{
+	byLetter['!'] = newStep("the first dispatcher is disconnected", 0,
+		func(h *harness) { h.pool.servers["first"].disconnect(errors.New("for the test")) })
+	byLetter['%'], byLetter['@'] = resetAll(), addressTaken()
+	for step, letters := range map[endlog.Step]string{
 		endlog.RenewalAsked:     "rT",
 		endlog.RenewalBegun:     "n",
 		endlog.RenewalFailed:    "sn",
@@ -69,11 +70,11 @@
 	} {
 		t.Run(string(step), func(t *testing.T) {
 			var log bytes.Buffer
-			all := []scenarioStep{newStep("steps are logged", 0, func(s *harness) { s.logTo(&log) })}
-			for _, letter := range []byte(order) {
-				all = append(all, events[letter])
+			steps := []scenarioStep{newStep("steps are logged", 0, func(h *harness) { h.logTo(&log) })}
+			for _, letter := range []byte(letters) {
+				steps = append(steps, byLetter[letter])
 			}
-			if result := (initialState{name: "set up", conns: 2}).play(t, all); !result.possible {
+			if result := (initialState{name: "set up", conns: 2}).play(t, steps); !result.possible {
 				t.Fatal("the scenario was not possible")
 			}
 			if !strings.Contains(log.String(), "step=\""+string(step)+"\"") {
--- a/internal/dispatchers/lost_connection_test.go
+++ b/internal/dispatchers/lost_connection_test.go
@@ -14,35 +14,35 @@
 	for name, established := range map[string]bool{"the call is established": true, "its set-up is open": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			withHarness(t, initialState{conns: 2}, func(s *harness) {
+			withHarness(t, initialState{conns: 2}, func(h *harness) {
 				if established {
-					s.establish(testCallID)
+					h.establish(testCallID)
 				} else {
-					s.runOnLoop(func() { s.placeCall(testCallID, callTimeout) })
+					h.runOnLoop(func() { h.placeCall(testCallID, callTimeout) })
 				}
 				time.Sleep(10 * time.Millisecond)
-				own := s.first.established[testCallID]
+				own := h.first.established[testCallID]
 				if own == nil {
-					own = s.first.pending(testCallID)
+					own = h.first.pending(testCallID)
 				}
-				s.runOnLoop(func() {
-					s.updateList(control.Draining, "first")
-					s.first.listening = false
-					for _, c := range s.first.usableConns() {
+				h.runOnLoop(func() {
+					h.updateList(control.Draining, "first")
+					h.first.listening = false
+					for _, c := range h.first.usableConns() {
 						if c != own {
 							c.reset()
 						}
 					}
 				})
 				time.Sleep(500 * time.Millisecond)
-				s.runOnLoop(func() { s.first.sendFinalAnswer(testCallID, 200) })
-				s.advance(2 * silenceTimeout)
-				if c := s.calls[testCallID]; c.answers != 1 || c.ends != 0 {
+				h.runOnLoop(func() { h.first.sendFinalAnswer(testCallID, 200) })
+				h.advance(2 * unresponsiveTimeout)
+				if c := h.calls[testCallID]; c.answers != 1 || c.ends != 0 {
 					t.Errorf("%d answers, %d ends; want 1, 0", c.answers, c.ends)
 				}
-				s.runOnLoop(func() { s.endCall(s.first, testCallID) })
-				s.advance(maxTransit)
-				if c := s.calls[testCallID]; c.ends != 1 {
+				h.runOnLoop(func() { h.endCall(h.first, testCallID) })
+				h.advance(maxTransit)
+				if c := h.calls[testCallID]; c.ends != 1 {
 					t.Errorf("%d ends were reported, want the one that its dispatcher sent", c.ends)
 				}
 			})
--- a/internal/dispatchers/lost_ends_test.go
+++ b/internal/dispatchers/lost_ends_test.go
@@ -20,37 +20,37 @@
 const wantedFor = 4100 * time.Millisecond
 
 // newStep returns a step that is always possible and is followed by a time in which nothing else happens.
-func newStep(what string, after time.Duration, f func(s *harness)) scenarioStep {
-	return scenarioStep{'-', what, func(s *harness) bool { f(s); return true }, after, false}
+func newStep(what string, after time.Duration, f func(h *harness)) scenarioStep {
+	return scenarioStep{'-', what, func(h *harness) bool { f(h); return true }, after, false}
 }
 
 // isolate blocks a connection in both directions while both sides hold it open.
-func (s *fakeConn) isolate() {
-	s.dispatcher = &fakeDispatcher{harness: s.dispatcher.harness, partitioned: true}
+func (c *fakeConn) isolate() {
+	c.dispatcher = &fakeDispatcher{harness: c.dispatcher.harness, partitioned: true}
 }
 
 // reportSteps returns steps in which the first dispatcher sends reports on all its working connections for a time. They arrive at once.
 func reportSteps(d time.Duration) []scenarioStep {
-	var events []scenarioStep
+	var steps []scenarioStep
 	for range d / reportInterval {
-		events = append(events, newStep("it sends reports", reportInterval, func(s *harness) {
-			for _, c := range s.first.usableConns() {
-				if c.dispatcher == s.first {
+		steps = append(steps, newStep("it sends reports", reportInterval, func(h *harness) {
+			for _, c := range h.first.usableConns() {
+				if c.dispatcher == h.first {
 					c.sendReport()
 				}
 			}
 		}))
 	}
-	return events
+	return steps
 }
 
 // sendEndOn has the first dispatcher end the call and send the end on a connection, where it is not delivered yet, and on the next one
 // that opens.
-func (s *harness) sendEndOn(c *fakeConn) {
-	delete(s.first.established, testCallID)
-	s.first.endsToRepeat = append(s.first.endsToRepeat, testCallID)
+func (h *harness) sendEndOn(c *fakeConn) {
+	delete(h.first.established, testCallID)
+	h.first.endsToRepeat = append(h.first.endsToRepeat, testCallID)
 	c.send(releaseOf(testCallID))
-	s.calls[testCallID].endedAt = time.Now()
+	h.calls[testCallID].endedAt = time.Now()
 }
 
 // lostEnd is a scenario in which the end of a call is lost with a connection.
@@ -61,41 +61,41 @@
 
 // lostEnds returns the scenarios. A set-up is sent on the first connection.
 func lostEnds() map[string]lostEnd {
-	called := initialState{conns: 2, established: true}
-	sendsEnd := newStep("the end is sent on the first connection", 0, func(s *harness) { s.sendEndOn(s.first.allConns[0]) })
-	resetsFirst := newStep("the first connection is reset", 0, func(s *harness) { s.first.allConns[0].reset() })
-	blocksFirst := newStep("the first connection is dead", 0, func(s *harness) { s.first.allConns[0].isolate() })
+	establishedState := initialState{conns: 2, established: true}
+	sendsEnd := newStep("the end is sent on the first connection", 0, func(h *harness) { h.sendEndOn(h.first.allConns[0]) })
+	resetsFirst := newStep("the first connection is reset", 0, func(h *harness) { h.first.allConns[0].reset() })
+	blocksFirst := newStep("the first connection is unresponsive", 0, func(h *harness) { h.first.allConns[0].isolate() })
 	resetsAndRefuses := newStep("the first connection is reset just before a second one is no longer wanted, and a dial is refused", 0,
-		func(s *harness) {
-			server := s.pool.servers["first"]
+		func(h *harness) {
+			server := h.pool.servers["first"]
 			server.demand = links.Demand{}
 			server.demand.Observe(time.Now().Add(-wantedFor), 2)
-			s.first.listening = false
-			s.first.allConns[0].reset()
+			h.first.listening = false
+			h.first.allConns[0].reset()
 		})
-	listens := newStep("it listens again", 0, func(s *harness) { s.first.listening = true })
-	opensThird := newStep("a third connection is opened", time.Second, func(s *harness) { s.pool.Reconnect("first") })
-	blocksSecond := newStep("the second connection is dead", 0, func(s *harness) { s.first.allConns[1].isolate() })
-	answers := newStep("it answers", 0, func(s *harness) {
-		s.first.sendFinalAnswer(testCallID, 200)
-		s.deliverAll()
+	listens := newStep("it listens again", 0, func(h *harness) { h.first.listening = true })
+	opensThird := newStep("a third connection is opened", time.Second, func(h *harness) { h.pool.Reconnect("first") })
+	blocksSecond := newStep("the second connection is unresponsive", 0, func(h *harness) { h.first.allConns[1].isolate() })
+	answers := newStep("it answers", 0, func(h *harness) {
+		h.first.sendFinalAnswer(testCallID, 200)
+		h.deliverAll()
 	})
-	closesFirst := newStep("the first connection is closed cleanly", 50*time.Millisecond, func(s *harness) {
-		s.first.allConns[0].close()
-		s.first.allConns[0].deliverToPool()
+	closesFirst := newStep("the first connection is closed cleanly", 50*time.Millisecond, func(h *harness) {
+		h.first.allConns[0].close()
+		h.first.allConns[0].deliverToPool()
 	})
-	sendsEndOnSecond := newStep("the end is sent on the second connection", 0, func(s *harness) { s.sendEndOn(s.first.allConns[1]) })
+	sendsEndOnSecond := newStep("the end is sent on the second connection", 0, func(h *harness) { h.sendEndOn(h.first.allConns[1]) })
 	reportsLong := reportSteps(20 * time.Second)
 	return map[string]lostEnd{
-		"it is reset": {called, slices.Concat([]scenarioStep{sendsEnd, resetsFirst}, reportsLong)},
-		"it is reset, and a dial is refused": {called,
+		"it is reset": {establishedState, slices.Concat([]scenarioStep{sendsEnd, resetsFirst}, reportsLong)},
+		"it is reset, and a dial is refused": {establishedState,
 			slices.Concat([]scenarioStep{sendsEnd, resetsAndRefuses}, reportSteps(time.Second), []scenarioStep{listens}, reportsLong)},
-		"it is dead": {called, slices.Concat([]scenarioStep{blocksFirst, sendsEnd}, reportsLong)},
-		"it is dead and was abandoned": {called,
+		"it is unresponsive": {establishedState, slices.Concat([]scenarioStep{blocksFirst, sendsEnd}, reportsLong)},
+		"it is unresponsive and was abandoned": {establishedState,
 			slices.Concat([]scenarioStep{blocksFirst}, reportSteps(8*time.Second), []scenarioStep{sendsEnd}, reportsLong)},
-		"it is dead and was abandoned long ago": {called,
+		"it is unresponsive and was abandoned long ago": {establishedState,
 			slices.Concat([]scenarioStep{blocksFirst}, reportSteps(25*time.Second), []scenarioStep{sendsEnd}, reportsLong)},
-		"it was abandoned and is reset": {called,
+		"it was abandoned and is reset": {establishedState,
 			slices.Concat([]scenarioStep{blocksFirst}, reportSteps(6*time.Second), []scenarioStep{sendsEnd, resetsFirst}, reportsLong)},
 		"the call was established after it was abandoned": {initialState{conns: 2},
 			slices.Concat([]scenarioStep{opensThird, blocksSecond}, reportSteps(7*time.Second),
@@ -111,50 +111,50 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				s := newHarness(t, test.start)
-				possible := s.play(test.steps)
-				if c := s.calls[testCallID]; !possible || len(s.violations) > 0 || c.ends != 1 {
-					t.Errorf("%d answers, %d ends: %s", c.answers, c.ends, strings.Join(s.violations, "; "))
+				h := newHarness(t, test.start)
+				possible := h.play(test.steps)
+				if c := h.calls[testCallID]; !possible || len(h.violations) > 0 || c.ends != 1 {
+					t.Errorf("%d answers, %d ends: %s", c.answers, c.ends, strings.Join(h.violations, "; "))
 				}
 			})
 		})
 	}
 }
 
-// TestEndsOnAnUnclosedConnectionAreRepeated guards against lost ends on a dead connection of calls that were established after all calls
-// at risk had ended.
+// TestEndsOnAnUnclosedConnectionAreRepeated guards against lost ends on an unresponsive connection of calls that were established after
+// all calls at risk had ended.
 func TestEndsOnAnUnclosedConnectionAreRepeated(t *testing.T) {
 	t.Parallel()
-	withHarness(t, initialState{conns: 2}, func(s *harness) {
+	withHarness(t, initialState{conns: 2}, func(h *harness) {
 		establish := func(id string) { // the answer arrives with the next message of the dispatcher
-			s.setUpCall(id)
-			s.runOnLoop(func() { s.first.sendFinalAnswer(id, 200); s.deliverAll() })
+			h.setUpCall(id)
+			h.runOnLoop(func() { h.first.sendFinalAnswer(id, 200); h.deliverAll() })
 		}
 		establish(testCallID)
-		dead := s.first.allConns[1]
-		s.runOnLoop(dead.isolate)
-		s.reportFor(12 * time.Second)
-		s.runOnLoop(func() { s.first.endCall(testCallID); s.deliverAll() })
-		s.reportFor(6 * time.Second)
+		stalled := h.first.allConns[1]
+		h.runOnLoop(stalled.isolate)
+		h.reportFor(12 * time.Second)
+		h.runOnLoop(func() { h.first.endCall(testCallID); h.deliverAll() })
+		h.reportFor(6 * time.Second)
 		establish(otherCallID)
-		s.runOnLoop(func() {
-			c := s.first.established[otherCallID]
+		h.runOnLoop(func() {
+			c := h.first.established[otherCallID]
 			c.close()
 			c.deliverToPool()
 		})
-		s.runOnLoop(func() {
-			delete(s.first.established, otherCallID)
-			s.first.endsToRepeat = append(s.first.endsToRepeat, otherCallID)
-			dead.send(releaseOf(otherCallID))
+		h.runOnLoop(func() {
+			delete(h.first.established, otherCallID)
+			h.first.endsToRepeat = append(h.first.endsToRepeat, otherCallID)
+			stalled.send(releaseOf(otherCallID))
 		})
 		endedAt := time.Now()
-		s.reportFor(20 * time.Second)
-		for id, c := range s.calls {
+		h.reportFor(20 * time.Second)
+		for id, c := range h.calls {
 			if c.answers != 1 || c.ends != 1 {
 				t.Errorf("%s: %d answers, %d ends; want 1, 1", id, c.answers, c.ends)
 			}
 		}
-		if took := s.calls[otherCallID].endReportedAt.Sub(endedAt); took > endTimeout {
+		if took := h.calls[otherCallID].endReportedAt.Sub(endedAt); took > endTimeout {
 			t.Errorf("the last end was reported after %v, want within %v", took, endTimeout)
 		}
 	})
--- a/internal/dispatchers/lost_releases_test.go
+++ b/internal/dispatchers/lost_releases_test.go
@@ -15,9 +15,9 @@
 // connection that never delivered it.
 func TestAReleaseOnAnUnresponsiveDrainedConnection(t *testing.T) {
 	t.Parallel()
-	order := slices.Concat(stepsFor("vq"), []scenarioStep{newStep("the connection is dead", 0,
-		func(s *harness) { s.first.allConns[0].isolate() })}, stepsFor("w"))
-	initialState{established: true}.playWithoutViolation(t, order)
+	steps := slices.Concat(stepsFor("vq"), []scenarioStep{newStep("the connection is unresponsive", 0,
+		func(h *harness) { h.first.allConns[0].isolate() })}, stepsFor("w"))
+	initialState{established: true}.playWithoutViolation(t, steps)
 }
 
 // TestAnEarlierConnectionReleasesNoLaterAttempt guards against a release for the unknown outcome of a cancelled attempt that ends the
@@ -28,30 +28,30 @@
 		t.Run(state, func(t *testing.T) {
 			t.Parallel()
 			const id, next = "00000000000000d1", "00000000000000d2"
-			b := newPoolFixture(t, 0, 1)
-			b.runOnLoop(func() { b.pool.Update(b.list) })
-			b.waitFor(0, "opened")
-			b.setUp(0, id)
-			first := b.waitFor(0, "setup")
+			fx := newPoolFixture(t, 0, 1)
+			fx.runOnLoop(func() { fx.pool.Update(fx.list) })
+			fx.waitFor(0, "opened")
+			fx.setUp(0, id)
+			first := fx.waitFor(0, "setup")
 			var earlier *lifetime
-			b.runOnLoop(func() { earlier = b.pool.servers[dispatcherName(0)].conns[0].lifetime })
-			b.runOnLoop(func() { b.pool.CancelAttempt(dispatcherName(0), id, 0) })
-			b.waitFor(0, "release") // the set-up is cancelled
-			b.runOnLoop(func() {
-				b.pool.SetUp(dispatcherName(0), attemptOf(id, 1))
+			fx.runOnLoop(func() { earlier = fx.pool.servers[dispatcherName(0)].conns[0].lifetime })
+			fx.runOnLoop(func() { fx.pool.CancelAttempt(dispatcherName(0), id, 0) })
+			fx.waitFor(0, "release") // the set-up is cancelled
+			fx.runOnLoop(func() {
+				fx.pool.SetUp(dispatcherName(0), attemptOf(id, 1))
 			})
-			b.waitFor(0, "opened")
-			second := b.waitFor(0, "setup")
+			fx.waitFor(0, "opened")
+			second := fx.waitFor(0, "setup")
 			if answered {
-				b.establish(0, second)
+				fx.establish(0, second)
 			}
 			if err := first.Reset(); err != nil {
 				t.Fatal(err)
 			}
-			waitUntil(b, func() bool {
-				return !slices.ContainsFunc(b.pool.servers[dispatcherName(0)].conns, func(poolConn *connection) bool { return poolConn.lifetime == earlier })
+			waitUntil(fx, func() bool {
+				return !slices.ContainsFunc(fx.pool.servers[dispatcherName(0)].conns, func(poolConn *connection) bool { return poolConn.lifetime == earlier })
 			})
-			b.setUpWithoutRelease(0, next)
+			fx.setUpWithoutRelease(0, next)
 		})
 	}
 }
@@ -63,25 +63,25 @@
 	for name, confirms := range map[string]bool{"confirmed": true, "input received since": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			withHarness(t, initialState{}, func(s *harness) {
+			withHarness(t, initialState{}, func(h *harness) {
 				for range 5 {
-					s.runOnLoop(func() { s.pool.Release("first", testCallID, call.CauseNormal) })
-					s.runOnLoop(func() {
-						c := s.first.openConns[0]
+					h.runOnLoop(func() { h.pool.Release("first", testCallID, call.CauseNormal) })
+					h.runOnLoop(func() {
+						c := h.first.openConns[0]
 						if !confirms {
 							c.inTransit = nil
 						}
 						c.deliverToPool()
 					})
 					time.Sleep(2 * responseTimeout)
-					s.runOnLoop(func() { s.first.openConns[0].sendReport() })
+					h.runOnLoop(func() { h.first.openConns[0].sendReport() })
 				}
-				s.runOnLoop(func() {
+				h.runOnLoop(func() {
 					most := 1
 					if confirms {
 						most = 0
 					}
-					if kept := len(s.pool.servers["first"].conns[0].unconfirmed); kept > most {
+					if kept := len(h.pool.servers["first"].conns[0].unconfirmed); kept > most {
 						t.Errorf("%d releases are kept, want at most %d", kept, most)
 					}
 				})
@@ -127,9 +127,9 @@
 func TestARemovedDispatcherIsDeleted(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := newHarness(t, initialState{established: true})
-		s.play(stepsFor("vxqqqq"))
-		if len(s.pool.servers) > 0 {
+		h := newHarness(t, initialState{established: true})
+		h.play(stepsFor("vxqqqq"))
+		if len(h.pool.servers) > 0 {
 			t.Error("the dispatcher is still known")
 		}
 	})
@@ -140,18 +140,18 @@
 func TestAReleaseDoesNotGoToANewDispatcherAtTheAddress(t *testing.T) {
 	t.Parallel()
 	var other *fakeDispatcher
-	replaces := newStep("another dispatcher has its address", 0, func(s *harness) {
-		other = newFakeDispatcher(s)
+	replaces := newStep("another dispatcher has its address", 0, func(h *harness) {
+		other = newFakeDispatcher(h)
 		other.established["00000000000000c9"] = nil
-		s.network.dispatchers["first"] = other
-		s.core.Update(call.Update{Servers: []call.Server{{ServerEntry: control.ServerEntry{ID: "other", Status: control.Active}, Address: "first"}}})
+		h.network.dispatchers["first"] = other
+		h.core.Update(call.Update{Servers: []call.Server{{ServerEntry: control.ServerEntry{ID: "other", Status: control.Active}, Address: "first"}}})
 	})
-	order := slices.Concat(stepsFor("vq"), []scenarioStep{newStep("the call is released", 0, func(s *harness) {
-		s.pool.Release("first", "00000000000000c9", call.CauseNormal)
+	steps := slices.Concat(stepsFor("vq"), []scenarioStep{newStep("the call is released", 0, func(h *harness) {
+		h.pool.Release("first", "00000000000000c9", call.CauseNormal)
 	}), replaces}, stepsFor("qq"))
 	synctest.Test(t, func(t *testing.T) {
-		s := newHarness(t, initialState{established: true})
-		s.play(order)
+		h := newHarness(t, initialState{established: true})
+		h.play(steps)
 		if _, holds := other.established["00000000000000c9"]; !holds {
 			t.Error("the call at the other dispatcher was released")
 		}
@@ -162,12 +162,12 @@
 // and no open set-up.
 func expectNoOpenSetUp(t *testing.T, start initialState, endArrives scenarioStep) {
 	t.Helper()
-	order := slices.Concat([]scenarioStep{endArrives}, stepsFor("qq"))
+	steps := slices.Concat([]scenarioStep{endArrives}, stepsFor("qq"))
 	synctest.Test(t, func(t *testing.T) {
-		s := newHarness(t, start)
-		s.play(order)
-		if server := s.pool.servers["first"]; s.calls[testCallID].refusals != 1 || server.openSetUps() > 0 {
-			t.Errorf("%d final answers, %d set-ups open; want 1, 0", s.calls[testCallID].refusals, server.openSetUps())
+		h := newHarness(t, start)
+		h.play(steps)
+		if server := h.pool.servers["first"]; h.calls[testCallID].refusals != 1 || server.openSetUps() > 0 {
+			t.Errorf("%d final answers, %d set-ups open; want 1, 0", h.calls[testCallID].refusals, server.openSetUps())
 		}
 	})
 }
@@ -176,8 +176,8 @@
 // its answer never did.
 func TestAnEndWithoutAnAnswerLeavesNoSetUp(t *testing.T) {
 	t.Parallel()
-	expectNoOpenSetUp(t, initialState{}, newStep("the end of the call arrives, and its answer does not", 0, func(s *harness) {
-		c := s.first.pending(testCallID)
+	expectNoOpenSetUp(t, initialState{}, newStep("the end of the call arrives, and its answer does not", 0, func(h *harness) {
+		c := h.first.pending(testCallID)
 		delete(c.setUps, testCallID)
 		c.send(releaseOf(testCallID))
 		c.deliverToPool()
@@ -189,20 +189,20 @@
 func TestAnAttemptAtADisconnectedDispatcherIsCancelled(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := newHarness(t, initialState{secondDispatcher: true})
-		defer s.run()()
-		s.runOnLoop(func() { s.updateList(control.Active, "first", "second") })
+		h := newHarness(t, initialState{secondDispatcher: true})
+		defer h.run()()
+		h.runOnLoop(func() { h.updateList(control.Active, "first", "second") })
 		time.Sleep(time.Second)
-		s.setUpCall(testCallID)
-		s.runOnLoop(func() { s.first.partitioned = true })
+		h.setUpCall(testCallID)
+		h.runOnLoop(func() { h.first.partitioned = true })
 		for dropped := false; !dropped; time.Sleep(time.Millisecond) {
-			s.runOnLoop(func() { dropped = len(s.pool.servers["first"].conns) == 0 })
+			h.runOnLoop(func() { dropped = len(h.pool.servers["first"].conns) == 0 })
 		}
-		s.runOnLoop(s.first.reconnect)
+		h.runOnLoop(h.first.reconnect)
 		time.Sleep(time.Second)
-		s.runOnLoop(s.deliverAll)
-		if s.calls[testCallID].answers != 1 || len(s.violations) > 0 {
-			t.Errorf("%d answers: %s", s.calls[testCallID].answers, strings.Join(s.violations, "; "))
+		h.runOnLoop(h.deliverAll)
+		if h.calls[testCallID].answers != 1 || len(h.violations) > 0 {
+			t.Errorf("%d answers: %s", h.calls[testCallID].answers, strings.Join(h.violations, "; "))
 		}
 	})
 }
@@ -212,9 +212,9 @@
 func TestReleasesAreSentInBatches(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := newHarness(t, initialState{})
+		h := newHarness(t, initialState{})
 		fake := &fakeConn{}
-		poolConn := &connection{server: &server{pool: s.pool}, conn: fake, protocol: &SIP{}}
+		poolConn := &connection{server: &server{pool: h.pool}, conn: fake, protocol: &SIP{}}
 		for range releaseBatchSize + 1 {
 			poolConn.server.releases = append(poolConn.server.releases, release{testCallID, call.CauseNormal, true})
 		}
@@ -233,9 +233,9 @@
 func TestAnEndAheadOfAnAnswerThatNeverComesLeavesNoSetUp(t *testing.T) {
 	t.Parallel()
 	expectNoOpenSetUp(t, initialState{conns: 2},
-		newStep("the end of the call arrives on another connection, and its answer does not", 0, func(s *harness) {
-			delete(s.first.pending(testCallID).setUps, testCallID)
-			c := s.first.openConns[1]
+		newStep("the end of the call arrives on another connection, and its answer does not", 0, func(h *harness) {
+			delete(h.first.pending(testCallID).setUps, testCallID)
+			c := h.first.openConns[1]
 			c.send(releaseOf(testCallID))
 			c.deliverToPool()
 		}))
--- a/internal/dispatchers/messages.go
+++ b/internal/dispatchers/messages.go
@@ -63,8 +63,7 @@
 	return nil
 }
 
-// reply sends the reply that the protocol requires to a message; setUp is the one that the
-// message refers to, or nil.
+// reply sends the reply that the protocol requires to a message; setUp is the one that the message refers to, or nil.
 func (c *connection) reply(m *Message, setUp *setUpState) {
 	if m.encodeReply == nil {
 		return
--- a/internal/dispatchers/obsolete.go
+++ b/internal/dispatchers/obsolete.go
@@ -14,7 +14,7 @@
 // checkObsolete checks a dispatcher that is off the list or replaced. Its process may still run: it is disconnected once it is idle, and
 // dialled only to release calls and to receive ends that may have been lost.
 func (s *server) checkObsolete(now time.Time) {
-	if len(s.conns) == 0 || now.Sub(s.lastReceivedAt) > silenceThreshold && s.presumedStopped(now) {
+	if len(s.conns) == 0 || now.Sub(s.lastReceivedAt) > suspectAfter && s.presumedStopped(now) {
 		s.disconnect(errors.New("dispatcher was removed or replaced"))
 		s.pool.core.DispatcherFailed(s.ID)
 	}
@@ -25,7 +25,7 @@
 		s.connect()
 	}
 	for _, c := range slices.Clone(s.conns) {
-		s.checkSilent(c, now)
+		s.checkUnresponsive(c, now)
 	}
 	if s.replaced {
 		s.endOrphaned()
@@ -49,9 +49,9 @@
 	}
 }
 
-// presumedStopped reports whether a silent dispatcher is presumed to have stopped: it has not replied to a probe, or ends of its calls
-// may have been lost and no connection can be opened on which it would repeat them. The end of a call whose own connection is open
-// arrives there.
+// presumedStopped reports whether a dispatcher without input for long is presumed to have stopped: it has not replied to a probe, or ends
+// of its calls may have been lost and no connection can be opened on which it would repeat them. The end of a call whose own connection
+// is open arrives there.
 func (s *server) presumedStopped(now time.Time) bool {
 	return s.renewal.EndsMissing() && s.hasEndsAtRisk() && (s.lastDialRefused || s.lastDialTimedOut || s.replaced) || s.probeUnanswered(now)
 }
--- a/internal/dispatchers/ping_test.go
+++ b/internal/dispatchers/ping_test.go
@@ -16,13 +16,13 @@
 // without a result.
 func TestPingResults(t *testing.T) {
 	t.Parallel()
-	ping := func(s *harness, done func(bool)) { s.pool.Ping("first", testCallID, 0, done) }
-	setUp := func(s *harness) { s.pool.SetUp("first", attemptOf(testCallID, 0)) }
-	reset := func(s *harness) { s.first.allConns[0].reset() }
-	full := func(s *harness) { s.first.allConns[0].writeBlocked = true }
+	ping := func(h *harness, done func(bool)) { h.pool.Ping("first", testCallID, 0, done) }
+	setUp := func(h *harness) { h.pool.SetUp("first", attemptOf(testCallID, 0)) }
+	reset := func(h *harness) { h.first.allConns[0].reset() }
+	full := func(h *harness) { h.first.allConns[0].writeBlocked = true }
 	for name, test := range map[string]struct {
-		before []func(s *harness) // each in its own loop iteration, before the ping
-		after  []func(s *harness)
+		before []func(h *harness) // each in its own loop iteration, before the ping
+		after  []func(h *harness)
 		want   []bool
 	}{
 		"its reply is in transit":               {[]func(*harness){setUp}, nil, nil},
@@ -38,21 +38,21 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				s := newHarness(t, initialState{})
-				s.pool.core = &releaseRecorder{fakeCore: fakeCore{outcomeRecorder: outcomeRecorder{outcomes: map[string]control.Outcome{}},
+				h := newHarness(t, initialState{})
+				h.pool.core = &releaseRecorder{fakeCore: fakeCore{outcomeRecorder: outcomeRecorder{outcomes: map[string]control.Outcome{}},
 					calls: map[control.ServerID][]string{}}}
-				defer s.run()()
-				s.runOnLoop(func() { s.updateList(control.Active, "first") })
+				defer h.run()()
+				h.runOnLoop(func() { h.updateList(control.Active, "first") })
 				time.Sleep(time.Second)
-				s.runOnLoop(s.deliverFirst)
-				s.calls[testCallID] = &callRecord{}
+				h.runOnLoop(h.deliverFirst)
+				h.calls[testCallID] = &callRecord{}
 				for _, step := range test.before {
-					s.runOnLoop(func() { step(s); s.pool.Flush() })
+					h.runOnLoop(func() { step(h); h.pool.Flush() })
 				}
 				var got []bool
-				s.runOnLoop(func() { ping(s, func(replied bool) { got = append(got, replied) }); s.pool.Flush() })
+				h.runOnLoop(func() { ping(h, func(replied bool) { got = append(got, replied) }); h.pool.Flush() })
 				for _, step := range test.after {
-					s.runOnLoop(func() { step(s) })
+					h.runOnLoop(func() { step(h) })
 				}
 				if !slices.Equal(got, test.want) {
 					t.Errorf("onReply was called with %v, want %v", got, test.want)
@@ -63,11 +63,11 @@
 }
 
 // deliverFirst delivers all that is in transit on the first connection.
-func (s *harness) deliverFirst() { s.first.allConns[0].deliverToPool() }
+func (h *harness) deliverFirst() { h.first.allConns[0].deliverToPool() }
 
 // deliverOneMessage delivers the first message that is in transit there.
-func (s *harness) deliverOneMessage() {
-	c := s.first.allConns[0]
+func (h *harness) deliverOneMessage() {
+	c := h.first.allConns[0]
 	rest := c.inTransit[1:]
 	c.inTransit = c.inTransit[:1]
 	c.deliverToPool()
@@ -75,14 +75,14 @@
 }
 
 // probeFirst requests a report on the only connection.
-func (s *harness) probeFirst() { s.pool.Probe("first") }
+func (h *harness) probeFirst() { h.pool.Probe("first") }
 
 // answerFirst has the first dispatcher establish the call; its answer does not arrive yet.
-func (s *harness) answerFirst() { s.first.sendFinalAnswer(testCallID, 200) }
+func (h *harness) answerFirst() { h.first.sendFinalAnswer(testCallID, 200) }
 
 // closeFirst has the dispatcher close the first connection without a reply to the probe.
-func (s *harness) closeFirst() {
-	c := s.first.allConns[0]
+func (h *harness) closeFirst() {
+	c := h.first.allConns[0]
 	c.inTransit = slices.DeleteFunc(c.inTransit, func(m fakeMessage) bool { return isProbeReply(m.text) })
 	c.close()
 }
--- a/internal/dispatchers/queued_set_up_test.go
+++ b/internal/dispatchers/queued_set_up_test.go
@@ -21,17 +21,17 @@
 	outcomes map[string]control.Outcome
 }
 
-func (e *outcomeRecorder) EstablishedCount(control.ServerID) int  { return 0 }
-func (e *outcomeRecorder) EachEstablished(func(control.ServerID)) {}
-func (e *outcomeRecorder) EstablishedAt(control.ServerID) iter.Seq[string] {
+func (r *outcomeRecorder) EstablishedCount(control.ServerID) int  { return 0 }
+func (r *outcomeRecorder) EachEstablished(func(control.ServerID)) {}
+func (r *outcomeRecorder) EstablishedAt(control.ServerID) iter.Seq[string] {
 	return func(func(string) bool) {}
 }
-func (e *outcomeRecorder) DispatcherReached()                       {}
-func (e *outcomeRecorder) SetUpWritten()                            {}
-func (e *outcomeRecorder) LoadReported(control.ServerID, []float64) {}
-func (e *outcomeRecorder) DispatcherFailed(control.ServerID)        {}
-func (e *outcomeRecorder) AttemptEnded(_ control.ServerID, id string, _ int, o control.Outcome, _ bool, _ []float64) {
-	e.outcomes[id] = o
+func (r *outcomeRecorder) DispatcherReached()                       {}
+func (r *outcomeRecorder) SetUpWritten()                            {}
+func (r *outcomeRecorder) LoadReported(control.ServerID, []float64) {}
+func (r *outcomeRecorder) DispatcherFailed(control.ServerID)        {}
+func (r *outcomeRecorder) AttemptEnded(_ control.ServerID, id string, _ int, o control.Outcome, _ bool, _ []float64) {
+	r.outcomes[id] = o
 }
 
 // TestQueuedSetUpsAreRecalled checks a dispatcher that does not read: a queued set-up is not sent once its caller has cancelled it, nor
@@ -84,10 +84,10 @@
 		if unsent = poolConn.conn.Unsent() > call.MaxDescription; unsent { // nothing of it was written
 			want[lastID] = control.NotSent
 		}
-		setUp("left", "its caller cancels")
+		setUp("cancelled", "its caller cancels")
 		setUp("moved", "it is placed elsewhere")
 		p.Flush()
-		p.CancelAttempt("d", "left", 0)
+		p.CancelAttempt("d", "cancelled", 0)
 		server.Status = control.Draining
 		p.Update(call.Update{Servers: []call.Server{server}})
 		p.CancelAttempt("d", lastID, 0)
@@ -109,7 +109,7 @@
 	if cancelled := strings.Contains(received.String(), "CANCEL sip:"); cancelled == unsent {
 		t.Errorf("the set-up that was sent in part was cancelled by a message: %v", cancelled)
 	}
-	for _, id := range []string{"left", "moved"} {
+	for _, id := range []string{"cancelled", "moved"} {
 		if strings.Contains(received.String(), "Call-ID: "+id+"\r\n") {
 			t.Errorf("the set-up %q was sent", id)
 		}
--- a/internal/dispatchers/release_test.go
+++ b/internal/dispatchers/release_test.go
@@ -15,20 +15,20 @@
 func TestAReleaseIsNotHeldUpByTheBackoff(t *testing.T) {
 	t.Parallel()
 	const id, refusals = "00000000000000b1", 20
-	b := newPoolFixture(t, 0, 1)
-	b.dispatchers[0].Die()
-	b.runOnLoop(func() {
-		b.pool.Update(b.list)
-		s := b.pool.servers[dispatcherName(0)]
+	fx := newPoolFixture(t, 0, 1)
+	fx.dispatchers[0].Die()
+	fx.runOnLoop(func() {
+		fx.pool.Update(fx.list)
+		s := fx.pool.servers[dispatcherName(0)]
 		for range refusals {
 			s.backoff.RecordFailure(time.Now(), 1)
 		}
 	})
-	waitUntil(b, func() bool { return !b.pool.servers[dispatcherName(0)].dialing })
-	b.dispatchers[0] = dispatcherAt(t, "tcp", b.dispatchers[0].Address())
+	waitUntil(fx, func() bool { return !fx.pool.servers[dispatcherName(0)].dialing })
+	fx.dispatchers[0] = dispatcherAt(t, "tcp", fx.dispatchers[0].Address())
 	begun := time.Now()
-	b.runOnLoop(func() { b.pool.Release(dispatcherName(0), id, call.CauseNormal) })
-	if e := b.waitFor(0, "release"); e.ID != id {
+	fx.runOnLoop(func() { fx.pool.Release(dispatcherName(0), id, call.CauseNormal) })
+	if e := fx.waitFor(0, "release"); e.ID != id {
 		t.Errorf("released %s, want %s", e.ID, id)
 	}
 	if took, most := time.Since(begun), 3*time.Second; took > most {
@@ -41,19 +41,19 @@
 func TestAnUnsentReleaseOnAResetConnection(t *testing.T) {
 	t.Parallel()
 	const id = "00000000000000b2"
-	b := newPoolFixture(t, 0, 1)
-	b.runOnLoop(func() { b.pool.Update(b.list) })
-	b.waitFor(0, "opened")
-	waitUntil(b, func() bool { return b.pool.servers[dispatcherName(0)].latestConn() != nil })
-	b.runOnLoop(func() {
-		poolConn := b.pool.servers[dispatcherName(0)].latestConn()
-		b.pool.Release(dispatcherName(0), id, call.CauseNormal)
-		b.dispatchers[0].Cut()
+	fx := newPoolFixture(t, 0, 1)
+	fx.runOnLoop(func() { fx.pool.Update(fx.list) })
+	fx.waitFor(0, "opened")
+	waitUntil(fx, func() bool { return fx.pool.servers[dispatcherName(0)].latestConn() != nil })
+	fx.runOnLoop(func() {
+		poolConn := fx.pool.servers[dispatcherName(0)].latestConn()
+		fx.pool.Release(dispatcherName(0), id, call.CauseNormal)
+		fx.dispatchers[0].Cut()
 		for until := time.Now().Add(peer.Patience); poolConn.conn.EndedAt().IsZero() &&
 			time.Now().Before(until); time.Sleep(time.Millisecond) { // until netpoll has noticed the reset
 		}
 	})
-	if e := b.waitFor(0, "release"); e.ID != id {
+	if e := fx.waitFor(0, "release"); e.ID != id {
 		t.Errorf("released %s, want %s", e.ID, id)
 	}
 }
@@ -82,21 +82,21 @@
 func TestAReleaseIsNotRepeatedAfterTheNextAttempt(t *testing.T) {
 	t.Parallel()
 	const id, next = "00000000000000b4", "00000000000000b5"
-	b := newPoolFixture(t, 0, 0)
-	b.addDispatcher(dispatcherAt(t, "ws", "127.0.0.1:0")) // it confirms no release
-	b.runOnLoop(func() { b.pool.Update(b.list) })
-	b.waitFor(0, "opened")
-	b.setUp(0, id)
-	first := b.waitFor(0, "setup")
+	fx := newPoolFixture(t, 0, 0)
+	fx.addDispatcher(dispatcherAt(t, "ws", "127.0.0.1:0")) // it confirms no release
+	fx.runOnLoop(func() { fx.pool.Update(fx.list) })
+	fx.waitFor(0, "opened")
+	fx.setUp(0, id)
+	first := fx.waitFor(0, "setup")
 	if err := first.Reset(); err != nil { // an answer may have been lost with it
 		t.Fatal(err)
 	}
-	released := b.waitFor(0, "release")
-	b.setUp(0, id)
-	b.establish(0, b.waitFor(0, "setup"))
+	released := fx.waitFor(0, "release")
+	fx.setUp(0, id)
+	fx.establish(0, fx.waitFor(0, "setup"))
 	if err := released.Reset(); err != nil {
 		t.Fatal(err)
 	}
-	b.waitFor(0, "opened")
-	b.setUpWithoutRelease(0, next)
+	fx.waitFor(0, "opened")
+	fx.setUpWithoutRelease(0, next)
 }
--- a/internal/dispatchers/renewal_test.go
+++ b/internal/dispatchers/renewal_test.go
@@ -11,25 +11,25 @@
 // of a call may be repeated only on the next one, and the dial for it is refused while another connection is open and brings reports.
 func TestARenewalThatIsRefusedIsTriedAgain(t *testing.T) {
 	t.Parallel()
-	b := newPoolFixture(t, 0, 1)
-	b.runOnLoop(func() {
-		b.core.calls[dispatcherName(0)] = []string{"a call"}
-		b.pool.Update(b.list)
+	fx := newPoolFixture(t, 0, 1)
+	fx.runOnLoop(func() {
+		fx.core.calls[dispatcherName(0)] = []string{"a call"}
+		fx.pool.Update(fx.list)
 	})
-	b.waitFor(0, "opened")
-	b.dispatchers[0].Stop()
+	fx.waitFor(0, "opened")
+	fx.dispatchers[0].Stop()
 	ticker := time.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
 	dialState := func() (dials int, dialing bool) {
-		b.runOnLoop(func() { dials, dialing = b.pool.sockets.dialCount, b.pool.servers[dispatcherName(0)].dialing })
+		fx.runOnLoop(func() { dials, dialing = fx.pool.sockets.dialCount, fx.pool.servers[dispatcherName(0)].dialing })
 		return dials, dialing
 	}
 	before, _ := dialState()
-	b.runOnLoop(func() { b.pool.Reconnect(dispatcherName(0)) })
+	fx.runOnLoop(func() { fx.pool.Reconnect(dispatcherName(0)) })
 	reportUntil := func(until func() bool) {
 		t.Helper()
 		for begun := time.Now(); !until(); <-ticker.C {
-			if err := b.dispatchers[0].Report("x0:40"); err != nil {
+			if err := fx.dispatchers[0].Report("x0:40"); err != nil {
 				t.Fatal(err)
 			}
 			if time.Since(begun) > peer.Patience {
@@ -41,6 +41,6 @@
 		dials, dialing := dialState()
 		return dials > before && !dialing
 	})
-	restarted := dispatcherAt(t, "tcp", b.dispatchers[0].Address())
+	restarted := dispatcherAt(t, "tcp", fx.dispatchers[0].Address())
 	reportUntil(func() bool { return restarted.Links() > 0 })
 }
--- a/internal/dispatchers/scenarios_test.go
+++ b/internal/dispatchers/scenarios_test.go
@@ -32,12 +32,12 @@
 	violations []string
 }
 
-func (start initialState) play(t *testing.T, order []scenarioStep) (result scenarioResult) {
+func (start initialState) play(t *testing.T, steps []scenarioStep) (result scenarioResult) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := newHarness(t, start)
-		result.possible = s.play(slices.Concat(stepsFor(start.prefix), order))
-		result.violations = s.violations
+		h := newHarness(t, start)
+		result.possible = h.play(slices.Concat(stepsFor(start.prefix), steps))
+		result.violations = h.violations
 	})
 	return result
 }
@@ -72,7 +72,7 @@
 	for _, start := range []initialState{{name: "an open set-up", conns: 2, answersRetries: true},
 		{name: "two dispatchers", conns: 2, secondDispatcher: true, answersRetries: true},
 		{name: "an established call", conns: 2, established: true},
-		{name: "a dead connection", conns: 2, established: true, reportsPeriodically: true, prefix: "io"}} {
+		{name: "an unresponsive connection", conns: 2, established: true, reportsPeriodically: true, prefix: "io"}} {
 		start.search(t, stepsFor("iouamEedcrhntT"))
 	}
 }
@@ -97,18 +97,18 @@
 		{name: "no release is confirmed", conns: 3, answersRetries: true, ignoresReleases: true}} {
 		start.search(t, stepsFor("VRBnraefdDmINuctT"))
 	}
-	initialState{name: "an end after a silence", established: true, prefix: "qe"}.search(t, stepsFor("rsxhntT"))
+	initialState{name: "an end after a time without input", established: true, prefix: "qe"}.search(t, stepsFor("rsxhntT"))
 }
 
 // search plays all sequences of the steps up to the search depth.
-func (start initialState) search(t *testing.T, events []scenarioStep) {
+func (start initialState) search(t *testing.T, candidates []scenarioStep) {
 	t.Helper()
 	t.Run(start.name, func(t *testing.T) {
 		t.Parallel()
-		for _, first := range events {
+		for _, first := range candidates {
 			t.Run(first.name, func(t *testing.T) {
 				t.Parallel()
-				count := start.extend(t, events, []scenarioStep{first}, searchDepth(t))
+				count := start.extend(t, candidates, []scenarioStep{first}, searchDepth(t))
 				t.Logf("%d scenarios played", count)
 			})
 		}
@@ -116,35 +116,35 @@
 }
 
 // extend plays a sequence of steps and all its extensions up to a depth, and returns how many were possible.
-func (start initialState) extend(t *testing.T, events, order []scenarioStep, depth int) (played int) {
+func (start initialState) extend(t *testing.T, candidates, steps []scenarioStep, depth int) (played int) {
 	t.Helper()
-	result := start.play(t, order)
+	result := start.play(t, steps)
 	if !result.possible {
 		return 0
 	}
 	if len(result.violations) > 0 {
-		t.Errorf("steps %s: %s", start.prefix+stepLetters(order), strings.Join(result.violations, "; "))
+		t.Errorf("steps %s: %s", start.prefix+stepLetters(steps), strings.Join(result.violations, "; "))
 	}
 	played = 1
 	if depth == 1 {
 		return played
 	}
-	for _, next := range events {
-		played += start.extend(t, events, append(slices.Clone(order), next), depth-1)
+	for _, next := range candidates {
+		played += start.extend(t, candidates, append(slices.Clone(steps), next), depth-1)
 	}
 	return played
 }
 
 // TestScenariosThatNeedOneMechanism guards against lost ends where only one mechanism requests them again.
 func TestScenariosThatNeedOneMechanism(t *testing.T) {
-	chatting := initialState{established: true, conns: 2, reportsPeriodically: true}
+	reporting := initialState{established: true, conns: 2, reportsPeriodically: true}
 	resetting := initialState{established: true, conns: 2, reportsPeriodically: true, resetsOnClose: true}
 	playScenarios(t, map[string]scenario{
-		"connection.abandon and server.requestRepeats request new connections":  {chatting, "ioqe"},
-		"connection.finishClose notes that a dispatcher did not close its side": {chatting, "ioqqe"},
-		"connection.Closed has the ends repeated that were lost with a reset":   {chatting, "er"},
+		"connection.abandon and server.requestRepeats request new connections":  {reporting, "ioqe"},
+		"connection.finishClose notes that a dispatcher did not close its side": {reporting, "ioqqe"},
+		"connection.Closed has the ends repeated that were lost with a reset":   {reporting, "er"},
 		"server.closeIdle has the ends repeated that were lost with a reset":    {resetting, "oeq"},
-		"server.renewalFailed dials again after a refusal":                      {chatting, "eRr"},
+		"server.renewalFailed dials again after a refusal":                      {reporting, "eRr"},
 		"connection.requeueUnconfirmed does not repeat a release over the next attempt": {initialState{conns: 3, answersRetries: true,
 			ignoresReleases: true}, "r"},
 		"connection.Closed has a refusing dispatcher dialled, as ends may be lost": {initialState{established: true}, "qers"},
@@ -156,8 +156,8 @@
 	established := initialState{established: true}
 	playScenarios(t, map[string]scenario{
 		"an answer is read after its dispatcher is off the list":                     {initialState{}, "ax"},
-		"a dispatcher that has stopped listening is silent":                          {established, "sT"},
-		"a dispatcher that is off the list is silent":                                {established, "xT"},
+		"a dispatcher that has stopped listening sends nothing":                      {established, "sT"},
+		"a dispatcher that is off the list sends nothing":                            {established, "xT"},
 		"a release crosses the close of its connection":                              {established, "hc"},
 		"the release of a late answer crosses the close of its connection":           {initialState{}, "ach"},
 		"a dispatcher off the list has no connection":                                {established, "xr"},
@@ -175,7 +175,7 @@
 		"a dispatcher resets an abandoned connection when it notices the close": {initialState{established: true, conns: 2,
 			reportsPeriodically: true, resetsOnClose: true}, "ioqeu"},
 		"a connection is evicted while the end of a call is in transit there": {initialState{established: true, reportsPeriodically: true}, "neV"},
-		"a set-up waits on a dead connection on which an end was sent": {initialState{established: true, conns: 2,
+		"a set-up waits on an unresponsive connection on which an end was sent": {initialState{established: true, conns: 2,
 			reportsPeriodically: true, prefix: "io"}, "em"},
 		"an end on the connection of an earlier attempt, before a close": {initialState{conns: 2, suspect: true, endsOnNewest: true,
 			reportsPeriodically: true}, "TadHedd"},
@@ -183,7 +183,7 @@
 			reportsPeriodically: true}, "TaHedd"},
 		"an end is repeated where the next attempt was not sent yet": {initialState{conns: 2, suspect: true, endsOnNewest: true,
 			reportsPeriodically: true}, "TaHed"},
-		"an end on a dead connection, of a call placed after it was abandoned": {initialState{established: true, conns: 2,
+		"an end on an unresponsive connection, of a call placed after it was abandoned": {initialState{established: true, conns: 2,
 			reportsPeriodically: true}, "ioqeqmJE"},
 		"an attempt fails whose predecessor is answered late":    {initialState{conns: 2}, "am"},
 		"the next attempt overtakes a release of the one before": {initialState{conns: 3}, "amNIdptu"},
--- a/internal/dispatchers/server.go
+++ b/internal/dispatchers/server.go
@@ -221,8 +221,8 @@
 	return 1
 }
 
-// ensureCapacity reports whether one more connection may be opened. At the limit, it half-closes an idle connection that has long been
-// silent.
+// ensureCapacity reports whether one more connection may be opened. At the limit, it half-closes an idle connection without input for
+// long.
 func (s *server) ensureCapacity(now time.Time) bool {
 	if len(s.conns) < s.pool.maxConns {
 		return true
--- a/internal/dispatchers/vanished_test.go
+++ b/internal/dispatchers/vanished_test.go
@@ -20,33 +20,33 @@
 	ended  bool
 }
 
-func (h *oneCallCore) EstablishedCount(control.ServerID) int {
-	if h.ended {
+func (c *oneCallCore) EstablishedCount(control.ServerID) int {
+	if c.ended {
 		return 0
 	}
 	return 1
 }
 
-func (h *oneCallCore) EachEstablished(f func(control.ServerID)) {
-	if !h.ended {
+func (c *oneCallCore) EachEstablished(f func(control.ServerID)) {
+	if !c.ended {
 		f("d")
 	}
 }
 
-func (h *oneCallCore) EstablishedAt(control.ServerID) iter.Seq[string] {
+func (c *oneCallCore) EstablishedAt(control.ServerID) iter.Seq[string] {
 	return func(yield func(string) bool) {
-		if !h.ended {
+		if !c.ended {
 			yield("a call")
 		}
 	}
 }
 
-func (h *oneCallCore) DispatcherReached() {}
+func (c *oneCallCore) DispatcherReached() {}
 
-func (h *oneCallCore) DispatcherFailed(id control.ServerID) {
-	if !h.ended {
-		h.ended = true
-		h.failed <- id
+func (c *oneCallCore) DispatcherFailed(id control.ServerID) {
+	if !c.ended {
+		c.ended = true
+		c.failed <- id
 	}
 }
 
@@ -107,10 +107,10 @@
 	t.Cleanup(loop.Quit)
 	select {
 	case <-core.failed:
-		if early := silenceTimeout - time.Since(begun); early > 0 {
+		if early := unresponsiveTimeout - time.Since(begun); early > 0 {
 			t.Errorf("its calls were ended %v too early", early)
 		}
-	case <-time.After(4 * silenceTimeout):
+	case <-time.After(4 * unresponsiveTimeout):
 		t.Error("its calls were not ended")
 	}
 }
--- a/internal/dispatchers/waiting_test.go
+++ b/internal/dispatchers/waiting_test.go
@@ -47,7 +47,7 @@
 		iterate()
 		p.Update(call.Update{Servers: []call.Server{{ServerEntry: control.ServerEntry{ID: "d"}, Address: d.Address()}}, Complete: true})
 		for n := range many {
-			p.Release("d", fmt.Sprint("stood-", n), 31)
+			p.Release("d", fmt.Sprint("known-", n), 31)
 		}
 		for n := range 2 * maxUnknownReleases {
 			p.Release("", fmt.Sprint("unknown-", n), 31) // any client can send these, so they are limited
@@ -56,7 +56,7 @@
 	})
 	d.Open()
 	for n := range many + 1 {
-		want := fmt.Sprint("release stood-", n)
+		want := fmt.Sprint("release known-", n)
 		if n == many {
 			want = "setup last"
 		}
