--- a/internal/dispatchers/address_reused_test.go
+++ b/internal/dispatchers/address_reused_test.go
@@ -56,7 +56,7 @@
 
 // replaceFirst stops the first dispatcher and starts another one at its address, which is not on the list yet.
 func (h *harness) replaceFirst() {
-	h.first.die()
+	h.first.stop()
 	h.first = newFakeDispatcher(h)
 	h.first.answersAll = true
 	h.first.startReporting(h.network.loop)
--- a/internal/dispatchers/ambiguous_end_test.go
+++ b/internal/dispatchers/ambiguous_end_test.go
@@ -17,11 +17,11 @@
 // dispatcher: the end is read on another connection before the answer, and an earlier attempt was lost with its connection or cancelled.
 func TestAnEndAheadOfItsAnswerAfterALostAttemptIsReported(t *testing.T) {
 	t.Parallel()
-	withdrawn := lostAttemptState
-	withdrawn.suspect, withdrawn.endsOnNewest = true, false
+	cancelled := lostAttemptState
+	cancelled.suspect, cancelled.endsOnNewest = true, false
 	playScenarios(t, map[string]scenario{
 		"the attempt was lost":      {lostAttemptState, "rtaHeD"},
-		"the attempt was cancelled": {withdrawn, "TaHedd"},
+		"the attempt was cancelled": {cancelled, "TaHedd"},
 	})
 }
 
--- a/internal/dispatchers/cancelled_attempt_test.go
+++ b/internal/dispatchers/cancelled_attempt_test.go
@@ -25,9 +25,9 @@
 			h.pool.Release("first", testCallID, call.CauseNormal)
 			h.pool.SetUp("first", attemptOf(testCallID, 1))
 			poolConn := h.pool.servers["first"].conns[0]
-			if i := poolConn.setUps[testCallID]; !poolConn.hasUnconfirmedRelease(testCallID) || i == nil || i.attempt != 0 {
+			if setUp := poolConn.setUps[testCallID]; !poolConn.hasUnconfirmedRelease(testCallID) || setUp == nil || setUp.attempt != 0 {
 				t.Errorf("the first connection has the release: %v, and the set-up %+v; want the set-up of attempt 0",
-					poolConn.hasUnconfirmedRelease(testCallID), i)
+					poolConn.hasUnconfirmedRelease(testCallID), setUp)
 			}
 		})
 	})
--- a/internal/dispatchers/check_test.go
+++ b/internal/dispatchers/check_test.go
@@ -46,14 +46,14 @@
 	fx.runOnLoop(func() { fx.pool.Update(fx.list) })
 	fx.waitActive("idle")
 	fx.runOnLoop(func() {
-		waits := 0
+		waiting := 0
 		for _, s := range fx.pool.order {
 			if s.dialQueued || s.dialing || s.active { // its dial may be due at this moment
-				waits++
+				waiting++
 			}
 		}
-		if waits != refuse || len(fx.pool.connected) != n-refuse {
-			t.Errorf("%d wait to be dialled, %d have connections", waits, len(fx.pool.connected))
+		if waiting != refuse || len(fx.pool.connected) != n-refuse {
+			t.Errorf("%d wait to be dialled, %d have connections", waiting, len(fx.pool.connected))
 		}
 	})
 	fx.setUp(n-1, "a")
--- a/internal/dispatchers/clean_close_test.go
+++ b/internal/dispatchers/clean_close_test.go
@@ -12,12 +12,12 @@
 // closingProtocol is the protocol of a dispatcher that responds to the half-close with a closing message on the connection.
 type closingProtocol struct {
 	Protocol
-	on *fakeConn
+	conn *fakeConn
 }
 
 // Next reports the closing message once this side has half-closed.
 func (p closingProtocol) Next(in *ring.Buffer) (*Message, error) {
-	if p.on.poolHalfClosed {
+	if p.conn.poolHalfClosed {
 		return nil, io.EOF
 	}
 	return p.Protocol.Next(in)
--- a/internal/dispatchers/deferred_release_test.go
+++ b/internal/dispatchers/deferred_release_test.go
@@ -110,23 +110,23 @@
 func TestADeferredReleaseEndsNoCallEstablishedLater(t *testing.T) {
 	t.Parallel()
 	const refused = 486
-	refuseNext := func(t *testing.T, h *harness) (on *fakeConn) {
+	refuseNext := func(t *testing.T, h *harness) (refusedConn *fakeConn) {
 		h.runOnLoop(func() { h.pool.SetUp("first", attemptOf(testCallID, 1)) })
 		h.runOnLoop(h.releaseOnFirst)
-		on = h.connectionWithSetUp(t)
+		refusedConn = h.connectionWithSetUp(t)
 		h.runOnLoop(func() {
-			h.first.sendFinalAnswerOn(on, testCallID, refused)
-			on.deliverToPool()
+			h.first.sendFinalAnswerOn(refusedConn, testCallID, refused)
+			refusedConn.deliverToPool()
 			h.calls[otherCallID] = &callRecord{}
 			h.pool.SetUp("first", attemptOf(otherCallID, 0)) // on the same connection, so that the next attempt uses another one
 		})
 		h.runOnLoop(func() { h.pool.SetUp("first", attemptOf(testCallID, 2)) })
-		if h.connectionWithSetUp(t) == on {
+		if h.connectionWithSetUp(t) == refusedConn {
 			t.Fatal("the next attempt is on the same connection")
 		}
-		return on
+		return refusedConn
 	}
-	for name, prepare := range map[string]func(t *testing.T, h *harness) (closes *fakeConn){
+	for name, prepare := range map[string]func(t *testing.T, h *harness) (closing *fakeConn){
 		"the next attempt had not been sent": func(t *testing.T, h *harness) *fakeConn {
 			h.runOnLoop(func() {
 				for _, c := range h.first.allConns[1:] {
--- a/internal/dispatchers/fake_dispatcher_test.go
+++ b/internal/dispatchers/fake_dispatcher_test.go
@@ -78,6 +78,7 @@
 		ambiguous: map[string]bool{}}
 }
 
+// accept adds a connection and, unless the dispatcher is paused, has it used.
 func (d *fakeDispatcher) accept(c *fakeConn) {
 	d.allConns = append(d.allConns, c)
 	if d.paused {
@@ -121,6 +122,7 @@
 	c.deliverToPool()
 }
 
+// releaseOf returns the release of a call by a dispatcher.
 func releaseOf(id string) []byte {
 	return sip.Append(nil, &sip.Message{Method: "BYE", URI: "sip:call@net", CallID: id, Seq: 1, SeqOf: "BYE",
 		Headers: []sip.Header{{Name: "Reason", Value: "Q.850;cause=16"}}})
@@ -275,8 +277,8 @@
 	}
 }
 
-// die resets all connections and ends all calls.
-func (d *fakeDispatcher) die() {
+// stop resets all connections and ends all calls.
+func (d *fakeDispatcher) stop() {
 	d.listening = false
 	clear(d.established)
 	for _, c := range slices.Clone(d.openConns) {
--- a/internal/dispatchers/harness_helpers_test.go
+++ b/internal/dispatchers/harness_helpers_test.go
@@ -69,8 +69,8 @@
 
 // reportFor has the first dispatcher send reports on all its working connections for a time.
 func (h *harness) reportFor(d time.Duration) {
-	for _, e := range reportSteps(d) {
-		h.runOnLoop(func() { e.run(h) })
-		time.Sleep(e.after)
+	for _, step := range reportSteps(d) {
+		h.runOnLoop(func() { step.run(h) })
+		time.Sleep(step.after)
 	}
 }
--- a/internal/dispatchers/harness_test.go
+++ b/internal/dispatchers/harness_test.go
@@ -17,6 +17,7 @@
 )
 
 const (
+	// testCallID is the id of the call that scenarios are about.
 	testCallID = "00000000000000c1"
 	// otherCallID and thirdCallID are those of further calls, which are placed otherCallDelay later and are answered at once.
 	otherCallID    = "00000000000000c2"
@@ -27,6 +28,7 @@
 "familyInfo":{"guardUs":60000,"layout":"skills","thisNode":-1},"membershipMode":"pushed","peersTotal":2,"report":{"fields":["idle"]},
 "requestClasses":[{"aimUs":900000,"deadlineUs":9000000,"name":"c","semantics":"read_like","worth":1}],"resolutionUs":5000,
 "rules":{"coldUs":1000000,"startCapacity":0.3,"tipMultiple":2}}`
+	// callTimeout is how long the caller of a call waits.
 	callTimeout = 9 * time.Second
 	// suspectCallTimeout is how long the caller of a call waits whose missing answer makes its dispatcher suspect.
 	suspectCallTimeout = 2 * time.Second
@@ -63,6 +65,7 @@
 	stalled            bool // a connection was blocked for a while
 }
 
+// violation records that an invariant does not hold.
 func (h *harness) violation(format string, args ...any) {
 	h.violations = append(h.violations, fmt.Sprintf(format, args...))
 }
@@ -121,12 +124,12 @@
 // earlier attempt.
 func (h *harness) releaseDelivered(by *fakeDispatcher, id string) {
 	c := h.calls[id]
-	if _, goesOn := by.established[id]; c != nil && !goesOn && c.releaseDeliveredAt.IsZero() {
+	if _, continues := by.established[id]; c != nil && !continues && c.releaseDeliveredAt.IsZero() {
 		c.releaseDeliveredAt = time.Now()
 	}
 }
 
-// newHarness must be called on the loop's goroutine or before the loop runs.
+// newHarness returns a harness for the given initial state. It must be called on the loop's goroutine or before the loop runs.
 func newHarness(t *testing.T, start initialState) *harness {
 	t.Helper()
 	set := new(settings.Settings)
@@ -184,13 +187,14 @@
 
 // restartFirst replaces the process of the first dispatcher by a new one, under its name and at its address.
 func (h *harness) restartFirst() {
-	h.first.die()
+	h.first.stop()
 	h.first = newFakeDispatcher(h)
 	h.network.dispatchers["first"] = h.first
 	h.startedAt += time.Second
 	h.updateList(control.Active, "first")
 }
 
+// withOldest calls f with the oldest open connection of the first dispatcher.
 func (h *harness) withOldest(f func(*fakeConn)) bool {
 	if h.first.partitioned || h.first.paused || len(h.first.openConns) == 0 {
 		return false
@@ -252,16 +256,16 @@
 		time.Sleep(time.Millisecond)
 		h.runOnLoop(h.deliverAll)
 	}
-	for _, e := range steps {
+	for _, step := range steps {
 		possible := false
-		if !e.idle {
+		if !step.idle {
 			h.lastStepAt = time.Now()
 		}
-		h.runOnLoop(func() { possible = e.run(h) })
+		h.runOnLoop(func() { possible = step.run(h) })
 		if !possible {
 			return false
 		}
-		h.advance(e.after)
+		h.advance(step.after)
 	}
 	h.settle()
 	return true
@@ -352,20 +356,20 @@
 }
 
 // check checks that the end of the call was reported once, and in time.
-func (c *callRecord) check(fault func(string, ...any)) {
+func (c *callRecord) check(report func(string, ...any)) {
 	if c.answers+c.refusals > 1 || c.ends > 1 {
-		fault("%d answers, %d refusals, %d ends", c.answers, c.refusals, c.ends)
+		report("%d answers, %d refusals, %d ends", c.answers, c.refusals, c.ends)
 	}
 	if c.answers == 1 && c.ends == 0 && !c.cancelled {
-		fault("its end was not reported")
+		report("its end was not reported")
 	}
 	if c.answers != 1 || c.ends != 1 {
 		return
 	}
 	if late := c.endReportedAt.Sub(c.endedAt); !c.endedAt.IsZero() && late > endTimeout {
-		fault("its end was reported after %v", late)
+		report("its end was reported after %v", late)
 	}
 	if late := c.endReportedAt.Sub(c.releaseDeliveredAt); !c.releaseDeliveredAt.IsZero() && late > releaseTimeout {
-		fault("its end was reported %v after its release had arrived", late)
+		report("its end was reported %v after its release had arrived", late)
 	}
 }
--- a/internal/dispatchers/known_scenarios_test.go
+++ b/internal/dispatchers/known_scenarios_test.go
@@ -34,7 +34,7 @@
 func TestCallsOfADispatcherWhoseAddressIsTakenEnd(t *testing.T) {
 	t.Parallel()
 	replaces := newStep("another dispatcher starts at its address", 0, func(h *harness) {
-		h.first.die()
+		h.first.stop()
 		other := newFakeDispatcher(h)
 		other.startReporting(h.network.loop)
 		h.network.dispatchers["first"] = other
--- a/internal/dispatchers/log_test.go
+++ b/internal/dispatchers/log_test.go
@@ -28,7 +28,7 @@
 		}),
 	}
 	if result := start.play(t, steps); !result.possible || len(result.violations) > 0 {
-		t.Fatalf("possible: %v, faults: %v", result.possible, result.violations)
+		t.Fatalf("possible: %v, violations: %v", result.possible, result.violations)
 	}
 	for _, want := range []string{
 		`step="` + string(endlog.LinkGivenUp) + `" server=first connection=1 state=half-closed`,
--- a/internal/dispatchers/lost_ends_test.go
+++ b/internal/dispatchers/lost_ends_test.go
@@ -20,8 +20,8 @@
 const wantedFor = 4100 * time.Millisecond
 
 // newStep returns a step that is always possible and is followed by a time in which nothing else happens.
-func newStep(what string, after time.Duration, f func(h *harness)) scenarioStep {
-	return scenarioStep{'-', what, func(h *harness) bool { f(h); return true }, after, false}
+func newStep(name string, after time.Duration, f func(h *harness)) scenarioStep {
+	return scenarioStep{'-', name, func(h *harness) bool { f(h); return true }, after, false}
 }
 
 // isolate blocks a connection in both directions while both sides hold it open.
--- a/internal/dispatchers/lost_releases_test.go
+++ b/internal/dispatchers/lost_releases_test.go
@@ -195,8 +195,8 @@
 		time.Sleep(time.Second)
 		h.setUpCall(testCallID)
 		h.runOnLoop(func() { h.first.partitioned = true })
-		for dropped := false; !dropped; time.Sleep(time.Millisecond) {
-			h.runOnLoop(func() { dropped = len(h.pool.servers["first"].conns) == 0 })
+		for disconnected := false; !disconnected; time.Sleep(time.Millisecond) {
+			h.runOnLoop(func() { disconnected = len(h.pool.servers["first"].conns) == 0 })
 		}
 		h.runOnLoop(h.first.reconnect)
 		time.Sleep(time.Second)
--- a/internal/dispatchers/ping_test.go
+++ b/internal/dispatchers/ping_test.go
@@ -16,10 +16,10 @@
 // without a result.
 func TestPingResults(t *testing.T) {
 	t.Parallel()
-	ping := func(h *harness, done func(bool)) { h.pool.Ping("first", testCallID, 0, done) }
+	ping := func(h *harness, onReply func(bool)) { h.pool.Ping("first", testCallID, 0, onReply) }
 	setUp := func(h *harness) { h.pool.SetUp("first", attemptOf(testCallID, 0)) }
 	reset := func(h *harness) { h.first.allConns[0].reset() }
-	full := func(h *harness) { h.first.allConns[0].writeBlocked = true }
+	blockWrites := func(h *harness) { h.first.allConns[0].writeBlocked = true }
 	for name, test := range map[string]struct {
 		before []func(h *harness) // each in its own loop iteration, before the ping
 		after  []func(h *harness)
@@ -31,7 +31,7 @@
 		"its connection is closed cleanly": {[]func(*harness){setUp, (*harness).answerFirst},
 			[]func(*harness){(*harness).closeFirst, (*harness).deliverFirst}, []bool{false}},
 		"its connection is reset":            {[]func(*harness){setUp}, []func(*harness){reset}, []bool{false}},
-		"its attempt is queued":              {[]func(*harness){full, setUp}, nil, []bool{true}},
+		"its attempt is queued":              {[]func(*harness){blockWrites, setUp}, nil, []bool{true}},
 		"its attempt waits for a connection": {[]func(*harness){reset, setUp}, nil, []bool{true}},
 		"there is no such attempt":           {nil, []func(*harness){(*harness).deliverFirst}, nil},
 	} {
@@ -101,9 +101,9 @@
 	fields := []string{"idle"}
 	t.Run("SIP", func(t *testing.T) {
 		t.Parallel()
-		wire := &SIP{fields: &fields}
+		protocol := &SIP{fields: &fields}
 		for want := uint32(1); want <= 3; want++ {
-			if _, got := wire.Probe(); got != want {
+			if _, got := protocol.Probe(); got != want {
 				t.Errorf("the probe has the number %d, want %d", got, want)
 			}
 		}
@@ -111,7 +111,7 @@
 			in := ring.New(1 << 10)
 			in.Write(sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: id, Seq: 1, SeqOf: "OPTIONS",
 				Headers: []sip.Header{{Name: "P-Report", Value: "idle:3"}}}))
-			m, err := wire.Next(in)
+			m, err := protocol.Next(in)
 			if err != nil || m.probeReply != want || m.kind != report {
 				t.Errorf("the reply to %s: %+v, %v, want the number %d and a report", id, m, err, want)
 			}
@@ -119,14 +119,14 @@
 	})
 	t.Run("WebSocket", func(t *testing.T) {
 		t.Parallel()
-		wire := &WebSocket{fields: &fields, handshakeDone: true}
+		protocol := &WebSocket{fields: &fields, handshakeDone: true}
 		for want := uint32(1); want <= 3; want++ {
-			if _, got := wire.Probe(); got != want {
+			if _, got := protocol.Probe(); got != want {
 				t.Errorf("the probe has the number %d, want %d", got, want)
 			}
 			in := ring.New(1 << 10)
 			in.Write(websocket.Append(nil, websocket.Text, []byte(`{"type":"pong","id":"load","cause":1,"fields":{"report":"idle:3"}}`), false))
-			m, err := wire.Next(in)
+			m, err := protocol.Next(in)
 			if err != nil || m.probeReply != want || m.kind != report {
 				t.Errorf("the reply: %+v, %v, want the number %d and a report", m, err, want)
 			}
--- a/internal/dispatchers/queued_set_up_test.go
+++ b/internal/dispatchers/queued_set_up_test.go
@@ -44,7 +44,7 @@
 	}
 	defer ln.Close()
 	loop, core := call.NewLoop(), &outcomeRecorder{outcomes: map[string]control.Outcome{}}
-	do := func(f func()) {
+	runOnLoop := func(f func()) {
 		done := make(chan struct{})
 		loop.Post(func() { f(); close(done) })
 		<-done
@@ -53,7 +53,7 @@
 	t.Cleanup(loop.Quit)
 	var p *Pool
 	server := call.Server{ServerEntry: control.ServerEntry{ID: "d"}, Address: ln.Addr().String()}
-	do(func() {
+	runOnLoop(func() {
 		p = New(loop, core, Options{ConnectTimeout: 10 * time.Second, Log: slog.New(slog.DiscardHandler)})
 		p.SetMaxConnections(1)
 		p.Update(call.Update{Servers: []call.Server{server}, Complete: true})
@@ -66,13 +66,13 @@
 	setUp := func(id, description string) {
 		p.SetUp("d", call.SetUp{ID: id, Class: "c", Called: "k", Description: description, Timeout: time.Minute})
 	}
-	connCount := func() (n int) { do(func() { n = len(p.servers["d"].conns) }); return n }
+	connCount := func() (n int) { runOnLoop(func() { n = len(p.servers["d"].conns) }); return n }
 	for connCount() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	var lastID string
 	var unsent bool
-	do(func() {
+	runOnLoop(func() {
 		poolConn := p.servers["d"].conns[0]
 		n := 0
 		for long := strings.Repeat("x", call.MaxDescription); poolConn.conn.Unsent() == 0; p.Flush() {
--- a/internal/dispatchers/scenario_steps_test.go
+++ b/internal/dispatchers/scenario_steps_test.go
@@ -28,6 +28,7 @@
 	return found
 }
 
+// deliverStep returns the run function of a step that delivers what is in transit on the oldest or newest connection.
 func deliverStep(newest bool) func(*harness) bool {
 	return func(h *harness) bool {
 		c := h.first.connInTransit(newest)
@@ -44,6 +45,7 @@
 	return scenarioStep{letter, "time passes: " + d.String(), func(*harness) bool { return true }, d, true}
 }
 
+// baseSteps returns steps with the call, its dispatcher, their connections and the list.
 func baseSteps() []scenarioStep {
 	return []scenarioStep{
 		{'a', "the first dispatcher answers", func(h *harness) bool { return h.first.sendFinalAnswer(testCallID, 200) }, 0, false},
@@ -91,7 +93,7 @@
 		}, 0, false},
 		{'k', "it stops", func(h *harness) bool {
 			wasListening := h.first.listening
-			h.first.die()
+			h.first.stop()
 			return wasListening
 		}, 0, false},
 		{'b', "it restarts", func(h *harness) bool { h.restartFirst(); return true }, 2 * checkInterval, false},
@@ -220,10 +222,11 @@
 	return true
 }
 
+// stepLetters returns the letters of the steps.
 func stepLetters(steps []scenarioStep) string {
 	var letters strings.Builder
-	for _, e := range steps {
-		letters.WriteByte(e.letter)
+	for _, step := range steps {
+		letters.WriteByte(step.letter)
 	}
 	return letters.String()
 }
@@ -232,9 +235,9 @@
 func stepsFor(letters string) []scenarioStep {
 	var steps []scenarioStep
 	for _, letter := range []byte(letters) {
-		for _, e := range slices.Concat(baseSteps(), stallSteps(), pauseSteps()) {
-			if e.letter == letter {
-				steps = append(steps, e)
+		for _, step := range slices.Concat(baseSteps(), stallSteps(), pauseSteps()) {
+			if step.letter == letter {
+				steps = append(steps, step)
 			}
 		}
 	}
--- a/internal/dispatchers/scenarios_test.go
+++ b/internal/dispatchers/scenarios_test.go
@@ -32,6 +32,7 @@
 	violations []string
 }
 
+// play plays the steps after those of the prefix.
 func (start initialState) play(t *testing.T, steps []scenarioStep) (result scenarioResult) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -197,9 +198,9 @@
 }
 
 // playScenarios plays scenarios, and requires them to be possible and without a violation.
-func playScenarios(t *testing.T, orders map[string]scenario) {
+func playScenarios(t *testing.T, scenarios map[string]scenario) {
 	t.Helper()
-	for name, test := range orders {
+	for name, test := range scenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			test.start.playWithoutViolation(t, stepsFor(test.steps))
--- a/internal/dispatchers/waiting_test.go
+++ b/internal/dispatchers/waiting_test.go
@@ -38,7 +38,7 @@
 	loop := call.NewLoop()
 	go loop.Run()
 	t.Cleanup(loop.Quit)
-	const many = 6000 // about a megabyte
+	const releaseCount = 6000 // about a megabyte
 	loop.Post(func() {
 		p := New(loop, &outcomeRecorder{outcomes: map[string]control.Outcome{}}, Options{ConnectTimeout: time.Minute, Log: slog.New(slog.DiscardHandler)})
 		p.SetMaxConnections(1)
@@ -46,7 +46,7 @@
 		iterate = func() { p.Flush(); loop.After(time.Millisecond, iterate) } // like the event loop of the core
 		iterate()
 		p.Update(call.Update{Servers: []call.Server{{ServerEntry: control.ServerEntry{ID: "d"}, Address: d.Address()}}, Complete: true})
-		for n := range many {
+		for n := range releaseCount {
 			p.Release("d", fmt.Sprint("known-", n), 31)
 		}
 		for n := range 2 * maxUnknownReleases {
@@ -55,14 +55,14 @@
 		p.SetUp("d", attemptOf("last", 0))
 	})
 	d.Open()
-	for n := range many + 1 {
+	for n := range releaseCount + 1 {
 		want := fmt.Sprint("release known-", n)
-		if n == many {
+		if n == releaseCount {
 			want = "setup last"
 		}
 		e, err := d.Next()
 		if err != nil {
-			t.Fatalf("%v after %d of %d", err, n, many)
+			t.Fatalf("%v after %d of %d", err, n, releaseCount)
 		}
 		if got := e.Kind + " " + e.ID; got != want {
 			t.Fatalf("got %q, want %q", got, want)
