--- a/internal/mutants/list_dispatchers.go
+++ b/internal/mutants/list_dispatchers.go
@@ -235,7 +235,7 @@
 			Replacement: "\t\t_ = id\n"},
 		{Name: "drop-drains", File: "internal/dispatchers/server.go", Row: "answer-after-drop.md", Tests: dispatchersTests,
 			Text:        `if len(c.setUps) > 0 || c == latest && len(toRelease) > 0 {`,
-			Replacement: `if len(s.links) == 0 {`},
+			Replacement: `if len(s.conns) == 0 {`},
 		{Name: "drop-releases-on-the-drained", File: "internal/dispatchers/server.go", Row: "answer-after-drop.md", Tests: dispatchersTests,
 			Text:        "\t\t\tlatest.sendRelease(r)\n",
 			Replacement: "\t\t\t_ = r\n"},
