--- a/internal/dispatchers/clean_close_test.go
+++ b/internal/dispatchers/clean_close_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestCleanClosesDoNotRequestMoreConnections guards against an endless sequence of connections, each closed to make room for the next one
-// and closed by its dispatcher with a closing message.
+// TestCleanClosesDoNotRequestMoreConnections guards against an endless sequence of connections, each half-closed here so that the next
+// one can open, and closed by its dispatcher with a closing message.
 func TestCleanClosesDoNotRequestMoreConnections(t *testing.T) {
 	t.Parallel()
 	withHarness(t, initialState{conns: 2, maxConns: 2, neverCloses: true}, func(h *harness) {
--- a/internal/dispatchers/dial.go
+++ b/internal/dispatchers/dial.go
@@ -54,7 +54,7 @@
 
 // dialFailed handles a failed dial.
 func (s *server) dialFailed(err error) {
-	if errors.Is(err, conn.ErrNoSocket) { // it says nothing about the dispatcher
+	if errors.Is(err, conn.ErrNoSocket) { // the fault is not the dispatcher's
 		s.backoff.RecordFailure(time.Now(), rand.Float64())
 		s.pool.Log.Warn("no file descriptor for a connection", "server", s.ID, "err", err)
 		return
--- a/internal/dispatchers/fake_dispatcher_test.go
+++ b/internal/dispatchers/fake_dispatcher_test.go
@@ -11,7 +11,7 @@
 	"cherryrelay/internal/sip"
 )
 
-// answerDelay is the delay after which a fake dispatcher answers without being told to by a step.
+// answerDelay is the delay after which a fake dispatcher answers by itself.
 const answerDelay = 20 * time.Millisecond
 
 // dialTime is the time that a dial takes.
--- a/internal/dispatchers/release.go
+++ b/internal/dispatchers/release.go
@@ -28,7 +28,7 @@
 // releaseDialPeriod is how long a removed dispatcher without a connection is dialled to release its calls.
 const releaseDialPeriod = 10 * time.Second
 
-// Release releases a call; an empty id stands for all dispatchers.
+// Release releases a call; an empty id means all dispatchers.
 func (p *Pool) Release(id control.ServerID, callID string, cause int) {
 	for _, s := range p.order {
 		if id != "" && s.ID != id || s.obsolete() && len(s.conns) == 0 && (id == "" || s.replaced) {
