--- a/internal/dispatchers/address_reused_test.go
+++ b/internal/dispatchers/address_reused_test.go
@@ -9,62 +9,63 @@
 	"cherryrelay/internal/call"
 )
 
-// TestAnEndOnAConnectionUnderAnEarlierNameIsTold guards against the untold end of a call at a dispatcher that has taken another's address: it was connected
-// to under the other's name before the list told of it, and tells the end there, as the connection of the call has closed.
-func TestAnEndOnAConnectionUnderAnEarlierNameIsTold(t *testing.T) {
+// TestAnEndOnAConnectionUnderAnEarlierNameIsReported guards against the lost end of a call at a dispatcher that has taken over another's
+// address: a connection to it was opened under the other's name before the list contained it, and it sends the end there because the
+// connection of the call has closed.
+func TestAnEndOnAConnectionUnderAnEarlierNameIsReported(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := newOrderSite(t, orderStart{})
-		go s.core.Loop().Run()
+		h := newHarness(t, initialState{})
+		go h.core.Loop().Run()
 		defer func() {
-			s.core.Loop().Quit()
+			h.core.Loop().Quit()
 			synctest.Wait()
 		}()
-		s.do(func() { s.list(control.Active, "first") })
+		h.runOnLoop(func() { h.updateList(control.Active, "first") })
 		time.Sleep(time.Second)
-		s.do(s.takePlaceOfFirst)
+		h.runOnLoop(h.replaceFirst)
 		time.Sleep(time.Second)
-		s.do(s.listOther)
+		h.runOnLoop(h.listReplacement)
 		time.Sleep(time.Second)
-		s.do(func() { s.offer(orderedID, orderDeadline) })
+		h.runOnLoop(func() { h.placeCall(testCallID, callTimeout) })
 		time.Sleep(time.Second)
-		s.do(s.arrive)
-		s.do(func() {
-			c := s.first.established[orderedID]
-			if c == nil || !s.knows(orderedID, "other") || len(s.pool.servers["first"].links) != 1 {
-				t.Errorf("established: %v; want the call at the other dispatcher, and a connection under the earlier name", c != nil)
+		h.runOnLoop(h.deliverAll)
+		h.runOnLoop(func() {
+			c := h.first.established[testCallID]
+			if c == nil || !h.isEstablished(testCallID, "other") || len(h.pool.servers["first"].conns) != 1 {
+				t.Errorf("established: %v; want the call at the other dispatcher and one connection under the earlier name", c != nil)
 				return
 			}
 			c.close()
-			c.deliver()
+			c.deliverToPool()
 		})
 		time.Sleep(time.Second)
-		s.do(func() { s.end(s.first, orderedID) })
+		h.runOnLoop(func() { h.endCall(h.first, testCallID) })
 		time.Sleep(time.Second)
-		s.do(s.arrive)
-		s.do(func() {
-			if overs := s.calls[orderedID].overs; overs != 1 {
-				t.Errorf("the end of the call is told %d times", overs)
+		h.runOnLoop(h.deliverAll)
+		h.runOnLoop(func() {
+			if ends := h.calls[testCallID].ends; ends != 1 {
+				t.Errorf("the end of the call was reported %d times, want 1", ends)
 			}
-			if n := len(s.pool.servers["other"].standing); n != 0 {
-				t.Errorf("%d entries of calls that are over", n)
+			if n := len(h.pool.servers["other"].established); n != 0 {
+				t.Errorf("%d terminated calls still have an entry", n)
 			}
 		})
 	})
 }
 
-// takePlaceOfFirst has the first dispatcher die, and another one listen at its address, of which the list does not tell yet.
-func (s *orderSite) takePlaceOfFirst() {
-	s.first.dies()
-	s.first = newProcess(s)
-	s.first.prompt = true
-	s.first.chat(s.network.loop)
-	s.network.processes["first"] = s.first
+// replaceFirst stops the first dispatcher and starts another one at its address, which is not on the list yet.
+func (h *harness) replaceFirst() {
+	h.first.stop()
+	h.first = newFakeDispatcher(h)
+	h.first.answersAll = true
+	h.first.startReporting(h.network.loop)
+	h.network.dispatchers["first"] = h.first
 }
 
-// listOther has the list tell that the first dispatcher is gone, and that the other one has its address.
-func (s *orderSite) listOther() {
-	s.core.Update(call.Update{Servers: []call.Server{
+// listReplacement updates the list: the first dispatcher is removed, and another one has its address.
+func (h *harness) listReplacement() {
+	h.core.Update(call.Update{Servers: []call.Server{
 		{ServerEntry: control.ServerEntry{ID: "first", Status: control.Removed}, Address: "first"},
 		{ServerEntry: control.ServerEntry{ID: "other", Status: control.Active}, Address: "first"},
 	}})
--- a/internal/dispatchers/address_taken_test.go
+++ b/internal/dispatchers/address_taken_test.go
@@ -8,76 +8,78 @@
 	"cherryrelay/control"
 )
 
-// settles is a time in which the dispatcher is looked at again, and nothing else happens.
-const settles = 3 * time.Second
+// settleTime is long enough for the dispatcher to be checked again while nothing else happens.
+const settleTime = 3 * time.Second
 
-// addressTaken is an event in which the list tells that another dispatcher has the address of the first one.
-func addressTaken() orderEvent {
-	return event("the list tells of another dispatcher at its address", settles, (*orderSite).listOther)
+// addressTaken returns a step in which the list gives the address of the first dispatcher to another one.
+func addressTaken() scenarioStep {
+	return newStep("the list has another dispatcher at its address", settleTime, (*harness).listReplacement)
 }
 
-// goesOnUntold is an event after which the call must not have been told as over.
-func goesOnUntold() orderEvent {
-	return event("its end is not told", 0, func(s *orderSite) {
-		if s.calls[orderedID].overs > 0 {
-			s.fault("a call is told as over that its dispatcher holds")
+// expectNotEnded returns a step that fails if the end of the call was reported.
+func expectNotEnded() scenarioStep {
+	return newStep("its end is not reported", 0, func(h *harness) {
+		if h.calls[testCallID].ends > 0 {
+			h.violation("the end of a call was reported that its dispatcher still holds")
 		}
 	})
 }
 
-// allReset is an event in which all connections to the first dispatcher are reset, and it holds the call on.
-func allReset() orderEvent {
-	return event("all connections are reset", time.Second, func(s *orderSite) {
-		for _, c := range slices.Clone(s.first.connections) {
+// resetAll returns a step in which all connections to the first dispatcher are reset while it keeps the call.
+func resetAll() scenarioStep {
+	return newStep("all connections are reset", time.Second, func(h *harness) {
+		for _, c := range slices.Clone(h.first.openConns) {
 			c.reset()
 		}
-		s.first.ambiguous[orderedID] = true // nobody can tell that its process lives
+		h.first.ambiguous[testCallID] = true // the controller can't know that its process still runs
 	})
 }
 
-// TestCallsOfADispatcherThatOutlivesItsPlaceOnTheListGoOn guards against calls that are cut as they stand: the list tells that another dispatcher has the
-// address, while a connection of the one that holds them is open.
-func TestCallsOfADispatcherThatOutlivesItsPlaceOnTheListGoOn(t *testing.T) {
+// TestCallsOfAReplacedDispatcherContinue guards against established calls that are ended because the list gives the address of their
+// dispatcher to another one while a connection to the former is open.
+func TestCallsOfAReplacedDispatcherContinue(t *testing.T) {
 	t.Parallel()
-	for name, order := range map[string][]orderEvent{
-		"the connection of the call is open":    {addressTaken(), goesOnUntold()},
-		"another one is open":                   slices.Concat(spelledOrder("Hdt"), []orderEvent{addressTaken(), goesOnUntold()}),
-		"it is at its address, by the list":     slices.Concat([]orderEvent{allReset()}, []orderEvent{passes('-', settles), goesOnUntold()}),
-		"it is off the list, and has its place": slices.Concat([]orderEvent{allReset()}, spelledOrder("x"), []orderEvent{passes('-', settles), goesOnUntold()}),
+	for name, steps := range map[string][]scenarioStep{
+		"the connection of the call is open": {addressTaken(), expectNotEnded()},
+		"another connection is open":         slices.Concat(stepsFor("Hdt"), []scenarioStep{addressTaken(), expectNotEnded()}),
+		"the list has it at its address": slices.Concat([]scenarioStep{resetAll()},
+			[]scenarioStep{waitStep('-', settleTime), expectNotEnded()}),
+		"it is off the list, and no other has its address": slices.Concat([]scenarioStep{resetAll()}, stepsFor("x"),
+			[]scenarioStep{waitStep('-', settleTime), expectNotEnded()}),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			chatting.playWithoutFault(t, order)
+			reportingCall.playWithoutViolation(t, steps)
 		})
 	}
 }
 
-// TestACallThatCountsAsStrandedIsReleased guards against a call that is told as cut and that its dispatcher goes on to hold: all connections to it were
-// reset, and the list tells that another one has its address.
-func TestACallThatCountsAsStrandedIsReleased(t *testing.T) {
+// TestAnOrphanedCallIsReleased guards against a call that is reported as ended while its dispatcher keeps it: all connections to the
+// dispatcher were reset, and the list gives its address to another one.
+func TestAnOrphanedCallIsReleased(t *testing.T) {
 	t.Parallel()
-	chatting.playWithoutFault(t, []orderEvent{allReset(), addressTaken(), bothKnowItIsOver()})
+	reportingCall.playWithoutViolation(t, []scenarioStep{resetAll(), addressTaken(), endReportedAndReleased()})
 }
 
-// TestACallAtADispatcherWhoseAddressIsTakenEndsAsTheListTells guards against the end of a call that is told late, as its dispatcher died and another one
-// at its address was connected to under its name.
-func TestACallAtADispatcherWhoseAddressIsTakenEndsAsTheListTells(t *testing.T) {
+// TestCallsEndWhenTheListReplacesTheirDispatcher guards against the end of a call that is reported late because its dispatcher stopped
+// and connections to another one at its address were opened under its name.
+func TestCallsEndWhenTheListReplacesTheirDispatcher(t *testing.T) {
 	t.Parallel()
-	withSite(t, orderStart{links: 2, called: true, chats: true}, func(s *orderSite) {
-		s.setsUp(orderedID)
-		s.do(func() { s.first.finalAnswer(orderedID, 200); s.arrive() })
+	withHarness(t, initialState{conns: 2, established: true, reportsPeriodically: true}, func(h *harness) {
+		h.setUpCall(testCallID)
+		h.runOnLoop(func() { h.first.sendFinalAnswer(testCallID, 200); h.deliverAll() })
 		time.Sleep(time.Second)
-		s.do(s.arrive)
-		s.do(s.takePlaceOfFirst)
+		h.runOnLoop(h.deliverAll)
+		h.runOnLoop(h.replaceFirst)
 		time.Sleep(time.Second)
-		s.do(s.listOther)
-		time.Sleep(3 * checkEvery)
-		s.do(func() {
-			if c := s.calls[orderedID]; c.answers != 1 || c.overs != 1 || len(s.pool.servers["first"].standing) != 0 {
-				t.Errorf("%d answers, %d ends, %d entries of calls; want 1, 1, 0", c.answers, c.overs, len(s.pool.servers["first"].standing))
+		h.runOnLoop(h.listReplacement)
+		time.Sleep(3 * checkInterval)
+		h.runOnLoop(func() {
+			if c := h.calls[testCallID]; c.answers != 1 || c.ends != 1 || len(h.pool.servers["first"].established) != 0 {
+				t.Errorf("%d answers, %d ends, %d entries of calls; want 1, 1, 0", c.answers, c.ends, len(h.pool.servers["first"].established))
 			}
-			if s.pool.servers["other"].Status != control.Active {
-				t.Error("the other dispatcher is not in use")
+			if h.pool.servers["other"].Status != control.Active {
+				t.Error("the other dispatcher is not active")
 			}
 		})
 	})
--- a/internal/dispatchers/budget_test.go
+++ b/internal/dispatchers/budget_test.go
@@ -13,16 +13,16 @@
 	"cherryrelay/internal/peer"
 )
 
-// standings is a core with calls at dispatchers; it notes how attempts ended.
-type standings struct {
-	ends
-	at map[control.ServerID][]string // calls that stand
+// fakeCore is a core with calls established at dispatchers. It records the outcomes of attempts.
+type fakeCore struct {
+	outcomeRecorder
+	calls map[control.ServerID][]string // established calls by dispatcher
 }
 
-func (s *standings) EstablishedCount(id control.ServerID) int { return len(s.at[id]) }
-func (s *standings) EstablishedAt(id control.ServerID) iter.Seq[string] {
+func (c *fakeCore) EstablishedCount(id control.ServerID) int { return len(c.calls[id]) }
+func (c *fakeCore) EstablishedAt(id control.ServerID) iter.Seq[string] {
 	return func(yield func(string) bool) {
-		for _, call := range s.at[id] {
+		for _, call := range c.calls[id] {
 			if !yield(call) {
 				return
 			}
@@ -30,46 +30,47 @@
 	}
 }
 
-func (s *standings) EachEstablished(f func(control.ServerID)) {
-	for id, calls := range s.at {
+func (c *fakeCore) EachEstablished(f func(control.ServerID)) {
+	for id, calls := range c.calls {
 		for range calls {
 			f(id)
 		}
 	}
 }
 
-func (s *standings) Answered(server control.ServerID, id string, _ int, _ string) bool {
-	s.at[server] = append(s.at[server], id)
+func (c *fakeCore) Answered(server control.ServerID, id string, _ int, _ string) bool {
+	c.calls[server] = append(c.calls[server], id)
 	return true
 }
 
-// budgeted is a pool with a budget and dispatchers to connect to.
-type budgeted struct {
+// poolFixture is a pool with a socket budget, and dispatchers for it.
+type poolFixture struct {
 	*testing.T
 	pool        *Pool
 	loop        *call.Loop
-	core        *standings
+	core        *fakeCore
 	dispatchers []*peer.Dispatcher
 	list        call.Update
 }
 
-func newBudgeted(t *testing.T, budget, n int) *budgeted {
+func newPoolFixture(t *testing.T, budget, n int) *poolFixture {
 	t.Helper()
-	b := &budgeted{T: t, loop: call.NewLoop(), core: &standings{ends: ends{told: map[string]control.Outcome{}}, at: map[control.ServerID][]string{}}}
+	fx := &poolFixture{T: t, loop: call.NewLoop(),
+		core: &fakeCore{outcomeRecorder: outcomeRecorder{outcomes: map[string]control.Outcome{}}, calls: map[control.ServerID][]string{}}}
 	for range n {
-		b.lists(dispatcherAt(t, "tcp", "127.0.0.1:0"))
+		fx.addDispatcher(dispatcherAt(t, "tcp", "127.0.0.1:0"))
 	}
-	b.list.Complete = true
-	go b.loop.Run()
-	t.Cleanup(b.loop.Quit)
-	b.do(func() {
-		b.pool = New(b.loop, b.core, Options{ConnectTimeout: 10 * time.Second, Log: slog.New(slog.DiscardHandler)})
-		b.pool.SetSocketBudget(budget)
+	fx.list.Complete = true
+	go fx.loop.Run()
+	t.Cleanup(fx.loop.Quit)
+	fx.runOnLoop(func() {
+		fx.pool = New(fx.loop, fx.core, Options{ConnectTimeout: 10 * time.Second, Log: slog.New(slog.DiscardHandler)})
+		fx.pool.SetSocketBudget(budget)
 	})
-	return b
+	return fx
 }
 
-// dispatcherAt listens at an address until the test ends.
+// dispatcherAt starts a dispatcher at an address. It is stopped when the test ends.
 func dispatcherAt(t *testing.T, transport, address string) *peer.Dispatcher {
 	t.Helper()
 	d, err := peer.Dispatch(transport, address, "x0:40")
@@ -80,130 +81,130 @@
 	return d
 }
 
-// lists puts a dispatcher on the list, and has it tell of its connections.
-func (b *budgeted) lists(d *peer.Dispatcher) {
+// addDispatcher adds a dispatcher to the list, and has it report events of its connections.
+func (fx *poolFixture) addDispatcher(d *peer.Dispatcher) {
 	d.TellLinks()
-	id := name(len(b.dispatchers))
-	b.dispatchers = append(b.dispatchers, d)
-	b.list.Servers = append(b.list.Servers, call.Server{ServerEntry: control.ServerEntry{ID: id}, Address: d.Address()})
+	id := dispatcherName(len(fx.dispatchers))
+	fx.dispatchers = append(fx.dispatchers, d)
+	fx.list.Servers = append(fx.list.Servers, call.Server{ServerEntry: control.ServerEntry{ID: id}, Address: d.Address()})
 }
 
-func name(i int) control.ServerID { return control.ServerID(fmt.Sprint("d", i)) }
+func dispatcherName(i int) control.ServerID { return control.ServerID(fmt.Sprint("d", i)) }
 
-// do runs a function on the loop.
-func (b *budgeted) do(f func()) {
+// runOnLoop runs a function on the event loop.
+func (fx *poolFixture) runOnLoop(f func()) {
 	done := make(chan struct{})
-	b.loop.Post(func() { f(); close(done) })
+	fx.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
 // setUp places a call at a dispatcher.
-func (b *budgeted) setUp(i int, id string) {
-	b.do(func() {
-		b.pool.SetUp(name(i), attemptOf(id, 0))
-		b.pool.Flush()
+func (fx *poolFixture) setUp(i int, id string) {
+	fx.runOnLoop(func() {
+		fx.pool.SetUp(dispatcherName(i), attemptOf(id, 0))
+		fx.pool.Flush()
 	})
 }
 
-// comes waits for an event of a kind at a dispatcher.
-func (b *budgeted) comes(i int, kind string) peer.Event {
-	b.Helper()
+// waitFor waits for an event of a kind at a dispatcher.
+func (fx *poolFixture) waitFor(i int, kind string) peer.Event {
+	fx.Helper()
 	for begun := time.Now(); ; {
 		if time.Since(begun) > peer.Patience {
-			b.Fatalf("no %s comes to dispatcher %d", kind, i)
+			fx.Fatalf("no %s event at dispatcher %d", kind, i)
 		}
-		// What was queued while the pool was flushed goes out with the next turn.
-		b.do(b.pool.Flush)
+		// What was queued during a flush is sent with the next iteration.
+		fx.runOnLoop(fx.pool.Flush)
 		select {
-		case e := <-b.dispatchers[i].Events:
+		case e := <-fx.dispatchers[i].Events:
 			if e.Kind == kind {
 				return e
 			}
 		case <-time.After(10 * time.Millisecond):
 		}
-		if b.Failed() {
-			b.FailNow()
+		if fx.Failed() {
+			fx.FailNow()
 		}
 	}
 }
 
-// establishes has a dispatcher answer a set-up, and waits until the call stands, the only one there.
-func (b *budgeted) establishes(i int, setUp peer.Event) {
-	b.Helper()
+// establish has a dispatcher answer a set-up, and waits until the call is the only one established there.
+func (fx *poolFixture) establish(i int, setUp peer.Event) {
+	fx.Helper()
 	if err := setUp.Answer("y"); err != nil {
-		b.Fatal(err)
+		fx.Fatal(err)
 	}
-	waitOnLoop(b, func() bool { return len(b.core.at[name(i)]) == 1 })
+	waitUntil(fx, func() bool { return len(fx.core.calls[dispatcherName(i)]) == 1 })
 }
 
-// setUpWithoutRelease places a call at a dispatcher, ahead of which releases would go out, and wants none to come there.
-func (b *budgeted) setUpWithoutRelease(i int, id string) {
-	b.Helper()
-	b.setUp(i, id)
+// setUpWithoutRelease places a call at a dispatcher, where waiting releases would be sent first, and fails if one arrives.
+func (fx *poolFixture) setUpWithoutRelease(i int, id string) {
+	fx.Helper()
+	fx.setUp(i, id)
 	for until := time.Now().Add(peer.Patience); time.Now().Before(until); {
-		b.do(b.pool.Flush)
+		fx.runOnLoop(fx.pool.Flush)
 		select {
-		case e := <-b.dispatchers[i].Events:
+		case e := <-fx.dispatchers[i].Events:
 			switch {
 			case e.Kind == "release":
-				b.Fatalf("call %s is released", e.ID)
+				fx.Fatalf("call %s was released", e.ID)
 			case e.Kind == "setup" && e.ID == id:
 				return
 			}
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	b.Error("the next set-up never comes")
+	fx.Error("the next set-up did not arrive")
 }
 
-// TestASetUpMakesRoom: with two sockets for three dispatchers, a set-up for one without a connection has an idle one closed, and waits
-// while both have set-ups open.
-func TestASetUpMakesRoom(t *testing.T) {
+// TestASetUpEvictsAnIdleConnection checks a budget of two sockets for three dispatchers: a set-up for a dispatcher without a connection
+// evicts an idle connection, and waits while both connections have open set-ups.
+func TestASetUpEvictsAnIdleConnection(t *testing.T) {
 	t.Parallel()
-	b := newBudgeted(t, 2, 3)
-	b.do(func() { b.pool.Update(b.list) })
-	b.comes(0, "opened") // ahead of need, one of the two is used
-	b.setUp(0, "a")
-	first := b.comes(0, "setup")
-	b.setUp(1, "b")
-	second := b.comes(1, "setup")
-	b.setUp(2, "c")
-	b.do(func() {
-		if l := b.pool.servers["d0"].links; len(l) != 1 || b.pool.sockets.held != 2 || len(b.pool.servers["d1"].links) != 1 {
-			t.Errorf("%d sockets are held, %d links to d0", b.pool.sockets.held, len(l))
+	fx := newPoolFixture(t, 2, 3)
+	fx.runOnLoop(func() { fx.pool.Update(fx.list) })
+	fx.waitFor(0, "opened") // one of the two sockets is used before a call needs it
+	fx.setUp(0, "a")
+	first := fx.waitFor(0, "setup")
+	fx.setUp(1, "b")
+	second := fx.waitFor(1, "setup")
+	fx.setUp(2, "c")
+	fx.runOnLoop(func() {
+		if conns := fx.pool.servers["d0"].conns; len(conns) != 1 || fx.pool.sockets.held != 2 || len(fx.pool.servers["d1"].conns) != 1 {
+			t.Errorf("%d sockets are held, want 2; %d connections to d0, want 1", fx.pool.sockets.held, len(conns))
 		}
 	})
 	if err := second.Refuse(peer.Broken); err != nil {
 		t.Fatal(err)
 	}
-	b.comes(1, "closed")
-	third := b.comes(2, "setup")
+	fx.waitFor(1, "closed")
+	third := fx.waitFor(2, "setup")
 	for _, e := range []peer.Event{first, third} {
 		if err := e.Answer("y"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for stand := 0; stand < 2; {
-		b.do(func() { stand = len(b.core.at["d0"]) + len(b.core.at["d2"]) })
+	for established := 0; established < 2; {
+		fx.runOnLoop(func() { established = len(fx.core.calls["d0"]) + len(fx.core.calls["d2"]) })
 	}
-	b.do(func() {
-		if got := maps.Collect(maps.All(b.core.told)); len(got) != 1 {
-			t.Errorf("attempts that ended: %v, want the second alone", got)
+	fx.runOnLoop(func() {
+		if got := maps.Collect(maps.All(fx.core.outcomes)); len(got) != 1 {
+			t.Errorf("attempts that ended: %v, want only the second", got)
 		}
 	})
 }
 
-// TestDispatchersWithCallsTakeTurns: calls stand at more dispatchers than there may be connections. Each one comes to have a new
-// connection, on which it can repeat the ends of its calls, within 8 s, again and again.
-func TestDispatchersWithCallsTakeTurns(t *testing.T) {
+// TestDispatchersWithCallsShareTheBudget checks the budget while more dispatchers have established calls than there may be connections:
+// each gets a new connection, on which it can repeat the ends of its calls, within 8 s, repeatedly.
+func TestDispatchersWithCallsShareTheBudget(t *testing.T) {
 	t.Parallel()
 	const budget, n, rounds = 4, 10, 2
-	b := newBudgeted(t, budget, n)
-	b.do(func() {
+	fx := newPoolFixture(t, budget, n)
+	fx.runOnLoop(func() {
 		for i := range n {
-			b.core.at[name(i)] = []string{fmt.Sprint("call ", i)}
+			fx.core.calls[dispatcherName(i)] = []string{fmt.Sprint("call ", i)}
 		}
-		b.pool.Update(b.list)
+		fx.pool.Update(fx.list)
 	})
 	opened, since := [n]int{}, [n]time.Time{}
 	for i := range since {
@@ -211,12 +212,12 @@
 	}
 	for least := 0; least < rounds; {
 		most := 0
-		b.do(func() { most = b.pool.sockets.held })
+		fx.runOnLoop(func() { most = fx.pool.sockets.held })
 		if most > budget {
-			t.Fatalf("%d sockets are held", most)
+			t.Fatalf("%d sockets are held, more than the budget", most)
 		}
 		least = rounds
-		for i, d := range b.dispatchers {
+		for i, d := range fx.dispatchers {
 			select {
 			case e := <-d.Events:
 				if e.Kind != "opened" {
@@ -235,30 +236,30 @@
 	t.Log("openings:", opened)
 }
 
-// TestThoseThatRefuseAreDialledRarely: each on the list is dialled once, and from then on one a second of all of them; but one for which
-// a set-up waits at once.
-func TestThoseThatRefuseAreDialledRarely(t *testing.T) {
+// TestRefusingDispatchersAreDialledRarely checks that each dispatcher on the list is dialled once, and then only one per second of all of
+// them, except for one that a set-up waits for, which is dialled at once.
+func TestRefusingDispatchersAreDialledRarely(t *testing.T) {
 	t.Parallel()
-	const n, lasting = 50, 3 * time.Second
-	b := newBudgeted(t, 0, n)
-	for _, d := range b.dispatchers {
+	const n, duration = 50, 3 * time.Second
+	fx := newPoolFixture(t, 0, n)
+	for _, d := range fx.dispatchers {
 		d.Die()
 	}
 	begun := time.Now()
-	b.do(func() { b.pool.Update(b.list) })
-	dials := func() (dials int) { b.do(func() { dials = b.pool.sockets.dials }); return dials }
+	fx.runOnLoop(func() { fx.pool.Update(fx.list) })
+	dials := func() (dials int) { fx.runOnLoop(func() { dials = fx.pool.sockets.dialCount }); return dials }
 	for dials() < n {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(lasting)
-	if got, most := dials(), n+1+int(time.Since(begun)/time.Second); got > most || got < n+int(lasting/time.Second)-1 {
+	time.Sleep(duration)
+	if got, most := dials(), n+1+int(time.Since(begun)/time.Second); got > most || got < n+int(duration/time.Second)-1 {
 		t.Errorf("%d dials in %v, want %d at most", got, time.Since(begun), most)
 	}
-	b.dispatchers[n-1] = dispatcherAt(t, "tcp", b.dispatchers[n-1].Address())
+	fx.dispatchers[n-1] = dispatcherAt(t, "tcp", fx.dispatchers[n-1].Address())
 	since := time.Now()
-	b.setUp(n-1, "a")
-	b.comes(n-1, "setup")
+	fx.setUp(n-1, "a")
+	fx.waitFor(n-1, "setup")
 	if took := time.Since(since); took > time.Second {
-		t.Errorf("a set-up had to wait for %v", took)
+		t.Errorf("a set-up waited for %v", took)
 	}
 }
--- a/internal/dispatchers/check_test.go
+++ b/internal/dispatchers/check_test.go
@@ -9,10 +9,10 @@
 	"cherryrelay/internal/peer"
 )
 
-// active names the dispatchers that the next check looks at.
-func (b *budgeted) active() (names []control.ServerID) {
-	b.do(func() {
-		for _, s := range b.pool.active {
+// activeNames returns the names of the dispatchers that the next check visits.
+func (fx *poolFixture) activeNames() (names []control.ServerID) {
+	fx.runOnLoop(func() {
+		for _, s := range fx.pool.active {
 			names = append(names, s.ID)
 		}
 	})
@@ -20,64 +20,64 @@
 	return names
 }
 
-// settles waits until the next check looks at just these.
-func (b *budgeted) settles(what string, want ...control.ServerID) {
-	b.Helper()
+// waitActive waits until the next check visits exactly these dispatchers.
+func (fx *poolFixture) waitActive(what string, want ...control.ServerID) {
+	fx.Helper()
 	for until := time.Now().Add(peer.Patience); ; time.Sleep(10 * time.Millisecond) {
-		got := b.active()
+		got := fx.activeNames()
 		if slices.Equal(got, want) {
 			return
 		}
 		if time.Now().After(until) {
-			b.Fatalf("%s: %v are looked at, want %v", what, got, want)
+			fx.Fatalf("%s: the next check visits %v, want %v", what, got, want)
 		}
 	}
 }
 
-// TestOnlyWhatHasSomethingToDoIsLookedAt: of a list of live dispatchers and some that refuse, none is looked at while nothing happens; one
-// is from a set-up to the end of its call, and so is one at which a predecessor left a call.
-func TestOnlyWhatHasSomethingToDoIsLookedAt(t *testing.T) {
+// TestOnlyActiveDispatchersAreChecked checks that of a list of working and refusing dispatchers none is checked while nothing happens,
+// while a dispatcher is checked from a set-up to the end of its call, and also if a predecessor has left a call there.
+func TestOnlyActiveDispatchersAreChecked(t *testing.T) {
 	t.Parallel()
 	const n, refuse = 40, 10
-	b := newBudgeted(t, 0, n)
-	for _, d := range b.dispatchers[:refuse] {
+	fx := newPoolFixture(t, 0, n)
+	for _, d := range fx.dispatchers[:refuse] {
 		d.Die()
 	}
-	b.do(func() { b.pool.Update(b.list) })
-	b.settles("at rest")
-	b.do(func() {
-		waits := 0
-		for _, s := range b.pool.order {
-			if s.queued || s.dialing || s.active { // it may be its turn at this moment
-				waits++
+	fx.runOnLoop(func() { fx.pool.Update(fx.list) })
+	fx.waitActive("idle")
+	fx.runOnLoop(func() {
+		waiting := 0
+		for _, s := range fx.pool.order {
+			if s.dialQueued || s.dialing || s.active { // its dial may be due at this moment
+				waiting++
 			}
 		}
-		if waits != refuse || len(b.pool.linked) != n-refuse {
-			t.Errorf("%d wait to be dialled, %d have connections", waits, len(b.pool.linked))
+		if waiting != refuse || len(fx.pool.connected) != n-refuse {
+			t.Errorf("%d wait to be dialled, %d have connections", waiting, len(fx.pool.connected))
 		}
 	})
-	b.setUp(n-1, "a")
-	e := b.comes(n-1, "setup")
-	b.settles("a set-up is open", name(n-1))
+	fx.setUp(n-1, "a")
+	e := fx.waitFor(n-1, "setup")
+	fx.waitActive("a set-up is open", dispatcherName(n-1))
 	if err := e.Answer("y"); err != nil {
 		t.Fatal(err)
 	}
-	for stands := false; !stands; {
-		b.do(func() { stands = len(b.core.at[name(n-1)]) > 0 })
+	for established := false; !established; {
+		fx.runOnLoop(func() { established = len(fx.core.calls[dispatcherName(n-1)]) > 0 })
 	}
-	b.do(func() { b.core.at[name(n-2)] = []string{"of a predecessor"} })
-	b.settles("calls stand", name(n-2), name(n-1))
-	b.do(func() { clear(b.core.at) })
-	b.settles("all have ended")
-	b.do(func() {
-		left := b.list
-		left.Servers = left.Servers[refuse:]
-		b.pool.Update(left)
+	fx.runOnLoop(func() { fx.core.calls[dispatcherName(n-2)] = []string{"of a predecessor"} })
+	fx.waitActive("calls are established", dispatcherName(n-2), dispatcherName(n-1))
+	fx.runOnLoop(func() { clear(fx.core.calls) })
+	fx.waitActive("all have ended")
+	fx.runOnLoop(func() {
+		shorter := fx.list
+		shorter.Servers = shorter.Servers[refuse:]
+		fx.pool.Update(shorter)
 	})
-	b.settles("some have left")
-	b.do(func() {
-		if len(b.pool.order) != n-refuse || len(b.pool.servers) != n-refuse || len(b.pool.at) != n-refuse {
-			t.Errorf("%d, %d and %d are kept", len(b.pool.order), len(b.pool.servers), len(b.pool.at))
+	fx.waitActive("some are removed")
+	fx.runOnLoop(func() {
+		if len(fx.pool.order) != n-refuse || len(fx.pool.servers) != n-refuse || len(fx.pool.byAddress) != n-refuse {
+			t.Errorf("%d, %d and %d dispatchers are kept", len(fx.pool.order), len(fx.pool.servers), len(fx.pool.byAddress))
 		}
 	})
 }
--- a/internal/dispatchers/evict_test.go
+++ b/internal/dispatchers/evict_test.go
@@ -7,143 +7,145 @@
 	"cherryrelay/control"
 )
 
-// TestAConnectionThatMakesRoomIsNotHeldForLong guards against set-ups that wait for a descriptor, as one that was to make room is read on while its
-// dispatcher does not close it.
-func TestAConnectionThatMakesRoomIsNotHeldForLong(t *testing.T) {
+// TestAnEvictedConnectionIsClosedSoon guards against set-ups that wait for a descriptor because an evicted connection is read on while
+// its dispatcher does not close it.
+func TestAnEvictedConnectionIsClosedSoon(t *testing.T) {
 	t.Parallel()
-	for name, stands := range map[string]bool{"a call stands": true, "no call stands": false} {
+	for name, established := range map[string]bool{"a call is established": true, "no call is established": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			withSite(t, orderStart{keeps: true}, func(s *orderSite) {
-				if stands {
-					s.do(func() { s.offer(orderedID, orderDeadline) })
-					s.do(func() { s.first.finalAnswer(orderedID, 200); s.first.all[0].deliver() })
+			withHarness(t, initialState{neverCloses: true}, func(h *harness) {
+				if established {
+					h.runOnLoop(func() { h.placeCall(testCallID, callTimeout) })
+					h.runOnLoop(func() { h.first.sendFinalAnswer(testCallID, 200); h.first.allConns[0].deliverToPool() })
 				}
 				closed := func() (closed bool) {
-					s.do(func() { closed = s.first.all[0].closed })
+					h.runOnLoop(func() { closed = h.first.allConns[0].closed })
 					return closed
 				}
-				s.do(func() { s.pool.servers["first"].links[0].evict() })
-				if closed() == stands {
-					t.Errorf("it is closed at once: %v, want %v", stands, !stands)
+				h.runOnLoop(func() { h.pool.servers["first"].conns[0].evict() })
+				if closed() == established {
+					t.Errorf("it is closed at once: %v, want %v", established, !established)
 				}
-				time.Sleep(evictedFor + checkEvery)
+				time.Sleep(evictedReadTimeout + checkInterval)
 				if !closed() {
-					t.Errorf("it is open after %v", evictedFor+checkEvery)
+					t.Errorf("it is open after %v", evictedReadTimeout+checkInterval)
 				}
 			})
 		})
 	}
 }
 
-// TestAnEndOnAConnectionThatMadeRoom guards against the end of a call that is never told, as its dispatcher tells it on a connection that made room
-// and that it holds for open still.
-func TestAnEndOnAConnectionThatMadeRoom(t *testing.T) {
+// TestAnEndOnAnEvictedConnection guards against the end of a call that is never reported because its dispatcher sends it on a connection
+// that was evicted here and that the dispatcher still holds open.
+func TestAnEndOnAnEvictedConnection(t *testing.T) {
 	t.Parallel()
-	order := []orderEvent{
-		event("the call's connection is dead, and makes room", 2*time.Second, func(s *orderSite) {
-			c := s.first.established[orderedID]
-			c.deaden()
-			for _, l := range s.pool.servers["first"].links {
-				if l.conn == connection(c) {
-					l.evict()
+	steps := []scenarioStep{
+		newStep("the call's connection is unresponsive, and is evicted", 2*time.Second, func(h *harness) {
+			c := h.first.established[testCallID]
+			c.isolate()
+			for _, poolConn := range h.pool.servers["first"].conns {
+				if poolConn.conn == transportConn(c) {
+					poolConn.evict()
 					return
 				}
 			}
 		}),
-		event("the call ends", 0, func(s *orderSite) { s.end(s.first, orderedID) }),
+		newStep("the call ends", 0, func(h *harness) { h.endCall(h.first, testCallID) }),
 	}
-	orderStart{called: true, links: 2, chats: true}.playWithoutFault(t, order)
+	initialState{established: true, conns: 2, reportsPeriodically: true}.playWithoutViolation(t, steps)
 }
 
-// TestAReleaseThatHasNotLeftAsItsConnectionMakesRoom guards against a call that its dispatcher holds and nobody releases, as the release was queued on a
-// connection that made room and whose socket was full.
-func TestAReleaseThatHasNotLeftAsItsConnectionMakesRoom(t *testing.T) {
+// TestAnUnsentReleaseOnAnEvictedConnection guards against a call that its dispatcher keeps and nobody releases, as the release was queued
+// on an evicted connection whose socket was full.
+func TestAnUnsentReleaseOnAnEvictedConnection(t *testing.T) {
 	t.Parallel()
-	makesRoom := event("the connection with the release makes room", 0, func(s *orderSite) {
-		for _, l := range s.pool.servers["first"].links {
-			if l.conn.Unsent() > 0 {
-				l.evict()
+	evicts := newStep("the connection with the release is evicted", 0, func(h *harness) {
+		for _, poolConn := range h.pool.servers["first"].conns {
+			if poolConn.conn.Unsent() > 0 {
+				poolConn.evict()
 				return
 			}
 		}
-		s.fault("no release waits")
+		h.violation("no release is waiting")
 	})
-	for name, test := range map[string]namedOrder{
-		"the only connection":                            {orderStart{called: true}, "jc"},
-		"the only connection, where another call stands": {orderStart{called: true}, "mjc"},
-		"one of two":                            {orderStart{called: true, links: 2}, "jc"},
-		"one of two, where another call stands": {orderStart{called: true, links: 2}, "mjc"},
+	for name, test := range map[string]scenario{
+		"the only connection": {initialState{established: true}, "jc"},
+		"the only connection, where another call is established": {initialState{established: true}, "mjc"},
+		"one of two": {initialState{established: true, conns: 2}, "jc"},
+		"one of two, where another call is established": {initialState{established: true, conns: 2}, "mjc"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			order := append(spelledOrder(test.order), makesRoom)
-			test.start.playWithoutFault(t, order)
+			steps := append(stepsFor(test.steps), evicts)
+			test.start.playWithoutViolation(t, steps)
 		})
 	}
 }
 
-// drainsBesideAnother has a call established at the first dispatcher, which then drains and listens no more, and another call set up at the second.
-func (s *orderSite) drainsBesideAnother() {
-	s.establish(orderedID)
-	s.do(func() {
-		s.list(control.Draining, "first")
-		s.first.listens = false
-		s.list(control.Active, "second")
+// drainFirstUseSecond establishes a call at the first dispatcher, which then drains and stops listening, and sets up another call at the
+// second.
+func (h *harness) drainFirstUseSecond() {
+	h.establish(testCallID)
+	h.runOnLoop(func() {
+		h.updateList(control.Draining, "first")
+		h.first.listening = false
+		h.updateList(control.Active, "second")
 	})
 	time.Sleep(time.Second)
-	s.do(func() { s.offer(otherID, orderDeadline) })
+	h.runOnLoop(func() { h.placeCall(otherCallID, callTimeout) })
 	time.Sleep(time.Second)
 }
 
-// TestTheOnlyConnectionToADispatcherThatDrainsMakesRoomLast guards against calls that are cut as they stand, and whose ends are told to nobody, as the
-// only connection to their dispatcher, which takes no new ones, makes room while another one could.
-func TestTheOnlyConnectionToADispatcherThatDrainsMakesRoomLast(t *testing.T) {
+// TestTheOnlyConnectionToADrainingDispatcherIsEvictedLast guards against established calls that are ended, and lost ends, because the
+// only connection to their dispatcher, which accepts no new ones, is evicted although another connection could be.
+func TestTheOnlyConnectionToADrainingDispatcherIsEvictedLast(t *testing.T) {
 	t.Parallel()
-	withSite(t, orderStart{second: true}, func(s *orderSite) {
-		s.drainsBesideAnother()
-		s.do(func() {
-			if !s.knows(otherID, "second") {
-				t.Error("no call stands at the other dispatcher")
+	withHarness(t, initialState{secondDispatcher: true}, func(h *harness) {
+		h.drainFirstUseSecond()
+		h.runOnLoop(func() {
+			if !h.isEstablished(otherCallID, "second") {
+				t.Error("no call is established at the other dispatcher")
 			}
-			s.pool.SetSocketBudget(1)
+			h.pool.SetSocketBudget(1)
 		})
-		time.Sleep(evictedFor + checkEvery)
-		s.do(func() {
-			if !s.knows(orderedID, "first") || len(s.pool.servers["first"].links) != 1 {
-				t.Errorf("%d ends are told of the call as it stands; %d connections", s.calls[orderedID].overs, len(s.pool.servers["first"].links))
+		time.Sleep(evictedReadTimeout + checkInterval)
+		h.runOnLoop(func() {
+			if !h.isEstablished(testCallID, "first") || len(h.pool.servers["first"].conns) != 1 {
+				t.Errorf("%d ends were reported while the call is established, want 0; %d connections, want 1", h.calls[testCallID].ends,
+					len(h.pool.servers["first"].conns))
 			}
-			s.end(s.first, orderedID)
+			h.endCall(h.first, testCallID)
 		})
-		s.pass(onItsWay + arrivalStep)
-		if c := s.calls[orderedID]; c.overs != 1 {
-			t.Errorf("%d ends are told as its dispatcher has told one", c.overs)
+		h.advance(maxTransit + deliveryInterval)
+		if c := h.calls[testCallID]; c.ends != 1 {
+			t.Errorf("%d ends were reported, want the one that its dispatcher sent", c.ends)
 		}
 	})
 }
 
-// TestAConnectionWithAReleaseToADispatcherThatDrainsMakesRoomLast guards against a call that its dispatcher holds and nobody releases, as the release
-// waits on the only connection there, which makes room while another one could, and no other can be opened.
-func TestAConnectionWithAReleaseToADispatcherThatDrainsMakesRoomLast(t *testing.T) {
+// TestAConnectionWithAReleaseToADrainingDispatcherIsEvictedLast guards against a call that its dispatcher keeps and nobody releases: the
+// release waits on the only connection there, which is evicted although another connection could be, and no new one can be opened.
+func TestAConnectionWithAReleaseToADrainingDispatcherIsEvictedLast(t *testing.T) {
 	t.Parallel()
-	withSite(t, orderStart{second: true}, func(s *orderSite) {
-		s.drainsBesideAnother()
-		s.do(func() {
-			s.first.all[0].full = true
-			s.cancel(orderedID)
+	withHarness(t, initialState{secondDispatcher: true}, func(h *harness) {
+		h.drainFirstUseSecond()
+		h.runOnLoop(func() {
+			h.first.allConns[0].writeBlocked = true
+			h.cancelCall(testCallID)
 		})
-		time.Sleep(2 * checkEvery)
-		s.do(func() {
-			if !s.knows(otherID, "second") || s.first.all[0].Unsent() == 0 {
-				t.Error("no call stands at the other dispatcher, or no release waits")
+		time.Sleep(2 * checkInterval)
+		h.runOnLoop(func() {
+			if !h.isEstablished(otherCallID, "second") || h.first.allConns[0].Unsent() == 0 {
+				t.Error("no call is established at the other dispatcher, or no release waits")
 			}
-			s.pool.SetSocketBudget(1)
+			h.pool.SetSocketBudget(1)
 		})
-		time.Sleep(evictedFor + checkEvery)
-		s.do(s.first.all[0].flows)
-		s.do(func() {
-			if _, held := s.first.established[orderedID]; held {
-				t.Error("the dispatcher holds the call")
+		time.Sleep(evictedReadTimeout + checkInterval)
+		h.runOnLoop(h.first.allConns[0].unblock)
+		h.runOnLoop(func() {
+			if _, held := h.first.established[testCallID]; held {
+				t.Error("the dispatcher still holds the call")
 			}
 		})
 	})
--- /dev/null
+++ b/internal/dispatchers/obsolete.go
@@ -0,0 +1,72 @@
+package dispatchers
+
+import (
+	"errors"
+	"slices"
+	"time"
+
+	"cherryrelay/internal/call"
+	"cherryrelay/internal/endlog"
+)
+
+// This file handles dispatchers that were replaced or are off the list.
+
+// checkObsolete checks a dispatcher that is off the list or replaced. Its process may still run: it is disconnected once it is idle, and
+// dialled only to release calls and to receive ends that may have been lost.
+func (s *server) checkObsolete(now time.Time) {
+	if len(s.conns) == 0 || now.Sub(s.lastReceivedAt) > suspectAfter && s.presumedStopped(now) {
+		s.disconnect(errors.New("dispatcher was removed or replaced"))
+		s.pool.core.DispatcherFailed(s.ID)
+	}
+	if !s.mayDialForRelease(now) {
+		s.releases = nil
+	}
+	if len(s.conns) == 0 || s.renewal.EndsMissing() {
+		s.connect()
+	}
+	for _, c := range slices.Clone(s.conns) {
+		s.checkUnresponsive(c, now)
+	}
+	if s.replaced {
+		s.endOrphaned()
+	}
+	s.requestRepeats(now)
+	s.renew(now)
+}
+
+// endOrphaned ends the calls at a replaced dispatcher that no longer has any connection of the generation in which they were answered.
+// Connections opened since under its name lead to the dispatcher that now has the address. In case that is the same process, the calls
+// are released there.
+func (s *server) endOrphaned() {
+	for _, id := range slices.Sorted(s.pool.core.EstablishedAt(s.ID)) {
+		answeredOn := s.established[id]
+		if answeredOn == nil || answeredOn.generation == s.generation {
+			continue
+		}
+		endlog.Call(s.pool.Log, endlog.Stranded, id, endlog.Server(s.ID))
+		s.pool.Release(s.ID, id, call.CauseTemporary)
+		s.pool.core.Released(s.ID, id, noAttempt, call.CauseTemporary, nil)
+	}
+}
+
+// presumedStopped reports whether a dispatcher without input for long is presumed to have stopped: it has not replied to a probe, or ends
+// of its calls may have been lost and no connection can be opened on which it would repeat them. The end of a call whose own connection
+// is open arrives there.
+func (s *server) presumedStopped(now time.Time) bool {
+	return s.renewal.EndsMissing() && s.hasEndsAtRisk() && (s.lastDialRefused || s.lastDialTimedOut || s.replaced) || s.probeUnanswered(now)
+}
+
+// probeUnanswered reports whether the dispatcher has not replied within probeTimeout to a probe on the connection with the latest input.
+// It sends the probe first. A draining dispatcher may have stopped listening, and has nothing to send until its calls end.
+func (s *server) probeUnanswered(now time.Time) bool {
+	if s.probedAt.IsZero() || s.lastReceivedAt.After(s.probedAt) {
+		c := s.latestConn()
+		if c == nil {
+			return true
+		}
+		s.probedAt = now
+		c.probe()
+		return false
+	}
+	return now.Sub(s.probedAt) > probeTimeout
+}
--- a/internal/dispatchers/ping_test.go
+++ b/internal/dispatchers/ping_test.go
@@ -12,120 +12,122 @@
 	"cherryrelay/internal/websocket"
 )
 
-// TestWhatBecomesOfAPing guards against a reply that counts before all has been read that its dispatcher told ahead of it, and against a ping of which
-// nothing is heard.
-func TestWhatBecomesOfAPing(t *testing.T) {
+// TestPingResults guards against a reply that counts before everything that its dispatcher sent ahead of it was read, and against a ping
+// without a result.
+func TestPingResults(t *testing.T) {
 	t.Parallel()
-	pinged := func(s *orderSite, done func(bool)) { s.pool.Ping("first", orderedID, 0, done) }
-	attempted := func(s *orderSite) { s.pool.SetUp("first", attemptOf(orderedID, 0)) }
-	reset := func(s *orderSite) { s.first.all[0].reset() }
-	full := func(s *orderSite) { s.first.all[0].full = true }
+	ping := func(h *harness, onReply func(bool)) { h.pool.Ping("first", testCallID, 0, onReply) }
+	setUp := func(h *harness) { h.pool.SetUp("first", attemptOf(testCallID, 0)) }
+	reset := func(h *harness) { h.first.allConns[0].reset() }
+	blockWrites := func(h *harness) { h.first.allConns[0].writeBlocked = true }
 	for name, test := range map[string]struct {
-		before []func(s *orderSite) // each in a turn of its own, ahead of the ping
-		after  []func(s *orderSite)
+		before []func(h *harness) // each in its own loop iteration, before the ping
+		after  []func(h *harness)
 		want   []bool
 	}{
-		"its reply is on its way":             {[]func(*orderSite){attempted}, nil, nil},
-		"its reply comes":                     {[]func(*orderSite){attempted}, []func(*orderSite){(*orderSite).delivers}, []bool{true}},
-		"the reply to an earlier probe comes": {[]func(*orderSite){attempted, (*orderSite).probes}, []func(*orderSite){(*orderSite).deliversOne}, nil},
-		"its connection is closed in order":   {[]func(*orderSite){attempted, (*orderSite).stands}, []func(*orderSite){(*orderSite).closes, (*orderSite).delivers}, []bool{false}},
-		"its connection is reset":             {[]func(*orderSite){attempted}, []func(*orderSite){reset}, []bool{false}},
-		"its attempt lies in the queue":       {[]func(*orderSite){full, attempted}, nil, []bool{true}},
-		"its attempt waits for a connection":  {[]func(*orderSite){reset, attempted}, nil, []bool{true}},
-		"there is no such attempt":            {nil, []func(*orderSite){(*orderSite).delivers}, nil},
+		"its reply is in transit":               {[]func(*harness){setUp}, nil, nil},
+		"its reply arrives":                     {[]func(*harness){setUp}, []func(*harness){(*harness).deliverFirst}, []bool{true}},
+		"the reply to an earlier probe arrives": {[]func(*harness){setUp, (*harness).probeFirst}, []func(*harness){(*harness).deliverOneMessage}, nil},
+		"its connection is closed cleanly": {[]func(*harness){setUp, (*harness).answerFirst},
+			[]func(*harness){(*harness).closeFirst, (*harness).deliverFirst}, []bool{false}},
+		"its connection is reset":            {[]func(*harness){setUp}, []func(*harness){reset}, []bool{false}},
+		"its attempt is queued":              {[]func(*harness){blockWrites, setUp}, nil, []bool{true}},
+		"its attempt waits for a connection": {[]func(*harness){reset, setUp}, nil, []bool{true}},
+		"there is no such attempt":           {nil, []func(*harness){(*harness).deliverFirst}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				s := newOrderSite(t, orderStart{})
-				s.pool.core = &releaseLog{standings: standings{ends: ends{told: map[string]control.Outcome{}}, at: map[control.ServerID][]string{}}}
-				defer s.run()()
-				s.do(func() { s.list(control.Active, "first") })
+				h := newHarness(t, initialState{})
+				h.pool.core = &releaseRecorder{fakeCore: fakeCore{outcomeRecorder: outcomeRecorder{outcomes: map[string]control.Outcome{}},
+					calls: map[control.ServerID][]string{}}}
+				defer h.run()()
+				h.runOnLoop(func() { h.updateList(control.Active, "first") })
 				time.Sleep(time.Second)
-				s.do(s.delivers)
-				s.calls[orderedID] = &orderedCall{}
+				h.runOnLoop(h.deliverFirst)
+				h.calls[testCallID] = &callRecord{}
 				for _, step := range test.before {
-					s.do(func() { step(s); s.pool.Flush() })
+					h.runOnLoop(func() { step(h); h.pool.Flush() })
 				}
 				var got []bool
-				s.do(func() { pinged(s, func(replied bool) { got = append(got, replied) }); s.pool.Flush() })
+				h.runOnLoop(func() { ping(h, func(replied bool) { got = append(got, replied) }); h.pool.Flush() })
 				for _, step := range test.after {
-					s.do(func() { step(s) })
+					h.runOnLoop(func() { step(h) })
 				}
 				if !slices.Equal(got, test.want) {
-					t.Errorf("done is called with %v, want %v", got, test.want)
+					t.Errorf("onReply was called with %v, want %v", got, test.want)
 				}
 			})
 		})
 	}
 }
 
-// delivers has all arrive that is on its way on the first connection.
-func (s *orderSite) delivers() { s.first.all[0].deliver() }
+// deliverFirst delivers all that is in transit on the first connection.
+func (h *harness) deliverFirst() { h.first.allConns[0].deliverToPool() }
 
-// deliversOne has the first message arrive that is on its way there.
-func (s *orderSite) deliversOne() {
-	c := s.first.all[0]
-	later := c.flight[1:]
-	c.flight = c.flight[:1]
-	c.deliver()
-	c.flight = later
+// deliverOneMessage delivers the first message that is in transit there.
+func (h *harness) deliverOneMessage() {
+	c := h.first.allConns[0]
+	rest := c.inTransit[1:]
+	c.inTransit = c.inTransit[:1]
+	c.deliverToPool()
+	c.inTransit = rest
 }
 
-// probes has a report asked for, on the only connection.
-func (s *orderSite) probes() { s.pool.Probe("first") }
+// probeFirst requests a report on the only connection.
+func (h *harness) probeFirst() { h.pool.Probe("first") }
 
-// stands has the call established, though its answer has not come yet.
-func (s *orderSite) stands() { s.first.finalAnswer(orderedID, 200) }
+// answerFirst has the first dispatcher establish the call; its answer does not arrive yet.
+func (h *harness) answerFirst() { h.first.sendFinalAnswer(testCallID, 200) }
 
-// closes has the dispatcher close the first connection, without a reply to the probe.
-func (s *orderSite) closes() {
-	c := s.first.all[0]
-	c.flight = slices.DeleteFunc(c.flight, func(m standInMessage) bool { return isReplyToProbe(m.text) })
+// closeFirst has the dispatcher close the first connection without a reply to the probe.
+func (h *harness) closeFirst() {
+	c := h.first.allConns[0]
+	c.inTransit = slices.DeleteFunc(c.inTransit, func(m fakeMessage) bool { return isProbeReply(m.text) })
 	c.close()
 }
 
-func isReplyToProbe(text []byte) bool {
+func isProbeReply(text []byte) bool {
 	in := ring.New(len(text) + 1)
 	in.Write(text)
 	fields := []string{}
 	m, err := (&SIP{fields: &fields}).Next(in)
-	return err == nil && m != nil && m.probe > 0
+	return err == nil && m != nil && m.probeReply > 0
 }
 
-// TestRepliesToProbesAreNumbered guards against a reply that is taken for that to another probe, in either form.
+// TestRepliesToProbesAreNumbered guards against a reply that is taken for that to another probe, in either protocol.
 func TestRepliesToProbesAreNumbered(t *testing.T) {
 	t.Parallel()
 	fields := []string{"idle"}
 	t.Run("SIP", func(t *testing.T) {
 		t.Parallel()
-		wire := &SIP{fields: &fields}
+		protocol := &SIP{fields: &fields}
 		for want := uint32(1); want <= 3; want++ {
-			if _, got := wire.Probe(); got != want {
+			if _, got := protocol.Probe(); got != want {
 				t.Errorf("the probe has the number %d, want %d", got, want)
 			}
 		}
-		for id, want := range map[string]uint32{"probe-2": 2, "probe-x": 0, "probe-": 0, "probe--1": 0, "state": 0, orderedID: 0} {
+		for id, want := range map[string]uint32{"probe-2": 2, "probe-x": 0, "probe-": 0, "probe--1": 0, "state": 0, testCallID: 0} {
 			in := ring.New(1 << 10)
 			in.Write(sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: id, Seq: 1, SeqOf: "OPTIONS",
 				Headers: []sip.Header{{Name: "P-Report", Value: "idle:3"}}}))
-			m, err := wire.Next(in)
-			if err != nil || m.probe != want || m.kind != report {
+			m, err := protocol.Next(in)
+			if err != nil || m.probeReply != want || m.kind != report {
 				t.Errorf("the reply to %s: %+v, %v, want the number %d and a report", id, m, err, want)
 			}
 		}
 	})
 	t.Run("WebSocket", func(t *testing.T) {
 		t.Parallel()
-		wire := &WebSocket{fields: &fields, open: true}
+		protocol := &WebSocket{fields: &fields, handshakeDone: true}
 		for want := uint32(1); want <= 3; want++ {
-			if _, got := wire.Probe(); got != want {
+			if _, got := protocol.Probe(); got != want {
 				t.Errorf("the probe has the number %d, want %d", got, want)
 			}
 			in := ring.New(1 << 10)
 			in.Write(websocket.Append(nil, websocket.Text, []byte(`{"type":"pong","id":"load","cause":1,"fields":{"report":"idle:3"}}`), false))
-			m, err := wire.Next(in)
-			if err != nil || m.probe != want || m.kind != report {
+			m, err := protocol.Next(in)
+			if err != nil || m.probeReply != want || m.kind != report {
 				t.Errorf("the reply: %+v, %v, want the number %d and a report", m, err, want)
 			}
 		}
--- a/internal/dispatchers/removed_test.go
+++ b/internal/dispatchers/removed_test.go
@@ -7,33 +7,34 @@
 	"cherryrelay/control"
 )
 
-// TestEndIsToldThoughItsDispatcherIsOffTheList guards against an end that a dispatcher tells on a dead connection, where it is off the list and
-// speaks on another one.
-func TestEndIsToldThoughItsDispatcherIsOffTheList(t *testing.T) {
+// TestEndIsReportedWhenItsDispatcherIsOffTheList guards against the loss of an end that a dispatcher sends on an unresponsive connection
+// while it is off the list and sends reports on another connection.
+func TestEndIsReportedWhenItsDispatcherIsOffTheList(t *testing.T) {
 	t.Parallel()
-	for name, status := range map[string]control.ServerStatus{"active": control.Active, "draining": control.Draining, "removed": control.Removed, "removed long ago": control.Removed} {
+	for name, status := range map[string]control.ServerStatus{"active": control.Active, "draining": control.Draining,
+		"removed": control.Removed, "removed long ago": control.Removed} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			withSite(t, orderStart{links: 2}, func(s *orderSite) {
-				s.establish(orderedID)
-				own := s.first.established[orderedID]
-				s.do(func() {
-					own.deaden()
-					s.list(status, "first")
+			withHarness(t, initialState{conns: 2}, func(h *harness) {
+				h.establish(testCallID)
+				own := h.first.established[testCallID]
+				h.runOnLoop(func() {
+					own.isolate()
+					h.updateList(status, "first")
 				})
 				before := 8 * time.Second
 				if name == "removed long ago" {
 					before = 25 * time.Second
 				}
-				s.speaksFor(before)
-				if s.calls[orderedID].overs > 0 {
-					t.Fatal("it is cut while it goes on")
+				h.reportFor(before)
+				if h.calls[testCallID].ends > 0 {
+					t.Fatal("the call was reported as ended while it continues")
 				}
-				s.do(func() { s.tellsOn(own) })
-				s.speaksFor(20 * time.Second)
-				c := s.calls[orderedID]
-				if late := c.overAt.Sub(c.endedAt); c.overs != 1 || late > endUntold {
-					t.Errorf("%d ends, %v late; want 1 within %v", c.overs, late, endUntold)
+				h.runOnLoop(func() { h.sendEndOn(own) })
+				h.reportFor(20 * time.Second)
+				c := h.calls[testCallID]
+				if late := c.endReportedAt.Sub(c.endedAt); c.ends != 1 || late > endTimeout {
+					t.Errorf("%d ends, %v late; want 1 within %v", c.ends, late, endTimeout)
 				}
 			})
 		})
--- a/internal/dispatchers/vanished_test.go
+++ b/internal/dispatchers/vanished_test.go
@@ -13,44 +13,44 @@
 	"cherryrelay/internal/call"
 )
 
-// holding is a core that has a call at a dispatcher until that is no more.
-type holding struct {
-	Core // what is not asked here
-	died chan control.ServerID
-	gone bool
+// oneCallCore is a core with one call at a dispatcher, until the dispatcher counts as lost.
+type oneCallCore struct {
+	Core   // panics in methods that are not expected
+	failed chan control.ServerID
+	ended  bool
 }
 
-func (h *holding) EstablishedCount(control.ServerID) int {
-	if h.gone {
+func (c *oneCallCore) EstablishedCount(control.ServerID) int {
+	if c.ended {
 		return 0
 	}
 	return 1
 }
 
-func (h *holding) EachEstablished(f func(control.ServerID)) {
-	if !h.gone {
+func (c *oneCallCore) EachEstablished(f func(control.ServerID)) {
+	if !c.ended {
 		f("d")
 	}
 }
 
-func (h *holding) EstablishedAt(control.ServerID) iter.Seq[string] {
+func (c *oneCallCore) EstablishedAt(control.ServerID) iter.Seq[string] {
 	return func(yield func(string) bool) {
-		if !h.gone {
+		if !c.ended {
 			yield("a call")
 		}
 	}
 }
 
-func (h *holding) DispatcherReached() {}
+func (c *oneCallCore) DispatcherReached() {}
 
-func (h *holding) DispatcherFailed(id control.ServerID) {
-	if !h.gone {
-		h.gone = true
-		h.died <- id
+func (c *oneCallCore) DispatcherFailed(id control.ServerID) {
+	if !c.ended {
+		c.ended = true
+		c.failed <- id
 	}
 }
 
-// unreachable listens, and takes the first connection alone: a connection that is tried later gets no answer at all.
+// unreachable returns an address that accepts only one connection: later dials get no answer at all.
 func unreachable(t *testing.T) (address string) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -60,7 +60,7 @@
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := syscall.Listen(fd, 0); err != nil { // room for one that is not accepted
+	if err := syscall.Listen(fd, 0); err != nil { // the backlog has space for one connection
 		t.Fatal(err)
 	}
 	f := os.NewFile(uintptr(fd), "")
@@ -91,12 +91,13 @@
 	}
 }
 
-// TestAVanishedMachineWithNoConnectionLeft guards against calls held for ever at a machine that vanished after its connections were given up.
+// TestAVanishedMachineWithNoConnectionLeft guards against calls that are held for ever at a machine that vanished after its connections
+// were abandoned.
 func TestAVanishedMachineWithNoConnectionLeft(t *testing.T) {
 	t.Parallel()
 	address := unreachable(t)
 	loop := call.NewLoop()
-	core := &holding{died: make(chan control.ServerID, 1)}
+	core := &oneCallCore{failed: make(chan control.ServerID, 1)}
 	begun := time.Now()
 	loop.Post(func() {
 		p := New(loop, core, Options{ConnectTimeout: 200 * time.Millisecond, Log: slog.New(slog.DiscardHandler)})
@@ -105,11 +106,11 @@
 	go loop.Run()
 	t.Cleanup(loop.Quit)
 	select {
-	case <-core.died:
-		if early := deadAfter - time.Since(begun); early > 0 {
-			t.Errorf("given up %v too early", early)
+	case <-core.failed:
+		if early := unresponsiveTimeout - time.Since(begun); early > 0 {
+			t.Errorf("its calls were ended %v too early", early)
 		}
-	case <-time.After(4 * deadAfter):
-		t.Error("its calls are held for ever")
+	case <-time.After(4 * unresponsiveTimeout):
+		t.Error("its calls were not ended")
 	}
 }
