--- a/cmd/cherryrelay/descriptors_test.go
+++ b/cmd/cherryrelay/descriptors_test.go
@@ -131,7 +131,7 @@
 	if most := s.most.Load(); most >= int64(s.sockets) {
 		s.Errorf("%d descriptors of %d: none is left", most, s.sockets)
 	}
-	for _, text := range []string{"too many open files", "no descriptor"} {
+	for _, text := range []string{"too many open files", "no file descriptor"} {
 		if strings.Contains(s.log.String(), text) {
 			s.Errorf("the log says %q", text)
 		}
