--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	// recent is how long a release is kept for the case that it crossed the close of its connection.
-	recent = 200 * time.Millisecond
-	// unreadFor is how long a release may lie unread with a caller that stands still. A reset within as much may have had it thrown away.
-	unreadFor = 8 * time.Second
-	// keep is how long a release waits for a caller to connect; later nobody counts on it.
-	keep = 30 * time.Second
-	// lookEvery is the pace at which connections are looked at.
-	lookEvery = 100 * time.Millisecond
-	// lookSoon is the pace while connections are to be closed as soon as they are owed nothing.
-	lookSoon = 10 * time.Millisecond
-	// settle is how long a connection is left to bring what its caller connected for.
-	settle = 100 * time.Millisecond
-	// wholeWithin is how long the rest of a message is waited for that a controller which ends has had the beginning of.
-	wholeWithin = 500 * time.Millisecond
-	// maxResumed calls may be resumed on one connection: a large gateway's, and a bound for who guesses.
-	maxResumed = 16 << 10
-	// longest is more than any caller waits for an answer; beyond that, the time left that a resume names says nothing.
-	longest = time.Hour
-	// maxFaults set-ups that make no sense are answered; who sends more sends nothing else.
-	maxFaults = 8
+	// crossingTime is how long a release is kept for the case that it crossed the close of its connection.
+	crossingTime = 200 * time.Millisecond
+	// maxUnreadTime is how long a release may lie unread with a caller that stands still. A reset within as much may have had it thrown away.
+	maxUnreadTime = 8 * time.Second
+	// endTimeout is how long a release waits for a caller to connect; later nobody counts on it.
+	endTimeout = 30 * time.Second
+	// pollInterval is the pace at which connections are looked at.
+	pollInterval = 100 * time.Millisecond
+	// fastPollInterval is the pace while connections are to be closed as soon as they are owed nothing.
+	fastPollInterval = 10 * time.Millisecond
+	// newConnGracePeriod is how long a connection is left to bring what its caller connected for.
+	newConnGracePeriod = 100 * time.Millisecond
+	// partialMessageTimeout is how long the rest of a message is waited for that a controller which ends has had the beginning of.
+	partialMessageTimeout = 500 * time.Millisecond
+	// maxResumes calls may be resumed on one connection: a large gateway's, and a bound for who guesses.
+	maxResumes = 16 << 10
+	// maxTimeLeft is more than any caller waits for an answer; beyond that, the time left that a resume names says nothing.
+	maxTimeLeft = time.Hour
+	// maxInvalidSetUps set-ups that make no sense are answered; who sends more sends nothing else.
+	maxInvalidSetUps = 8
 )
 
 // Bounds keep connections from using up the descriptors and the memory.
@@ -57,9 +57,9 @@
 
 // Reasons for which a connection is closed that has no set-up open.
 var (
-	errSilent   = errors.New("nothing came in time")
-	errCutShort = errors.New("a message that does not end")
-	errFaults   = errors.New("too many set-ups that make no sense")
+	errNoMessage         = errors.New("nothing came in time")
+	errIncompleteMessage = errors.New("a message that does not end")
+	errInvalidSetUps     = errors.New("too many set-ups that make no sense")
 )
 
 // Core is what fronts report to; *call.Core is one.
@@ -120,35 +120,35 @@
 
 // Front is one listener and the connections from callers that it took.
 type Front struct {
-	core     Core
-	loop     *call.Loop
-	log      *slog.Logger
-	format   func() Format
-	bounds   Bounds
-	terms    *Terms
-	listener Listener
-	all      []*Conn   // in the order in which they came
-	open     []*Conn   // those that can be written to
-	pending  []release // ends for which no connection is open
-	ends     EndCounts
-	scarce   bool // descriptors run short: who comes now is turned away, unless another makes room
+	core              Core
+	loop              *call.Loop
+	log               *slog.Logger
+	newFormat         func() Format
+	bounds            Bounds
+	rules             *Terms
+	listener          Listener
+	conns             []*Conn   // in the order in which they came
+	openConns         []*Conn   // those that can be written to
+	pendingEnds       []callEnd // ends for which no connection is open
+	endCounts         EndCounts
+	descriptorsScarce bool // descriptors run short: who comes now is turned away, unless another makes room
 }
 
 // New returns a front for a socket that listens. It accepts once its listener is started.
 func New(loop *call.Loop, core Core, log *slog.Logger, tcp *net.TCPListener, format func() Format, bounds Bounds, terms *Terms) *Front {
 	f := newFront(loop, core, log, format, bounds, terms)
-	f.listen(conn.NewListener(loop, tcp, bounds.Most(), func(c *conn.Conn) conn.Handler { return f.accept(c) }))
+	f.useListener(conn.NewListener(loop, tcp, bounds.Most(), func(c *conn.Conn) conn.Handler { return f.accept(c) }))
 	return f
 }
 
 func newFront(loop *call.Loop, core Core, log *slog.Logger, format func() Format, bounds Bounds, terms *Terms) *Front {
-	return &Front{core: core, loop: loop, log: log, format: format, bounds: bounds, terms: terms}
+	return &Front{core: core, loop: loop, log: log, newFormat: format, bounds: bounds, rules: terms}
 }
 
-// listen has the front serve what a listener accepts.
-func (f *Front) listen(l Listener) {
+// useListener has the front serve what a listener accepts.
+func (f *Front) useListener(l Listener) {
 	f.listener = l
-	f.loop.Post(f.look)
+	f.loop.Post(f.poll)
 }
 
 // Listener is where the front's connections come from.
@@ -164,23 +164,23 @@
 }
 
 // Retune has set-ups keep to other terms from now on.
-func (f *Front) Retune(terms *Terms) { f.terms = terms }
+func (f *Front) Retune(terms *Terms) { f.rules = terms }
 
 func (f *Front) accept(c connection) conn.Handler {
 	now := time.Now()
-	cc := &Conn{front: f, conn: c, format: f.format(), usedAt: now, since: now}
-	cc.number = accepted.Add(1)
-	f.all = append(f.all, cc)
-	cc.join()
-	if f.crowded() {
-		f.makeRoom(cc)
+	cc := &Conn{front: f, conn: c, format: f.newFormat(), lastUsedAt: now, waitingSince: now}
+	cc.number = lastConnNumber.Add(1)
+	f.conns = append(f.conns, cc)
+	cc.markOpen()
+	if f.overLimit() {
+		f.evict(cc)
 	}
 	return cc
 }
 
 // Flush sends what was written since the last time.
 func (f *Front) Flush() {
-	for _, c := range f.open {
+	for _, c := range f.openConns {
 		c.conn.Flush()
 	}
 }
@@ -191,15 +191,15 @@
 // Idle reports whether no end of a call waits for a caller, no connection waits to be accepted, and none has anything unread, half a message,
 // words that wait for the socket, or an end that may be lost with it.
 func (f *Front) Idle() bool {
-	return len(f.pending) == 0 && !f.listener.Waiting() && !slices.ContainsFunc(f.all, func(c *Conn) bool {
-		return !c.closed && (c.partial && time.Since(c.since) < wholeWithin || c.conn.Unsent() > 0 || !c.conn.Quiet() || !c.conn.AllTaken() || c.mayLoseEnd())
+	return len(f.pendingEnds) == 0 && !f.listener.Waiting() && !slices.ContainsFunc(f.conns, func(c *Conn) bool {
+		return !c.closed && (c.partial && time.Since(c.waitingSince) < partialMessageTimeout || c.conn.Unsent() > 0 || !c.conn.Quiet() || !c.conn.AllTaken() || c.mayLoseEnd())
 	})
 }
 
 // Heard reports whether all is with the loop, as far as it may be, that was sent by callers with a set-up open: another's word cannot take
 // one back. Of very many connections, few have one.
 func (f *Front) Heard() bool {
-	return !slices.ContainsFunc(f.all, func(c *Conn) bool { return !c.closed && f.core.PendingOf(c) > 0 && c.conn.Unread() })
+	return !slices.ContainsFunc(f.conns, func(c *Conn) bool { return !c.closed && f.core.PendingOf(c) > 0 && c.conn.Unread() })
 }
 
 var _ call.Caller = (*Conn)(nil)
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -17,27 +17,27 @@
 
 // Conn is a connection from callers.
 type Conn struct {
-	front   *Front
-	number  uint64
-	conn    connection
-	format  Format
-	joined  bool
-	closed  bool
-	asked   bool // a set-up has come
-	tested  bool // a test has
-	said    bool // it has been told something
-	stood   bool // a call of it did
-	faults  int  // set-ups that made no sense
-	resumed int  // calls it came back for
-	partial bool // what came last is no whole message yet
+	front           *Front
+	number          uint64
+	conn            connection
+	format          Format
+	markedOpen      bool
+	closed          bool
+	receivedRequest bool // a set-up has come
+	receivedPing    bool // a test has
+	hasSent         bool // it has been told something
+	hadCall         bool // a call of it did
+	invalidSetUps   int  // set-ups that made no sense
+	resumes         int  // calls it came back for
+	partial         bool // what came last is no whole message yet
 	// overflow marks a connection beyond the bound, when none could make room for it.
-	overflow   bool
-	turnedAway bool      // a set-up has been refused for that
-	since      time.Time // when it connected or, if later, the message that is not whole began
-	usedAt     time.Time
-	awaited    time.Time // until when a caller may wait here for a final answer
-	sent       []*told   // lately, of calls that stood
-	reset      bool      // it has ended by a reset, or may have
+	overflow       bool
+	refusedSetUp   bool      // a set-up has been refused for that
+	waitingSince   time.Time // when it connected or, if later, the message that is not whole began
+	lastUsedAt     time.Time
+	answerDeadline time.Time  // until when a caller may wait here for a final answer
+	sentEnds       []*sentEnd // lately, of calls that stood
+	wasReset       bool       // it has ended by a reset, or may have
 }
 
 // Data takes in what callers have sent.
@@ -46,7 +46,7 @@
 		in.Discard(in.Len())
 		return nil
 	}
-	c.usedAt = at
+	c.lastUsedAt = at
 	for {
 		m, err := c.format.Next(in, c.conn.Write)
 		if errors.Is(err, io.EOF) {
@@ -54,43 +54,43 @@
 		}
 		if err == nil && m != nil {
 			c.partial = false
-			if err = c.take(m, at); err != nil {
-				c.rejectRest(in)
+			if err = c.handle(m, at); err != nil {
+				c.rejectRemaining(in)
 			}
 		}
 		if err != nil {
-			c.lastWords(err)
+			c.reportProtocolError(err)
 			return err
 		}
-		c.join()
+		c.markOpen()
 		if m == nil {
-			if c.mayLeave(in) {
-				c.lastWords(conn.ErrClosedHere)
+			if c.canCloseOverflow(in) {
+				c.reportProtocolError(conn.ErrClosedHere)
 				return conn.ErrClosedHere
 			}
 			if partial := in.Len() > 0; partial != c.partial {
-				c.partial, c.since = partial, at
+				c.partial, c.waitingSince = partial, at
 			}
 			return nil
 		}
 	}
 }
 
-// lastWords answers the set-ups of a connection that goes for a fault of its peer; nobody else is touched.
-func (c *Conn) lastWords(err error) {
+// reportProtocolError answers the set-ups of a connection that goes for a fault of its peer; nobody else is touched.
+func (c *Conn) reportProtocolError(err error) {
 	c.front.core.CallerProtocolError(c)
 	c.conn.Write(c.format.Bye(err))
 }
 
-// fail closes the connection for a fault that shows while nothing comes.
-func (c *Conn) fail(err error) {
-	c.lastWords(err)
+// closeWithError closes the connection for a fault that shows while nothing comes.
+func (c *Conn) closeWithError(err error) {
+	c.reportProtocolError(err)
 	c.conn.Close(err)
 }
 
-// shut closes a connection that has no set-up open. It counts as closed at once, so that no release is written to it.
-func (c *Conn) shut(reason error) {
-	c.reset = c.conn.Left() // whether by a reset is not known yet
+// closeNow closes a connection that has no set-up open. It counts as closed at once, so that no release is written to it.
+func (c *Conn) closeNow(reason error) {
+	c.wasReset = c.conn.Left() // whether by a reset is not known yet
 	c.conn.Write(c.format.Bye(nil))
 	c.conn.Close(reason)
 	c.Closed(reason)
@@ -99,12 +99,12 @@
 // Broken has the set-ups of a connection answered that is about to be closed for a fault in its stream.
 func (c *Conn) Broken(reason error) {
 	if !c.closed {
-		c.lastWords(reason)
+		c.reportProtocolError(reason)
 	}
 }
 
-// rejectRest answers the set-ups that have come behind a message that ends the connection.
-func (c *Conn) rejectRest(in *ring.Buffer) {
+// rejectRemaining answers the set-ups that have come behind a message that ends the connection.
+func (c *Conn) rejectRemaining(in *ring.Buffer) {
 	for {
 		m, err := c.format.Next(in, func([]byte) {})
 		if err != nil || m == nil {
@@ -116,42 +116,42 @@
 	}
 }
 
-func (c *Conn) take(m *jsonl.Message, at time.Time) error {
+func (c *Conn) handle(m *jsonl.Message, at time.Time) error {
 	switch m.Type {
 	case "setup":
-		c.asked = true
-		c.front.deliver()
+		c.receivedRequest = true
+		c.front.deliverPending()
 		if !call.ValidID(m.ID) {
 			return fmt.Errorf("set-up with the id %.40q", m.ID)
 		}
-		return c.setUp(m, at)
+		return c.handleSetUp(m, at)
 	case "release":
 		c.front.core.CallerReleased(c, m.ID, m.CauseOr(call.CauseNormal))
 	case "resume":
-		if !c.resumable() {
+		if !c.allowsResume() {
 			c.front.log.Debug("resume where that is off", "id", m.ID)
 			return nil
 		}
-		c.asked = true
+		c.receivedRequest = true
 		if !call.ValidID(m.ID) {
 			return fmt.Errorf("resume of the id %.40q", m.ID)
 		}
-		if c.resumed++; c.resumed > maxResumed {
+		if c.resumes++; c.resumes > maxResumes {
 			return call.ErrTooManyResumes
 		}
 		claim := call.ResumeRequest{Caller: c, ID: m.ID, Token: string(m.Fields["token"]), Answered: m.Fields["answered"] == "1"}
-		awaited := at.Add(c.front.terms.longestDeadline())
-		if left, err := m.Int("left"); err == nil && left >= 0 && left <= longest.Milliseconds() {
+		awaited := at.Add(c.front.rules.longestTimeout())
+		if left, err := m.Int("left"); err == nil && left >= 0 && left <= maxTimeLeft.Milliseconds() {
 			claim.Deadline = at.Add(time.Duration(left) * time.Millisecond)
 			awaited = earlier(awaited, claim.Deadline)
 		}
-		c.awaitsAnswer(awaited)
+		c.extendAnswerDeadline(awaited)
 		return c.front.core.ResumeCall(claim)
 	case "ping":
-		if !c.tested && !c.asked {
-			c.passOn()
+		if !c.receivedPing && !c.receivedRequest {
+			c.markAsHealthCheck()
 		}
-		c.tested = true
+		c.receivedPing = true
 		passed := 0
 		if c.front.core.Ready() {
 			passed = 1
@@ -164,23 +164,23 @@
 	return nil
 }
 
-// resumable reports whether calls can be resumed here: over the API, and over JSON lines where the operator has it so.
-func (c *Conn) resumable() bool { return c.format.NamesErrors() || c.front.terms.lines }
+// allowsResume reports whether calls can be resumed here: over the API, and over JSON lines where the operator has it so.
+func (c *Conn) allowsResume() bool { return c.format.NamesErrors() || c.front.rules.resumeOverLines }
 
-// setUp offers a call. One whose fields make no sense is answered as failed; its connection is sound, unless it brings
+// handleSetUp offers a call. One whose fields make no sense is answered as failed; its connection is sound, unless it brings
 // nothing else.
-func (c *Conn) setUp(m *jsonl.Message, at time.Time) error {
-	r, err := c.front.terms.request(m, at, c.resumable())
+func (c *Conn) handleSetUp(m *jsonl.Message, at time.Time) error {
+	r, err := c.front.rules.parseSetUp(m, at, c.allowsResume())
 	if err != nil {
 		c.front.log.Warn("set-up with bad fields", "id", m.ID, "err", err)
 		c.front.core.Reject(call.Request{ID: m.ID, Class: string(m.Fields["class"]), Caller: c})
-		if c.faults++; c.faults >= maxFaults {
-			return errFaults
+		if c.invalidSetUps++; c.invalidSetUps >= maxInvalidSetUps {
+			return errInvalidSetUps
 		}
 		return nil
 	}
 	r.Caller = c
-	c.awaitsAnswer(r.Deadline)
+	c.extendAnswerDeadline(r.Deadline)
 	if c.refusesOverflow() {
 		c.front.core.RefuseOverLimit(r)
 		return nil
@@ -205,7 +205,7 @@
 	if len(text) >= jsonl.MaxMessage {
 		return jsonl.ErrTooLong
 	}
-	c.said, c.usedAt = true, time.Now()
+	c.hasSent, c.lastUsedAt = true, time.Now()
 	c.conn.WriteThen(c.format.Frame(text), then)
 	return nil
 }
@@ -215,13 +215,13 @@
 	if err := c.tryWrite(jsonl.Message{Type: "answer", ID: id, SDP: &description}, func() {}); err != nil {
 		return err
 	}
-	c.stood = true
+	c.hadCall = true
 	c.logCall(endlog.AnswerQueued, id)
 	return nil
 }
 
 // End sends a final answer.
-func (c *Conn) End(id string, end call.End) { c.writeRelease(release{id: id, end: end}, func() {}) }
+func (c *Conn) End(id string, end call.End) { c.writeRelease(callEnd{id: id, end: end}, func() {}) }
 
 // Closed ends the connection's set-ups. Calls that stand are released on other connections.
 func (c *Conn) Closed(reason error) {
@@ -229,24 +229,24 @@
 		return
 	}
 	c.closed = true
-	c.reset = c.reset || isReset(reason)
+	c.wasReset = c.wasReset || isReset(reason)
 	f := c.front
-	f.all = slices.DeleteFunc(f.all, func(o *Conn) bool { return o == c })
-	f.open = slices.DeleteFunc(f.open, func(o *Conn) bool { return o == c })
+	f.conns = slices.DeleteFunc(f.conns, func(o *Conn) bool { return o == c })
+	f.openConns = slices.DeleteFunc(f.openConns, func(o *Conn) bool { return o == c })
 	if !errors.Is(reason, io.EOF) && !errors.Is(reason, conn.ErrClosedHere) {
 		f.log.Warn("connection from callers closed", "peer", c.conn.Remote(), "reason", reason)
 	}
 	c.logEnded(reason)
 	f.core.CallerDisconnected(c)
-	for _, t := range c.sent {
-		if c.unheard(t) {
+	for _, t := range c.sentEnds {
+		if c.maybeUnread(t) {
 			c.logCall(endlog.EndUnread, t.id)
-			c.repeat(t)
+			c.redeliver(t)
 		} else {
 			c.logCall(endlog.EndCountsRead, t.id)
 		}
 	}
-	c.sent = nil
+	c.sentEnds = nil
 }
 
 // isReset reports whether a connection that ended for the reason was reset by its peer, which may show as something is written to it.
@@ -259,24 +259,24 @@
 	if !c.closed {
 		c.conn.Hear()
 	}
-	return c.gone()
+	return c.callerDisconnected()
 }
 
-// gone reports whether the caller has closed its side.
-func (c *Conn) gone() bool { return c.closed || c.conn.Left() }
+// callerDisconnected reports whether the caller has closed its side.
+func (c *Conn) callerDisconnected() bool { return c.closed || c.conn.Left() }
 
-// join counts the connection among the open ones once it can be written to, and gives it what has waited for one.
-func (c *Conn) join() {
+// markOpen counts the connection among the open ones once it can be written to, and gives it what has waited for one.
+func (c *Conn) markOpen() {
 	f := c.front
-	if c.joined || !c.format.Open() {
+	if c.markedOpen || !c.format.Open() {
 		return
 	}
-	c.joined = true
-	f.open = append(f.open, c)
+	c.markedOpen = true
+	f.openConns = append(f.openConns, c)
 }
 
-// hears reports whether the connection can be told the end of a call that came on another. One on which a test came is
+// acceptsEnds reports whether the connection can be told the end of a call that came on another. One on which a test came is
 // for tests: who made it takes the next message for its result. One that has said nothing yet may be about to.
-func (c *Conn) hears() bool {
-	return c.asked || !c.tested && time.Since(c.since) > settle
+func (c *Conn) acceptsEnds() bool {
+	return c.receivedRequest || !c.receivedPing && time.Since(c.waitingSince) > newConnGracePeriod
 }
--- a/internal/callers/ends_heard_test.go
+++ b/internal/callers/ends_maybe_unread_test.go
@@ -11,31 +11,31 @@
 
 // closingCore withdraws, and has calls that stand on every connection, or none.
 type closingCore struct {
-	openCore
-	standing int
+	stubCore
+	established int
 }
 
 func (c *closingCore) Phase() call.Phase             { return call.Closing }
-func (c *closingCore) EstablishedOf(call.Caller) int { return c.standing }
+func (c *closingCore) EstablishedOf(call.Caller) int { return c.established }
 
-// roomyFront serves a front with room for several connections, with so many to it.
-func roomyFront(t *testing.T, core Core, connections int) (*Front, []*peer.Caller, []*Conn) {
+// newFrontWithConns serves a front with room for several connections, with so many to it.
+func newFrontWithConns(t *testing.T, core Core, connections int) (*Front, []*peer.Caller, []*Conn) {
 	t.Helper()
-	f := oneConnection(t, core)
+	f := newSmallFront(t, core)
 	onLoop(f.loop, func() { f.Limit(8) })
 	var callers []*peer.Caller
 	var conns []*Conn
 	for i := range connections {
-		caller, c := connects(t, f, i+1)
+		caller, c := connect(t, f, i+1)
 		callers, conns = append(callers, caller), append(conns, c)
 	}
 	return f, callers, conns
 }
 
-func serving() *openCore { return &openCore{owes: map[call.Caller]int{}} }
+func newStubCore() *stubCore { return &stubCore{pending: map[call.Caller]int{}} }
 
-// TestWhatIsUnheard guards against an end that is taken for heard though it may not have been, and against one that is told again for ever.
-func TestWhatIsUnheard(t *testing.T) {
+// TestWhichEndsMayBeUnread guards against an end that is taken for heard though it may not have been, and against one that is told again for ever.
+func TestWhichEndsMayBeUnread(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
 	for name, test := range map[string]struct {
@@ -45,19 +45,19 @@
 	}{
 		"it has not left":                              {true, time.Time{}, true},
 		"it has just left":                             {true, now, true},
-		"it left long ago":                             {true, now.Add(-2 * recent), false},
-		"it left long ago, and nobody ever spoke":      {false, now.Add(-2 * recent), true},
-		"it left very long ago, and nobody ever spoke": {false, now.Add(-2 * keep), false},
+		"it left long ago":                             {true, now.Add(-2 * crossingTime), false},
+		"it left long ago, and nobody ever spoke":      {false, now.Add(-2 * crossingTime), true},
+		"it left very long ago, and nobody ever spoke": {false, now.Add(-2 * endTimeout), false},
 	} {
-		c := &Conn{conn: new(conn.Conn), asked: test.asked}
-		if got := c.unheard(&told{release: release{firstLeftAt: test.leftAt}, leftAt: test.leftAt}); got != test.want {
+		c := &Conn{conn: new(conn.Conn), receivedRequest: test.asked}
+		if got := c.maybeUnread(&sentEnd{callEnd: callEnd{firstSentAt: test.leftAt}, sentAt: test.leftAt}); got != test.want {
 			t.Errorf("%s: unheard %v, want %v", name, got, test.want)
 		}
 	}
 }
 
-// TestWhatLeftShortlyBeforeTheEndOfItsConnection guards against an end that counts as heard as the loop takes in the end of its connection late.
-func TestWhatLeftShortlyBeforeTheEndOfItsConnection(t *testing.T) {
+// TestAnEndSentShortlyBeforeItsConnectionEnds guards against an end that counts as heard as the loop takes in the end of its connection late.
+func TestAnEndSentShortlyBeforeItsConnectionEnds(t *testing.T) {
 	t.Parallel()
 	for name, ends := range map[string]func(*peer.Caller, *Conn) error{
 		"its peer closes":   func(p *peer.Caller, _ *Conn) error { return p.Close() },
@@ -66,19 +66,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, callers, conns := roomyFront(t, serving(), 1)
+			f, callers, conns := newFrontWithConns(t, newStubCore(), 1)
 			c := conns[0]
 			onLoop(f.loop, func() { // the loop is busy until long after the end
-				c.asked = true
-				end := &told{release: release{firstLeftAt: time.Now()}, leftAt: time.Now()}
+				c.receivedRequest = true
+				end := &sentEnd{callEnd: callEnd{firstSentAt: time.Now()}, sentAt: time.Now()}
 				if err := ends(callers[0], c); err != nil {
 					t.Error(err)
 				}
 				for until := time.Now().Add(peer.Patience); c.conn.EndedAt().IsZero() && time.Now().Before(until); time.Sleep(time.Millisecond) {
 				}
-				end.leftAt = c.conn.EndedAt().Add(-recent / 2)
-				time.Sleep(recent)
-				if !c.unheard(end) {
+				end.sentAt = c.conn.EndedAt().Add(-crossingTime / 2)
+				time.Sleep(crossingTime)
+				if !c.maybeUnread(end) {
 					t.Error("it counts as heard")
 				}
 			})
@@ -86,41 +86,41 @@
 	}
 }
 
-// TestAnEndCountsFromWhenItHasLeft guards against an end that counts as told while it is queued, and against those before it that are dropped.
-func TestAnEndCountsFromWhenItHasLeft(t *testing.T) {
+// TestAnEndCountsAsSentOnceWritten guards against an end that counts as told while it is queued, and against those before it that are dropped.
+func TestAnEndCountsAsSentOnceWritten(t *testing.T) {
 	t.Parallel()
-	f, _, conns := roomyFront(t, serving(), 1)
+	f, _, conns := newFrontWithConns(t, newStubCore(), 1)
 	onLoop(f.loop, func() {
 		c := conns[0]
 		c.NotifyTerminated("00000000000000f1", call.End{Cause: call.CauseNormal})
 		c.NotifyTerminated("00000000000000f2", call.End{Cause: call.CauseNormal})
-		if len(c.sent) != 2 || !c.sent[0].leftAt.IsZero() || !c.sent[1].leftAt.IsZero() {
-			t.Errorf("%d ends are kept that have not left, want 2", len(c.sent))
+		if len(c.sentEnds) != 2 || !c.sentEnds[0].sentAt.IsZero() || !c.sentEnds[1].sentAt.IsZero() {
+			t.Errorf("%d ends are kept that have not left, want 2", len(c.sentEnds))
 		}
 		c.conn.Flush()
-		if len(c.sent) != 2 || c.sent[0].leftAt.IsZero() || c.sent[1].leftAt.IsZero() {
+		if len(c.sentEnds) != 2 || c.sentEnds[0].sentAt.IsZero() || c.sentEnds[1].sentAt.IsZero() {
 			t.Error("they have left, and don't count so")
 		}
 	})
 }
 
-// TestAnEndGoesWhereACallStood guards against an end that is told to who only asked, and may be anybody.
-func TestAnEndGoesWhereACallStood(t *testing.T) {
+// TestAnEndGoesToAConnectionThatHadACall guards against an end that is told to who only asked, and may be anybody.
+func TestAnEndGoesToAConnectionThatHadACall(t *testing.T) {
 	t.Parallel()
-	f, _, conns := roomyFront(t, serving(), 2)
+	f, _, conns := newFrontWithConns(t, newStubCore(), 2)
 	onLoop(f.loop, func() {
-		conns[0].asked, conns[0].stood, conns[1].asked = true, true, true
-		conns[1].usedAt = time.Now().Add(time.Second)
+		conns[0].receivedRequest, conns[0].hadCall, conns[1].receivedRequest = true, true, true
+		conns[1].lastUsedAt = time.Now().Add(time.Second)
 		f.Release("00000000000000f1", call.End{Cause: call.CauseNormal})
-		if len(conns[0].sent) != 1 || len(conns[1].sent) != 0 {
-			t.Errorf("told %d times where a call stood, %d times elsewhere; want 1, 0", len(conns[0].sent), len(conns[1].sent))
+		if len(conns[0].sentEnds) != 1 || len(conns[1].sentEnds) != 0 {
+			t.Errorf("told %d times where a call stood, %d times elsewhere; want 1, 0", len(conns[0].sentEnds), len(conns[1].sentEnds))
 		}
 	})
 }
 
-// TestAControllerThatWithdrawsKeepsWhatIsOwed guards against connections that are closed while calls of theirs stand, or with ends that may not have
+// TestAClosingControllerKeepsConnectionsInUse guards against connections that are closed while calls of theirs stand, or with ends that may not have
 // been heard.
-func TestAControllerThatWithdrawsKeepsWhatIsOwed(t *testing.T) {
+func TestAClosingControllerKeepsConnectionsInUse(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
 		standing int
@@ -129,16 +129,16 @@
 	}{"a call stands": {1, false, true}, "an end may be unheard": {0, true, true}, "nothing is owed": {0, false, false}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, _, conns := roomyFront(t, &closingCore{openCore: *serving(), standing: 1}, 1)
+			f, _, conns := newFrontWithConns(t, &closingCore{stubCore: *newStubCore(), established: 1}, 1)
 			onLoop(f.loop, func() {
 				core, _ := f.core.(*closingCore)
 				if test.told {
 					conns[0].NotifyTerminated("00000000000000f1", call.End{Cause: call.CauseNormal})
 					conns[0].conn.Flush()
 				}
-				core.standing = test.standing
-				conns[0].since = time.Now().Add(-2 * settle)
-				f.look()
+				core.established = test.standing
+				conns[0].waitingSince = time.Now().Add(-2 * newConnGracePeriod)
+				f.poll()
 				if kept := !conns[0].closed; kept != test.kept {
 					t.Errorf("kept: %v, want %v", kept, test.kept)
 				}
--- a/internal/callers/ends_test.go
+++ b/internal/callers/ends_test.go
@@ -16,14 +16,14 @@
 	"cherryrelay/internal/peer"
 )
 
-// ended is the end of a call in order.
-var ended = call.End{Cause: call.CauseNormal, Reason: call.ReasonEnded}
+// normalEnd is the end of a call in order.
+var normalEnd = call.End{Cause: call.CauseNormal, Reason: call.ReasonEnded}
 
-// settled makes the only connection one that may be told the ends of any calls.
-func settled(f *Front, c *Conn) { onLoop(f.loop, func() { c.asked = true }) }
+// allowEnds makes the only connection one that may be told the ends of any calls.
+func allowEnds(f *Front, c *Conn) { onLoop(f.loop, func() { c.receivedRequest = true }) }
 
-// closes has a caller close its connection, and waits until the front has taken that in.
-func closes(t *testing.T, f *Front, caller *peer.Caller, c *Conn) {
+// closeAndWait has a caller close its connection, and waits until the front has taken that in.
+func closeAndWait(t *testing.T, f *Front, caller *peer.Caller, c *Conn) {
 	t.Helper()
 	if err := caller.Close(); err != nil {
 		t.Fatal(err)
@@ -36,8 +36,8 @@
 	}
 }
 
-// hearsEnd has a caller read the end of a call.
-func hearsEnd(t *testing.T, caller *peer.Caller, id string) {
+// expectEnd has a caller read the end of a call.
+func expectEnd(t *testing.T, caller *peer.Caller, id string) {
 	t.Helper()
 	if m, err := caller.Next(); err != nil || m.Type != "release" || m.ID != id {
 		t.Errorf("%+v, %v: want the end of %s", m, err, id)
@@ -47,27 +47,27 @@
 // TestEndsAreCounted guards against ends of calls that are told twice, late or not at all without a trace in the figures.
 func TestEndsAreCounted(t *testing.T) {
 	const first, second, third = "00000000000000e1", "00000000000000e2", "00000000000000e3"
-	f := oneConnection(t, &openCore{owes: map[call.Caller]int{}})
+	f := newSmallFront(t, &stubCore{pending: map[call.Caller]int{}})
 	var got []EndCounts
-	counted := func() { onLoop(f.loop, func() { got = append(got, f.ends) }) }
-	caller, c := connects(t, f, 1)
-	settled(f, c)
-	onLoop(f.loop, func() { c.NotifyTerminated(first, ended); f.Flush() })
-	hearsEnd(t, caller, first)
+	counted := func() { onLoop(f.loop, func() { got = append(got, f.endCounts) }) }
+	caller, c := connect(t, f, 1)
+	allowEnds(f, c)
+	onLoop(f.loop, func() { c.NotifyTerminated(first, normalEnd); f.Flush() })
+	expectEnd(t, caller, first)
 	counted()
-	closes(t, f, caller, c) // right behind it
+	closeAndWait(t, f, caller, c) // right behind it
 	counted()
-	onLoop(f.loop, func() { f.Release(second, ended) })
+	onLoop(f.loop, func() { f.Release(second, normalEnd) })
 	counted()
-	caller, c = connects(t, f, 1)
-	settled(f, c)
-	onLoop(f.loop, func() { f.deliver(); f.Flush() })
-	hearsEnd(t, caller, first)
-	hearsEnd(t, caller, second)
+	caller, c = connect(t, f, 1)
+	allowEnds(f, c)
+	onLoop(f.loop, func() { f.deliverPending(); f.Flush() })
+	expectEnd(t, caller, first)
+	expectEnd(t, caller, second)
 	counted()
 	onLoop(f.loop, func() {
-		f.pending = append(f.pending, release{id: third, end: ended, at: time.Now().Add(-keep)})
-		f.look()
+		f.pendingEnds = append(f.pendingEnds, callEnd{id: third, end: normalEnd, queuedAt: time.Now().Add(-endTimeout)})
+		f.poll()
 	})
 	counted()
 	want := []EndCounts{
@@ -84,23 +84,23 @@
 	const id = "00000000000000e5"
 	for step, happens := range map[endlog.Step]func(f *Front, c *Conn){
 		endlog.EndCountsRead: func(_ *Front, c *Conn) {
-			c.asked = true
-			c.sent[0].leftAt = time.Now().Add(-2 * recent)
-			c.shut(conn.ErrClosedHere)
+			c.receivedRequest = true
+			c.sentEnds[0].sentAt = time.Now().Add(-2 * crossingTime)
+			c.closeNow(conn.ErrClosedHere)
 		},
-		endlog.EndForTest: func(_ *Front, c *Conn) { c.passOn() },
+		endlog.EndForTest: func(_ *Front, c *Conn) { c.markAsHealthCheck() },
 		endlog.EndDropped: func(f *Front, c *Conn) {
-			c.passOn()
+			c.markAsHealthCheck()
 			f.dropPending()
 		},
 	} {
 		t.Run(string(step), func(t *testing.T) {
-			f := oneConnection(t, &openCore{owes: map[call.Caller]int{}})
+			f := newSmallFront(t, &stubCore{pending: map[call.Caller]int{}})
 			var log bytes.Buffer
-			_, c := connects(t, f, 1)
+			_, c := connect(t, f, 1)
 			onLoop(f.loop, func() {
 				f.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))
-				c.NotifyTerminated(id, ended)
+				c.NotifyTerminated(id, normalEnd)
 				f.Flush()
 				happens(f, c)
 				f.log = slog.New(slog.DiscardHandler)
@@ -112,22 +112,22 @@
 	}
 }
 
-// TestAnEndThatIsGivenUpIsAWarning guards against ends of calls that are dropped in silence, as no caller connects.
-func TestAnEndThatIsGivenUpIsAWarning(t *testing.T) {
+// TestADroppedEndIsLoggedAsAWarning guards against ends of calls that are dropped in silence, as no caller connects.
+func TestADroppedEndIsLoggedAsAWarning(t *testing.T) {
 	const id = "00000000000000e4"
 	for reason, happens := range map[string]func(f *Front){
 		"no caller has connected in time": func(f *Front) {
-			f.pending[0].at = time.Now().Add(-keep)
-			f.look()
+			f.pendingEnds[0].queuedAt = time.Now().Add(-endTimeout)
+			f.poll()
 		},
 		"this process ends": (*Front).dropPending,
 	} {
 		t.Run(reason, func(t *testing.T) {
-			f := oneConnection(t, &openCore{owes: map[call.Caller]int{}})
+			f := newSmallFront(t, &stubCore{pending: map[call.Caller]int{}})
 			var log bytes.Buffer
 			onLoop(f.loop, func() {
 				f.log = slog.New(slog.NewTextHandler(&log, nil))
-				f.Release(id, ended)
+				f.Release(id, normalEnd)
 				if log.Len() > 0 {
 					t.Errorf("logged before it is given up: %s", &log)
 				}
--- a/internal/callers/ends_unread_test.go
+++ b/internal/callers/ends_unread_test.go
@@ -8,19 +8,19 @@
 	"cherryrelay/internal/peer"
 )
 
-// TestAnEndThatLiesUnreadAsItsConnectionIsReset guards against an end that is told to nobody: it left long ago for a caller that stands still
+// TestAnUnreadEndAsItsConnectionIsReset guards against an end that is told to nobody: it left long ago for a caller that stands still
 // and then closes its connection without having read it, which has its kernel send a reset.
-func TestAnEndThatLiesUnreadAsItsConnectionIsReset(t *testing.T) {
-	f := oneConnection(t, &openCore{owes: map[call.Caller]int{}})
-	caller, first := connects(t, f, 1)
-	sets(t, f, caller, first, func() {})
+func TestAnUnreadEndAsItsConnectionIsReset(t *testing.T) {
+	f := newSmallFront(t, &stubCore{pending: map[call.Caller]int{}})
+	caller, first := connect(t, f, 1)
+	sendSetUp(t, f, caller, first, func() {})
 	onLoop(f.loop, func() {
 		first.NotifyTerminated("00000000000000a1", call.End{Cause: call.CauseNormal, Reason: call.ReasonEnded})
 		f.Flush()
-		if len(first.sent) != 1 || first.sent[0].leftAt.IsZero() {
+		if len(first.sentEnds) != 1 || first.sentEnds[0].sentAt.IsZero() {
 			t.Fatal("the end has not left")
 		}
-		first.sent[0].leftAt = time.Now().Add(-2 * recent)
+		first.sentEnds[0].sentAt = time.Now().Add(-2 * crossingTime)
 	})
 	if err := caller.Close(); err != nil {
 		t.Fatal(err)
@@ -30,8 +30,8 @@
 			t.Fatal("the end of the connection is never told")
 		}
 	}
-	again, next := connects(t, f, 1)
-	sets(t, f, again, next, func() {})
+	again, next := connect(t, f, 1)
+	sendSetUp(t, f, again, next, func() {})
 	onLoop(f.loop, f.Flush)
 	if m, err := again.Next(); err != nil || m.Type != "release" || m.ID != "00000000000000a1" {
 		t.Errorf("%+v, %v: want the end on the next connection", m, err)
--- a/internal/callers/room_test.go
+++ b/internal/callers/evict_test.go
@@ -11,13 +11,13 @@
 
 func (busyCore) PendingOf(call.Caller) int { return 1 }
 
-// TestMakeRoomAmongBusyConnections: where every connection is owed an answer, none is closed; a newest one stays for its refusal, and without
+// TestEvictionAmongBusyConnections: where every connection is owed an answer, none is closed; a newest one stays for its refusal, and without
 // a newest one, as descriptors run short, nothing happens.
-func TestMakeRoomAmongBusyConnections(t *testing.T) {
+func TestEvictionAmongBusyConnections(t *testing.T) {
 	front := &Front{core: busyCore{}}
 	busy, newest := &Conn{front: front}, &Conn{front: front}
-	front.all = []*Conn{busy, newest}
-	front.makeRoom(newest)
+	front.conns = []*Conn{busy, newest}
+	front.evict(newest)
 	if !newest.overflow || busy.overflow {
 		t.Errorf("newest stays for its refusal: %v, busy: %v", newest.overflow, busy.overflow)
 	}
--- a/internal/callers/steps.go
+++ b/internal/callers/log.go
@@ -7,8 +7,8 @@
 	"cherryrelay/internal/endlog"
 )
 
-// accepted counts the connections of all fronts; each has its number in the log.
-var accepted atomic.Uint64
+// lastConnNumber counts the connections of all fronts; each has its number in the log.
+var lastConnNumber atomic.Uint64
 
 // logCall logs a step of a call that came about on the connection.
 func (c *Conn) logCall(step endlog.Step, id string) {
@@ -18,6 +18,6 @@
 // logEnded logs the end of the connection.
 func (c *Conn) logEnded(reason error) {
 	if log := c.front.log; endlog.Enabled(log) {
-		endlog.Callers(log, endlog.CallersEnded, c.number, slog.String("peer", c.conn.Remote()), endlog.Reason(reason), slog.Int("ends_sent", len(c.sent)))
+		endlog.Callers(log, endlog.CallersEnded, c.number, slog.String("peer", c.conn.Remote()), endlog.Reason(reason), slog.Int("ends_sent", len(c.sentEnds)))
 	}
 }
--- a/internal/callers/figures.go
+++ b/internal/callers/metrics.go
@@ -18,10 +18,10 @@
 func Figures(fronts ...*Front) []*dto.MetricFamily {
 	var sum EndCounts
 	for _, f := range fronts {
-		sum.Told += f.ends.Told
-		sum.Waited += f.ends.Waited
-		sum.Repeated += f.ends.Repeated
-		sum.Dropped += f.ends.Dropped
+		sum.Told += f.endCounts.Told
+		sum.Waited += f.endCounts.Waited
+		sum.Repeated += f.endCounts.Repeated
+		sum.Dropped += f.endCounts.Dropped
 	}
 	return []*dto.MetricFamily{
 		telemetry.Counter("ends_told_total", "Ends of calls that were written whole to callers' connections.", sum.Told),
--- a/internal/callers/overflow_test.go
+++ b/internal/callers/overflow_test.go
@@ -13,18 +13,18 @@
 	"cherryrelay/internal/settings"
 )
 
-// openCore keeps every set-up that it is offered open. It is used on the loop alone.
-type openCore struct {
+// stubCore keeps every set-up that it is offered open. It is used on the loop alone.
+type stubCore struct {
 	Core
-	owes map[call.Caller]int
+	pending map[call.Caller]int
 }
 
-func (c *openCore) Offer(r call.Request) error            { c.owes[r.Caller]++; return nil }
-func (c *openCore) PendingOf(caller call.Caller) int      { return c.owes[caller] }
-func (c *openCore) CallerDisconnected(caller call.Caller) { delete(c.owes, caller) }
-func (c *openCore) EstablishedOf(call.Caller) int         { return 0 }
-func (c *openCore) Phase() call.Phase                     { return call.Serving }
-func (c *openCore) Superseded() bool                      { return false }
+func (c *stubCore) Offer(r call.Request) error            { c.pending[r.Caller]++; return nil }
+func (c *stubCore) PendingOf(caller call.Caller) int      { return c.pending[caller] }
+func (c *stubCore) CallerDisconnected(caller call.Caller) { delete(c.pending, caller) }
+func (c *stubCore) EstablishedOf(call.Caller) int         { return 0 }
+func (c *stubCore) Phase() call.Phase                     { return call.Serving }
+func (c *stubCore) Superseded() bool                      { return false }
 
 // onLoop has a step run on the loop, and waits for it.
 func onLoop(loop *call.Loop, step func()) {
@@ -33,8 +33,8 @@
 	<-ran
 }
 
-// oneConnection serves a front that has room for one connection, and one more for a moment.
-func oneConnection(t *testing.T, core Core) *Front {
+// newSmallFront serves a front that has room for one connection, and one more for a moment.
+func newSmallFront(t *testing.T, core Core) *Front {
 	t.Helper()
 	tcp, err := conn.BindShared("127.0.0.1:0")
 	if err != nil {
@@ -64,8 +64,8 @@
 	return f
 }
 
-// connects opens a connection and waits until it is the front's so many-th.
-func connects(t *testing.T, f *Front, number int) (*peer.Caller, *Conn) {
+// connect opens a connection and waits until it is the front's so many-th.
+func connect(t *testing.T, f *Front, number int) (*peer.Caller, *Conn) {
 	t.Helper()
 	caller, err := peer.Call("tcp", f.Address())
 	if err != nil {
@@ -76,8 +76,8 @@
 	var accepted *Conn
 	for until := time.Now().Add(peer.Patience); accepted == nil; {
 		onLoop(f.loop, func() {
-			if len(f.all) == number {
-				accepted = f.all[number-1]
+			if len(f.conns) == number {
+				accepted = f.conns[number-1]
 			}
 		})
 		if time.Now().After(until) {
@@ -87,8 +87,8 @@
 	return caller, accepted
 }
 
-// sets sends a set-up and has the loop hold still until all of it waits for its turn there; then the loop does the step.
-func sets(t *testing.T, f *Front, caller *peer.Caller, at *Conn, step func()) {
+// sendSetUp sends a set-up and has the loop hold still until all of it waits for its turn there; then the loop does the step.
+func sendSetUp(t *testing.T, f *Front, caller *peer.Caller, at *Conn, step func()) {
 	t.Helper()
 	onLoop(f.loop, func() {
 		if err := caller.SetUp("00000000000000b1", time.Second, 0, "x"); err != nil {
@@ -105,23 +105,23 @@
 	})
 }
 
-// TestASetUpHeardAsItsConnectionWouldLeaveStays guards against a connection beyond the bound that was closed without an answer right after its
+// TestASetUpReadAsItsConnectionWouldCloseIsKept guards against a connection beyond the bound that was closed without an answer right after its
 // set-up had been taken: it waited for its turn as the connection's time was up, and room had just been made.
-func TestASetUpHeardAsItsConnectionWouldLeaveStays(t *testing.T) {
-	core := &openCore{owes: map[call.Caller]int{}}
-	f := oneConnection(t, core)
-	_, first := connects(t, f, 1)
-	onLoop(f.loop, func() { core.owes[first] = 1 }) // it cannot make room
-	caller, newest := connects(t, f, 2)
-	sets(t, f, caller, newest, func() {
+func TestASetUpReadAsItsConnectionWouldCloseIsKept(t *testing.T) {
+	core := &stubCore{pending: map[call.Caller]int{}}
+	f := newSmallFront(t, core)
+	_, first := connect(t, f, 1)
+	onLoop(f.loop, func() { core.pending[first] = 1 }) // it cannot make room
+	caller, newest := connect(t, f, 2)
+	sendSetUp(t, f, caller, newest, func() {
 		if !newest.overflow || !f.listener.Full() {
 			t.Error("the newest connection is not beyond the bound")
 		}
-		newest.since = time.Now().Add(-2 * overflowFor)
-		first.shut(conn.ErrClosedHere) // it holds its descriptor for a moment more
-		f.look()
-		if newest.closed || core.owes[newest] != 1 {
-			t.Errorf("closed %v with %d set-ups taken, want it open with one", newest.closed, core.owes[newest])
+		newest.waitingSince = time.Now().Add(-2 * overflowTimeout)
+		first.closeNow(conn.ErrClosedHere) // it holds its descriptor for a moment more
+		f.poll()
+		if newest.closed || core.pending[newest] != 1 {
+			t.Errorf("closed %v with %d set-ups taken, want it open with one", newest.closed, core.pending[newest])
 		}
 	})
 }
--- a/internal/callers/terms.go
+++ b/internal/callers/setup_rules.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	// maxKey is the longest number called.
-	maxKey = 64
-	// maxFigure bounds figures that the settings say nothing of.
-	maxFigure = 1 << 20
+	// maxKeyLength is the longest number called.
+	maxKeyLength = 64
+	// maxExtraValue bounds figures that the settings say nothing of.
+	maxExtraValue = 1 << 20
 )
 
 // Terms are what a set-up must keep to. A dispatcher that is sent what it cannot read closes a connection that others
 // share, so nothing goes on that the settings do not know or that does not fit every wire.
 type Terms struct {
-	classes map[string]terms
-	tenants []string
-	lines   bool // calls may be resumed over JSON lines, too
+	classes         map[string]classRules
+	tenants         []string
+	resumeOverLines bool // calls may be resumed over JSON lines, too
 }
 
 // ResumeLines has calls resumed over JSON lines, too. The platform's callers never ask for it.
 func (t *Terms) ResumeLines(allowed bool) *Terms {
-	t.lines = allowed
+	t.resumeOverLines = allowed
 	return t
 }
 
-type terms struct {
-	deadline time.Duration
-	cells    []int // for dest; empty for any
-	width    int   // 0 for any
+type classRules struct {
+	timeout      time.Duration
+	allowedCells []int // for dest; empty for any
+	width        int   // 0 for any
 }
 
 // NewTerms reads the settings.
 func NewTerms(s *settings.Settings) *Terms {
-	t := &Terms{classes: map[string]terms{}}
+	t := &Terms{classes: map[string]classRules{}}
 	for i, c := range s.RequestClasses {
-		class := terms{deadline: time.Duration(c.DeadlineUs) * time.Microsecond}
+		class := classRules{timeout: time.Duration(c.DeadlineUs) * time.Microsecond}
 		if i < len(s.FamilyInfo.AllowedPools) {
-			class.cells = s.FamilyInfo.AllowedPools[i]
+			class.allowedCells = s.FamilyInfo.AllowedPools[i]
 		}
 		if i < len(s.FamilyInfo.ClassWidth) {
 			class.width = s.FamilyInfo.ClassWidth[i]
@@ -60,16 +60,16 @@
 	return t
 }
 
-// longestDeadline is the longest time that a set-up may have.
-func (t *Terms) longestDeadline() (longest time.Duration) {
+// longestTimeout is the longest time that a set-up may have.
+func (t *Terms) longestTimeout() (longest time.Duration) {
 	for _, class := range t.classes {
-		longest = max(longest, class.deadline)
+		longest = max(longest, class.timeout)
 	}
 	return longest
 }
 
-// request reads the fields of a set-up. Its token counts where calls can be resumed.
-func (t *Terms) request(m *jsonl.Message, at time.Time, resumable bool) (r call.Request, err error) {
+// parseSetUp reads the fields of a set-up. Its token counts where calls can be resumed.
+func (t *Terms) parseSetUp(m *jsonl.Message, at time.Time, resumable bool) (r call.Request, err error) {
 	field := func(name string) string { return string(m.Fields[name]) }
 	class, ok := t.classes[field("class")]
 	if !ok {
@@ -82,10 +82,10 @@
 	if err != nil {
 		return r, err //nolint:wrapcheck // it says what it is
 	}
-	if left < 0 || left > class.deadline.Milliseconds() {
+	if left < 0 || left > class.timeout.Milliseconds() {
 		return r, fmt.Errorf("left is out of range: %d", left)
 	}
-	if key := field("key"); key == "" || len(key) > maxKey || strings.Trim(key, keyCharacters) != "" {
+	if key := field("key"); key == "" || len(key) > maxKeyLength || strings.Trim(key, keyCharacters) != "" {
 		return r, fmt.Errorf("unusable key %.40q", key)
 	}
 	extras, err := parseExtras(m)
@@ -96,7 +96,7 @@
 	switch width, sized := extras["width"]; {
 	case !given:
 		dest = -1
-	case dest < 0 || len(class.cells) > 0 && !slices.Contains(class.cells, dest):
+	case dest < 0 || len(class.allowedCells) > 0 && !slices.Contains(class.allowedCells, dest):
 		return r, fmt.Errorf("no dispatcher %d for the class", dest)
 	case sized && (width < 1 || class.width > 0 && width != class.width):
 		return r, fmt.Errorf("width is out of range: %d", width)
@@ -136,7 +136,7 @@
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(part, ":")
 		n, err := strconv.Atoi(value)
-		if err != nil || n < -1 && name == "via" || n > maxFigure || n < -maxFigure {
+		if err != nil || n < -1 && name == "via" || n > maxExtraValue || n < -maxExtraValue {
 			return nil, fmt.Errorf("unreadable extras %.40q", text)
 		}
 		extras[name] = n
--- /dev/null
+++ b/internal/callers/unsent_answer_test.go
@@ -0,0 +1,199 @@
+package callers
+
+import (
+	"slices"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"cherryrelay/internal/call"
+	"cherryrelay/internal/jsonl"
+	"cherryrelay/internal/peer"
+)
+
+const (
+	unsentCallID = "00000000000000b1"
+	// fillerSize is most of the largest message.
+	fillerSize = 15 << 10
+	// fullQueueSize is how much waits for a socket that is full.
+	fullQueueSize = 2 * fillerSize
+)
+
+// awaitAccepted waits until the front has a connection beside another one.
+func awaitAccepted(t *testing.T, f *Front, beside *Conn) (accepted *Conn) {
+	t.Helper()
+	for until := time.Now().Add(peer.Patience); accepted == nil; {
+		onLoop(f.loop, func() {
+			if i := slices.IndexFunc(f.conns, func(c *Conn) bool { return c != beside }); i >= 0 {
+				accepted = f.conns[i]
+			}
+		})
+		if time.Now().After(until) {
+			t.Fatal("the connection is never accepted")
+		}
+	}
+	return accepted
+}
+
+// fillSocket has the connection tell its caller, which does not read, answers of other calls until its socket takes no more. It runs on the loop, and
+// what follows there at once finds the socket full: its kernel may take more later.
+func fillSocket(t *testing.T, c *Conn) {
+	t.Helper()
+	for c.conn.Unsent() < fullQueueSize {
+		if err := c.Answer(otherCallID, strings.Repeat("x", fillerSize)); err != nil {
+			t.Fatal(err)
+		}
+		c.conn.Flush()
+	}
+}
+
+// TestAnUnsentAnswerAsAnotherConnectionOpens guards against an answer that is thrown away, as its connection, whose caller reads late, makes room
+// for a new one.
+func TestAnUnsentAnswerAsAnotherConnectionOpens(t *testing.T) {
+	t.Parallel()
+	core := newStubCore()
+	f := newSmallFront(t, core)
+	caller, first := connect(t, f, 1)
+	if err := caller.SetUp(unsentCallID, 9*time.Second, 0, "x"); err != nil {
+		t.Fatal(err)
+	}
+	for taken, until := false, time.Now().Add(peer.Patience); !taken; onLoop(f.loop, func() { taken = core.pending[first] == 1 }) {
+		if time.Now().After(until) {
+			t.Fatal("the set-up is never taken")
+		}
+	}
+	onLoop(f.loop, func() { f.Limit(2) })
+	newest, err := peer.Call("tcp", f.Address())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer newest.Close()
+	second := awaitAccepted(t, f, first)
+	onLoop(f.loop, func() {
+		core.pending[first] = 0
+		fillSocket(t, first)
+		if err := first.Answer(unsentCallID, "y"); err != nil {
+			t.Error(err)
+		}
+		f.Limit(1)
+		f.evict(second)
+		if first.closed || !second.overflow {
+			t.Errorf("it is closed: %v; the new one waits for its refusal: %v", first.closed, second.overflow)
+		}
+	})
+	for {
+		m, err := caller.Next()
+		if err != nil {
+			t.Fatalf("the answer never comes: %v", err)
+		}
+		if m.ID == unsentCallID && m.Type == "answer" {
+			return
+		}
+	}
+}
+
+// TestAConnectionWithUnflushedOutputIsEvicted guards against a new connection that finds no room, as the one that can go has an answer queued that its socket would
+// take.
+func TestAConnectionWithUnflushedOutputIsEvicted(t *testing.T) {
+	t.Parallel()
+	f := newSmallFront(t, newStubCore())
+	_, c := connect(t, f, 1)
+	onLoop(f.loop, func() {
+		c.receivedRequest = true
+		c.extendAnswerDeadline(time.Now().Add(time.Minute))
+		c.End(unsentCallID, call.End{Cause: call.CauseNormal, Reason: call.ReasonEnded})
+		if f.Squeeze(); !c.closed {
+			t.Error("it stays")
+		}
+	})
+}
+
+// TestAStalledReaderHoldsNoConnectionForLong guards against a front that is kept full by a caller that does not read: its connection goes once the caller must
+// have given up.
+func TestAStalledReaderHoldsNoConnectionForLong(t *testing.T) {
+	t.Parallel()
+	for what, after := range map[string]time.Duration{"it waits still": callTimeout - time.Second, "its time is over": callTimeout} {
+		t.Run(what, func(t *testing.T) {
+			t.Parallel()
+			synctest.Test(t, func(t *testing.T) {
+				s := newHarness(t, initialState{})
+				stays, want := false, after < callTimeout
+				squeeze := scenarioStep{'-', "a connection makes room", func(s *harness) bool {
+					s.front.Squeeze()
+					c, ok := s.callConn.handler.(*Conn)
+					stays = ok && !c.closed
+					return true
+				}, 0, false}
+				order := slices.Concat(stepsFor("fE"), []scenarioStep{waitStep('-', after), squeeze})
+				if !s.play(order) || stays != want {
+					t.Errorf("it stays: %v, want %v", stays, want)
+				}
+			})
+		})
+	}
+}
+
+// TestAnUnsentAnswerAsASuccessorServes guards against an answer that is thrown away, as the controller has a successor and closes connections
+// though calls stand there.
+func TestAnUnsentAnswerAsASuccessorServes(t *testing.T) {
+	t.Parallel()
+	synctest.Test(t, func(t *testing.T) {
+		s := newHarness(t, initialState{})
+		supersede := scenarioStep{'-', "a successor serves", func(s *harness) bool {
+			s.core.Supersede(func(string, call.End) bool { return false })
+			return true
+		}, 2 * newConnGracePeriod, false}
+		finals := 0
+		readOn := scenarioStep{'-', "the caller reads on", func(s *harness) bool {
+			s.caller.unblock()
+			finals = s.finalAnswers
+			return true
+		}, 0, false}
+		if !s.play(slices.Concat(stepsFor("fa"), []scenarioStep{supersede, readOn})) || finals != 1 {
+			t.Errorf("%d final answers, want 1", finals)
+		}
+	})
+}
+
+// resumeCore takes claims to calls.
+type resumeCore struct{ *stubCore }
+
+func (resumeCore) ResumeCall(call.ResumeRequest) error { return nil }
+
+// TestAResumeHoldsNoConnectionForLong guards against a front that is kept full by callers that do not read, and name an hour in which they would wait for
+// the answer of the call that they come back for; and against an answer that is thrown away, as its caller names no time.
+func TestAResumeHoldsNoConnectionForLong(t *testing.T) {
+	t.Parallel()
+	const deadline = 9 * time.Second // of the only class
+	for name, test := range map[string]struct {
+		left  jsonl.Value
+		until time.Duration
+	}{
+		"it names an hour":  {"3600000", deadline},
+		"it names less":     {"1000", time.Second},
+		"it names no time":  {"", deadline},
+		"it names nonsense": {"x", deadline},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			f := newSmallFront(t, resumeCore{newStubCore()})
+			_, c := connect(t, f, 1)
+			onLoop(f.loop, func() {
+				f.rules.ResumeLines(true)
+				fillSocket(t, c)
+				at := time.Now()
+				fields := map[string]jsonl.Value{}
+				if test.left != "" {
+					fields["left"] = test.left
+				}
+				if err := c.handle(&jsonl.Message{Type: "resume", ID: unsentCallID, Fields: fields}, at); err != nil {
+					t.Error(err)
+				}
+				if end := at.Add(test.until); !c.hasUnsentAnswer(end.Add(-time.Millisecond)) || c.hasUnsentAnswer(end.Add(time.Millisecond)) {
+					t.Errorf("the connection is held until %v after the resume, want %v", c.answerDeadline.Sub(at), test.until)
+				}
+			})
+		})
+	}
+}
