--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -1,4 +1,4 @@
-// Package callers holds the fronts at which callers' calls come in. They differ only in how messages are framed.
+// Package callers implements the fronts on which callers connect. Fronts differ only in the framing of their messages.
 package callers
 
 import (
@@ -15,110 +15,112 @@
 )
 
 const (
-	// crossingTime is how long a release is kept for the case that it crossed the close of its connection.
+	// crossingTime is the age up to which an end may have crossed the close of its connection.
 	crossingTime = 200 * time.Millisecond
-	// maxUnreadTime is how long a release may lie unread with a caller that stands still. A reset within as much may have had it thrown away.
+	// maxUnreadTime is the longest time for which an end stays unread at a caller that has stopped reading. If the connection is
+	// reset within this time, the end may have been discarded.
 	maxUnreadTime = 8 * time.Second
-	// endTimeout is how long a release waits for a caller to connect; later nobody counts on it.
+	// endTimeout is how long the end of a call waits for a caller to connect. After that its caller no longer expects it.
 	endTimeout = 30 * time.Second
-	// pollInterval is the pace at which connections are looked at.
+	// pollInterval is the interval between two checks of the connections.
 	pollInterval = 100 * time.Millisecond
-	// fastPollInterval is the pace while connections are to be closed as soon as they are owed nothing.
+	// fastPollInterval is the interval while connections are to be closed as soon as they are not needed any more.
 	fastPollInterval = 10 * time.Millisecond
-	// newConnGracePeriod is how long a connection is left to bring what its caller connected for.
+	// newConnGracePeriod is how long a new connection is kept open for the message that its caller has connected for.
 	newConnGracePeriod = 100 * time.Millisecond
-	// partialMessageTimeout is how long the rest of a message is waited for that a controller which ends has had the beginning of.
+	// partialMessageTimeout is how long a controller that shuts down waits for the rest of a message.
 	partialMessageTimeout = 500 * time.Millisecond
-	// maxResumes calls may be resumed on one connection: a large gateway's, and a bound for who guesses.
+	// maxResumes is the maximum number of calls resumed on one connection: enough for a large gateway, and a bound on guessing.
 	maxResumes = 16 << 10
-	// maxTimeLeft is more than any caller waits for an answer; beyond that, the time left that a resume names says nothing.
+	// maxTimeLeft is more than any caller waits for an answer. A larger time left in a resume request is ignored.
 	maxTimeLeft = time.Hour
-	// maxInvalidSetUps set-ups that make no sense are answered; who sends more sends nothing else.
+	// maxInvalidSetUps is the number of invalid set-ups after which a connection is closed: its peer sends nothing else.
 	maxInvalidSetUps = 8
 )
 
-// Bounds keep connections from using up the descriptors and the memory.
+// Bounds limit the connections of callers, so that they do not use up the descriptors and the memory.
 type Bounds struct {
-	// Connections is how many may be open at once; 0 is no bound.
+	// Connections is the maximum number of open connections; 0 means no limit.
 	Connections int
-	// Silent is how long a connection may stay inside a message, or be open with nothing to be told: callers connect when
-	// they have a set-up. It must leave room before the 3 s in which a peer that misbehaves is owed a close.
+	// Silent is how long a message may stay incomplete, and how long a connection to which nothing was sent stays open: callers
+	// connect when they have a set-up. It must be well below the 3 s within which the connection of a misbehaving peer has to be
+	// closed.
 	Silent time.Duration
-	// Idle is how long one without a call is kept. Callers close theirs after 4 s, and those that stay on are of no use.
-	// It must be longer, so as not to cross a set-up.
+	// Idle is how long a connection without a call stays open. Callers close theirs after 4 s, and do not use longer ones. It
+	// must be longer than that, so that the close does not cross a set-up.
 	Idle time.Duration
 }
 
-// Within are the bounds for a process that may hold so many descriptors; 0 is no limit. Callers hold a third by
-// themselves and get half: the rest is for dispatchers, the list and the program.
+// Within returns the bounds for a process with this limit of descriptors; 0 means no limit. Callers need a third of them and get
+// half. The rest is for dispatchers, the list and the program itself.
 func Within(descriptors int) Bounds {
 	return Bounds{Connections: descriptors / 2, Silent: 2 * time.Second, Idle: 5 * time.Second}
 }
 
-// Reasons for which a connection is closed that has no set-up open.
+// Reasons for closing a connection that has no open set-up.
 var (
-	errNoMessage         = errors.New("nothing came in time")
-	errIncompleteMessage = errors.New("a message that does not end")
-	errInvalidSetUps     = errors.New("too many set-ups that make no sense")
+	errNoMessage         = errors.New("no message arrived in time")
+	errIncompleteMessage = errors.New("incomplete message")
+	errInvalidSetUps     = errors.New("too many invalid set-ups")
 )
 
-// Core is what fronts report to; *call.Core is one.
+// Core is the part of the call core that fronts use. *call.Core implements it.
 type Core interface {
 	Offer(call.Request) error
-	// Reject answers a set-up that makes no sense.
+	// Reject answers an invalid set-up.
 	Reject(call.Request)
-	// RefuseOverLimit refuses a set-up that there is no room for.
+	// RefuseOverLimit refuses a set-up on a connection beyond the limit.
 	RefuseOverLimit(call.Request)
 	CallerReleased(caller call.Caller, id string, cause int)
-	// ResumeCall is a caller's word that a call of another connection is its own.
+	// ResumeCall handles a caller's request to move a call to its connection.
 	ResumeCall(call.ResumeRequest) error
 	CallerDisconnected(call.Caller)
 	CallerProtocolError(call.Caller)
-	// PendingOf is the number of set-ups without an answer that came from the caller.
+	// PendingOf returns the number of the caller's set-ups without a final answer.
 	PendingOf(call.Caller) int
-	// EstablishedOf is the number of its calls that stand.
+	// EstablishedOf returns the number of the caller's established calls.
 	EstablishedOf(call.Caller) int
 	Ready() bool
 	Phase() call.Phase
-	// Superseded reports whether another process tells the ends of calls.
+	// Superseded reports whether another process now delivers the ends of calls.
 	Superseded() bool
-	// RelayToSuccessor leaves the end of a call to that process, and reports whether it has taken it.
+	// RelayToSuccessor relays the end of a call to that process, and reports whether it was accepted.
 	RelayToSuccessor(id string, end call.End) bool
 }
 
-// Format is the framing of one connection.
+// Format encodes and decodes the messages of one connection.
 type Format interface {
-	// Next takes a message off the ring; it is nil if none is whole yet. What it says itself goes to write.
+	// Next decodes the next message from the buffer; it returns nil if none is complete. It passes its own replies to write.
 	Next(in *ring.Buffer, write func([]byte)) (*jsonl.Message, error)
 	// Open reports whether messages can be sent.
 	Open() bool
-	// Frame puts a message in its frame.
+	// Frame returns the text of a message with its framing.
 	Frame(text []byte) []byte
-	// NamesErrors says whether releases name the API's error beside the cause.
+	// NamesErrors reports whether releases contain the error name of the API as well as the cause.
 	NamesErrors() bool
-	// Bye are the last words before the connection is closed for err.
+	// Bye returns the message that is sent before the connection is closed because of err.
 	Bye(err error) []byte
 }
 
-// Lines is the platform's framing: a line feed after each message.
+// Lines is the platform's format: one message per line.
 type Lines struct{ dec jsonl.Decoder }
 
-// Next reads a line.
+// Next decodes a line.
 func (l *Lines) Next(in *ring.Buffer, _ func([]byte)) (*jsonl.Message, error) { return l.dec.Next(in) }
 
-// Open is always so.
+// Open returns true: there is no handshake.
 func (l *Lines) Open() bool { return true }
 
-// Frame ends the line.
+// Frame appends a line feed.
 func (l *Lines) Frame(text []byte) []byte { return append(text, '\n') }
 
-// Bye has no form.
+// Bye returns nil: the format has no closing message.
 func (l *Lines) Bye(error) []byte { return nil }
 
-// NamesErrors is not the platform's way.
+// NamesErrors returns false: the platform's releases contain only the cause.
 func (l *Lines) NamesErrors() bool { return false }
 
-// Front is one listener and the connections from callers that it took.
+// Front is a listener and the connections that it has accepted from callers.
 type Front struct {
 	core              Core
 	loop              *call.Loop
@@ -127,14 +129,14 @@
 	bounds            Bounds
 	rules             *Terms
 	listener          Listener
-	conns             []*Conn   // in the order in which they came
-	openConns         []*Conn   // those that can be written to
-	pendingEnds       []callEnd // ends for which no connection is open
+	conns             []*Conn   // in order of arrival
+	openConns         []*Conn   // connections on which messages can be sent
+	pendingEnds       []callEnd // ends that wait for an open connection
 	endCounts         EndCounts
-	descriptorsScarce bool // descriptors run short: who comes now is turned away, unless another makes room
+	descriptorsScarce bool // new connections are refused unless another one can be evicted
 }
 
-// New returns a front for a socket that listens. It accepts once its listener is started.
+// New returns a front for a listening socket. It accepts connections once its listener is started.
 func New(loop *call.Loop, core Core, log *slog.Logger, tcp *net.TCPListener, format func() Format, bounds Bounds, terms *Terms) *Front {
 	f := newFront(loop, core, log, format, bounds, terms)
 	f.useListener(conn.NewListener(loop, tcp, bounds.Most(), func(c *conn.Conn) conn.Handler { return f.accept(c) }))
@@ -145,25 +147,25 @@
 	return &Front{core: core, loop: loop, log: log, newFormat: format, bounds: bounds, rules: terms}
 }
 
-// useListener has the front serve what a listener accepts.
+// useListener sets the listener and starts the checks of the connections.
 func (f *Front) useListener(l Listener) {
 	f.listener = l
 	f.loop.Post(f.poll)
 }
 
-// Listener is where the front's connections come from.
+// Listener returns the listener that accepts the front's connections.
 func (f *Front) Listener() Listener { return f.listener }
 
-// Address is where the front listens.
+// Address returns the address on which the front listens.
 func (f *Front) Address() string { return f.listener.Address() }
 
-// Close ends the front and its connections.
+// Close closes the listener and all connections.
 func (f *Front) Close() error {
 	f.dropPending()
 	return f.listener.Shutdown()
 }
 
-// Retune has set-ups keep to other terms from now on.
+// Retune replaces the rules for set-ups.
 func (f *Front) Retune(terms *Terms) { f.rules = terms }
 
 func (f *Front) accept(c connection) conn.Handler {
@@ -178,26 +180,26 @@
 	return cc
 }
 
-// Flush sends what was written since the last time.
+// Flush sends the buffered output of all connections.
 func (f *Front) Flush() {
 	for _, c := range f.openConns {
 		c.conn.Flush()
 	}
 }
 
-// Connections is the number of connections that hold a descriptor.
+// Connections returns the number of connections that hold a descriptor.
 func (f *Front) Connections() int { return f.listener.Held() }
 
-// Idle reports whether no end of a call waits for a caller, no connection waits to be accepted, and none has anything unread, half a message,
-// words that wait for the socket, or an end that may be lost with it.
+// Idle reports whether nothing is left to process or deliver: no end waits for a caller, no connection waits to be accepted, and
+// no connection has unread input, an incomplete message, unsent output or an end that may be lost when it closes.
 func (f *Front) Idle() bool {
 	return len(f.pendingEnds) == 0 && !f.listener.Waiting() && !slices.ContainsFunc(f.conns, func(c *Conn) bool {
 		return !c.closed && (c.partial && time.Since(c.waitingSince) < partialMessageTimeout || c.conn.Unsent() > 0 || !c.conn.Quiet() || !c.conn.AllTaken() || c.mayLoseEnd())
 	})
 }
 
-// Heard reports whether all is with the loop, as far as it may be, that was sent by callers with a set-up open: another's word cannot take
-// one back. Of very many connections, few have one.
+// Heard reports whether the event loop has all the input, as far as it can have it, of callers with an open set-up: a message of
+// another caller cannot cancel one. Of a very large number of connections, few have an open set-up.
 func (f *Front) Heard() bool {
 	return !slices.ContainsFunc(f.conns, func(c *Conn) bool { return !c.closed && f.core.PendingOf(c) > 0 && c.conn.Unread() })
 }
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -15,7 +15,7 @@
 	"cherryrelay/internal/ring"
 )
 
-// Conn is a connection from callers.
+// Conn is a connection from a caller or a gateway of callers.
 type Conn struct {
 	front           *Front
 	number          uint64
@@ -23,24 +23,24 @@
 	format          Format
 	markedOpen      bool
 	closed          bool
-	receivedRequest bool // a set-up has come
-	receivedPing    bool // a test has
-	hasSent         bool // it has been told something
-	hadCall         bool // a call of it did
-	invalidSetUps   int  // set-ups that made no sense
-	resumes         int  // calls it came back for
-	partial         bool // what came last is no whole message yet
-	// overflow marks a connection beyond the bound, when none could make room for it.
+	receivedRequest bool // a set-up or a resume request was received
+	receivedPing    bool // a ping was received
+	hasSent         bool // a message was sent on it
+	hadCall         bool // a call on it was established
+	invalidSetUps   int  // number of invalid set-ups
+	resumes         int  // number of resume requests
+	partial         bool // the last message received is incomplete
+	// overflow is set if the connection exceeds the limit and none could be evicted for it.
 	overflow       bool
-	refusedSetUp   bool      // a set-up has been refused for that
-	waitingSince   time.Time // when it connected or, if later, the message that is not whole began
+	refusedSetUp   bool      // a set-up was refused because of overflow
+	waitingSince   time.Time // time of the connect or, if later, of the start of the incomplete message
 	lastUsedAt     time.Time
-	answerDeadline time.Time  // until when a caller may wait here for a final answer
-	sentEnds       []*sentEnd // lately, of calls that stood
-	wasReset       bool       // it has ended by a reset, or may have
+	answerDeadline time.Time  // time until which a caller may wait here for a final answer
+	sentEnds       []*sentEnd // recently sent ends of established calls
+	wasReset       bool       // it was reset, or may have been
 }
 
-// Data takes in what callers have sent.
+// Data processes the input from callers.
 func (c *Conn) Data(in *ring.Buffer, at time.Time) error {
 	if c.closed {
 		in.Discard(in.Len())
@@ -50,7 +50,7 @@
 	for {
 		m, err := c.format.Next(in, c.conn.Write)
 		if errors.Is(err, io.EOF) {
-			return conn.ErrClosedHere // closed in good order; what was open is given up
+			return conn.ErrClosedHere // cleanly closed; open set-ups are cancelled
 		}
 		if err == nil && m != nil {
 			c.partial = false
@@ -76,34 +76,35 @@
 	}
 }
 
-// reportProtocolError answers the set-ups of a connection that goes for a fault of its peer; nobody else is touched.
+// reportProtocolError has the open set-ups of a connection answered that is closed because of its peer's error. Other connections
+// are not affected.
 func (c *Conn) reportProtocolError(err error) {
 	c.front.core.CallerProtocolError(c)
 	c.conn.Write(c.format.Bye(err))
 }
 
-// closeWithError closes the connection for a fault that shows while nothing comes.
+// closeWithError closes the connection because of an error that is found while no input arrives.
 func (c *Conn) closeWithError(err error) {
 	c.reportProtocolError(err)
 	c.conn.Close(err)
 }
 
-// closeNow closes a connection that has no set-up open. It counts as closed at once, so that no release is written to it.
+// closeNow closes a connection that has no open set-up. It counts as closed at once, so that no end is sent on it.
 func (c *Conn) closeNow(reason error) {
-	c.wasReset = c.conn.Left() // whether by a reset is not known yet
+	c.wasReset = c.conn.Left() // it is not known yet whether by a reset
 	c.conn.Write(c.format.Bye(nil))
 	c.conn.Close(reason)
 	c.Closed(reason)
 }
 
-// Broken has the set-ups of a connection answered that is about to be closed for a fault in its stream.
+// Broken has the open set-ups of a connection answered that is about to be closed because of an invalid stream.
 func (c *Conn) Broken(reason error) {
 	if !c.closed {
 		c.reportProtocolError(reason)
 	}
 }
 
-// rejectRemaining answers the set-ups that have come behind a message that ends the connection.
+// rejectRemaining answers the set-ups received after a message that ends the connection.
 func (c *Conn) rejectRemaining(in *ring.Buffer) {
 	for {
 		m, err := c.format.Next(in, func([]byte) {})
@@ -122,19 +123,19 @@
 		c.receivedRequest = true
 		c.front.deliverPending()
 		if !call.ValidID(m.ID) {
-			return fmt.Errorf("set-up with the id %.40q", m.ID)
+			return fmt.Errorf("set-up with invalid ID %.40q", m.ID)
 		}
 		return c.handleSetUp(m, at)
 	case "release":
 		c.front.core.CallerReleased(c, m.ID, m.CauseOr(call.CauseNormal))
 	case "resume":
 		if !c.allowsResume() {
-			c.front.log.Debug("resume where that is off", "id", m.ID)
+			c.front.log.Debug("resume request ignored: resuming is disabled", "id", m.ID)
 			return nil
 		}
 		c.receivedRequest = true
 		if !call.ValidID(m.ID) {
-			return fmt.Errorf("resume of the id %.40q", m.ID)
+			return fmt.Errorf("resume request with invalid ID %.40q", m.ID)
 		}
 		if c.resumes++; c.resumes > maxResumes {
 			return call.ErrTooManyResumes
@@ -159,20 +160,21 @@
 		c.write(jsonl.Message{Type: "pong", ID: m.ID, Cause: &passed})
 	case "released", "progress", "pong", "state":
 	default:
-		c.front.log.Debug("message of an unknown type", "type", m.Type)
+		c.front.log.Debug("message of unknown type ignored", "type", m.Type)
 	}
 	return nil
 }
 
-// allowsResume reports whether calls can be resumed here: over the API, and over JSON lines where the operator has it so.
+// allowsResume reports whether calls can be resumed on the connection: always over the API, over JSON lines only if the operator
+// has enabled it.
 func (c *Conn) allowsResume() bool { return c.format.NamesErrors() || c.front.rules.resumeOverLines }
 
-// handleSetUp offers a call. One whose fields make no sense is answered as failed; its connection is sound, unless it brings
-// nothing else.
+// handleSetUp offers a call to the core. A set-up with invalid fields is answered as failed. Its connection stays open unless it
+// has sent too many of these.
 func (c *Conn) handleSetUp(m *jsonl.Message, at time.Time) error {
 	r, err := c.front.rules.parseSetUp(m, at, c.allowsResume())
 	if err != nil {
-		c.front.log.Warn("set-up with bad fields", "id", m.ID, "err", err)
+		c.front.log.Warn("set-up with invalid fields", "id", m.ID, "err", err)
 		c.front.core.Reject(call.Request{ID: m.ID, Class: string(m.Fields["class"]), Caller: c})
 		if c.invalidSetUps++; c.invalidSetUps >= maxInvalidSetUps {
 			return errInvalidSetUps
@@ -190,17 +192,17 @@
 
 func (c *Conn) write(m jsonl.Message) { c.writeThen(m, func() {}) }
 
-// writeThen writes a message, and runs a function once all of it has left.
+// writeThen writes a message, and runs a function once all of it has been written to the socket.
 func (c *Conn) writeThen(m jsonl.Message, then func()) {
 	if err := c.tryWrite(m, then); err != nil {
-		c.front.log.Error("message to a caller", "err", err)
+		c.front.log.Error("message to a caller cannot be sent", "err", err)
 	}
 }
 
 func (c *Conn) tryWrite(m jsonl.Message, then func()) error {
 	text, err := jsonl.Append(nil, m)
 	if err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error needs no context
 	}
 	if len(text) >= jsonl.MaxMessage {
 		return jsonl.ErrTooLong
@@ -210,7 +212,7 @@
 	return nil
 }
 
-// Answer tells that the call stands.
+// Answer notifies the caller that the call is established.
 func (c *Conn) Answer(id, description string) error {
 	if err := c.tryWrite(jsonl.Message{Type: "answer", ID: id, SDP: &description}, func() {}); err != nil {
 		return err
@@ -220,10 +222,10 @@
 	return nil
 }
 
-// End sends a final answer.
+// End sends a final answer other than the answer of an established call.
 func (c *Conn) End(id string, end call.End) { c.writeRelease(callEnd{id: id, end: end}, func() {}) }
 
-// Closed ends the connection's set-ups. Calls that stand are released on other connections.
+// Closed ends the connection's set-ups. The ends of its established calls are sent on other connections.
 func (c *Conn) Closed(reason error) {
 	if c.closed {
 		return
@@ -249,12 +251,12 @@
 	c.sentEnds = nil
 }
 
-// isReset reports whether a connection that ended for the reason was reset by its peer, which may show as something is written to it.
+// isReset reports whether the reason means that the peer has reset the connection. A write may be the first to find that.
 func isReset(reason error) bool {
 	return errors.Is(reason, conn.ErrReset) || errors.Is(reason, syscall.ECONNRESET) || errors.Is(reason, syscall.EPIPE)
 }
 
-// Disconnected reports whether the caller has gone. What it has said last is taken in before.
+// Disconnected reports whether the caller has disconnected. Input that has arrived before is processed first.
 func (c *Conn) Disconnected() bool {
 	if !c.closed {
 		c.conn.Hear()
@@ -262,10 +264,10 @@
 	return c.callerDisconnected()
 }
 
-// callerDisconnected reports whether the caller has closed its side.
+// callerDisconnected reports whether the connection is closed, or closed on the caller's side.
 func (c *Conn) callerDisconnected() bool { return c.closed || c.conn.Left() }
 
-// markOpen counts the connection among the open ones once it can be written to, and gives it what has waited for one.
+// markOpen adds the connection to the open ones once messages can be sent on it.
 func (c *Conn) markOpen() {
 	f := c.front
 	if c.markedOpen || !c.format.Open() {
@@ -275,8 +277,8 @@
 	f.openConns = append(f.openConns, c)
 }
 
-// acceptsEnds reports whether the connection can be told the end of a call that came on another. One on which a test came is
-// for tests: who made it takes the next message for its result. One that has said nothing yet may be about to.
+// acceptsEnds reports whether the end of a call of another connection may be sent here. A connection with a ping but no request
+// is a health check, whose sender takes the next message for the result. A new connection without any message may become one.
 func (c *Conn) acceptsEnds() bool {
 	return c.receivedRequest || !c.receivedPing && time.Since(c.waitingSince) > newConnGracePeriod
 }
--- a/internal/callers/ends.go
+++ b/internal/callers/ends.go
@@ -11,24 +11,26 @@
 	"cherryrelay/internal/jsonl"
 )
 
-// The ends of calls that stood, which may be told on another connection than that of their set-up.
+// This file delivers the ends of established calls. They may be sent on another connection than that of the set-up.
 
+// callEnd is the end of a call that has to be delivered.
 type callEnd struct {
 	id       string
 	end      call.End
 	queuedAt time.Time
-	// firstSentAt is when all of it was first with the kernel, on whatever connection; zero until then.
+	// firstSentAt is when all of it was first written to a socket, on any connection; zero until then.
 	firstSentAt time.Time
 }
 
-// sentEnd is a release that was written to a connection.
+// sentEnd is the end of a call that was queued on a connection.
 type sentEnd struct {
 	callEnd
-	sentAt      time.Time // when all of it was with the kernel; zero until then
+	sentAt      time.Time // time at which all of it was written to the socket; zero until then
 	onOtherConn bool      // the connection is not that of the call
 }
 
-// deliverPending passes on the ends that have waited for a connection. A process that has superseded this one takes them, as callers connect there.
+// deliverPending sends the ends that wait for a connection. A process that has superseded this one gets them instead, as callers
+// connect there.
 func (f *Front) deliverPending() {
 	f.dropExpired()
 	superseded := f.core.Superseded()
@@ -47,38 +49,38 @@
 	}
 }
 
-// dropExpired gives up the ends that have waited for too long.
+// dropExpired drops the ends that have waited for too long.
 func (f *Front) dropExpired() {
 	f.pendingEnds = slices.DeleteFunc(f.pendingEnds, func(r callEnd) bool {
 		if time.Since(r.queuedAt) < endTimeout {
 			return false
 		}
-		f.drop(r, "no caller has connected in time")
+		f.drop(r, "no caller connected in time")
 		return true
 	})
 }
 
-// dropPending gives up the ends that wait as the front closes.
+// dropPending drops all waiting ends when the front closes.
 func (f *Front) dropPending() {
 	for _, r := range f.pendingEnds {
-		f.drop(r, "this process ends")
+		f.drop(r, "the process ends")
 	}
 	f.pendingEnds = nil
 }
 
-// drop gives up the end of a call, which its caller is not told from here.
+// drop drops the end of a call: this process does not deliver it.
 func (f *Front) drop(r callEnd, reason string) {
 	f.endCounts.Dropped++
 	endlog.Call(f.log, endlog.EndDropped, r.id)
 	f.log.Warn("end of a call given up", "id", r.id, "cause", r.end.Cause, "reason", reason, "waited", time.Since(r.queuedAt))
 }
 
-// Release passes on the end of a call that no connection is known for.
+// Release sends the end of a call whose connection is not known.
 func (f *Front) Release(id string, end call.End) {
 	f.deliverOrQueue(callEnd{id: id, end: end, queuedAt: time.Now()})
 }
 
-// deliverOrQueue passes on the end of a call that stood, now or once there is a connection for it.
+// deliverOrQueue sends the end of an established call, or queues it until there is a connection for it.
 func (f *Front) deliverOrQueue(r callEnd) {
 	if f.sendOnAnyConn(r) {
 		return
@@ -89,8 +91,9 @@
 	f.pendingEnds = append(f.pendingEnds, r)
 }
 
-// sendOnAnyConn sends the end of a call that stood on another connection, as no connection owns the call: one on which a call
-// stood rather than one that only asked, since that may be anybody's, and of these the one that was used last. It reports whether there is one.
+// sendOnAnyConn sends the end of a call on an open connection that accepts it, and reports whether there is one. It prefers a
+// connection that had an established call to one with requests only, which may be anyone's, and among equals the one that was
+// used last.
 func (f *Front) sendOnAnyConn(r callEnd) bool {
 	hears := slices.DeleteFunc(slices.Clone(f.openConns), func(c *Conn) bool { return !c.acceptsEnds() })
 	slices.SortStableFunc(hears, func(a, b *Conn) int {
@@ -105,7 +108,7 @@
 	return false
 }
 
-// endPriority says how much a connection is to be counted on.
+// endPriority ranks the connections on which the end of another connection's call may be sent.
 func (c *Conn) endPriority() int {
 	switch {
 	case c.hadCall:
@@ -116,7 +119,7 @@
 	return 0
 }
 
-// NotifyTerminated sends the end of a call that stood, on another connection if this one has closed since.
+// NotifyTerminated sends the end of an established call, on another connection if this one has closed.
 func (c *Conn) NotifyTerminated(id string, end call.End) {
 	r := callEnd{id: id, end: end, queuedAt: time.Now()}
 	if c.callerDisconnected() {
@@ -137,8 +140,8 @@
 	c.writeThen(m, then)
 }
 
-// sendEnd sends the end of a call that stood and keeps it for a moment: callers close connections without calls, and
-// one that crosses such a close is lost.
+// sendEnd sends the end of an established call and keeps it for some time: callers close connections without calls, and an end
+// that crosses the close is lost.
 func (c *Conn) sendEnd(r callEnd) *sentEnd {
 	c.logCall(endlog.EndQueued, r.id)
 	r.queuedAt = time.Now()
@@ -149,7 +152,7 @@
 	return t
 }
 
-// recordWritten notes that all of a release has gone to the kernel.
+// recordWritten records that all of an end was written to the socket.
 func (c *Conn) recordWritten(t *sentEnd) {
 	c.logCall(endlog.EndWithKernel, t.id)
 	t.sentAt = time.Now()
@@ -159,8 +162,9 @@
 	c.front.endCounts.Told++
 }
 
-// mayLoseEnd reports whether the end of a call that was told here may be lost, as the caller closes the connection. It may do so where no call of
-// its own is; the connection of a call it keeps until it has read the end, unless it has ended it by now.
+// mayLoseEnd reports whether an end that was sent here may be lost because the caller closes the connection. A caller closes a
+// connection without calls at any time. It keeps the connection of a call open until it has read the end, unless that connection
+// has already been closed.
 func (c *Conn) mayLoseEnd() bool {
 	if c.callerDisconnected() {
 		return slices.ContainsFunc(c.sentEnds, c.maybeUnread)
@@ -169,27 +173,28 @@
 		slices.ContainsFunc(c.sentEnds, func(t *sentEnd) bool { return t.onOtherConn && c.maybeUnread(t) })
 }
 
-// redeliver tells the end of a call on another connection, as it may not have been read on this one.
+// redeliver sends the end of a call on another connection, as it may not have been read on this one.
 func (c *Conn) redeliver(t *sentEnd) {
 	c.front.endCounts.Repeated++
 	c.front.deliverOrQueue(t.callEnd)
 }
 
-// markAsHealthCheck has others told what this connection was while it said nothing: it is for tests, and who made it has taken an end for the
-// result of one.
+// markAsHealthCheck marks the connection as a health check, and sends the ends that were sent on it on others: the sender of the
+// ping has taken one for the result.
 func (c *Conn) markAsHealthCheck() {
 	sent := c.sentEnds
 	c.sentEnds, c.receivedPing = nil, true
 	for _, t := range sent {
 		c.logCall(endlog.EndForTest, t.id)
-		t.firstSentAt = time.Time{} // it has reached no caller
+		t.firstSentAt = time.Time{} // no caller has received it
 		c.redeliver(t)
 	}
 }
 
-// maybeUnread reports whether a release that was sent may not have been read: it has not left, it left shortly before now or the end of the
-// connection, the connection was reset, or nobody ever spoke here. A socket that is closed with words unread sends a reset. One that was told for
-// as long as any waits for a caller counts as read: a caller may end all its connections by a reset.
+// maybeUnread reports whether an end that was sent may not have been read: it has not been written to the socket, it was written
+// shortly before now or before the end of the connection, the connection was reset, or no message was ever received on it. A
+// socket that is closed with unread input sends a reset. An end that was first sent endTimeout ago counts as read, since a caller
+// may close all its connections by a reset.
 func (c *Conn) maybeUnread(t *sentEnd) bool {
 	if t.sentAt.IsZero() {
 		return true
--- a/internal/callers/ends_test.go
+++ b/internal/callers/ends_test.go
@@ -116,11 +116,11 @@
 func TestADroppedEndIsLoggedAsAWarning(t *testing.T) {
 	const id = "00000000000000e4"
 	for reason, happens := range map[string]func(f *Front){
-		"no caller has connected in time": func(f *Front) {
+		"no caller connected in time": func(f *Front) {
 			f.pendingEnds[0].queuedAt = time.Now().Add(-endTimeout)
 			f.poll()
 		},
-		"this process ends": (*Front).dropPending,
+		"the process ends": (*Front).dropPending,
 	} {
 		t.Run(reason, func(t *testing.T) {
 			f := newSmallFront(t, &stubCore{pending: map[call.Caller]int{}})
--- a/internal/callers/limits.go
+++ b/internal/callers/limits.go
@@ -10,16 +10,16 @@
 	"cherryrelay/internal/ring"
 )
 
-// How many connections there may be, and which of them go.
+// This file limits the number of connections, and closes those that are not needed.
 
-// overflowShare is the part of the connections that may be open for a moment beyond the bound, while idle ones make room.
+// overflowShare is the share of the connections that may be open for a moment beyond the limit, while idle ones are evicted.
 const overflowShare = 0.25
 
-// overflowTimeout is how long a connection beyond the bound may bring no set-up while others wait to be accepted. A set-up that crosses a close
-// within as much is sent again, by the protocol.
+// overflowTimeout is how long a connection beyond the limit may stay without a set-up while others wait to be accepted. A set-up
+// that crosses a close within this time is sent again, as the protocol requires.
 const overflowTimeout = 50 * time.Millisecond
 
-// Most is how many may be open at once for a moment.
+// Most returns the number of connections that may be open for a moment.
 func (b Bounds) Most() int {
 	if b.Connections == 0 {
 		return 0
@@ -27,13 +27,13 @@
 	return b.Connections + 1 + int(overflowShare*float64(b.Connections))
 }
 
-// Limit sets how many connections may be open at once.
+// Limit sets the maximum number of open connections.
 func (f *Front) Limit(connections int) {
 	f.bounds.Connections = connections
 	f.listener.Limit(f.bounds.Most())
 }
 
-// Accept bounds the connections that are open at once further, as descriptors are scarce: what comes beyond waits to be accepted.
+// Accept lowers the number of open connections further when descriptors are scarce. More connections wait to be accepted.
 func (f *Front) Accept(most int) {
 	if bound := f.bounds.Most(); bound == 0 || most < bound {
 		f.listener.Limit(most)
@@ -42,15 +42,15 @@
 	}
 }
 
-// Squeeze closes one connection that is of no use at the moment, as more may come than there are descriptors for.
+// Squeeze evicts one connection that is not in use, as more connections may come than there are descriptors.
 func (f *Front) Squeeze() { f.evict(nil) }
 
-// Scarce sets whether descriptors are so few that who comes now is turned away, unless another connection makes room: the last ones are
-// kept for that, so that nobody waits in vain to be accepted.
+// Scarce sets whether descriptors are so few that a new connection is refused unless another one can be evicted. The last
+// descriptors are reserved for that, so that no caller waits in vain to be accepted.
 func (f *Front) Scarce(scarce bool) { f.descriptorsScarce = scarce }
 
-// keepPriority says what a connection without an open set-up is worth keeping for: least if nothing was ever asked on it, most if
-// a call of it stands, as its caller keeps it then.
+// keepPriority ranks a connection without an open set-up: lowest if it never had a request or a ping, highest if it has an
+// established call, since its caller keeps it open then.
 func (f *Front) keepPriority(c *Conn) int {
 	switch {
 	case f.core.EstablishedOf(c) > 0:
@@ -61,13 +61,13 @@
 	return 0
 }
 
-// overLimit reports whether there are more connections than are to stay.
+// overLimit reports whether there are more connections than may stay open.
 func (f *Front) overLimit() bool {
 	return f.descriptorsScarce || f.bounds.Connections > 0 && len(f.conns) > f.bounds.Connections
 }
 
-// evict closes the connection that is missed least, and the oldest of these. If each is needed, holds an answer that may still be read, or is too
-// new to tell, the newest stays, within Most, until its set-ups have been refused.
+// evict closes the connection with the lowest priority that was not used for the longest time. If each of them is in use, has an
+// unsent answer or is too new, the newest connection stays, within Most, until its set-ups have been refused.
 func (f *Front) evict(newest *Conn) {
 	var least *Conn
 	now := time.Now()
@@ -91,9 +91,9 @@
 	}
 }
 
-// poll closes connections that are of no use. Those with a call are left alone, unless they stopped inside a message; a
-// controller that withdraws keeps only those with a call: the end of one that stands must be told within a second, and
-// unless there is a successor, nobody else may be there to hear it.
+// poll closes connections that are not needed. Those with a call stay open unless a message stays incomplete. A controller that
+// drains keeps only those with a call: its end must be delivered within a second, and there may be no other connection to send it
+// on unless there is a successor.
 func (f *Front) poll() {
 	now := time.Now()
 	closing := f.core.Phase() >= call.Closing
@@ -109,7 +109,7 @@
 		case c.closed:
 		case c.partial && now.Sub(c.waitingSince) > silent:
 			c.closeIncomplete()
-		case c.hasUnsentAnswer(now): // its caller may read on in time
+		case c.hasUnsentAnswer(now): // the caller may read it in time
 		case c.overflow && f.listener.Full() && now.Sub(c.waitingSince) > overflowTimeout:
 			c.closeOverflow()
 		case closing && f.core.PendingOf(c) == 0 && (f.core.EstablishedOf(c) == 0 || f.core.Superseded()) && now.Sub(c.waitingSince) > newConnGracePeriod &&
@@ -126,14 +126,14 @@
 	f.loop.After(pace, f.poll)
 }
 
-// extendAnswerDeadline notes that a caller waits here for a final answer until then.
+// extendAnswerDeadline records that a caller waits here for a final answer until the time.
 func (c *Conn) extendAnswerDeadline(until time.Time) {
 	if until.After(c.answerDeadline) {
 		c.answerDeadline = until
 	}
 }
 
-// earlier is the earlier one of two times.
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
@@ -141,8 +141,8 @@
 	return b
 }
 
-// hasUnsentAnswer reports whether something waits for a socket that takes no more while a caller may still wait for a final answer here, which would be
-// thrown away with the connection. A caller that stands still holds its connection until it must have given up, and no longer.
+// hasUnsentAnswer reports whether there is output that the socket does not take, while a caller may still be waiting for a final
+// answer here. Closing the connection would discard it. A caller that does not read keeps its connection only until its deadline.
 func (c *Conn) hasUnsentAnswer(now time.Time) bool {
 	if c.conn.Unsent() == 0 || now.After(c.answerDeadline) {
 		return false
@@ -151,7 +151,7 @@
 	return c.conn.Unsent() > 0
 }
 
-// refusesOverflow reports whether set-ups on the connection are refused, as there is no room for it.
+// refusesOverflow reports whether set-ups on the connection are refused because it exceeds the limit.
 func (c *Conn) refusesOverflow() bool {
 	if c.overflow && !c.front.overLimit() {
 		c.overflow, c.refusedSetUp = false, false
@@ -160,17 +160,17 @@
 	return c.overflow
 }
 
-// canCloseOverflow reports whether a connection whose set-ups were refused can be closed with nothing of its caller's unread.
+// canCloseOverflow reports whether a connection whose set-ups were refused has no unread input, and can be closed.
 func (c *Conn) canCloseOverflow(in *ring.Buffer) bool {
 	return c.refusedSetUp && in.Len() == 0 && c.conn.Quiet() && c.conn.AllTaken()
 }
 
-// closeOverflow closes a connection beyond the bound that is of no use by now, so that those that wait to be accepted have their turn.
+// closeOverflow closes a connection beyond the limit that is not in use, so that waiting connections can be accepted.
 func (c *Conn) closeOverflow() {
 	c.conn.Hear()
 	switch {
 	case c.closed:
-	case !c.overflow || c.front.core.PendingOf(c) > 0: // a set-up waited for its turn, and there is room for it by now
+	case !c.overflow || c.front.core.PendingOf(c) > 0: // a set-up was waiting to be processed, or the connection is within the limit now
 	case c.partial:
 		c.closeIncomplete()
 	case c.conn.Quiet() && c.conn.AllTaken():
@@ -178,7 +178,7 @@
 	}
 }
 
-// closeIncomplete closes a connection on which the rest of a message has not come, unless it has come by now.
+// closeIncomplete closes a connection on which a message has stayed incomplete, unless its rest has arrived by now.
 func (c *Conn) closeIncomplete() {
 	since := c.waitingSince
 	c.conn.Hear()
--- a/internal/callers/log.go
+++ b/internal/callers/log.go
@@ -7,10 +7,10 @@
 	"cherryrelay/internal/endlog"
 )
 
-// lastConnNumber counts the connections of all fronts; each has its number in the log.
+// lastConnNumber is the number of the last connection, counted over all fronts. It identifies the connection in the log.
 var lastConnNumber atomic.Uint64
 
-// logCall logs a step of a call that came about on the connection.
+// logCall logs a step of a call on the connection.
 func (c *Conn) logCall(step endlog.Step, id string) {
 	endlog.Call(c.front.log, step, id, endlog.Connection(c.number))
 }
--- a/internal/callers/metrics.go
+++ b/internal/callers/metrics.go
@@ -6,15 +6,15 @@
 	"cherryrelay/internal/telemetry"
 )
 
-// EndCounts count what became of the ends of calls that were established, since the start.
+// EndCounts count the deliveries of the ends of established calls since the start.
 type EndCounts struct {
-	Told     uint64 // gone to the kernel, on whichever connection
-	Waited   uint64 // for a connection, as there was none
-	Repeated uint64 // on another connection, as the first one ended before they may have been read
-	Dropped  uint64 // as no caller connected in time, or before this process ended
+	Told     uint64 // written to the socket, on any connection
+	Waited   uint64 // queued because no connection was open for them
+	Repeated uint64 // sent on another connection, as the first one ended before they were surely read
+	Dropped  uint64 // dropped because no caller connected in time, or because the process ended
 }
 
-// Figures are the counts of several fronts together.
+// Figures returns the sums of several fronts' counts.
 func Figures(fronts ...*Front) []*dto.MetricFamily {
 	var sum EndCounts
 	for _, f := range fronts {
--- a/internal/callers/setup_rules.go
+++ b/internal/callers/setup_rules.go
@@ -15,33 +15,34 @@
 )
 
 const (
-	// maxKeyLength is the longest number called.
+	// maxKeyLength is the maximum length of a called number.
 	maxKeyLength = 64
-	// maxExtraValue bounds figures that the settings say nothing of.
+	// maxExtraValue is the maximum of numbers for which the settings give no limit.
 	maxExtraValue = 1 << 20
 )
 
-// Terms are what a set-up must keep to. A dispatcher that is sent what it cannot read closes a connection that others
-// share, so nothing goes on that the settings do not know or that does not fit every wire.
+// Terms are the rules that a set-up must satisfy. A dispatcher closes the connection if it cannot read a message, and that
+// connection is shared by other calls. So a set-up is passed on only if the settings know its values and they fit every protocol.
 type Terms struct {
 	classes         map[string]classRules
 	tenants         []string
-	resumeOverLines bool // calls may be resumed over JSON lines, too
+	resumeOverLines bool // calls may be resumed over JSON lines as well
 }
 
-// ResumeLines has calls resumed over JSON lines, too. The platform's callers never ask for it.
+// ResumeLines sets whether calls may be resumed over JSON lines as well. The platform's callers never request it.
 func (t *Terms) ResumeLines(allowed bool) *Terms {
 	t.resumeOverLines = allowed
 	return t
 }
 
+// classRules are the rules for the set-ups of one class.
 type classRules struct {
 	timeout      time.Duration
-	allowedCells []int // for dest; empty for any
-	width        int   // 0 for any
+	allowedCells []int // values allowed for dest; empty for any
+	width        int   // required width; 0 for any
 }
 
-// NewTerms reads the settings.
+// NewTerms returns the rules that follow from the settings.
 func NewTerms(s *settings.Settings) *Terms {
 	t := &Terms{classes: map[string]classRules{}}
 	for i, c := range s.RequestClasses {
@@ -60,7 +61,7 @@
 	return t
 }
 
-// longestTimeout is the longest time that a set-up may have.
+// longestTimeout returns the longest timeout of all classes.
 func (t *Terms) longestTimeout() (longest time.Duration) {
 	for _, class := range t.classes {
 		longest = max(longest, class.timeout)
@@ -68,7 +69,7 @@
 	return longest
 }
 
-// parseSetUp reads the fields of a set-up. Its token counts where calls can be resumed.
+// parseSetUp checks and converts the fields of a set-up. Its token is used only if calls can be resumed on the connection.
 func (t *Terms) parseSetUp(m *jsonl.Message, at time.Time, resumable bool) (r call.Request, err error) {
 	field := func(name string) string { return string(m.Fields[name]) }
 	class, ok := t.classes[field("class")]
@@ -80,13 +81,13 @@
 	}
 	left, err := m.Int("left")
 	if err != nil {
-		return r, err //nolint:wrapcheck // it says what it is
+		return r, err //nolint:wrapcheck // the error needs no context
 	}
 	if left < 0 || left > class.timeout.Milliseconds() {
-		return r, fmt.Errorf("left is out of range: %d", left)
+		return r, fmt.Errorf("left out of range: %d", left)
 	}
 	if key := field("key"); key == "" || len(key) > maxKeyLength || strings.Trim(key, keyCharacters) != "" {
-		return r, fmt.Errorf("unusable key %.40q", key)
+		return r, fmt.Errorf("invalid key %.40q", key)
 	}
 	extras, err := parseExtras(m)
 	if err != nil {
@@ -97,9 +98,9 @@
 	case !given:
 		dest = -1
 	case dest < 0 || len(class.allowedCells) > 0 && !slices.Contains(class.allowedCells, dest):
-		return r, fmt.Errorf("no dispatcher %d for the class", dest)
+		return r, fmt.Errorf("dest %d is not allowed for the class", dest)
 	case sized && (width < 1 || class.width > 0 && width != class.width):
-		return r, fmt.Errorf("width is out of range: %d", width)
+		return r, fmt.Errorf("width out of range: %d", width)
 	}
 	description := m.Description()
 	token := field("token")
@@ -108,25 +109,25 @@
 	}
 	switch {
 	case token != "" && !recovery.ValidToken(token):
-		return r, fmt.Errorf("token of %d bytes", len(token))
+		return r, fmt.Errorf("invalid token of %d bytes", len(token))
 	case !call.ValidDescription(description):
-		return r, errors.New("no description, or one that is no text")
+		return r, errors.New("description is missing or not text")
 	case len(description) > call.MaxDescription:
-		return r, errors.New("description too long to pass on")
+		return r, errors.New("description is too long")
 	}
 	waits := time.Duration(left) * time.Millisecond
 	return call.Request{
 		ID: m.ID, Class: field("class"), Called: field("key"), FirstCell: dest, Redial: field("retry") == "1",
 		Description: description, Token: recovery.HashToken(token),
-		// The caller counts from when it sent the last byte; the nearest to that is when it came in.
+		// The caller's timeout starts when it has sent the last byte. The time of arrival is the closest known time.
 		TimeLeft: waits, Deadline: at.Add(waits),
 	}, nil
 }
 
-// keyCharacters are those that stand for themselves in the address of a SIP request, and in every number called.
+// keyCharacters are the characters that need no escaping in the URI of a SIP request. Every called number consists of them.
 const keyCharacters = "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ-_.~+*"
 
-// parseExtras reads "dest:2;width:1". All of it must be figures.
+// parseExtras parses extras such as "dest:2;width:1". All values must be integers.
 func parseExtras(m *jsonl.Message) (map[string]int, error) {
 	extras := map[string]int{}
 	text := string(m.Fields["extras"])
@@ -137,7 +138,7 @@
 		name, value, _ := strings.Cut(part, ":")
 		n, err := strconv.Atoi(value)
 		if err != nil || n < -1 && name == "via" || n > maxExtraValue || n < -maxExtraValue {
-			return nil, fmt.Errorf("unreadable extras %.40q", text)
+			return nil, fmt.Errorf("invalid extras %.40q", text)
 		}
 		extras[name] = n
 	}
--- a/internal/callers/transport.go
+++ b/internal/callers/transport.go
@@ -7,7 +7,7 @@
 	"cherryrelay/internal/conn"
 )
 
-// connection is one connection from callers; *conn.Conn is one, and documents the methods.
+// connection is the transport of one connection from callers. *conn.Conn implements it and documents the methods.
 type connection interface {
 	Write(p []byte)
 	WriteThen(p []byte, then func()) conn.Ticket
@@ -23,7 +23,7 @@
 	Close(reason error)
 }
 
-// Listener accepts a front's connections; *conn.Listener is one, and documents the methods.
+// Listener accepts a front's connections. *conn.Listener implements it and documents the methods.
 type Listener interface {
 	Start() error
 	Stop()
--- a/internal/callers/websocket.go
+++ b/internal/callers/websocket.go
@@ -9,19 +9,19 @@
 	"cherryrelay/internal/websocket"
 )
 
-// WebSocket is the framing of the call-control API: each text message holds one JSON message.
+// WebSocket is the format of the call-control API: each text message contains one JSON message.
 type WebSocket struct {
 	path string
 	open bool
 	dec  websocket.Decoder
 }
 
-// NewWebSocket returns the framing for one connection of an API that is served at the path.
+// NewWebSocket returns the format of one connection to the API at the path.
 func NewWebSocket(path string) *WebSocket {
 	return &WebSocket{path: path, dec: websocket.Decoder{Masked: true}}
 }
 
-// Next reads a message. A peer that closes in good order ends the stream with io.EOF.
+// Next decodes the next message. It returns io.EOF after a clean close by the peer.
 func (w *WebSocket) Next(in *ring.Buffer, write func([]byte)) (*jsonl.Message, error) {
 	if !w.open {
 		response, err := websocket.Accept(in, w.path)
@@ -54,21 +54,21 @@
 	}
 }
 
-// Open reports whether the opening handshake is done.
+// Open reports whether the opening handshake is complete.
 func (w *WebSocket) Open() bool { return w.open }
 
-// Frame makes a text message of it.
+// Frame returns the text as a WebSocket text message.
 func (w *WebSocket) Frame(text []byte) []byte {
 	return websocket.Append(nil, websocket.Text, text, false)
 }
 
-// Bye closes in good order, with the code that the error calls for.
+// Bye returns a close frame with the code for the error.
 func (w *WebSocket) Bye(err error) []byte {
 	if !w.open {
-		return nil // the response to the opening has said it
+		return nil // the response to the handshake was the last message
 	}
 	return websocket.AppendClose(nil, websocket.CloseCode(err), "", false)
 }
 
-// NamesErrors has releases carry the API's error.
+// NamesErrors returns true: releases contain the error name of the API.
 func (w *WebSocket) NamesErrors() bool { return true }
