--- a/internal/callers/drain_test.go
+++ b/internal/callers/drain_test.go
@@ -11,7 +11,8 @@
 	"cherryrelay/internal/jsonl"
 )
 
-// establish runs the loop, with a call that stands on the caller's only connection. The channel is closed once the loop has ended.
+// establish runs the loop, with an established call on the caller's only connection. The channel is closed once the loop has
+// ended.
 func (s *harness) establish() (left <-chan struct{}) {
 	ended := make(chan struct{})
 	go func() {
@@ -30,44 +31,44 @@
 	return ended
 }
 
-// endAfterClose has the only connection closed and the call end after that.
+// endAfterClose closes the only connection, and then the call ends.
 func (s *harness) endAfterClose() {
 	s.runOnLoop(func() { s.callConn.close() })
 	s.runOnLoop(func() { s.dispatchers.endCall() })
 }
 
-// reconnectAfter has the caller open a connection and send a set-up there, once a time has passed.
+// reconnectAfter waits, and then has the caller open a connection and send a set-up on it.
 func (s *harness) reconnectAfter(after time.Duration) {
 	time.Sleep(after)
 	s.runOnLoop(func() { s.sendSetUp(s.caller.openConn()) })
 }
 
-// drain ends the controller as SIGTERM does, and returns when that came.
+// drain starts the shutdown as SIGTERM does, and returns its time.
 func (s *harness) drain() time.Time {
 	s.runOnLoop(s.core.Drain)
 	return time.Now()
 }
 
-// checkDrainTime waits for the end of the loop, and checks how long after SIGTERM it came.
+// checkDrainTime waits for the end of the loop, and checks the time that it took since SIGTERM.
 func checkDrainTime(t *testing.T, left <-chan struct{}, since time.Time, least, most time.Duration) {
 	t.Helper()
 	<-left
 	if took := time.Since(since); took < least || took > most {
-		t.Errorf("the controller has ended %v after SIGTERM, want %v to %v", took, least, most)
+		t.Errorf("the controller ended %v after SIGTERM, want %v to %v", took, least, most)
 	}
 }
 
 const (
-	// minDrainTime is how soon after SIGTERM a controller may end that owes nothing.
+	// minDrainTime is the time after SIGTERM at which a controller ends that has nothing to deliver.
 	minDrainTime = 700 * time.Millisecond
-	// maxDrainTime is when one ends that owes something still.
+	// maxDrainTime is the time after SIGTERM at which a controller ends although it has something to deliver.
 	maxDrainTime = 3300 * time.Millisecond
-	// detectionTime is how long it may take until what happens shows.
+	// detectionTime is the time within which an event is noticed.
 	detectionTime = pollInterval + 50*time.Millisecond
 )
 
-// TestADrainWaitsForPendingEnds guards against the end of a call that is told to nobody: it waits for a caller to connect, and the controller
-// ends before one does.
+// TestADrainWaitsForPendingEnds guards against the lost end of a call: it waits for a caller to connect, and the controller ends
+// before one does.
 func TestADrainWaitsForPendingEnds(t *testing.T) {
 	const backAfter, waited = 2 * time.Second, endTimeout - 1500*time.Millisecond
 	for name, test := range map[string]struct {
@@ -75,28 +76,28 @@
 		heard       bool
 		least, most time.Duration
 	}{
-		"its caller connects again": {func(s *harness) time.Time {
+		"the caller reconnects": {func(s *harness) time.Time {
 			s.endAfterClose()
 			since := s.drain()
 			s.reconnectAfter(backAfter)
 			return since
 		}, true, backAfter, backAfter + crossingTime + detectionTime},
-		"it comes in the drain, and its caller connects again": {func(s *harness) time.Time {
+		"the call ends during the drain, and the caller reconnects": {func(s *harness) time.Time {
 			since := s.drain()
 			s.endAfterClose()
 			s.reconnectAfter(backAfter)
 			return since
 		}, true, backAfter, backAfter + crossingTime + detectionTime},
-		"nobody connects": {func(s *harness) time.Time {
+		"no caller connects": {func(s *harness) time.Time {
 			s.endAfterClose()
 			return s.drain()
 		}, false, maxDrainTime, maxDrainTime + detectionTime},
-		"nobody counts on it any more": {func(s *harness) time.Time {
+		"the end is about to expire": {func(s *harness) time.Time {
 			s.endAfterClose()
 			time.Sleep(waited)
 			return s.drain()
 		}, false, endTimeout - waited, endTimeout - waited + detectionTime},
-		"its caller has read it": {func(s *harness) time.Time {
+		"the caller has read it": {func(s *harness) time.Time {
 			s.runOnLoop(func() { s.dispatchers.endCall() })
 			return s.drain()
 		}, true, minDrainTime, minDrainTime + detectionTime},
@@ -108,14 +109,14 @@
 				left := s.establish()
 				checkDrainTime(t, left, test.play(s), test.least, test.most)
 				if s.hasReadEnd() != test.heard {
-					t.Errorf("its end is read: %v, want %v", s.hasReadEnd(), test.heard)
+					t.Errorf("the caller has read the end: %v, want %v", s.hasReadEnd(), test.heard)
 				}
 			})
 		})
 	}
 }
 
-// openIdleConn has the caller open a connection on which a set-up is refused at once: it has no call there.
+// openIdleConn has the caller open a connection on which a set-up is refused at once, so that it has no call there.
 func (s *harness) openIdleConn() *fakeConn {
 	var idle *fakeConn
 	s.runOnLoop(func() { idle = s.caller.openConn() })
@@ -126,8 +127,9 @@
 	return idle
 }
 
-// TestADrainWaitsForEndsThatCrossAClose guards against the end of a call that is told to nobody: it is told on a connection without calls that its
-// caller is closing, and the controller ends before it knows of the close. Ends on the connections of their calls hold up no drain.
+// TestADrainWaitsForEndsThatCrossAClose guards against the lost end of a call: it is sent on a connection without calls while the
+// caller closes it, and the controller ends before it notices the close. Ends on the connections of their calls do not delay a
+// drain.
 func TestADrainWaitsForEndsThatCrossAClose(t *testing.T) {
 	const endsAt, backAfter = minDrainTime - closeTransit/2, time.Second
 	ends := func(s *harness, first func()) {
@@ -148,14 +150,14 @@
 			s.reconnectAfter(backAfter)
 			return since
 		}, endsAt + backAfter, endsAt + backAfter + crossingTime + detectionTime},
-		"another connection stays": {func(s *harness) time.Time {
+		"another connection stays open": {func(s *harness) time.Time {
 			s.runOnLoop(func() { s.callConn.close() })
 			s.openIdleConn()
 			since := s.drain()
 			ends(s, func() {})
 			return since
 		}, endsAt + crossingTime, endsAt + crossingTime + detectionTime},
-		"the call's own connection is reset, which is not shown yet": {func(s *harness) time.Time {
+		"the call's own connection is reset, and the reset is not delivered yet": {func(s *harness) time.Time {
 			since := s.drain()
 			time.Sleep(endsAt)
 			s.runOnLoop(func() {
@@ -181,23 +183,24 @@
 				left := s.establish()
 				checkDrainTime(t, left, test.play(s), test.least, test.most)
 				if !s.hasReadEnd() {
-					t.Error("its end is told to nobody")
+					t.Error("the end of the call is lost")
 				}
 			})
 		})
 	}
 }
 
-// TestPendingEndsGoToTheSuccessor guards against the end of a call that waits for a caller at a process that nobody connects to any more.
+// TestPendingEndsGoToTheSuccessor guards against an end that waits for a caller in a process to which no caller connects any
+// more.
 func TestPendingEndsGoToTheSuccessor(t *testing.T) {
 	const relayBusyFor = 500 * time.Millisecond
 	for name, test := range map[string]struct {
-		before, after func(s *harness) // the successor begins to serve
-		busy          bool             // it takes nothing for a while
+		before, after func(s *harness) // before and after the successor starts to serve
+		busy          bool             // the successor accepts nothing for a while
 	}{
-		"it waits as the successor begins": {(*harness).endAfterClose, func(*harness) {}, false},
-		"the successor is busy":            {(*harness).endAfterClose, func(*harness) {}, true},
-		"its connection is reset with it unread": {
+		"an end is pending as the successor starts": {(*harness).endAfterClose, func(*harness) {}, false},
+		"the successor is busy":                     {(*harness).endAfterClose, func(*harness) {}, true},
+		"the connection is reset before the end is read": {
 			func(s *harness) {
 				s.runOnLoop(func() {
 					s.caller.paused = true
@@ -233,7 +236,7 @@
 				time.Sleep(maxEndDelay - relayBusyFor)
 				s.runOnLoop(func() {
 					if want := []string{testCallID}; !slices.Equal(taken, want) || len(s.front.pendingEnds) > 0 {
-						t.Errorf("the successor has been told the ends of %v, want %v; %d wait here", taken, want, len(s.front.pendingEnds))
+						t.Errorf("ends relayed to the successor: %v, want %v; %d are still pending", taken, want, len(s.front.pendingEnds))
 					}
 				})
 			})
--- a/internal/callers/ends_maybe_unread_test.go
+++ b/internal/callers/ends_maybe_unread_test.go
@@ -9,7 +9,7 @@
 	"cherryrelay/internal/peer"
 )
 
-// closingCore withdraws, and has calls that stand on every connection, or none.
+// closingCore shuts down, and has established calls on every connection, or none.
 type closingCore struct {
 	stubCore
 	established int
@@ -18,7 +18,7 @@
 func (c *closingCore) Phase() call.Phase             { return call.Closing }
 func (c *closingCore) EstablishedOf(call.Caller) int { return c.established }
 
-// newFrontWithConns serves a front with room for several connections, with so many to it.
+// newFrontWithConns returns a front that accepts several connections, with this number of connections to it.
 func newFrontWithConns(t *testing.T, core Core, connections int) (*Front, []*peer.Caller, []*Conn) {
 	t.Helper()
 	f := newSmallFront(t, core)
@@ -34,7 +34,8 @@
 
 func newStubCore() *stubCore { return &stubCore{pending: map[call.Caller]int{}} }
 
-// TestWhichEndsMayBeUnread guards against an end that is taken for heard though it may not have been, and against one that is told again for ever.
+// TestWhichEndsMayBeUnread guards against an end that counts as read although it may not have been, and against one that is
+// repeated forever.
 func TestWhichEndsMayBeUnread(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
@@ -43,32 +44,33 @@
 		leftAt time.Time
 		want   bool
 	}{
-		"it has not left":                              {true, time.Time{}, true},
-		"it has just left":                             {true, now, true},
-		"it left long ago":                             {true, now.Add(-2 * crossingTime), false},
-		"it left long ago, and nobody ever spoke":      {false, now.Add(-2 * crossingTime), true},
-		"it left very long ago, and nobody ever spoke": {false, now.Add(-2 * endTimeout), false},
+		"not written":      {true, time.Time{}, true},
+		"just written":     {true, now, true},
+		"written long ago": {true, now.Add(-2 * crossingTime), false},
+		"written long ago, and no message was ever received":      {false, now.Add(-2 * crossingTime), true},
+		"written very long ago, and no message was ever received": {false, now.Add(-2 * endTimeout), false},
 	} {
 		c := &Conn{conn: new(conn.Conn), receivedRequest: test.asked}
 		if got := c.maybeUnread(&sentEnd{callEnd: callEnd{firstSentAt: test.leftAt}, sentAt: test.leftAt}); got != test.want {
-			t.Errorf("%s: unheard %v, want %v", name, got, test.want)
+			t.Errorf("%s: may be unread: %v, want %v", name, got, test.want)
 		}
 	}
 }
 
-// TestAnEndSentShortlyBeforeItsConnectionEnds guards against an end that counts as heard as the loop takes in the end of its connection late.
+// TestAnEndSentShortlyBeforeItsConnectionEnds guards against an end that counts as read because the loop notices the end of the
+// connection late.
 func TestAnEndSentShortlyBeforeItsConnectionEnds(t *testing.T) {
 	t.Parallel()
 	for name, ends := range map[string]func(*peer.Caller, *Conn) error{
-		"its peer closes":   func(p *peer.Caller, _ *Conn) error { return p.Close() },
-		"this side closes":  func(_ *peer.Caller, c *Conn) error { c.conn.Close(conn.ErrClosedHere); return nil },
-		"this side cuts it": func(_ *peer.Caller, c *Conn) error { c.conn.(*conn.Conn).Abort(conn.ErrClosedHere); return nil },
+		"the peer closes it":  func(p *peer.Caller, _ *Conn) error { return p.Close() },
+		"this side closes it": func(_ *peer.Caller, c *Conn) error { c.conn.Close(conn.ErrClosedHere); return nil },
+		"this side aborts it": func(_ *peer.Caller, c *Conn) error { c.conn.(*conn.Conn).Abort(conn.ErrClosedHere); return nil },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f, callers, conns := newFrontWithConns(t, newStubCore(), 1)
 			c := conns[0]
-			onLoop(f.loop, func() { // the loop is busy until long after the end
+			onLoop(f.loop, func() { // the loop is busy until long after the end of the connection
 				c.receivedRequest = true
 				end := &sentEnd{callEnd: callEnd{firstSentAt: time.Now()}, sentAt: time.Now()}
 				if err := ends(callers[0], c); err != nil {
@@ -79,14 +81,15 @@
 				end.sentAt = c.conn.EndedAt().Add(-crossingTime / 2)
 				time.Sleep(crossingTime)
 				if !c.maybeUnread(end) {
-					t.Error("it counts as heard")
+					t.Error("the end counts as read")
 				}
 			})
 		})
 	}
 }
 
-// TestAnEndCountsAsSentOnceWritten guards against an end that counts as told while it is queued, and against those before it that are dropped.
+// TestAnEndCountsAsSentOnceWritten guards against an end that counts as sent while it is queued, and against dropping the ends
+// before it.
 func TestAnEndCountsAsSentOnceWritten(t *testing.T) {
 	t.Parallel()
 	f, _, conns := newFrontWithConns(t, newStubCore(), 1)
@@ -95,16 +98,17 @@
 		c.NotifyTerminated("00000000000000f1", call.End{Cause: call.CauseNormal})
 		c.NotifyTerminated("00000000000000f2", call.End{Cause: call.CauseNormal})
 		if len(c.sentEnds) != 2 || !c.sentEnds[0].sentAt.IsZero() || !c.sentEnds[1].sentAt.IsZero() {
-			t.Errorf("%d ends are kept that have not left, want 2", len(c.sentEnds))
+			t.Errorf("%d unwritten ends are kept, want 2", len(c.sentEnds))
 		}
 		c.conn.Flush()
 		if len(c.sentEnds) != 2 || c.sentEnds[0].sentAt.IsZero() || c.sentEnds[1].sentAt.IsZero() {
-			t.Error("they have left, and don't count so")
+			t.Error("the ends were written, but are not recorded as such")
 		}
 	})
 }
 
-// TestAnEndGoesToAConnectionThatHadACall guards against an end that is told to who only asked, and may be anybody.
+// TestAnEndGoesToAConnectionThatHadACall guards against an end that is sent on a connection with requests only, which may be
+// anyone's.
 func TestAnEndGoesToAConnectionThatHadACall(t *testing.T) {
 	t.Parallel()
 	f, _, conns := newFrontWithConns(t, newStubCore(), 2)
@@ -113,20 +117,20 @@
 		conns[1].lastUsedAt = time.Now().Add(time.Second)
 		f.Release("00000000000000f1", call.End{Cause: call.CauseNormal})
 		if len(conns[0].sentEnds) != 1 || len(conns[1].sentEnds) != 0 {
-			t.Errorf("told %d times where a call stood, %d times elsewhere; want 1, 0", len(conns[0].sentEnds), len(conns[1].sentEnds))
+			t.Errorf("%d ends sent on the connection that had a call, %d on the other; want 1, 0", len(conns[0].sentEnds), len(conns[1].sentEnds))
 		}
 	})
 }
 
-// TestAClosingControllerKeepsConnectionsInUse guards against connections that are closed while calls of theirs stand, or with ends that may not have
-// been heard.
+// TestAClosingControllerKeepsConnectionsInUse guards against closing connections with established calls, or with ends that may be
+// unread.
 func TestAClosingControllerKeepsConnectionsInUse(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
 		standing int
 		told     bool
 		kept     bool
-	}{"a call stands": {1, false, true}, "an end may be unheard": {0, true, true}, "nothing is owed": {0, false, false}} {
+	}{"a call is established": {1, false, true}, "an end may be unread": {0, true, true}, "nothing is left to deliver": {0, false, false}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f, _, conns := newFrontWithConns(t, &closingCore{stubCore: *newStubCore(), established: 1}, 1)
--- a/internal/callers/ends_repeat_limit_test.go
+++ b/internal/callers/ends_repeat_limit_test.go
@@ -9,7 +9,8 @@
 	"cherryrelay/internal/call"
 )
 
-// TestEndIsNotRepeatedForever guards against ends that are told again and again, and pile up, where a caller ends each of its connections by a reset.
+// TestEndIsNotRepeatedForever guards against ends that are repeated forever, and accumulate, when a caller ends each of its
+// connections by a reset.
 func TestEndIsNotRepeatedForever(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -39,16 +40,16 @@
 		}
 		told := len(s.endsRead)
 		if told < 2 {
-			t.Fatalf("the end was told %d times, want it again after the first reset", told)
+			t.Fatalf("the end was sent %d times, want it repeated after the first reset", told)
 		}
 		s.runOnLoop(func() {
 			for _, c := range s.front.conns {
 				if len(c.sentEnds) > 0 {
-					t.Errorf("it is kept to be told again, %v after the end, told %d times so far", time.Since(endedAt), told)
+					t.Errorf("the end is still kept for repetition %v after it, sent %d times so far", time.Since(endedAt), told)
 				}
 			}
 			if n := len(s.front.pendingEnds); n > 0 {
-				t.Errorf("%d ends wait", n)
+				t.Errorf("%d ends are pending", n)
 			}
 		})
 	})
--- a/internal/callers/ends_test.go
+++ b/internal/callers/ends_test.go
@@ -16,13 +16,13 @@
 	"cherryrelay/internal/peer"
 )
 
-// normalEnd is the end of a call in order.
+// normalEnd is the normal end of a call.
 var normalEnd = call.End{Cause: call.CauseNormal, Reason: call.ReasonEnded}
 
-// allowEnds makes the only connection one that may be told the ends of any calls.
+// allowEnds marks the only connection as one on which the ends of any calls may be sent.
 func allowEnds(f *Front, c *Conn) { onLoop(f.loop, func() { c.receivedRequest = true }) }
 
-// closeAndWait has a caller close its connection, and waits until the front has taken that in.
+// closeAndWait has a caller close its connection, and waits until the front has processed that.
 func closeAndWait(t *testing.T, f *Front, caller *peer.Caller, c *Conn) {
 	t.Helper()
 	if err := caller.Close(); err != nil {
@@ -31,7 +31,7 @@
 	for until, over := time.Now().Add(peer.Patience), false; !over; time.Sleep(time.Millisecond) {
 		onLoop(f.loop, func() { over = c.closed })
 		if time.Now().After(until) {
-			t.Fatal("the close is never taken in")
+			t.Fatal("the close is never processed")
 		}
 	}
 }
@@ -44,7 +44,7 @@
 	}
 }
 
-// TestEndsAreCounted guards against ends of calls that are told twice, late or not at all without a trace in the figures.
+// TestEndsAreCounted guards against ends that are sent twice, late or not at all without the metrics showing it.
 func TestEndsAreCounted(t *testing.T) {
 	const first, second, third = "00000000000000e1", "00000000000000e2", "00000000000000e3"
 	f := newSmallFront(t, &stubCore{pending: map[call.Caller]int{}})
@@ -55,7 +55,7 @@
 	onLoop(f.loop, func() { c.NotifyTerminated(first, normalEnd); f.Flush() })
 	expectEnd(t, caller, first)
 	counted()
-	closeAndWait(t, f, caller, c) // right behind it
+	closeAndWait(t, f, caller, c) // immediately after the end
 	counted()
 	onLoop(f.loop, func() { f.Release(second, normalEnd) })
 	counted()
@@ -79,7 +79,7 @@
 	}
 }
 
-// TestTheStepsOfEndsAreLogged guards against ends that a connection took for read, or for a test's, without the log saying so.
+// TestTheStepsOfEndsAreLogged guards against ends that count as read, or were sent to a health check, without a log entry.
 func TestTheStepsOfEndsAreLogged(t *testing.T) {
 	const id = "00000000000000e5"
 	for step, happens := range map[endlog.Step]func(f *Front, c *Conn){
@@ -112,7 +112,7 @@
 	}
 }
 
-// TestADroppedEndIsLoggedAsAWarning guards against ends of calls that are dropped in silence, as no caller connects.
+// TestADroppedEndIsLoggedAsAWarning guards against ends that are dropped without a warning because no caller connects.
 func TestADroppedEndIsLoggedAsAWarning(t *testing.T) {
 	const id = "00000000000000e4"
 	for reason, happens := range map[string]func(f *Front){
@@ -129,7 +129,7 @@
 				f.log = slog.New(slog.NewTextHandler(&log, nil))
 				f.Release(id, normalEnd)
 				if log.Len() > 0 {
-					t.Errorf("logged before it is given up: %s", &log)
+					t.Errorf("logged before it is dropped: %s", &log)
 				}
 				happens(f)
 			})
--- a/internal/callers/ends_unread_test.go
+++ b/internal/callers/ends_unread_test.go
@@ -8,8 +8,8 @@
 	"cherryrelay/internal/peer"
 )
 
-// TestAnUnreadEndAsItsConnectionIsReset guards against an end that is told to nobody: it left long ago for a caller that stands still
-// and then closes its connection without having read it, which has its kernel send a reset.
+// TestAnUnreadEndAsItsConnectionIsReset guards against a lost end: it was written long ago to a caller that does not read, and
+// then closes its connection without having read it, so that its kernel sends a reset.
 func TestAnUnreadEndAsItsConnectionIsReset(t *testing.T) {
 	f := newSmallFront(t, &stubCore{pending: map[call.Caller]int{}})
 	caller, first := connect(t, f, 1)
@@ -18,7 +18,7 @@
 		first.NotifyTerminated("00000000000000a1", call.End{Cause: call.CauseNormal, Reason: call.ReasonEnded})
 		f.Flush()
 		if len(first.sentEnds) != 1 || first.sentEnds[0].sentAt.IsZero() {
-			t.Fatal("the end has not left")
+			t.Fatal("the end was not written")
 		}
 		first.sentEnds[0].sentAt = time.Now().Add(-2 * crossingTime)
 	})
@@ -27,7 +27,7 @@
 	}
 	for closed, until := false, time.Now().Add(peer.Patience); !closed; onLoop(f.loop, func() { closed = first.closed }) {
 		if time.Now().After(until) {
-			t.Fatal("the end of the connection is never told")
+			t.Fatal("the end of the connection is never reported")
 		}
 	}
 	again, next := connect(t, f, 1)
--- a/internal/callers/fake_peers_test.go
+++ b/internal/callers/fake_peers_test.go
@@ -15,51 +15,51 @@
 	"cherryrelay/internal/websocket"
 )
 
-// closeTransit is how long the end of a connection is on its way where it is not there at once.
+// closeTransit is how long the end of a connection is in transit when it does not arrive at once.
 const closeTransit = 5 * time.Millisecond
 
-// fakeDispatchers hold one attempt, and do with it what they are told to. All of it runs on the loop.
+// fakeDispatchers hold one attempt, and handle it as the test demands. All methods run on the loop.
 type fakeDispatchers struct {
 	core           *call.Core
-	attemptPending bool // an attempt at the call waits for its answer
+	attemptPending bool // an attempt of the call has no answer yet
 	attempt        int
-	established    bool // the call stands there
+	established    bool // the call is established there
 }
 
-// Update takes no notice of the list.
+// Update ignores the list.
 func (d *fakeDispatchers) Update(call.Update) {}
 
-// SetUp takes an attempt.
+// SetUp records an attempt of the call.
 func (d *fakeDispatchers) SetUp(_ control.ServerID, s call.SetUp) {
 	if s.ID == testCallID {
 		d.attemptPending, d.attempt = true, s.Attempt
 	}
 }
 
-// CancelAttempt gives an attempt up.
+// CancelAttempt cancels the attempt.
 func (d *fakeDispatchers) CancelAttempt(_ control.ServerID, id string, _ int) {
 	if id == testCallID {
 		d.attemptPending = false
 	}
 }
 
-// Release cuts a call.
+// Release ends the call.
 func (d *fakeDispatchers) Release(_ control.ServerID, id string, _ int) {
 	if id == testCallID {
 		d.established = false
 	}
 }
 
-// Probe is answered by nobody.
+// Probe does nothing.
 func (d *fakeDispatchers) Probe(control.ServerID) {}
 
-// Ping has no reply.
+// Ping does nothing.
 func (d *fakeDispatchers) Ping(control.ServerID, string, int, func(bool)) {}
 
-// Reconnect opens nothing.
+// Reconnect does nothing.
 func (d *fakeDispatchers) Reconnect(control.ServerID) {}
 
-// answer tells that the call stands.
+// answer reports the answer to the attempt.
 func (d *fakeDispatchers) answer() bool {
 	if !d.attemptPending {
 		return false
@@ -69,7 +69,7 @@
 	return true
 }
 
-// endCall tells the end of the call, by its name alone as on another connection.
+// endCall reports the end of the call by its ID alone, as if it came on another connection.
 func (d *fakeDispatchers) endCall() bool {
 	if !d.established {
 		return false
@@ -79,7 +79,7 @@
 	return true
 }
 
-// endBeforeAnswer tells the end of the call ahead of its answer.
+// endBeforeAnswer reports the end of the call before its answer.
 func (d *fakeDispatchers) endBeforeAnswer() bool {
 	if !d.attemptPending {
 		return false
@@ -88,7 +88,7 @@
 	return true
 }
 
-// fakeListener has connections as long as there is room for them.
+// fakeListener counts the connections, and accepts them up to its limit.
 type fakeListener struct{ limit, held int }
 
 // Start does nothing.
@@ -97,36 +97,36 @@
 // Stop does nothing.
 func (l *fakeListener) Stop() {}
 
-// Share has nothing to share.
+// Share returns an error: there is no socket.
 func (l *fakeListener) Share() (*os.File, error) { return nil, os.ErrInvalid }
 
 // Shared does nothing.
 func (l *fakeListener) Shared(bool) {}
 
-// Address is no address.
+// Address returns no address.
 func (l *fakeListener) Address() string { return "" }
 
-// Limit bounds the connections.
+// Limit sets the maximum number of connections.
 func (l *fakeListener) Limit(most int) { l.limit = most }
 
-// Held is the number of connections.
+// Held returns the number of connections.
 func (l *fakeListener) Held() int { return l.held }
 
-// Full reports whether there is no room.
+// Full reports whether the limit is reached.
 func (l *fakeListener) Full() bool { return l.limit > 0 && l.held >= l.limit }
 
-// Waiting reports that nobody waits.
+// Waiting returns false: no connections wait.
 func (l *fakeListener) Waiting() bool { return false }
 
 // Shutdown does nothing.
 func (l *fakeListener) Shutdown() error { return nil }
 
-// fakeCaller is a program that calls, over connections without sockets. All of it runs on the loop.
+// fakeCaller is a calling program whose connections have no sockets. All methods run on the loop.
 type fakeCaller struct {
 	harness    *harness
-	conns      []*fakeConn // all that it opened
+	conns      []*fakeConn // all connections that it has opened
 	paused     bool        // it reads nothing
-	bufferFull bool        // its kernel takes nothing in
+	bufferFull bool        // its kernel accepts nothing
 	inputHeld  bool        // what it sends stays in the controller's kernel
 }
 
@@ -141,12 +141,12 @@
 	return s
 }
 
-// openConns are the connections that it has not closed.
+// openConns returns the connections that neither side has closed.
 func (p *fakeCaller) openConns() []*fakeConn {
 	return slices.DeleteFunc(slices.Clone(p.conns), func(s *fakeConn) bool { return !s.isOpen() })
 }
 
-// readAll has it read what has come, unless it stands still.
+// readAll reads what has arrived, unless the caller is paused.
 func (p *fakeCaller) readAll() {
 	if p.paused {
 		return
@@ -156,7 +156,7 @@
 	}
 }
 
-// deliverAll has the controller be shown what lies in its kernel.
+// deliverAll delivers the contents of the controller's kernel to the front.
 func (p *fakeCaller) deliverAll() {
 	if p.inputHeld {
 		return
@@ -166,7 +166,7 @@
 	}
 }
 
-// unblock has all that was held back go on, and reports whether anything was.
+// unblock ends all pauses and blocks, and reports whether there were any.
 func (p *fakeCaller) unblock() bool {
 	held := p.paused || p.bufferFull || p.inputHeld
 	p.paused, p.bufferFull, p.inputHeld = false, false, false
@@ -185,7 +185,7 @@
 	next() *jsonl.Message
 }
 
-// lineClient speaks JSON lines.
+// lineClient uses JSON lines.
 type lineClient struct {
 	*fakeConn
 	dec jsonl.Decoder
@@ -204,12 +204,12 @@
 func (c *lineClient) next() *jsonl.Message {
 	m, err := c.dec.Next(c.in)
 	if err != nil {
-		c.caller.harness.violation("the caller can't read a line: %v", err)
+		c.caller.harness.violation("the caller cannot decode a line: %v", err)
 	}
 	return m
 }
 
-// apiClient speaks the call-control API.
+// apiClient uses the call-control API.
 type apiClient struct {
 	*fakeConn
 	opening websocket.Opening
@@ -231,7 +231,7 @@
 	if !c.opened {
 		opened, err := c.opening.Done(c.in)
 		if err != nil {
-			c.caller.harness.violation("the caller can't open: %v", err)
+			c.caller.harness.violation("the handshake failed: %v", err)
 		}
 		if c.opened = opened; !opened {
 			return nil
@@ -241,49 +241,49 @@
 		m, err := c.dec.Next(c.in)
 		switch {
 		case err != nil:
-			c.caller.harness.violation("the caller can't read a frame: %v", err)
+			c.caller.harness.violation("the caller cannot decode a frame: %v", err)
 			return nil
 		case m == nil:
 			return nil
 		case m.Op == websocket.Text:
 			message, err := jsonl.Parse(m.Payload)
 			if err != nil {
-				c.caller.harness.violation("the caller can't read a message: %v", err)
+				c.caller.harness.violation("the caller cannot decode a message: %v", err)
 			}
 			return message
 		}
 	}
 }
 
-// fakeConn is a connection between the front and a caller. It behaves as *conn.Conn over a Linux socket does.
+// fakeConn is a connection between the front and a caller. It behaves like *conn.Conn over a Linux socket.
 type fakeConn struct {
 	caller  *fakeCaller
 	client  clientProtocol
 	loop    *call.Loop
 	handler conn.Handler
 
-	// The caller's side.
-	receiveBuffer   bytes.Buffer // received, and not read by the program
-	in              *ring.Buffer // read by it
+	// State of the caller's side.
+	receiveBuffer   bytes.Buffer // received, but not read by the program
+	in              *ring.Buffer // read by the program
 	sentSetUp       bool         // a set-up was sent
-	forHealthChecks bool         // it is for tests alone
-	sentPing        bool         // a test was sent
+	forHealthChecks bool         // it is used only for health checks
+	sentPing        bool         // a ping was sent
 	callerClosed    bool
 	halfClosed      bool
-	endedByCaller   bool // the caller has ended its side, and not as the controller did
-	closedLate      bool // the controller has closed it with words waiting for a kernel that took nothing, as the caller's time was over
+	endedByCaller   bool // the caller has ended its side before the controller did
+	closedLate      bool // the controller closed it with output that the kernel did not accept, after the caller's deadline
 
-	// The controller's side.
-	kernelInput   bytes.Buffer // in the kernel
-	fin, rst      bool         // behind that
+	// State of the controller's side.
+	kernelInput   bytes.Buffer // received by the kernel
+	fin, rst      bool         // after that input
 	input         *ring.Buffer
-	readPosted    bool // the handler is to be told of what is shown
+	readPosted    bool // a call of read is posted to the loop
 	writeQueue    []queuedWrite
-	ended         bool // the controller knows of the end, or has made it
+	ended         bool // the controller knows of the end, or has caused it
 	reason        error
 	closeReported bool
 	endedAt       time.Time
-	closed        bool // the controller's last words are with the caller
+	closed        bool // the controller's closing message has been delivered to the caller
 }
 
 type queuedWrite struct {
@@ -294,10 +294,10 @@
 // isOpen reports whether neither side has closed.
 func (s *fakeConn) isOpen() bool { return !s.callerClosed && !s.halfClosed && !s.closed }
 
-// awaitsPing reports whether it is for tests, and none has been sent: it can't be told from others.
+// awaitsPing reports whether it is for health checks, but no ping was sent: it cannot be distinguished from others yet.
 func (s *fakeConn) awaitsPing() bool { return s.forHealthChecks && !s.sentPing }
 
-// sendBytes has the caller send bytes.
+// sendBytes sends bytes from the caller.
 func (s *fakeConn) sendBytes(text []byte) {
 	if s.callerClosed || s.halfClosed || s.rst {
 		return
@@ -306,7 +306,7 @@
 	s.caller.deliverAll()
 }
 
-// readByCaller has the program read what its kernel has received, and close where the controller did.
+// readByCaller reads what the caller's kernel has received, and closes the caller's side if the controller has closed.
 func (s *fakeConn) readByCaller() {
 	if s.callerClosed {
 		return
@@ -321,19 +321,19 @@
 	}
 }
 
-// halfClose has the caller end its side.
+// halfClose closes the caller's side for writing.
 func (s *fakeConn) halfClose() {
 	s.halfClosed, s.fin, s.endedByCaller = true, true, true
 	s.caller.deliverAll()
 }
 
-// close has the caller close. With words of the controller's unread, its kernel sends a reset.
+// close closes the caller's side. If there is unread input, the caller's kernel sends a reset.
 func (s *fakeConn) close() {
 	s.markCallerClosed()
 	s.deliverClose()
 }
 
-// closeDelayed is close with the end on its way for a moment.
+// closeDelayed closes the caller's side; the controller notices that a moment later.
 func (s *fakeConn) closeDelayed() {
 	s.markCallerClosed()
 	s.loop.After(closeTransit, s.deliverClose)
@@ -350,14 +350,14 @@
 	s.caller.deliverAll()
 }
 
-// recordDiscarded notes whether the caller has not read what is ahead of the controller's close.
+// recordDiscarded records that the caller has not read what was sent before the controller's close.
 func (s *fakeConn) recordDiscarded() {
 	if s.closed && s.receiveBuffer.Len() > 0 {
 		s.caller.harness.discarded = true
 	}
 }
 
-// reset has the caller reset.
+// reset resets the connection from the caller's side.
 func (s *fakeConn) reset() {
 	s.recordDiscarded()
 	s.markCallerClosed()
@@ -365,7 +365,7 @@
 	s.caller.deliverAll()
 }
 
-// deliver has the handler be told of what lies in the kernel.
+// deliver passes the contents of the controller's kernel to the handler.
 func (s *fakeConn) deliver() {
 	if s.ended {
 		s.kernelInput.Reset()
@@ -397,7 +397,7 @@
 	}
 }
 
-// markEnded notes the end of the connection.
+// markEnded records the end of the connection, and reports it to the handler.
 func (s *fakeConn) markEnded(reason error) {
 	if s.ended {
 		return
@@ -420,7 +420,7 @@
 // Write queues a message.
 func (s *fakeConn) Write(p []byte) { s.WriteThen(p, func() {}) }
 
-// WriteThen queues a message, and runs a function once it is with the kernel.
+// WriteThen queues a message, and runs a function once it is written to the kernel.
 func (s *fakeConn) WriteThen(p []byte, then func()) conn.Ticket {
 	if s.closeReported || len(p) == 0 {
 		return 0
@@ -430,7 +430,7 @@
 	return 1
 }
 
-// Flush sends what is queued, if the kernel takes it.
+// Flush writes what is queued, if the kernel accepts it.
 func (s *fakeConn) Flush() {
 	switch {
 	case s.closeReported || len(s.writeQueue) == 0 || s.caller.bufferFull:
@@ -442,7 +442,7 @@
 	}
 }
 
-// writeToKernel has what is queued leave.
+// writeToKernel writes what is queued.
 func (s *fakeConn) writeToKernel() {
 	out := s.writeQueue
 	s.writeQueue = nil
@@ -454,7 +454,7 @@
 		s.receiveBuffer.Write(w.text)
 	}
 	if s.callerClosed && len(out) > 0 {
-		s.loop.After(closeTransit, func() { // it meets a socket that is closed
+		s.loop.After(closeTransit, func() { // it arrives at a closed socket
 			s.rst, s.fin = true, true
 			s.caller.deliverAll()
 		})
@@ -462,39 +462,39 @@
 	s.caller.readAll()
 }
 
-// Unsent is what waits for the kernel.
+// Unsent returns the number of queued messages.
 func (s *fakeConn) Unsent() int { return len(s.writeQueue) }
 
-// Quiet reports whether nothing of the caller's waits.
+// Quiet reports whether no input is left to process.
 func (s *fakeConn) Quiet() bool {
 	return s.ended || !s.readPosted && s.input.Len() == 0 && s.kernelInput.Len() == 0
 }
 
-// AllTaken reports whether nothing is in the kernel.
+// AllTaken reports whether there is no input in the kernel.
 func (s *fakeConn) AllTaken() bool { return s.ended || s.kernelInput.Len() == 0 }
 
-// Unread reports whether something is.
+// Unread reports whether there is input in the kernel.
 func (s *fakeConn) Unread() bool { return !s.ended && s.kernelInput.Len() > 0 }
 
-// Hear has the handler take in what is shown.
+// Hear has the handler process its input.
 func (s *fakeConn) Hear() {
 	if s.readPosted {
 		s.read()
 	}
 }
 
-// Left reports whether the caller's end is what lies next in the kernel.
+// Left reports whether the end of the caller's side is next in the kernel.
 func (s *fakeConn) Left() bool {
 	return s.ended || s.rst || s.fin && s.kernelInput.Len() == 0
 }
 
-// EndedAt is when the connection ended.
+// EndedAt returns the time at which the connection ended.
 func (s *fakeConn) EndedAt() time.Time { return s.endedAt }
 
-// Remote is no address.
+// Remote returns no address.
 func (s *fakeConn) Remote() string { return "" }
 
-// Close writes what is queued as far as the kernel takes it, and ends the connection.
+// Close writes what is queued as far as the kernel accepts it, and ends the connection.
 func (s *fakeConn) Close(reason error) {
 	if s.ended {
 		return
--- a/internal/callers/overflow_test.go
+++ b/internal/callers/overflow_test.go
@@ -13,7 +13,7 @@
 	"cherryrelay/internal/settings"
 )
 
-// stubCore keeps every set-up that it is offered open. It is used on the loop alone.
+// stubCore accepts every set-up, and leaves it without an answer. It is used only on the loop.
 type stubCore struct {
 	Core
 	pending map[call.Caller]int
@@ -26,14 +26,14 @@
 func (c *stubCore) Phase() call.Phase                     { return call.Serving }
 func (c *stubCore) Superseded() bool                      { return false }
 
-// onLoop has a step run on the loop, and waits for it.
+// onLoop runs a step on the loop, and waits for it.
 func onLoop(loop *call.Loop, step func()) {
 	ran := make(chan struct{})
 	loop.Post(func() { defer close(ran); step() })
 	<-ran
 }
 
-// newSmallFront serves a front that has room for one connection, and one more for a moment.
+// newSmallFront returns a front with a limit of one connection, and one more for a moment.
 func newSmallFront(t *testing.T, core Core) *Front {
 	t.Helper()
 	tcp, err := conn.BindShared("127.0.0.1:0")
@@ -64,7 +64,7 @@
 	return f
 }
 
-// connect opens a connection and waits until it is the front's so many-th.
+// connect opens a connection and waits until the front has this number of connections.
 func connect(t *testing.T, f *Front, number int) (*peer.Caller, *Conn) {
 	t.Helper()
 	caller, err := peer.Call("tcp", f.Address())
@@ -87,7 +87,7 @@
 	return caller, accepted
 }
 
-// sendSetUp sends a set-up and has the loop hold still until all of it waits for its turn there; then the loop does the step.
+// sendSetUp sends a set-up while the loop is blocked, until all of it waits to be processed; then it runs the step on the loop.
 func sendSetUp(t *testing.T, f *Front, caller *peer.Caller, at *Conn, step func()) {
 	t.Helper()
 	onLoop(f.loop, func() {
@@ -97,7 +97,7 @@
 		}
 		for until := time.Now().Add(peer.Patience); at.conn.Quiet() || !at.conn.AllTaken(); time.Sleep(time.Millisecond) {
 			if time.Now().After(until) {
-				t.Error("the set-up never comes")
+				t.Error("the set-up never arrives")
 				return
 			}
 		}
@@ -105,23 +105,24 @@
 	})
 }
 
-// TestASetUpReadAsItsConnectionWouldCloseIsKept guards against a connection beyond the bound that was closed without an answer right after its
-// set-up had been taken: it waited for its turn as the connection's time was up, and room had just been made.
+// TestASetUpReadAsItsConnectionWouldCloseIsKept guards against closing a connection beyond the limit right after its set-up was
+// accepted: the set-up was waiting to be processed at the connection's timeout, when the connection had just come within the
+// limit.
 func TestASetUpReadAsItsConnectionWouldCloseIsKept(t *testing.T) {
 	core := &stubCore{pending: map[call.Caller]int{}}
 	f := newSmallFront(t, core)
 	_, first := connect(t, f, 1)
-	onLoop(f.loop, func() { core.pending[first] = 1 }) // it cannot make room
+	onLoop(f.loop, func() { core.pending[first] = 1 }) // it cannot be evicted
 	caller, newest := connect(t, f, 2)
 	sendSetUp(t, f, caller, newest, func() {
 		if !newest.overflow || !f.listener.Full() {
-			t.Error("the newest connection is not beyond the bound")
+			t.Error("the newest connection is not beyond the limit")
 		}
 		newest.waitingSince = time.Now().Add(-2 * overflowTimeout)
-		first.closeNow(conn.ErrClosedHere) // it holds its descriptor for a moment more
+		first.closeNow(conn.ErrClosedHere) // its descriptor is held for a moment longer
 		f.poll()
 		if newest.closed || core.pending[newest] != 1 {
-			t.Errorf("closed %v with %d set-ups taken, want it open with one", newest.closed, core.pending[newest])
+			t.Errorf("closed: %v, with %d set-ups accepted; want it open with one", newest.closed, core.pending[newest])
 		}
 	})
 }
--- a/internal/callers/unsent_answer_test.go
+++ b/internal/callers/unsent_answer_test.go
@@ -14,13 +14,13 @@
 
 const (
 	unsentCallID = "00000000000000b1"
-	// fillerSize is most of the largest message.
+	// fillerSize is most of the maximum message size.
 	fillerSize = 15 << 10
-	// fullQueueSize is how much waits for a socket that is full.
+	// fullQueueSize is the unsent output at which the socket counts as full.
 	fullQueueSize = 2 * fillerSize
 )
 
-// awaitAccepted waits until the front has a connection beside another one.
+// awaitAccepted waits until the front has a second connection.
 func awaitAccepted(t *testing.T, f *Front, beside *Conn) (accepted *Conn) {
 	t.Helper()
 	for until := time.Now().Add(peer.Patience); accepted == nil; {
@@ -36,8 +36,8 @@
 	return accepted
 }
 
-// fillSocket has the connection tell its caller, which does not read, answers of other calls until its socket takes no more. It runs on the loop, and
-// what follows there at once finds the socket full: its kernel may take more later.
+// fillSocket sends answers of other calls to a caller that does not read until the socket is full. It runs on the loop. The
+// socket is full only for what the same function does next, since the kernel may accept more later.
 func fillSocket(t *testing.T, c *Conn) {
 	t.Helper()
 	for c.conn.Unsent() < fullQueueSize {
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestAnUnsentAnswerAsAnotherConnectionOpens guards against an answer that is thrown away, as its connection, whose caller reads late, makes room
-// for a new one.
+// TestAnUnsentAnswerAsAnotherConnectionOpens guards against a discarded answer: its caller reads late, and its connection is
+// evicted for a new one.
 func TestAnUnsentAnswerAsAnotherConnectionOpens(t *testing.T) {
 	t.Parallel()
 	core := newStubCore()
@@ -60,7 +60,7 @@
 	}
 	for taken, until := false, time.Now().Add(peer.Patience); !taken; onLoop(f.loop, func() { taken = core.pending[first] == 1 }) {
 		if time.Now().After(until) {
-			t.Fatal("the set-up is never taken")
+			t.Fatal("the set-up is never accepted")
 		}
 	}
 	onLoop(f.loop, func() { f.Limit(2) })
@@ -79,13 +79,13 @@
 		f.Limit(1)
 		f.evict(second)
 		if first.closed || !second.overflow {
-			t.Errorf("it is closed: %v; the new one waits for its refusal: %v", first.closed, second.overflow)
+			t.Errorf("closed: %v; overflow of the new connection: %v", first.closed, second.overflow)
 		}
 	})
 	for {
 		m, err := caller.Next()
 		if err != nil {
-			t.Fatalf("the answer never comes: %v", err)
+			t.Fatalf("the answer never arrives: %v", err)
 		}
 		if m.ID == unsentCallID && m.Type == "answer" {
 			return
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestAConnectionWithUnflushedOutputIsEvicted guards against a new connection that finds no room, as the one that can go has an answer queued that its socket would
-// take.
+// TestAConnectionWithUnflushedOutputIsEvicted guards against refusing a new connection because the one that can be evicted has a
+// queued answer, although its socket would accept it.
 func TestAConnectionWithUnflushedOutputIsEvicted(t *testing.T) {
 	t.Parallel()
 	f := newSmallFront(t, newStubCore())
@@ -104,22 +104,22 @@
 		c.extendAnswerDeadline(time.Now().Add(time.Minute))
 		c.End(unsentCallID, call.End{Cause: call.CauseNormal, Reason: call.ReasonEnded})
 		if f.Squeeze(); !c.closed {
-			t.Error("it stays")
+			t.Error("the connection was not evicted")
 		}
 	})
 }
 
-// TestAStalledReaderHoldsNoConnectionForLong guards against a front that is kept full by a caller that does not read: its connection goes once the caller must
-// have given up.
+// TestAStalledReaderHoldsNoConnectionForLong guards against a front that stays full because a caller does not read: its
+// connection can be evicted once its deadline has passed.
 func TestAStalledReaderHoldsNoConnectionForLong(t *testing.T) {
 	t.Parallel()
-	for what, after := range map[string]time.Duration{"it waits still": callTimeout - time.Second, "its time is over": callTimeout} {
+	for what, after := range map[string]time.Duration{"before the deadline": callTimeout - time.Second, "at the deadline": callTimeout} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				s := newHarness(t, initialState{})
 				stays, want := false, after < callTimeout
-				squeeze := scenarioStep{'-', "a connection makes room", func(s *harness) bool {
+				squeeze := scenarioStep{'-', "a connection is evicted", func(s *harness) bool {
 					s.front.Squeeze()
 					c, ok := s.callConn.handler.(*Conn)
 					stays = ok && !c.closed
@@ -127,15 +127,15 @@
 				}, 0, false}
 				order := slices.Concat(stepsFor("fE"), []scenarioStep{waitStep('-', after), squeeze})
 				if !s.play(order) || stays != want {
-					t.Errorf("it stays: %v, want %v", stays, want)
+					t.Errorf("the connection stays open: %v, want %v", stays, want)
 				}
 			})
 		})
 	}
 }
 
-// TestAnUnsentAnswerAsASuccessorServes guards against an answer that is thrown away, as the controller has a successor and closes connections
-// though calls stand there.
+// TestAnUnsentAnswerAsASuccessorServes guards against a discarded answer: a successor serves, and the controller closes
+// connections although they have established calls.
 func TestAnUnsentAnswerAsASuccessorServes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -156,24 +156,24 @@
 	})
 }
 
-// resumeCore takes claims to calls.
+// resumeCore accepts resume requests.
 type resumeCore struct{ *stubCore }
 
 func (resumeCore) ResumeCall(call.ResumeRequest) error { return nil }
 
-// TestAResumeHoldsNoConnectionForLong guards against a front that is kept full by callers that do not read, and name an hour in which they would wait for
-// the answer of the call that they come back for; and against an answer that is thrown away, as its caller names no time.
+// TestAResumeHoldsNoConnectionForLong guards against a front that stays full because callers do not read, and resume calls with a
+// time left of an hour; and against a discarded answer of a caller that names no time.
 func TestAResumeHoldsNoConnectionForLong(t *testing.T) {
 	t.Parallel()
-	const deadline = 9 * time.Second // of the only class
+	const deadline = 9 * time.Second // timeout of the only class
 	for name, test := range map[string]struct {
 		left  jsonl.Value
 		until time.Duration
 	}{
-		"it names an hour":  {"3600000", deadline},
-		"it names less":     {"1000", time.Second},
-		"it names no time":  {"", deadline},
-		"it names nonsense": {"x", deadline},
+		"an hour left":    {"3600000", deadline},
+		"less time left":  {"1000", time.Second},
+		"no time named":   {"", deadline},
+		"an invalid time": {"x", deadline},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
