--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -46,13 +46,13 @@
 	// connect when they have a set-up. It must be well below the 3 s within which the connection of a misbehaving peer has to be
 	// closed.
 	Silent time.Duration
-	// Idle is how long a connection without a call stays open. Callers close theirs after 4 s, and do not use longer ones. It
-	// must be longer than that, so that the close does not cross a set-up.
+	// Idle is how long a connection without a call stays open. Callers close theirs after 4 s, and connections that stay open
+	// longer are not needed. It must be longer than 4 s, so that the close does not cross a set-up.
 	Idle time.Duration
 }
 
-// Within returns the bounds for a process with this limit of descriptors; 0 means no limit. Callers need a third of them and get
-// half. The rest is for dispatchers, the list and the program itself.
+// Within returns the bounds for a process with this maximum number of descriptors; 0 means no maximum. Callers usually need a
+// third of them and get half. The rest is for dispatchers, the list and the program itself.
 func Within(descriptors int) Bounds {
 	return Bounds{Connections: descriptors / 2, Silent: 2 * time.Second, Idle: 5 * time.Second}
 }
--- a/internal/callers/drain_test.go
+++ b/internal/callers/drain_test.go
@@ -13,39 +13,39 @@
 
 // establish runs the loop, with an established call on the caller's only connection. The channel is closed once the loop has
 // ended.
-func (s *harness) establish() (left <-chan struct{}) {
+func (h *harness) establish() (left <-chan struct{}) {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		s.core.Loop().Run()
+		h.core.Loop().Run()
 	}()
-	s.runOnLoop(func() {
-		s.core.Update(call.Update{Servers: []call.Server{{ServerEntry: control.ServerEntry{ID: testServer, Status: control.Active}, Address: "first"}}})
-		s.core.DispatcherReached()
+	h.runOnLoop(func() {
+		h.core.Update(call.Update{Servers: []call.Server{{ServerEntry: control.ServerEntry{ID: testServer, Status: control.Active}, Address: "first"}}})
+		h.core.DispatcherReached()
 	})
 	time.Sleep(time.Second)
-	s.runOnLoop(func() { s.callConn = s.caller.openConn() })
-	s.runOnLoop(func() { s.sendSetUp(s.callConn) })
+	h.runOnLoop(func() { h.callConn = h.caller.openConn() })
+	h.runOnLoop(func() { h.sendSetUp(h.callConn) })
 	time.Sleep(10 * time.Millisecond)
-	s.runOnLoop(func() { s.dispatchers.answer() })
+	h.runOnLoop(func() { h.dispatchers.answer() })
 	return ended
 }
 
 // endAfterClose closes the only connection, and then the call ends.
-func (s *harness) endAfterClose() {
-	s.runOnLoop(func() { s.callConn.close() })
-	s.runOnLoop(func() { s.dispatchers.endCall() })
+func (h *harness) endAfterClose() {
+	h.runOnLoop(func() { h.callConn.close() })
+	h.runOnLoop(func() { h.dispatchers.endCall() })
 }
 
 // reconnectAfter waits, and then has the caller open a connection and send a set-up on it.
-func (s *harness) reconnectAfter(after time.Duration) {
+func (h *harness) reconnectAfter(after time.Duration) {
 	time.Sleep(after)
-	s.runOnLoop(func() { s.sendSetUp(s.caller.openConn()) })
+	h.runOnLoop(func() { h.sendSetUp(h.caller.openConn()) })
 }
 
 // drain starts the shutdown as SIGTERM does, and returns its time.
-func (s *harness) drain() time.Time {
-	s.runOnLoop(s.core.Drain)
+func (h *harness) drain() time.Time {
+	h.runOnLoop(h.core.Drain)
 	return time.Now()
 }
 
@@ -72,44 +72,44 @@
 func TestADrainWaitsForPendingEnds(t *testing.T) {
 	const backAfter, waited = 2 * time.Second, endTimeout - 1500*time.Millisecond
 	for name, test := range map[string]struct {
-		play        func(s *harness) (since time.Time)
+		play        func(h *harness) (since time.Time)
 		heard       bool
 		least, most time.Duration
 	}{
-		"the caller reconnects": {func(s *harness) time.Time {
-			s.endAfterClose()
-			since := s.drain()
-			s.reconnectAfter(backAfter)
+		"the caller reconnects": {func(h *harness) time.Time {
+			h.endAfterClose()
+			since := h.drain()
+			h.reconnectAfter(backAfter)
 			return since
 		}, true, backAfter, backAfter + crossingTime + detectionTime},
-		"the call ends during the drain, and the caller reconnects": {func(s *harness) time.Time {
-			since := s.drain()
-			s.endAfterClose()
-			s.reconnectAfter(backAfter)
+		"the call ends during the drain, and the caller reconnects": {func(h *harness) time.Time {
+			since := h.drain()
+			h.endAfterClose()
+			h.reconnectAfter(backAfter)
 			return since
 		}, true, backAfter, backAfter + crossingTime + detectionTime},
-		"no caller connects": {func(s *harness) time.Time {
-			s.endAfterClose()
-			return s.drain()
+		"no caller connects": {func(h *harness) time.Time {
+			h.endAfterClose()
+			return h.drain()
 		}, false, maxDrainTime, maxDrainTime + detectionTime},
-		"the end is about to expire": {func(s *harness) time.Time {
-			s.endAfterClose()
+		"the end is about to expire": {func(h *harness) time.Time {
+			h.endAfterClose()
 			time.Sleep(waited)
-			return s.drain()
+			return h.drain()
 		}, false, endTimeout - waited, endTimeout - waited + detectionTime},
-		"the caller has read it": {func(s *harness) time.Time {
-			s.runOnLoop(func() { s.dispatchers.endCall() })
-			return s.drain()
+		"the caller has read it": {func(h *harness) time.Time {
+			h.runOnLoop(func() { h.dispatchers.endCall() })
+			return h.drain()
 		}, true, minDrainTime, minDrainTime + detectionTime},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				s := newHarness(t, initialState{})
-				left := s.establish()
-				checkDrainTime(t, left, test.play(s), test.least, test.most)
-				if s.hasReadEnd() != test.heard {
-					t.Errorf("the caller has read the end: %v, want %v", s.hasReadEnd(), test.heard)
+				h := newHarness(t, initialState{})
+				left := h.establish()
+				checkDrainTime(t, left, test.play(h), test.least, test.most)
+				if h.hasReadEnd() != test.heard {
+					t.Errorf("the caller has read the end: %v, want %v", h.hasReadEnd(), test.heard)
 				}
 			})
 		})
@@ -117,10 +117,10 @@
 }
 
 // openIdleConn has the caller open a connection on which a set-up is refused at once, so that it has no call there.
-func (s *harness) openIdleConn() *fakeConn {
+func (h *harness) openIdleConn() *fakeConn {
 	var idle *fakeConn
-	s.runOnLoop(func() { idle = s.caller.openConn() })
-	s.runOnLoop(func() {
+	h.runOnLoop(func() { idle = h.caller.openConn() })
+	h.runOnLoop(func() {
 		idle.sentSetUp = true
 		idle.client.send(jsonl.Message{Type: "setup", ID: otherCallID, SDP: new(string), Fields: map[string]jsonl.Value{"class": "none"}})
 	})
@@ -132,57 +132,57 @@
 // drain.
 func TestADrainWaitsForEndsThatCrossAClose(t *testing.T) {
 	const endsAt, backAfter = minDrainTime - closeTransit/2, time.Second
-	ends := func(s *harness, first func()) {
+	ends := func(h *harness, first func()) {
 		time.Sleep(endsAt)
-		s.runOnLoop(func() {
+		h.runOnLoop(func() {
 			first()
-			s.dispatchers.endCall()
+			h.dispatchers.endCall()
 		})
 	}
 	for name, test := range map[string]struct {
-		play        func(s *harness) (since time.Time)
+		play        func(h *harness) (since time.Time)
 		least, most time.Duration
 	}{
-		"another connection closes": {func(s *harness) time.Time {
-			s.runOnLoop(func() { s.callConn.close() })
-			idle, since := s.openIdleConn(), s.drain()
-			ends(s, idle.closeDelayed)
-			s.reconnectAfter(backAfter)
+		"another connection closes": {func(h *harness) time.Time {
+			h.runOnLoop(func() { h.callConn.close() })
+			idle, since := h.openIdleConn(), h.drain()
+			ends(h, idle.closeDelayed)
+			h.reconnectAfter(backAfter)
 			return since
 		}, endsAt + backAfter, endsAt + backAfter + crossingTime + detectionTime},
-		"another connection stays open": {func(s *harness) time.Time {
-			s.runOnLoop(func() { s.callConn.close() })
-			s.openIdleConn()
-			since := s.drain()
-			ends(s, func() {})
+		"another connection stays open": {func(h *harness) time.Time {
+			h.runOnLoop(func() { h.callConn.close() })
+			h.openIdleConn()
+			since := h.drain()
+			ends(h, func() {})
 			return since
 		}, endsAt + crossingTime, endsAt + crossingTime + detectionTime},
-		"the call's own connection is reset, and the reset is not delivered yet": {func(s *harness) time.Time {
-			since := s.drain()
+		"the call's own connection is reset, and the reset is not delivered yet": {func(h *harness) time.Time {
+			since := h.drain()
 			time.Sleep(endsAt)
-			s.runOnLoop(func() {
-				s.dispatchers.endCall()
-				s.caller.inputHeld = true
-				s.callConn.reset()
+			h.runOnLoop(func() {
+				h.dispatchers.endCall()
+				h.caller.inputHeld = true
+				h.callConn.reset()
 			})
 			time.Sleep(closeTransit)
-			s.runOnLoop(func() { s.caller.unblock() })
-			s.reconnectAfter(backAfter)
+			h.runOnLoop(func() { h.caller.unblock() })
+			h.reconnectAfter(backAfter)
 			return since
 		}, endsAt + backAfter, endsAt + backAfter + crossingTime + detectionTime},
-		"the call's own connection": {func(s *harness) time.Time {
-			since := s.drain()
-			ends(s, func() {})
+		"the call's own connection": {func(h *harness) time.Time {
+			since := h.drain()
+			ends(h, func() {})
 			return since
 		}, minDrainTime, minDrainTime + detectionTime},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				s := newHarness(t, initialState{})
-				left := s.establish()
-				checkDrainTime(t, left, test.play(s), test.least, test.most)
-				if !s.hasReadEnd() {
+				h := newHarness(t, initialState{})
+				left := h.establish()
+				checkDrainTime(t, left, test.play(h), test.least, test.most)
+				if !h.hasReadEnd() {
 					t.Error("the end of the call is lost")
 				}
 			})
@@ -195,48 +195,48 @@
 func TestPendingEndsGoToTheSuccessor(t *testing.T) {
 	const relayBusyFor = 500 * time.Millisecond
 	for name, test := range map[string]struct {
-		before, after func(s *harness) // before and after the successor starts to serve
+		before, after func(h *harness) // before and after the successor starts to serve
 		busy          bool             // the successor accepts nothing for a while
 	}{
 		"an end is pending as the successor starts": {(*harness).endAfterClose, func(*harness) {}, false},
 		"the successor is busy":                     {(*harness).endAfterClose, func(*harness) {}, true},
 		"the connection is reset before the end is read": {
-			func(s *harness) {
-				s.runOnLoop(func() {
-					s.caller.paused = true
-					s.dispatchers.endCall()
+			func(h *harness) {
+				h.runOnLoop(func() {
+					h.caller.paused = true
+					h.dispatchers.endCall()
 				})
 			},
-			func(s *harness) { s.runOnLoop(func() { s.callConn.reset() }) }, false,
+			func(h *harness) { h.runOnLoop(func() { h.callConn.reset() }) }, false,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				s := newHarness(t, initialState{})
-				left := s.establish()
+				h := newHarness(t, initialState{})
+				left := h.establish()
 				defer func() {
-					s.core.Loop().Quit()
+					h.core.Loop().Quit()
 					<-left
 				}()
-				test.before(s)
+				test.before(h)
 				var taken []string
 				busy := test.busy
-				s.runOnLoop(func() {
-					s.core.Supersede(func(id string, _ call.End) bool {
+				h.runOnLoop(func() {
+					h.core.Supersede(func(id string, _ call.End) bool {
 						if !busy {
 							taken = append(taken, id)
 						}
 						return !busy
 					})
 				})
-				test.after(s)
+				test.after(h)
 				time.Sleep(relayBusyFor)
-				s.runOnLoop(func() { busy = false })
+				h.runOnLoop(func() { busy = false })
 				time.Sleep(maxEndDelay - relayBusyFor)
-				s.runOnLoop(func() {
-					if want := []string{testCallID}; !slices.Equal(taken, want) || len(s.front.pendingEnds) > 0 {
-						t.Errorf("ends relayed to the successor: %v, want %v; %d are still pending", taken, want, len(s.front.pendingEnds))
+				h.runOnLoop(func() {
+					if want := []string{testCallID}; !slices.Equal(taken, want) || len(h.front.pendingEnds) > 0 {
+						t.Errorf("ends relayed to the successor: %v, want %v; %d are still pending", taken, want, len(h.front.pendingEnds))
 					}
 				})
 			})
--- a/internal/callers/ends_repeat_limit_test.go
+++ b/internal/callers/ends_repeat_limit_test.go
@@ -14,41 +14,41 @@
 func TestEndIsNotRepeatedForever(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := newHarness(t, initialState{})
-		go s.core.Loop().Run()
+		h := newHarness(t, initialState{})
+		go h.core.Loop().Run()
 		defer func() {
-			s.core.Loop().Quit()
+			h.core.Loop().Quit()
 			synctest.Wait()
 		}()
-		s.runOnLoop(func() {
-			s.core.Update(call.Update{Servers: []call.Server{{ServerEntry: control.ServerEntry{ID: testServer, Status: control.Active}, Address: "first"}}})
-			s.core.DispatcherReached()
+		h.runOnLoop(func() {
+			h.core.Update(call.Update{Servers: []call.Server{{ServerEntry: control.ServerEntry{ID: testServer, Status: control.Active}, Address: "first"}}})
+			h.core.DispatcherReached()
 		})
 		time.Sleep(time.Second)
-		s.runOnLoop(func() { s.callConn = s.caller.openConn() })
-		s.runOnLoop(func() { s.sendSetUp(s.callConn) })
+		h.runOnLoop(func() { h.callConn = h.caller.openConn() })
+		h.runOnLoop(func() { h.sendSetUp(h.callConn) })
 		time.Sleep(10 * time.Millisecond)
-		s.runOnLoop(func() { s.dispatchers.answer() })
+		h.runOnLoop(func() { h.dispatchers.answer() })
 		time.Sleep(time.Second)
-		s.runOnLoop(func() { s.dispatchers.endCall() })
-		last, endedAt := s.callConn, time.Now()
+		h.runOnLoop(func() { h.dispatchers.endCall() })
+		last, endedAt := h.callConn, time.Now()
 		for time.Since(endedAt) < 4*endTimeout {
 			time.Sleep(time.Second)
-			s.runOnLoop(last.reset)
-			s.runOnLoop(func() { last = s.caller.openConn() })
-			s.runOnLoop(func() { s.sendSetUp(last) })
+			h.runOnLoop(last.reset)
+			h.runOnLoop(func() { last = h.caller.openConn() })
+			h.runOnLoop(func() { h.sendSetUp(last) })
 		}
-		told := len(s.endsRead)
+		told := len(h.endsRead)
 		if told < 2 {
 			t.Fatalf("the end was sent %d times, want it repeated after the first reset", told)
 		}
-		s.runOnLoop(func() {
-			for _, c := range s.front.conns {
+		h.runOnLoop(func() {
+			for _, c := range h.front.conns {
 				if len(c.sentEnds) > 0 {
 					t.Errorf("the end is still kept for repetition %v after it, sent %d times so far", time.Since(endedAt), told)
 				}
 			}
-			if n := len(s.front.pendingEnds); n > 0 {
+			if n := len(h.front.pendingEnds); n > 0 {
 				t.Errorf("%d ends are pending", n)
 			}
 		})
--- a/internal/callers/fake_peers_test.go
+++ b/internal/callers/fake_peers_test.go
@@ -132,18 +132,18 @@
 
 // openConn opens a connection.
 func (p *fakeCaller) openConn() *fakeConn {
-	s := &fakeConn{caller: p, loop: p.harness.core.Loop(), input: ring.New(32 << 10), in: ring.New(64 << 10)}
-	s.client = p.harness.newClient(s)
-	p.conns = append(p.conns, s)
+	c := &fakeConn{caller: p, loop: p.harness.core.Loop(), input: ring.New(32 << 10), in: ring.New(64 << 10)}
+	c.client = p.harness.newClient(c)
+	p.conns = append(p.conns, c)
 	p.harness.listener.held++
-	s.handler = p.harness.front.accept(s)
-	s.client.open()
-	return s
+	c.handler = p.harness.front.accept(c)
+	c.client.open()
+	return c
 }
 
 // openConns returns the connections that neither side has closed.
 func (p *fakeCaller) openConns() []*fakeConn {
-	return slices.DeleteFunc(slices.Clone(p.conns), func(s *fakeConn) bool { return !s.isOpen() })
+	return slices.DeleteFunc(slices.Clone(p.conns), func(c *fakeConn) bool { return !c.isOpen() })
 }
 
 // readAll reads what has arrived, unless the caller is paused.
@@ -151,8 +151,8 @@
 	if p.paused {
 		return
 	}
-	for _, s := range p.conns {
-		s.readByCaller()
+	for _, c := range p.conns {
+		c.readByCaller()
 	}
 }
 
@@ -161,8 +161,8 @@
 	if p.inputHeld {
 		return
 	}
-	for _, s := range p.conns {
-		s.deliver()
+	for _, c := range p.conns {
+		c.deliver()
 	}
 }
 
@@ -170,8 +170,8 @@
 func (p *fakeCaller) unblock() bool {
 	held := p.paused || p.bufferFull || p.inputHeld
 	p.paused, p.bufferFull, p.inputHeld = false, false, false
-	for _, s := range p.conns {
-		s.Flush()
+	for _, c := range p.conns {
+		c.Flush()
 	}
 	p.readAll()
 	p.deliverAll()
@@ -292,221 +292,221 @@
 }
 
 // isOpen reports whether neither side has closed.
-func (s *fakeConn) isOpen() bool { return !s.callerClosed && !s.halfClosed && !s.closed }
+func (c *fakeConn) isOpen() bool { return !c.callerClosed && !c.halfClosed && !c.closed }
 
 // awaitsPing reports whether it is for health checks, but no ping was sent: it cannot be distinguished from others yet.
-func (s *fakeConn) awaitsPing() bool { return s.forHealthChecks && !s.sentPing }
+func (c *fakeConn) awaitsPing() bool { return c.forHealthChecks && !c.sentPing }
 
 // sendBytes sends bytes from the caller.
-func (s *fakeConn) sendBytes(text []byte) {
-	if s.callerClosed || s.halfClosed || s.rst {
+func (c *fakeConn) sendBytes(text []byte) {
+	if c.callerClosed || c.halfClosed || c.rst {
 		return
 	}
-	s.kernelInput.Write(text)
-	s.caller.deliverAll()
+	c.kernelInput.Write(text)
+	c.caller.deliverAll()
 }
 
 // readByCaller reads what the caller's kernel has received, and closes the caller's side if the controller has closed.
-func (s *fakeConn) readByCaller() {
-	if s.callerClosed {
+func (c *fakeConn) readByCaller() {
+	if c.callerClosed {
 		return
 	}
-	s.in.Write(s.receiveBuffer.Bytes())
-	s.receiveBuffer.Reset()
-	for m := s.client.next(); m != nil; m = s.client.next() {
-		s.caller.harness.received(s, m)
+	c.in.Write(c.receiveBuffer.Bytes())
+	c.receiveBuffer.Reset()
+	for m := c.client.next(); m != nil; m = c.client.next() {
+		c.caller.harness.received(c, m)
 	}
-	if s.closed {
-		s.callerClosed = true
+	if c.closed {
+		c.callerClosed = true
 	}
 }
 
 // halfClose closes the caller's side for writing.
-func (s *fakeConn) halfClose() {
-	s.halfClosed, s.fin, s.endedByCaller = true, true, true
-	s.caller.deliverAll()
+func (c *fakeConn) halfClose() {
+	c.halfClosed, c.fin, c.endedByCaller = true, true, true
+	c.caller.deliverAll()
 }
 
 // close closes the caller's side. If there is unread input, the caller's kernel sends a reset.
-func (s *fakeConn) close() {
-	s.markCallerClosed()
-	s.deliverClose()
+func (c *fakeConn) close() {
+	c.markCallerClosed()
+	c.deliverClose()
 }
 
 // closeDelayed closes the caller's side; the controller notices that a moment later.
-func (s *fakeConn) closeDelayed() {
-	s.markCallerClosed()
-	s.loop.After(closeTransit, s.deliverClose)
+func (c *fakeConn) closeDelayed() {
+	c.markCallerClosed()
+	c.loop.After(closeTransit, c.deliverClose)
 }
 
-func (s *fakeConn) markCallerClosed() {
-	s.callerClosed, s.endedByCaller = true, true
+func (c *fakeConn) markCallerClosed() {
+	c.callerClosed, c.endedByCaller = true, true
 }
 
-func (s *fakeConn) deliverClose() {
-	s.recordDiscarded()
-	s.rst = s.rst || s.receiveBuffer.Len() > 0
-	s.fin = true
-	s.caller.deliverAll()
+func (c *fakeConn) deliverClose() {
+	c.recordDiscarded()
+	c.rst = c.rst || c.receiveBuffer.Len() > 0
+	c.fin = true
+	c.caller.deliverAll()
 }
 
 // recordDiscarded records that the caller has not read what was sent before the controller's close.
-func (s *fakeConn) recordDiscarded() {
-	if s.closed && s.receiveBuffer.Len() > 0 {
-		s.caller.harness.discarded = true
+func (c *fakeConn) recordDiscarded() {
+	if c.closed && c.receiveBuffer.Len() > 0 {
+		c.caller.harness.discarded = true
 	}
 }
 
 // reset resets the connection from the caller's side.
-func (s *fakeConn) reset() {
-	s.recordDiscarded()
-	s.markCallerClosed()
-	s.rst, s.fin = true, true
-	s.caller.deliverAll()
+func (c *fakeConn) reset() {
+	c.recordDiscarded()
+	c.markCallerClosed()
+	c.rst, c.fin = true, true
+	c.caller.deliverAll()
 }
 
 // deliver passes the contents of the controller's kernel to the handler.
-func (s *fakeConn) deliver() {
-	if s.ended {
-		s.kernelInput.Reset()
+func (c *fakeConn) deliver() {
+	if c.ended {
+		c.kernelInput.Reset()
 		return
 	}
-	if s.kernelInput.Len() > 0 {
-		s.input.Write(s.kernelInput.Bytes())
-		s.kernelInput.Reset()
-		if !s.readPosted {
-			s.readPosted = true
-			s.loop.Post(s.read)
+	if c.kernelInput.Len() > 0 {
+		c.input.Write(c.kernelInput.Bytes())
+		c.kernelInput.Reset()
+		if !c.readPosted {
+			c.readPosted = true
+			c.loop.Post(c.read)
 		}
 	}
 	switch {
-	case s.rst:
-		s.markEnded(conn.ErrReset)
-	case s.fin:
-		s.markEnded(io.EOF)
+	case c.rst:
+		c.markEnded(conn.ErrReset)
+	case c.fin:
+		c.markEnded(io.EOF)
 	}
 }
 
-func (s *fakeConn) read() {
-	s.readPosted = false
-	if s.closeReported || s.closed {
+func (c *fakeConn) read() {
+	c.readPosted = false
+	if c.closeReported || c.closed {
 		return
 	}
-	if err := s.handler.Data(s.input, time.Now()); err != nil {
-		s.Close(err)
+	if err := c.handler.Data(c.input, time.Now()); err != nil {
+		c.Close(err)
 	}
 }
 
 // markEnded records the end of the connection, and reports it to the handler.
-func (s *fakeConn) markEnded(reason error) {
-	if s.ended {
+func (c *fakeConn) markEnded(reason error) {
+	if c.ended {
 		return
 	}
-	s.ended, s.reason, s.endedAt = true, reason, time.Now()
-	s.loop.Post(s.reportClosed)
+	c.ended, c.reason, c.endedAt = true, reason, time.Now()
+	c.loop.Post(c.reportClosed)
 }
 
-func (s *fakeConn) reportClosed() {
-	if s.closeReported {
+func (c *fakeConn) reportClosed() {
+	if c.closeReported {
 		return
 	}
-	s.read()
-	s.closeReported, s.closed = true, true
-	s.caller.harness.listener.held--
-	s.handler.Closed(s.reason)
-	s.caller.readAll()
+	c.read()
+	c.closeReported, c.closed = true, true
+	c.caller.harness.listener.held--
+	c.handler.Closed(c.reason)
+	c.caller.readAll()
 }
 
 // Write queues a message.
-func (s *fakeConn) Write(p []byte) { s.WriteThen(p, func() {}) }
+func (c *fakeConn) Write(p []byte) { c.WriteThen(p, func() {}) }
 
 // WriteThen queues a message, and runs a function once it is written to the kernel.
-func (s *fakeConn) WriteThen(p []byte, then func()) conn.Ticket {
-	if s.closeReported || len(p) == 0 {
+func (c *fakeConn) WriteThen(p []byte, then func()) conn.Ticket {
+	if c.closeReported || len(p) == 0 {
 		return 0
 	}
-	s.caller.harness.recordWrite(p)
-	s.writeQueue = append(s.writeQueue, queuedWrite{slices.Clone(p), then})
+	c.caller.harness.recordWrite(p)
+	c.writeQueue = append(c.writeQueue, queuedWrite{slices.Clone(p), then})
 	return 1
 }
 
 // Flush writes what is queued, if the kernel accepts it.
-func (s *fakeConn) Flush() {
+func (c *fakeConn) Flush() {
 	switch {
-	case s.closeReported || len(s.writeQueue) == 0 || s.caller.bufferFull:
-	case s.ended:
-	case s.rst:
-		s.writeQueue = nil
+	case c.closeReported || len(c.writeQueue) == 0 || c.caller.bufferFull:
+	case c.ended:
+	case c.rst:
+		c.writeQueue = nil
 	default:
-		s.writeToKernel()
+		c.writeToKernel()
 	}
 }
 
 // writeToKernel writes what is queued.
-func (s *fakeConn) writeToKernel() {
-	out := s.writeQueue
-	s.writeQueue = nil
+func (c *fakeConn) writeToKernel() {
+	out := c.writeQueue
+	c.writeQueue = nil
 	for _, w := range out {
 		w.then()
-		if s.callerClosed {
+		if c.callerClosed {
 			continue
 		}
-		s.receiveBuffer.Write(w.text)
+		c.receiveBuffer.Write(w.text)
 	}
-	if s.callerClosed && len(out) > 0 {
-		s.loop.After(closeTransit, func() { // it arrives at a closed socket
-			s.rst, s.fin = true, true
-			s.caller.deliverAll()
+	if c.callerClosed && len(out) > 0 {
+		c.loop.After(closeTransit, func() { // it arrives at a closed socket
+			c.rst, c.fin = true, true
+			c.caller.deliverAll()
 		})
 	}
-	s.caller.readAll()
+	c.caller.readAll()
 }
 
 // Unsent returns the number of queued messages.
-func (s *fakeConn) Unsent() int { return len(s.writeQueue) }
+func (c *fakeConn) Unsent() int { return len(c.writeQueue) }
 
 // Quiet reports whether no input is left to process.
-func (s *fakeConn) Quiet() bool {
-	return s.ended || !s.readPosted && s.input.Len() == 0 && s.kernelInput.Len() == 0
+func (c *fakeConn) Quiet() bool {
+	return c.ended || !c.readPosted && c.input.Len() == 0 && c.kernelInput.Len() == 0
 }
 
 // AllTaken reports whether there is no input in the kernel.
-func (s *fakeConn) AllTaken() bool { return s.ended || s.kernelInput.Len() == 0 }
+func (c *fakeConn) AllTaken() bool { return c.ended || c.kernelInput.Len() == 0 }
 
 // Unread reports whether there is input in the kernel.
-func (s *fakeConn) Unread() bool { return !s.ended && s.kernelInput.Len() > 0 }
+func (c *fakeConn) Unread() bool { return !c.ended && c.kernelInput.Len() > 0 }
 
 // Hear has the handler process its input.
-func (s *fakeConn) Hear() {
-	if s.readPosted {
-		s.read()
+func (c *fakeConn) Hear() {
+	if c.readPosted {
+		c.read()
 	}
 }
 
 // Left reports whether the end of the caller's side is next in the kernel.
-func (s *fakeConn) Left() bool {
-	return s.ended || s.rst || s.fin && s.kernelInput.Len() == 0
+func (c *fakeConn) Left() bool {
+	return c.ended || c.rst || c.fin && c.kernelInput.Len() == 0
 }
 
 // EndedAt returns the time at which the connection ended.
-func (s *fakeConn) EndedAt() time.Time { return s.endedAt }
+func (c *fakeConn) EndedAt() time.Time { return c.endedAt }
 
 // Remote returns no address.
-func (s *fakeConn) Remote() string { return "" }
+func (c *fakeConn) Remote() string { return "" }
 
 // Close writes what is queued as far as the kernel accepts it, and ends the connection.
-func (s *fakeConn) Close(reason error) {
-	if s.ended {
+func (c *fakeConn) Close(reason error) {
+	if c.ended {
 		return
 	}
-	if s.awaitsPing() {
-		s.caller.harness.lastStepAt = time.Now()
+	if c.awaitsPing() {
+		c.caller.harness.lastStepAt = time.Now()
 	}
-	if !s.caller.bufferFull && !s.rst {
-		s.writeToKernel()
+	if !c.caller.bufferFull && !c.rst {
+		c.writeToKernel()
 	}
-	s.closedLate = len(s.writeQueue) > 0 && time.Now().After(s.caller.harness.answerDeadline)
-	s.closed = true
-	s.markEnded(reason)
-	s.caller.readAll()
+	c.closedLate = len(c.writeQueue) > 0 && time.Now().After(c.caller.harness.answerDeadline)
+	c.closed = true
+	c.markEnded(reason)
+	c.caller.readAll()
 }
--- a/internal/callers/limits.go
+++ b/internal/callers/limits.go
@@ -91,9 +91,9 @@
 	}
 }
 
-// poll closes connections that are not needed. Those with a call stay open unless a message stays incomplete. A controller that
-// drains keeps only those with a call: its end must be delivered within a second, and there may be no other connection to send it
-// on unless there is a successor.
+// poll closes connections that are not needed. Those with a call stay open unless a message stays incomplete. A closing
+// controller keeps only those with a call: the end of an established call must be delivered within a second, and unless there is
+// a successor, there may be no other connection to send it on.
 func (f *Front) poll() {
 	now := time.Now()
 	closing := f.core.Phase() >= call.Closing
--- a/internal/callers/scenarios_test.go
+++ b/internal/callers/scenarios_test.go
@@ -51,7 +51,7 @@
 	answerDeadline time.Time     // time until which the caller waits for an answer
 	answerWritten  bool          // an answer was written: the call was established
 	endedAt        time.Time     // time of the end at its dispatcher
-	lastStepAt     time.Time     // time of the last step in which more than time passed
+	lastStepAt     time.Time     // time of the last step that was more than a wait
 	unreachableFor time.Duration // time during which the caller had no connection that it reads
 	finalAnswers   int           // number of final answers that the caller has read
 	endsRead       []endRead     // ends that the caller has read
@@ -70,57 +70,57 @@
 // isCallEnd reports whether the caller takes it for the end of its call, and not for the result of a health check.
 func (r endRead) isCallEnd() bool { return !r.conn.forHealthChecks }
 
-func (s *harness) violation(format string, args ...any) {
-	s.violations = append(s.violations, fmt.Sprintf(format, args...))
+func (h *harness) violation(format string, args ...any) {
+	h.violations = append(h.violations, fmt.Sprintf(format, args...))
 }
 
 // newClient returns the caller's side of a connection.
-func (s *harness) newClient(c *fakeConn) clientProtocol {
-	if s.api {
+func (h *harness) newClient(c *fakeConn) clientProtocol {
+	if h.api {
 		return &apiClient{fakeConn: c, dec: websocket.Decoder{}}
 	}
 	return &lineClient{fakeConn: c}
 }
 
 // recordWrite records what the controller writes.
-func (s *harness) recordWrite(text []byte) {
+func (h *harness) recordWrite(text []byte) {
 	if strings.Contains(string(text), `"answer"`) && strings.Contains(string(text), testCallID) {
-		s.answerWritten = true
+		h.answerWritten = true
 	}
 }
 
 // received handles a message that the caller has read.
-func (s *harness) received(on *fakeConn, m *jsonl.Message) {
+func (h *harness) received(on *fakeConn, m *jsonl.Message) {
 	if m.ID != testCallID {
 		return
 	}
 	switch {
 	case m.Type == "answer":
-		s.finalAnswers++
-	case m.Type == "release" && !s.answerWritten:
-		s.finalAnswers++
+		h.finalAnswers++
+	case m.Type == "release" && !h.answerWritten:
+		h.finalAnswers++
 	case m.Type == "release":
-		since := s.endedAt
-		if s.lastStepAt.After(since) {
-			since = s.lastStepAt
+		since := h.endedAt
+		if h.lastStepAt.After(since) {
+			since = h.lastStepAt
 		}
-		for _, earlier := range s.endsRead {
+		for _, earlier := range h.endsRead {
 			if c := earlier.conn; c.isOpen() && !c.forHealthChecks && !c.sentPing {
-				s.violation("the end is repeated, although the connection on which it was read is open")
+				h.violation("the end is repeated, although the connection on which it was read is open")
 			}
 		}
-		s.endsRead = append(s.endsRead, endRead{on, time.Since(since)})
+		h.endsRead = append(h.endsRead, endRead{on, time.Since(since)})
 	}
 }
 
 // sendSetUp sends the set-up of the call, or of another call that is never answered.
-func (s *harness) sendSetUp(on *fakeConn) {
+func (h *harness) sendSetUp(on *fakeConn) {
 	id := testCallID
-	if on == s.callConn {
-		s.answerDeadline = time.Now().Add(callTimeout)
+	if on == h.callConn {
+		h.answerDeadline = time.Now().Add(callTimeout)
 	} else {
-		s.otherSetUps++
-		id = fmt.Sprintf("00000000000000d%d", s.otherSetUps)
+		h.otherSetUps++
+		id = fmt.Sprintf("00000000000000d%d", h.otherSetUps)
 	}
 	on.sentSetUp, on.forHealthChecks = true, false
 	description := "x"
@@ -130,7 +130,7 @@
 }
 
 // sendPing sends a ping.
-func (s *harness) sendPing(on *fakeConn) {
+func (h *harness) sendPing(on *fakeConn) {
 	on.forHealthChecks, on.sentPing = !on.sentSetUp, true
 	on.client.send(jsonl.Message{Type: "ping", ID: "00000000000000e1", Cause: new(int)})
 }
@@ -147,24 +147,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &harness{initialState: start, core: core, listener: &fakeListener{}, dispatchers: &fakeDispatchers{core: core}}
-	s.caller = &fakeCaller{harness: s}
+	h := &harness{initialState: start, core: core, listener: &fakeListener{}, dispatchers: &fakeDispatchers{core: core}}
+	h.caller = &fakeCaller{harness: h}
 	format := func() Format { return &Lines{} }
 	if start.api {
 		format = func() Format { return NewWebSocket(testPath) }
 	}
-	s.front = newFront(loop, core, log, format, Within(0), NewTerms(set))
-	s.front.useListener(s.listener)
-	core.SetDispatchers(s.dispatchers)
-	core.AddFront(s.front)
-	core.OnFlush(s.front.Flush)
-	loop.AddIdleCheck(s.front.Heard)
-	return s
+	h.front = newFront(loop, core, log, format, Within(0), NewTerms(set))
+	h.front.useListener(h.listener)
+	core.SetDispatchers(h.dispatchers)
+	core.AddFront(h.front)
+	core.OnFlush(h.front.Flush)
+	loop.AddIdleCheck(h.front.Heard)
+	return h
 }
 
 // runOnLoop runs a function on the loop, and waits for its immediate effects.
-func (s *harness) runOnLoop(f func()) {
-	s.core.Loop().Post(f)
+func (h *harness) runOnLoop(f func()) {
+	h.core.Loop().Post(f)
 	synctest.Wait()
 }
 
@@ -172,7 +172,7 @@
 type scenarioStep struct {
 	letter byte
 	name   string
-	run    func(s *harness) bool
+	run    func(h *harness) bool
 	after  time.Duration // time that passes after it
 	idle   bool          // nothing but time passes
 }
@@ -182,21 +182,21 @@
 	return scenarioStep{letter, "time passes: " + d.String(), func(*harness) bool { return true }, d, true}
 }
 
-// withCallConn returns a step of the caller on the connection of the call.
+// withCallConn returns the run function of a step in which the caller acts on the connection of the call.
 func withCallConn(f func(*fakeConn)) func(*harness) bool {
-	return func(s *harness) bool {
-		if s.callConn.callerClosed || s.callConn.halfClosed {
+	return func(h *harness) bool {
+		if h.callConn.callerClosed || h.callConn.halfClosed {
 			return false
 		}
-		f(s.callConn)
+		f(h.callConn)
 		return true
 	}
 }
 
-// withServerConn returns a step of the controller on the connection of the call.
+// withServerConn returns the run function of a step in which the controller acts on the connection of the call.
 func withServerConn(f func(*Conn)) func(*harness) bool {
-	return func(s *harness) bool {
-		c, ok := s.callConn.handler.(*Conn)
+	return func(h *harness) bool {
+		c, ok := h.callConn.handler.(*Conn)
 		if !ok || c.closed {
 			return false
 		}
@@ -205,11 +205,11 @@
 	}
 }
 
-// withNewestConn returns a step of the caller on the newest other connection.
+// withNewestConn returns the run function of a step in which the caller acts on the newest other connection.
 func withNewestConn(f func(*fakeConn)) func(*harness) bool {
-	return func(s *harness) bool {
-		open := s.caller.openConns()
-		if len(open) == 0 || open[len(open)-1] == s.callConn {
+	return func(h *harness) bool {
+		open := h.caller.openConns()
+		if len(open) == 0 || open[len(open)-1] == h.callConn {
 			return false
 		}
 		f(open[len(open)-1])
@@ -219,20 +219,20 @@
 
 func allSteps() []scenarioStep {
 	return []scenarioStep{
-		{'a', "the dispatcher answers", func(s *harness) bool { return s.dispatchers.answer() }, 0, false},
-		{'e', "it ends the call", func(s *harness) bool { s.endedAt = time.Now(); return s.dispatchers.endCall() }, 0, false},
-		{'E', "it ends the call, and answers after that", func(s *harness) bool {
-			s.endedAt = time.Now()
-			return s.dispatchers.endBeforeAnswer() && s.dispatchers.answer()
+		{'a', "the dispatcher answers", func(h *harness) bool { return h.dispatchers.answer() }, 0, false},
+		{'e', "it ends the call", func(h *harness) bool { h.endedAt = time.Now(); return h.dispatchers.endCall() }, 0, false},
+		{'E', "it ends the call, and answers after that", func(h *harness) bool {
+			h.endedAt = time.Now()
+			return h.dispatchers.endBeforeAnswer() && h.dispatchers.answer()
 		}, 0, false},
-		{'b', "the caller opens another connection", func(s *harness) bool { s.caller.openConn(); return len(s.caller.conns) < 4 }, 0, false},
-		{'T', "it opens another one, for health checks", func(s *harness) bool {
-			s.caller.openConn().forHealthChecks = true
-			return len(s.caller.conns) < 4
+		{'b', "the caller opens another connection", func(h *harness) bool { h.caller.openConn(); return len(h.caller.conns) < 4 }, 0, false},
+		{'T', "it opens another one, for health checks", func(h *harness) bool {
+			h.caller.openConn().forHealthChecks = true
+			return len(h.caller.conns) < 4
 		}, 0, false},
 		{'s', "it sends a set-up there", withNewestConn(func(c *fakeConn) { c.caller.harness.sendSetUp(c) }), 0, false},
-		{'t', "it sends a ping there", func(s *harness) bool {
-			return withNewestConn(s.sendPing)(s)
+		{'t', "it sends a ping there", func(h *harness) bool {
+			return withNewestConn(h.sendPing)(h)
 		}, 0, false},
 		{'c', "it closes the connection of the call", withCallConn((*fakeConn).close), 0, false},
 		{'x', "it closes that one, and the close is in transit", withCallConn((*fakeConn).closeDelayed), 0, false},
@@ -249,31 +249,31 @@
 		{'w', "another set-up is refused there", withServerConn(func(c *Conn) {
 			c.End(otherCallID, call.End{Cause: call.CauseCongestion, Reason: call.ReasonRefused})
 		}), 0, false},
-		{'p', "the caller is paused", func(s *harness) bool {
-			still := s.caller.paused
-			s.caller.paused = true
+		{'p', "the caller is paused", func(h *harness) bool {
+			still := h.caller.paused
+			h.caller.paused = true
 			return !still
 		}, 0, false},
-		{'f', "the caller is paused, with full buffers", func(s *harness) bool {
-			full := s.caller.bufferFull
-			s.caller.paused, s.caller.bufferFull = true, true
+		{'f', "the caller is paused, with full buffers", func(h *harness) bool {
+			full := h.caller.bufferFull
+			h.caller.paused, h.caller.bufferFull = true, true
 			return !full
 		}, 0, false},
-		{'u', "its messages stay in the kernel of the controller", func(s *harness) bool {
-			unshown := s.caller.inputHeld
-			s.caller.inputHeld = true
+		{'u', "its messages stay in the kernel of the controller", func(h *harness) bool {
+			unshown := h.caller.inputHeld
+			h.caller.inputHeld = true
 			return !unshown
 		}, 0, false},
-		{'g', "everything is unblocked", func(s *harness) bool { return s.caller.unblock() }, 0, false},
-		{'l', "the limit is one connection", func(s *harness) bool {
-			most := s.front.bounds.Connections
-			s.front.Limit(1)
+		{'g', "everything is unblocked", func(h *harness) bool { return h.caller.unblock() }, 0, false},
+		{'l', "the limit is one connection", func(h *harness) bool {
+			most := h.front.bounds.Connections
+			h.front.Limit(1)
 			return most != 1
 		}, 0, false},
-		{'q', "a connection is evicted", func(s *harness) bool { s.front.Squeeze(); return true }, 0, false},
-		{'z', "the controller is evacuated", func(s *harness) bool {
-			serving := s.core.Phase() == call.Serving
-			s.core.Evacuate()
+		{'q', "a connection is evicted", func(h *harness) bool { h.front.Squeeze(); return true }, 0, false},
+		{'z', "the controller is evacuated", func(h *harness) bool {
+			serving := h.core.Phase() == call.Serving
+			h.core.Evacuate()
 			return serving
 		}, 0, false},
 		waitStep('1', 20*time.Millisecond),
@@ -286,122 +286,122 @@
 }
 
 // play plays the steps, and then completes the scenario. It returns false if one of the steps was not possible.
-func (s *harness) play(order []scenarioStep) bool {
-	go s.core.Loop().Run()
+func (h *harness) play(order []scenarioStep) bool {
+	go h.core.Loop().Run()
 	defer func() {
-		s.core.Loop().Quit()
+		h.core.Loop().Quit()
 		synctest.Wait()
 	}()
-	s.runOnLoop(func() {
-		s.core.Update(call.Update{Servers: []call.Server{{ServerEntry: control.ServerEntry{ID: testServer, Status: control.Active}, Address: "first"}}})
-		s.core.DispatcherReached()
+	h.runOnLoop(func() {
+		h.core.Update(call.Update{Servers: []call.Server{{ServerEntry: control.ServerEntry{ID: testServer, Status: control.Active}, Address: "first"}}})
+		h.core.DispatcherReached()
 	})
 	time.Sleep(time.Second)
-	s.runOnLoop(func() { s.callConn = s.caller.openConn() })
-	s.runOnLoop(func() { s.sendSetUp(s.callConn) })
+	h.runOnLoop(func() { h.callConn = h.caller.openConn() })
+	h.runOnLoop(func() { h.sendSetUp(h.callConn) })
 	time.Sleep(10 * time.Millisecond)
-	if s.established {
-		s.runOnLoop(func() { s.dispatchers.answer() })
+	if h.established {
+		h.runOnLoop(func() { h.dispatchers.answer() })
 	}
-	for _, e := range append(stepsFor(s.prefix), order...) {
+	for _, e := range append(stepsFor(h.prefix), order...) {
 		could := false
-		s.runOnLoop(func() {
+		h.runOnLoop(func() {
 			if !e.idle {
-				s.lastStepAt = time.Now()
+				h.lastStepAt = time.Now()
 			}
-			could = e.run(s)
+			could = e.run(h)
 		})
 		if !could {
 			return false
 		}
-		s.advance(e.after)
+		h.advance(e.after)
 	}
-	if s.mustBeRead {
-		s.runOnLoop(func() {
-			if !s.hasReadEnd() {
-				s.violation("the end is not delivered after the last step")
+	if h.mustBeRead {
+		h.runOnLoop(func() {
+			if !h.hasReadEnd() {
+				h.violation("the end is not delivered after the last step")
 			}
 		})
 	}
-	s.settle()
+	h.settle()
 	return true
 }
 
 // advance lets time pass, and adds it up while the caller reads nowhere.
-func (s *harness) advance(d time.Duration) {
+func (h *harness) advance(d time.Duration) {
 	if d == 0 {
 		return
 	}
 	time.Sleep(d)
-	s.runOnLoop(func() {
-		if s.caller.paused || s.caller.inputHeld || len(s.caller.openConns()) == 0 {
-			s.unreachableFor += d
+	h.runOnLoop(func() {
+		if h.caller.paused || h.caller.inputHeld || len(h.caller.openConns()) == 0 {
+			h.unreachableFor += d
 		}
 	})
 }
 
 // settle unblocks everything, sends the missing pings and ends the call. Then it checks that the end is delivered: at once if the
 // caller has an open connection that it reads, otherwise on one that it opens.
-func (s *harness) settle() {
-	s.runOnLoop(func() {
-		if s.caller.paused || s.caller.inputHeld {
-			s.lastStepAt = time.Now()
+func (h *harness) settle() {
+	h.runOnLoop(func() {
+		if h.caller.paused || h.caller.inputHeld {
+			h.lastStepAt = time.Now()
 		}
-		s.caller.unblock()
-		for _, c := range s.caller.openConns() {
+		h.caller.unblock()
+		for _, c := range h.caller.openConns() {
 			if c.awaitsPing() {
-				s.sendPing(c)
-				s.lastStepAt = time.Now()
+				h.sendPing(c)
+				h.lastStepAt = time.Now()
 			}
 		}
 	})
-	s.advance(2 * closeTransit)
-	s.runOnLoop(func() {
-		if s.dispatchers.established {
-			s.endedAt = time.Now()
-			s.dispatchers.endCall()
+	h.advance(2 * closeTransit)
+	h.runOnLoop(func() {
+		if h.dispatchers.established {
+			h.endedAt = time.Now()
+			h.dispatchers.endCall()
 		}
 	})
-	s.advance(maxEndDelay + pollInterval)
-	s.runOnLoop(func() {
-		if s.answerWritten && !s.hasReadEnd() && !s.discarded && s.hasUsableConn() {
-			s.violation("the end is not delivered although a connection is open")
+	h.advance(maxEndDelay + pollInterval)
+	h.runOnLoop(func() {
+		if h.answerWritten && !h.hasReadEnd() && !h.discarded && h.hasUsableConn() {
+			h.violation("the end is not delivered although a connection is open")
 		}
-		s.lastStepAt = time.Now()
-		s.sendSetUp(s.caller.openConn())
+		h.lastStepAt = time.Now()
+		h.sendSetUp(h.caller.openConn())
 	})
-	s.advance(maxEndDelay)
-	s.advance(callTimeout)
-	s.runOnLoop(s.check)
+	h.advance(maxEndDelay)
+	h.advance(callTimeout)
+	h.runOnLoop(h.check)
 }
 
 // hasUsableConn reports whether the caller has an open connection for its calls.
-func (s *harness) hasUsableConn() bool {
-	return slices.ContainsFunc(s.caller.openConns(), func(c *fakeConn) bool { return c.sentSetUp })
+func (h *harness) hasUsableConn() bool {
+	return slices.ContainsFunc(h.caller.openConns(), func(c *fakeConn) bool { return c.sentSetUp })
 }
 
 // hasReadEnd reports whether the caller has read the end of its call as such.
-func (s *harness) hasReadEnd() bool {
-	return slices.ContainsFunc(s.endsRead, endRead.isCallEnd)
+func (h *harness) hasReadEnd() bool {
+	return slices.ContainsFunc(h.endsRead, endRead.isCallEnd)
 }
 
 // check checks that the end of an established call was delivered in time, and that there was one final answer, unless the
-// caller's kernel did not accept it until the caller's deadline.
-func (s *harness) check() {
-	if s.finalAnswers > 1 || s.finalAnswers == 0 && !s.callConn.endedByCaller && !s.callConn.closedLate {
-		s.violation("%d final answers", s.finalAnswers)
+// caller disconnected, or its kernel did not accept the answer before the caller's deadline.
+func (h *harness) check() {
+	if h.finalAnswers > 1 || h.finalAnswers == 0 && !h.callConn.endedByCaller && !h.callConn.closedLate {
+		h.violation("%d final answers", h.finalAnswers)
 	}
-	if s.unreachableFor >= endTimeout || s.discarded { // the caller no longer expects the end, or did not read it when it could
+	if h.unreachableFor >= endTimeout || h.discarded { // the caller no longer expects the end, or did not read it when it could
 		return
 	}
-	if s.answerWritten && !s.hasReadEnd() {
-		s.violation("the end is not delivered")
+	if h.answerWritten && !h.hasReadEnd() {
+		h.violation("the end is not delivered")
 	}
-	if i := slices.IndexFunc(s.endsRead, endRead.isCallEnd); i >= 0 && s.endsRead[i].delay > maxEndDelay {
-		s.violation("the end is delivered with a delay of %v", s.endsRead[i].delay)
+	if i := slices.IndexFunc(h.endsRead, endRead.isCallEnd); i >= 0 && h.endsRead[i].delay > maxEndDelay {
+		h.violation("the end is delivered with a delay of %v", h.endsRead[i].delay)
 	}
-	if s.exactlyOnce && len(s.endsRead) != 1 {
-		s.violation("the end is delivered %d times", len(s.endsRead))
+	if h.exactlyOnce && len(h.endsRead) != 1 {
+		h.violation("the end is delivered %d times", len(h.endsRead))
 	}
 }
 
@@ -425,9 +425,9 @@
 func (start initialState) play(t *testing.T, order []scenarioStep) (result scenarioResult) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := newHarness(t, start)
-		result.possible = s.play(order)
-		result.violations = s.violations
+		h := newHarness(t, start)
+		result.possible = h.play(order)
+		result.violations = h.violations
 	})
 	return result
 }
--- a/internal/callers/unsent_answer_test.go
+++ b/internal/callers/unsent_answer_test.go
@@ -117,16 +117,16 @@
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				s := newHarness(t, initialState{})
+				h := newHarness(t, initialState{})
 				stays, want := false, after < callTimeout
-				squeeze := scenarioStep{'-', "a connection is evicted", func(s *harness) bool {
-					s.front.Squeeze()
-					c, ok := s.callConn.handler.(*Conn)
+				squeeze := scenarioStep{'-', "a connection is evicted", func(h *harness) bool {
+					h.front.Squeeze()
+					c, ok := h.callConn.handler.(*Conn)
 					stays = ok && !c.closed
 					return true
 				}, 0, false}
 				order := slices.Concat(stepsFor("fE"), []scenarioStep{waitStep('-', after), squeeze})
-				if !s.play(order) || stays != want {
+				if !h.play(order) || stays != want {
 					t.Errorf("the connection stays open: %v, want %v", stays, want)
 				}
 			})
@@ -139,18 +139,18 @@
 func TestAnUnsentAnswerAsASuccessorServes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := newHarness(t, initialState{})
-		supersede := scenarioStep{'-', "a successor serves", func(s *harness) bool {
-			s.core.Supersede(func(string, call.End) bool { return false })
+		h := newHarness(t, initialState{})
+		supersede := scenarioStep{'-', "a successor serves", func(h *harness) bool {
+			h.core.Supersede(func(string, call.End) bool { return false })
 			return true
 		}, 2 * newConnGracePeriod, false}
 		finals := 0
-		readOn := scenarioStep{'-', "the caller reads on", func(s *harness) bool {
-			s.caller.unblock()
-			finals = s.finalAnswers
+		readOn := scenarioStep{'-', "the caller reads on", func(h *harness) bool {
+			h.caller.unblock()
+			finals = h.finalAnswers
 			return true
 		}, 0, false}
-		if !s.play(slices.Concat(stepsFor("fa"), []scenarioStep{supersede, readOn})) || finals != 1 {
+		if !h.play(slices.Concat(stepsFor("fa"), []scenarioStep{supersede, readOn})) || finals != 1 {
 			t.Errorf("%d final answers, want 1", finals)
 		}
 	})
