--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -137,14 +137,14 @@
 }
 
 // New returns a front for a listening socket. It accepts connections once its listener is started.
-func New(loop *call.Loop, core Core, log *slog.Logger, tcp *net.TCPListener, format func() Format, bounds Bounds, terms *Terms) *Front {
-	f := newFront(loop, core, log, format, bounds, terms)
+func New(loop *call.Loop, core Core, log *slog.Logger, tcp *net.TCPListener, format func() Format, bounds Bounds, rules *Terms) *Front {
+	f := newFront(loop, core, log, format, bounds, rules)
 	f.useListener(conn.NewListener(loop, tcp, bounds.Most(), func(c *conn.Conn) conn.Handler { return f.accept(c) }))
 	return f
 }
 
-func newFront(loop *call.Loop, core Core, log *slog.Logger, format func() Format, bounds Bounds, terms *Terms) *Front {
-	return &Front{core: core, loop: loop, log: log, newFormat: format, bounds: bounds, rules: terms}
+func newFront(loop *call.Loop, core Core, log *slog.Logger, format func() Format, bounds Bounds, rules *Terms) *Front {
+	return &Front{core: core, loop: loop, log: log, newFormat: format, bounds: bounds, rules: rules}
 }
 
 // useListener sets the listener and starts the checks of the connections.
@@ -166,18 +166,18 @@
 }
 
 // Retune replaces the rules for set-ups.
-func (f *Front) Retune(terms *Terms) { f.rules = terms }
+func (f *Front) Retune(rules *Terms) { f.rules = rules }
 
 func (f *Front) accept(c connection) conn.Handler {
 	now := time.Now()
-	cc := &Conn{front: f, conn: c, format: f.newFormat(), lastUsedAt: now, waitingSince: now}
-	cc.number = lastConnNumber.Add(1)
-	f.conns = append(f.conns, cc)
-	cc.markOpen()
+	accepted := &Conn{front: f, conn: c, format: f.newFormat(), lastUsedAt: now, waitingSince: now}
+	accepted.number = lastConnNumber.Add(1)
+	f.conns = append(f.conns, accepted)
+	accepted.markOpen()
 	if f.overLimit() {
-		f.evict(cc)
+		f.evict(accepted)
 	}
-	return cc
+	return accepted
 }
 
 // Flush sends the buffered output of all connections.
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -140,24 +140,24 @@
 		if c.resumes++; c.resumes > maxResumes {
 			return call.ErrTooManyResumes
 		}
-		claim := call.ResumeRequest{Caller: c, ID: m.ID, Token: string(m.Fields["token"]), Answered: m.Fields["answered"] == "1"}
-		awaited := at.Add(c.front.rules.longestTimeout())
+		request := call.ResumeRequest{Caller: c, ID: m.ID, Token: string(m.Fields["token"]), Answered: m.Fields["answered"] == "1"}
+		deadline := at.Add(c.front.rules.longestTimeout())
 		if left, err := m.Int("left"); err == nil && left >= 0 && left <= maxTimeLeft.Milliseconds() {
-			claim.Deadline = at.Add(time.Duration(left) * time.Millisecond)
-			awaited = earlier(awaited, claim.Deadline)
+			request.Deadline = at.Add(time.Duration(left) * time.Millisecond)
+			deadline = earlier(deadline, request.Deadline)
 		}
-		c.extendAnswerDeadline(awaited)
-		return c.front.core.ResumeCall(claim)
+		c.extendAnswerDeadline(deadline)
+		return c.front.core.ResumeCall(request)
 	case "ping":
 		if !c.receivedPing && !c.receivedRequest {
 			c.markAsHealthCheck()
 		}
 		c.receivedPing = true
-		passed := 0
+		ready := 0
 		if c.front.core.Ready() {
-			passed = 1
+			ready = 1
 		}
-		c.write(jsonl.Message{Type: "pong", ID: m.ID, Cause: &passed})
+		c.write(jsonl.Message{Type: "pong", ID: m.ID, Cause: &ready})
 	case "released", "progress", "pong", "state":
 	default:
 		c.front.log.Debug("message of unknown type ignored", "type", m.Type)
@@ -233,19 +233,19 @@
 	c.closed = true
 	c.wasReset = c.wasReset || isReset(reason)
 	f := c.front
-	f.conns = slices.DeleteFunc(f.conns, func(o *Conn) bool { return o == c })
-	f.openConns = slices.DeleteFunc(f.openConns, func(o *Conn) bool { return o == c })
+	f.conns = slices.DeleteFunc(f.conns, func(other *Conn) bool { return other == c })
+	f.openConns = slices.DeleteFunc(f.openConns, func(other *Conn) bool { return other == c })
 	if !errors.Is(reason, io.EOF) && !errors.Is(reason, conn.ErrClosedHere) {
 		f.log.Warn("connection from callers closed", "peer", c.conn.Remote(), "reason", reason)
 	}
 	c.logEnded(reason)
 	f.core.CallerDisconnected(c)
-	for _, t := range c.sentEnds {
-		if c.maybeUnread(t) {
-			c.logCall(endlog.EndUnread, t.id)
-			c.redeliver(t)
+	for _, sent := range c.sentEnds {
+		if c.maybeUnread(sent) {
+			c.logCall(endlog.EndUnread, sent.id)
+			c.redeliver(sent)
 		} else {
-			c.logCall(endlog.EndCountsRead, t.id)
+			c.logCall(endlog.EndCountsRead, sent.id)
 		}
 	}
 	c.sentEnds = nil
--- a/internal/callers/drain_test.go
+++ b/internal/callers/drain_test.go
@@ -13,10 +13,10 @@
 
 // establish runs the loop, with an established call on the caller's only connection. The channel is closed once the loop has
 // ended.
-func (h *harness) establish() (left <-chan struct{}) {
-	ended := make(chan struct{})
+func (h *harness) establish() (done <-chan struct{}) {
+	loopEnded := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(loopEnded)
 		h.core.Loop().Run()
 	}()
 	h.runOnLoop(func() {
@@ -28,7 +28,7 @@
 	h.runOnLoop(func() { h.sendSetUp(h.callConn) })
 	time.Sleep(10 * time.Millisecond)
 	h.runOnLoop(func() { h.dispatchers.answer() })
-	return ended
+	return loopEnded
 }
 
 // endAfterClose closes the only connection, and then the call ends.
@@ -50,11 +50,11 @@
 }
 
 // checkDrainTime waits for the end of the loop, and checks the time that it took since SIGTERM.
-func checkDrainTime(t *testing.T, left <-chan struct{}, since time.Time, least, most time.Duration) {
+func checkDrainTime(t *testing.T, done <-chan struct{}, since time.Time, atLeast, atMost time.Duration) {
 	t.Helper()
-	<-left
-	if took := time.Since(since); took < least || took > most {
-		t.Errorf("the controller ended %v after SIGTERM, want %v to %v", took, least, most)
+	<-done
+	if took := time.Since(since); took < atLeast || took > atMost {
+		t.Errorf("the controller ended %v after SIGTERM, want %v to %v", took, atLeast, atMost)
 	}
 }
 
@@ -70,33 +70,33 @@
 // TestADrainWaitsForPendingEnds guards against the lost end of a call: it waits for a caller to connect, and the controller ends
 // before one does.
 func TestADrainWaitsForPendingEnds(t *testing.T) {
-	const backAfter, waited = 2 * time.Second, endTimeout - 1500*time.Millisecond
+	const reconnectDelay, waitBefore = 2 * time.Second, endTimeout - 1500*time.Millisecond
 	for name, test := range map[string]struct {
 		play        func(h *harness) (since time.Time)
-		heard       bool
+		wantRead    bool
 		least, most time.Duration
 	}{
 		"the caller reconnects": {func(h *harness) time.Time {
 			h.endAfterClose()
 			since := h.drain()
-			h.reconnectAfter(backAfter)
+			h.reconnectAfter(reconnectDelay)
 			return since
-		}, true, backAfter, backAfter + crossingTime + detectionTime},
+		}, true, reconnectDelay, reconnectDelay + crossingTime + detectionTime},
 		"the call ends during the drain, and the caller reconnects": {func(h *harness) time.Time {
 			since := h.drain()
 			h.endAfterClose()
-			h.reconnectAfter(backAfter)
+			h.reconnectAfter(reconnectDelay)
 			return since
-		}, true, backAfter, backAfter + crossingTime + detectionTime},
+		}, true, reconnectDelay, reconnectDelay + crossingTime + detectionTime},
 		"no caller connects": {func(h *harness) time.Time {
 			h.endAfterClose()
 			return h.drain()
 		}, false, maxDrainTime, maxDrainTime + detectionTime},
 		"the end is about to expire": {func(h *harness) time.Time {
 			h.endAfterClose()
-			time.Sleep(waited)
+			time.Sleep(waitBefore)
 			return h.drain()
-		}, false, endTimeout - waited, endTimeout - waited + detectionTime},
+		}, false, endTimeout - waitBefore, endTimeout - waitBefore + detectionTime},
 		"the caller has read it": {func(h *harness) time.Time {
 			h.runOnLoop(func() { h.dispatchers.endCall() })
 			return h.drain()
@@ -106,10 +106,10 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				h := newHarness(t, initialState{})
-				left := h.establish()
-				checkDrainTime(t, left, test.play(h), test.least, test.most)
-				if h.hasReadEnd() != test.heard {
-					t.Errorf("the caller has read the end: %v, want %v", h.hasReadEnd(), test.heard)
+				done := h.establish()
+				checkDrainTime(t, done, test.play(h), test.least, test.most)
+				if h.hasReadEnd() != test.wantRead {
+					t.Errorf("the caller has read the end: %v, want %v", h.hasReadEnd(), test.wantRead)
 				}
 			})
 		})
@@ -131,11 +131,11 @@
 // caller closes it, and the controller ends before it notices the close. Ends on the connections of their calls do not delay a
 // drain.
 func TestADrainWaitsForEndsThatCrossAClose(t *testing.T) {
-	const endsAt, backAfter = minDrainTime - closeTransit/2, time.Second
-	ends := func(h *harness, first func()) {
-		time.Sleep(endsAt)
+	const endDelay, reconnectDelay = minDrainTime - closeTransit/2, time.Second
+	endCallAfterDelay := func(h *harness, before func()) {
+		time.Sleep(endDelay)
 		h.runOnLoop(func() {
-			first()
+			before()
 			h.dispatchers.endCall()
 		})
 	}
@@ -146,20 +146,20 @@
 		"another connection closes": {func(h *harness) time.Time {
 			h.runOnLoop(func() { h.callConn.close() })
 			idle, since := h.openIdleConn(), h.drain()
-			ends(h, idle.closeDelayed)
-			h.reconnectAfter(backAfter)
+			endCallAfterDelay(h, idle.closeDelayed)
+			h.reconnectAfter(reconnectDelay)
 			return since
-		}, endsAt + backAfter, endsAt + backAfter + crossingTime + detectionTime},
+		}, endDelay + reconnectDelay, endDelay + reconnectDelay + crossingTime + detectionTime},
 		"another connection stays open": {func(h *harness) time.Time {
 			h.runOnLoop(func() { h.callConn.close() })
 			h.openIdleConn()
 			since := h.drain()
-			ends(h, func() {})
+			endCallAfterDelay(h, func() {})
 			return since
-		}, endsAt + crossingTime, endsAt + crossingTime + detectionTime},
+		}, endDelay + crossingTime, endDelay + crossingTime + detectionTime},
 		"the call's own connection is reset, and the reset is not delivered yet": {func(h *harness) time.Time {
 			since := h.drain()
-			time.Sleep(endsAt)
+			time.Sleep(endDelay)
 			h.runOnLoop(func() {
 				h.dispatchers.endCall()
 				h.caller.inputHeld = true
@@ -167,12 +167,12 @@
 			})
 			time.Sleep(closeTransit)
 			h.runOnLoop(func() { h.caller.unblock() })
-			h.reconnectAfter(backAfter)
+			h.reconnectAfter(reconnectDelay)
 			return since
-		}, endsAt + backAfter, endsAt + backAfter + crossingTime + detectionTime},
+		}, endDelay + reconnectDelay, endDelay + reconnectDelay + crossingTime + detectionTime},
 		"the call's own connection": {func(h *harness) time.Time {
 			since := h.drain()
-			ends(h, func() {})
+			endCallAfterDelay(h, func() {})
 			return since
 		}, minDrainTime, minDrainTime + detectionTime},
 	} {
@@ -180,8 +180,8 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				h := newHarness(t, initialState{})
-				left := h.establish()
-				checkDrainTime(t, left, test.play(h), test.least, test.most)
+				done := h.establish()
+				checkDrainTime(t, done, test.play(h), test.least, test.most)
 				if !h.hasReadEnd() {
 					t.Error("the end of the call is lost")
 				}
@@ -214,18 +214,18 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				h := newHarness(t, initialState{})
-				left := h.establish()
+				done := h.establish()
 				defer func() {
 					h.core.Loop().Quit()
-					<-left
+					<-done
 				}()
 				test.before(h)
-				var taken []string
+				var relayed []string
 				busy := test.busy
 				h.runOnLoop(func() {
 					h.core.Supersede(func(id string, _ call.End) bool {
 						if !busy {
-							taken = append(taken, id)
+							relayed = append(relayed, id)
 						}
 						return !busy
 					})
@@ -235,8 +235,8 @@
 				h.runOnLoop(func() { busy = false })
 				time.Sleep(maxEndDelay - relayBusyFor)
 				h.runOnLoop(func() {
-					if want := []string{testCallID}; !slices.Equal(taken, want) || len(h.front.pendingEnds) > 0 {
-						t.Errorf("ends relayed to the successor: %v, want %v; %d are still pending", taken, want, len(h.front.pendingEnds))
+					if want := []string{testCallID}; !slices.Equal(relayed, want) || len(h.front.pendingEnds) > 0 {
+						t.Errorf("ends relayed to the successor: %v, want %v; %d are still pending", relayed, want, len(h.front.pendingEnds))
 					}
 				})
 			})
--- a/internal/callers/ends.go
+++ b/internal/callers/ends.go
@@ -39,40 +39,40 @@
 	}
 	pending := f.pendingEnds
 	f.pendingEnds = nil
-	for _, r := range pending {
-		if superseded && f.core.RelayToSuccessor(r.id, r.end) {
+	for _, e := range pending {
+		if superseded && f.core.RelayToSuccessor(e.id, e.end) {
 			continue
 		}
-		if !f.sendOnAnyConn(r) {
-			f.pendingEnds = append(f.pendingEnds, r)
+		if !f.sendOnAnyConn(e) {
+			f.pendingEnds = append(f.pendingEnds, e)
 		}
 	}
 }
 
 // dropExpired drops the ends that have waited for too long.
 func (f *Front) dropExpired() {
-	f.pendingEnds = slices.DeleteFunc(f.pendingEnds, func(r callEnd) bool {
-		if time.Since(r.queuedAt) < endTimeout {
+	f.pendingEnds = slices.DeleteFunc(f.pendingEnds, func(e callEnd) bool {
+		if time.Since(e.queuedAt) < endTimeout {
 			return false
 		}
-		f.drop(r, "no caller connected in time")
+		f.drop(e, "no caller connected in time")
 		return true
 	})
 }
 
 // dropPending drops all waiting ends when the front closes.
 func (f *Front) dropPending() {
-	for _, r := range f.pendingEnds {
-		f.drop(r, "the process ends")
+	for _, e := range f.pendingEnds {
+		f.drop(e, "the process ends")
 	}
 	f.pendingEnds = nil
 }
 
 // drop drops the end of a call: this process does not deliver it.
-func (f *Front) drop(r callEnd, reason string) {
+func (f *Front) drop(e callEnd, reason string) {
 	f.endCounts.Dropped++
-	endlog.Call(f.log, endlog.EndDropped, r.id)
-	f.log.Warn("end of a call given up", "id", r.id, "cause", r.end.Cause, "reason", reason, "waited", time.Since(r.queuedAt))
+	endlog.Call(f.log, endlog.EndDropped, e.id)
+	f.log.Warn("end of a call given up", "id", e.id, "cause", e.end.Cause, "reason", reason, "waited", time.Since(e.queuedAt))
 }
 
 // Release sends the end of a call whose connection is not known.
@@ -81,27 +81,27 @@
 }
 
 // deliverOrQueue sends the end of an established call, or queues it until there is a connection for it.
-func (f *Front) deliverOrQueue(r callEnd) {
-	if f.sendOnAnyConn(r) {
+func (f *Front) deliverOrQueue(e callEnd) {
+	if f.sendOnAnyConn(e) {
 		return
 	}
 	f.dropExpired()
-	endlog.Call(f.log, endlog.EndWaits, r.id)
+	endlog.Call(f.log, endlog.EndWaits, e.id)
 	f.endCounts.Waited++
-	f.pendingEnds = append(f.pendingEnds, r)
+	f.pendingEnds = append(f.pendingEnds, e)
 }
 
 // sendOnAnyConn sends the end of a call on an open connection that accepts it, and reports whether there is one. It prefers a
 // connection that had an established call to one with requests only, which may be anyone's, and among equals the one that was
 // used last.
-func (f *Front) sendOnAnyConn(r callEnd) bool {
-	hears := slices.DeleteFunc(slices.Clone(f.openConns), func(c *Conn) bool { return !c.acceptsEnds() })
-	slices.SortStableFunc(hears, func(a, b *Conn) int {
+func (f *Front) sendOnAnyConn(e callEnd) bool {
+	candidates := slices.DeleteFunc(slices.Clone(f.openConns), func(c *Conn) bool { return !c.acceptsEnds() })
+	slices.SortStableFunc(candidates, func(a, b *Conn) int {
 		return cmp.Or(cmp.Compare(b.endPriority(), a.endPriority()), b.lastUsedAt.Compare(a.lastUsedAt))
 	})
-	for _, c := range hears {
+	for _, c := range candidates {
 		if !c.callerDisconnected() {
-			c.sendEnd(r).onOtherConn = true
+			c.sendEnd(e).onOtherConn = true
 			return true
 		}
 	}
@@ -121,43 +121,43 @@
 
 // NotifyTerminated sends the end of an established call, on another connection if this one has closed.
 func (c *Conn) NotifyTerminated(id string, end call.End) {
-	r := callEnd{id: id, end: end, queuedAt: time.Now()}
+	e := callEnd{id: id, end: end, queuedAt: time.Now()}
 	if c.callerDisconnected() {
-		c.front.deliverOrQueue(r)
+		c.front.deliverOrQueue(e)
 		return
 	}
-	c.sendEnd(r)
+	c.sendEnd(e)
 }
 
-func (c *Conn) writeRelease(r callEnd, then func()) {
-	m := jsonl.Message{Type: "release", ID: r.id, Cause: &r.end.Cause, Fields: map[string]jsonl.Value{}}
-	if r.end.HoldOff > 0 {
-		m.Fields["wait"] = jsonl.Value(strconv.FormatInt(r.end.HoldOff.Milliseconds(), 10))
+func (c *Conn) writeRelease(e callEnd, then func()) {
+	m := jsonl.Message{Type: "release", ID: e.id, Cause: &e.end.Cause, Fields: map[string]jsonl.Value{}}
+	if e.end.HoldOff > 0 {
+		m.Fields["wait"] = jsonl.Value(strconv.FormatInt(e.end.HoldOff.Milliseconds(), 10))
 	}
 	if c.format.NamesErrors() {
-		m.Fields["error"] = jsonl.Value(r.end.Reason)
+		m.Fields["error"] = jsonl.Value(e.end.Reason)
 	}
 	c.writeThen(m, then)
 }
 
 // sendEnd sends the end of an established call and keeps it for some time: callers close connections without calls, and an end
 // that crosses the close is lost.
-func (c *Conn) sendEnd(r callEnd) *sentEnd {
-	c.logCall(endlog.EndQueued, r.id)
-	r.queuedAt = time.Now()
-	t := &sentEnd{callEnd: r}
-	c.writeRelease(r, func() { c.recordWritten(t) })
-	c.sentEnds = slices.DeleteFunc(c.sentEnds, func(o *sentEnd) bool { return !c.maybeUnread(o) && time.Since(o.sentAt) > maxUnreadTime })
-	c.sentEnds = append(c.sentEnds, t)
-	return t
+func (c *Conn) sendEnd(e callEnd) *sentEnd {
+	c.logCall(endlog.EndQueued, e.id)
+	e.queuedAt = time.Now()
+	s := &sentEnd{callEnd: e}
+	c.writeRelease(e, func() { c.recordWritten(s) })
+	c.sentEnds = slices.DeleteFunc(c.sentEnds, func(other *sentEnd) bool { return !c.maybeUnread(other) && time.Since(other.sentAt) > maxUnreadTime })
+	c.sentEnds = append(c.sentEnds, s)
+	return s
 }
 
 // recordWritten records that all of an end was written to the socket.
-func (c *Conn) recordWritten(t *sentEnd) {
-	c.logCall(endlog.EndWithKernel, t.id)
-	t.sentAt = time.Now()
-	if t.firstSentAt.IsZero() {
-		t.firstSentAt = t.sentAt
+func (c *Conn) recordWritten(s *sentEnd) {
+	c.logCall(endlog.EndWithKernel, s.id)
+	s.sentAt = time.Now()
+	if s.firstSentAt.IsZero() {
+		s.firstSentAt = s.sentAt
 	}
 	c.front.endCounts.Told++
 }
@@ -170,13 +170,13 @@
 		return slices.ContainsFunc(c.sentEnds, c.maybeUnread)
 	}
 	return c.front.core.PendingOf(c) == 0 && c.front.core.EstablishedOf(c) == 0 &&
-		slices.ContainsFunc(c.sentEnds, func(t *sentEnd) bool { return t.onOtherConn && c.maybeUnread(t) })
+		slices.ContainsFunc(c.sentEnds, func(s *sentEnd) bool { return s.onOtherConn && c.maybeUnread(s) })
 }
 
 // redeliver sends the end of a call on another connection, as it may not have been read on this one.
-func (c *Conn) redeliver(t *sentEnd) {
+func (c *Conn) redeliver(s *sentEnd) {
 	c.front.endCounts.Repeated++
-	c.front.deliverOrQueue(t.callEnd)
+	c.front.deliverOrQueue(s.callEnd)
 }
 
 // markAsHealthCheck marks the connection as a health check, and sends the ends that were sent on it on others: the sender of the
@@ -184,10 +184,10 @@
 func (c *Conn) markAsHealthCheck() {
 	sent := c.sentEnds
 	c.sentEnds, c.receivedPing = nil, true
-	for _, t := range sent {
-		c.logCall(endlog.EndForTest, t.id)
-		t.firstSentAt = time.Time{} // no caller has received it
-		c.redeliver(t)
+	for _, s := range sent {
+		c.logCall(endlog.EndForTest, s.id)
+		s.firstSentAt = time.Time{} // no caller has received it
+		c.redeliver(s)
 	}
 }
 
@@ -195,17 +195,17 @@
 // shortly before now or before the end of the connection, the connection was reset, or no message was ever received on it. A
 // socket that is closed with unread input sends a reset. An end that was first sent endTimeout ago counts as read, since a caller
 // may close all its connections by a reset.
-func (c *Conn) maybeUnread(t *sentEnd) bool {
-	if t.sentAt.IsZero() {
+func (c *Conn) maybeUnread(s *sentEnd) bool {
+	if s.sentAt.IsZero() {
 		return true
 	}
-	if time.Since(t.firstSentAt) >= endTimeout {
+	if time.Since(s.firstSentAt) >= endTimeout {
 		return false
 	}
-	until := c.conn.EndedAt()
-	if until.IsZero() {
-		until = time.Now()
+	endedAt := c.conn.EndedAt()
+	if endedAt.IsZero() {
+		endedAt = time.Now()
 	}
-	age := until.Sub(t.sentAt)
+	age := endedAt.Sub(s.sentAt)
 	return age <= crossingTime || c.wasReset && age <= maxUnreadTime || !c.receivedRequest && !c.receivedPing && age <= endTimeout
 }
--- a/internal/callers/ends_maybe_unread_test.go
+++ b/internal/callers/ends_maybe_unread_test.go
@@ -40,9 +40,9 @@
 	t.Parallel()
 	now := time.Now()
 	for name, test := range map[string]struct {
-		asked  bool
-		leftAt time.Time
-		want   bool
+		receivedRequest bool
+		writtenAt       time.Time
+		want            bool
 	}{
 		"not written":      {true, time.Time{}, true},
 		"just written":     {true, now, true},
@@ -50,8 +50,8 @@
 		"written long ago, and no message was ever received":      {false, now.Add(-2 * crossingTime), true},
 		"written very long ago, and no message was ever received": {false, now.Add(-2 * endTimeout), false},
 	} {
-		c := &Conn{conn: new(conn.Conn), receivedRequest: test.asked}
-		if got := c.maybeUnread(&sentEnd{callEnd: callEnd{firstSentAt: test.leftAt}, sentAt: test.leftAt}); got != test.want {
+		c := &Conn{conn: new(conn.Conn), receivedRequest: test.receivedRequest}
+		if got := c.maybeUnread(&sentEnd{callEnd: callEnd{firstSentAt: test.writtenAt}, sentAt: test.writtenAt}); got != test.want {
 			t.Errorf("%s: may be unread: %v, want %v", name, got, test.want)
 		}
 	}
@@ -61,7 +61,7 @@
 // connection late.
 func TestAnEndSentShortlyBeforeItsConnectionEnds(t *testing.T) {
 	t.Parallel()
-	for name, ends := range map[string]func(*peer.Caller, *Conn) error{
+	for name, endConn := range map[string]func(*peer.Caller, *Conn) error{
 		"the peer closes it":  func(p *peer.Caller, _ *Conn) error { return p.Close() },
 		"this side closes it": func(_ *peer.Caller, c *Conn) error { c.conn.Close(conn.ErrClosedHere); return nil },
 		"this side aborts it": func(_ *peer.Caller, c *Conn) error { c.conn.(*conn.Conn).Abort(conn.ErrClosedHere); return nil },
@@ -73,7 +73,7 @@
 			onLoop(f.loop, func() { // the loop is busy until long after the end of the connection
 				c.receivedRequest = true
 				end := &sentEnd{callEnd: callEnd{firstSentAt: time.Now()}, sentAt: time.Now()}
-				if err := ends(callers[0], c); err != nil {
+				if err := endConn(callers[0], c); err != nil {
 					t.Error(err)
 				}
 				for until := time.Now().Add(peer.Patience); c.conn.EndedAt().IsZero() && time.Now().Before(until); time.Sleep(time.Millisecond) {
@@ -127,20 +127,20 @@
 func TestAClosingControllerKeepsConnectionsInUse(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
-		standing int
-		told     bool
-		kept     bool
+		established int
+		endSent     bool
+		kept        bool
 	}{"a call is established": {1, false, true}, "an end may be unread": {0, true, true}, "nothing is left to deliver": {0, false, false}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f, _, conns := newFrontWithConns(t, &closingCore{stubCore: *newStubCore(), established: 1}, 1)
 			onLoop(f.loop, func() {
 				core, _ := f.core.(*closingCore)
-				if test.told {
+				if test.endSent {
 					conns[0].NotifyTerminated("00000000000000f1", call.End{Cause: call.CauseNormal})
 					conns[0].conn.Flush()
 				}
-				core.established = test.standing
+				core.established = test.established
 				conns[0].waitingSince = time.Now().Add(-2 * newConnGracePeriod)
 				f.poll()
 				if kept := !conns[0].closed; kept != test.kept {
--- a/internal/callers/ends_repeat_limit_test.go
+++ b/internal/callers/ends_repeat_limit_test.go
@@ -38,14 +38,14 @@
 			h.runOnLoop(func() { last = h.caller.openConn() })
 			h.runOnLoop(func() { h.sendSetUp(last) })
 		}
-		told := len(h.endsRead)
-		if told < 2 {
-			t.Fatalf("the end was sent %d times, want it repeated after the first reset", told)
+		count := len(h.endsRead)
+		if count < 2 {
+			t.Fatalf("the end was sent %d times, want it repeated after the first reset", count)
 		}
 		h.runOnLoop(func() {
 			for _, c := range h.front.conns {
 				if len(c.sentEnds) > 0 {
-					t.Errorf("the end is still kept for repetition %v after it, sent %d times so far", time.Since(endedAt), told)
+					t.Errorf("the end is still kept for repetition %v after it, sent %d times so far", time.Since(endedAt), count)
 				}
 			}
 			if n := len(h.front.pendingEnds); n > 0 {
--- a/internal/callers/ends_reset_test.go
+++ b/internal/callers/ends_reset_test.go
@@ -37,13 +37,13 @@
 func (c *endedConn) Close(error) {}
 
 // withEndedConn runs a step on the loop with a connection on which an end was written some time before it ended.
-func withEndedConn(t *testing.T, left time.Duration, gone bool, step func(f *Front, c *Conn)) {
+func withEndedConn(t *testing.T, sentBefore time.Duration, disconnected bool, step func(f *Front, c *Conn)) {
 	t.Helper()
 	f := newSmallFront(t, &stubCore{pending: map[call.Caller]int{}})
 	onLoop(f.loop, func() {
 		now := time.Now()
-		c := &Conn{front: f, conn: &endedConn{endedAt: now, disconnected: gone}, format: &Lines{}, receivedRequest: true}
-		c.sentEnds = []*sentEnd{{callEnd: callEnd{id: "00000000000000a1", end: normalEnd, queuedAt: now, firstSentAt: now.Add(-left)}, sentAt: now.Add(-left)}}
+		c := &Conn{front: f, conn: &endedConn{endedAt: now, disconnected: disconnected}, format: &Lines{}, receivedRequest: true}
+		c.sentEnds = []*sentEnd{{callEnd: callEnd{id: "00000000000000a1", end: normalEnd, queuedAt: now, firstSentAt: now.Add(-sentBefore)}, sentAt: now.Add(-sentBefore)}}
 		step(f, c)
 	})
 }
@@ -52,9 +52,9 @@
 // one that is sent twice.
 func TestWhichEndsAreRepeated(t *testing.T) {
 	for name, test := range map[string]struct {
-		reason error
-		left   time.Duration // time before the end of the connection at which the end was written
-		want   uint64
+		reason     error
+		sentBefore time.Duration // time before the end of the connection at which the end was written
+		want       uint64
 	}{
 		"the caller resets it":                           {conn.ErrReset, 2 * crossingTime, 1},
 		"a write fails because of a reset":               {fmt.Errorf("writing: %w", syscall.ECONNRESET), 2 * crossingTime, 1},
@@ -64,7 +64,7 @@
 		"the caller resets it after it has read on":      {conn.ErrReset, 2 * maxUnreadTime, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			withEndedConn(t, test.left, false, func(f *Front, c *Conn) {
+			withEndedConn(t, test.sentBefore, false, func(f *Front, c *Conn) {
 				if c.Closed(test.reason); f.endCounts.Repeated != test.want {
 					t.Errorf("%d ends are repeated, want %d", f.endCounts.Repeated, test.want)
 				}
@@ -76,10 +76,10 @@
 // TestAnEndOnAConnectionClosedAsItsCallerDisconnects guards against a lost end: it is unread on a connection that the caller has
 // ended, and that this side closes before it knows how.
 func TestAnEndOnAConnectionClosedAsItsCallerDisconnects(t *testing.T) {
-	for gone, want := range map[bool]uint64{true: 1, false: 0} {
-		withEndedConn(t, 2*crossingTime, gone, func(f *Front, c *Conn) {
+	for disconnected, want := range map[bool]uint64{true: 1, false: 0} {
+		withEndedConn(t, 2*crossingTime, disconnected, func(f *Front, c *Conn) {
 			if c.closeNow(conn.ErrClosedHere); f.endCounts.Repeated != want {
-				t.Errorf("%d ends are repeated with the caller disconnected: %v; want %d", f.endCounts.Repeated, gone, want)
+				t.Errorf("%d ends are repeated with the caller disconnected: %v; want %d", f.endCounts.Repeated, disconnected, want)
 			}
 		})
 	}
--- a/internal/callers/ends_test.go
+++ b/internal/callers/ends_test.go
@@ -28,8 +28,8 @@
 	if err := caller.Close(); err != nil {
 		t.Fatal(err)
 	}
-	for until, over := time.Now().Add(peer.Patience), false; !over; time.Sleep(time.Millisecond) {
-		onLoop(f.loop, func() { over = c.closed })
+	for until, closed := time.Now().Add(peer.Patience), false; !closed; time.Sleep(time.Millisecond) {
+		onLoop(f.loop, func() { closed = c.closed })
 		if time.Now().After(until) {
 			t.Fatal("the close is never processed")
 		}
@@ -49,27 +49,27 @@
 	const first, second, third = "00000000000000e1", "00000000000000e2", "00000000000000e3"
 	f := newSmallFront(t, &stubCore{pending: map[call.Caller]int{}})
 	var got []EndCounts
-	counted := func() { onLoop(f.loop, func() { got = append(got, f.endCounts) }) }
+	recordCounts := func() { onLoop(f.loop, func() { got = append(got, f.endCounts) }) }
 	caller, c := connect(t, f, 1)
 	allowEnds(f, c)
 	onLoop(f.loop, func() { c.NotifyTerminated(first, normalEnd); f.Flush() })
 	expectEnd(t, caller, first)
-	counted()
+	recordCounts()
 	closeAndWait(t, f, caller, c) // immediately after the end
-	counted()
+	recordCounts()
 	onLoop(f.loop, func() { f.Release(second, normalEnd) })
-	counted()
+	recordCounts()
 	caller, c = connect(t, f, 1)
 	allowEnds(f, c)
 	onLoop(f.loop, func() { f.deliverPending(); f.Flush() })
 	expectEnd(t, caller, first)
 	expectEnd(t, caller, second)
-	counted()
+	recordCounts()
 	onLoop(f.loop, func() {
 		f.pendingEnds = append(f.pendingEnds, callEnd{id: third, end: normalEnd, queuedAt: time.Now().Add(-endTimeout)})
 		f.poll()
 	})
-	counted()
+	recordCounts()
 	want := []EndCounts{
 		{Told: 1}, {Told: 1, Repeated: 1, Waited: 1}, {Told: 1, Repeated: 1, Waited: 2},
 		{Told: 3, Repeated: 1, Waited: 2}, {Told: 3, Repeated: 1, Waited: 2, Dropped: 1},
@@ -82,7 +82,7 @@
 // TestTheStepsOfEndsAreLogged guards against ends that count as read, or were sent to a health check, without a log entry.
 func TestTheStepsOfEndsAreLogged(t *testing.T) {
 	const id = "00000000000000e5"
-	for step, happens := range map[endlog.Step]func(f *Front, c *Conn){
+	for step, trigger := range map[endlog.Step]func(f *Front, c *Conn){
 		endlog.EndCountsRead: func(_ *Front, c *Conn) {
 			c.receivedRequest = true
 			c.sentEnds[0].sentAt = time.Now().Add(-2 * crossingTime)
@@ -102,7 +102,7 @@
 				f.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))
 				c.NotifyTerminated(id, normalEnd)
 				f.Flush()
-				happens(f, c)
+				trigger(f, c)
 				f.log = slog.New(slog.DiscardHandler)
 			})
 			if !strings.Contains(log.String(), fmt.Sprintf("step=%q id=%s", step, id)) {
@@ -115,7 +115,7 @@
 // TestADroppedEndIsLoggedAsAWarning guards against ends that are dropped without a warning because no caller connects.
 func TestADroppedEndIsLoggedAsAWarning(t *testing.T) {
 	const id = "00000000000000e4"
-	for reason, happens := range map[string]func(f *Front){
+	for reason, trigger := range map[string]func(f *Front){
 		"no caller connected in time": func(f *Front) {
 			f.pendingEnds[0].queuedAt = time.Now().Add(-endTimeout)
 			f.poll()
@@ -131,7 +131,7 @@
 				if log.Len() > 0 {
 					t.Errorf("logged before it is dropped: %s", &log)
 				}
-				happens(f)
+				trigger(f)
 			})
 			text := log.String()
 			for _, want := range []string{"level=WARN", "id=" + id, "cause=16", "reason=\"" + reason + "\""} {
--- a/internal/callers/fake_peers_test.go
+++ b/internal/callers/fake_peers_test.go
@@ -107,7 +107,7 @@
 func (l *fakeListener) Address() string { return "" }
 
 // Limit sets the maximum number of connections.
-func (l *fakeListener) Limit(most int) { l.limit = most }
+func (l *fakeListener) Limit(limit int) { l.limit = limit }
 
 // Held returns the number of connections.
 func (l *fakeListener) Held() int { return l.held }
@@ -444,16 +444,16 @@
 
 // writeToKernel writes what is queued.
 func (c *fakeConn) writeToKernel() {
-	out := c.writeQueue
+	queued := c.writeQueue
 	c.writeQueue = nil
-	for _, w := range out {
+	for _, w := range queued {
 		w.then()
 		if c.callerClosed {
 			continue
 		}
 		c.receiveBuffer.Write(w.text)
 	}
-	if c.callerClosed && len(out) > 0 {
+	if c.callerClosed && len(queued) > 0 {
 		c.loop.After(closeTransit, func() { // it arrives at a closed socket
 			c.rst, c.fin = true, true
 			c.caller.deliverAll()
--- a/internal/callers/limits.go
+++ b/internal/callers/limits.go
@@ -34,11 +34,11 @@
 }
 
 // Accept lowers the number of open connections further when descriptors are scarce. More connections wait to be accepted.
-func (f *Front) Accept(most int) {
-	if bound := f.bounds.Most(); bound == 0 || most < bound {
-		f.listener.Limit(most)
+func (f *Front) Accept(maxOpen int) {
+	if limit := f.bounds.Most(); limit == 0 || maxOpen < limit {
+		f.listener.Limit(maxOpen)
 	} else {
-		f.listener.Limit(bound)
+		f.listener.Limit(limit)
 	}
 }
 
@@ -69,23 +69,23 @@
 // evict closes the connection with the lowest priority that was not used for the longest time. If each of them is in use, has an
 // unsent answer or is too new, the newest connection stays, within Most, until its set-ups have been refused.
 func (f *Front) evict(newest *Conn) {
-	var least *Conn
+	var victim *Conn
 	now := time.Now()
 	for _, c := range f.conns {
 		if c.closed || c == newest || c.partial || f.core.PendingOf(c) > 0 || c.hasUnsentAnswer(now) {
 			continue
 		}
-		better := -1
-		if least != nil {
-			better = cmp.Or(cmp.Compare(f.keepPriority(c), f.keepPriority(least)), c.lastUsedAt.Compare(least.lastUsedAt))
+		order := -1
+		if victim != nil {
+			order = cmp.Or(cmp.Compare(f.keepPriority(c), f.keepPriority(victim)), c.lastUsedAt.Compare(victim.lastUsedAt))
 		}
-		if better < 0 && c.conn.Quiet() {
-			least = c
+		if order < 0 && c.conn.Quiet() {
+			victim = c
 		}
 	}
 	switch {
-	case least != nil && (least.receivedRequest || least.receivedPing || now.Sub(least.waitingSince) > newConnGracePeriod) && least.conn.AllTaken():
-		least.closeNow(conn.ErrClosedHere)
+	case victim != nil && (victim.receivedRequest || victim.receivedPing || now.Sub(victim.waitingSince) > newConnGracePeriod) && victim.conn.AllTaken():
+		victim.closeNow(conn.ErrClosedHere)
 	case newest != nil:
 		newest.overflow = true
 	}
@@ -97,17 +97,17 @@
 func (f *Front) poll() {
 	now := time.Now()
 	closing := f.core.Phase() >= call.Closing
-	pace, silent := pollInterval, f.bounds.Silent
+	interval, messageTimeout := pollInterval, f.bounds.Silent
 	switch {
 	case closing:
-		pace, silent = fastPollInterval, silent/2
+		interval, messageTimeout = fastPollInterval, messageTimeout/2
 	case f.listener.Full():
-		pace = fastPollInterval
+		interval = fastPollInterval
 	}
 	for _, c := range slices.Clone(f.conns) {
 		switch {
 		case c.closed:
-		case c.partial && now.Sub(c.waitingSince) > silent:
+		case c.partial && now.Sub(c.waitingSince) > messageTimeout:
 			c.closeIncomplete()
 		case c.hasUnsentAnswer(now): // the caller may read it in time
 		case c.overflow && f.listener.Full() && now.Sub(c.waitingSince) > overflowTimeout:
@@ -123,7 +123,7 @@
 		}
 	}
 	f.deliverPending()
-	f.loop.After(pace, f.poll)
+	f.loop.After(interval, f.poll)
 }
 
 // extendAnswerDeadline records that a caller waits here for a final answer until the time.
--- a/internal/callers/scenarios_test.go
+++ b/internal/callers/scenarios_test.go
@@ -250,25 +250,25 @@
 			c.End(otherCallID, call.End{Cause: call.CauseCongestion, Reason: call.ReasonRefused})
 		}), 0, false},
 		{'p', "the caller is paused", func(h *harness) bool {
-			still := h.caller.paused
+			wasPaused := h.caller.paused
 			h.caller.paused = true
-			return !still
+			return !wasPaused
 		}, 0, false},
 		{'f', "the caller is paused, with full buffers", func(h *harness) bool {
-			full := h.caller.bufferFull
+			wasFull := h.caller.bufferFull
 			h.caller.paused, h.caller.bufferFull = true, true
-			return !full
+			return !wasFull
 		}, 0, false},
 		{'u', "its messages stay in the kernel of the controller", func(h *harness) bool {
-			unshown := h.caller.inputHeld
+			wasHeld := h.caller.inputHeld
 			h.caller.inputHeld = true
-			return !unshown
+			return !wasHeld
 		}, 0, false},
 		{'g', "everything is unblocked", func(h *harness) bool { return h.caller.unblock() }, 0, false},
 		{'l', "the limit is one connection", func(h *harness) bool {
-			most := h.front.bounds.Connections
+			limit := h.front.bounds.Connections
 			h.front.Limit(1)
-			return most != 1
+			return limit != 1
 		}, 0, false},
 		{'q', "a connection is evicted", func(h *harness) bool { h.front.Squeeze(); return true }, 0, false},
 		{'z', "the controller is evacuated", func(h *harness) bool {
@@ -286,7 +286,7 @@
 }
 
 // play plays the steps, and then completes the scenario. It returns false if one of the steps was not possible.
-func (h *harness) play(order []scenarioStep) bool {
+func (h *harness) play(steps []scenarioStep) bool {
 	go h.core.Loop().Run()
 	defer func() {
 		h.core.Loop().Quit()
@@ -303,18 +303,18 @@
 	if h.established {
 		h.runOnLoop(func() { h.dispatchers.answer() })
 	}
-	for _, e := range append(stepsFor(h.prefix), order...) {
-		could := false
+	for _, step := range append(stepsFor(h.prefix), steps...) {
+		possible := false
 		h.runOnLoop(func() {
-			if !e.idle {
+			if !step.idle {
 				h.lastStepAt = time.Now()
 			}
-			could = e.run(h)
+			possible = step.run(h)
 		})
-		if !could {
+		if !possible {
 			return false
 		}
-		h.advance(e.after)
+		h.advance(step.after)
 	}
 	if h.mustBeRead {
 		h.runOnLoop(func() {
@@ -422,20 +422,20 @@
 	violations []string
 }
 
-func (start initialState) play(t *testing.T, order []scenarioStep) (result scenarioResult) {
+func (start initialState) play(t *testing.T, steps []scenarioStep) (result scenarioResult) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, start)
-		result.possible = h.play(order)
+		result.possible = h.play(steps)
 		result.violations = h.violations
 	})
 	return result
 }
 
-func stepLetters(order []scenarioStep) string {
+func stepLetters(steps []scenarioStep) string {
 	var letters strings.Builder
-	for _, e := range order {
-		letters.WriteByte(e.letter)
+	for _, step := range steps {
+		letters.WriteByte(step.letter)
 	}
 	return letters.String()
 }
@@ -475,21 +475,21 @@
 }
 
 // extend plays a scenario and all its continuations, up to a depth, and returns how many were possible.
-func (start initialState) extend(t *testing.T, order []scenarioStep, depth int) (played int) {
+func (start initialState) extend(t *testing.T, steps []scenarioStep, depth int) (played int) {
 	t.Helper()
-	result := start.play(t, order)
+	result := start.play(t, steps)
 	if !result.possible {
 		return 0
 	}
 	if len(result.violations) > 0 {
-		t.Errorf("scenario %s: %s", stepLetters(order), strings.Join(result.violations, "; "))
+		t.Errorf("scenario %s: %s", stepLetters(steps), strings.Join(result.violations, "; "))
 	}
 	played = 1
 	if depth <= 1 {
 		return played
 	}
 	for _, next := range allSteps() {
-		played += start.extend(t, append(slices.Clone(order), next), depth-1)
+		played += start.extend(t, append(slices.Clone(steps), next), depth-1)
 	}
 	return played
 }
@@ -498,8 +498,8 @@
 func TestScenariosThatFailedBefore(t *testing.T) {
 	established := initialState{established: true}
 	for name, test := range map[string]struct {
-		start initialState
-		order string
+		start   initialState
+		letters string
 	}{
 		"a paused caller resets with the end unread":                     {established, "pe3r"},
 		"a paused caller closes with the end unread":                     {established, "pe3c"},
@@ -513,9 +513,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			order := stepsFor(test.order)
-			if result := test.start.play(t, order); !result.possible || len(result.violations) > 0 {
-				t.Errorf("scenario %s, possible: %v: %s", test.order, result.possible, strings.Join(result.violations, "; "))
+			steps := stepsFor(test.letters)
+			if result := test.start.play(t, steps); !result.possible || len(result.violations) > 0 {
+				t.Errorf("scenario %s, possible: %v: %s", test.letters, result.possible, strings.Join(result.violations, "; "))
 			}
 		})
 	}
@@ -525,22 +525,22 @@
 // fails without it.
 func TestScenariosThatNeedOneMechanism(t *testing.T) {
 	established := initialState{established: true}
-	atOnce, once := initialState{established: true, mustBeRead: true}, initialState{established: true, exactlyOnce: true}
+	mustBeRead, exactlyOnce := initialState{established: true, mustBeRead: true}, initialState{established: true, exactlyOnce: true}
 	for name, test := range map[string]struct {
-		start initialState
-		order string
+		start   initialState
+		letters string
 	}{
 		"an unsent end as its connection is closed":                       {established, "feh3"},
 		"a close that crosses the end":                                    {established, "xe"},
 		"an end sent on a health check that closes":                       {established, "cT2e3C"},
 		"an end sent on a connection whose ping comes later":              {established, "cT2et"},
-		"an end as its connection has closed, with the close undelivered": {atOnce, "bsuce1"},
-		"another connection has closed, with the close undelivered":       {atOnce, "cbs1bs1uCe1"},
+		"an end as its connection has closed, with the close undelivered": {mustBeRead, "bsuce1"},
+		"another connection has closed, with the close undelivered":       {mustBeRead, "cbs1bs1uCe1"},
 		"an end that waits for a connection":                              {established, "ce6"},
-		"a pending end, and a connection without messages":                {atOnce, "ceb3"},
-		"a pending end, and a set-up on a new connection":                 {atOnce, "cebs"},
-		"an end as connections are being closed":                          {once, "z333e"},
-		"an end before the ping on a new connection":                      {once, "cTe1t"},
+		"a pending end, and a connection without messages":                {mustBeRead, "ceb3"},
+		"a pending end, and a set-up on a new connection":                 {mustBeRead, "cebs"},
+		"an end as connections are being closed":                          {exactlyOnce, "z333e"},
+		"an end before the ping on a new connection":                      {exactlyOnce, "cTe1t"},
 		"an undelivered reset as this side closes":                        {established, "pe3urq"},
 		"a reset that is found by a write":                                {established, "pe3urw"},
 		"an unread end, followed by another one":                          {established, "pe3o3r"},
@@ -548,9 +548,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			order := stepsFor(test.order)
-			if result := test.start.play(t, order); !result.possible || len(result.violations) > 0 {
-				t.Errorf("scenario %s, possible: %v: %s", test.order, result.possible, strings.Join(result.violations, "; "))
+			steps := stepsFor(test.letters)
+			if result := test.start.play(t, steps); !result.possible || len(result.violations) > 0 {
+				t.Errorf("scenario %s, possible: %v: %s", test.letters, result.possible, strings.Join(result.violations, "; "))
 			}
 		})
 	}
@@ -558,13 +558,13 @@
 
 // stepsFor returns the steps with these letters.
 func stepsFor(letters string) []scenarioStep {
-	var order []scenarioStep
+	var steps []scenarioStep
 	for _, letter := range []byte(letters) {
-		for _, e := range allSteps() {
-			if e.letter == letter {
-				order = append(order, e)
+		for _, step := range allSteps() {
+			if step.letter == letter {
+				steps = append(steps, step)
 			}
 		}
 	}
-	return order
+	return steps
 }
--- a/internal/callers/setup_rules.go
+++ b/internal/callers/setup_rules.go
@@ -30,9 +30,9 @@
 }
 
 // ResumeLines sets whether calls may be resumed over JSON lines as well. The platform's callers never request it.
-func (t *Terms) ResumeLines(allowed bool) *Terms {
-	t.resumeOverLines = allowed
-	return t
+func (rules *Terms) ResumeLines(allowed bool) *Terms {
+	rules.resumeOverLines = allowed
+	return rules
 }
 
 // classRules are the rules for the set-ups of one class.
@@ -44,7 +44,7 @@
 
 // NewTerms returns the rules that follow from the settings.
 func NewTerms(s *settings.Settings) *Terms {
-	t := &Terms{classes: map[string]classRules{}}
+	rules := &Terms{classes: map[string]classRules{}}
 	for i, c := range s.RequestClasses {
 		class := classRules{timeout: time.Duration(c.DeadlineUs) * time.Microsecond}
 		if i < len(s.FamilyInfo.AllowedPools) {
@@ -53,38 +53,38 @@
 		if i < len(s.FamilyInfo.ClassWidth) {
 			class.width = s.FamilyInfo.ClassWidth[i]
 		}
-		t.classes[c.Name] = class
+		rules.classes[c.Name] = class
 	}
 	for _, tenant := range s.Tenants {
-		t.tenants = append(t.tenants, tenant.Name)
+		rules.tenants = append(rules.tenants, tenant.Name)
 	}
-	return t
+	return rules
 }
 
 // longestTimeout returns the longest timeout of all classes.
-func (t *Terms) longestTimeout() (longest time.Duration) {
-	for _, class := range t.classes {
+func (rules *Terms) longestTimeout() (longest time.Duration) {
+	for _, class := range rules.classes {
 		longest = max(longest, class.timeout)
 	}
 	return longest
 }
 
 // parseSetUp checks and converts the fields of a set-up. Its token is used only if calls can be resumed on the connection.
-func (t *Terms) parseSetUp(m *jsonl.Message, at time.Time, resumable bool) (r call.Request, err error) {
+func (rules *Terms) parseSetUp(m *jsonl.Message, at time.Time, resumable bool) (r call.Request, err error) {
 	field := func(name string) string { return string(m.Fields[name]) }
-	class, ok := t.classes[field("class")]
+	class, ok := rules.classes[field("class")]
 	if !ok {
 		return r, fmt.Errorf("unknown class %.40q", field("class"))
 	}
-	if len(t.tenants) > 0 && !slices.Contains(t.tenants, field("tenant")) {
+	if len(rules.tenants) > 0 && !slices.Contains(rules.tenants, field("tenant")) {
 		return r, fmt.Errorf("unknown tenant %.40q", field("tenant"))
 	}
-	left, err := m.Int("left")
+	leftMS, err := m.Int("left")
 	if err != nil {
 		return r, err //nolint:wrapcheck // the error needs no context
 	}
-	if left < 0 || left > class.timeout.Milliseconds() {
-		return r, fmt.Errorf("left out of range: %d", left)
+	if leftMS < 0 || leftMS > class.timeout.Milliseconds() {
+		return r, fmt.Errorf("left out of range: %d", leftMS)
 	}
 	if key := field("key"); key == "" || len(key) > maxKeyLength || strings.Trim(key, keyCharacters) != "" {
 		return r, fmt.Errorf("invalid key %.40q", key)
@@ -93,13 +93,13 @@
 	if err != nil {
 		return r, err
 	}
-	dest, given := extras["dest"]
-	switch width, sized := extras["width"]; {
-	case !given:
+	dest, hasDest := extras["dest"]
+	switch width, hasWidth := extras["width"]; {
+	case !hasDest:
 		dest = -1
 	case dest < 0 || len(class.allowedCells) > 0 && !slices.Contains(class.allowedCells, dest):
 		return r, fmt.Errorf("dest %d is not allowed for the class", dest)
-	case sized && (width < 1 || class.width > 0 && width != class.width):
+	case hasWidth && (width < 1 || class.width > 0 && width != class.width):
 		return r, fmt.Errorf("width out of range: %d", width)
 	}
 	description := m.Description()
@@ -115,12 +115,12 @@
 	case len(description) > call.MaxDescription:
 		return r, errors.New("description is too long")
 	}
-	waits := time.Duration(left) * time.Millisecond
+	timeLeft := time.Duration(leftMS) * time.Millisecond
 	return call.Request{
 		ID: m.ID, Class: field("class"), Called: field("key"), FirstCell: dest, Redial: field("retry") == "1",
 		Description: description, Token: recovery.HashToken(token),
 		// The caller's timeout starts when it has sent the last byte. The time of arrival is the closest known time.
-		TimeLeft: waits, Deadline: at.Add(waits),
+		TimeLeft: timeLeft, Deadline: at.Add(timeLeft),
 	}, nil
 }
 
--- a/internal/callers/transport.go
+++ b/internal/callers/transport.go
@@ -30,7 +30,7 @@
 	Share() (*os.File, error)
 	Shared(shared bool)
 	Address() string
-	Limit(most int)
+	Limit(limit int)
 	Held() int
 	Full() bool
 	Waiting() bool
--- a/internal/callers/unsent_answer_test.go
+++ b/internal/callers/unsent_answer_test.go
@@ -21,11 +21,11 @@
 )
 
 // awaitAccepted waits until the front has a second connection.
-func awaitAccepted(t *testing.T, f *Front, beside *Conn) (accepted *Conn) {
+func awaitAccepted(t *testing.T, f *Front, other *Conn) (accepted *Conn) {
 	t.Helper()
 	for until := time.Now().Add(peer.Patience); accepted == nil; {
 		onLoop(f.loop, func() {
-			if i := slices.IndexFunc(f.conns, func(c *Conn) bool { return c != beside }); i >= 0 {
+			if i := slices.IndexFunc(f.conns, func(c *Conn) bool { return c != other }); i >= 0 {
 				accepted = f.conns[i]
 			}
 		})
@@ -58,7 +58,7 @@
 	if err := caller.SetUp(unsentCallID, 9*time.Second, 0, "x"); err != nil {
 		t.Fatal(err)
 	}
-	for taken, until := false, time.Now().Add(peer.Patience); !taken; onLoop(f.loop, func() { taken = core.pending[first] == 1 }) {
+	for accepted, until := false, time.Now().Add(peer.Patience); !accepted; onLoop(f.loop, func() { accepted = core.pending[first] == 1 }) {
 		if time.Now().After(until) {
 			t.Fatal("the set-up is never accepted")
 		}
@@ -113,20 +113,20 @@
 // connection can be evicted once its deadline has passed.
 func TestAStalledReaderHoldsNoConnectionForLong(t *testing.T) {
 	t.Parallel()
-	for what, after := range map[string]time.Duration{"before the deadline": callTimeout - time.Second, "at the deadline": callTimeout} {
-		t.Run(what, func(t *testing.T) {
+	for name, after := range map[string]time.Duration{"before the deadline": callTimeout - time.Second, "at the deadline": callTimeout} {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				h := newHarness(t, initialState{})
 				stays, want := false, after < callTimeout
-				squeeze := scenarioStep{'-', "a connection is evicted", func(h *harness) bool {
+				evict := scenarioStep{'-', "a connection is evicted", func(h *harness) bool {
 					h.front.Squeeze()
 					c, ok := h.callConn.handler.(*Conn)
 					stays = ok && !c.closed
 					return true
 				}, 0, false}
-				order := slices.Concat(stepsFor("fE"), []scenarioStep{waitStep('-', after), squeeze})
-				if !h.play(order) || stays != want {
+				steps := slices.Concat(stepsFor("fE"), []scenarioStep{waitStep('-', after), evict})
+				if !h.play(steps) || stays != want {
 					t.Errorf("the connection stays open: %v, want %v", stays, want)
 				}
 			})
@@ -144,14 +144,14 @@
 			h.core.Supersede(func(string, call.End) bool { return false })
 			return true
 		}, 2 * newConnGracePeriod, false}
-		finals := 0
+		finalAnswers := 0
 		readOn := scenarioStep{'-', "the caller reads on", func(h *harness) bool {
 			h.caller.unblock()
-			finals = h.finalAnswers
+			finalAnswers = h.finalAnswers
 			return true
 		}, 0, false}
-		if !h.play(slices.Concat(stepsFor("fa"), []scenarioStep{supersede, readOn})) || finals != 1 {
-			t.Errorf("%d final answers, want 1", finals)
+		if !h.play(slices.Concat(stepsFor("fa"), []scenarioStep{supersede, readOn})) || finalAnswers != 1 {
+			t.Errorf("%d final answers, want 1", finalAnswers)
 		}
 	})
 }
