--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,5 +1,5 @@
-// Package http1 reads heads and requests of HTTP/1.1 off a ring, and writes responses. It knows no sockets. The opening
-// handshake of WebSocket and the address for operators share it.
+// Package http1 decodes heads and requests of HTTP/1.1 from a ring buffer, and encodes responses. It does not use sockets. The
+// opening handshake of WebSocket and the management server share it.
 package http1
 
 import (
@@ -13,30 +13,30 @@
 )
 
 const (
-	// maxHead bounds a request or a response up to its body; a ring holds more.
-	maxHead = 8 << 10
-	// maxBody bounds what may follow it. No call here needs any.
-	maxBody = 4 << 10
+	// maxHeadSize is the maximum size of a head in bytes. A ring buffer has a larger capacity.
+	maxHeadSize = 8 << 10
+	// maxBodySize is the maximum size of a body in bytes. No request that is served here needs one.
+	maxBodySize = 4 << 10
 )
 
 var (
-	// ErrTooLong is a head or a body beyond its bound.
+	// ErrTooLong means that a head or a body exceeds its maximum size.
 	ErrTooLong = errors.New("too long for a head of 8 KiB or a body of 4 KiB")
-	// ErrUnreadable is what is no HTTP.
+	// ErrUnreadable means that the input is not valid HTTP/1.1, or uses a feature that is not supported.
 	ErrUnreadable = errors.New("no HTTP/1.1")
 )
 
-// Head takes a head off the ring: its first line and its headers, with names in lower case. The first line is empty if the
-// head is not whole yet.
+// Head decodes a head and removes it from the buffer. It returns the first line and the headers, with names in lower case. The
+// first line is empty if the head is not complete yet.
 func Head(in *ring.Buffer) (first string, headers map[string]string, err error) {
 	end := -1
 	for from := 0; end < 0; {
-		seen := in.Len() // before the look: more may come meanwhile, its end among it
+		length := in.Len() // taken before the search, since more bytes, with a line feed among them, may arrive during it
 		i := in.Index('\n', from)
-		if i < 0 && seen <= maxHead {
+		if i < 0 && length <= maxHeadSize {
 			return "", nil, nil
 		}
-		if i < 0 || i >= maxHead {
+		if i < 0 || i >= maxHeadSize {
 			return "", nil, ErrTooLong
 		}
 		line := strings.TrimRight(string(in.Peek(i + 1)[from:]), "\r\n")
@@ -59,15 +59,15 @@
 			return "", nil, fmt.Errorf("%w: header %.40q", ErrUnreadable, line)
 		}
 		name = strings.ToLower(name)
-		if old, twice := headers[name]; twice {
-			value = old + "," + value
+		if previous, repeated := headers[name]; repeated {
+			value = previous + "," + value
 		}
 		headers[name] = strings.TrimSpace(value)
 	}
 	return lines[0], headers, nil
 }
 
-// Has reports whether a comma-separated header holds the token.
+// Has reports whether a comma-separated list contains the token, ignoring case.
 func Has(list, token string) bool {
 	for part := range strings.SplitSeq(list, ",") {
 		if strings.EqualFold(strings.TrimSpace(part), token) {
@@ -77,45 +77,45 @@
 	return false
 }
 
-// Request is a whole request.
+// Request is a complete request.
 type Request struct {
 	Method, Path string
-	Query        string // what follows a question mark
+	Query        string // the part of the URL after the question mark
 	Headers      map[string]string
 	Body         []byte
 }
 
-// Decoder reads the request of one connection.
+// Decoder decodes the requests of one connection.
 type Decoder struct {
-	head *Request // until its body has come
-	body int
+	pending    *Request // request whose body is not complete yet
+	bodyLength int
 }
 
-// Next takes a request off the ring; it is nil if none is whole yet.
+// Next decodes the next request; it returns nil if none is complete yet.
 func (d *Decoder) Next(in *ring.Buffer) (*Request, error) {
-	if d.head == nil {
+	if d.pending == nil {
 		first, headers, err := Head(in)
 		if first == "" || err != nil {
 			return nil, err
 		}
-		if d.head, err = parse(first, headers); err != nil {
+		if d.pending, err = parseRequest(first, headers); err != nil {
 			return nil, err
 		}
-		if d.body, err = length(headers); err != nil {
+		if d.bodyLength, err = contentLength(headers); err != nil {
 			return nil, err
 		}
 	}
-	if in.Len() < d.body {
+	if in.Len() < d.bodyLength {
 		return nil, nil
 	}
-	r := d.head
-	r.Body = append([]byte(nil), in.Peek(d.body)...)
-	in.Discard(d.body)
-	d.head = nil
+	r := d.pending
+	r.Body = append([]byte(nil), in.Peek(d.bodyLength)...)
+	in.Discard(d.bodyLength)
+	d.pending = nil
 	return r, nil
 }
 
-func parse(first string, headers map[string]string) (*Request, error) {
+func parseRequest(first string, headers map[string]string) (*Request, error) {
 	parts := strings.Split(first, " ")
 	if len(parts) != 3 || parts[0] == "" || !strings.HasPrefix(parts[1], "/") {
 		return nil, fmt.Errorf("%w: %.60q", ErrUnreadable, first)
@@ -127,26 +127,26 @@
 	return &Request{Method: parts[0], Path: path, Query: query, Headers: headers}, nil
 }
 
-// length is how much follows a head.
-func length(headers map[string]string) (int, error) {
+// contentLength returns the size of the body after a head with these headers.
+func contentLength(headers map[string]string) (int, error) {
 	if coding := headers["transfer-encoding"]; coding != "" {
 		return 0, fmt.Errorf("%w that is taken here: transfer-encoding %.40q", ErrUnreadable, coding)
 	}
-	text, given := headers["content-length"]
-	if !given {
+	text, found := headers["content-length"]
+	if !found {
 		return 0, nil
 	}
 	n, err := strconv.ParseUint(text, 10, 63)
 	switch {
 	case err != nil:
 		return 0, fmt.Errorf("%w: content-length %.40q", ErrUnreadable, text)
-	case n > maxBody:
+	case n > maxBodySize:
 		return 0, ErrTooLong
 	}
 	return int(n), nil
 }
 
-// Response is one after which the connection closes. The headers are whole lines without their ends.
+// Response encodes a response, after which the connection is closed. The headers are lines without line ends.
 func Response(status int, body string, headers ...string) []byte {
 	text := fmt.Sprintf("HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
 	for _, h := range headers {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -9,7 +9,8 @@
 	"cherryrelay/internal/ring"
 )
 
-// TestRequestInPieces: nothing is taken before the request is whole, wherever it is cut; what follows stays.
+// TestRequestInPieces checks that a request that arrives in two pieces is decoded once it is complete, and that the bytes after it stay in
+// the buffer.
 func TestRequestInPieces(t *testing.T) {
 	const text = "POST /api/rejoin?x=1 HTTP/1.1\r\nHost: h\r\nAccept: a\r\naccept: b\r\nContent-Length: 4\r\n\r\nbodynext"
 	want := &Request{Method: "POST", Path: "/api/rejoin", Query: "x=1", Body: []byte("body"),
@@ -18,7 +19,7 @@
 		in, d := ring.New(16<<10), Decoder{}
 		in.Write([]byte(text[:cut]))
 		if r, err := d.Next(in); r != nil || err != nil {
-			t.Fatalf("%d bytes give %+v, %v", cut, r, err)
+			t.Fatalf("the first %d bytes are decoded as %+v, %v", cut, r, err)
 		}
 		in.Write([]byte(text[cut:]))
 		r, err := d.Next(in)
@@ -28,7 +29,7 @@
 	}
 }
 
-// FuzzRequest: whatever comes, what is taken keeps to its bounds.
+// FuzzRequest checks that every request that is decoded from any input is within the limits.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"))
 	f.Add([]byte("POST /a HTTP/1.0\nContent-Length: 3\n\nabc"))
@@ -37,8 +38,8 @@
 		in, d := ring.New(16<<10), Decoder{}
 		in.Write(text)
 		r, err := d.Next(in)
-		if r != nil && (err != nil || len(r.Body) > maxBody || !strings.HasPrefix(r.Path, "/")) {
-			t.Errorf("%q gives %+v, %v", text, r, err)
+		if r != nil && (err != nil || len(r.Body) > maxBodySize || !strings.HasPrefix(r.Path, "/")) {
+			t.Errorf("%q is decoded as %+v, %v", text, r, err)
 		}
 	})
 }
--- a/internal/jsonl/jsonl.go
+++ b/internal/jsonl/jsonl.go
@@ -1,4 +1,4 @@
-// Package jsonl reads and writes the callers' messages, one JSON object a line.
+// Package jsonl encodes and decodes the messages of callers, one JSON object per line.
 package jsonl
 
 import (
@@ -12,18 +12,19 @@
 	"cherryrelay/internal/ring"
 )
 
-// MaxMessage is the largest message, its line feed included.
+// MaxMessage is the maximum size of a message in bytes, including its line feed.
 const MaxMessage = 16 << 10
 
-// ErrTooLong is a line of more than MaxMessage bytes.
-var ErrTooLong = errors.New("message of over 16 KiB")
+// ErrTooLong means that a line is longer than MaxMessage bytes.
+var ErrTooLong = errors.New("message exceeds 16 KiB")
 
 var api = jsoniter.Config{SortMapKeys: true, ValidateJsonRawMessage: true}.Froze()
 
-// Value is a field: a string, or a number in the form in which it was written.
+// Value is the value of a field: a string, or a number as it was written.
 type Value string
 
-// UnmarshalJSON takes strings and numbers; anything else is kept as written and suits no field.
+// UnmarshalJSON decodes a string. Any other JSON value is kept as written: a number is used like that, and anything else is invalid
+// in every field.
 func (v *Value) UnmarshalJSON(p []byte) error {
 	if len(p) > 0 && p[0] == '"' {
 		var s string
@@ -37,7 +38,7 @@
 	return nil
 }
 
-// Message is one message, of a caller or to one.
+// Message is a message from or to a caller.
 type Message struct {
 	Type   string           `json:"type"`
 	ID     string           `json:"id"`
@@ -46,15 +47,15 @@
 	SDP    *string          `json:"sdp,omitempty"`
 }
 
-// CauseOr is the cause, or the value given if there is none.
-func (m *Message) CauseOr(none int) int {
+// CauseOr returns the cause, or the default value if there is none.
+func (m *Message) CauseOr(defaultValue int) int {
 	if m.Cause == nil {
-		return none
+		return defaultValue
 	}
 	return *m.Cause
 }
 
-// Description is the description, empty if there is none.
+// Description returns the session description, or an empty string if there is none.
 func (m *Message) Description() string {
 	if m.SDP == nil {
 		return ""
@@ -62,22 +63,22 @@
 	return *m.SDP
 }
 
-// Decoder takes messages off a ring. It remembers how far it has looked for a line's end.
-type Decoder struct{ looked int }
+// Decoder decodes messages from a ring buffer.
+type Decoder struct{ searched int } // number of bytes in the buffer that contain no line feed
 
-// Next returns the next message, or nil if the line is not whole yet.
+// Next returns the next message, or nil if the line is not complete yet.
 func (d *Decoder) Next(in *ring.Buffer) (*Message, error) {
 	for {
-		seen := in.Len() // before the look: more may come meanwhile, its end among it
-		end := in.Index('\n', d.looked)
-		if end < 0 && seen >= MaxMessage || end >= MaxMessage {
+		length := in.Len() // taken before the search, since more bytes, with a line feed among them, may arrive during it
+		end := in.Index('\n', d.searched)
+		if end < 0 && length >= MaxMessage || end >= MaxMessage {
 			return nil, ErrTooLong
 		}
 		if end < 0 {
-			d.looked = seen
+			d.searched = length
 			return nil, nil
 		}
-		d.looked = 0
+		d.searched = 0
 		line := bytes.TrimSpace(in.Peek(end + 1))
 		if len(line) == 0 {
 			in.Discard(end + 1)
@@ -89,39 +90,39 @@
 	}
 }
 
-// Parse reads one message.
+// Parse decodes a message.
 func Parse(line []byte) (*Message, error) {
 	m := new(Message)
 	if err := api.Unmarshal(line, m); err != nil {
-		return nil, fmt.Errorf("unreadable message: %w", err)
+		return nil, fmt.Errorf("invalid message: %w", err)
 	}
 	if m.Type == "" {
-		return nil, errors.New("unreadable message: no type")
+		return nil, errors.New("invalid message: type is missing")
 	}
 	return m, nil
 }
 
-// Append adds a message to p, without a line feed.
+// Append appends a message to p, without a line feed.
 func Append(p []byte, m Message) ([]byte, error) {
 	if m.Fields == nil {
 		m.Fields = map[string]Value{}
 	}
 	text, err := api.Marshal(m)
 	if err != nil {
-		return p, fmt.Errorf("writing a message: %w", err)
+		return p, fmt.Errorf("encoding message: %w", err)
 	}
 	return append(p, text...), nil
 }
 
-// Int returns a field that must be a whole number.
+// Int returns the value of a field that must be an integer.
 func (m *Message) Int(name string) (int64, error) {
 	v, ok := m.Fields[name]
 	if !ok {
-		return 0, fmt.Errorf("%s is missing", name)
+		return 0, fmt.Errorf("field %s is missing", name)
 	}
 	n, err := strconv.ParseInt(string(v), 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("%s is no whole number: %q", name, string(v))
+		return 0, fmt.Errorf("field %s is not an integer: %q", name, string(v))
 	}
 	return n, nil
 }
--- a/internal/jsonl/jsonl_test.go
+++ b/internal/jsonl/jsonl_test.go
@@ -11,8 +11,8 @@
 	"cherryrelay/internal/ring/ringtest"
 )
 
-// read feeds text in pieces and returns the messages and the error that ended them.
-func read(text string, piece int) (all []*Message, err error) {
+// decodeAll decodes text that arrives in pieces. It returns the messages, and the error that ended them if any.
+func decodeAll(text string, piece int) (all []*Message, err error) {
 	return ringtest.Feed(new(Decoder).Next, 32<<10, []byte(text), piece)
 }
 
@@ -24,18 +24,18 @@
 		want []*Message
 		bad  bool
 	}{
-		"both forms of a field": {"{\"type\":\"setup\",\"id\":\"1\",\"fields\":{\"left\":1500,\"class\":\"v\"},\"sdp\":\"a\\r\\nb\"}\r\n",
+		"string and number fields": {"{\"type\":\"setup\",\"id\":\"1\",\"fields\":{\"left\":1500,\"class\":\"v\"},\"sdp\":\"a\\r\\nb\"}\r\n",
 			[]*Message{{Type: "setup", ID: "1", Fields: map[string]Value{"left": "1500", "class": "v"}, SDP: ptr("a\r\nb")}}, false},
-		"blank lines":       {"\n\r\n{\"type\":\"ping\",\"cause\":0}\n\n", []*Message{{Type: "ping", Cause: ptr(0)}}, false},
-		"two, and one part": {"{\"type\":\"a\"}\n{\"type\":\"b\"}\n{\"ty", []*Message{{Type: "a"}, {Type: "b"}}, false},
-		"a field of no use": {`{"type":"a","fields":{"x":[1]}}` + "\n", []*Message{{Type: "a", Fields: map[string]Value{"x": "[1]"}}}, false},
-		"no object":         {"[]\n", nil, true},
-		"no type":           {"{}\n", nil, true},
-		"rest on the line":  {`{"type":"a"}{}` + "\n", nil, true},
-		"too long":          {`{"type":"` + strings.Repeat("x", MaxMessage), nil, true},
+		"blank lines":                      {"\n\r\n{\"type\":\"ping\",\"cause\":0}\n\n", []*Message{{Type: "ping", Cause: ptr(0)}}, false},
+		"two messages and part of another": {"{\"type\":\"a\"}\n{\"type\":\"b\"}\n{\"ty", []*Message{{Type: "a"}, {Type: "b"}}, false},
+		"field of another type":            {`{"type":"a","fields":{"x":[1]}}` + "\n", []*Message{{Type: "a", Fields: map[string]Value{"x": "[1]"}}}, false},
+		"not an object":                    {"[]\n", nil, true},
+		"no type":                          {"{}\n", nil, true},
+		"text after the object":            {`{"type":"a"}{}` + "\n", nil, true},
+		"too long":                         {`{"type":"` + strings.Repeat("x", MaxMessage), nil, true},
 	} {
 		for _, piece := range []int{1, 7, 1 << 20} {
-			got, err := read(test.text, piece)
+			got, err := decodeAll(test.text, piece)
 			if diff := cmp.Diff(test.want, got); diff != "" || (err != nil) != test.bad {
 				t.Errorf("%s, in pieces of %d: error %v, messages (-want +got):\n%s", name, piece, err, diff)
 			}
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestMessagesThatComeWhileOthersAreRead: the end of a message that came while the decoder looked for one was passed over, and
-// its message stayed in the ring until the next one came, which then was read as its rest.
+// TestMessagesThatComeWhileOthersAreRead guards against a message that is not noticed because its line feed arrives while the decoder
+// searches the buffer: it stayed there until the next message arrived, which was then read as part of it.
 func TestMessagesThatComeWhileOthersAreRead(t *testing.T) {
 	const messages = 200_000
 	in, d := ring.New(32<<10), new(Decoder)
@@ -62,7 +62,7 @@
 	for i := 0; i < messages; {
 		m, err := d.Next(in)
 		if err != nil || m != nil && m.ID != strconv.Itoa(i) {
-			t.Fatalf("message %d is read as %+v, %v", i, m, err)
+			t.Fatalf("message %d is decoded as %+v, %v", i, m, err)
 		}
 		if m != nil {
 			i++
@@ -70,12 +70,12 @@
 	}
 }
 
-// FuzzDecoder checks that pieces make no difference and that what is read survives being written.
+// FuzzDecoder checks that messages are decoded in the same way in any pieces, and that encoding preserves them.
 func FuzzDecoder(f *testing.F) {
 	f.Add("{\"type\":\"setup\",\"id\":\"1\",\"fields\":{\"left\":1500},\"sdp\":\"\\u00fc\"}\n{\"type\":\"x\"}\n", 3)
 	f.Fuzz(func(t *testing.T, text string, piece int) {
-		whole, err := read(text, len(text)+1)
-		parts, errParts := read(text, 1+max(piece, 0)%64)
+		whole, err := decodeAll(text, len(text)+1)
+		parts, errParts := decodeAll(text, 1+max(piece, 0)%64)
 		if diff := cmp.Diff(whole, parts); diff != "" || (err == nil) != (errParts == nil) {
 			t.Fatalf("in pieces: %v and %v\n%s", err, errParts, diff)
 		}
