--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -30,7 +30,7 @@
 	newConnGracePeriod = 100 * time.Millisecond
 	// partialMessageTimeout is how long a controller that shuts down waits for the rest of a message.
 	partialMessageTimeout = 500 * time.Millisecond
-	// maxResumes is the maximum number of calls resumed on one connection: enough for a large gateway, and a bound on guessing.
+	// maxResumes is the maximum number of calls resumed on one connection: enough for a large gateway, and a limit on guessing.
 	maxResumes = 16 << 10
 	// maxTimeLeft is more than any caller waits for an answer. A larger time left in a resume request is ignored.
 	maxTimeLeft = time.Hour
@@ -194,12 +194,13 @@
 // no connection has unread input, an incomplete message, unsent output or an end that may be lost when it closes.
 func (f *Front) Idle() bool {
 	return len(f.pendingEnds) == 0 && !f.listener.Waiting() && !slices.ContainsFunc(f.conns, func(c *Conn) bool {
-		return !c.closed && (c.partial && time.Since(c.waitingSince) < partialMessageTimeout || c.conn.Unsent() > 0 || !c.conn.Quiet() || !c.conn.AllTaken() || c.mayLoseEnd())
+		return !c.closed && (c.partial && time.Since(c.waitingSince) < partialMessageTimeout || c.conn.Unsent() > 0 || !c.conn.Quiet() ||
+			!c.conn.AllTaken() || c.mayLoseEnd())
 	})
 }
 
-// Heard reports whether the event loop has all the input, as far as it can have it, of callers with an open set-up: a message of
-// another caller cannot cancel one. Of a very large number of connections, few have an open set-up.
+// Heard reports whether the event loop has received, as far as possible, all the input of callers with an open set-up. Other
+// connections do not count, since no other caller can cancel a set-up. Of a very large number of connections, few have one.
 func (f *Front) Heard() bool {
 	return !slices.ContainsFunc(f.conns, func(c *Conn) bool { return !c.closed && f.core.PendingOf(c) > 0 && c.conn.Unread() })
 }
--- a/internal/callers/ends_reset_test.go
+++ b/internal/callers/ends_reset_test.go
@@ -43,7 +43,8 @@
 	onLoop(f.loop, func() {
 		now := time.Now()
 		c := &Conn{front: f, conn: &endedConn{endedAt: now, disconnected: disconnected}, format: &Lines{}, receivedRequest: true}
-		c.sentEnds = []*sentEnd{{callEnd: callEnd{id: "00000000000000a1", end: normalEnd, queuedAt: now, firstSentAt: now.Add(-sentBefore)}, sentAt: now.Add(-sentBefore)}}
+		c.sentEnds = []*sentEnd{{callEnd: callEnd{id: "00000000000000a1", end: normalEnd, queuedAt: now, firstSentAt: now.Add(-sentBefore)},
+			sentAt: now.Add(-sentBefore)}}
 		step(f, c)
 	})
 }
--- a/internal/callers/overflow_test.go
+++ b/internal/callers/overflow_test.go
@@ -45,7 +45,8 @@
 		t.Fatal(err)
 	}
 	loop := call.NewLoop()
-	f := New(loop, core, slog.New(slog.DiscardHandler), tcp, func() Format { return &Lines{} }, Bounds{Connections: 1, Silent: time.Minute, Idle: time.Minute}, NewTerms(&set))
+	f := New(loop, core, slog.New(slog.DiscardHandler), tcp, func() Format { return &Lines{} },
+		Bounds{Connections: 1, Silent: time.Minute, Idle: time.Minute}, NewTerms(&set))
 	onLoopEnd := make(chan struct{})
 	go func() { defer close(onLoopEnd); loop.Run() }()
 	onLoop(loop, func() { err = f.Listener().Start() })
--- a/internal/callers/scenarios_test.go
+++ b/internal/callers/scenarios_test.go
@@ -458,7 +458,8 @@
 // connections and the controller, up to a depth, with the real core and front.
 func TestEndsAndConnectionsInEveryOrder(t *testing.T) {
 	for _, start := range []initialState{{name: "a set-up"}, {name: "an established call", established: true},
-		{name: "a spare connection", established: true, prefix: "b2", fewerSteps: 1}, {name: "an established call over the API", established: true, api: true, fewerSteps: 1},
+		{name: "a spare connection", established: true, prefix: "b2", fewerSteps: 1},
+		{name: "an established call over the API", established: true, api: true, fewerSteps: 1},
 		{name: "a spare connection for health checks", established: true, prefix: "T2"},
 		{name: "an unread end", established: true, prefix: "pe3"}, {name: "messages stay in the kernel", established: true, prefix: "u"}} {
 		t.Run(start.name, func(t *testing.T) {
--- a/internal/jsonl/jsonl_test.go
+++ b/internal/jsonl/jsonl_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// FuzzDecoder checks that messages are decoded in the same way in any pieces, and that encoding preserves them.
+// FuzzDecoder checks that messages are decoded in the same way however they are split into pieces, and that encoding preserves them.
 func FuzzDecoder(f *testing.F) {
 	f.Add("{\"type\":\"setup\",\"id\":\"1\",\"fields\":{\"left\":1500},\"sdp\":\"\\u00fc\"}\n{\"type\":\"x\"}\n", 3)
 	f.Fuzz(func(t *testing.T, text string, piece int) {
