--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -1,4 +1,4 @@
-// Package callers holds the fronts at which callers' calls come in. They differ only in how messages are framed.
+// Package callers implements the fronts on which callers connect. Fronts differ only in the framing of their messages.
 package callers
 
 import (
@@ -15,191 +15,194 @@
 )
 
 const (
-	// recent is how long a release is kept for the case that it crossed the close of its connection.
-	recent = 200 * time.Millisecond
-	// unreadFor is how long a release may lie unread with a caller that stands still. A reset within as much may have had it thrown away.
-	unreadFor = 8 * time.Second
-	// keep is how long a release waits for a caller to connect; later nobody counts on it.
-	keep = 30 * time.Second
-	// lookEvery is the pace at which connections are looked at.
-	lookEvery = 100 * time.Millisecond
-	// lookSoon is the pace while connections are to be closed as soon as they are owed nothing.
-	lookSoon = 10 * time.Millisecond
-	// settle is how long a connection is left to bring what its caller connected for.
-	settle = 100 * time.Millisecond
-	// wholeWithin is how long the rest of a message is waited for that a controller which ends has had the beginning of.
-	wholeWithin = 500 * time.Millisecond
-	// maxResumed calls may be resumed on one connection: a large gateway's, and a bound for who guesses.
-	maxResumed = 16 << 10
-	// longest is more than any caller waits for an answer; beyond that, the time left that a resume names says nothing.
-	longest = time.Hour
-	// maxFaults set-ups that make no sense are answered; who sends more sends nothing else.
-	maxFaults = 8
+	// crossingTime is the age up to which an end may have crossed the close of its connection.
+	crossingTime = 200 * time.Millisecond
+	// maxUnreadTime is the longest time for which an end stays unread at a caller that has stopped reading. If the connection is
+	// reset within this time, the end may have been discarded.
+	maxUnreadTime = 8 * time.Second
+	// endTimeout is how long the end of a call waits for a caller to connect. After that its caller no longer expects it.
+	endTimeout = 30 * time.Second
+	// pollInterval is the interval between two checks of the connections.
+	pollInterval = 100 * time.Millisecond
+	// fastPollInterval is the interval while connections are to be closed as soon as they are not needed any more.
+	fastPollInterval = 10 * time.Millisecond
+	// newConnGracePeriod is how long a new connection is kept open for the message that its caller has connected for.
+	newConnGracePeriod = 100 * time.Millisecond
+	// partialMessageTimeout is how long a controller that shuts down waits for the rest of a message.
+	partialMessageTimeout = 500 * time.Millisecond
+	// maxResumes is the maximum number of calls resumed on one connection: enough for a large gateway, and a limit on guessing.
+	maxResumes = 16 << 10
+	// maxTimeLeft is more than any caller waits for an answer. A larger time left in a resume request is ignored.
+	maxTimeLeft = time.Hour
+	// maxInvalidSetUps is the number of invalid set-ups after which a connection is closed: its peer sends nothing else.
+	maxInvalidSetUps = 8
 )
 
-// Bounds keep connections from using up the descriptors and the memory.
+// Bounds limit the connections of callers, so that they do not use up the descriptors and the memory.
 type Bounds struct {
-	// Connections is how many may be open at once; 0 is no bound.
+	// Connections is the maximum number of open connections; 0 means no limit.
 	Connections int
-	// Silent is how long a connection may stay inside a message, or be open with nothing to be told: callers connect when
-	// they have a set-up. It must leave room before the 3 s in which a peer that misbehaves is owed a close.
+	// Silent is how long a message may stay incomplete, and how long a connection to which nothing was sent stays open: callers
+	// connect when they have a set-up. It must be well below the 3 s within which the connection of a misbehaving peer has to be
+	// closed.
 	Silent time.Duration
-	// Idle is how long one without a call is kept. Callers close theirs after 4 s, and those that stay on are of no use.
-	// It must be longer, so as not to cross a set-up.
+	// Idle is how long a connection without a call stays open. Callers close theirs after 4 s, and connections that stay open
+	// longer are not needed. It must be longer than 4 s, so that the close does not cross a set-up.
 	Idle time.Duration
 }
 
-// Within are the bounds for a process that may hold so many descriptors; 0 is no limit. Callers hold a third by
-// themselves and get half: the rest is for dispatchers, the list and the program.
+// Within returns the bounds for a process with this maximum number of descriptors; 0 means no maximum. Callers usually need a
+// third of them and get half. The rest is for dispatchers, the list and the program itself.
 func Within(descriptors int) Bounds {
 	return Bounds{Connections: descriptors / 2, Silent: 2 * time.Second, Idle: 5 * time.Second}
 }
 
-// Reasons for which a connection is closed that has no set-up open.
+// Reasons for closing a connection that has no open set-up.
 var (
-	errSilent   = errors.New("nothing came in time")
-	errCutShort = errors.New("a message that does not end")
-	errFaults   = errors.New("too many set-ups that make no sense")
+	errNoMessage         = errors.New("no message arrived in time")
+	errIncompleteMessage = errors.New("incomplete message")
+	errInvalidSetUps     = errors.New("too many invalid set-ups")
 )
 
-// Core is what fronts report to; *call.Core is one.
+// Core is the part of the call core that fronts use. *call.Core implements it.
 type Core interface {
 	Offer(call.Request) error
-	// Reject answers a set-up that makes no sense.
+	// Reject answers an invalid set-up.
 	Reject(call.Request)
-	// RefuseOverLimit refuses a set-up that there is no room for.
+	// RefuseOverLimit refuses a set-up on a connection beyond the limit.
 	RefuseOverLimit(call.Request)
 	CallerReleased(caller call.Caller, id string, cause int)
-	// ResumeCall is a caller's word that a call of another connection is its own.
+	// ResumeCall handles a caller's request to move a call to its connection.
 	ResumeCall(call.ResumeRequest) error
 	CallerDisconnected(call.Caller)
 	CallerProtocolError(call.Caller)
-	// PendingOf is the number of set-ups without an answer that came from the caller.
+	// PendingOf returns the number of the caller's set-ups without a final answer.
 	PendingOf(call.Caller) int
-	// EstablishedOf is the number of its calls that stand.
+	// EstablishedOf returns the number of the caller's established calls.
 	EstablishedOf(call.Caller) int
 	Ready() bool
 	Phase() call.Phase
-	// Superseded reports whether another process tells the ends of calls.
+	// Superseded reports whether another process now delivers the ends of calls.
 	Superseded() bool
-	// RelayToSuccessor leaves the end of a call to that process, and reports whether it has taken it.
+	// RelayToSuccessor relays the end of a call to that process, and reports whether it was accepted.
 	RelayToSuccessor(id string, end call.End) bool
 }
 
-// Format is the framing of one connection.
+// Format encodes and decodes the messages of one connection.
 type Format interface {
-	// Next takes a message off the ring; it is nil if none is whole yet. What it says itself goes to write.
+	// Next decodes the next message from the buffer; it returns nil if none is complete. It passes its own replies to write.
 	Next(in *ring.Buffer, write func([]byte)) (*jsonl.Message, error)
 	// Open reports whether messages can be sent.
 	Open() bool
-	// Frame puts a message in its frame.
+	// Frame returns the text of a message with its framing.
 	Frame(text []byte) []byte
-	// NamesErrors says whether releases name the API's error beside the cause.
+	// NamesErrors reports whether releases contain the error name of the API as well as the cause.
 	NamesErrors() bool
-	// Bye are the last words before the connection is closed for err.
+	// Bye returns the message that is sent before the connection is closed because of err.
 	Bye(err error) []byte
 }
 
-// Lines is the platform's framing: a line feed after each message.
+// Lines is the platform's format: one message per line.
 type Lines struct{ dec jsonl.Decoder }
 
-// Next reads a line.
+// Next decodes a line.
 func (l *Lines) Next(in *ring.Buffer, _ func([]byte)) (*jsonl.Message, error) { return l.dec.Next(in) }
 
-// Open is always so.
+// Open returns true: there is no handshake.
 func (l *Lines) Open() bool { return true }
 
-// Frame ends the line.
+// Frame appends a line feed.
 func (l *Lines) Frame(text []byte) []byte { return append(text, '\n') }
 
-// Bye has no form.
+// Bye returns nil: the format has no closing message.
 func (l *Lines) Bye(error) []byte { return nil }
 
-// NamesErrors is not the platform's way.
+// NamesErrors returns false: the platform's releases contain only the cause.
 func (l *Lines) NamesErrors() bool { return false }
 
-// Front is one listener and the connections from callers that it took.
+// Front is a listener and the connections that it has accepted from callers.
 type Front struct {
-	core     Core
-	loop     *call.Loop
-	log      *slog.Logger
-	format   func() Format
-	bounds   Bounds
-	terms    *Terms
-	listener Listener
-	all      []*Conn   // in the order in which they came
-	open     []*Conn   // those that can be written to
-	pending  []release // ends for which no connection is open
-	ends     EndCounts
-	scarce   bool // descriptors run short: who comes now is turned away, unless another makes room
+	core              Core
+	loop              *call.Loop
+	log               *slog.Logger
+	newFormat         func() Format
+	bounds            Bounds
+	rules             *Terms
+	listener          Listener
+	conns             []*Conn   // in order of arrival
+	openConns         []*Conn   // connections on which messages can be sent
+	pendingEnds       []callEnd // ends that wait for an open connection
+	endCounts         EndCounts
+	descriptorsScarce bool // new connections are refused unless another one can be evicted
 }
 
-// New returns a front for a socket that listens. It accepts once its listener is started.
-func New(loop *call.Loop, core Core, log *slog.Logger, tcp *net.TCPListener, format func() Format, bounds Bounds, terms *Terms) *Front {
-	f := newFront(loop, core, log, format, bounds, terms)
-	f.listen(conn.NewListener(loop, tcp, bounds.Most(), func(c *conn.Conn) conn.Handler { return f.accept(c) }))
+// New returns a front for a listening socket. It accepts connections once its listener is started.
+func New(loop *call.Loop, core Core, log *slog.Logger, tcp *net.TCPListener, format func() Format, bounds Bounds, rules *Terms) *Front {
+	f := newFront(loop, core, log, format, bounds, rules)
+	f.useListener(conn.NewListener(loop, tcp, bounds.Most(), func(c *conn.Conn) conn.Handler { return f.accept(c) }))
 	return f
 }
 
-func newFront(loop *call.Loop, core Core, log *slog.Logger, format func() Format, bounds Bounds, terms *Terms) *Front {
-	return &Front{core: core, loop: loop, log: log, format: format, bounds: bounds, terms: terms}
+func newFront(loop *call.Loop, core Core, log *slog.Logger, format func() Format, bounds Bounds, rules *Terms) *Front {
+	return &Front{core: core, loop: loop, log: log, newFormat: format, bounds: bounds, rules: rules}
 }
 
-// listen has the front serve what a listener accepts.
-func (f *Front) listen(l Listener) {
+// useListener sets the listener and starts the checks of the connections.
+func (f *Front) useListener(l Listener) {
 	f.listener = l
-	f.loop.Post(f.look)
+	f.loop.Post(f.poll)
 }
 
-// Listener is where the front's connections come from.
+// Listener returns the listener that accepts the front's connections.
 func (f *Front) Listener() Listener { return f.listener }
 
-// Address is where the front listens.
+// Address returns the address on which the front listens.
 func (f *Front) Address() string { return f.listener.Address() }
 
-// Close ends the front and its connections.
+// Close closes the listener and all connections.
 func (f *Front) Close() error {
 	f.dropPending()
 	return f.listener.Shutdown()
 }
 
-// Retune has set-ups keep to other terms from now on.
-func (f *Front) Retune(terms *Terms) { f.terms = terms }
+// Retune replaces the rules for set-ups.
+func (f *Front) Retune(rules *Terms) { f.rules = rules }
 
 func (f *Front) accept(c connection) conn.Handler {
 	now := time.Now()
-	cc := &Conn{front: f, conn: c, format: f.format(), usedAt: now, since: now}
-	cc.number = accepted.Add(1)
-	f.all = append(f.all, cc)
-	cc.join()
-	if f.crowded() {
-		f.makeRoom(cc)
+	accepted := &Conn{front: f, conn: c, format: f.newFormat(), lastUsedAt: now, waitingSince: now}
+	accepted.number = lastConnNumber.Add(1)
+	f.conns = append(f.conns, accepted)
+	accepted.markOpen()
+	if f.overLimit() {
+		f.evict(accepted)
 	}
-	return cc
+	return accepted
 }
 
-// Flush sends what was written since the last time.
+// Flush sends the buffered output of all connections.
 func (f *Front) Flush() {
-	for _, c := range f.open {
+	for _, c := range f.openConns {
 		c.conn.Flush()
 	}
 }
 
-// Connections is the number of connections that hold a descriptor.
+// Connections returns the number of connections that hold a descriptor.
 func (f *Front) Connections() int { return f.listener.Held() }
 
-// Idle reports whether no end of a call waits for a caller, no connection waits to be accepted, and none has anything unread, half a message,
-// words that wait for the socket, or an end that may be lost with it.
+// Idle reports whether nothing is left to process or deliver: no end waits for a caller, no connection waits to be accepted, and
+// no connection has unread input, an incomplete message, unsent output or an end that may be lost when it closes.
 func (f *Front) Idle() bool {
-	return len(f.pending) == 0 && !f.listener.Waiting() && !slices.ContainsFunc(f.all, func(c *Conn) bool {
-		return !c.closed && (c.partial && time.Since(c.since) < wholeWithin || c.conn.Unsent() > 0 || !c.conn.Quiet() || !c.conn.AllTaken() || c.mayLoseEnd())
+	return len(f.pendingEnds) == 0 && !f.listener.Waiting() && !slices.ContainsFunc(f.conns, func(c *Conn) bool {
+		return !c.closed && (c.partial && time.Since(c.waitingSince) < partialMessageTimeout || c.conn.Unsent() > 0 || !c.conn.Quiet() ||
+			!c.conn.AllTaken() || c.mayLoseEnd())
 	})
 }
 
-// Heard reports whether all is with the loop, as far as it may be, that was sent by callers with a set-up open: another's word cannot take
-// one back. Of very many connections, few have one.
+// Heard reports whether the event loop has received, as far as possible, all the input of callers with an open set-up. Other
+// connections do not count, since no other caller can cancel a set-up. Of a very large number of connections, few have one.
 func (f *Front) Heard() bool {
-	return !slices.ContainsFunc(f.all, func(c *Conn) bool { return !c.closed && f.core.PendingOf(c) > 0 && c.conn.Unread() })
+	return !slices.ContainsFunc(f.conns, func(c *Conn) bool { return !c.closed && f.core.PendingOf(c) > 0 && c.conn.Unread() })
 }
 
 var _ call.Caller = (*Conn)(nil)
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -15,96 +15,97 @@
 	"cherryrelay/internal/ring"
 )
 
-// Conn is a connection from callers.
+// Conn is a connection from a caller or a gateway of callers.
 type Conn struct {
-	front   *Front
-	number  uint64
-	conn    connection
-	format  Format
-	joined  bool
-	closed  bool
-	asked   bool // a set-up has come
-	tested  bool // a test has
-	said    bool // it has been told something
-	stood   bool // a call of it did
-	faults  int  // set-ups that made no sense
-	resumed int  // calls it came back for
-	partial bool // what came last is no whole message yet
-	// overflow marks a connection beyond the bound, when none could make room for it.
-	overflow   bool
-	turnedAway bool      // a set-up has been refused for that
-	since      time.Time // when it connected or, if later, the message that is not whole began
-	usedAt     time.Time
-	awaited    time.Time // until when a caller may wait here for a final answer
-	sent       []*told   // lately, of calls that stood
-	reset      bool      // it has ended by a reset, or may have
+	front           *Front
+	number          uint64
+	conn            connection
+	format          Format
+	markedOpen      bool
+	closed          bool
+	receivedRequest bool // a set-up or a resume request was received
+	receivedPing    bool // a ping was received
+	hasSent         bool // a message was sent on it
+	hadCall         bool // a call on it was established
+	invalidSetUps   int  // number of invalid set-ups
+	resumes         int  // number of resume requests
+	partial         bool // the last message received is incomplete
+	// overflow is set if the connection exceeds the limit and none could be evicted for it.
+	overflow       bool
+	refusedSetUp   bool      // a set-up was refused because of overflow
+	waitingSince   time.Time // time of the connect or, if later, of the start of the incomplete message
+	lastUsedAt     time.Time
+	answerDeadline time.Time  // time until which a caller may wait here for a final answer
+	sentEnds       []*sentEnd // recently sent ends of established calls
+	wasReset       bool       // it was reset, or may have been
 }
 
-// Data takes in what callers have sent.
+// Data processes the input from callers.
 func (c *Conn) Data(in *ring.Buffer, at time.Time) error {
 	if c.closed {
 		in.Discard(in.Len())
 		return nil
 	}
-	c.usedAt = at
+	c.lastUsedAt = at
 	for {
 		m, err := c.format.Next(in, c.conn.Write)
 		if errors.Is(err, io.EOF) {
-			return conn.ErrClosedHere // closed in good order; what was open is given up
+			return conn.ErrClosedHere // cleanly closed; open set-ups are cancelled
 		}
 		if err == nil && m != nil {
 			c.partial = false
-			if err = c.take(m, at); err != nil {
-				c.rejectRest(in)
+			if err = c.handle(m, at); err != nil {
+				c.rejectRemaining(in)
 			}
 		}
 		if err != nil {
-			c.lastWords(err)
+			c.reportProtocolError(err)
 			return err
 		}
-		c.join()
+		c.markOpen()
 		if m == nil {
-			if c.mayLeave(in) {
-				c.lastWords(conn.ErrClosedHere)
+			if c.canCloseOverflow(in) {
+				c.reportProtocolError(conn.ErrClosedHere)
 				return conn.ErrClosedHere
 			}
 			if partial := in.Len() > 0; partial != c.partial {
-				c.partial, c.since = partial, at
+				c.partial, c.waitingSince = partial, at
 			}
 			return nil
 		}
 	}
 }
 
-// lastWords answers the set-ups of a connection that goes for a fault of its peer; nobody else is touched.
-func (c *Conn) lastWords(err error) {
+// reportProtocolError has the open set-ups of a connection answered that is closed because of its peer's error. Other connections
+// are not affected.
+func (c *Conn) reportProtocolError(err error) {
 	c.front.core.CallerProtocolError(c)
 	c.conn.Write(c.format.Bye(err))
 }
 
-// fail closes the connection for a fault that shows while nothing comes.
-func (c *Conn) fail(err error) {
-	c.lastWords(err)
+// closeWithError closes the connection because of an error that is found while no input arrives.
+func (c *Conn) closeWithError(err error) {
+	c.reportProtocolError(err)
 	c.conn.Close(err)
 }
 
-// shut closes a connection that has no set-up open. It counts as closed at once, so that no release is written to it.
-func (c *Conn) shut(reason error) {
-	c.reset = c.conn.Left() // whether by a reset is not known yet
+// closeNow closes a connection that has no open set-up. It counts as closed at once, so that no end is sent on it.
+func (c *Conn) closeNow(reason error) {
+	c.wasReset = c.conn.Left() // it is not known yet whether by a reset
 	c.conn.Write(c.format.Bye(nil))
 	c.conn.Close(reason)
 	c.Closed(reason)
 }
 
-// Broken has the set-ups of a connection answered that is about to be closed for a fault in its stream.
+// Broken has the open set-ups of a connection answered that is about to be closed because of an invalid stream.
 func (c *Conn) Broken(reason error) {
 	if !c.closed {
-		c.lastWords(reason)
+		c.reportProtocolError(reason)
 	}
 }
 
-// rejectRest answers the set-ups that have come behind a message that ends the connection.
-func (c *Conn) rejectRest(in *ring.Buffer) {
+// rejectRemaining answers the set-ups received after a message that ends the connection.
+func (c *Conn) rejectRemaining(in *ring.Buffer) {
 	for {
 		m, err := c.format.Next(in, func([]byte) {})
 		if err != nil || m == nil {
@@ -116,71 +117,72 @@
 	}
 }
 
-func (c *Conn) take(m *jsonl.Message, at time.Time) error {
+func (c *Conn) handle(m *jsonl.Message, at time.Time) error {
 	switch m.Type {
 	case "setup":
-		c.asked = true
-		c.front.deliver()
+		c.receivedRequest = true
+		c.front.deliverPending()
 		if !call.ValidID(m.ID) {
-			return fmt.Errorf("set-up with the id %.40q", m.ID)
+			return fmt.Errorf("set-up with invalid ID %.40q", m.ID)
 		}
-		return c.setUp(m, at)
+		return c.handleSetUp(m, at)
 	case "release":
 		c.front.core.CallerReleased(c, m.ID, m.CauseOr(call.CauseNormal))
 	case "resume":
-		if !c.resumable() {
-			c.front.log.Debug("resume where that is off", "id", m.ID)
+		if !c.allowsResume() {
+			c.front.log.Debug("resume request ignored: resuming is disabled", "id", m.ID)
 			return nil
 		}
-		c.asked = true
+		c.receivedRequest = true
 		if !call.ValidID(m.ID) {
-			return fmt.Errorf("resume of the id %.40q", m.ID)
+			return fmt.Errorf("resume request with invalid ID %.40q", m.ID)
 		}
-		if c.resumed++; c.resumed > maxResumed {
+		if c.resumes++; c.resumes > maxResumes {
 			return call.ErrTooManyResumes
 		}
-		claim := call.ResumeRequest{Caller: c, ID: m.ID, Token: string(m.Fields["token"]), Answered: m.Fields["answered"] == "1"}
-		awaited := at.Add(c.front.terms.longestDeadline())
-		if left, err := m.Int("left"); err == nil && left >= 0 && left <= longest.Milliseconds() {
-			claim.Deadline = at.Add(time.Duration(left) * time.Millisecond)
-			awaited = earlier(awaited, claim.Deadline)
+		request := call.ResumeRequest{Caller: c, ID: m.ID, Token: string(m.Fields["token"]), Answered: m.Fields["answered"] == "1"}
+		deadline := at.Add(c.front.rules.longestTimeout())
+		if left, err := m.Int("left"); err == nil && left >= 0 && left <= maxTimeLeft.Milliseconds() {
+			request.Deadline = at.Add(time.Duration(left) * time.Millisecond)
+			deadline = earlier(deadline, request.Deadline)
 		}
-		c.awaitsAnswer(awaited)
-		return c.front.core.ResumeCall(claim)
+		c.extendAnswerDeadline(deadline)
+		return c.front.core.ResumeCall(request)
 	case "ping":
-		if !c.tested && !c.asked {
-			c.passOn()
+		if !c.receivedPing && !c.receivedRequest {
+			c.markAsHealthCheck()
 		}
-		c.tested = true
-		passed := 0
+		c.receivedPing = true
+		ready := 0
 		if c.front.core.Ready() {
-			passed = 1
+			ready = 1
 		}
-		c.write(jsonl.Message{Type: "pong", ID: m.ID, Cause: &passed})
+		c.write(jsonl.Message{Type: "pong", ID: m.ID, Cause: &ready})
 	case "released", "progress", "pong", "state":
 	default:
-		c.front.log.Debug("message of an unknown type", "type", m.Type)
+		c.front.log.Debug("message of unknown type ignored", "type", m.Type)
 	}
 	return nil
 }
 
-// resumable reports whether calls can be resumed here: over the API, and over JSON lines where the operator has it so.
-func (c *Conn) resumable() bool { return c.format.NamesErrors() || c.front.terms.lines }
+// allowsResume reports whether calls can be resumed on the connection: always over the API, over JSON lines only if the operator
+// has enabled it.
+func (c *Conn) allowsResume() bool { return c.format.NamesErrors() || c.front.rules.resumeOverLines }
 
-// setUp offers a call. One whose fields make no sense is answered as failed; its connection is sound, unless it brings
-// nothing else.
-func (c *Conn) setUp(m *jsonl.Message, at time.Time) error {
-	r, err := c.front.terms.request(m, at, c.resumable())
+// handleSetUp offers a call to the core. A set-up with invalid fields is answered as failed. Its connection stays open unless it
+// has sent too many of these.
+func (c *Conn) handleSetUp(m *jsonl.Message, at time.Time) error {
+	r, err := c.front.rules.parseSetUp(m, at, c.allowsResume())
 	if err != nil {
-		c.front.log.Warn("set-up with bad fields", "id", m.ID, "err", err)
+		c.front.log.Warn("set-up with invalid fields", "id", m.ID, "err", err)
 		c.front.core.Reject(call.Request{ID: m.ID, Class: string(m.Fields["class"]), Caller: c})
-		if c.faults++; c.faults >= maxFaults {
-			return errFaults
+		if c.invalidSetUps++; c.invalidSetUps >= maxInvalidSetUps {
+			return errInvalidSetUps
 		}
 		return nil
 	}
 	r.Caller = c
-	c.awaitsAnswer(r.Deadline)
+	c.extendAnswerDeadline(r.Deadline)
 	if c.refusesOverflow() {
 		c.front.core.RefuseOverLimit(r)
 		return nil
@@ -190,93 +192,93 @@
 
 func (c *Conn) write(m jsonl.Message) { c.writeThen(m, func() {}) }
 
-// writeThen writes a message, and runs a function once all of it has left.
+// writeThen writes a message, and runs a function once all of it has been written to the socket.
 func (c *Conn) writeThen(m jsonl.Message, then func()) {
 	if err := c.tryWrite(m, then); err != nil {
-		c.front.log.Error("message to a caller", "err", err)
+		c.front.log.Error("message to a caller cannot be sent", "err", err)
 	}
 }
 
 func (c *Conn) tryWrite(m jsonl.Message, then func()) error {
 	text, err := jsonl.Append(nil, m)
 	if err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error needs no context
 	}
 	if len(text) >= jsonl.MaxMessage {
 		return jsonl.ErrTooLong
 	}
-	c.said, c.usedAt = true, time.Now()
+	c.hasSent, c.lastUsedAt = true, time.Now()
 	c.conn.WriteThen(c.format.Frame(text), then)
 	return nil
 }
 
-// Answer tells that the call stands.
+// Answer notifies the caller that the call is established.
 func (c *Conn) Answer(id, description string) error {
 	if err := c.tryWrite(jsonl.Message{Type: "answer", ID: id, SDP: &description}, func() {}); err != nil {
 		return err
 	}
-	c.stood = true
+	c.hadCall = true
 	c.logCall(endlog.AnswerQueued, id)
 	return nil
 }
 
-// End sends a final answer.
-func (c *Conn) End(id string, end call.End) { c.writeRelease(release{id: id, end: end}, func() {}) }
+// End sends a final answer other than the answer of an established call.
+func (c *Conn) End(id string, end call.End) { c.writeRelease(callEnd{id: id, end: end}, func() {}) }
 
-// Closed ends the connection's set-ups. Calls that stand are released on other connections.
+// Closed ends the connection's set-ups. The ends of its established calls are sent on other connections.
 func (c *Conn) Closed(reason error) {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	c.reset = c.reset || isReset(reason)
+	c.wasReset = c.wasReset || isReset(reason)
 	f := c.front
-	f.all = slices.DeleteFunc(f.all, func(o *Conn) bool { return o == c })
-	f.open = slices.DeleteFunc(f.open, func(o *Conn) bool { return o == c })
+	f.conns = slices.DeleteFunc(f.conns, func(other *Conn) bool { return other == c })
+	f.openConns = slices.DeleteFunc(f.openConns, func(other *Conn) bool { return other == c })
 	if !errors.Is(reason, io.EOF) && !errors.Is(reason, conn.ErrClosedHere) {
 		f.log.Warn("connection from callers closed", "peer", c.conn.Remote(), "reason", reason)
 	}
 	c.logEnded(reason)
 	f.core.CallerDisconnected(c)
-	for _, t := range c.sent {
-		if c.unheard(t) {
-			c.logCall(endlog.EndUnread, t.id)
-			c.repeat(t)
+	for _, sent := range c.sentEnds {
+		if c.maybeUnread(sent) {
+			c.logCall(endlog.EndUnread, sent.id)
+			c.redeliver(sent)
 		} else {
-			c.logCall(endlog.EndCountsRead, t.id)
+			c.logCall(endlog.EndCountsRead, sent.id)
 		}
 	}
-	c.sent = nil
+	c.sentEnds = nil
 }
 
-// isReset reports whether a connection that ended for the reason was reset by its peer, which may show as something is written to it.
+// isReset reports whether the reason means that the peer has reset the connection. A write may be the first to find that.
 func isReset(reason error) bool {
 	return errors.Is(reason, conn.ErrReset) || errors.Is(reason, syscall.ECONNRESET) || errors.Is(reason, syscall.EPIPE)
 }
 
-// Disconnected reports whether the caller has gone. What it has said last is taken in before.
+// Disconnected reports whether the caller has disconnected. Input that has arrived before is processed first.
 func (c *Conn) Disconnected() bool {
 	if !c.closed {
 		c.conn.Hear()
 	}
-	return c.gone()
+	return c.callerDisconnected()
 }
 
-// gone reports whether the caller has closed its side.
-func (c *Conn) gone() bool { return c.closed || c.conn.Left() }
+// callerDisconnected reports whether the connection is closed, or closed on the caller's side.
+func (c *Conn) callerDisconnected() bool { return c.closed || c.conn.Left() }
 
-// join counts the connection among the open ones once it can be written to, and gives it what has waited for one.
-func (c *Conn) join() {
+// markOpen adds the connection to the open ones once messages can be sent on it.
+func (c *Conn) markOpen() {
 	f := c.front
-	if c.joined || !c.format.Open() {
+	if c.markedOpen || !c.format.Open() {
 		return
 	}
-	c.joined = true
-	f.open = append(f.open, c)
+	c.markedOpen = true
+	f.openConns = append(f.openConns, c)
 }
 
-// hears reports whether the connection can be told the end of a call that came on another. One on which a test came is
-// for tests: who made it takes the next message for its result. One that has said nothing yet may be about to.
-func (c *Conn) hears() bool {
-	return c.asked || !c.tested && time.Since(c.since) > settle
+// acceptsEnds reports whether the end of a call of another connection may be sent here. A connection with a ping but no request
+// is a health check, whose sender takes the next message for the result. A new connection without any message may become one.
+func (c *Conn) acceptsEnds() bool {
+	return c.receivedRequest || !c.receivedPing && time.Since(c.waitingSince) > newConnGracePeriod
 }
--- a/internal/callers/ends.go
+++ b/internal/callers/ends.go
@@ -11,196 +11,201 @@
 	"cherryrelay/internal/jsonl"
 )
 
-// The ends of calls that stood, which may be told on another connection than that of their set-up.
+// This file delivers the ends of established calls. They may be sent on another connection than that of the set-up.
 
-type release struct {
-	id  string
-	end call.End
-	at  time.Time
-	// firstLeftAt is when all of it was first with the kernel, on whatever connection; zero until then.
-	firstLeftAt time.Time
+// callEnd is the end of a call that has to be delivered.
+type callEnd struct {
+	id       string
+	end      call.End
+	queuedAt time.Time
+	// firstSentAt is when all of it was first written to a socket, on any connection; zero until then.
+	firstSentAt time.Time
 }
 
-// told is a release that was written to a connection.
-type told struct {
-	release
-	leftAt    time.Time // when all of it was with the kernel; zero until then
-	elsewhere bool      // the connection is not that of the call
+// sentEnd is the end of a call that was queued on a connection.
+type sentEnd struct {
+	callEnd
+	sentAt      time.Time // time at which all of it was written to the socket; zero until then
+	onOtherConn bool      // the connection is not that of the call
 }
 
-// deliver passes on the ends that have waited for a connection. A process that has superseded this one takes them, as callers connect there.
-func (f *Front) deliver() {
+// deliverPending sends the ends that wait for a connection. A process that has superseded this one gets them instead, as callers
+// connect there.
+func (f *Front) deliverPending() {
 	f.dropExpired()
 	superseded := f.core.Superseded()
-	if len(f.pending) == 0 || !superseded && !slices.ContainsFunc(f.open, (*Conn).hears) {
+	if len(f.pendingEnds) == 0 || !superseded && !slices.ContainsFunc(f.openConns, (*Conn).acceptsEnds) {
 		return
 	}
-	pending := f.pending
-	f.pending = nil
-	for _, r := range pending {
-		if superseded && f.core.RelayToSuccessor(r.id, r.end) {
+	pending := f.pendingEnds
+	f.pendingEnds = nil
+	for _, e := range pending {
+		if superseded && f.core.RelayToSuccessor(e.id, e.end) {
 			continue
 		}
-		if !f.send(r) {
-			f.pending = append(f.pending, r)
+		if !f.sendOnAnyConn(e) {
+			f.pendingEnds = append(f.pendingEnds, e)
 		}
 	}
 }
 
-// dropExpired gives up the ends that have waited for too long.
+// dropExpired drops the ends that have waited for too long.
 func (f *Front) dropExpired() {
-	f.pending = slices.DeleteFunc(f.pending, func(r release) bool {
-		if time.Since(r.at) < keep {
+	f.pendingEnds = slices.DeleteFunc(f.pendingEnds, func(e callEnd) bool {
+		if time.Since(e.queuedAt) < endTimeout {
 			return false
 		}
-		f.drop(r, "no caller has connected in time")
+		f.drop(e, "no caller connected in time")
 		return true
 	})
 }
 
-// dropPending gives up the ends that wait as the front closes.
+// dropPending drops all waiting ends when the front closes.
 func (f *Front) dropPending() {
-	for _, r := range f.pending {
-		f.drop(r, "this process ends")
+	for _, e := range f.pendingEnds {
+		f.drop(e, "the process ends")
 	}
-	f.pending = nil
+	f.pendingEnds = nil
 }
 
-// drop gives up the end of a call, which its caller is not told from here.
-func (f *Front) drop(r release, reason string) {
-	f.ends.Dropped++
-	endlog.Call(f.log, endlog.EndDropped, r.id)
-	f.log.Warn("end of a call given up", "id", r.id, "cause", r.end.Cause, "reason", reason, "waited", time.Since(r.at))
+// drop drops the end of a call: this process does not deliver it.
+func (f *Front) drop(e callEnd, reason string) {
+	f.endCounts.Dropped++
+	endlog.Call(f.log, endlog.EndDropped, e.id)
+	f.log.Warn("end of a call given up", "id", e.id, "cause", e.end.Cause, "reason", reason, "waited", time.Since(e.queuedAt))
 }
 
-// Release passes on the end of a call that no connection is known for.
+// Release sends the end of a call whose connection is not known.
 func (f *Front) Release(id string, end call.End) {
-	f.release(release{id: id, end: end, at: time.Now()})
+	f.deliverOrQueue(callEnd{id: id, end: end, queuedAt: time.Now()})
 }
 
-// release passes on the end of a call that stood, now or once there is a connection for it.
-func (f *Front) release(r release) {
-	if f.send(r) {
+// deliverOrQueue sends the end of an established call, or queues it until there is a connection for it.
+func (f *Front) deliverOrQueue(e callEnd) {
+	if f.sendOnAnyConn(e) {
 		return
 	}
 	f.dropExpired()
-	endlog.Call(f.log, endlog.EndWaits, r.id)
-	f.ends.Waited++
-	f.pending = append(f.pending, r)
-}
-
-// send sends the end of a call that stood on another connection, as no connection owns the call: one on which a call
-// stood rather than one that only asked, since that may be anybody's, and of these the one that was used last. It reports whether there is one.
-func (f *Front) send(r release) bool {
-	hears := slices.DeleteFunc(slices.Clone(f.open), func(c *Conn) bool { return !c.hears() })
-	slices.SortStableFunc(hears, func(a, b *Conn) int {
-		return cmp.Or(cmp.Compare(b.rank(), a.rank()), b.usedAt.Compare(a.usedAt))
+	endlog.Call(f.log, endlog.EndWaits, e.id)
+	f.endCounts.Waited++
+	f.pendingEnds = append(f.pendingEnds, e)
+}
+
+// sendOnAnyConn sends the end of a call on an open connection that accepts it, and reports whether there is one. It prefers a
+// connection that had an established call to one with requests only, which may be anyone's, and among equals the one that was
+// used last.
+func (f *Front) sendOnAnyConn(e callEnd) bool {
+	candidates := slices.DeleteFunc(slices.Clone(f.openConns), func(c *Conn) bool { return !c.acceptsEnds() })
+	slices.SortStableFunc(candidates, func(a, b *Conn) int {
+		return cmp.Or(cmp.Compare(b.endPriority(), a.endPriority()), b.lastUsedAt.Compare(a.lastUsedAt))
 	})
-	for _, c := range hears {
-		if !c.gone() {
-			c.release(r).elsewhere = true
+	for _, c := range candidates {
+		if !c.callerDisconnected() {
+			c.sendEnd(e).onOtherConn = true
 			return true
 		}
 	}
 	return false
 }
 
-// rank says how much a connection is to be counted on.
-func (c *Conn) rank() int {
+// endPriority ranks the connections on which the end of another connection's call may be sent.
+func (c *Conn) endPriority() int {
 	switch {
-	case c.stood:
+	case c.hadCall:
 		return 2
-	case c.asked:
+	case c.receivedRequest:
 		return 1
 	}
 	return 0
 }
 
-// NotifyTerminated sends the end of a call that stood, on another connection if this one has closed since.
+// NotifyTerminated sends the end of an established call, on another connection if this one has closed.
 func (c *Conn) NotifyTerminated(id string, end call.End) {
-	r := release{id: id, end: end, at: time.Now()}
-	if c.gone() {
-		c.front.release(r)
+	e := callEnd{id: id, end: end, queuedAt: time.Now()}
+	if c.callerDisconnected() {
+		c.front.deliverOrQueue(e)
 		return
 	}
-	c.release(r)
+	c.sendEnd(e)
 }
 
-func (c *Conn) writeRelease(r release, then func()) {
-	m := jsonl.Message{Type: "release", ID: r.id, Cause: &r.end.Cause, Fields: map[string]jsonl.Value{}}
-	if r.end.HoldOff > 0 {
-		m.Fields["wait"] = jsonl.Value(strconv.FormatInt(r.end.HoldOff.Milliseconds(), 10))
+func (c *Conn) writeRelease(e callEnd, then func()) {
+	m := jsonl.Message{Type: "release", ID: e.id, Cause: &e.end.Cause, Fields: map[string]jsonl.Value{}}
+	if e.end.HoldOff > 0 {
+		m.Fields["wait"] = jsonl.Value(strconv.FormatInt(e.end.HoldOff.Milliseconds(), 10))
 	}
 	if c.format.NamesErrors() {
-		m.Fields["error"] = jsonl.Value(r.end.Reason)
+		m.Fields["error"] = jsonl.Value(e.end.Reason)
 	}
 	c.writeThen(m, then)
 }
 
-// release sends the end of a call that stood and keeps it for a moment: callers close connections without calls, and
-// one that crosses such a close is lost.
-func (c *Conn) release(r release) *told {
-	c.logCall(endlog.EndQueued, r.id)
-	r.at = time.Now()
-	t := &told{release: r}
-	c.writeRelease(r, func() { c.reachedKernel(t) })
-	c.sent = slices.DeleteFunc(c.sent, func(o *told) bool { return !c.unheard(o) && time.Since(o.leftAt) > unreadFor })
-	c.sent = append(c.sent, t)
-	return t
-}
-
-// reachedKernel notes that all of a release has gone to the kernel.
-func (c *Conn) reachedKernel(t *told) {
-	c.logCall(endlog.EndWithKernel, t.id)
-	t.leftAt = time.Now()
-	if t.firstLeftAt.IsZero() {
-		t.firstLeftAt = t.leftAt
+// sendEnd sends the end of an established call and keeps it for some time: callers close connections without calls, and an end
+// that crosses the close is lost.
+func (c *Conn) sendEnd(e callEnd) *sentEnd {
+	c.logCall(endlog.EndQueued, e.id)
+	e.queuedAt = time.Now()
+	s := &sentEnd{callEnd: e}
+	c.writeRelease(e, func() { c.recordWritten(s) })
+	c.sentEnds = slices.DeleteFunc(c.sentEnds, func(other *sentEnd) bool { return !c.maybeUnread(other) && time.Since(other.sentAt) > maxUnreadTime })
+	c.sentEnds = append(c.sentEnds, s)
+	return s
+}
+
+// recordWritten records that all of an end was written to the socket.
+func (c *Conn) recordWritten(s *sentEnd) {
+	c.logCall(endlog.EndWithKernel, s.id)
+	s.sentAt = time.Now()
+	if s.firstSentAt.IsZero() {
+		s.firstSentAt = s.sentAt
 	}
-	c.front.ends.Told++
+	c.front.endCounts.Told++
 }
 
-// mayLoseEnd reports whether the end of a call that was told here may be lost, as the caller closes the connection. It may do so where no call of
-// its own is; the connection of a call it keeps until it has read the end, unless it has ended it by now.
+// mayLoseEnd reports whether an end that was sent here may be lost because the caller closes the connection. A caller closes a
+// connection without calls at any time. It keeps the connection of a call open until it has read the end, unless that connection
+// has already been closed.
 func (c *Conn) mayLoseEnd() bool {
-	if c.gone() {
-		return slices.ContainsFunc(c.sent, c.unheard)
+	if c.callerDisconnected() {
+		return slices.ContainsFunc(c.sentEnds, c.maybeUnread)
 	}
 	return c.front.core.PendingOf(c) == 0 && c.front.core.EstablishedOf(c) == 0 &&
-		slices.ContainsFunc(c.sent, func(t *told) bool { return t.elsewhere && c.unheard(t) })
+		slices.ContainsFunc(c.sentEnds, func(s *sentEnd) bool { return s.onOtherConn && c.maybeUnread(s) })
 }
 
-// repeat tells the end of a call on another connection, as it may not have been read on this one.
-func (c *Conn) repeat(t *told) {
-	c.front.ends.Repeated++
-	c.front.release(t.release)
+// redeliver sends the end of a call on another connection, as it may not have been read on this one.
+func (c *Conn) redeliver(s *sentEnd) {
+	c.front.endCounts.Repeated++
+	c.front.deliverOrQueue(s.callEnd)
 }
 
-// passOn has others told what this connection was while it said nothing: it is for tests, and who made it has taken an end for the
-// result of one.
-func (c *Conn) passOn() {
-	sent := c.sent
-	c.sent, c.tested = nil, true
-	for _, t := range sent {
-		c.logCall(endlog.EndForTest, t.id)
-		t.firstLeftAt = time.Time{} // it has reached no caller
-		c.repeat(t)
+// markAsHealthCheck marks the connection as a health check, and sends the ends that were sent on it on others: the sender of the
+// ping has taken one for the result.
+func (c *Conn) markAsHealthCheck() {
+	sent := c.sentEnds
+	c.sentEnds, c.receivedPing = nil, true
+	for _, s := range sent {
+		c.logCall(endlog.EndForTest, s.id)
+		s.firstSentAt = time.Time{} // no caller has received it
+		c.redeliver(s)
 	}
 }
 
-// unheard reports whether a release that was sent may not have been read: it has not left, it left shortly before now or the end of the
-// connection, the connection was reset, or nobody ever spoke here. A socket that is closed with words unread sends a reset. One that was told for
-// as long as any waits for a caller counts as read: a caller may end all its connections by a reset.
-func (c *Conn) unheard(t *told) bool {
-	if t.leftAt.IsZero() {
+// maybeUnread reports whether an end that was sent may not have been read: it has not been written to the socket, it was written
+// shortly before now or before the end of the connection, the connection was reset, or no message was ever received on it. A
+// socket that is closed with unread input sends a reset. An end that was first sent endTimeout ago counts as read, since a caller
+// may close all its connections by a reset.
+func (c *Conn) maybeUnread(s *sentEnd) bool {
+	if s.sentAt.IsZero() {
 		return true
 	}
-	if time.Since(t.firstLeftAt) >= keep {
+	if time.Since(s.firstSentAt) >= endTimeout {
 		return false
 	}
-	until := c.conn.EndedAt()
-	if until.IsZero() {
-		until = time.Now()
+	endedAt := c.conn.EndedAt()
+	if endedAt.IsZero() {
+		endedAt = time.Now()
 	}
-	age := until.Sub(t.leftAt)
-	return age <= recent || c.reset && age <= unreadFor || !c.asked && !c.tested && age <= keep
+	age := endedAt.Sub(s.sentAt)
+	return age <= crossingTime || c.wasReset && age <= maxUnreadTime || !c.receivedRequest && !c.receivedPing && age <= endTimeout
 }
--- a/internal/callers/steps.go
+++ b/internal/callers/log.go
@@ -7,10 +7,10 @@
 	"cherryrelay/internal/endlog"
 )
 
-// accepted counts the connections of all fronts; each has its number in the log.
-var accepted atomic.Uint64
+// lastConnNumber is the number of the last connection, counted over all fronts. It identifies the connection in the log.
+var lastConnNumber atomic.Uint64
 
-// logCall logs a step of a call that came about on the connection.
+// logCall logs a step of a call on the connection.
 func (c *Conn) logCall(step endlog.Step, id string) {
 	endlog.Call(c.front.log, step, id, endlog.Connection(c.number))
 }
@@ -18,6 +18,7 @@
 // logEnded logs the end of the connection.
 func (c *Conn) logEnded(reason error) {
 	if log := c.front.log; endlog.Enabled(log) {
-		endlog.Callers(log, endlog.CallersEnded, c.number, slog.String("peer", c.conn.Remote()), endlog.Reason(reason), slog.Int("ends_sent", len(c.sent)))
+		endlog.Callers(log, endlog.CallersEnded, c.number, slog.String("peer", c.conn.Remote()),
+			endlog.Reason(reason), slog.Int("ends_sent", len(c.sentEnds)))
 	}
 }
