--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -47,10 +47,10 @@
 }
 
 // Number parses a whole number from least to most. The fault is nil if the value is one.
-func (k *Key) Number(least, most int) (int, *Fault) {
+func (k *Key) Number(minimum, maximum int) (int, *Fault) {
 	n, err := strconv.Atoi(k.Value)
-	if err != nil || n < least || n > most {
-		return 0, &Fault{Line: k.Line, Text: fmt.Sprintf("%s: %.40q is no whole number from %d to %d", k.Name, k.Value, least, most)}
+	if err != nil || n < minimum || n > maximum {
+		return 0, &Fault{Line: k.Line, Text: fmt.Sprintf("%s: %.40q is no whole number from %d to %d", k.Name, k.Value, minimum, maximum)}
 	}
 	return n, nil
 }
@@ -68,8 +68,8 @@
 	return f.Text
 }
 
-// maxLine bounds the length of a line, in bytes.
-const maxLine = 4096
+// maxLineBytes bounds the length of a line, in bytes.
+const maxLineBytes = 4096
 
 // parserOptions disable the features of ini.v1 that the scan rejects.
 var parserOptions = ini.LoadOptions{
@@ -84,11 +84,11 @@
 		return nil, faults
 	}
 	// ini.v1 would strip another byte order mark, too.
-	read, err := ini.LoadSources(parserOptions, text)
+	parsed, err := ini.LoadSources(parserOptions, text)
 	if err != nil {
 		return nil, []Fault{{0, "cannot be read: " + strings.Join(strings.Fields(err.Error()), " ")}}
 	}
-	sections := read.Sections()[1:] // the first holds keys outside of all sections
+	sections := parsed.Sections()[1:] // the first holds keys outside of all sections
 	if len(sections) != len(f.Sections) {
 		return nil, []Fault{{0, fmt.Sprintf("can be read in two ways: %d sections, or %d", len(f.Sections), len(sections))}}
 	}
@@ -141,8 +141,8 @@
 func (s *scanner) scan(raw string) {
 	line := strings.TrimSpace(raw)
 	switch {
-	case len(raw) > maxLine:
-		s.fault("longer than %d bytes", maxLine)
+	case len(raw) > maxLineBytes:
+		s.fault("longer than %d bytes", maxLineBytes)
 	case strings.ContainsFunc(strings.TrimRight(raw, "\r\n"), isUnprintable):
 		s.fault("has characters that cannot be printed")
 	case line == "" || isComment(line):
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestFaultsHaveTheirLines(t *testing.T) {
+func TestFaultLines(t *testing.T) {
 	for text, want := range map[string][]string{
 		"a = 1":                       {`line 1: key "a" stands before the first section`},
 		"[a]\nb = 1\nb = 2\nc":        {`line 3: key "b" stands in line 2, too`, `line 4: "c" is neither a [section] nor a key = value`},
--- a/internal/lists/coordinator/coordinator.go
+++ b/internal/lists/coordinator/coordinator.go
@@ -26,17 +26,17 @@
 )
 
 const (
-	connectWithin = 500 * time.Millisecond
-	// quiet is how long the stream may say nothing; a comment comes each second. What a coordinator that has stopped
+	connectTimeout = 500 * time.Millisecond
+	// defaultSilenceTimeout is how long the stream may say nothing; a comment comes each second. What a coordinator that has stopped
 	// would have told counts as told after 4 s, in which there must be room for a second try.
-	quiet = 1700 * time.Millisecond
-	// retryLeast and retryMost bound the pause before the stream is asked for again, which doubles. What it has to
+	defaultSilenceTimeout = 1700 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the pause before the stream is asked for again, which doubles. What it has to
 	// tell counts as told 2 s after a break, so it must not grow long.
-	retryLeast, retryMost = 50 * time.Millisecond, 500 * time.Millisecond
-	// maxEvent bounds one line of the stream: the whole list of the largest fleet has 5 MiB.
-	maxEvent = 8 << 20
-	// tooLargeAgain is the pause after an event beyond that bound, which would come again as it is.
-	tooLargeAgain = 10 * time.Second
+	minRetryDelay, maxRetryDelay = 50 * time.Millisecond, 500 * time.Millisecond
+	// maxLineBytes bounds one line of the stream: the whole list of the largest fleet has 5 MiB.
+	maxLineBytes = 8 << 20
+	// oversizedRetryDelay is the pause after an event beyond that bound, which would come again as it is.
+	oversizedRetryDelay = 10 * time.Second
 )
 
 // Event is one numbered change of the list.
@@ -95,56 +95,56 @@
 
 // Stream follows the coordinator.
 type Stream struct {
-	log    *slog.Logger
-	client *http.Client
-	last   int64             // only Run's goroutine moves it
-	take   func(call.Update) // called in order, by one goroutine
-	quiet  time.Duration
+	log            *slog.Logger
+	client         *http.Client
+	lastIndex      int64             // only Run's goroutine moves it
+	onUpdate       func(call.Update) // called in order, by one goroutine
+	silenceTimeout time.Duration
 
-	reads atomic.Pointer[reading] // the connection that was opened last
+	latestConn atomic.Pointer[trackedConn] // the connection that was opened last
 
-	mu      sync.Mutex
-	address string
-	moved   chan struct{} // closed when the address has changed
+	mu             sync.Mutex
+	address        string
+	addressChanged chan struct{} // closed when the address has changed
 }
 
 // New returns a Stream that goes on after the event of number last.
-func New(address string, last int64, log *slog.Logger, take func(call.Update)) *Stream {
-	dialer := &net.Dialer{Timeout: connectWithin}
-	s := &Stream{address: address, moved: make(chan struct{}), log: log, last: last, take: take, quiet: quiet}
+func New(address string, lastIndex int64, log *slog.Logger, onUpdate func(call.Update)) *Stream {
+	dialer := &net.Dialer{Timeout: connectTimeout}
+	s := &Stream{address: address, addressChanged: make(chan struct{}), log: log, lastIndex: lastIndex, onUpdate: onUpdate, silenceTimeout: defaultSilenceTimeout}
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		nc, err := dialer.DialContext(ctx, network, address)
 		if err != nil {
 			return nil, err //nolint:wrapcheck // the client says what it was for
 		}
-		r := &reading{Conn: nc}
-		s.reads.Store(r)
-		return r, nil
+		c := &trackedConn{Conn: nc}
+		s.latestConn.Store(c)
+		return c, nil
 	}
 	s.client = &http.Client{Transport: &http.Transport{DialContext: dial, DisableCompression: true}}
 	return s
 }
 
-// reading is a connection that knows whether what it brought is still being worked on.
-type reading struct {
+// trackedConn is a connection that knows whether what it brought is still being worked on.
+type trackedConn struct {
 	net.Conn
-	at atomic.Bool
+	processing atomic.Bool
 }
 
 // Read takes it that all of before has been told once more is asked for.
-func (r *reading) Read(p []byte) (int, error) {
-	r.at.Store(false)
-	n, err := r.Conn.Read(p)
-	r.at.Store(n > 0)
+func (c *trackedConn) Read(p []byte) (int, error) {
+	c.processing.Store(false)
+	n, err := c.Conn.Read(p)
+	c.processing.Store(n > 0)
 	return n, err //nolint:wrapcheck // as any connection's
 }
 
-// unread reports whether bytes wait in the socket, or are being worked on.
-func (r *reading) unread() bool {
-	if r.at.Load() {
+// hasUnreadInput reports whether bytes wait in the socket, or are being worked on.
+func (c *trackedConn) hasUnreadInput() bool {
+	if c.processing.Load() {
 		return true
 	}
-	sc, ok := r.Conn.(syscall.Conn)
+	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false
 	}
@@ -158,13 +158,13 @@
 	}); err != nil {
 		return false // closed
 	}
-	return n > 0 || r.at.Load()
+	return n > 0 || c.processing.Load()
 }
 
 // Quiet reports whether all that has come has been told; any goroutine may call it.
 func (s *Stream) Quiet() bool {
-	r := s.reads.Load()
-	return r == nil || !r.unread()
+	c := s.latestConn.Load()
+	return c == nil || !c.hasUnreadInput()
 }
 
 // Move has the stream go on at another address, after the last event that came: the numbers are the same there. An
@@ -174,73 +174,73 @@
 	defer s.mu.Unlock()
 	if address != s.address {
 		s.address = address
-		close(s.moved)
-		s.moved = make(chan struct{})
+		close(s.addressChanged)
+		s.addressChanged = make(chan struct{})
 	}
 }
 
-func (s *Stream) where() (address string, moved <-chan struct{}) {
+func (s *Stream) currentAddress() (address string, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.address, s.moved
+	return s.address, s.addressChanged
 }
 
 // Run follows the stream until the context ends, and asks again whenever it breaks off.
 func (s *Stream) Run(ctx context.Context) {
-	pause := retryLeast
+	delay := minRetryDelay
 	for ctx.Err() == nil {
-		address, moved := s.where()
+		address, changed := s.currentAddress()
 		if address == "" {
 			select {
 			case <-ctx.Done():
-			case <-moved:
+			case <-changed:
 			}
 			continue
 		}
-		here, cancel := context.WithCancel(ctx)
+		streamCtx, cancel := context.WithCancel(ctx)
 		go func() { // the old coordinator tells nothing more, so its stream is not waited for
 			select {
-			case <-moved:
+			case <-changed:
 				cancel()
-			case <-here.Done():
+			case <-streamCtx.Done():
 			}
 		}()
-		heard, err := s.follow(here, address)
+		received, err := s.follow(streamCtx, address)
 		cancel()
 		if ctx.Err() != nil {
 			return
 		}
-		s.log.Info("coordinator's stream ended", "address", address, "last", s.last, "err", err)
-		if pause = min(2*pause, retryMost); heard {
-			pause = retryLeast
+		s.log.Info("coordinator's stream ended", "address", address, "last", s.lastIndex, "err", err)
+		if delay = min(2*delay, maxRetryDelay); received {
+			delay = minRetryDelay
 		}
 		if errors.Is(err, bufio.ErrTooLong) {
-			s.log.Error("event that is too large", "address", address, "bytes at most", maxEvent, "asked for again in", tooLargeAgain)
-			pause = tooLargeAgain
+			s.log.Error("event that is too large", "address", address, "bytes at most", maxLineBytes, "asked for again in", oversizedRetryDelay)
+			delay = oversizedRetryDelay
 		}
 		select {
 		case <-ctx.Done():
-		case <-moved:
-			pause = retryLeast
-		case <-time.After(pause):
+		case <-changed:
+			delay = minRetryDelay
+		case <-time.After(delay):
 		}
 	}
 }
 
 // follow reads one stream. A coordinator that falls silent is left: its machine may be gone, and the connection
 // would stay open for ever.
-func (s *Stream) follow(ctx context.Context, address string) (heard bool, err error) {
+func (s *Stream) follow(ctx context.Context, address string) (received bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var silent atomic.Bool
-	watchdog := time.AfterFunc(s.quiet, func() { silent.Store(true); cancel() })
+	var timedOut atomic.Bool
+	watchdog := time.AfterFunc(s.silenceTimeout, func() { timedOut.Store(true); cancel() })
 	defer watchdog.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v2/stream", nil)
 	if err != nil {
 		return false, fmt.Errorf("coordinator: %w", err)
 	}
 	req.Header.Set("Accept", "text/event-stream")
-	req.Header.Set("Last-Event-ID", strconv.FormatInt(s.last, 10))
+	req.Header.Set("Last-Event-ID", strconv.FormatInt(s.lastIndex, 10))
 	resp, err := s.client.Do(req)
 	if err != nil {
 		return false, fmt.Errorf("coordinator: %w", err)
@@ -249,17 +249,17 @@
 	if resp.StatusCode != http.StatusOK {
 		return false, fmt.Errorf("coordinator answers %s", resp.Status)
 	}
-	lines := bufio.NewScanner(&heardReader{resp.Body, func() { watchdog.Reset(s.quiet) }})
-	lines.Buffer(make([]byte, 4096), maxEvent)
+	lines := bufio.NewScanner(&notifyingReader{resp.Body, func() { watchdog.Reset(s.silenceTimeout) }})
+	lines.Buffer(make([]byte, 4096), maxLineBytes)
 	var id string
 	var data []byte
 	for lines.Scan() {
-		heard = true
+		received = true
 		line := lines.Bytes()
 		if len(line) == 0 {
 			if len(data) > 0 {
-				if err := s.event(id, data); err != nil {
-					return heard, err
+				if err := s.handleEvent(id, data); err != nil {
+					return received, err
 				}
 			}
 			id, data = "", nil
@@ -278,34 +278,34 @@
 		}
 	}
 	switch err := lines.Err(); {
-	case silent.Load():
-		return heard, errors.New("coordinator: silent")
+	case timedOut.Load():
+		return received, errors.New("coordinator: silent")
 	case err != nil:
-		return heard, fmt.Errorf("coordinator: %w", err)
+		return received, fmt.Errorf("coordinator: %w", err)
 	}
-	return heard, nil
+	return received, nil
 }
 
-// heardReader tells of each time that something comes: an event may take long, and comes all the while.
-type heardReader struct {
+// notifyingReader tells of each time that something comes: an event may take long, and comes all the while.
+type notifyingReader struct {
 	io.Reader
-	heard func()
+	onRead func()
 }
 
 // Read reads what there is.
-func (h *heardReader) Read(p []byte) (int, error) {
-	n, err := h.Reader.Read(p)
+func (r *notifyingReader) Read(p []byte) (int, error) {
+	n, err := r.Reader.Read(p)
 	if n > 0 {
-		h.heard()
+		r.onRead()
 	}
 	return n, err //nolint:wrapcheck // as the reader itself
 }
 
-// event takes in one event. One that cannot be read ends the stream, and is asked for again: it came spoilt, and what
+// handleEvent takes in one event. One that cannot be read ends the stream, and is asked for again: it came spoilt, and what
 // it told would be missing. One that can be read but makes no sense would come again as it is, so it is passed over.
-func (s *Stream) event(id string, data []byte) error {
+func (s *Stream) handleEvent(id string, data []byte) error {
 	number, err := strconv.ParseInt(strings.TrimSpace(id), 10, 64)
-	if err == nil && number <= s.last {
+	if err == nil && number <= s.lastIndex {
 		return nil // known already
 	}
 	var e Event
@@ -313,16 +313,16 @@
 		return fmt.Errorf("coordinator: event %.20q cannot be read: %w", id, err)
 	}
 	if err != nil {
-		if number = e.Index; number <= s.last {
+		if number = e.Index; number <= s.lastIndex {
 			return nil
 		}
 	}
-	s.last = number
+	s.lastIndex = number
 	u, err := e.Update()
 	if err != nil {
 		s.log.Error("event that cannot be used", "id", id, "err", err)
 		return nil
 	}
-	s.take(u)
+	s.onUpdate(u)
 	return nil
 }
--- a/internal/lists/coordinator/coordinator_test.go
+++ b/internal/lists/coordinator/coordinator_test.go
@@ -22,9 +22,9 @@
 		"\"address\":\"127.0.0.1:1\",\"zone\":\"east\",\"group\":2,\"status\":%q,\"since_ms\":5000}]}}\n\n", index, index, name, status)
 }
 
-// TestTheStreamGoesOnWhereItBroke covers a stream that ends, one that falls silent, and events that come twice, make no
+// TestResumesAfterLastEvent covers a stream that ends, one that falls silent, and events that come twice, make no
 // sense or come in parts.
-func TestTheStreamGoesOnWhereItBroke(t *testing.T) {
+func TestResumesAfterLastEvent(t *testing.T) {
 	scripts := []string{
 		event(3, "known", "active") + ": comment\n\n" + event(4, "a", "active"),
 		"id: 5\ndata: {\"index\":5,\n\n" + event(7, "a", "left"), // an event that came spoilt is asked for again
@@ -32,15 +32,15 @@
 		event(6, "b", "odd") + event(7, "a", "leaving") + "SILENCE",
 		event(8, "a", "left") + "SILENCE",
 	}
-	asked := make(chan string, 8)
-	played := 0
+	requests := make(chan string, 8)
+	served := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.URL.Path + " after " + r.Header.Get("Last-Event-ID")
+		requests <- r.URL.Path + " after " + r.Header.Get("Last-Event-ID")
 		script := "SILENCE"
-		if played < len(scripts) {
-			script = scripts[played]
+		if served < len(scripts) {
+			script = scripts[served]
 		}
-		played++
+		served++
 		text, silent := strings.CutSuffix(script, "SILENCE")
 		for i := 0; i < len(text); i += 50 {
 			_, _ = io.WriteString(w, text[i:min(i+50, len(text))])
@@ -53,17 +53,17 @@
 	defer server.Close()
 	updates := make(chan call.Update, 8)
 	s := New(strings.TrimPrefix(server.URL, "http://"), 3, slog.New(slog.DiscardHandler), func(u call.Update) { updates <- u })
-	s.quiet = 500 * time.Millisecond
+	s.silenceTimeout = 500 * time.Millisecond
 	ctx, cancel := context.WithCancel(t.Context())
 	go s.Run(ctx)
 	for _, want := range []struct {
 		asked  string
 		status control.ServerStatus
 	}{{"/v2/stream after 3", control.Active}, {"/v2/stream after 4", control.Draining}, {"/v2/stream after 7", control.Removed}} {
-		got := <-asked
+		got := <-requests
 		if want.status == control.Draining {
 			for range 2 {
-				got = <-asked
+				got = <-requests
 			}
 		}
 		if got != want.asked {
@@ -77,14 +77,14 @@
 	cancel()
 }
 
-// TestWhatAWatchBringsAgain: a coordinator that refuses for a while, comes back with numbers that were told already, and tells the whole
+// TestSkipsKnownEventsAndChangesAddress: a coordinator that refuses for a while, comes back with numbers that were told already, and tells the whole
 // list without a dispatcher; and one that the stream is moved to while an event of the old one is on its way.
-func TestWhatAWatchBringsAgain(t *testing.T) {
-	serve := func(play func(n int, w http.ResponseWriter, r *http.Request)) string {
-		asked := 0
+func TestSkipsKnownEventsAndChangesAddress(t *testing.T) {
+	serve := func(respond func(n int, w http.ResponseWriter, r *http.Request)) string {
+		requests := 0
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			asked++
-			play(asked, w, r)
+			requests++
+			respond(requests, w, r)
 			_ = http.NewResponseController(w).Flush()
 			<-r.Context().Done()
 		}))
@@ -92,43 +92,43 @@
 		t.Cleanup(server.CloseClientConnections)
 		return strings.TrimPrefix(server.URL, "http://")
 	}
-	whole := func(index int) string {
+	emptyList := func(index int) string {
 		return fmt.Sprintf("id: %d\ndata: {\"index\":%d,\"endpoints\":{\"snapshot\":true,\"endpoints\":[]}}\n\n", index, index)
 	}
-	half := make(chan struct{})
-	old := serve(func(n int, w http.ResponseWriter, _ *http.Request) {
+	partSent := make(chan struct{})
+	oldAddress := serve(func(n int, w http.ResponseWriter, _ *http.Request) {
 		switch n {
 		case 1, 2:
 			w.WriteHeader(http.StatusServiceUnavailable)
 			panic(http.ErrAbortHandler)
 		default:
-			_, _ = io.WriteString(w, whole(2)+event(3, "a", "active")+whole(4)+event(5, "b", "active")[:60]) // 2 and 3 were told before
-			close(half)
+			_, _ = io.WriteString(w, emptyList(2)+event(3, "a", "active")+emptyList(4)+event(5, "b", "active")[:60]) // 2 and 3 were told before
+			close(partSent)
 		}
 	})
-	next := serve(func(_ int, w http.ResponseWriter, r *http.Request) {
+	newAddress := serve(func(_ int, w http.ResponseWriter, r *http.Request) {
 		if after := r.Header.Get("Last-Event-ID"); after != "4" {
 			t.Errorf("asked for what follows %s, want 4: the event on its way has not come", after)
 		}
 		_, _ = io.WriteString(w, event(5, "c", "leaving"))
 	})
 	updates := make(chan call.Update, 8)
-	s := New(old, 3, slog.New(slog.DiscardHandler), func(u call.Update) { updates <- u })
+	s := New(oldAddress, 3, slog.New(slog.DiscardHandler), func(u call.Update) { updates <- u })
 	go s.Run(t.Context())
 	if diff := cmp.Diff(call.Update{Complete: true}, <-updates); diff != "" {
 		t.Errorf("the first that is new (-want +got):\n%s", diff)
 	}
-	<-half
-	s.Move(next)
+	<-partSent
+	s.Move(newAddress)
 	entry := control.ServerEntry{ID: "c", Status: control.Draining, Cell: 2, Zone: "east", StartedAt: 5 * time.Second}
 	if diff := cmp.Diff(call.Update{Servers: []call.Server{{ServerEntry: entry, Address: "127.0.0.1:1"}}}, <-updates); diff != "" {
 		t.Errorf("after the move (-want +got):\n%s", diff)
 	}
 }
 
-// TestWhatCountsAsTold: what a coordinator would have told counts as told 2 s after a break, and 4 s after it stopped or another took its
+// TestReconnectsInTime: what a coordinator would have told counts as told 2 s after a break, and 4 s after it stopped or another took its
 // place, come or not. By then it has been asked again, even if it has let one try go by without a word.
-func TestWhatCountsAsTold(t *testing.T) {
+func TestReconnectsInTime(t *testing.T) {
 	for name, test := range map[string]struct {
 		within time.Duration
 		ends   func(s *Stream, to string) (closes bool)
@@ -139,18 +139,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			asked, ended := make(chan time.Time, 8), make(chan time.Time, 1)
+			requests, interrupted := make(chan time.Time, 8), make(chan time.Time, 1)
 			var s *Stream
-			var to string
-			tries := 0
+			var otherAddress string
+			attempts := 0
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				switch tries++; tries {
+				switch attempts++; attempts {
 				case 1:
 					_, _ = io.WriteString(w, event(4, "a", "active"))
 					_ = http.NewResponseController(w).Flush()
-					asked <- time.Time{}
-					ended <- time.Now()
-					if test.ends(s, to) {
+					requests <- time.Time{}
+					interrupted <- time.Now()
+					if test.ends(s, otherAddress) {
 						panic(http.ErrAbortHandler)
 					}
 				case 2: // after a break it is refused; else it has stopped here as well
@@ -159,19 +159,19 @@
 						return
 					}
 				default:
-					asked <- time.Now()
+					requests <- time.Now()
 				}
 				<-r.Context().Done()
 			}))
 			t.Cleanup(server.Close)
 			t.Cleanup(server.CloseClientConnections)
 			address := strings.TrimPrefix(server.URL, "http://")
-			to = strings.Replace(address, "127.0.0.1", "[::ffff:127.0.0.1]", 1) // another name of the same
+			otherAddress = strings.Replace(address, "127.0.0.1", "[::ffff:127.0.0.1]", 1) // another name of the same
 			s = New(address, 3, slog.New(slog.DiscardHandler), func(call.Update) {})
 			go s.Run(t.Context())
-			<-asked
-			if took := (<-asked).Sub(<-ended); took > test.within {
-				t.Errorf("asked again after %v, want %v at most", took, test.within)
+			<-requests
+			if delay := (<-requests).Sub(<-interrupted); delay > test.within {
+				t.Errorf("asked again after %v, want %v at most", delay, test.within)
 			}
 		})
 	}
--- a/internal/lists/coordinator/slow_test.go
+++ b/internal/lists/coordinator/event_size_test.go
@@ -14,8 +14,8 @@
 	"cherryrelay/internal/call"
 )
 
-// streams serves a script at each request, and counts the requests.
-func streams(t *testing.T, serve func(w io.Writer, r *http.Request)) (s *Stream, updates chan call.Update, asked *atomic.Int32) {
+// newTestStream serves a script at each request, and counts the requests.
+func newTestStream(t *testing.T, serve func(w io.Writer, r *http.Request)) (s *Stream, updates chan call.Update, asked *atomic.Int32) {
 	t.Helper()
 	asked, updates = new(atomic.Int32), make(chan call.Update, 8)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -28,12 +28,12 @@
 	return s, updates, asked
 }
 
-// TestASlowEventComesWhole guards against a watch that is begun anew inside an event whose bytes come all the time.
-func TestASlowEventComesWhole(t *testing.T) {
+// TestReceivesSlowEvent guards against a watch that is begun anew inside an event whose bytes come all the time.
+func TestReceivesSlowEvent(t *testing.T) {
 	t.Parallel()
 	const silence = 200 * time.Millisecond
 	text := event(1, "a", "active")
-	s, updates, asked := streams(t, func(w io.Writer, r *http.Request) {
+	s, updates, asked := newTestStream(t, func(w io.Writer, r *http.Request) {
 		for _, b := range []byte(text) {
 			_, _ = w.Write([]byte{b})
 			_ = http.NewResponseController(w.(http.ResponseWriter)).Flush()
@@ -41,7 +41,7 @@
 		}
 		<-r.Context().Done()
 	})
-	s.quiet = silence
+	s.silenceTimeout = silence
 	go s.Run(t.Context())
 	select {
 	case u := <-updates:
@@ -53,8 +53,8 @@
 	}
 }
 
-// wide is an event with so many bytes of names.
-func wide(bytes int) string {
+// largeEvent is an event with so many bytes of names.
+func largeEvent(bytes int) string {
 	const each = 1000
 	var entries []string
 	for i := range bytes / each {
@@ -63,12 +63,12 @@
 	return fmt.Sprintf("id: 1\ndata: {\"index\":1,\"endpoints\":{\"index\":1,\"snapshot\":true,\"endpoints\":[%s]}}\n\n", strings.Join(entries, ","))
 }
 
-// TestALargeEventIsTakenIn guards against the whole list of a large fleet that never comes into force.
-func TestALargeEventIsTakenIn(t *testing.T) {
+// TestReceivesLargeEvent guards against the whole list of a large fleet that never comes into force.
+func TestReceivesLargeEvent(t *testing.T) {
 	t.Parallel()
 	const size = 5 << 20
-	text := wide(size)
-	s, updates, _ := streams(t, func(w io.Writer, r *http.Request) {
+	text := largeEvent(size)
+	s, updates, _ := newTestStream(t, func(w io.Writer, r *http.Request) {
 		_, _ = io.WriteString(w, text)
 		_ = http.NewResponseController(w.(http.ResponseWriter)).Flush()
 		<-r.Context().Done()
@@ -84,11 +84,11 @@
 	}
 }
 
-// TestAnEventBeyondTheBoundIsAskedForSeldom guards against an event that is asked for without a pause, and comes again as it is.
-func TestAnEventBeyondTheBoundIsAskedForSeldom(t *testing.T) {
+// TestRetriesOversizedEventSlowly guards against an event that is asked for without a pause, and comes again as it is.
+func TestRetriesOversizedEventSlowly(t *testing.T) {
 	t.Parallel()
-	text := ": here\n\n" + wide(maxEvent+1<<20)
-	s, _, asked := streams(t, func(w io.Writer, r *http.Request) {
+	text := ": here\n\n" + largeEvent(maxLineBytes+1<<20)
+	s, _, asked := newTestStream(t, func(w io.Writer, r *http.Request) {
 		_, _ = io.WriteString(w, text)
 		<-r.Context().Done()
 	})
--- a/internal/lists/etcd/etcd.go
+++ b/internal/lists/etcd/etcd.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	// readWithin bounds one read of the list.
-	readWithin = 2 * time.Second
-	// retryLeast and retryMost bound the pause before the list is read anew, which doubles.
-	retryLeast, retryMost = 100 * time.Millisecond, time.Second
+	// readTimeout bounds one read of the list.
+	readTimeout = 2 * time.Second
+	// minRetryDelay and maxRetryDelay bound the pause before the list is read anew, which doubles.
+	minRetryDelay, maxRetryDelay = 100 * time.Millisecond, time.Second
 	// keepAlive finds a connection whose other end is gone.
 	keepAlive = 2 * time.Second
 )
@@ -50,8 +50,8 @@
 // Dial makes a client for endpoints, which need not be up yet.
 func Dial(endpoints []string) (*clientv3.Client, error) {
 	client, err := clientv3.New(clientv3.Config{
-		Endpoints: endpoints, DialTimeout: readWithin, DialKeepAliveTime: keepAlive, DialKeepAliveTimeout: keepAlive,
-		BackoffWaitBetween: retryLeast, Logger: zap.NewNop(),
+		Endpoints: endpoints, DialTimeout: readTimeout, DialKeepAliveTime: keepAlive, DialKeepAliveTimeout: keepAlive,
+		BackoffWaitBetween: minRetryDelay, Logger: zap.NewNop(),
 	})
 	if err != nil {
 		return nil, fmt.Errorf("etcd: %w", err)
@@ -61,46 +61,46 @@
 
 // List follows the prefix.
 type List struct {
-	client *clientv3.Client
-	own    bool // the client is closed with the list
-	prefix string
-	log    *slog.Logger
-	take   func(call.Update) // called in order, by one goroutine
-	known  map[string]call.Server
+	client     *clientv3.Client
+	ownsClient bool // the client is closed with the list
+	prefix     string
+	log        *slog.Logger
+	onUpdate   func(call.Update) // called in order, by one goroutine
+	servers    map[string]call.Server
 }
 
 // New connects to etcd, which need not be up yet.
-func New(o Options, log *slog.Logger, take func(call.Update)) (*List, error) {
+func New(o Options, log *slog.Logger, onUpdate func(call.Update)) (*List, error) {
 	client, err := Dial(o.Endpoints)
 	if err != nil {
 		return nil, err
 	}
-	l := Over(client, o.Prefix, log, take)
-	l.own = true
+	l := Over(client, o.Prefix, log, onUpdate)
+	l.ownsClient = true
 	return l, nil
 }
 
 // Over follows a prefix with a client that others use as well, and does not close it.
-func Over(client *clientv3.Client, prefix string, log *slog.Logger, take func(call.Update)) *List {
-	return &List{client: client, prefix: prefix, log: log, take: take, known: map[string]call.Server{}}
+func Over(client *clientv3.Client, prefix string, log *slog.Logger, onUpdate func(call.Update)) *List {
+	return &List{client: client, prefix: prefix, log: log, onUpdate: onUpdate, servers: map[string]call.Server{}}
 }
 
 // Run follows the list until the context ends. Whenever the watch cannot go on from where it was, as after a
 // compaction, the list is read anew: what has gone in between is missing from it.
 func (l *List) Run(ctx context.Context) {
 	defer func() {
-		if !l.own {
+		if !l.ownsClient {
 			return
 		}
 		if err := l.client.Close(); err != nil {
 			l.log.Debug("closing the etcd client", "err", err)
 		}
 	}()
-	pause := retryLeast
+	delay := minRetryDelay
 	for ctx.Err() == nil {
-		revision, err := l.read(ctx)
+		revision, err := l.readAll(ctx)
 		if err == nil {
-			pause = retryLeast
+			delay = minRetryDelay
 			err = l.watch(ctx, revision+1)
 		}
 		if ctx.Err() != nil {
@@ -109,29 +109,29 @@
 		l.log.Info("etcd list is read anew", "err", err)
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
-		pause = min(2*pause, retryMost)
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
 
-// read takes in the whole list and returns the revision it was read at.
-func (l *List) read(ctx context.Context) (int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, readWithin)
+// readAll takes in the whole list and returns the revision it was read at.
+func (l *List) readAll(ctx context.Context) (int64, error) {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	resp, err := l.client.Get(ctx, l.prefix, clientv3.WithPrefix())
 	if err != nil {
 		return 0, fmt.Errorf("etcd: reading %s: %w", l.prefix, err)
 	}
 	u := call.Update{Complete: true}
-	before := l.known
-	l.known = map[string]call.Server{}
+	previous := l.servers
+	l.servers = map[string]call.Server{}
 	for _, kv := range resp.Kvs {
-		if s, ok := l.put(kv, before); ok {
+		if s, ok := l.applyPut(kv, previous); ok {
 			u.Servers = append(u.Servers, s)
 		}
 	}
-	l.take(u)
+	l.onUpdate(u)
 	return resp.Header.Revision, nil
 }
 
@@ -151,26 +151,26 @@
 		for _, e := range resp.Events {
 			switch {
 			case e.Type == mvccpb.Event_PUT:
-				if s, ok := l.put(e.Kv, l.known); ok {
+				if s, ok := l.applyPut(e.Kv, l.servers); ok {
 					u.Servers = append(u.Servers, s)
 				}
 			default:
-				if s, ok := l.known[string(e.Kv.Key)]; ok { // a deleted key is a dispatcher that has gone
+				if s, ok := l.servers[string(e.Kv.Key)]; ok { // a deleted key is a dispatcher that has gone
 					s.Status = control.Removed
-					delete(l.known, string(e.Kv.Key))
+					delete(l.servers, string(e.Kv.Key))
 					u.Servers = append(u.Servers, s)
 				}
 			}
 		}
 		if len(u.Servers) > 0 {
-			l.take(u)
+			l.onUpdate(u)
 		}
 	}
 	return errors.New("etcd: the watch ended")
 }
 
-// put reads a key's value. One that makes no sense leaves the dispatcher as it was before.
-func (l *List) put(kv *mvccpb.KeyValue, before map[string]call.Server) (call.Server, bool) {
+// applyPut reads a key's value. One that makes no sense leaves the dispatcher as it was before.
+func (l *List) applyPut(kv *mvccpb.KeyValue, previous map[string]call.Server) (call.Server, bool) {
 	var p coordinator.Endpoint
 	err := jsoniter.ConfigDefault.Unmarshal(kv.Value, &p)
 	if p.Name == "" {
@@ -182,12 +182,12 @@
 	}
 	if err != nil {
 		l.log.Error("etcd key that cannot be used", "key", string(kv.Key), "err", err)
-		s, ok := before[string(kv.Key)]
+		s, ok := previous[string(kv.Key)]
 		if ok {
-			l.known[string(kv.Key)] = s
+			l.servers[string(kv.Key)] = s
 		}
 		return s, ok
 	}
-	l.known[string(kv.Key)] = s
+	l.servers[string(kv.Key)] = s
 	return s, true
 }
--- a/internal/lists/etcd/etcd_test.go
+++ b/internal/lists/etcd/etcd_test.go
@@ -13,7 +13,7 @@
 	"cherryrelay/internal/store"
 )
 
-func TestTheListFollowsItsPrefix(t *testing.T) {
+func TestFollowsPrefix(t *testing.T) {
 	const prefix = "/cherryrelay/dispatchers/"
 	value := func(address, status string) string {
 		return `{"address":"` + address + `","zone":"tartu","group":1,"status":"` + status + `","since_ms":5000}`
--- a/internal/lists/lists.go
+++ b/internal/lists/lists.go
@@ -20,17 +20,17 @@
 
 // Keeper holds the set in force.
 type Keeper struct {
-	log   *slog.Logger
-	tell  func(pool.Update)
-	store Store // nil without
+	log    *slog.Logger
+	notify func(pool.Update)
+	store  Store // nil without
 
 	mu   sync.Mutex
 	pool *pool.Pool
 }
 
 // New returns a Keeper that gives tell what changes, in order; tell must not block.
-func New(log *slog.Logger, tell func(pool.Update)) *Keeper {
-	return &Keeper{log: log, tell: tell, pool: pool.New()}
+func New(log *slog.Logger, notify func(pool.Update)) *Keeper {
+	return &Keeper{log: log, notify: notify, pool: pool.New()}
 }
 
 // StoreIn has good sets of files kept from now on.
@@ -39,8 +39,8 @@
 // Bound sets the most dispatchers that a set may have. It comes before the first set.
 func (k *Keeper) Bound(servers int) { k.pool.SetLimit(servers) }
 
-// now is the Unix clock.
-func now() time.Duration { return time.Duration(time.Now().UnixNano()) }
+// unixTime is the Unix clock.
+func unixTime() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
 // Stream takes updates of a source that is followed as it is.
 func (k *Keeper) Stream(source pool.Source) func(pool.Update) {
@@ -52,8 +52,8 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	before := k.pool.Current().Number
-	v := k.pool.Apply(now(), c)
-	k.carry(v)
+	v := k.pool.Apply(unixTime(), c)
+	k.notifyChange(v)
 	if v.Accepted && c.Source == pool.FromFile {
 		if v.Number != before {
 			k.log.Info("pool file in force", "version", v.Label, "digest", v.Digest, "servers", v.Servers, "change", v.Change.String())
@@ -64,7 +64,7 @@
 	}
 	if !v.Accepted && v.Repeats == 0 {
 		for i, f := range v.Faults {
-			if i == maxLogged {
+			if i == maxLoggedFaults {
 				k.log.Error("pool refused: further faults", "source", v.Source, "digest", v.Digest, "faults", v.FaultCount-i)
 				break
 			}
@@ -74,21 +74,21 @@
 	return v
 }
 
-// maxLogged faults of a refused set are logged; the rest can be asked for.
-const maxLogged = 5
+// maxLoggedFaults faults of a refused set are logged; the rest can be asked for.
+const maxLoggedFaults = 5
 
 // Recall puts in force what an earlier process has kept.
 func (k *Keeper) Recall(m pool.Snapshot) pool.Verdict {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	v := k.pool.Restore(now(), m)
-	k.carry(v)
+	v := k.pool.Restore(unixTime(), m)
+	k.notifyChange(v)
 	return v
 }
 
-func (k *Keeper) carry(v pool.Verdict) {
+func (k *Keeper) notifyChange(v pool.Verdict) {
 	if v.Changed {
-		k.tell(v.Update)
+		k.notify(v.Update)
 	}
 }
 
--- a/internal/lists/poolfile/poolfile_test.go
+++ b/internal/lists/poolfile/poolfile_test.go
@@ -14,11 +14,11 @@
 	"cherryrelay/internal/decide/pool"
 )
 
-const clock = 1_790_000_000 * time.Second
+const testTime = 1_790_000_000 * time.Second
 
-var key = []byte("a key that has more than sixteen bytes")
+var testKey = []byte("a key that has more than sixteen bytes")
 
-const whole = `; the pool of the spring
+const validFile = `; the pool of the spring
 [pool]
 format = 1
 version = spring-42          ; a label
@@ -40,18 +40,18 @@
 [end]
 `
 
-// faults are all that is wrong with a file, as the operator is told.
-func faults(text, key []byte) []string {
+// faultTexts are all that is wrong with a file, as the operator is told.
+func faultTexts(text, key []byte) []string {
 	c := Read(text, key)
 	var got []string
-	for _, f := range pool.Check(clock, &c) {
+	for _, f := range pool.Check(testTime, &c) {
 		got = append(got, string(f.Reason)+": "+f.String())
 	}
 	return got
 }
 
-func TestAWholeFile(t *testing.T) {
-	c := Read([]byte(whole), nil)
+func TestReadsValidFile(t *testing.T) {
+	c := Read([]byte(validFile), nil)
 	want := []pool.Member{
 		{Address: "127.0.0.1:7001", ServerEntry: control.ServerEntry{ID: "s-1", Zone: "tallinn", Weight: 100}},
 		{Address: "ws://127.0.0.1:7002/v1/calls", ServerEntry: control.ServerEntry{ID: "s-2", Cell: 1, Weight: pool.NoNewCalls, Status: control.Draining,
@@ -60,15 +60,15 @@
 	if diff := cmp.Diff(want, c.Servers); diff != "" || c.Label != "spring-42" || len(c.Faults) > 0 {
 		t.Errorf("label %q, faults %v (-want +got):\n%s", c.Label, c.Faults, diff)
 	}
-	if crlf := Read([]byte(strings.ReplaceAll(whole, "\n", "\r\n")), nil); len(crlf.Faults) > 0 || len(crlf.Servers) != 2 {
+	if crlf := Read([]byte(strings.ReplaceAll(validFile, "\n", "\r\n")), nil); len(crlf.Faults) > 0 || len(crlf.Servers) != 2 {
 		t.Errorf("with the ends of lines of other systems: %v", crlf.Faults)
 	}
 }
 
-func TestWhatIsRefusedIsTold(t *testing.T) {
+func TestReportsFaults(t *testing.T) {
 	for _, test := range []struct{ from, to, want string }{
-		{whole, "", "unfinished: the file is empty"},
-		{whole, " \n", "unfinished: the file is empty"},
+		{validFile, "", "unfinished: the file is empty"},
+		{validFile, " \n", "unfinished: the file is empty"},
 		{"[end]\n", "", "unfinished: the last line is not [end]"},
 		{"[end]\n", "[end]", "unfinished: the last line is not [end]"},
 		{"[end]\n", "[end]\n\n\n", "unfinished: the last line is not [end]"},
@@ -98,60 +98,60 @@
 		{"zone = tallinn", "zone = " + strings.Repeat("x", 65), "is longer than 64 bytes"},
 		{"zone = tallinn", "; " + strings.Repeat("x", MaxBytes), "size: "},
 	} {
-		text := strings.Replace(whole, test.from, test.to, 1)
-		if text == whole {
+		text := strings.Replace(validFile, test.from, test.to, 1)
+		if text == validFile {
 			t.Fatalf("%q is not in the file", test.from)
 		}
-		got := faults([]byte(text), nil)
+		got := faultTexts([]byte(text), nil)
 		if len(got) == 0 || !strings.Contains(strings.Join(got, "\n"), test.want) || strings.Contains(got[0], "\n") {
 			t.Errorf("%.40q for %.40q: %q, want %q", test.to, test.from, got, test.want)
 		}
 	}
 }
 
-func TestSealed(t *testing.T) {
-	sealed, err := Seal([]byte(whole), key)
+func TestSeal(t *testing.T) {
+	sealed, err := Seal([]byte(validFile), testKey)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := Seal(sealed, key)
+	again, err := Seal(sealed, testKey)
 	if err != nil || !bytes.Equal(sealed, again) {
 		t.Errorf("sealed again: %v", err)
 	}
-	if got := faults(sealed, key); len(got) > 0 {
+	if got := faultTexts(sealed, testKey); len(got) > 0 {
 		t.Errorf("sealed: %q", got)
 	}
 	for name, test := range map[string]struct{ text, key []byte }{
-		"not sealed":   {[]byte(whole), key},
+		"not sealed":   {[]byte(validFile), testKey},
 		"another key":  {sealed, []byte("another key, long enough")},
-		"another byte": {bytes.Replace(sealed, []byte("weight = 100"), []byte("weight = 101"), 1), key},
-		"no hex":       {bytes.Replace(sealed, []byte("mac = "), []byte("mac = x"), 1), key},
-		"cut":          {append(sealed[:len(sealed)-3:len(sealed)-3], '\n'), key},
+		"another byte": {bytes.Replace(sealed, []byte("weight = 100"), []byte("weight = 101"), 1), testKey},
+		"no hex":       {bytes.Replace(sealed, []byte("mac = "), []byte("mac = x"), 1), testKey},
+		"cut":          {append(sealed[:len(sealed)-3:len(sealed)-3], '\n'), testKey},
 	} {
-		if got := faults(test.text, test.key); len(got) != 1 || !strings.HasPrefix(got[0], "mac: ") {
+		if got := faultTexts(test.text, test.key); len(got) != 1 || !strings.HasPrefix(got[0], "mac: ") {
 			t.Errorf("%s: %q", name, got)
 		}
 	}
-	if _, err := Seal([]byte(whole), []byte("short")); err == nil {
+	if _, err := Seal([]byte(validFile), []byte("short")); err == nil {
 		t.Error("a short key is taken")
 	}
-	if _, err := Seal([]byte("[pool]\n"), key); err == nil {
+	if _, err := Seal([]byte("[pool]\n"), testKey); err == nil {
 		t.Error("half a file is sealed")
 	}
 }
 
 // TestNoPrefixIsValid cuts a file at every byte, sealed and not.
 func TestNoPrefixIsValid(t *testing.T) {
-	sealed, err := Seal([]byte(whole), key)
+	sealed, err := Seal([]byte(validFile), testKey)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, test := range map[string]struct{ text, key []byte }{"plain": {[]byte(whole), nil}, "sealed": {sealed, key}} {
-		if got := faults(test.text, test.key); len(got) > 0 {
+	for name, test := range map[string]struct{ text, key []byte }{"plain": {[]byte(validFile), nil}, "sealed": {sealed, testKey}} {
+		if got := faultTexts(test.text, test.key); len(got) > 0 {
 			t.Fatalf("%s: %q", name, got)
 		}
 		for n := range test.text {
-			if len(faults(test.text[:n], test.key)) == 0 {
+			if len(faultTexts(test.text[:n], test.key)) == 0 {
 				t.Errorf("%s: the first %d of %d bytes are taken", name, n, len(test.text))
 			}
 			if n < len(test.text) && name == "plain" && !Unfinished(test.text[:n]) {
@@ -170,7 +170,7 @@
 				ID: control.ServerID(fmt.Sprint("s-", i)), Cell: rapid.IntRange(0, 9).Draw(t, "group"),
 				Zone: rapid.SampledFrom([]string{"", "tartu"}).Draw(t, "zone"), Weight: rapid.SampledFrom([]int{pool.NoNewCalls, 1, 1000}).Draw(t, "weight"),
 				Status:    control.ServerStatus(rapid.IntRange(0, 2).Draw(t, "status")),
-				StartedAt: time.Duration(rapid.Int64Range(0, int64(clock)).Draw(t, "since")),
+				StartedAt: time.Duration(rapid.Int64Range(0, int64(testTime)).Draw(t, "since")),
 			}})
 		}
 		text := Write("v", members)
@@ -187,18 +187,18 @@
 
 // FuzzRead: whatever a file holds, it is read or refused with its faults, each in one line that exists.
 func FuzzRead(f *testing.F) {
-	f.Add([]byte(whole), false)
-	sealed, _ := Seal([]byte(whole), key)
+	f.Add([]byte(validFile), false)
+	sealed, _ := Seal([]byte(validFile), testKey)
 	f.Add(sealed, true)
 	f.Add([]byte("[end]\n"), false)
 	f.Add([]byte("[pool]\nformat = 1\nservers = 1\n[server a]\naddress = a:1\ngroup = 0\nweight = 1\n[end]\nmac =\n"), true)
 	f.Fuzz(func(t *testing.T, text []byte, keyed bool) {
-		k := key
+		k := testKey
 		if !keyed {
 			k = nil
 		}
 		c := Read(text, k)
-		faults := pool.Check(clock, &c)
+		faults := pool.Check(testTime, &c)
 		for _, fault := range faults {
 			if fault.Line < 0 || fault.Line > bytes.Count(text, []byte("\n"))+1 || strings.ContainsAny(fault.String(), "\n\r") {
 				t.Errorf("fault %q", fault)
--- a/internal/lists/report.go
+++ b/internal/lists/report.go
@@ -15,8 +15,8 @@
 	"cherryrelay/internal/telemetry"
 )
 
-// pageBytes bounds what one page holds: a connection of operators may leave 64 KiB unread.
-const pageBytes = 32 << 10
+// maxPageBytes bounds what one page holds: a connection of operators may leave 64 KiB unread.
+const maxPageBytes = 32 << 10
 
 // State is the set in force and how it came to be.
 type State struct {
@@ -64,7 +64,7 @@
 func (k *Keeper) Pages() map[string]func(url.Values) (any, error) {
 	return map[string]func(url.Values) (any, error){
 		StatePath:   func(url.Values) (any, error) { return k.State(), nil },
-		ServersPath: func(q url.Values) (any, error) { return k.servers(q.Get("after")), nil },
+		ServersPath: func(q url.Values) (any, error) { return k.serversPage(q.Get("after")), nil },
 		HistoryPath: func(q url.Values) (any, error) {
 			before := 0
 			if text := q.Get("before"); text != "" {
@@ -73,7 +73,7 @@
 					return nil, fmt.Errorf("before: %.40q is no number", text)
 				}
 			}
-			return k.versions(before), nil
+			return k.versionsPage(before), nil
 		},
 	}
 }
@@ -90,9 +90,9 @@
 		}
 	}
 	if v := k.pool.Current(); v.Number > 0 {
-		s.Version, s.AgeMs = &v, (now() - v.At).Milliseconds()
+		s.Version, s.AgeMs = &v, (unixTime() - v.At).Milliseconds()
 	}
-	if v, is := k.pool.LastRefused(); is {
+	if v, ok := k.pool.LastRefused(); ok {
 		s.Trouble = &v
 	}
 	if k.store != nil {
@@ -104,8 +104,8 @@
 	return s
 }
 
-// servers is a page of the members that follow a name.
-func (k *Keeper) servers(after string) Servers {
+// serversPage is a page of the members that follow a name.
+func (k *Keeper) serversPage(after string) Servers {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	page := Servers{Number: k.pool.Current().Number, Servers: []ServerState{}}
@@ -118,7 +118,7 @@
 		if m.StartedAt > 0 {
 			s.Since = time.Unix(0, int64(m.StartedAt)).UTC()
 		}
-		if size += encoded(s); size > pageBytes && len(page.Servers) > 0 {
+		if size += encodedSize(s); size > maxPageBytes && len(page.Servers) > 0 {
 			page.More = true
 			break
 		}
@@ -127,8 +127,8 @@
 	return page
 }
 
-// versions is a page of those before a number; 0 is the newest.
-func (k *Keeper) versions(before int) Versions {
+// versionsPage is a page of those before a number; 0 is the newest.
+func (k *Keeper) versionsPage(before int) Versions {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	page := Versions{Versions: []pool.Version{}}
@@ -137,7 +137,7 @@
 		if before > 0 && v.Number >= before {
 			continue
 		}
-		if size += encoded(v); size > pageBytes && len(page.Versions) > 0 {
+		if size += encodedSize(v); size > maxPageBytes && len(page.Versions) > 0 {
 			page.More = true
 			break
 		}
@@ -146,33 +146,33 @@
 	return page
 }
 
-// encoded is the size of a value as JSON.
-func encoded(v any) int {
-	text, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(v)
+// encodedSize is the size of a value as JSON.
+func encodedSize(v any) int {
+	data, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(v)
 	if err != nil {
-		return pageBytes
+		return maxPageBytes
 	}
-	return len(text)
+	return len(data)
 }
 
 // Figures are those of the pool, for the text that operators scrape.
 func (k *Keeper) Figures() []*dto.MetricFamily {
 	s := k.State()
 	k.mu.Lock()
-	taken, refused := k.pool.Counts()
+	accepted, refused := k.pool.Counts()
 	reasons := map[string]uint64{}
 	for _, r := range pool.Reasons {
 		reasons[string(r)] = uint64(refused[r])
 	}
 	k.mu.Unlock()
-	trouble := 0
+	refusedNow := 0
 	if s.Trouble != nil {
-		trouble = 1
+		refusedNow = 1
 	}
 	return []*dto.MetricFamily{
-		telemetry.Counter("pool_versions_taken_total", "Sets of dispatchers that came into force.", uint64(taken)),
+		telemetry.Counter("pool_versions_taken_total", "Sets of dispatchers that came into force.", uint64(accepted)),
 		telemetry.Counters("pool_versions_refused_total", "Sets refused, by each reason found.", "reason", reasons),
-		telemetry.Gauge("pool_refused", "1 while the last set seen is refused.", float64(trouble)),
+		telemetry.Gauge("pool_refused", "1 while the last set seen is refused.", float64(refusedNow)),
 		telemetry.Gauge("pool_age_seconds", "Age of the set in force.", float64(s.AgeMs)/1000),
 		telemetry.Gauge("pool_servers", "Dispatchers of the set in force.", float64(s.Servers)),
 		telemetry.Gauge("pool_weight", "Weights of its active dispatchers, added up.", float64(s.Weight)),
--- a/internal/lists/stored/stored.go
+++ b/internal/lists/stored/stored.go
@@ -22,8 +22,8 @@
 const (
 	// Name is the file in the state directory.
 	Name = "pool.state"
-	// format is written in its first line; another one is passed over.
-	format = "cherryrelay-pool 1"
+	// formatName is written in its first line; another one is passed over.
+	formatName = "cherryrelay-pool 1"
 	// maxBytes bounds what is read: 50,000 servers take some 15 MiB.
 	maxBytes = 32 << 20
 )
@@ -37,13 +37,13 @@
 	ErrOther = errors.New("the stored set is of another kind")
 )
 
-// kept is what the file holds after its first line.
-type kept struct {
+// content is what the file holds after its first line.
+type content struct {
 	File string        `json:"file"` // the pool file that the set came from
 	Set  pool.Snapshot `json:"set"`
 }
 
-var api = jsoniter.ConfigCompatibleWithStandardLibrary
+var jsonAPI = jsoniter.ConfigCompatibleWithStandardLibrary
 
 // Load reads the set that was kept for a pool file.
 func Load(directory, file string) (pool.Snapshot, error) {
@@ -65,40 +65,42 @@
 }
 
 func decode(text []byte, file string) (pool.Snapshot, error) {
-	head, body, whole := bytes.Cut(text, []byte("\n"))
-	if !whole {
+	header, body, found := bytes.Cut(text, []byte("\n"))
+	if !found {
 		return pool.Snapshot{}, fmt.Errorf("%w: it has no first line", ErrTorn)
 	}
-	form, rest, _ := bytes.Cut(head, []byte(": "))
-	if string(form) != format {
-		return pool.Snapshot{}, fmt.Errorf("%w: it begins with %.40q", ErrOther, head)
+	gotFormat, gotChecksum, _ := bytes.Cut(header, []byte(": "))
+	if string(gotFormat) != formatName {
+		return pool.Snapshot{}, fmt.Errorf("%w: it begins with %.40q", ErrOther, header)
 	}
-	if want := check(body); string(rest) != want {
-		return pool.Snapshot{}, fmt.Errorf("%w: checksum %.40q, that of what it holds is %q", ErrTorn, rest, want)
+	if want := checksum(body); string(gotChecksum) != want {
+		return pool.Snapshot{}, fmt.Errorf("%w: checksum %.40q, that of what it holds is %q", ErrTorn, gotChecksum, want)
 	}
-	var k kept
-	if err := api.Unmarshal(body, &k); err != nil {
+	var c content
+	if err := jsonAPI.Unmarshal(body, &c); err != nil {
 		return pool.Snapshot{}, fmt.Errorf("%w: %w", ErrTorn, err)
 	}
-	if k.File != file {
-		return pool.Snapshot{}, fmt.Errorf("%w: it was kept for %s", ErrOther, k.File)
+	if c.File != file {
+		return pool.Snapshot{}, fmt.Errorf("%w: it was kept for %s", ErrOther, c.File)
 	}
-	return k.Set, nil
+	return c.Set, nil
 }
 
-func check(body []byte) string { return fmt.Sprintf("%d bytes, %016x", len(body), xxhash.Sum64(body)) }
+func checksum(body []byte) string {
+	return fmt.Sprintf("%d bytes, %016x", len(body), xxhash.Sum64(body))
+}
 
-func encode(file string, m pool.Snapshot) ([]byte, error) {
-	body, err := api.Marshal(kept{file, m})
+func encode(file string, set pool.Snapshot) ([]byte, error) {
+	body, err := jsonAPI.Marshal(content{file, set})
 	if err != nil {
 		return nil, fmt.Errorf("stored set: %w", err)
 	}
-	return append([]byte(format+": "+check(body)+"\n"), body...), nil
+	return append([]byte(formatName+": "+checksum(body)+"\n"), body...), nil
 }
 
 // Save writes a set in the place of the last one.
-func Save(directory, file string, m pool.Snapshot) (err error) {
-	text, err := encode(file, m)
+func Save(directory, file string, set pool.Snapshot) (err error) {
+	text, err := encode(file, set)
 	if err != nil {
 		return err
 	}
@@ -138,55 +140,55 @@
 type Store struct {
 	directory, file string
 	log             *slog.Logger
-	sets            chan pool.Snapshot // the newest alone
-	ended           chan struct{}
+	pending         chan pool.Snapshot // the newest alone
+	done            chan struct{}
 
-	mu     sync.Mutex
-	closed bool
-	failed error
+	mu      sync.Mutex
+	closed  bool
+	lastErr error
 }
 
 // Open returns a Store for the sets of a pool file.
 func Open(directory, file string, log *slog.Logger) *Store {
-	s := &Store{directory: directory, file: file, log: log, sets: make(chan pool.Snapshot, 1), ended: make(chan struct{})}
+	s := &Store{directory: directory, file: file, log: log, pending: make(chan pool.Snapshot, 1), done: make(chan struct{})}
 	go func() {
-		defer close(s.ended)
-		for m := range s.sets {
-			s.save(m)
+		defer close(s.done)
+		for set := range s.pending {
+			s.save(set)
 		}
 	}()
 	return s
 }
 
-func (s *Store) save(m pool.Snapshot) {
-	err := Save(s.directory, s.file, m)
+func (s *Store) save(set pool.Snapshot) {
+	err := Save(s.directory, s.file, set)
 	if err != nil {
 		s.log.Error("the set in force is not stored: a start with a broken file would fail", "err", err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.failed = err
+	s.lastErr = err
 }
 
 // Failed is why the last set was not kept; nil if it was.
 func (s *Store) Failed() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.failed
+	return s.lastErr
 }
 
 // Keep has a set written soon, in the place of one that still waits.
-func (s *Store) Keep(m pool.Snapshot) {
+func (s *Store) Keep(set pool.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return // the file has changed while the process ends: the next one will see
 	}
 	select {
-	case <-s.sets:
+	case <-s.pending:
 	default:
 	}
-	s.sets <- m
+	s.pending <- set
 }
 
 // Close waits until the last set is written.
@@ -194,8 +196,8 @@
 	s.mu.Lock()
 	if !s.closed {
 		s.closed = true
-		close(s.sets)
+		close(s.pending)
 	}
 	s.mu.Unlock()
-	<-s.ended
+	<-s.done
 }
--- a/internal/lists/stored/stored_test.go
+++ b/internal/lists/stored/stored_test.go
@@ -13,27 +13,27 @@
 	"cherryrelay/internal/decide/pool"
 )
 
-var set = pool.Snapshot{Label: "v1", Digest: "d", Members: []pool.SnapshotMember{
+var testSet = pool.Snapshot{Label: "v1", Digest: "d", Members: []pool.SnapshotMember{
 	{Name: "a", Address: "127.0.0.1:1", Weight: 3, StartedUs: 5, FirstSeenUs: 7}, {Name: "b", Address: "127.0.0.1:2", Weight: pool.NoNewCalls, Group: 1, Zone: "z"},
 }}
 
-func TestKeptAndTakenUp(t *testing.T) {
+func TestKeepAndLoad(t *testing.T) {
 	directory := t.TempDir()
 	if _, err := Load(directory, "f"); !errors.Is(err, ErrNone) {
 		t.Errorf("nothing is stored: %v", err)
 	}
 	s := Open(directory, "f", slog.New(slog.DiscardHandler))
 	for i := range 100 {
-		m := set
+		m := testSet
 		m.Label = strings.Repeat("x", i)
 		s.Keep(m)
 	}
-	s.Keep(set)
+	s.Keep(testSet)
 	s.Close()
 	s.Keep(pool.Snapshot{}) // too late, and no harm
 	s.Close()
 	got, err := Load(directory, "f")
-	if diff := cmp.Diff(set, got); diff != "" || err != nil {
+	if diff := cmp.Diff(testSet, got); diff != "" || err != nil {
 		t.Errorf("error %v (-want +got):\n%s", err, diff)
 	}
 	if _, err := Load(directory, "g"); !errors.Is(err, ErrOther) {
@@ -44,9 +44,9 @@
 	}
 }
 
-// TestATornSetIsPassedOver cuts the file at every byte, and flips a bit of every byte.
-func TestATornSetIsPassedOver(t *testing.T) {
-	whole, err := encode("f", set)
+// TestRejectsCorruptedFile cuts the file at every byte, and flips a bit of every byte.
+func TestRejectsCorruptedFile(t *testing.T) {
+	whole, err := encode("f", testSet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,14 +65,14 @@
 	}
 }
 
-// TestADiskThatFails: the set in force is served all the same, and the operator can see that it is not kept.
-func TestADiskThatFails(t *testing.T) {
+// TestDiskErrors: the set in force is served all the same, and the operator can see that it is not kept.
+func TestDiskErrors(t *testing.T) {
 	directory := filepath.Join(t.TempDir(), "state")
 	if err := os.WriteFile(directory, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	s := Open(directory, "f", slog.New(slog.DiscardHandler))
-	s.Keep(set)
+	s.Keep(testSet)
 	s.Close()
 	if s.Failed() == nil {
 		t.Error("a set is kept where there is no directory")
@@ -84,7 +84,7 @@
 	if _, err := Load(directory, "f"); !errors.Is(err, ErrTorn) {
 		t.Errorf("a directory in its place: %v", err)
 	}
-	if err := Save(directory, "f", set); err == nil {
+	if err := Save(directory, "f", testSet); err == nil {
 		t.Error("saved in the place of a directory")
 	}
 	if left, err := os.ReadDir(directory); err != nil || len(left) != 1 {
