--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -1,6 +1,6 @@
-// Package inifile parses INI files with the line numbers of sections and keys. The values come from gopkg.in/ini.v1. A scan before it finds the
-// line numbers, which ini.v1 does not give, and rejects what is likely a mistake: continuation lines, quotes, keys outside of a section,
-// duplicate keys. The two results must agree.
+// Package inifile parses INI files with the line numbers of sections and keys. The values come from gopkg.in/ini.v1. A
+// scan before it finds the line numbers, which ini.v1 does not provide, and rejects likely mistakes: continuation
+// lines, quotes, keys outside of a section, duplicate keys. The two results must agree.
 package inifile
 
 import (
@@ -17,7 +17,7 @@
 // File is the content of a file, in order.
 type File struct{ Sections []Section }
 
-// Section is one section. Names may repeat; their meaning is up to the caller.
+// Section is one section. Names may repeat; the caller decides what that means.
 type Section struct {
 	Name string
 	Line int
@@ -30,7 +30,7 @@
 	Line        int
 }
 
-// Get returns the key of a name; nil if there is none.
+// Get returns the key with a name; nil if there is none.
 func (s *Section) Get(name string) *Key {
 	for i := range s.Keys {
 		if s.Keys[i].Name == name {
@@ -40,13 +40,14 @@
 	return nil
 }
 
-// Named returns the rest of the section's name after a first word, such as "s-1" of [server s-1]; ok is false for another first word.
+// Named returns the section's name without its first word, such as "s-1" for [server s-1]. ok reports whether the first
+// word is word.
 func (s *Section) Named(word string) (rest string, ok bool) {
 	first, rest, _ := strings.Cut(s.Name, " ")
 	return strings.TrimSpace(rest), first == word
 }
 
-// Number parses a whole number from least to most. The fault is nil if the value is one.
+// Number parses an integer from minimum to maximum. The fault is nil if the value is valid.
 func (k *Key) Number(minimum, maximum int) (int, *Fault) {
 	n, err := strconv.Atoi(k.Value)
 	if err != nil || n < minimum || n > maximum {
@@ -77,30 +78,30 @@
 	KeyValueDelimiters: "=",
 }
 
-// Parse parses a file. It returns either a file or faults.
+// Parse parses a file. It returns either the file or its faults.
 func Parse(text []byte) (*File, []Fault) {
 	f, faults := scanLines(text)
 	if len(faults) > 0 {
 		return nil, faults
 	}
-	// ini.v1 would strip another byte order mark, too.
+	// The scan has rejected every byte order mark, which ini.v1 would strip.
 	parsed, err := ini.LoadSources(parserOptions, text)
 	if err != nil {
-		return nil, []Fault{{0, "cannot be read: " + strings.Join(strings.Fields(err.Error()), " ")}}
+		return nil, []Fault{{0, "cannot be parsed: " + strings.Join(strings.Fields(err.Error()), " ")}}
 	}
 	sections := parsed.Sections()[1:] // the first holds keys outside of all sections
 	if len(sections) != len(f.Sections) {
-		return nil, []Fault{{0, fmt.Sprintf("can be read in two ways: %d sections, or %d", len(f.Sections), len(sections))}}
+		return nil, []Fault{{0, fmt.Sprintf("is ambiguous: it has %d or %d sections", len(f.Sections), len(sections))}}
 	}
 	for i := range f.Sections {
 		s := &f.Sections[i]
 		keys := sections[i].Keys()
 		if sections[i].Name() != s.Name || len(keys) != len(s.Keys) {
-			return nil, []Fault{{s.Line, fmt.Sprintf("section [%.80s] can be read in two ways", s.Name)}}
+			return nil, []Fault{{s.Line, fmt.Sprintf("section [%.80s] is ambiguous", s.Name)}}
 		}
 		for j, key := range keys {
 			if key.Name() != s.Keys[j].Name {
-				return nil, []Fault{{s.Keys[j].Line, fmt.Sprintf("key %.80q can be read in two ways", key.Name())}}
+				return nil, []Fault{{s.Keys[j].Line, fmt.Sprintf("key %.80q is ambiguous", key.Name())}}
 			}
 			s.Keys[j].Value = key.Value()
 		}
@@ -108,7 +109,7 @@
 	return f, nil
 }
 
-// maxFaults bounds the faults that are reported: a file that is not INI at all has one in each line.
+// maxFaults bounds the reported faults: a file that is not INI at all has a fault in every line.
 const maxFaults = 100
 
 // scanner finds the sections and keys of a file, without the values.
@@ -125,10 +126,10 @@
 	}
 }
 
-// scanLines finds sections and keys, without the values.
+// scanLines returns the sections and keys of a text, without the values.
 func scanLines(text []byte) (*File, []Fault) {
 	if !utf8.Valid(text) {
-		return nil, []Fault{{1 + bytes.Count(text[:firstInvalid(text)], []byte("\n")), "is no UTF-8"}}
+		return nil, []Fault{{1 + bytes.Count(text[:firstInvalid(text)], []byte("\n")), "is not valid UTF-8"}}
 	}
 	s := &scanner{}
 	for raw := range bytes.Lines(text) {
@@ -144,7 +145,7 @@
 	case len(raw) > maxLineBytes:
 		s.fault("longer than %d bytes", maxLineBytes)
 	case strings.ContainsFunc(strings.TrimRight(raw, "\r\n"), isUnprintable):
-		s.fault("has characters that cannot be printed")
+		s.fault("contains characters that cannot be printed")
 	case line == "" || isComment(line):
 	case line[0] == '[':
 		s.section(line)
@@ -162,11 +163,11 @@
 	rest = strings.TrimSpace(rest)
 	switch {
 	case !closed || name != strings.TrimSpace(name) || name == "" || strings.ContainsAny(name, "[\"`"):
-		s.fault("%.80q is no [section]", line)
+		s.fault("%.80q is not a valid [section]", line)
 	case strings.EqualFold(name, ini.DefaultSection):
-		s.fault("no section can be called %s", name)
+		s.fault("a section cannot be named %s", name)
 	case rest != "" && !isComment(rest):
-		s.fault("%.80q follows the section [%.80s]", rest, name)
+		s.fault("unexpected %.80q after the section [%.80s]", rest, name)
 	}
 	s.file.Sections = append(s.file.Sections, Section{Name: name, Line: s.line})
 	s.keys = map[string]int{}
@@ -179,13 +180,13 @@
 	case !hasValue:
 		s.fault("%.80q is neither a [section] nor a key = value", line)
 	case name == "" || strings.ContainsFunc(name, isNotInKeys):
-		s.fault("%.80q is no name of a key", name)
+		s.fault("%.80q is not a valid name of a key", name)
 	case len(s.file.Sections) == 0:
-		s.fault("key %q stands before the first section", name)
+		s.fault("key %q precedes the first section", name)
 	case strings.HasSuffix(value, `\`) || value != "" && strings.ContainsRune("\"'`", rune(value[0])):
-		s.fault("key %q: values have no quotes and don't go on in the next line", name)
+		s.fault("key %q: values cannot be quoted or continue on the next line", name)
 	case s.keys[name] > 0:
-		s.fault("key %q stands in line %d, too", name, s.keys[name])
+		s.fault("duplicate key %q, first in line %d", name, s.keys[name])
 	default:
 		s.keys[name] = s.line
 		section := &s.file.Sections[len(s.file.Sections)-1]
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -19,27 +19,27 @@
 		t.Errorf("faults %v (-want +got):\n%s", faults, diff)
 	}
 	if name, ok := got.Sections[1].Named("server"); !ok || name != "s-1" {
-		t.Errorf("server %q %v", name, ok)
+		t.Errorf("name of the server: %q %v", name, ok)
 	}
 }
 
 func TestFaultLines(t *testing.T) {
 	for text, want := range map[string][]string{
-		"a = 1":                       {`line 1: key "a" stands before the first section`},
-		"[a]\nb = 1\nb = 2\nc":        {`line 3: key "b" stands in line 2, too`, `line 4: "c" is neither a [section] nor a key = value`},
-		"[a]\nb = \"x\"":              {`line 2: key "b": values have no quotes and don't go on in the next line`},
-		"[a]\nb = x\\\nc = 1":         {`line 2: key "b": values have no quotes and don't go on in the next line`},
-		"[a]\nb = ```x":               {`line 2: key "b": values have no quotes and don't go on in the next line`},
-		"[a]\n\nb = \xff":             {"line 3: is no UTF-8"},
-		"[a]\nb = \x00":               {"line 2: has characters that cannot be printed"},
-		"\ufeff[a]":                   {"line 1: has characters that cannot be printed"},
-		"[a":                          {`line 1: "[a" is no [section]`},
-		"[]":                          {`line 1: "[]" is no [section]`},
-		"[DEFAULT]\na = 1":            {"line 1: no section can be called DEFAULT"},
-		"[a] b = 1":                   {`line 1: "b = 1" follows the section [a]`},
-		"[a]\nb c = 1":                {`line 2: "b c" is no name of a key`},
-		"{\"name\":\"example\"}\n":    {`line 1: "{\"name\":\"example\"}" is neither a [section] nor a key = value`},
-		"[a]\n" + long(5000) + " = 1": {"line 2: longer than 4096 bytes"},
+		"a = 1":                        {`line 1: key "a" precedes the first section`},
+		"[a]\nb = 1\nb = 2\nc":         {`line 3: duplicate key "b", first in line 2`, `line 4: "c" is neither a [section] nor a key = value`},
+		"[a]\nb = \"x\"":               {`line 2: key "b": values cannot be quoted or continue on the next line`},
+		"[a]\nb = x\\\nc = 1":          {`line 2: key "b": values cannot be quoted or continue on the next line`},
+		"[a]\nb = ```x":                {`line 2: key "b": values cannot be quoted or continue on the next line`},
+		"[a]\n\nb = \xff":              {"line 3: is not valid UTF-8"},
+		"[a]\nb = \x00":                {"line 2: contains characters that cannot be printed"},
+		"\ufeff[a]":                    {"line 1: contains characters that cannot be printed"},
+		"[a":                           {`line 1: "[a" is not a valid [section]`},
+		"[]":                           {`line 1: "[]" is not a valid [section]`},
+		"[DEFAULT]\na = 1":             {"line 1: a section cannot be named DEFAULT"},
+		"[a] b = 1":                    {`line 1: unexpected "b = 1" after the section [a]`},
+		"[a]\nb c = 1":                 {`line 2: "b c" is not a valid name of a key`},
+		"{\"name\":\"example\"}\n":     {`line 1: "{\"name\":\"example\"}" is neither a [section] nor a key = value`},
+		"[a]\n" + zeros(5000) + " = 1": {"line 2: longer than 4096 bytes"},
 	} {
 		f, faults := Parse([]byte(text))
 		var got []string
@@ -52,9 +52,9 @@
 	}
 }
 
-func long(n int) string { return fmt.Sprintf("%0*d", n, 0) }
+func zeros(n int) string { return fmt.Sprintf("%0*d", n, 0) }
 
-// FuzzParse: whatever comes, there is a file or a fault, and each line is where it is said to be.
+// FuzzParse checks that every text gives either a file or faults, and that the line numbers in a file increase.
 func FuzzParse(f *testing.F) {
 	f.Add("[pool]\nformat = 1\n[server a]\naddress = 1:1 ; x\n[end]\n")
 	f.Add("[a]\nb = \"\"\"x\ny\"\"\"\n")
--- a/internal/lists/poolfile/poolfile.go
+++ b/internal/lists/poolfile/poolfile.go
@@ -1,5 +1,6 @@
-// Package poolfile has the form of a pool file: a list of dispatchers and their weights, as people write it. docs/pool-files.md
-// tells the form. What a set means, and whether it may come into force, is decided by decide/pool.
+// Package poolfile reads and writes pool files: lists of dispatchers and their weights that people write.
+// docs/pool-files.md describes the format. Package decide/pool decides what a set means and whether it may become
+// active.
 package poolfile
 
 import (
@@ -24,26 +25,27 @@
 )
 
 const (
-	// MaxBytes bounds a file.
+	// MaxBytes bounds the size of a file.
 	MaxBytes = 8 << 20
-	// Format is the version of the form that is read here.
+	// Format is the supported version of the file format.
 	Format = 1
-	// MinKey is the least length of a key: shorter ones can be guessed.
+	// MinKey is the minimum length of a key in bytes: shorter keys can be guessed.
 	MinKey = 16
 )
 
-// Digest names the bytes of a file in logs and histories. It is no proof against forgery; that is the MAC's.
+// Digest identifies the content of a file in logs and in the history. It does not protect against forgery; the MAC
+// does.
 func Digest(text []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(text)) }
 
-// Unfinished reports whether a file may still be written: it does not close with its end mark.
+// Unfinished reports whether a file may still be being written: it lacks the end mark.
 func Unfinished(text []byte) bool {
 	_, _, closed := splitAtEnd(text)
 	return !closed
 }
 
-// splitAtEnd parts a file at its end mark, the last line that is [end]: what it holds, and what follows the mark. The mark must
-// be followed by nothing, or by one line, whole: so no prefix of a file that is closed is closed too, but for one that ends
-// at the mark itself, and whether a line must follow is known from the key.
+// splitAtEnd splits a file at its end mark, the last line that is [end], into the body before the mark and the tail
+// after it. The tail must be empty or one complete line. So the only prefix of a closed file that is closed as well is
+// the one that ends at the mark, and the key determines whether a line must follow.
 func splitAtEnd(text []byte) (body, tail []byte, closed bool) {
 	const mark = "[end]"
 	start := 0
@@ -62,7 +64,7 @@
 	return text[:start], tail, true
 }
 
-// cutNewline takes the end of a line off.
+// cutNewline removes a line break from the start of a text.
 func cutNewline(text []byte) (rest []byte, ok bool) {
 	if rest, ok = bytes.CutPrefix(text, []byte("\n")); !ok {
 		rest, ok = bytes.CutPrefix(text, []byte("\r\n"))
@@ -70,14 +72,14 @@
 	return rest, ok
 }
 
-// Read reads a file. All that is wrong with it is in the candidate's faults. With a key, the file must carry the MAC that
-// the key gives; without one, it must carry none, as nobody could tell whether it is right.
+// Read parses a file. The candidate's faults list all errors in it. With a key, the file must have the MAC that the key
+// gives. Without a key, it must not have a MAC, since it could not be verified.
 func Read(text, key []byte) pool.Candidate {
 	c := pool.Candidate{Source: pool.FromFile, Digest: Digest(text), Update: pool.Update{Complete: true}}
 	p := &parser{c: &c}
 	switch {
 	case len(text) > MaxBytes:
-		p.addFault(pool.TooLarge, 0, "", "%d bytes, %d are allowed", len(text), MaxBytes)
+		p.addFault(pool.TooLarge, 0, "", "%d bytes, at most %d are allowed", len(text), MaxBytes)
 		return c
 	case len(bytes.TrimSpace(text)) == 0:
 		p.addFault(pool.Unfinished, 0, "", "the file is empty")
@@ -85,7 +87,7 @@
 	}
 	body, tail, closed := splitAtEnd(text)
 	if !closed {
-		p.addFault(pool.Unfinished, 0, "", "the last line is not [end], or a whole one that follows it: the file is not finished, or was cut")
+		p.addFault(pool.Unfinished, 0, "", "the last line is not [end] or one complete line after it: the file is incomplete or truncated")
 	}
 	f, faults := inifile.Parse(body)
 	for _, fault := range faults {
@@ -107,7 +109,7 @@
 	p.c.Faults = append(p.c.Faults, pool.Fault{Reason: reason, Line: line, Key: key, Text: fmt.Sprintf(format, args...)})
 }
 
-// checkMAC checks what follows the end mark.
+// checkMAC checks the tail after the end mark.
 func (p *parser) checkMAC(body, tail, key []byte) {
 	line := bytes.Count(body, []byte("\n")) + 2
 	text, ok := strings.CutPrefix(strings.TrimSpace(string(tail)), "mac")
@@ -121,25 +123,25 @@
 	case !ok || !assigned:
 		p.addFault(pool.BadFormat, line, "", "only mac = ... may follow [end]")
 	case key == nil:
-		p.addFault(pool.BadMAC, line, "mac", "the file is sealed, and no key is configured to check it with")
+		p.addFault(pool.BadMAC, line, "mac", "the file is sealed, but no key is configured to verify it")
 	case err != nil || !hmac.Equal(got, computeMAC(body, key)):
-		p.addFault(pool.BadMAC, line, "mac", "it is not that of the file under the key")
+		p.addFault(pool.BadMAC, line, "mac", "does not match the file and the key")
 	}
 }
 
 func computeMAC(body, key []byte) []byte {
 	h := hmac.New(sha256.New, key)
-	h.Write(body) // it never fails
+	h.Write(body) // never returns an error
 	return h.Sum(nil)
 }
 
-// keys of the sections, and which of them must be there.
+// Keys of the sections, and whether they are required.
 var (
 	poolKeys   = map[string]bool{"format": true, "servers": true, "version": false}
 	serverKeys = map[string]bool{"address": true, "weight": true, "group": true, "zone": false, "status": false, "since": false}
 )
 
-// parseSections reads the sections.
+// parseSections parses the sections.
 func (p *parser) parseSections(f *inifile.File) {
 	if len(f.Sections) == 0 || f.Sections[0].Name != "pool" {
 		p.addFault(pool.BadFormat, 0, "", "the first section must be [pool]")
@@ -148,13 +150,13 @@
 	head := &f.Sections[0]
 	p.checkKeys(head, poolKeys)
 	if key := head.Get("format"); key != nil && key.Value != strconv.Itoa(Format) {
-		p.addFault(pool.BadFormat, key.Line, key.Name, "%.40q is not known here, %d is", key.Value, Format)
-		return // what follows may mean anything
+		p.addFault(pool.BadFormat, key.Line, key.Name, "%.40q is not supported, only %d is", key.Value, Format)
+		return // the rest may have another meaning in another format
 	}
 	if key := head.Get("version"); key != nil {
 		p.c.Label = key.Value
 		if strings.ContainsAny(key.Value, "\"\\") {
-			p.addFault(pool.BadValue, key.Line, key.Name, "has quotes or backslashes")
+			p.addFault(pool.BadValue, key.Line, key.Name, "contains quotes or backslashes")
 		}
 	}
 	for i := range f.Sections[1:] {
@@ -165,21 +167,21 @@
 		}
 		switch s.Name {
 		case "pool":
-			p.addFault(pool.BadFormat, s.Line, "", "a second [pool]")
+			p.addFault(pool.BadFormat, s.Line, "", "duplicate section [pool]")
 		case "end":
-			p.addFault(pool.BadFormat, s.Line, "", "[end] is not last")
+			p.addFault(pool.BadFormat, s.Line, "", "[end] is not the last section")
 		default:
 			p.addFault(pool.BadFormat, s.Line, "", "unknown section [%.80s]", s.Name)
 		}
 	}
 	if key := head.Get("servers"); key != nil {
 		if n, ok := p.parseInt(key, 0, pool.MaxServers); ok && n != len(p.c.Servers) {
-			p.addFault(pool.BadCount, key.Line, key.Name, "%d are announced, %d follow", n, len(p.c.Servers))
+			p.addFault(pool.BadCount, key.Line, key.Name, "%d servers are declared, %d follow", n, len(p.c.Servers))
 		}
 	}
 }
 
-// checkKeys tells of keys that are not known and of those that are missing.
+// checkKeys reports unknown keys and missing required keys.
 func (p *parser) checkKeys(s *inifile.Section, known map[string]bool) {
 	for _, k := range s.Keys {
 		if _, ok := known[k.Name]; !ok {
@@ -193,7 +195,7 @@
 	}
 }
 
-// parseInt reads a whole number.
+// parseInt parses an integer from minimum to maximum.
 func (p *parser) parseInt(key *inifile.Key, minimum, maximum int) (int, bool) {
 	n, err := strconv.Atoi(key.Value)
 	if err != nil || n < minimum || n > maximum {
@@ -226,13 +228,13 @@
 		case "status":
 			status, err := settings.ParseStatus(key.Value)
 			if err != nil {
-				p.addFault(pool.BadValue, key.Line, key.Name, "%.40q is none of active, leaving and left", key.Value)
+				p.addFault(pool.BadValue, key.Line, key.Name, "%.40q is not one of active, leaving and left", key.Value)
 			}
 			m.Status = status
 		case "since":
 			t, err := time.Parse(time.RFC3339, key.Value)
 			if err != nil || t.Before(time.Unix(0, 1)) {
-				p.addFault(pool.BadValue, key.Line, key.Name, "%.40q is no time such as 2026-12-01T10:00:00Z", key.Value)
+				p.addFault(pool.BadValue, key.Line, key.Name, "%.40q is not a time such as 2026-12-01T10:00:00Z", key.Value)
 				continue
 			}
 			m.StartedAt = time.Duration(t.UnixNano())
@@ -242,7 +244,7 @@
 	p.c.Lines = append(p.c.Lines, s.Line)
 }
 
-// Seal gives a file the MAC of a key, in place of the one it has.
+// Seal returns the file with the MAC of a key, which replaces the MAC that it has.
 func Seal(text, key []byte) ([]byte, error) {
 	if err := CheckKey(key); err != nil {
 		return nil, err
@@ -255,15 +257,15 @@
 	return append(sealed, hex.EncodeToString(computeMAC(body, key))+"\n"...), nil
 }
 
-// CheckKey reports whether a key will do.
+// CheckKey returns an error if a key is too short.
 func CheckKey(key []byte) error {
 	if len(key) < MinKey {
-		return fmt.Errorf("the key has %d bytes, %d are the least", len(key), MinKey)
+		return fmt.Errorf("the key has %d bytes, at least %d are required", len(key), MinKey)
 	}
 	return nil
 }
 
-// Write gives a set the form of a file.
+// Write returns a set in the format of a pool file.
 func Write(label string, members []pool.Member) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "[pool]\nformat = %d\n", Format)
--- a/internal/lists/poolfile/poolfile_test.go
+++ b/internal/lists/poolfile/poolfile_test.go
@@ -18,7 +18,7 @@
 
 var testKey = []byte("a key that has more than sixteen bytes")
 
-const validFile = `; the pool of the spring
+const validFile = `; the dispatchers of the spring
 [pool]
 format = 1
 version = spring-42          ; a label
@@ -40,7 +40,7 @@
 [end]
 `
 
-// faultTexts are all that is wrong with a file, as the operator is told.
+// faultTexts returns the reasons and texts of all faults of a file, as operators see them.
 func faultTexts(text, key []byte) []string {
 	c := Read(text, key)
 	var got []string
@@ -61,7 +61,7 @@
 		t.Errorf("label %q, faults %v (-want +got):\n%s", c.Label, c.Faults, diff)
 	}
 	if crlf := Read([]byte(strings.ReplaceAll(validFile, "\n", "\r\n")), nil); len(crlf.Faults) > 0 || len(crlf.Servers) != 2 {
-		t.Errorf("with the ends of lines of other systems: %v", crlf.Faults)
+		t.Errorf("with CRLF line ends: %v", crlf.Faults)
 	}
 }
 
@@ -73,10 +73,10 @@
 		{"[end]\n", "[end]", "unfinished: the last line is not [end]"},
 		{"[end]\n", "[end]\n\n\n", "unfinished: the last line is not [end]"},
 		{"[end]\n", "[end]\n[server x]\n", "form: line 21: only mac = ... may follow [end]"},
-		{"[end]\n", "[end]\nmac = 00\n", "mac: line 21: mac: the file is sealed, and no key is configured"},
-		{"format = 1", "format = 2", `form: line 3: format: "2" is not known here, 1 is`},
+		{"[end]\n", "[end]\nmac = 00\n", "mac: line 21: mac: the file is sealed, but no key is configured"},
+		{"format = 1", "format = 2", `form: line 3: format: "2" is not supported, only 1 is`},
 		{"format = 1\n", "", "form: line 2: [pool] lacks the key format"},
-		{"servers = 2", "servers = 3", "count: line 5: servers: 3 are announced, 2 follow"},
+		{"servers = 2", "servers = 3", "count: line 5: servers: 3 servers are declared, 2 follow"},
 		{"servers = 2", "servers = two", `value: line 5: servers: "two" is no whole number from 0 to 50000`},
 		{"servers = 2\n", "", "form: line 2: [pool] lacks the key servers"},
 		{"server s-2", "server s-1", `twice: line 14: server: "s-1" is named twice, first in line 7`},
@@ -88,23 +88,23 @@
 		{"weight = 100", "weight = 1001", `value: line 11: weight: "1001" is no whole number from 0 to 1000`},
 		{"weight = 100", "weight = 1e2", `value: line 11: weight: "1e2" is no whole number`},
 		{"status = active", "status = left", "nobody: no server is active"},
-		{"status = active", "status = up", `value: line 12: status: "up" is none of active, leaving and left`},
-		{"2026-09-01T10:00:00Z", "yesterday", `value: line 19: since: "yesterday" is no time`},
+		{"status = active", "status = up", `value: line 12: status: "up" is not one of active, leaving and left`},
+		{"2026-09-01T10:00:00Z", "yesterday", `value: line 19: since: "yesterday" is not a time`},
 		{"2026-09-01T10:00:00Z", "2126-09-01T10:00:00Z", `value: line 14: since: server "s-2" would start in the future`},
-		{"tallinn", "tal\xfflinn", "form: line 9: is no UTF-8"},
+		{"tallinn", "tal\xfflinn", "form: line 9: is not valid UTF-8"},
 		{"[server s-2]", "[sever s-2]", "form: line 14: unknown section [sever s-2]"},
-		{"[server s-2]", "[end]\n[server s-2]", "form: line 14: [end] is not last"},
-		{"[server s-2]", "[server s-2", `form: line 14: "[server s-2" is no [section]`},
+		{"[server s-2]", "[end]\n[server s-2]", "form: line 14: [end] is not the last section"},
+		{"[server s-2]", "[server s-2", `form: line 14: "[server s-2" is not a valid [section]`},
 		{"zone = tallinn", "zone = " + strings.Repeat("x", 65), "is longer than 64 bytes"},
 		{"zone = tallinn", "; " + strings.Repeat("x", MaxBytes), "size: "},
 	} {
 		text := strings.Replace(validFile, test.from, test.to, 1)
 		if text == validFile {
-			t.Fatalf("%q is not in the file", test.from)
+			t.Fatalf("the file lacks %q", test.from)
 		}
 		got := faultTexts([]byte(text), nil)
 		if len(got) == 0 || !strings.Contains(strings.Join(got, "\n"), test.want) || strings.Contains(got[0], "\n") {
-			t.Errorf("%.40q for %.40q: %q, want %q", test.to, test.from, got, test.want)
+			t.Errorf("%.40q in place of %.40q: faults %q, want %q", test.to, test.from, got, test.want)
 		}
 	}
 }
@@ -125,22 +125,22 @@
 		"not sealed":   {[]byte(validFile), testKey},
 		"another key":  {sealed, []byte("another key, long enough")},
 		"another byte": {bytes.Replace(sealed, []byte("weight = 100"), []byte("weight = 101"), 1), testKey},
-		"no hex":       {bytes.Replace(sealed, []byte("mac = "), []byte("mac = x"), 1), testKey},
-		"cut":          {append(sealed[:len(sealed)-3:len(sealed)-3], '\n'), testKey},
+		"not hex":      {bytes.Replace(sealed, []byte("mac = "), []byte("mac = x"), 1), testKey},
+		"truncated":    {append(sealed[:len(sealed)-3:len(sealed)-3], '\n'), testKey},
 	} {
 		if got := faultTexts(test.text, test.key); len(got) != 1 || !strings.HasPrefix(got[0], "mac: ") {
 			t.Errorf("%s: %q", name, got)
 		}
 	}
 	if _, err := Seal([]byte(validFile), []byte("short")); err == nil {
-		t.Error("a short key is taken")
+		t.Error("a short key is accepted")
 	}
 	if _, err := Seal([]byte("[pool]\n"), testKey); err == nil {
-		t.Error("half a file is sealed")
+		t.Error("an unfinished file is sealed")
 	}
 }
 
-// TestNoPrefixIsValid cuts a file at every byte, sealed and not.
+// TestNoPrefixIsValid truncates a file at every byte, with and without a MAC.
 func TestNoPrefixIsValid(t *testing.T) {
 	sealed, err := Seal([]byte(validFile), testKey)
 	if err != nil {
@@ -152,16 +152,16 @@
 		}
 		for n := range test.text {
 			if len(faultTexts(test.text[:n], test.key)) == 0 {
-				t.Errorf("%s: the first %d of %d bytes are taken", name, n, len(test.text))
+				t.Errorf("%s: the first %d of %d bytes are accepted", name, n, len(test.text))
 			}
 			if n < len(test.text) && name == "plain" && !Unfinished(test.text[:n]) {
-				t.Errorf("the first %d of %d bytes look finished", n, len(test.text))
+				t.Errorf("the first %d of %d bytes count as finished", n, len(test.text))
 			}
 		}
 	}
 }
 
-// TestWriteAndRead: what is written is read as it was, and no prefix of it is valid, whatever the set.
+// TestWriteAndRead checks for random sets that a written file is read unchanged, and that no prefix of it is valid.
 func TestWriteAndRead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var members []pool.Member
@@ -179,13 +179,14 @@
 			t.Fatalf("faults %v (-want +got):\n%s", c.Faults, diff)
 		}
 		cut := rapid.IntRange(0, len(text)-1).Draw(t, "cut")
-		if half := Read(text[:cut], nil); len(half.Faults) == 0 {
-			t.Fatalf("the first %d of %d bytes are taken", cut, len(text))
+		if prefix := Read(text[:cut], nil); len(prefix.Faults) == 0 {
+			t.Fatalf("the first %d of %d bytes are accepted", cut, len(text))
 		}
 	})
 }
 
-// FuzzRead: whatever a file holds, it is read or refused with its faults, each in one line that exists.
+// FuzzRead checks that every text is either accepted or has faults. An accepted file must be finished and stay
+// unchanged when it is written and read again. A fault must have a text of one line and the number of an existing line.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(validFile), false)
 	sealed, _ := Seal([]byte(validFile), testKey)
@@ -206,10 +207,10 @@
 		}
 		if len(faults) == 0 {
 			if Unfinished(text) {
-				t.Error("taken, and not finished")
+				t.Error("an unfinished file is accepted")
 			}
 			if again := Read(Write(c.Label, c.Servers), nil); len(again.Faults) > 0 || !cmp.Equal(again.Servers, c.Servers) {
-				t.Errorf("written again: %v", again.Faults)
+				t.Errorf("read again: %v", again.Faults)
 			}
 		}
 	})
