--- a/internal/lists/coordinator/coordinator.go
+++ b/internal/lists/coordinator/coordinator.go
@@ -1,4 +1,5 @@
-// Package coordinator follows the platform's list of dispatchers: server-sent events over HTTP.
+// Package coordinator follows the platform's list of dispatchers, which the coordinator sends as server-sent events
+// over HTTP.
 package coordinator
 
 import (
@@ -26,16 +27,18 @@
 )
 
 const (
+	// connectTimeout bounds one attempt to connect to the coordinator.
 	connectTimeout = 500 * time.Millisecond
-	// defaultSilenceTimeout is how long the stream may say nothing; a comment comes each second. What a coordinator that has stopped
-	// would have told counts as told after 4 s, in which there must be room for a second try.
+	// defaultSilenceTimeout is how long the stream may be silent; the coordinator sends a comment each second. Events
+	// of a coordinator that has stopped count as delivered after 4 s, which must leave time for a second attempt.
 	defaultSilenceTimeout = 1700 * time.Millisecond
-	// minRetryDelay and maxRetryDelay bound the pause before the stream is asked for again, which doubles. What it has to
-	// tell counts as told 2 s after a break, so it must not grow long.
+	// minRetryDelay and maxRetryDelay bound the delay before the stream is requested again, which doubles. Events count
+	// as delivered 2 s after a break, so the delay must stay short.
 	minRetryDelay, maxRetryDelay = 50 * time.Millisecond, 500 * time.Millisecond
-	// maxLineBytes bounds one line of the stream: the whole list of the largest fleet has 5 MiB.
+	// maxLineBytes bounds one line of the stream: the complete list of the largest fleet has 5 MiB.
 	maxLineBytes = 8 << 20
-	// oversizedRetryDelay is the pause after an event beyond that bound, which would come again as it is.
+	// oversizedRetryDelay is the delay after an event that exceeds maxLineBytes, since the coordinator would send it
+	// again unchanged.
 	oversizedRetryDelay = 10 * time.Second
 )
 
@@ -48,7 +51,7 @@
 	} `json:"endpoints"`
 }
 
-// Endpoint is one dispatcher.
+// Endpoint describes one dispatcher.
 type Endpoint struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
@@ -58,7 +61,7 @@
 	SinceMs int64  `json:"since_ms"`
 }
 
-// Update translates an event; whole is for the first one.
+// Update converts the event to an update, which is complete if the event carries a snapshot.
 func (e *Event) Update() (call.Update, error) {
 	var u call.Update
 	if e.Endpoints == nil {
@@ -75,7 +78,7 @@
 	return u, nil
 }
 
-// Server translates one dispatcher.
+// Server converts the endpoint to a server.
 func (p *Endpoint) Server() (call.Server, error) {
 	status, err := settings.ParseStatus(p.Status)
 	if err != nil {
@@ -93,29 +96,30 @@
 	}, nil
 }
 
-// Stream follows the coordinator.
+// Stream follows the event stream of the coordinator.
 type Stream struct {
 	log            *slog.Logger
 	client         *http.Client
-	lastIndex      int64             // only Run's goroutine moves it
+	lastIndex      int64             // index of the last event; written by Run's goroutine only
 	onUpdate       func(call.Update) // called in order, by one goroutine
 	silenceTimeout time.Duration
 
-	latestConn atomic.Pointer[trackedConn] // the connection that was opened last
+	latestConn atomic.Pointer[trackedConn] // the most recently opened connection
 
 	mu             sync.Mutex
 	address        string
-	addressChanged chan struct{} // closed when the address has changed
+	addressChanged chan struct{} // closed when the address changes
 }
 
-// New returns a Stream that goes on after the event of number last.
+// New returns a Stream that resumes after the event numbered lastIndex.
 func New(address string, lastIndex int64, log *slog.Logger, onUpdate func(call.Update)) *Stream {
 	dialer := &net.Dialer{Timeout: connectTimeout}
-	s := &Stream{address: address, addressChanged: make(chan struct{}), log: log, lastIndex: lastIndex, onUpdate: onUpdate, silenceTimeout: defaultSilenceTimeout}
+	s := &Stream{address: address, addressChanged: make(chan struct{}), log: log, lastIndex: lastIndex, onUpdate: onUpdate,
+		silenceTimeout: defaultSilenceTimeout}
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		nc, err := dialer.DialContext(ctx, network, address)
 		if err != nil {
-			return nil, err //nolint:wrapcheck // the client says what it was for
+			return nil, err //nolint:wrapcheck // the client adds the context
 		}
 		c := &trackedConn{Conn: nc}
 		s.latestConn.Store(c)
@@ -125,21 +129,21 @@
 	return s
 }
 
-// trackedConn is a connection that knows whether what it brought is still being worked on.
+// trackedConn is a connection that records whether received input is still being processed.
 type trackedConn struct {
 	net.Conn
 	processing atomic.Bool
 }
 
-// Read takes it that all of before has been told once more is asked for.
+// Read reads from the connection. The reader asks for more only after it has processed everything before.
 func (c *trackedConn) Read(p []byte) (int, error) {
 	c.processing.Store(false)
 	n, err := c.Conn.Read(p)
 	c.processing.Store(n > 0)
-	return n, err //nolint:wrapcheck // as any connection's
+	return n, err //nolint:wrapcheck // net.Conn implementations return plain errors
 }
 
-// hasUnreadInput reports whether bytes wait in the socket, or are being worked on.
+// hasUnreadInput reports whether input waits in the socket or is being processed.
 func (c *trackedConn) hasUnreadInput() bool {
 	if c.processing.Load() {
 		return true
@@ -161,14 +165,14 @@
 	return n > 0 || c.processing.Load()
 }
 
-// Quiet reports whether all that has come has been told; any goroutine may call it.
+// Quiet reports whether everything received has been delivered. Any goroutine may call it.
 func (s *Stream) Quiet() bool {
 	c := s.latestConn.Load()
 	return c == nil || !c.hasUnreadInput()
 }
 
-// Move has the stream go on at another address, after the last event that came: the numbers are the same there. An
-// empty address has it wait for the next.
+// Move makes the stream resume at another address after the last received event: event numbers are the same at all
+// addresses. With an empty address, the stream waits for the next call of Move.
 func (s *Stream) Move(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,7 +189,7 @@
 	return s.address, s.addressChanged
 }
 
-// Run follows the stream until the context ends, and asks again whenever it breaks off.
+// Run follows the stream until the context ends, and requests it again whenever it breaks.
 func (s *Stream) Run(ctx context.Context) {
 	delay := minRetryDelay
 	for ctx.Err() == nil {
@@ -198,7 +202,7 @@
 			continue
 		}
 		streamCtx, cancel := context.WithCancel(ctx)
-		go func() { // the old coordinator tells nothing more, so its stream is not waited for
+		go func() { // the old coordinator sends nothing more, so its stream is cancelled at once
 			select {
 			case <-changed:
 				cancel()
@@ -210,12 +214,12 @@
 		if ctx.Err() != nil {
 			return
 		}
-		s.log.Info("coordinator's stream ended", "address", address, "last", s.lastIndex, "err", err)
+		s.log.Info("coordinator stream ended", "address", address, "last", s.lastIndex, "err", err)
 		if delay = min(2*delay, maxRetryDelay); received {
 			delay = minRetryDelay
 		}
 		if errors.Is(err, bufio.ErrTooLong) {
-			s.log.Error("event that is too large", "address", address, "bytes at most", maxLineBytes, "asked for again in", oversizedRetryDelay)
+			s.log.Error("event is too large", "address", address, "bytes at most", maxLineBytes, "asked for again in", oversizedRetryDelay)
 			delay = oversizedRetryDelay
 		}
 		select {
@@ -227,8 +231,8 @@
 	}
 }
 
-// follow reads one stream. A coordinator that falls silent is left: its machine may be gone, and the connection
-// would stay open for ever.
+// follow reads one stream until it ends. It closes the stream of an unresponsive coordinator, since a connection to a
+// machine that has failed would stay open forever.
 func (s *Stream) follow(ctx context.Context, address string) (received bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -247,7 +251,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return false, fmt.Errorf("coordinator answers %s", resp.Status)
+		return false, fmt.Errorf("coordinator returned status %s", resp.Status)
 	}
 	lines := bufio.NewScanner(&notifyingReader{resp.Body, func() { watchdog.Reset(s.silenceTimeout) }})
 	lines.Buffer(make([]byte, 4096), maxLineBytes)
@@ -279,38 +283,40 @@
 	}
 	switch err := lines.Err(); {
 	case timedOut.Load():
-		return received, errors.New("coordinator: silent")
+		return received, errors.New("coordinator: no input before the silence timeout")
 	case err != nil:
 		return received, fmt.Errorf("coordinator: %w", err)
 	}
 	return received, nil
 }
 
-// notifyingReader tells of each time that something comes: an event may take long, and comes all the while.
+// notifyingReader calls onRead after every read that returns input, so that a long event restarts the silence timeout
+// while its bytes arrive.
 type notifyingReader struct {
 	io.Reader
 	onRead func()
 }
 
-// Read reads what there is.
+// Read reads from the underlying reader.
 func (r *notifyingReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if n > 0 {
 		r.onRead()
 	}
-	return n, err //nolint:wrapcheck // as the reader itself
+	return n, err //nolint:wrapcheck // io.Reader implementations return plain errors
 }
 
-// handleEvent takes in one event. One that cannot be read ends the stream, and is asked for again: it came spoilt, and what
-// it told would be missing. One that can be read but makes no sense would come again as it is, so it is passed over.
+// handleEvent applies one event. An event that cannot be parsed ends the stream and is requested again: it was
+// corrupted on the way, and its changes would be missing. An event that can be parsed but is invalid would come again
+// unchanged, so it is skipped.
 func (s *Stream) handleEvent(id string, data []byte) error {
 	number, err := strconv.ParseInt(strings.TrimSpace(id), 10, 64)
 	if err == nil && number <= s.lastIndex {
-		return nil // known already
+		return nil // already applied
 	}
 	var e Event
 	if err := jsoniter.ConfigDefault.Unmarshal(data, &e); err != nil {
-		return fmt.Errorf("coordinator: event %.20q cannot be read: %w", id, err)
+		return fmt.Errorf("coordinator: parsing event %.20q: %w", id, err)
 	}
 	if err != nil {
 		if number = e.Index; number <= s.lastIndex {
@@ -320,7 +326,7 @@
 	s.lastIndex = number
 	u, err := e.Update()
 	if err != nil {
-		s.log.Error("event that cannot be used", "id", id, "err", err)
+		s.log.Error("event is invalid and skipped", "id", id, "err", err)
 		return nil
 	}
 	s.onUpdate(u)
--- a/internal/lists/coordinator/coordinator_test.go
+++ b/internal/lists/coordinator/coordinator_test.go
@@ -17,18 +17,19 @@
 	"cherryrelay/internal/call"
 )
 
+// event returns a change of one dispatcher as a server-sent event with two data lines.
 func event(index int, name, status string) string {
 	return fmt.Sprintf("id: %d\ndata: {\"index\":%d,\"endpoints\":{\"index\":7,\"snapshot\":false,\"endpoints\":[{\"name\":%q,\ndata: "+
 		"\"address\":\"127.0.0.1:1\",\"zone\":\"east\",\"group\":2,\"status\":%q,\"since_ms\":5000}]}}\n\n", index, index, name, status)
 }
 
-// TestResumesAfterLastEvent covers a stream that ends, one that falls silent, and events that come twice, make no
-// sense or come in parts.
+// TestResumesAfterLastEvent covers a stream that ends, one that becomes silent, and events that are repeated, invalid,
+// corrupted or split into parts.
 func TestResumesAfterLastEvent(t *testing.T) {
 	scripts := []string{
 		event(3, "known", "active") + ": comment\n\n" + event(4, "a", "active"),
-		"id: 5\ndata: {\"index\":5,\n\n" + event(7, "a", "left"), // an event that came spoilt is asked for again
-		event(5, "b", "active")[:40],                             // and one that broke off inside
+		"id: 5\ndata: {\"index\":5,\n\n" + event(7, "a", "left"), // a corrupted event is requested again
+		event(5, "b", "active")[:40],                             // a truncated event, too
 		event(6, "b", "odd") + event(7, "a", "leaving") + "SILENCE",
 		event(8, "a", "left") + "SILENCE",
 	}
@@ -57,8 +58,8 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	go s.Run(ctx)
 	for _, want := range []struct {
-		asked  string
-		status control.ServerStatus
+		request string
+		status  control.ServerStatus
 	}{{"/v2/stream after 3", control.Active}, {"/v2/stream after 4", control.Draining}, {"/v2/stream after 7", control.Removed}} {
 		got := <-requests
 		if want.status == control.Draining {
@@ -66,8 +67,8 @@
 				got = <-requests
 			}
 		}
-		if got != want.asked {
-			t.Errorf("asked for %q, want %q", got, want.asked)
+		if got != want.request {
+			t.Errorf("request %q, want %q", got, want.request)
 		}
 		entry := control.ServerEntry{ID: "a", Status: want.status, Cell: 2, Zone: "east", StartedAt: 5 * time.Second}
 		if diff := cmp.Diff(call.Update{Servers: []call.Server{{ServerEntry: entry, Address: "127.0.0.1:1"}}}, <-updates); diff != "" {
@@ -77,8 +78,9 @@
 	cancel()
 }
 
-// TestSkipsKnownEventsAndChangesAddress: a coordinator that refuses for a while, comes back with numbers that were told already, and tells the whole
-// list without a dispatcher; and one that the stream is moved to while an event of the old one is on its way.
+// TestSkipsKnownEventsAndChangesAddress connects to a coordinator that refuses two requests, then repeats known events
+// and sends an empty complete list. While its next event is incomplete, the stream moves to another coordinator, which
+// must be asked for the events after the last complete one.
 func TestSkipsKnownEventsAndChangesAddress(t *testing.T) {
 	serve := func(respond func(n int, w http.ResponseWriter, r *http.Request)) string {
 		requests := 0
@@ -102,13 +104,13 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			panic(http.ErrAbortHandler)
 		default:
-			_, _ = io.WriteString(w, emptyList(2)+event(3, "a", "active")+emptyList(4)+event(5, "b", "active")[:60]) // 2 and 3 were told before
+			_, _ = io.WriteString(w, emptyList(2)+event(3, "a", "active")+emptyList(4)+event(5, "b", "active")[:60]) // 2 and 3 are known
 			close(partSent)
 		}
 	})
 	newAddress := serve(func(_ int, w http.ResponseWriter, r *http.Request) {
 		if after := r.Header.Get("Last-Event-ID"); after != "4" {
-			t.Errorf("asked for what follows %s, want 4: the event on its way has not come", after)
+			t.Errorf("requested the events after %s, want 4: event 5 was incomplete", after)
 		}
 		_, _ = io.WriteString(w, event(5, "c", "leaving"))
 	})
@@ -116,26 +118,27 @@
 	s := New(oldAddress, 3, slog.New(slog.DiscardHandler), func(u call.Update) { updates <- u })
 	go s.Run(t.Context())
 	if diff := cmp.Diff(call.Update{Complete: true}, <-updates); diff != "" {
-		t.Errorf("the first that is new (-want +got):\n%s", diff)
+		t.Errorf("first new update (-want +got):\n%s", diff)
 	}
 	<-partSent
 	s.Move(newAddress)
 	entry := control.ServerEntry{ID: "c", Status: control.Draining, Cell: 2, Zone: "east", StartedAt: 5 * time.Second}
 	if diff := cmp.Diff(call.Update{Servers: []call.Server{{ServerEntry: entry, Address: "127.0.0.1:1"}}}, <-updates); diff != "" {
-		t.Errorf("after the move (-want +got):\n%s", diff)
+		t.Errorf("update after the change of the address (-want +got):\n%s", diff)
 	}
 }
 
-// TestReconnectsInTime: what a coordinator would have told counts as told 2 s after a break, and 4 s after it stopped or another took its
-// place, come or not. By then it has been asked again, even if it has let one try go by without a word.
+// TestReconnectsInTime checks the deadlines after which events count as delivered: 2 s after a break, and 4 s after the
+// coordinator stopped or another took its place. The stream must have requested the events again by then, even if one
+// attempt fails or gets no response.
 func TestReconnectsInTime(t *testing.T) {
 	for name, test := range map[string]struct {
-		within time.Duration
-		ends   func(s *Stream, to string) (closes bool)
+		deadline  time.Duration
+		interrupt func(s *Stream, otherAddress string) (closes bool)
 	}{
 		"a break": {2 * time.Second, func(*Stream, string) bool { return true }},
 		"a stop":  {4 * time.Second, func(*Stream, string) bool { return false }},
-		"a move":  {4 * time.Second, func(s *Stream, to string) bool { s.Move(to); return false }},
+		"a move":  {4 * time.Second, func(s *Stream, otherAddress string) bool { s.Move(otherAddress); return false }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -150,10 +153,10 @@
 					_ = http.NewResponseController(w).Flush()
 					requests <- time.Time{}
 					interrupted <- time.Now()
-					if test.ends(s, otherAddress) {
+					if test.interrupt(s, otherAddress) {
 						panic(http.ErrAbortHandler)
 					}
-				case 2: // after a break it is refused; else it has stopped here as well
+				case 2: // after a break, the second request is refused; otherwise this coordinator has stopped as well
 					if name == "a break" {
 						w.WriteHeader(http.StatusServiceUnavailable)
 						return
@@ -166,12 +169,12 @@
 			t.Cleanup(server.Close)
 			t.Cleanup(server.CloseClientConnections)
 			address := strings.TrimPrefix(server.URL, "http://")
-			otherAddress = strings.Replace(address, "127.0.0.1", "[::ffff:127.0.0.1]", 1) // another name of the same
+			otherAddress = strings.Replace(address, "127.0.0.1", "[::ffff:127.0.0.1]", 1) // another name of the same address
 			s = New(address, 3, slog.New(slog.DiscardHandler), func(call.Update) {})
 			go s.Run(t.Context())
 			<-requests
-			if delay := (<-requests).Sub(<-interrupted); delay > test.within {
-				t.Errorf("asked again after %v, want %v at most", delay, test.within)
+			if delay := (<-requests).Sub(<-interrupted); delay > test.deadline {
+				t.Errorf("requested again after %v, want at most %v", delay, test.deadline)
 			}
 		})
 	}
--- a/internal/lists/etcd/etcd.go
+++ b/internal/lists/etcd/etcd.go
@@ -1,5 +1,5 @@
-// Package etcd follows a list of dispatchers that is kept under a prefix in etcd: one key a dispatcher, its value the
-// JSON object of the coordinator's list.
+// Package etcd follows a list of dispatchers that is stored under a prefix in etcd: one key per dispatcher, its value a
+// JSON object as in the coordinator's list.
 package etcd
 
 import (
@@ -22,21 +22,21 @@
 )
 
 const (
-	// readTimeout bounds one read of the list.
+	// readTimeout bounds one read of the list and the dialling of a connection.
 	readTimeout = 2 * time.Second
-	// minRetryDelay and maxRetryDelay bound the pause before the list is read anew, which doubles.
+	// minRetryDelay and maxRetryDelay bound the delay before the list is read again, which doubles.
 	minRetryDelay, maxRetryDelay = 100 * time.Millisecond, time.Second
-	// keepAlive finds a connection whose other end is gone.
+	// keepAlive is the interval and the timeout of keepalive probes, which detect a connection whose peer is gone.
 	keepAlive = 2 * time.Second
 )
 
-// Options say where the list is.
+// Options specifies where the list is stored.
 type Options struct {
 	Endpoints []string `json:"endpoints"`
 	Prefix    string   `json:"prefix"`
 }
 
-// Check reports what is missing.
+// Check returns an error if an option is missing.
 func (o *Options) Check() error {
 	switch {
 	case len(o.Endpoints) == 0:
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// Dial makes a client for endpoints, which need not be up yet.
+// Dial returns a client for the endpoints, which need not be up yet.
 func Dial(endpoints []string) (*clientv3.Client, error) {
 	client, err := clientv3.New(clientv3.Config{
 		Endpoints: endpoints, DialTimeout: readTimeout, DialKeepAliveTime: keepAlive, DialKeepAliveTimeout: keepAlive,
@@ -59,17 +59,17 @@
 	return client, nil
 }
 
-// List follows the prefix.
+// List follows the dispatchers under a prefix.
 type List struct {
 	client     *clientv3.Client
-	ownsClient bool // the client is closed with the list
+	ownsClient bool // Run closes the client when it ends
 	prefix     string
 	log        *slog.Logger
 	onUpdate   func(call.Update) // called in order, by one goroutine
 	servers    map[string]call.Server
 }
 
-// New connects to etcd, which need not be up yet.
+// New returns a List with a client of its own. etcd need not be up yet.
 func New(o Options, log *slog.Logger, onUpdate func(call.Update)) (*List, error) {
 	client, err := Dial(o.Endpoints)
 	if err != nil {
@@ -80,13 +80,13 @@
 	return l, nil
 }
 
-// Over follows a prefix with a client that others use as well, and does not close it.
+// Over returns a List that uses a shared client, which it does not close.
 func Over(client *clientv3.Client, prefix string, log *slog.Logger, onUpdate func(call.Update)) *List {
 	return &List{client: client, prefix: prefix, log: log, onUpdate: onUpdate, servers: map[string]call.Server{}}
 }
 
-// Run follows the list until the context ends. Whenever the watch cannot go on from where it was, as after a
-// compaction, the list is read anew: what has gone in between is missing from it.
+// Run follows the list until the context ends. Whenever the watch cannot resume at its last revision, as after a
+// compaction, Run reads the complete list again; dispatchers that were removed in between are missing from it.
 func (l *List) Run(ctx context.Context) {
 	defer func() {
 		if !l.ownsClient {
@@ -106,7 +106,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		l.log.Info("etcd list is read anew", "err", err)
+		l.log.Info("etcd watch ended, the list is read again", "err", err)
 		select {
 		case <-ctx.Done():
 		case <-time.After(delay):
@@ -115,7 +115,7 @@
 	}
 }
 
-// readAll takes in the whole list and returns the revision it was read at.
+// readAll reads the complete list and returns the revision at which it was read.
 func (l *List) readAll(ctx context.Context) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -135,8 +135,8 @@
 	return resp.Header.Revision, nil
 }
 
-// watch takes in changes from the revision on. It returns when the watch has ended for good: the client itself goes on
-// after a connection that broke.
+// watch applies changes from a revision on. It returns when the watch cannot resume; the client itself resumes it after
+// a broken connection.
 func (l *List) watch(ctx context.Context, revision int64) error {
 	ctx, cancel := context.WithCancel(clientv3.WithRequireLeader(ctx))
 	defer cancel()
@@ -155,7 +155,7 @@
 					u.Servers = append(u.Servers, s)
 				}
 			default:
-				if s, ok := l.servers[string(e.Kv.Key)]; ok { // a deleted key is a dispatcher that has gone
+				if s, ok := l.servers[string(e.Kv.Key)]; ok { // a deleted key removes the dispatcher
 					s.Status = control.Removed
 					delete(l.servers, string(e.Kv.Key))
 					u.Servers = append(u.Servers, s)
@@ -169,7 +169,7 @@
 	return errors.New("etcd: the watch ended")
 }
 
-// applyPut reads a key's value. One that makes no sense leaves the dispatcher as it was before.
+// applyPut decodes a key's value. A dispatcher whose value is invalid stays as it was in previous.
 func (l *List) applyPut(kv *mvccpb.KeyValue, previous map[string]call.Server) (call.Server, bool) {
 	var p coordinator.Endpoint
 	err := jsoniter.ConfigDefault.Unmarshal(kv.Value, &p)
@@ -181,7 +181,7 @@
 		s, err = p.Server()
 	}
 	if err != nil {
-		l.log.Error("etcd key that cannot be used", "key", string(kv.Key), "err", err)
+		l.log.Error("etcd value is invalid, the dispatcher stays unchanged", "key", string(kv.Key), "err", err)
 		s, ok := previous[string(kv.Key)]
 		if ok {
 			l.servers[string(kv.Key)] = s
--- a/internal/lists/etcd/etcd_test.go
+++ b/internal/lists/etcd/etcd_test.go
@@ -13,6 +13,7 @@
 	"cherryrelay/internal/store"
 )
 
+// TestFollowsPrefix covers changes of keys, an invalid value, a broken connection and a compaction.
 func TestFollowsPrefix(t *testing.T) {
 	const prefix = "/cherryrelay/dispatchers/"
 	value := func(address, status string) string {
@@ -30,7 +31,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Close)
-	again := func() {
+	listenAgain := func() {
 		if _, err := s.Listen(address); err != nil {
 			t.Fatal(err)
 		}
@@ -44,15 +45,15 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go list.Run(ctx)
-	expect := func(what string, want call.Update) {
+	expect := func(event string, want call.Update) {
 		t.Helper()
 		select {
 		case got := <-updates:
 			if diff := cmp.Diff(want, got); diff != "" {
-				t.Fatalf("%s (-want +got):\n%s", what, diff)
+				t.Fatalf("%s (-want +got):\n%s", event, diff)
 			}
 		case <-time.After(30 * time.Second):
-			t.Fatalf("%s: nothing came", what)
+			t.Fatalf("%s: no update", event)
 		}
 	}
 	a := server("a", "127.0.0.1:1", control.Active)
@@ -63,24 +64,24 @@
 	expect("new key", call.Update{Servers: []call.Server{server("d", "127.0.0.1:4", control.Active)}})
 	s.Put(prefix+"d", value("127.0.0.1:4", "leaving"))
 	expect("changed key", call.Update{Servers: []call.Server{server("d", "127.0.0.1:4", control.Draining)}})
-	s.Put(prefix+"d", `{"status":`) // one that makes no sense changes nothing
+	s.Put(prefix+"d", `{"status":`) // an invalid value changes nothing
 	expect("bad value", call.Update{Servers: []call.Server{server("d", "127.0.0.1:4", control.Draining)}})
 	s.Put(prefix+"d", "")
 	expect("deleted key", call.Update{Servers: []call.Server{server("d", "127.0.0.1:4", control.Removed)}})
 
-	// What changes while the connection is down comes once it is up, from where the watch was.
+	// A change during a broken connection arrives after the reconnection: the watch resumes at its last revision.
 	s.Close()
 	s.Put(prefix+"e", value("127.0.0.1:5", "active"))
-	again()
-	expect("change in between", call.Update{Servers: []call.Server{server("e", "127.0.0.1:5", control.Active)}})
+	listenAgain()
+	expect("change while disconnected", call.Update{Servers: []call.Server{server("e", "127.0.0.1:5", control.Active)}})
 	if n := s.Counts(); n.Reads != 1 || n.Watches != 2 {
-		t.Errorf("%d reads and %d watches, want the first read alone, and the watch taken up again", n.Reads, n.Watches)
+		t.Errorf("%d reads and %d watches, want one read and a resumed watch", n.Reads, n.Watches)
 	}
 
-	// After a compaction the watch cannot go on, so the list is read whole: e is missing from it.
+	// After a compaction the watch cannot resume, so the complete list is read: e is missing from it.
 	s.Close()
 	s.Put(prefix+"e", "")
 	s.Compact()
-	again()
+	listenAgain()
 	expect("read after the compaction", call.Update{Complete: true, Servers: []call.Server{a}})
 }
