--- a/internal/lists/files/files.go
+++ b/internal/lists/files/files.go
@@ -1,6 +1,6 @@
-// Package files follows a pool file. It watches the directories on the way to it, since the file itself may be replaced, be
-// a link, or be gone for a while, and looks at it slowly beside that, since a watch may miss things. What is seen goes to
-// the pool's decisions; when to look and what to judge is decided in decide/pool, too.
+// Package files follows a pool file. It watches the directories on the path to the file, since the file itself may be
+// replaced, be a symbolic link, or be absent for a while. It also polls the file slowly, since a watch may miss
+// changes. The decisions are made in decide/pool: when to poll, which content to check, and whether to accept it.
 package files
 
 import (
@@ -23,16 +23,16 @@
 )
 
 const (
-	// maxLinks bounds the symbolic links on the way: more is a circle.
+	// maxLinks bounds the symbolic links that are followed: more of them form a cycle.
 	maxLinks = 16
-	// maxKeyBytes bounds a key file.
+	// maxKeyBytes bounds the size of a key file.
 	maxKeyBytes = 4096
 )
 
-// Options say where the file is.
+// Options specifies the file to follow.
 type Options struct {
 	File    string `json:"file"`
-	KeyFile string `json:"key_file"` // of the MAC; empty for files without one
+	KeyFile string `json:"key_file"` // the key of the MAC; empty for files without a MAC
 }
 
 // Watcher follows one file.
@@ -41,25 +41,25 @@
 	log             *slog.Logger
 	submit          func(pool.Candidate)
 	start           time.Time
-	lastFile        fileID      // of the file at the last look
-	submittedDigest string      // the digest that was judged last
-	submittedFile   fingerprint // of the file, as a look read those bytes; zero before
+	lastFile        fileID      // the file at the last poll that read it
+	submittedDigest string      // digest of the last candidate
+	submittedFile   fingerprint // state of the file when the content of the last candidate was read; zero if unknown
 	newNotifier     func() (notifier, error)
 	pollRequests    chan struct{}
 }
 
-// fileID tells one file from another at the same path.
+// fileID distinguishes files that have had the same path.
 type fileID struct{ device, inode uint64 }
 
-// New returns a Watcher that gives take what is to be judged, from one goroutine.
+// New returns a Watcher that passes new candidates to submit, from one goroutine.
 func New(o Options, log *slog.Logger, submit func(pool.Candidate)) *Watcher {
 	return &Watcher{Options: o, log: log, submit: submit, start: time.Now(), newNotifier: newFSNotifyNotifier, pollRequests: make(chan struct{}, 1)}
 }
 
-// now is a clock that does not go back.
+// now returns the time since the start, by a monotonic clock.
 func (w *Watcher) now() time.Duration { return time.Since(w.start) }
 
-// Nudge has the file looked at soon; any goroutine may call it.
+// Nudge has the file polled soon. Any goroutine may call it.
 func (w *Watcher) Nudge() {
 	select {
 	case w.pollRequests <- struct{}{}:
@@ -67,7 +67,8 @@
 	}
 }
 
-// First reads the file at a start. One that may be on its way still is waited for, for a moment.
+// First reads the file at startup. It waits briefly for a file that is missing or incomplete, since it may still be
+// being written.
 func (w *Watcher) First() pool.Candidate {
 	poller := pool.NewFilePoller(w.now(), false)
 	for {
@@ -79,7 +80,7 @@
 	}
 }
 
-// pollResult is what a look has found.
+// pollResult is what one poll has found.
 type pollResult struct {
 	pool.Observation
 	fingerprint
@@ -87,21 +88,21 @@
 	err       error
 }
 
-// fingerprint tells whether a file may hold other bytes than those that were read. Its key belongs to it.
+// fingerprint is the state of a file without its content: if it is unchanged, so is the content. The key is part of it.
 type fingerprint struct {
 	fileID
 	size    int64
-	changed time.Time // of the file's bytes or its other properties, as the file system has it
+	changed time.Time // ctime: the last change of the content or the metadata
 	key     string
-	digest  string // of what was read
+	digest  string // of the content and the key
 }
 
-// minUnchangedTime is how long before it was read a file must have changed last for its stamp to tell every later change: file systems keep such
-// times by steps of some milliseconds.
+// minUnchangedTime is the least time between the last change of a file and a read after which its fingerprint detects
+// every later change: file systems store ctime in steps of some milliseconds.
 const minUnchangedTime = time.Second
 
-// poll reads the file as it is, unless it is as it was when it was judged: a large one is not read over and over. One that changes while it
-// is read is read again soon.
+// poll reads the file unless it is unchanged since its content was submitted, so that a large file is not read
+// repeatedly. A file that changes while it is read is read again soon.
 func (w *Watcher) poll() *pollResult {
 	f := new(pollResult)
 	if w.KeyFile != "" {
@@ -126,7 +127,8 @@
 		return f
 	}
 	f.text = text
-	f.Observation = pool.Observation{Digest: poolfile.Digest(append(slices.Clone(f.key), text...)), Unfinished: poolfile.Unfinished(text), InPlace: id == w.lastFile}
+	f.Observation = pool.Observation{Digest: poolfile.Digest(append(slices.Clone(f.key), text...)), Unfinished: poolfile.Unfinished(text),
+		InPlace: id == w.lastFile}
 	w.lastFile = id
 	if s, ok := fingerprintOf(w.File, f.key); ok && started.Sub(s.changed) > minUnchangedTime && s.size == int64(len(text)) && s.fileID == id {
 		f.fingerprint = s
@@ -138,12 +140,12 @@
 	return f
 }
 
-// markSubmitted notes that what was found is judged.
+// markSubmitted records that the result was submitted as a candidate.
 func (w *Watcher) markSubmitted(f *pollResult) {
 	w.submittedDigest, w.submittedFile = f.Digest, f.fingerprint
 }
 
-// candidate is what is to be judged.
+// candidate returns the candidate for the pool.
 func (f *pollResult) candidate() pool.Candidate {
 	if f.err == nil {
 		return poolfile.Read(f.text, f.key)
@@ -155,7 +157,7 @@
 	return pool.Candidate{Source: pool.FromFile, Digest: f.Digest, Faults: []pool.Fault{{Reason: reason, Text: f.err.Error()}}}
 }
 
-// fingerprintOf is that of a file by now.
+// fingerprintOf returns the current fingerprint of a file, without the digest.
 func fingerprintOf(path string, key []byte) (fingerprint, bool) {
 	info, err := os.Stat(path)
 	if err != nil || !info.Mode().IsRegular() {
@@ -170,9 +172,9 @@
 
 var errTooLarge = errors.New("the file is too large")
 
-// readFile reads a regular file of a bounded size.
+// readFile reads a regular file of at most maxBytes.
 func readFile(path string, maxBytes int64) ([]byte, fileID, error) {
-	f, err := os.OpenFile(path, os.O_RDONLY|syscall.O_NONBLOCK, 0) // a pipe at the path must not hold it up
+	f, err := os.OpenFile(path, os.O_RDONLY|syscall.O_NONBLOCK, 0) // with O_NONBLOCK, a named pipe at the path does not block
 	if err != nil {
 		return nil, fileID{}, describePathError(err)
 	}
@@ -182,16 +184,16 @@
 	case err != nil:
 		return nil, fileID{}, describePathError(err)
 	case !info.Mode().IsRegular():
-		return nil, fileID{}, fmt.Errorf("%s is no regular file", path)
+		return nil, fileID{}, fmt.Errorf("%s is not a regular file", path)
 	case info.Size() > maxBytes:
-		return nil, fileID{}, fmt.Errorf("%w: %d bytes, %d are allowed", errTooLarge, info.Size(), maxBytes)
+		return nil, fileID{}, fmt.Errorf("%w: %d bytes, at most %d are allowed", errTooLarge, info.Size(), maxBytes)
 	}
 	text, err := io.ReadAll(io.LimitReader(f, maxBytes+1))
 	switch {
 	case err != nil:
 		return nil, fileID{}, describePathError(err)
 	case int64(len(text)) > maxBytes:
-		return nil, fileID{}, fmt.Errorf("%w: over %d bytes", errTooLarge, maxBytes)
+		return nil, fileID{}, fmt.Errorf("%w: more than %d bytes", errTooLarge, maxBytes)
 	}
 	return text, fileIDOf(info), nil
 }
@@ -203,7 +205,7 @@
 	return fileID{}
 }
 
-// describePathError says what is wrong with a path in the words of an operator.
+// describePathError returns a plain message for a missing file, and other errors unchanged.
 func describePathError(err error) error {
 	if errors.Is(err, fs.ErrNotExist) {
 		var pathErr *fs.PathError
@@ -214,7 +216,7 @@
 	return err
 }
 
-// Key reads a key file: all its bytes but the ends of lines at its end.
+// Key reads a key file and trims the line breaks at its end.
 func Key(path string) ([]byte, error) {
 	text, _, err := readFile(path, maxKeyBytes)
 	if err != nil {
@@ -229,7 +231,7 @@
 	return text, nil
 }
 
-// notifier tells of changes in directories.
+// notifier watches directories for changes.
 type notifier interface {
 	Add(directory string) error
 	Remove(directory string) error
@@ -246,7 +248,7 @@
 func newFSNotifyNotifier() (notifier, error) {
 	w, err := fsnotify.NewWatcher()
 	if err != nil {
-		return nil, err //nolint:wrapcheck // its caller says what it is
+		return nil, err //nolint:wrapcheck // the caller adds the context
 	}
 	return fsnotifyNotifier{w}, nil
 }
@@ -257,7 +259,7 @@
 	var events <-chan fsnotify.Event
 	var errs <-chan error
 	if err != nil {
-		w.log.Warn("the pool file is not watched, only looked at", "file", w.File, "err", err)
+		w.log.Warn("the pool file cannot be watched and is only polled", "file", w.File, "err", err)
 	} else {
 		defer notify.Close()
 		events, errs = notify.EventChan(), notify.ErrorChan()
@@ -282,11 +284,11 @@
 				errs = nil
 				break
 			}
-			// An overflow among them: whatever it dropped may have been a change.
-			w.log.Warn("the watch on the pool file missed something", "err", err)
+			// An overflow is such an error: a dropped event may have been a change of the file.
+			w.log.Warn("the watch on the pool file reported an error", "err", err)
 			poller.NoteChange(w.now())
 		case <-pollTimer.C:
-			// First the watch: what changes between the two is seen by the look or by the watch.
+			// The watches are updated before the poll, so that a change between the two is found by one of them.
 			if notify != nil {
 				poller.SetWatched(w.now(), w.updateWatches(notify, watched))
 			}
@@ -299,7 +301,7 @@
 	}
 }
 
-// updateWatches has all directories on the way to the file watched as they are now. It reports whether all are.
+// updateWatches watches the current directories on the path to the file. It reports whether all of them are watched.
 func (w *Watcher) updateWatches(notify notifier, watched map[string]fileID) bool {
 	allWatched := true
 	wanted := map[string]bool{}
@@ -318,11 +320,11 @@
 		if old, ok := watched[path]; ok && old == id {
 			continue
 		} else if ok {
-			_ = notify.Remove(path) // another directory is there now
+			_ = notify.Remove(path) // the path is another directory now
 			delete(watched, path)
 		}
 		if err := notify.Add(path); err != nil {
-			w.log.Warn("a directory on the way to the pool file is not watched, only looked at", "directory", path, "err", err)
+			w.log.Warn("a directory on the path to the pool file cannot be watched, the file is only polled", "directory", path, "err", err)
 			allWatched = false
 			continue
 		}
@@ -337,8 +339,8 @@
 	return allWatched
 }
 
-// watchedDirectories are those in which a change can put other bytes at the path: that of the file, the one above it, where it may
-// be replaced itself, and the same for each link on the way.
+// watchedDirectories returns the directories in which a change can put other content at the path: the directory of the
+// file, its parent, where the directory itself may be replaced, and the same for each link that is followed.
 func watchedDirectories(path string) []string {
 	var all []string
 	for range maxLinks {
