--- a/cmd/cherryrelay/poolfile_test.go
+++ b/cmd/cherryrelay/poolfile_test.go
@@ -412,7 +412,7 @@
 	s.weights("later", 1, 1) // with a good file, a torn set does no harm
 	s.serve()
 	s.inForce("later")
-	if !s.log.has("the stored set is torn") {
+	if !s.log.has("the stored set is corrupted") {
 		t.Error("nothing is said of the torn set")
 	}
 }
--- a/internal/lists/lists.go
+++ b/internal/lists/lists.go
@@ -1,6 +1,6 @@
-// Package lists is what all sources of dispatchers pass through: files, the coordinator and etcd. Its Keeper owns the pool's
-// decisions, tells the event loop what changes, has good sets stored, and shows operators how the set in force came to be.
-// Sources run on goroutines of their own, so that no call waits while a large set is checked.
+// Package lists receives the dispatchers from all sources: files, the coordinator and etcd. Its Keeper owns the pool
+// decisions, notifies the event loop of changes, has accepted sets stored, and reports to operators how the active set
+// came about. Sources run on their own goroutines, so that no call waits while a large set is checked.
 package lists
 
 import (
@@ -11,43 +11,44 @@
 	"cherryrelay/internal/decide/pool"
 )
 
-// Store keeps sets for a later process.
+// Store saves accepted sets so that the next process can restore them.
 type Store interface {
 	Keep(pool.Snapshot)
-	// Failed is why the last set was not kept.
+	// Failed returns why the last set was not saved; nil if it was.
 	Failed() error
 }
 
-// Keeper holds the set in force.
+// Keeper holds the active set of dispatchers. It is safe for concurrent use.
 type Keeper struct {
 	log    *slog.Logger
 	notify func(pool.Update)
-	store  Store // nil without
+	store  Store // nil if sets are not stored
 
 	mu   sync.Mutex
 	pool *pool.Pool
 }
 
-// New returns a Keeper that gives tell what changes, in order; tell must not block.
+// New returns a Keeper that passes every change of the active set to notify, in order. notify must not block.
 func New(log *slog.Logger, notify func(pool.Update)) *Keeper {
 	return &Keeper{log: log, notify: notify, pool: pool.New()}
 }
 
-// StoreIn has good sets of files kept from now on.
+// StoreIn saves the accepted sets of files in s from now on.
 func (k *Keeper) StoreIn(s Store) { k.store = s }
 
-// Bound sets the most dispatchers that a set may have. It comes before the first set.
+// Bound sets the maximum number of dispatchers in a set. It must be called before the first set.
 func (k *Keeper) Bound(servers int) { k.pool.SetLimit(servers) }
 
-// unixTime is the Unix clock.
+// unixTime returns the time since 1970, the clock of the pool decisions.
 func unixTime() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// Stream takes updates of a source that is followed as it is.
+// Stream returns a function that applies the updates of a source that is followed without checks: the coordinator or
+// etcd.
 func (k *Keeper) Stream(source pool.Source) func(pool.Update) {
 	return func(u pool.Update) { k.Take(pool.Candidate{Source: source, Update: u}) }
 }
 
-// Take judges a candidate and puts it in force if it is good.
+// Take checks a candidate and makes it the active set if it is accepted.
 func (k *Keeper) Take(c pool.Candidate) pool.Verdict {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -56,7 +57,7 @@
 	k.notifyChange(v)
 	if v.Accepted && c.Source == pool.FromFile {
 		if v.Number != before {
-			k.log.Info("pool file in force", "version", v.Label, "digest", v.Digest, "servers", v.Servers, "change", v.Change.String())
+			k.log.Info("pool file is active", "version", v.Label, "digest", v.Digest, "servers", v.Servers, "change", v.Change.String())
 		}
 		if k.store != nil && (v.Changed || v.Number != before) {
 			k.store.Keep(k.pool.Snapshot())
@@ -65,7 +66,7 @@
 	if !v.Accepted && v.Repeats == 0 {
 		for i, f := range v.Faults {
 			if i == maxLoggedFaults {
-				k.log.Error("pool refused: further faults", "source", v.Source, "digest", v.Digest, "faults", v.FaultCount-i)
+				k.log.Error("pool refused: more faults", "source", v.Source, "digest", v.Digest, "faults", v.FaultCount-i)
 				break
 			}
 			k.log.Error("pool refused, the set in force stays", "source", v.Source, "digest", v.Digest, "fault", f.String())
@@ -74,10 +75,10 @@
 	return v
 }
 
-// maxLoggedFaults faults of a refused set are logged; the rest can be asked for.
+// maxLoggedFaults bounds the faults of a refused set that are logged; the management pages list more.
 const maxLoggedFaults = 5
 
-// Recall puts in force what an earlier process has kept.
+// Recall activates the set that a previous process has stored.
 func (k *Keeper) Recall(m pool.Snapshot) pool.Verdict {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -92,7 +93,7 @@
 	}
 }
 
-// Listed reports whether any set is in force.
+// Listed reports whether there is an active set.
 func (k *Keeper) Listed() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/lists/report.go
+++ b/internal/lists/report.go
@@ -15,21 +15,21 @@
 	"cherryrelay/internal/telemetry"
 )
 
-// maxPageBytes bounds what one page holds: a connection of operators may leave 64 KiB unread.
+// maxPageBytes bounds the content of one page: a management connection may have at most 64 KiB of buffered output.
 const maxPageBytes = 32 << 10
 
-// State is the set in force and how it came to be.
+// State describes the active set and its origin.
 type State struct {
 	Servers  int           `json:"servers"`
-	Weight   int           `json:"weight"` // of all active ones together; 0 without weights
+	Weight   int           `json:"weight"` // sum over the active dispatchers; 0 without weights
 	Version  *pool.Version `json:"version"`
-	AgeMs    int64         `json:"age_ms"`              // since it came into force
-	Trouble  *pool.Version `json:"trouble"`             // the last candidate, if it was refused
+	AgeMs    int64         `json:"age_ms"`              // since the set became active
+	Trouble  *pool.Version `json:"trouble"`             // the last candidate if it was refused
 	Stored   string        `json:"stored"`              // yes, no, or off
-	NotSaved string        `json:"not_saved,omitempty"` // why it is not stored
+	NotSaved string        `json:"not_saved,omitempty"` // why the set is not stored
 }
 
-// ServerState is one member of the set in force.
+// ServerState describes one member of the active set.
 type ServerState struct {
 	Name    string    `json:"name"`
 	Address string    `json:"address"`
@@ -40,27 +40,27 @@
 	Since   time.Time `json:"since,omitzero"`
 }
 
-// Servers is a page of the set in force.
+// Servers is a page of the members of the active set.
 type Servers struct {
-	Number  int           `json:"number"` // of the version; a later page may be of another
+	Number  int           `json:"number"` // of the version; the next page may be of a later version
 	Servers []ServerState `json:"servers"`
 	More    bool          `json:"more"`
 }
 
-// Versions is a page of the history, the newest first.
+// Versions is a page of the version history, newest first.
 type Versions struct {
 	Versions []pool.Version `json:"versions"`
 	More     bool           `json:"more"`
 }
 
-// The paths of the pages at the management address.
+// Paths of the pages at the management address.
 const (
 	StatePath   = "/api/pool"
 	ServersPath = "/api/pool/servers" // ?after=NAME
 	HistoryPath = "/api/pool/history" // ?before=NUMBER
 )
 
-// Pages are what operators may ask, by path.
+// Pages returns the handlers of the management pages, by path.
 func (k *Keeper) Pages() map[string]func(url.Values) (any, error) {
 	return map[string]func(url.Values) (any, error){
 		StatePath:   func(url.Values) (any, error) { return k.State(), nil },
@@ -78,7 +78,7 @@
 	}
 }
 
-// State is that of now.
+// State returns the current state.
 func (k *Keeper) State() State {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -104,7 +104,7 @@
 	return s
 }
 
-// serversPage is a page of the members that follow a name.
+// serversPage returns a page of the members whose names follow after.
 func (k *Keeper) serversPage(after string) Servers {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -127,7 +127,7 @@
 	return page
 }
 
-// versionsPage is a page of those before a number; 0 is the newest.
+// versionsPage returns a page of the versions with numbers below before; 0 starts with the newest.
 func (k *Keeper) versionsPage(before int) Versions {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -146,7 +146,7 @@
 	return page
 }
 
-// encodedSize is the size of a value as JSON.
+// encodedSize returns the size of a value as JSON.
 func encodedSize(v any) int {
 	data, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(v)
 	if err != nil {
@@ -155,7 +155,7 @@
 	return len(data)
 }
 
-// Figures are those of the pool, for the text that operators scrape.
+// Figures returns the metrics of the pool.
 func (k *Keeper) Figures() []*dto.MetricFamily {
 	s := k.State()
 	k.mu.Lock()
--- a/internal/lists/stored/stored.go
+++ b/internal/lists/stored/stored.go
@@ -1,6 +1,6 @@
-// Package stored keeps the last good set of dispatchers on disk, for a start whose file is broken. A set is written beside
-// the last one, synced and renamed, so a crash leaves one of the two; what is torn all the same, by a disk or a hand, does not
-// pass its checksum and is passed over whole.
+// Package stored saves the last accepted set of dispatchers on disk, for a start with an invalid pool file. A set is
+// written to a temporary file, synced and renamed, so that a crash leaves either the old set or the new one. A file
+// that is corrupted all the same, by the disk or by hand, fails its checksum and is rejected as a whole.
 package stored
 
 import (
@@ -20,32 +20,32 @@
 )
 
 const (
-	// Name is the file in the state directory.
+	// Name is the name of the file in the state directory.
 	Name = "pool.state"
-	// formatName is written in its first line; another one is passed over.
+	// formatName starts the first line of the file; files of another format are rejected.
 	formatName = "cherryrelay-pool 1"
-	// maxBytes bounds what is read: 50,000 servers take some 15 MiB.
+	// maxBytes bounds the size of the file: 50,000 servers take some 15 MiB.
 	maxBytes = 32 << 20
 )
 
 var (
-	// ErrNone is the error of a directory without a set.
+	// ErrNone is returned if the directory has no stored set.
 	ErrNone = errors.New("no set is stored")
-	// ErrTorn is the error of a set that is not what was written.
-	ErrTorn = errors.New("the stored set is torn")
-	// ErrOther is the error of a set that is not meant: of another form, or kept for another file.
-	ErrOther = errors.New("the stored set is of another kind")
+	// ErrTorn is returned if the stored set is corrupted.
+	ErrTorn = errors.New("the stored set is corrupted")
+	// ErrOther is returned if the stored set has another format or belongs to another pool file.
+	ErrOther = errors.New("the stored set does not match")
 )
 
-// content is what the file holds after its first line.
+// content is the JSON object after the first line of the file.
 type content struct {
-	File string        `json:"file"` // the pool file that the set came from
+	File string        `json:"file"` // the pool file that the set is from
 	Set  pool.Snapshot `json:"set"`
 }
 
 var jsonAPI = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// Load reads the set that was kept for a pool file.
+// Load reads the set that was saved for a pool file.
 func Load(directory, file string) (pool.Snapshot, error) {
 	path := filepath.Join(directory, Name)
 	info, err := os.Stat(path)
@@ -55,7 +55,7 @@
 	case err != nil:
 		return pool.Snapshot{}, fmt.Errorf("stored set: %w", err)
 	case !info.Mode().IsRegular() || info.Size() > maxBytes:
-		return pool.Snapshot{}, fmt.Errorf("%w: %s is no file of at most %d bytes", ErrTorn, path, maxBytes)
+		return pool.Snapshot{}, fmt.Errorf("%w: %s is not a regular file of at most %d bytes", ErrTorn, path, maxBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -67,21 +67,21 @@
 func decode(text []byte, file string) (pool.Snapshot, error) {
 	header, body, found := bytes.Cut(text, []byte("\n"))
 	if !found {
-		return pool.Snapshot{}, fmt.Errorf("%w: it has no first line", ErrTorn)
+		return pool.Snapshot{}, fmt.Errorf("%w: the first line is incomplete", ErrTorn)
 	}
 	gotFormat, gotChecksum, _ := bytes.Cut(header, []byte(": "))
 	if string(gotFormat) != formatName {
-		return pool.Snapshot{}, fmt.Errorf("%w: it begins with %.40q", ErrOther, header)
+		return pool.Snapshot{}, fmt.Errorf("%w: the first line is %.40q", ErrOther, header)
 	}
 	if want := checksum(body); string(gotChecksum) != want {
-		return pool.Snapshot{}, fmt.Errorf("%w: checksum %.40q, that of what it holds is %q", ErrTorn, gotChecksum, want)
+		return pool.Snapshot{}, fmt.Errorf("%w: checksum %.40q, want %q", ErrTorn, gotChecksum, want)
 	}
 	var c content
 	if err := jsonAPI.Unmarshal(body, &c); err != nil {
 		return pool.Snapshot{}, fmt.Errorf("%w: %w", ErrTorn, err)
 	}
 	if c.File != file {
-		return pool.Snapshot{}, fmt.Errorf("%w: it was kept for %s", ErrOther, c.File)
+		return pool.Snapshot{}, fmt.Errorf("%w: it was saved for %s", ErrOther, c.File)
 	}
 	return c.Set, nil
 }
@@ -98,13 +98,13 @@
 	return append([]byte(formatName+": "+checksum(body)+"\n"), body...), nil
 }
 
-// Save writes a set in the place of the last one.
+// Save replaces the stored set.
 func Save(directory, file string, set pool.Snapshot) (err error) {
 	text, err := encode(file, set)
 	if err != nil {
 		return err
 	}
-	f, err := os.CreateTemp(directory, "."+Name+".*") // two processes may write while one takes over from the other
+	f, err := os.CreateTemp(directory, "."+Name+".*") // two processes may write during a handover
 	if err != nil {
 		return fmt.Errorf("stored set: %w", err)
 	}
@@ -127,20 +127,20 @@
 	return nil
 }
 
-// syncDirectory has the rename outlast a crash of the machine.
+// syncDirectory syncs a directory, so that a rename in it survives a crash of the machine.
 func syncDirectory(path string) error {
 	d, err := os.Open(path)
 	if err != nil {
-		return err //nolint:wrapcheck // its caller says what it is
+		return err //nolint:wrapcheck // the caller adds the context
 	}
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// Store keeps sets as they come, off the way of calls.
+// Store saves sets on a goroutine of its own, so that calls don't wait for the disk.
 type Store struct {
 	directory, file string
 	log             *slog.Logger
-	pending         chan pool.Snapshot // the newest alone
+	pending         chan pool.Snapshot // holds only the newest set
 	done            chan struct{}
 
 	mu      sync.Mutex
@@ -148,7 +148,7 @@
 	lastErr error
 }
 
-// Open returns a Store for the sets of a pool file.
+// Open returns a Store that saves the sets of a pool file.
 func Open(directory, file string, log *slog.Logger) *Store {
 	s := &Store{directory: directory, file: file, log: log, pending: make(chan pool.Snapshot, 1), done: make(chan struct{})}
 	go func() {
@@ -163,26 +163,26 @@
 func (s *Store) save(set pool.Snapshot) {
 	err := Save(s.directory, s.file, set)
 	if err != nil {
-		s.log.Error("the set in force is not stored: a start with a broken file would fail", "err", err)
+		s.log.Error("the active set cannot be stored: a start with an invalid pool file would fail", "err", err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastErr = err
 }
 
-// Failed is why the last set was not kept; nil if it was.
+// Failed returns why the last set was not saved; nil if it was.
 func (s *Store) Failed() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastErr
 }
 
-// Keep has a set written soon, in the place of one that still waits.
+// Keep saves a set soon. It replaces a set that is still pending.
 func (s *Store) Keep(set pool.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
-		return // the file has changed while the process ends: the next one will see
+		return // the pool file changed while the process ends; the next process reads it
 	}
 	select {
 	case <-s.pending:
