--- a/internal/lists/lists.go
+++ b/internal/lists/lists.go
@@ -33,7 +33,7 @@
 	return &Keeper{log: log, notify: notify, pool: pool.New()}
 }
 
-// StoreIn saves the accepted sets of files in s from now on.
+// StoreIn makes s save the accepted sets of files from now on.
 func (k *Keeper) StoreIn(s Store) { k.store = s }
 
 // Bound sets the maximum number of dispatchers in a set. It must be called before the first set.
--- a/internal/lists/poolfile/poolfile.go
+++ b/internal/lists/poolfile/poolfile.go
@@ -37,7 +37,7 @@
 // does.
 func Digest(text []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(text)) }
 
-// Unfinished reports whether a file may still be being written: it lacks the end mark.
+// Unfinished reports whether a file lacks its end mark, so that it may be incomplete.
 func Unfinished(text []byte) bool {
 	_, _, closed := splitAtEnd(text)
 	return !closed
@@ -176,7 +176,7 @@
 	}
 	if key := head.Get("servers"); key != nil {
 		if n, ok := p.parseInt(key, 0, pool.MaxServers); ok && n != len(p.c.Servers) {
-			p.addFault(pool.BadCount, key.Line, key.Name, "%d servers are declared, %d follow", n, len(p.c.Servers))
+			p.addFault(pool.BadCount, key.Line, key.Name, "%d are declared, %d follow", n, len(p.c.Servers))
 		}
 	}
 }
--- a/internal/lists/poolfile/poolfile_test.go
+++ b/internal/lists/poolfile/poolfile_test.go
@@ -18,7 +18,7 @@
 
 var testKey = []byte("a key that has more than sixteen bytes")
 
-const validFile = `; the dispatchers of the spring
+const validFile = `; the pool of the spring
 [pool]
 format = 1
 version = spring-42          ; a label
@@ -76,7 +76,7 @@
 		{"[end]\n", "[end]\nmac = 00\n", "mac: line 21: mac: the file is sealed, but no key is configured"},
 		{"format = 1", "format = 2", `form: line 3: format: "2" is not supported, only 1 is`},
 		{"format = 1\n", "", "form: line 2: [pool] lacks the key format"},
-		{"servers = 2", "servers = 3", "count: line 5: servers: 3 servers are declared, 2 follow"},
+		{"servers = 2", "servers = 3", "count: line 5: servers: 3 are declared, 2 follow"},
 		{"servers = 2", "servers = two", `value: line 5: servers: "two" is no whole number from 0 to 50000`},
 		{"servers = 2\n", "", "form: line 2: [pool] lacks the key servers"},
 		{"server s-2", "server s-1", `twice: line 14: server: "s-1" is named twice, first in line 7`},
--- a/internal/lists/stored/stored.go
+++ b/internal/lists/stored/stored.go
@@ -177,7 +177,7 @@
 	return s.lastErr
 }
 
-// Keep saves a set soon. It replaces a set that is still pending.
+// Keep queues a set for saving. It replaces a set that is still pending.
 func (s *Store) Keep(set pool.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
