--- a/internal/lists/coordinator/coordinator.go
+++ b/internal/lists/coordinator/coordinator.go
@@ -172,7 +172,7 @@
 }
 
 // Move makes the stream resume at another address after the last received event: event numbers are the same at all
-// addresses. With an empty address, the stream waits for the next call of Move.
+// addresses. With an empty address, the stream waits until it gets another one.
 func (s *Stream) Move(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lists/etcd/etcd.go
+++ b/internal/lists/etcd/etcd.go
@@ -69,7 +69,7 @@
 	servers    map[string]call.Server
 }
 
-// New returns a List with a client of its own. etcd need not be up yet.
+// New follows the prefix with a client of its own. etcd need not be up yet.
 func New(o Options, log *slog.Logger, onUpdate func(call.Update)) (*List, error) {
 	client, err := Dial(o.Endpoints)
 	if err != nil {
@@ -80,7 +80,7 @@
 	return l, nil
 }
 
-// Over returns a List that uses a shared client, which it does not close.
+// Over follows a prefix with a shared client, which it does not close.
 func Over(client *clientv3.Client, prefix string, log *slog.Logger, onUpdate func(call.Update)) *List {
 	return &List{client: client, prefix: prefix, log: log, onUpdate: onUpdate, servers: map[string]call.Server{}}
 }
--- a/internal/lists/files/files.go
+++ b/internal/lists/files/files.go
@@ -51,7 +51,7 @@
 // fileID distinguishes files that have had the same path.
 type fileID struct{ device, inode uint64 }
 
-// New returns a Watcher that passes new candidates to submit, from one goroutine.
+// New returns a Watcher that passes new candidates to submit, from one goroutine. Run starts to follow the file.
 func New(o Options, log *slog.Logger, submit func(pool.Candidate)) *Watcher {
 	return &Watcher{Options: o, log: log, submit: submit, start: time.Now(), newNotifier: newFSNotifyNotifier, pollRequests: make(chan struct{}, 1)}
 }
--- a/internal/lists/lists.go
+++ b/internal/lists/lists.go
@@ -1,6 +1,6 @@
-// Package lists receives the dispatchers from all sources: files, the coordinator and etcd. Its Keeper owns the pool
-// decisions, notifies the event loop of changes, has accepted sets stored, and reports to operators how the active set
-// came about. Sources run on their own goroutines, so that no call waits while a large set is checked.
+// Package lists receives the dispatchers from all sources: files, the coordinator and etcd. It decides with decide/pool
+// which set becomes active, notifies the event loop of changes, has accepted sets stored, and reports to operators how
+// the active set came about. Sources run on their own goroutines, so that no call waits while a large set is checked.
 package lists
 
 import (
@@ -18,7 +18,7 @@
 	Failed() error
 }
 
-// Keeper holds the active set of dispatchers. It is safe for concurrent use.
+// Keeper holds the active set of dispatchers. After its setup it is safe for concurrent use.
 type Keeper struct {
 	log    *slog.Logger
 	notify func(pool.Update)
@@ -28,7 +28,8 @@
 	pool *pool.Pool
 }
 
-// New returns a Keeper that passes every change of the active set to notify, in order. notify must not block.
+// New starts without an active set. It passes every later change of the active set to notify, in order. notify must not
+// block.
 func New(log *slog.Logger, notify func(pool.Update)) *Keeper {
 	return &Keeper{log: log, notify: notify, pool: pool.New()}
 }
--- a/internal/lists/stored/stored.go
+++ b/internal/lists/stored/stored.go
@@ -31,7 +31,7 @@
 var (
 	// ErrNone is returned if the directory has no stored set.
 	ErrNone = errors.New("no set is stored")
-	// ErrTorn is returned if the stored set is corrupted.
+	// ErrTorn is returned if the file is not a complete and unchanged stored set.
 	ErrTorn = errors.New("the stored set is corrupted")
 	// ErrOther is returned if the stored set has another format or belongs to another pool file.
 	ErrOther = errors.New("the stored set does not match")
