--- a/internal/lists/files/files_test.go
+++ b/internal/lists/files/files_test.go
@@ -18,50 +18,51 @@
 	"cherryrelay/internal/lists/poolfile"
 )
 
-// patience is far more than anything here takes.
-const patience = 20 * time.Second
+// testTimeout is much longer than any step here takes.
+const testTimeout = 20 * time.Second
 
-// set is a file whose label and weight are n.
-func set(n int) []byte {
+// poolText returns a pool file with a label and a weight that depend on n.
+func poolText(n int) []byte {
 	return poolfile.Write(fmt.Sprint("v", n), []pool.Member{{Address: "127.0.0.1:1", ServerEntry: control.ServerEntry{ID: "a", Weight: 1 + n}}})
 }
 
-// desk is a watcher on a file and what it gave to be judged.
-type desk struct {
+// fixture is a watcher of one file and the candidates that it submitted.
+type fixture struct {
 	*testing.T
-	path string
-	got  chan pool.Candidate
+	path       string
+	candidates chan pool.Candidate
 }
 
-func (d *desk) must(err error) {
-	d.Helper()
+func (fx *fixture) noError(err error) {
+	fx.Helper()
 	if err != nil {
-		d.Fatal(err)
+		fx.Fatal(err)
 	}
 }
 
-// begin starts a watcher at a path; change may set it up otherwise.
-func begin(t *testing.T, path string, change func(*Watcher)) *desk {
-	d := &desk{T: t, path: path, got: make(chan pool.Candidate, 1000)}
-	w := New(Options{File: path}, slog.New(slog.DiscardHandler), func(c pool.Candidate) { d.got <- c })
-	if change != nil {
-		change(w)
+// startWatcher starts a watcher of a file. configure may change the watcher before the start.
+func startWatcher(t *testing.T, path string, configure func(*Watcher)) *fixture {
+	fx := &fixture{T: t, path: path, candidates: make(chan pool.Candidate, 1000)}
+	w := New(Options{File: path}, slog.New(slog.DiscardHandler), func(c pool.Candidate) { fx.candidates <- c })
+	if configure != nil {
+		configure(w)
 	}
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		w.Run(t.Context())
-		close(ended)
+		close(done)
 	}()
-	t.Cleanup(func() { <-ended })
-	return d
+	t.Cleanup(func() { <-done })
+	return fx
 }
 
-// hears waits for the candidate of a label. What comes before it must be one of those that may.
-func (d *desk) hears(label string, may ...string) {
-	d.Helper()
+// expect waits for a candidate with the given label or, if it has faults, with the given reason of its first fault.
+// Only the optional ones may come before it.
+func (fx *fixture) expect(label string, optional ...string) {
+	fx.Helper()
 	for {
 		select {
-		case c := <-d.got:
+		case c := <-fx.candidates:
 			name := c.Label
 			if len(c.Faults) > 0 {
 				name = string(c.Faults[0].Reason)
@@ -70,207 +71,211 @@
 				return
 			}
 			allowed := false
-			for _, m := range may {
+			for _, m := range optional {
 				allowed = allowed || m == name
 			}
 			if !allowed {
-				d.Fatalf("judged: %s %v, want %s", name, c.Faults, label)
+				fx.Fatalf("candidate %s %v, want %s", name, c.Faults, label)
 			}
-		case <-time.After(patience):
-			d.Fatalf("%s was never judged", label)
+		case <-time.After(testTimeout):
+			fx.Fatalf("no candidate %s", label)
 		}
 	}
 }
 
-// rename puts a file in place as careful tools do.
-func (d *desk) rename(path string, text []byte) {
-	d.Helper()
-	d.must(os.WriteFile(path+".new", text, 0o600))
-	d.must(os.Rename(path+".new", path))
+// replaceFile replaces a file atomically.
+func (fx *fixture) replaceFile(path string, text []byte) {
+	fx.Helper()
+	fx.noError(os.WriteFile(path+".new", text, 0o600))
+	fx.noError(os.Rename(path+".new", path))
 }
 
-func (d *desk) write(path string, text []byte) {
-	d.Helper()
-	d.must(os.WriteFile(path, text, 0o600))
+func (fx *fixture) writeFile(path string, text []byte) {
+	fx.Helper()
+	fx.noError(os.WriteFile(path, text, 0o600))
 }
 
-// watching gives the watcher time to watch, where a test is to show that watching, not the slow look, finds a change. It
-// changes no verdict.
-func watching() { time.Sleep(50 * time.Millisecond) }
+// waitForWatches gives the watcher time to set up its watches, so that a watch finds the next change and not the slow
+// poll. The results of the tests don't depend on it.
+func waitForWatches() { time.Sleep(50 * time.Millisecond) }
 
 func TestReplacedByRenameAndWrittenInPlace(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "pool.ini")
-	d := begin(t, path, nil)
-	d.hears("missing")
-	d.rename(path, set(1))
-	d.hears("v1")
-	watching()
-	d.rename(path, set(2))
-	d.hears("v2")
-	d.write(path, set(3))
-	d.hears("v3", "unfinished")
-	d.must(os.Remove(path))
-	d.hears("missing")
-	d.rename(path, set(3)) // back as it was: it is judged again, since what was judged last is that it was gone
-	d.hears("v3")
+	fx := startWatcher(t, path, nil)
+	fx.expect("missing")
+	fx.replaceFile(path, poolText(1))
+	fx.expect("v1")
+	waitForWatches()
+	fx.replaceFile(path, poolText(2))
+	fx.expect("v2")
+	fx.writeFile(path, poolText(3))
+	fx.expect("v3", "unfinished")
+	fx.noError(os.Remove(path))
+	fx.expect("missing")
+	fx.replaceFile(path, poolText(3)) // the content is unchanged, but the last candidate was the missing file
+	fx.expect("v3")
 }
 
 func TestAppendedSlowly(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "pool.ini")
-	d := begin(t, path, nil)
-	d.hears("missing")
+	fx := startWatcher(t, path, nil)
+	fx.expect("missing")
 	f, err := os.Create(path)
-	d.must(err)
-	for line := range strings.Lines(string(set(1))) {
+	fx.noError(err)
+	for line := range strings.Lines(string(poolText(1))) {
 		_, err := f.WriteString(line)
-		d.must(err)
+		fx.noError(err)
 		time.Sleep(5 * time.Millisecond)
 	}
-	d.must(f.Close())
-	d.hears("v1", "unfinished")
-	// And one that stays unfinished is told.
-	d.write(path, set(2)[:40])
-	d.hears("unfinished")
+	fx.noError(f.Close())
+	fx.expect("v1", "unfinished")
+	// A file that stays unfinished is reported.
+	fx.writeFile(path, poolText(2)[:40])
+	fx.expect("unfinished")
 }
 
-// TestAMountedConfiguration: the file is a link into a directory that is itself a link, which is swapped.
-func TestAMountedConfiguration(t *testing.T) {
+// TestMountedConfiguration replaces a directory as Kubernetes updates a mounted ConfigMap: the file is a link into a
+// directory that is itself a link, and that link is replaced.
+func TestMountedConfiguration(t *testing.T) {
 	root := t.TempDir()
-	d := &desk{T: t}
+	fx := &fixture{T: t}
 	version := func(n int) string {
 		name := fmt.Sprint("..2026_", n)
-		d.must(os.Mkdir(filepath.Join(root, name), 0o700))
-		d.write(filepath.Join(root, name, "pool.ini"), set(n))
+		fx.noError(os.Mkdir(filepath.Join(root, name), 0o700))
+		fx.writeFile(filepath.Join(root, name, "pool.ini"), poolText(n))
 		return name
 	}
 	swap := func(name string) {
-		d.must(os.Symlink(name, filepath.Join(root, "..data_new")))
-		d.must(os.Rename(filepath.Join(root, "..data_new"), filepath.Join(root, "..data")))
+		fx.noError(os.Symlink(name, filepath.Join(root, "..data_new")))
+		fx.noError(os.Rename(filepath.Join(root, "..data_new"), filepath.Join(root, "..data")))
 	}
 	swap(version(1))
-	d.must(os.Symlink("..data/pool.ini", filepath.Join(root, "pool.ini")))
-	d = begin(t, filepath.Join(root, "pool.ini"), nil)
-	d.hears("v1")
-	watching()
+	fx.noError(os.Symlink("..data/pool.ini", filepath.Join(root, "pool.ini")))
+	fx = startWatcher(t, filepath.Join(root, "pool.ini"), nil)
+	fx.expect("v1")
+	waitForWatches()
 	swap(version(2))
-	d.hears("v2")
-	d.must(os.RemoveAll(filepath.Join(root, "..2026_1")))
+	fx.expect("v2")
+	fx.noError(os.RemoveAll(filepath.Join(root, "..2026_1")))
 	swap(version(3))
-	d.hears("v3", "missing")
-	// A circle of links is no file.
-	d.must(os.Remove(filepath.Join(root, "pool.ini")))
-	d.must(os.Symlink("pool.ini", filepath.Join(root, "pool.ini")))
-	d.hears("missing")
+	fx.expect("v3", "missing")
+	// A cycle of links counts as a missing file.
+	fx.noError(os.Remove(filepath.Join(root, "pool.ini")))
+	fx.noError(os.Symlink("pool.ini", filepath.Join(root, "pool.ini")))
+	fx.expect("missing")
 }
 
-// TestADirectoryThatIsReplaced vanishes, is away for a while, and returns as another one.
-func TestADirectoryThatIsReplaced(t *testing.T) {
+// TestReplacedDirectory renames or removes the directory of the file and creates another one at its path.
+func TestReplacedDirectory(t *testing.T) {
 	root := filepath.Join(t.TempDir(), "sites")
 	directory := filepath.Join(root, "tallinn")
 	path := filepath.Join(directory, "pool.ini")
-	d := &desk{T: t}
-	d.must(os.MkdirAll(directory, 0o700))
-	d.write(path, set(1))
-	d = begin(t, path, nil)
-	d.hears("v1")
-	watching()
-	d.must(os.Rename(directory, directory+".old"))
-	d.hears("missing")
-	d.must(os.Mkdir(directory, 0o700))
-	d.rename(path, set(2))
-	d.hears("v2", "missing")
-	d.rename(filepath.Join(directory+".old", "pool.ini"), set(9)) // the old one is watched no more, or does no harm
-	d.must(os.RemoveAll(root))
-	d.hears("missing")
-	d.must(os.MkdirAll(directory, 0o700))
-	d.rename(path, set(3))
-	d.hears("v3", "missing")
-	watching()
-	d.rename(path, set(4))
-	d.hears("v4")
+	fx := &fixture{T: t}
+	fx.noError(os.MkdirAll(directory, 0o700))
+	fx.writeFile(path, poolText(1))
+	fx = startWatcher(t, path, nil)
+	fx.expect("v1")
+	waitForWatches()
+	fx.noError(os.Rename(directory, directory+".old"))
+	fx.expect("missing")
+	fx.noError(os.Mkdir(directory, 0o700))
+	fx.replaceFile(path, poolText(2))
+	fx.expect("v2", "missing")
+	fx.replaceFile(filepath.Join(directory+".old", "pool.ini"), poolText(9)) // the old directory is no longer watched, or its events are harmless
+	fx.noError(os.RemoveAll(root))
+	fx.expect("missing")
+	fx.noError(os.MkdirAll(directory, 0o700))
+	fx.replaceFile(path, poolText(3))
+	fx.expect("v3", "missing")
+	waitForWatches()
+	fx.replaceFile(path, poolText(4))
+	fx.expect("v4")
 }
 
-func TestWhatIsNoFile(t *testing.T) {
+func TestUnreadableFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "pool.ini")
-	d := &desk{T: t}
-	d.must(syscall.Mkfifo(path, 0o600)) // nobody writes: a plain open would wait for ever
-	d = begin(t, path, nil)
-	d.hears("missing")
-	d.rename(path, make([]byte, poolfile.MaxBytes+1))
-	d.hears("size")
-	d.must(os.Remove(path))
-	d.must(os.Mkdir(path, 0o700))
-	d.hears("missing")
-	d.must(os.Remove(path))
-	d.rename(path, set(1))
-	d.hears("v1", "missing")
-	d.must(os.Chmod(path, 0))
+	fx := &fixture{T: t}
+	fx.noError(syscall.Mkfifo(path, 0o600)) // without a writer, a blocking open would never return
+	fx = startWatcher(t, path, nil)
+	fx.expect("missing")
+	fx.replaceFile(path, make([]byte, poolfile.MaxBytes+1))
+	fx.expect("size")
+	fx.noError(os.Remove(path))
+	fx.noError(os.Mkdir(path, 0o700))
+	fx.expect("missing")
+	fx.noError(os.Remove(path))
+	fx.replaceFile(path, poolText(1))
+	fx.expect("v1", "missing")
+	fx.noError(os.Chmod(path, 0))
 	if os.Geteuid() == 0 {
-		return // to whom nothing can be taken away
+		return // root can read the file regardless of its mode
 	}
-	d.rename(path, set(2))
-	d.must(os.Chmod(path, 0))
-	d.hears("missing", "v2")
+	fx.replaceFile(path, poolText(2))
+	fx.noError(os.Chmod(path, 0))
+	fx.expect("missing", "v2")
 }
 
-// deaf is a watch that misses everything; what it says comes from the test.
-type deaf struct {
-	signs  chan fsnotify.Event
-	faults chan error
+// stubNotifier finds no changes; it reports only what the test sends.
+type stubNotifier struct {
+	events chan fsnotify.Event
+	errs   chan error
 }
 
-func (d deaf) Add(string) error             { return nil }
-func (d deaf) Remove(string) error          { return nil }
-func (d deaf) Close() error                 { return nil }
-func (d deaf) Signs() <-chan fsnotify.Event { return d.signs }
-func (d deaf) Faults() <-chan error         { return d.faults }
+func (n stubNotifier) Add(string) error                 { return nil }
+func (n stubNotifier) Remove(string) error              { return nil }
+func (n stubNotifier) Close() error                     { return nil }
+func (n stubNotifier) EventChan() <-chan fsnotify.Event { return n.events }
+func (n stubNotifier) ErrorChan() <-chan error          { return n.errs }
 
-// TestAWatchThatMissesThings: an overflow says that something was dropped, and the slow look finds what nobody told of.
-func TestAWatchThatMissesThings(t *testing.T) {
+// TestWatchMissesChanges checks that an overflow leads to a poll, and that the slow poll finds changes that the watch
+// missed.
+func TestWatchMissesChanges(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "pool.ini")
-	watch := deaf{make(chan fsnotify.Event), make(chan error)}
-	d := begin(t, path, func(w *Watcher) { w.open = func() (notifier, error) { return watch, nil } })
-	d.hears("missing")
-	d.rename(path, set(1))
-	watch.faults <- fsnotify.ErrEventOverflow
-	d.hears("v1")
-	d.rename(path, set(2))
-	d.hears("v2")
-	close(watch.signs)
-	close(watch.faults)
-	d.rename(path, set(3))
-	d.hears("v3")
+	watch := stubNotifier{make(chan fsnotify.Event), make(chan error)}
+	fx := startWatcher(t, path, func(w *Watcher) { w.newNotifier = func() (notifier, error) { return watch, nil } })
+	fx.expect("missing")
+	fx.replaceFile(path, poolText(1))
+	watch.errs <- fsnotify.ErrEventOverflow
+	fx.expect("v1")
+	fx.replaceFile(path, poolText(2))
+	fx.expect("v2")
+	close(watch.events)
+	close(watch.errs)
+	fx.replaceFile(path, poolText(3))
+	fx.expect("v3")
 }
 
-func TestNothingCanBeWatched(t *testing.T) {
+func TestWatchUnavailable(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "pool.ini")
-	d := begin(t, path, func(w *Watcher) { w.open = func() (notifier, error) { return nil, errors.New("no watches left") } })
-	d.hears("missing")
+	fx := startWatcher(t, path, func(w *Watcher) {
+		w.newNotifier = func() (notifier, error) { return nil, errors.New("no watches left") }
+	})
+	fx.expect("missing")
 	for i := range 3 {
-		d.rename(path, set(i))
-		d.hears(fmt.Sprint("v", i))
+		fx.replaceFile(path, poolText(i))
+		fx.expect(fmt.Sprint("v", i))
 	}
 }
 
-func TestANewKey(t *testing.T) {
+func TestKeyFileChange(t *testing.T) {
 	directory := t.TempDir()
 	path, keyPath := filepath.Join(directory, "pool.ini"), filepath.Join(directory, "key")
-	d := &desk{T: t}
+	fx := &fixture{T: t}
 	seal := func(n int, key string) []byte {
-		sealed, err := poolfile.Seal(set(n), []byte(key))
-		d.must(err)
+		sealed, err := poolfile.Seal(poolText(n), []byte(key))
+		fx.noError(err)
 		return sealed
 	}
 	first, second := strings.Repeat("a", 32), strings.Repeat("b", 32)
-	d.rename(path, seal(1, first))
-	d = begin(t, path, func(w *Watcher) { w.KeyFile = keyPath })
-	d.hears("missing") // the key
-	d.write(keyPath, []byte(first+"\n"))
-	d.hears("v1", "missing")
-	d.rename(path, set(2)) // not sealed
-	d.hears("mac")
-	d.rename(path, seal(3, second))
-	d.hears("mac")
-	d.rename(keyPath, []byte(second))
-	d.hears("v3")
+	fx.replaceFile(path, seal(1, first))
+	fx = startWatcher(t, path, func(w *Watcher) { w.KeyFile = keyPath })
+	fx.expect("missing") // the key file is missing
+	fx.writeFile(keyPath, []byte(first+"\n"))
+	fx.expect("v1", "missing")
+	fx.replaceFile(path, poolText(2)) // not sealed
+	fx.expect("mac")
+	fx.replaceFile(path, seal(3, second))
+	fx.expect("mac")
+	fx.replaceFile(keyPath, []byte(second))
+	fx.expect("v3")
 }
--- a/internal/lists/lists.go
+++ b/internal/lists/lists.go
@@ -1,6 +1,6 @@
-// Package lists is what all sources of dispatchers pass through: files, the coordinator and etcd. Its Keeper owns the pool's
-// decisions, tells the event loop what changes, has good sets stored, and shows operators how the set in force came to be.
-// Sources run on goroutines of their own, so that no call waits while a large set is checked.
+// Package lists receives the dispatchers from all sources: files, the coordinator and etcd. It decides with decide/pool
+// which set becomes active, notifies the event loop of changes, has accepted sets stored, and reports to operators how
+// the active set came about. Sources run on their own goroutines, so that no call waits while a large set is checked.
 package lists
 
 import (
@@ -11,52 +11,54 @@
 	"cherryrelay/internal/decide/pool"
 )
 
-// Store keeps sets for a later process.
+// Store saves accepted sets so that the next process can restore them.
 type Store interface {
 	Keep(pool.Snapshot)
-	// Failed is why the last set was not kept.
+	// Failed returns why the last set was not saved; nil if it was.
 	Failed() error
 }
 
-// Keeper holds the set in force.
+// Keeper holds the active set of dispatchers. After its setup it is safe for concurrent use.
 type Keeper struct {
-	log   *slog.Logger
-	tell  func(pool.Update)
-	store Store // nil without
+	log    *slog.Logger
+	notify func(pool.Update)
+	store  Store // nil if sets are not stored
 
 	mu   sync.Mutex
 	pool *pool.Pool
 }
 
-// New returns a Keeper that gives tell what changes, in order; tell must not block.
-func New(log *slog.Logger, tell func(pool.Update)) *Keeper {
-	return &Keeper{log: log, tell: tell, pool: pool.New()}
+// New starts without an active set. It passes every later change of the active set to notify, in order. notify must not
+// block.
+func New(log *slog.Logger, notify func(pool.Update)) *Keeper {
+	return &Keeper{log: log, notify: notify, pool: pool.New()}
 }
 
-// StoreIn has good sets of files kept from now on.
+// StoreIn makes s save the accepted sets of files from now on.
 func (k *Keeper) StoreIn(s Store) { k.store = s }
 
-// Bound sets the most dispatchers that a set may have. It comes before the first set.
+// Bound sets the maximum number of dispatchers in a set. It must be called before the first set.
 func (k *Keeper) Bound(servers int) { k.pool.SetLimit(servers) }
 
-// now is the Unix clock.
-func now() time.Duration { return time.Duration(time.Now().UnixNano()) }
+// unixTime returns the time since 1970, the clock of the pool decisions.
+func unixTime() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// Stream takes updates of a source that is followed as it is.
+// Stream returns a function that applies the updates of a source that is followed without checks: the coordinator or
+// etcd.
 func (k *Keeper) Stream(source pool.Source) func(pool.Update) {
 	return func(u pool.Update) { k.Take(pool.Candidate{Source: source, Update: u}) }
 }
 
-// Take judges a candidate and puts it in force if it is good.
+// Take checks a candidate and makes it the active set if it is accepted.
 func (k *Keeper) Take(c pool.Candidate) pool.Verdict {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	before := k.pool.Current().Number
-	v := k.pool.Apply(now(), c)
-	k.carry(v)
+	v := k.pool.Apply(unixTime(), c)
+	k.notifyChange(v)
 	if v.Accepted && c.Source == pool.FromFile {
 		if v.Number != before {
-			k.log.Info("pool file in force", "version", v.Label, "digest", v.Digest, "servers", v.Servers, "change", v.Change.String())
+			k.log.Info("pool file is active", "version", v.Label, "digest", v.Digest, "servers", v.Servers, "change", v.Change.String())
 		}
 		if k.store != nil && (v.Changed || v.Number != before) {
 			k.store.Keep(k.pool.Snapshot())
@@ -64,8 +66,8 @@
 	}
 	if !v.Accepted && v.Repeats == 0 {
 		for i, f := range v.Faults {
-			if i == maxLogged {
-				k.log.Error("pool refused: further faults", "source", v.Source, "digest", v.Digest, "faults", v.FaultCount-i)
+			if i == maxLoggedFaults {
+				k.log.Error("pool refused: more faults", "source", v.Source, "digest", v.Digest, "faults", v.FaultCount-i)
 				break
 			}
 			k.log.Error("pool refused, the set in force stays", "source", v.Source, "digest", v.Digest, "fault", f.String())
@@ -74,25 +76,25 @@
 	return v
 }
 
-// maxLogged faults of a refused set are logged; the rest can be asked for.
-const maxLogged = 5
+// maxLoggedFaults bounds the faults of a refused set that are logged; the management pages list more.
+const maxLoggedFaults = 5
 
-// Recall puts in force what an earlier process has kept.
+// Recall activates the set that a previous process has stored.
 func (k *Keeper) Recall(m pool.Snapshot) pool.Verdict {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	v := k.pool.Restore(now(), m)
-	k.carry(v)
+	v := k.pool.Restore(unixTime(), m)
+	k.notifyChange(v)
 	return v
 }
 
-func (k *Keeper) carry(v pool.Verdict) {
+func (k *Keeper) notifyChange(v pool.Verdict) {
 	if v.Changed {
-		k.tell(v.Update)
+		k.notify(v.Update)
 	}
 }
 
-// Listed reports whether any set is in force.
+// Listed reports whether there is an active set.
 func (k *Keeper) Listed() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
