--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,5 +1,6 @@
-// Package fault sits between two processes as a TCP proxy and does to what passes what networks do: it delays, bunches, cuts, resets,
-// swallows and splits, each direction by itself, on command or by a seed. What it did and when is kept as a log.
+// Package fault is a TCP proxy that injects network faults between processes. It delays, throttles, splits and blocks the data of each
+// direction separately, and closes, resets, half-closes and refuses connections. Jitter is derived from a seed. A log records each fault and
+// its time.
 package fault
 
 import (
@@ -14,62 +15,63 @@
 	"time"
 )
 
-// Direction is one way through a link.
+// Direction is a direction of the data on a link.
 type Direction int
 
 const (
-	// Forth is from who dials to who listens, Back the other way.
+	// Forth is the direction from the client to the server.
 	Forth Direction = iota
+	// Back is the direction from the server to the client.
 	Back
 )
 
-// Way is what happens to what passes in one direction.
+// Way holds the faults that apply to the data of one direction. Data is delivered in order.
 type Way struct {
-	Delay  time.Duration // each piece comes so late,
-	Jitter time.Duration // and up to so much more, in order
-	Rate   int           // bytes a second; 0 for any
-	Split  int           // the most bytes of a piece; 0 for any
-	Hole   bool          // nothing comes through, and nothing ends: it waits
+	Delay  time.Duration // fixed delay of each chunk
+	Jitter time.Duration // upper bound of the random delay that is added to Delay
+	Rate   int           // bytes per second; 0 for no limit
+	Split  int           // maximum size of a chunk in bytes; 0 for the size of the read buffer
+	Hole   bool          // holds back data and closes until the rule changes
 }
 
-// Rule is what happens on a link.
+// Rule holds the faults that apply to a link.
 type Rule struct {
 	Forth, Back Way
-	// Shut has new connections never come up: what is dialled is taken in and gets no further.
+	// Shut blocks new connections: the proxy accepts them, but connects to the server only once Shut is lifted.
 	Shut bool
 }
 
-// Entry is one line of the log.
+// Entry is an entry of the log of a Net.
 type Entry struct {
-	At   time.Duration
+	At   time.Duration // since the Net was created
 	Link string
 	What string
 }
 
-// Net is a set of links that are governed together. Its methods may be called from any goroutine.
+// Net is a set of links that are controlled together. Its methods are safe for concurrent use.
 type Net struct {
-	mu    sync.Mutex
-	rng   *rand.Rand
-	begun time.Time
-	links map[string]*Link
-	log   []Entry
+	mu      sync.Mutex
+	rng     *rand.Rand
+	started time.Time
+	links   map[string]*Link
+	log     []Entry
 }
 
-// keepLog bounds the log.
-const keepLog = 1 << 14
+// maxLogEntries is the number of log entries that are kept; later ones are dropped.
+const maxLogEntries = 1 << 14
 
-// New returns a net without links. The seed decides jitter, and what Draw draws.
+// New returns a Net without links. The seed determines the jitter.
 func New(seed uint64) *Net {
-	return &Net{rng: rand.New(rand.NewPCG(seed, seed)), begun: time.Now(), links: map[string]*Link{}}
+	return &Net{rng: rand.New(rand.NewPCG(seed, seed)), started: time.Now(), links: map[string]*Link{}}
 }
 
-func (n *Net) note(link, format string, args ...any) {
-	if len(n.log) < keepLog {
-		n.log = append(n.log, Entry{time.Since(n.begun), link, fmt.Sprintf(format, args...)})
+func (n *Net) logf(link, format string, args ...any) {
+	if len(n.log) < maxLogEntries {
+		n.log = append(n.log, Entry{time.Since(n.started), link, fmt.Sprintf(format, args...)})
 	}
 }
 
-// Log is what was done so far.
+// Log returns a copy of the log.
 func (n *Net) Log() []Entry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -78,45 +80,47 @@
 
 // Link is a proxy from one named process to another.
 type Link struct {
-	Name    string // "from>to"
-	net     *Net
-	ln      net.Listener
-	target  string
-	rule    Rule
-	changed chan struct{} // closed when the rule changes
-	pairs   map[*pair]bool
-	passed  [2]int64
+	Name           string // "from>to"
+	net            *Net
+	ln             net.Listener
+	target         string
+	rule           Rule
+	changed        chan struct{} // closed when the rule changes
+	conns          map[*proxiedConn]bool
+	forwardedBytes [2]int64
 }
 
-// pair is one connection through a link.
-type pair struct {
-	near, far net.Conn // who dialled, who listens; far is nil while it is not up
-	over      chan struct{}
-	once      sync.Once
+// proxiedConn is a connection through a link.
+type proxiedConn struct {
+	client, server net.Conn // server is nil until it is connected
+	done           chan struct{}
+	once           sync.Once
 }
 
-func (p *pair) end(reset bool) {
+// closeBoth closes both sides, with a reset if so requested.
+func (p *proxiedConn) closeBoth(reset bool) {
 	p.once.Do(func() {
-		close(p.over)
-		for _, c := range []net.Conn{p.near, p.far} {
+		close(p.done)
+		for _, c := range []net.Conn{p.client, p.server} {
 			if c == nil {
 				continue
 			}
-			if t, ok := c.(*net.TCPConn); ok && reset {
-				_ = t.SetLinger(0)
+			if tcp, ok := c.(*net.TCPConn); ok && reset {
+				_ = tcp.SetLinger(0)
 			}
 			_ = c.Close()
 		}
 	})
 }
 
-// Between opens a link; who is called from dials the address that is returned to reach the one called to, which need not be up.
+// Between adds a link between two named processes and returns the address of its proxy. Connections to this address are forwarded to the
+// target, which need not listen yet.
 func (n *Net) Between(from, to, target string) (address string, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", fmt.Errorf("fault: %w", err)
+		return "", fmt.Errorf("fault: listen: %w", err)
 	}
-	l := &Link{Name: from + ">" + to, net: n, ln: ln, target: target, changed: make(chan struct{}), pairs: map[*pair]bool{}}
+	l := &Link{Name: from + ">" + to, net: n, ln: ln, target: target, changed: make(chan struct{}), conns: map[*proxiedConn]bool{}}
 	n.mu.Lock()
 	n.links[l.Name] = l
 	n.mu.Unlock()
@@ -124,20 +128,20 @@
 	return ln.Addr().String(), nil
 }
 
-// Close ends all links and their connections.
+// Close closes all links and their connections.
 func (n *Net) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, l := range n.links {
 		_ = l.ln.Close()
-		for p := range l.pairs {
-			p.end(false)
+		for p := range l.conns {
+			p.closeBoth(false)
 		}
 	}
 }
 
-// match are the links of a pattern: a name, or one whose ends are * for any.
-func (n *Net) match(pattern string) []*Link {
+// matchingLinks returns the links that match a pattern, sorted by name. A pattern is "from>to", where * stands for any process.
+func (n *Net) matchingLinks(pattern string) []*Link {
 	from, to, _ := strings.Cut(pattern, ">")
 	var found []*Link
 	for name, l := range n.links {
@@ -150,238 +154,243 @@
 	return found
 }
 
-// Set gives the links of a pattern ("n1>store", "*>store") a rule, for what passes from now on.
+// Set sets the rule of all links that match a pattern, such as "n1>store" or "*>store". Delays and limits apply to data that is read from
+// now on.
 func (n *Net) Set(pattern string, r Rule) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, l := range n.match(pattern) {
+	for _, l := range n.matchingLinks(pattern) {
 		l.rule = r
 		close(l.changed)
 		l.changed = make(chan struct{})
-		n.note(l.Name, "%+v", r)
+		n.logf(l.Name, "%+v", r)
 	}
 }
 
-// Heal lets all pass everywhere.
+// Heal removes the rules of all links.
 func (n *Net) Heal() { n.Set("*>*", Rule{}) }
 
-// Part has nothing pass between two sets of processes, in either direction, and no new connection come up; open ones stay open and
-// say nothing. What lies in them arrives once it is healed.
-func (n *Net) Part(some, others []string) {
-	for _, a := range some {
-		for _, b := range others {
-			hole := Way{Hole: true}
-			n.Set(a+">"+b, Rule{hole, hole, true})
-			n.Set(b+">"+a, Rule{hole, hole, true})
+// Part blocks the links between two groups of processes in both directions. Open connections stay open, new ones are not established, and
+// data that was sent in the meantime is delivered after Heal.
+func (n *Net) Part(groupA, groupB []string) {
+	for _, a := range groupA {
+		for _, b := range groupB {
+			blocked := Way{Hole: true}
+			n.Set(a+">"+b, Rule{blocked, blocked, true})
+			n.Set(b+">"+a, Rule{blocked, blocked, true})
 		}
 	}
 }
 
-// Cut ends the connections of a pattern, by a reset or in order.
+// Cut closes or resets the connections of the links that match a pattern.
 func (n *Net) Cut(pattern string, reset bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, l := range n.match(pattern) {
-		n.note(l.Name, "cut %d, reset %v", len(l.pairs), reset)
-		for p := range l.pairs {
-			p.end(reset)
+	for _, l := range n.matchingLinks(pattern) {
+		n.logf(l.Name, "closed %d connections, reset %v", len(l.conns), reset)
+		for p := range l.conns {
+			p.closeBoth(reset)
 		}
 	}
 }
 
-// Refuse has new connections of a pattern refused from now on, as where nobody listens; open ones stay.
+// Refuse closes the listeners of the links that match a pattern, so that new connections are refused. Open connections stay open.
 func (n *Net) Refuse(pattern string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, l := range n.match(pattern) {
-		n.note(l.Name, "refuses")
+	for _, l := range n.matchingLinks(pattern) {
+		n.logf(l.Name, "refuses")
 		_ = l.ln.Close()
 	}
 }
 
-// Half closes one direction of the connections of a pattern and leaves the other open.
+// Half closes one direction of the connections of the links that match a pattern and leaves the other one open.
 func (n *Net) Half(pattern string, d Direction) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, l := range n.match(pattern) {
-		n.note(l.Name, "half closed %d, direction %d", len(l.pairs), d)
-		for p := range l.pairs {
-			to := p.far
+	for _, l := range n.matchingLinks(pattern) {
+		n.logf(l.Name, "half-closed %d connections, direction %d", len(l.conns), d)
+		for p := range l.conns {
+			to := p.server
 			if d == Back {
-				to = p.near
+				to = p.client
 			}
-			if t, ok := to.(*net.TCPConn); ok {
-				_ = t.CloseWrite()
+			if tcp, ok := to.(*net.TCPConn); ok {
+				_ = tcp.CloseWrite()
 			}
 		}
 	}
 }
 
-// Passed is how many bytes went through a link.
-func (n *Net) Passed(name string) (forth, back int64) {
+// Passed returns the number of bytes that a link has forwarded in each direction.
+func (n *Net) Passed(name string) (forward, backward int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if l := n.links[name]; l != nil {
-		return l.passed[Forth], l.passed[Back]
+		return l.forwardedBytes[Forth], l.forwardedBytes[Back]
 	}
 	return 0, 0
 }
 
 func (l *Link) accept() {
 	for {
-		near, err := l.ln.Accept()
+		client, err := l.ln.Accept()
 		if err != nil {
 			return
 		}
-		go l.serve(&pair{near: near, over: make(chan struct{})})
+		go l.serve(&proxiedConn{client: client, done: make(chan struct{})})
 	}
 }
 
-// now is the rule in force, and what tells of the next one.
-func (l *Link) now() (Rule, chan struct{}) {
+// currentRule returns the active rule and a channel that is closed when the rule changes.
+func (l *Link) currentRule() (Rule, chan struct{}) {
 	l.net.mu.Lock()
 	defer l.net.mu.Unlock()
 	return l.rule, l.changed
 }
 
-const dialWithin = 2 * time.Second
+const dialTimeout = 2 * time.Second
 
-func (l *Link) serve(p *pair) {
+// serve connects a client to the server and forwards both directions until they end.
+func (l *Link) serve(p *proxiedConn) {
 	l.net.mu.Lock()
-	l.pairs[p] = true
+	l.conns[p] = true
 	l.net.mu.Unlock()
 	defer func() {
-		p.end(false)
+		p.closeBoth(false)
 		l.net.mu.Lock()
-		delete(l.pairs, p)
+		delete(l.conns, p)
 		l.net.mu.Unlock()
 	}()
 	for {
-		rule, changed := l.now()
+		rule, changed := l.currentRule()
 		if !rule.Shut {
 			break
 		}
 		select {
 		case <-changed:
-		case <-p.over:
+		case <-p.done:
 			return
 		}
 	}
-	far, err := net.DialTimeout("tcp", l.target, dialWithin)
+	server, err := net.DialTimeout("tcp", l.target, dialTimeout)
 	if err != nil {
-		p.end(true) // as if there were nobody
+		p.closeBoth(true) // the client sees a reset in place of a refused connection
 		return
 	}
 	l.net.mu.Lock()
-	p.far = far
+	p.server = server
 	l.net.mu.Unlock()
 	select {
-	case <-p.over: // cut meanwhile
-		_ = far.Close()
+	case <-p.done: // closed while the proxy was dialling
+		_ = server.Close()
 		return
 	default:
 	}
-	var both sync.WaitGroup
-	both.Go(func() { l.pass(p, p.near, far, Forth) })
-	both.Go(func() { l.pass(p, far, p.near, Back) })
-	both.Wait()
+	var wg sync.WaitGroup
+	wg.Go(func() { l.forward(p, p.client, server, Forth) })
+	wg.Go(func() { l.forward(p, server, p.client, Back) })
+	wg.Wait()
 }
 
-// piece is what was read at once, and when it is due on the other side.
-type piece struct {
-	text []byte
+// chunk is data or an error that was read from one side, with the time at which it is due on the other side.
+type chunk struct {
+	data []byte
 	due  time.Time
 	err  error
 }
 
-// ahead bounds the pieces that are on their way in one direction: then reading waits, as a full socket's writer does.
-const ahead = 256
+// maxQueuedChunks limits the chunks that are queued in one direction. When the queue is full, the proxy stops reading, which applies
+// backpressure to the sender.
+const maxQueuedChunks = 256
 
-// pass carries one direction, in order. One goroutine reads and dates the pieces, this one writes them when they are due.
-func (l *Link) pass(p *pair, from, to net.Conn, d Direction) {
-	pieces := make(chan piece, ahead)
-	go l.take(p, from, d, pieces)
+// forward copies the data of one direction in order. A second goroutine reads the chunks and sets their due times; this one writes each chunk
+// when it is due.
+func (l *Link) forward(p *proxiedConn, from, to net.Conn, d Direction) {
+	chunks := make(chan chunk, maxQueuedChunks)
+	go l.readChunks(p, from, d, chunks)
 	for {
-		var one piece
+		var next chunk
 		select {
-		case <-p.over:
+		case <-p.done:
 			return
-		case one = <-pieces:
+		case next = <-chunks:
 		}
 		select {
-		case <-p.over:
+		case <-p.done:
 			return
-		case <-time.After(time.Until(one.due)):
+		case <-time.After(time.Until(next.due)):
 		}
-		for { // a hole swallows nothing: it holds back
-			rule, changed := l.now()
-			if way := rule.way(d); !way.Hole {
+		for { // Hole delays data and does not drop it
+			rule, changed := l.currentRule()
+			if impairment := rule.impairment(d); !impairment.Hole {
 				break
 			}
 			select {
 			case <-changed:
-			case <-p.over:
+			case <-p.done:
 				return
 			}
 		}
-		if one.err != nil {
-			if !errors.Is(one.err, io.EOF) {
-				p.end(true)
+		if next.err != nil {
+			if !errors.Is(next.err, io.EOF) {
+				p.closeBoth(true)
 				return
 			}
-			if t, ok := to.(*net.TCPConn); ok {
-				_ = t.CloseWrite()
+			if tcp, ok := to.(*net.TCPConn); ok {
+				_ = tcp.CloseWrite()
 			}
 			return
 		}
 		l.net.mu.Lock()
-		l.passed[d] += int64(len(one.text)) // before whoever reads it can ask
+		l.forwardedBytes[d] += int64(len(next.data)) // before the write, so that the count includes all data that a peer has received
 		l.net.mu.Unlock()
-		if _, err := to.Write(one.text); err != nil {
-			p.end(true)
+		if _, err := to.Write(next.data); err != nil {
+			p.closeBoth(true)
 			return
 		}
 	}
 }
 
-func (r *Rule) way(d Direction) Way {
+func (r *Rule) impairment(d Direction) Way {
 	if d == Forth {
 		return r.Forth
 	}
 	return r.Back
 }
 
-func (l *Link) take(p *pair, from net.Conn, d Direction, pieces chan<- piece) {
-	last := time.Time{}
+// readChunks reads one side and queues what it has read as chunks with their due times.
+func (l *Link) readChunks(p *proxiedConn, from net.Conn, d Direction, chunks chan<- chunk) {
+	lastDue := time.Time{}
 	for {
-		rule, _ := l.now()
-		way := rule.way(d)
-		most := 32 << 10
-		if way.Split > 0 {
-			most = min(most, way.Split)
+		rule, _ := l.currentRule()
+		impairment := rule.impairment(d)
+		size := 32 << 10
+		if impairment.Split > 0 {
+			size = min(size, impairment.Split)
 		}
-		text := make([]byte, most)
-		got, err := from.Read(text)
-		rule, _ = l.now()
-		way = rule.way(d)
-		due := time.Now().Add(way.Delay)
-		if way.Jitter > 0 {
+		data := make([]byte, size)
+		n, err := from.Read(data)
+		rule, _ = l.currentRule()
+		impairment = rule.impairment(d)
+		due := time.Now().Add(impairment.Delay)
+		if impairment.Jitter > 0 {
 			l.net.mu.Lock()
-			due = due.Add(time.Duration(l.net.rng.Int64N(int64(way.Jitter))))
+			due = due.Add(time.Duration(l.net.rng.Int64N(int64(impairment.Jitter))))
 			l.net.mu.Unlock()
 		}
-		if way.Rate > 0 {
-			due = latest(due, last).Add(time.Duration(got) * time.Second / time.Duration(way.Rate))
+		if impairment.Rate > 0 {
+			due = later(due, lastDue).Add(time.Duration(n) * time.Second / time.Duration(impairment.Rate))
 		}
-		due = latest(due, last) // in order
-		last = due
-		for _, one := range []piece{{text: text[:got], due: due}, {due: due, err: err}} {
-			if one.err == nil && len(one.text) == 0 {
+		due = later(due, lastDue) // keeps the order despite jitter
+		lastDue = due
+		for _, next := range []chunk{{data: data[:n], due: due}, {due: due, err: err}} {
+			if next.err == nil && len(next.data) == 0 {
 				continue
 			}
 			select {
-			case pieces <- one:
-			case <-p.over:
+			case chunks <- next:
+			case <-p.done:
 				return
 			}
 		}
@@ -391,7 +400,7 @@
 	}
 }
 
-func latest(a, b time.Time) time.Time {
+func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// echo is a process that says again what it hears.
-func echo(t *testing.T) string {
+// startEchoServer starts a server that sends back all data that it receives, and returns its address.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,12 +32,12 @@
 	return ln.Addr().String()
 }
 
-// link is a net with one link to an echo, and a connection through it.
-func link(t *testing.T) (*Net, func() net.Conn) {
+// newFixture returns a Net with the link "a>b" to an echo server, and a function that opens a connection through it.
+func newFixture(t *testing.T) (*Net, func() net.Conn) {
 	t.Helper()
 	n := New(7)
 	t.Cleanup(n.Close)
-	address, err := n.Between("a", "b", echo(t))
+	address, err := n.Between("a", "b", startEchoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,115 +51,117 @@
 	}
 }
 
-// say writes a text and reads as much; within is how long the answer may take.
-func say(c net.Conn, text string, within time.Duration) (took time.Duration, err error) {
-	begun := time.Now()
+// exchange sends a text and waits for its echo.
+func exchange(c net.Conn, text string, timeout time.Duration) (elapsed time.Duration, err error) {
+	started := time.Now()
 	if _, err := io.WriteString(c, text); err != nil {
 		return 0, err
 	}
-	return hear(c, text, begun, within)
+	return receive(c, text, started, timeout)
 }
 
-func hear(c net.Conn, text string, begun time.Time, within time.Duration) (time.Duration, error) {
+// receive waits for a text and returns the time since started.
+func receive(c net.Conn, text string, started time.Time, timeout time.Duration) (time.Duration, error) {
 	got := make([]byte, len(text))
-	_ = c.SetReadDeadline(time.Now().Add(within))
+	_ = c.SetReadDeadline(time.Now().Add(timeout))
 	if _, err := io.ReadFull(c, got); err != nil {
 		return 0, err
 	}
 	if !bytes.Equal(got, []byte(text)) {
-		return 0, errors.New("spoilt")
+		return 0, errors.New("received text differs from the text that was sent")
 	}
-	return time.Since(begun), nil
+	return time.Since(started), nil
 }
 
-const patience = 10 * time.Second
+const echoTimeout = 10 * time.Second
 
-func TestWaysThroughALink(t *testing.T) {
-	n, dial := link(t)
+func TestLinkImpairments(t *testing.T) {
+	n, dial := newFixture(t)
 	c := dial()
 	long := string(bytes.Repeat([]byte("0123456789"), 2000))
 	for _, step := range []struct {
-		what  string
-		rule  Rule
-		least time.Duration
+		name       string
+		rule       Rule
+		minElapsed time.Duration
 	}{
-		{"as it is", Rule{}, 0},
-		{"delayed forth", Rule{Forth: Way{Delay: 60 * time.Millisecond}}, 60 * time.Millisecond},
-		{"delayed both ways, with jitter", Rule{Forth: Way{Delay: 30 * time.Millisecond}, Back: Way{Delay: 40 * time.Millisecond, Jitter: time.Millisecond}}, 70 * time.Millisecond},
-		{"in pieces of 7 bytes", Rule{Forth: Way{Split: 7}, Back: Way{Split: 7}}, 0},
-		{"at 100,000 bytes a second", Rule{Back: Way{Rate: 100_000}}, 190 * time.Millisecond},
+		{"no faults", Rule{}, 0},
+		{"delay towards the server", Rule{Forth: Way{Delay: 60 * time.Millisecond}}, 60 * time.Millisecond},
+		{"delay in both directions, with jitter", Rule{Forth: Way{Delay: 30 * time.Millisecond}, Back: Way{Delay: 40 * time.Millisecond, Jitter: time.Millisecond}}, 70 * time.Millisecond},
+		{"chunks of 7 bytes", Rule{Forth: Way{Split: 7}, Back: Way{Split: 7}}, 0},
+		{"100,000 bytes per second", Rule{Back: Way{Rate: 100_000}}, 190 * time.Millisecond},
 	} {
 		n.Set("a>b", step.rule)
-		if took, err := say(c, long, patience); err != nil || took < step.least {
-			t.Errorf("%s: %v, %v; want %v at least", step.what, took, err, step.least)
+		if elapsed, err := exchange(c, long, echoTimeout); err != nil || elapsed < step.minElapsed {
+			t.Errorf("%s: %v, %v; want at least %v", step.name, elapsed, err, step.minElapsed)
 		}
 	}
-	if forth, back := n.Passed("a>b"); forth != 5*int64(len(long)) || back != forth {
-		t.Errorf("%d bytes forth, %d back", forth, back)
+	if forward, backward := n.Passed("a>b"); forward != 5*int64(len(long)) || backward != forward {
+		t.Errorf("forwarded %d bytes to the server and %d to the client, want the text of every step in both directions", forward, backward)
 	}
 	if log := n.Log(); len(log) != 5 || log[4].Link != "a>b" {
-		t.Errorf("log %v", log)
+		t.Errorf("log = %v, want 5 entries, the last for a>b", log)
 	}
 }
 
-// TestAPartHoldsBack: what is parted says nothing and stays open; new connections do not come up; all arrives once it is healed.
-func TestAPartHoldsBack(t *testing.T) {
-	n, dial := link(t)
-	open := dial()
-	if _, err := say(open, "x", patience); err != nil {
+// TestPartitionDelaysDataUntilHealed guards against a partition that drops data or closes connections: an open connection and a new one carry
+// no data during the partition, and deliver all of it afterwards.
+func TestPartitionDelaysDataUntilHealed(t *testing.T) {
+	n, dial := newFixture(t)
+	openConn := dial()
+	if _, err := exchange(openConn, "x", echoTimeout); err != nil {
 		t.Fatal(err)
 	}
 	n.Part([]string{"a"}, []string{"b"})
-	late := dial()
-	begun := time.Now()
-	for _, c := range []net.Conn{open, late} {
+	newConn := dial()
+	started := time.Now()
+	for _, c := range []net.Conn{openConn, newConn} {
 		var timeout net.Error
-		if _, err := say(c, "parted", 50*time.Millisecond); !errors.As(err, &timeout) || !timeout.Timeout() {
-			t.Errorf("across a part came %v", err)
+		if _, err := exchange(c, "parted", 50*time.Millisecond); !errors.As(err, &timeout) || !timeout.Timeout() {
+			t.Errorf("exchange during the partition: error %v, want a timeout", err)
 		}
 	}
 	n.Heal()
-	for _, c := range []net.Conn{open, late} {
-		if _, err := hear(c, "parted", begun, patience); err != nil {
-			t.Errorf("after it was healed: %v", err)
+	for _, c := range []net.Conn{openConn, newConn} {
+		if _, err := receive(c, "parted", started, echoTimeout); err != nil {
+			t.Errorf("receive after the partition was healed: %v", err)
 		}
 	}
-	n.Set("*>b", Rule{Back: Way{Hole: true}}) // one way only
-	if _, err := say(open, "one way", 50*time.Millisecond); err == nil {
-		t.Error("an answer came through a hole")
+	n.Set("*>b", Rule{Back: Way{Hole: true}}) // blocks the direction to the client only
+	if _, err := exchange(openConn, "one way", 50*time.Millisecond); err == nil {
+		t.Error("received an echo through a blocked direction")
 	}
-	if forth, back := n.Passed("a>b"); forth <= back {
-		t.Errorf("%d bytes forth, %d back, want what was asked to have arrived", forth, back)
+	if forward, backward := n.Passed("a>b"); forward <= backward {
+		t.Errorf("forwarded %d bytes to the server and %d to the client, want more to the server", forward, backward)
 	}
 }
 
-func TestCuts(t *testing.T) {
-	n, dial := link(t)
+func TestConnectionClosures(t *testing.T) {
+	n, dial := newFixture(t)
 	for _, reset := range []bool{true, false} {
 		c := dial()
-		if _, err := say(c, "x", patience); err != nil {
+		if _, err := exchange(c, "x", echoTimeout); err != nil {
 			t.Fatal(err)
 		}
 		n.Cut("a>*", reset)
-		if _, err := hear(c, "x", time.Now(), patience); err == nil || !reset && !errors.Is(err, io.EOF) || reset && errors.Is(err, io.EOF) {
-			t.Errorf("cut with reset %v: %v", reset, err)
+		if _, err := receive(c, "x", time.Now(), echoTimeout); err == nil || !reset && !errors.Is(err, io.EOF) || reset && errors.Is(err, io.EOF) {
+			t.Errorf("receive after a close with reset %v: %v", reset, err)
 		}
 	}
 	c := dial()
-	if _, err := say(c, "x", patience); err != nil {
+	if _, err := exchange(c, "x", echoTimeout); err != nil {
 		t.Fatal(err)
 	}
-	n.Half("a>b", Forth) // the echo hears the end and closes, and that is told back
-	if _, err := hear(c, "x", time.Now(), patience); !errors.Is(err, io.EOF) {
-		t.Errorf("half closed: %v", err)
+	n.Half("a>b", Forth) // the echo server reads EOF and closes, which is forwarded to the client
+	if _, err := receive(c, "x", time.Now(), echoTimeout); !errors.Is(err, io.EOF) {
+		t.Errorf("receive after a half-close: error %v, want EOF", err)
 	}
 	refused, err := n.Between("a", "c", "127.0.0.1:1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c, err := net.Dial("tcp", refused); err == nil {
-		if _, err := say(c, "x", patience); err == nil {
-			t.Error("somebody answered where there is nobody")
+		if _, err := exchange(c, "x", echoTimeout); err == nil {
+			t.Error("received an echo through a link whose target does not listen")
 		}
 	}
 }
