--- a/internal/modelcheck/modelcheck.go
+++ b/internal/modelcheck/modelcheck.go
@@ -1,6 +1,6 @@
-// Package modelcheck is an explicit-state model checker. It runs processes over a shared state in every interleaving of their steps, with crashes
-// between any two, and checks the invariants of each state that it reaches. The processes are ordinary functions: the code that is checked is
-// the code that runs.
+// Package modelcheck is an explicit-state model checker. It runs processes over a shared state in every interleaving of their steps, with
+// crashes between any two steps, and checks the invariants in each state that it reaches. The processes are ordinary functions, so that
+// production code can be checked as it is.
 package modelcheck
 
 import (
@@ -10,10 +10,10 @@
 	"strings"
 )
 
-// Process is a process of a model, run step by step.
+// Process is a process of a model. It runs step by step.
 type Process struct {
 	Name    string
-	Crashes bool // it may end between any two steps
+	Crashes bool // the process may crash between any two steps
 	Run     func(*Stepper)
 
 	next    func() (struct{}, bool)
@@ -30,40 +30,41 @@
 	crashed
 )
 
-// Stepper delimits the steps of a process.
+// Stepper divides a process into steps.
 type Stepper struct {
 	yield    func(struct{}) bool
-	observed uint64
+	observed uint64 // hash of all observed values
 }
 
 // crashSignal unwinds the goroutine of a process that has crashed.
 type crashSignal struct{}
 
-// Step begins an atomic step, which lasts until the next Step. It comes before each access to the shared state.
+// Step begins an atomic step, which lasts until the next call of Step. A process calls it before each access to the shared state.
 func (s *Stepper) Step() {
 	if !s.yield(struct{}{}) {
 		panic(crashSignal{})
 	}
 }
 
-// Observe records what a step returned to the process: its local state is a function of all that it has observed.
-func (s *Stepper) Observe(what ...any) {
+// Observe records the values that the process has read in a step. Their hash stands for the local state of the process, which has to be a
+// function of all values that it has observed.
+func (s *Stepper) Observe(values ...any) {
 	h := fnv.New64a()
-	fmt.Fprint(h, s.observed, what)
+	fmt.Fprint(h, s.observed, values)
 	s.observed = h.Sum64()
 }
 
-// Model is an initial state with its processes and invariants. Every run has its own.
+// Model is an initial state with its processes and invariants. Each run uses a new Model.
 type Model struct {
 	Processes []*Process
-	Digest    func() string // of the shared state
-	Check     func() error  // after each step
-	Final     func() error  // when all processes have ended or crashed
+	Digest    func() string // identifies the shared state
+	Check     func() error  // checks the invariants after each step
+	Final     func() error  // checks the invariants when all processes have ended or crashed
 }
 
-// Violation is a trace of steps that leads to a state which breaks an invariant.
+// Violation is a trace of steps that leads to a state in which an invariant does not hold.
 type Violation struct {
-	Steps []string
+	Steps []string // the name of the process for each step, with "!" for a crash
 	Err   error
 }
 
@@ -71,20 +72,20 @@
 	return fmt.Sprintf("%v, after %s", v.Err, strings.Join(v.Steps, " "))
 }
 
-// Unwrap returns the error of the invariant.
+// Unwrap returns the error of the invariant check.
 func (v *Violation) Unwrap() error { return v.Err }
 
 // Bounds limit a search.
 type Bounds struct {
-	Crashes int // in one run
-	States  int // 0 for no bound
+	Crashes int // maximum number of crashes in one run
+	States  int // maximum number of states; 0 for no bound
 }
 
-// Result is the extent of a search.
+// Result holds the extent of a search.
 type Result struct {
-	States   int
-	Runs     int
-	Complete bool // every state within the bounds was reached
+	States   int  // distinct states that were visited
+	Runs     int  // executions from the initial state
+	Complete bool // every state within the bounds was visited
 }
 
 // transition is a step of one process, or its crash.
@@ -93,8 +94,9 @@
 	crash   bool
 }
 
-// Explore searches all states that can be reached from an initial state, depth first. The error is a *Violation.
-func Explore(begin func() Model, b Bounds) (Result, error) {
+// Explore searches all states that can be reached from an initial state, depth first. newModel returns the initial state of a run. A returned
+// error is a *Violation.
+func Explore(newModel func() Model, b Bounds) (Result, error) {
 	var r Result
 	visited := map[string]bool{}
 	pending := [][]transition{nil}
@@ -104,7 +106,7 @@
 		}
 		path := pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
-		branches, err := explorePath(begin(), path, b, visited, &r)
+		branches, err := explorePath(newModel(), path, b, visited, &r)
 		if err != nil {
 			return r, err
 		}
@@ -114,13 +116,13 @@
 	return r, nil
 }
 
-// explorePath replays a path and extends it, by the first enabled transition each time, until it reaches a visited state or no process runs.
-// It returns the paths that branch off.
+// explorePath replays a path and extends it by the first enabled transition each time, until it reaches a visited state or no process is
+// running. It returns the paths that branch off.
 func explorePath(m Model, path []transition, b Bounds, visited map[string]bool, r *Result) (branches [][]transition, err error) {
 	r.Runs++
 	m.start()
 	defer m.finish()
-	var taken []transition
+	var applied []transition
 	crashesLeft := b.Crashes
 	for n := 0; ; n++ {
 		var next transition
@@ -136,26 +138,27 @@
 			enabled := m.enabledTransitions(crashesLeft)
 			if len(enabled) == 0 {
 				if err := m.Final(); err != nil {
-					return nil, m.violation(taken, err)
+					return nil, m.violation(applied, err)
 				}
 				return branches, nil
 			}
 			next = enabled[0]
 			for _, alternative := range enabled[1:] {
-				branches = append(branches, append(append([]transition(nil), taken...), alternative))
+				branches = append(branches, append(append([]transition(nil), applied...), alternative))
 			}
 		}
 		if next.crash {
 			crashesLeft--
 		}
 		m.apply(next)
-		taken = append(taken, next)
+		applied = append(applied, next)
 		if err := m.Check(); err != nil {
-			return nil, m.violation(taken, err)
+			return nil, m.violation(applied, err)
 		}
 	}
 }
 
+// start runs each process up to its first step.
 func (m Model) start() {
 	for _, p := range m.Processes {
 		p.stepper = &Stepper{}
@@ -168,21 +171,22 @@
 			p.stepper.yield = yield
 			p.Run(p.stepper)
 		})
-		if _, more := p.next(); !more { // up to its first step
+		if _, more := p.next(); !more {
 			p.state = ended
 		}
 	}
 }
 
+// finish stops the processes that are still running.
 func (m Model) finish() {
 	for _, p := range m.Processes {
 		p.stop()
 	}
 }
 
-func (m Model) apply(c transition) {
-	p := m.Processes[c.process]
-	if c.crash {
+func (m Model) apply(t transition) {
+	p := m.Processes[t.process]
+	if t.crash {
 		p.stop()
 		p.state = crashed
 		return
@@ -207,6 +211,7 @@
 	return all
 }
 
+// stateKey identifies the shared state, the local states of the processes and the number of crashes left.
 func (m Model) stateKey(crashesLeft int) string {
 	var text strings.Builder
 	fmt.Fprint(&text, m.Digest(), "|", crashesLeft)
@@ -216,16 +221,16 @@
 	return text.String()
 }
 
-func (m Model) violation(taken []transition, err error) *Violation {
-	f := &Violation{Err: err}
-	for _, c := range taken {
-		step := m.Processes[c.process].Name
-		if c.crash {
+func (m Model) violation(path []transition, err error) *Violation {
+	v := &Violation{Err: err}
+	for _, t := range path {
+		step := m.Processes[t.process].Name
+		if t.crash {
 			step += "!"
 		}
-		f.Steps = append(f.Steps, step)
+		v.Steps = append(v.Steps, step)
 	}
-	return f
+	return v
 }
 
 // Running reports whether a process has neither ended nor crashed.
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -6,30 +6,31 @@
 	"testing"
 )
 
-var errLost = errors.New("a count was lost")
+var errLostUpdate = errors.New("an update was lost")
 
-// counting has two processes add to a number, in one step or in two.
-func counting(steps int) func() Model {
+// newCounterModel returns a model in which two processes increment a counter. Each increment takes one step, or separate steps to read and to
+// write.
+func newCounterModel(steps int) func() Model {
 	return func() Model {
-		n, done := 0, 0
-		add := func(t *Stepper) {
-			t.Step()
-			read := n
-			t.Observe(read)
+		counter, increments := 0, 0
+		add := func(s *Stepper) {
+			s.Step()
+			read := counter
+			s.Observe(read)
 			if steps == 2 {
-				t.Step()
+				s.Step()
 			}
-			n = read + 1
-			done++
-			t.Observe()
+			counter = read + 1
+			increments++
+			s.Observe()
 		}
 		return Model{
 			Processes: []*Process{{Name: "a", Run: add}, {Name: "b", Run: add, Crashes: true}},
-			Digest:    func() string { return fmt.Sprint(n, done) },
+			Digest:    func() string { return fmt.Sprint(counter, increments) },
 			Check:     func() error { return nil },
 			Final: func() error {
-				if n != done {
-					return errLost
+				if counter != increments {
+					return errLostUpdate
 				}
 				return nil
 			},
@@ -37,17 +38,18 @@
 	}
 }
 
-// TestLostUpdateIsFound if reading and writing are two steps; if they are one, there is none to find.
+// TestLostUpdateIsFound checks that Explore finds an update that is lost between a read and a write in separate steps, and that it finds no
+// violation when both are one step.
 func TestLostUpdateIsFound(t *testing.T) {
-	r, err := Explore(counting(1), Bounds{Crashes: 1})
+	r, err := Explore(newCounterModel(1), Bounds{Crashes: 1})
 	if err != nil || !r.Complete {
-		t.Errorf("in one step: %+v, %v", r, err)
+		t.Errorf("increment in one step: %+v, %v; want a complete search without a violation", r, err)
 	}
-	var f *Violation
-	if _, err := Explore(counting(2), Bounds{}); !errors.As(err, &f) || !errors.Is(err, errLost) || len(f.Steps) != 4 {
-		t.Errorf("in two steps: %v", err)
+	var violation *Violation
+	if _, err := Explore(newCounterModel(2), Bounds{}); !errors.As(err, &violation) || !errors.Is(err, errLostUpdate) || len(violation.Steps) != 4 {
+		t.Errorf("increment in two steps: error %v, want a violation after 4 steps", err)
 	}
-	if r, err := Explore(counting(1), Bounds{States: 2}); err != nil || r.Complete {
-		t.Errorf("beyond its bound: %+v, %v", r, err)
+	if r, err := Explore(newCounterModel(1), Bounds{States: 2}); err != nil || r.Complete {
+		t.Errorf("search bounded to 2 states: %+v, %v; want an incomplete search without a violation", r, err)
 	}
 }
