--- a/internal/peer/late.go
+++ b/internal/peer/backlog.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// DispatchLate is a dispatcher to which connections do not come up before it is opened: what dials it gets no answer, and tries
-// again after a second, as a kernel does.
+// DispatchLate returns a dispatcher that listens with a full backlog, so that no connection is established before it starts to accept. Until
+// then a client gets no response, and its kernel retries after one second.
 func DispatchLate(transport, report string) (*Dispatcher, error) {
-	ln, err := full()
+	ln, err := listenWithFullBacklog()
 	if err != nil {
-		return nil, fmt.Errorf("late dispatcher: %w", err)
+		return nil, fmt.Errorf("dispatcher with a full backlog: %w", err)
 	}
-	return dispatcher(ln, transport, report), nil
+	return newDispatcher(ln, transport, report), nil
 }
 
-// full listens with as many connections waiting as it may have.
-func full() (net.Listener, error) {
+// listenWithFullBacklog opens a listener and dials it until its backlog is full.
+func listenWithFullBacklog() (net.Listener, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		return nil, err
@@ -38,7 +38,7 @@
 	for {
 		filler, err := net.DialTimeout("tcp", ln.Addr().String(), 200*time.Millisecond)
 		if err != nil {
-			return ln, nil //nolint:nilerr // it is full
+			return ln, nil //nolint:nilerr // the backlog is full
 		}
 		defer filler.Close()
 	}
--- a/internal/peer/caller.go
+++ b/internal/peer/caller.go
@@ -11,17 +11,17 @@
 	"cherryrelay/internal/websocket"
 )
 
-// Caller is a connection of a caller. "ws" speaks the call-control API, anything else JSON lines.
+// Caller is a connection of a fake caller.
 type Caller struct {
 	*stream
-	ws   bool
-	line jsonl.Decoder
-	dec  websocket.Decoder
+	ws           bool
+	lineDecoder  jsonl.Decoder
+	frameDecoder websocket.Decoder
 
-	Class, Tenant string // of its set-ups
+	Class, Tenant string // class and tenant of its set-ups
 }
 
-// Call connects to a front.
+// Call connects to a front. The transport is "ws" for the call-control API over WebSocket and anything else for JSON lines.
 func Call(transport, address string) (*Caller, error) {
 	nc, err := net.DialTimeout("tcp", address, Patience)
 	if err != nil {
@@ -31,21 +31,21 @@
 	if !c.ws {
 		return c, nil
 	}
-	var o websocket.Opening
-	if err := c.write(o.Request(address, Path)); err != nil {
+	var handshake websocket.Opening
+	if err := c.write(handshake.Request(address, Path)); err != nil {
 		return nil, fmt.Errorf("caller: %w", err)
 	}
 	for {
-		if open, err := o.Done(c.in); open || err != nil {
+		if done, err := handshake.Done(c.input); done || err != nil {
 			return c, err
 		}
-		if err := c.more(); err != nil {
-			return nil, fmt.Errorf("caller: opening: %w", err)
+		if err := c.readMore(); err != nil {
+			return nil, fmt.Errorf("caller: WebSocket handshake: %w", err)
 		}
 	}
 }
 
-// Frame is a text as this transport carries it.
+// Frame frames a text for the transport of the caller.
 func (c *Caller) Frame(text []byte) []byte {
 	if c.ws {
 		return websocket.Append(nil, websocket.Text, text, true)
@@ -53,10 +53,10 @@
 	return append(text, '\n')
 }
 
-// SendRaw writes bytes as they are.
+// SendRaw writes unframed bytes.
 func (c *Caller) SendRaw(p []byte) error { return c.write(p) }
 
-// Send writes a message.
+// Send encodes, frames and writes a message.
 func (c *Caller) Send(m jsonl.Message) error {
 	text, err := jsonl.Append(nil, m)
 	if err != nil {
@@ -65,12 +65,12 @@
 	return c.write(c.Frame(text))
 }
 
-// SetUp sends a set-up with that much time left, for the dispatcher of first choice.
+// SetUp sends a set-up. left is the time until its deadline, and first the index of the preferred dispatcher.
 func (c *Caller) SetUp(id string, left time.Duration, first int, sdp string) error {
 	return c.Send(c.Asks(id, left, first, sdp))
 }
 
-// Asks is what SetUp sends.
+// Asks returns the message that SetUp sends.
 func (c *Caller) Asks(id string, left time.Duration, first int, sdp string) jsonl.Message {
 	return jsonl.Message{Type: "setup", ID: id, SDP: &sdp, Fields: map[string]jsonl.Value{
 		"class": jsonl.Value(c.Class), "tenant": jsonl.Value(c.Tenant), "key": jsonl.Value("k" + id), "left": jsonl.Value(strconv.Itoa(int(left.Milliseconds()))),
@@ -78,17 +78,17 @@
 	}}
 }
 
-// Release gives up a set-up or ends a call.
+// Release cancels a set-up or ends an established call.
 func (c *Caller) Release(id string, cause int) error {
 	return c.Send(jsonl.Message{Type: "release", ID: id, Cause: &cause})
 }
 
-// Next waits for a message.
+// Next waits for the next message.
 func (c *Caller) Next() (*jsonl.Message, error) { return c.NextWithin(Patience) }
 
-// NextWithin waits for a message so long.
-func (c *Caller) NextWithin(patience time.Duration) (*jsonl.Message, error) {
-	if err := c.SetReadDeadline(time.Now().Add(patience)); err != nil {
+// NextWithin waits for the next message until the timeout expires.
+func (c *Caller) NextWithin(timeout time.Duration) (*jsonl.Message, error) {
+	if err := c.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, err
 	}
 	for {
@@ -96,19 +96,19 @@
 		if m != nil || err != nil {
 			return m, err
 		}
-		if err := c.more(); err != nil {
+		if err := c.readMore(); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// parse is the next message of what has come; nil if that is not whole yet.
+// parse returns the next message of the input, or nil if the input holds no complete message.
 func (c *Caller) parse() (*jsonl.Message, error) {
 	if !c.ws {
-		return c.line.Next(c.in)
+		return c.lineDecoder.Next(c.input)
 	}
 	for {
-		f, err := c.dec.Next(c.in)
+		f, err := c.frameDecoder.Next(c.input)
 		if f == nil {
 			return nil, err
 		}
@@ -121,16 +121,16 @@
 	}
 }
 
-// CloseWrite ends the caller's side alone.
+// CloseWrite closes the connection for writing; it can still be read.
 func (c *Caller) CloseWrite() error {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	if !ok {
-		return errors.New("caller: no TCP")
+		return errors.New("caller: the connection is not a TCP connection")
 	}
 	return tcp.CloseWrite()
 }
 
-// Reset leaves without a word in order.
+// Reset closes the connection with a reset.
 func (c *Caller) Reset() error {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/peer/dispatcher.go
+++ b/internal/peer/dispatcher.go
@@ -12,36 +12,37 @@
 	"cherryrelay/internal/sip"
 )
 
-// Dispatcher listens like one.
+// Dispatcher is a fake dispatcher.
 type Dispatcher struct {
-	Events    chan Event // all but acks
-	Acks      chan Event
-	tellLinks atomic.Bool
-	ln        net.Listener
-	ws        bool
-	report    string
-	rest      sync.RWMutex
+	Events     chan Event  // all events except acknowledgements
+	Acks       chan Event  // SIP acknowledgements
+	connEvents atomic.Bool // whether Events includes "opened" and "closed"
+	ln         net.Listener
+	ws         bool
+	report     string       // sent first on each new connection
+	pauseMu    sync.RWMutex // locked for writing while input is paused
 
 	mu    sync.Mutex
-	links []*link
+	conns []*conn
 }
 
-// Dispatch listens at the address. The report is what every new connection is told first.
+// Dispatch returns a dispatcher that listens on the address and accepts connections. The transport is "ws" for the call-control API and
+// anything else for SIP. The report is the first message on each new connection.
 func Dispatch(transport, address, report string) (*Dispatcher, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("dispatcher: %w", err)
 	}
-	d := dispatcher(ln, transport, report)
+	d := newDispatcher(ln, transport, report)
 	d.Open()
 	return d, nil
 }
 
-func dispatcher(ln net.Listener, transport, report string) *Dispatcher {
+func newDispatcher(ln net.Listener, transport, report string) *Dispatcher {
 	return &Dispatcher{Events: make(chan Event, 1024), Acks: make(chan Event, 1024), ln: ln, ws: transport == "ws", report: report}
 }
 
-// Open has a late dispatcher take connections.
+// Open accepts connections in the background. Only a dispatcher from DispatchLate needs this call.
 func (d *Dispatcher) Open() {
 	go func() {
 		for {
@@ -49,14 +50,14 @@
 			if err != nil {
 				return
 			}
-			l := &link{stream: newStream(nc), d: d}
-			l.stream.rest, l.stream.deaf = &d.rest, make(chan struct{})
-			go d.serve(l)
+			c := &conn{stream: newStream(nc), dispatcher: d}
+			c.stream.pauseMu, c.stream.discarding = &d.pauseMu, make(chan struct{})
+			go d.serve(c)
 		}
 	}()
 }
 
-// Address is the dispatcher's in a list.
+// Address returns the address of the dispatcher in the form of a server list.
 func (d *Dispatcher) Address() string {
 	if d.ws {
 		return "ws://" + d.ln.Addr().String() + Path
@@ -64,83 +65,85 @@
 	return d.ln.Addr().String()
 }
 
-// Listening is the plain address.
+// Listening returns the host and port of the listener.
 func (d *Dispatcher) Listening() string { return d.ln.Addr().String() }
 
-// Links is the number of connections that are open.
+// Links returns the number of open connections.
 func (d *Dispatcher) Links() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.links)
+	return len(d.conns)
 }
 
-// TellLinks has Events tell of connections that come from now on, too.
-func (d *Dispatcher) TellLinks() { d.tellLinks.Store(true) }
+// TellLinks also sends the events "opened" and "closed" for connections from now on.
+func (d *Dispatcher) TellLinks() { d.connEvents.Store(true) }
 
-// Report tells all that are connected of another state.
+// Report replaces the report and sends the new one on all connections.
 func (d *Dispatcher) Report(report string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.report = report
 	var err error
-	for _, l := range d.links {
-		err = errors.Join(err, l.write(d.state()))
+	for _, c := range d.conns {
+		err = errors.Join(err, c.write(d.stateMessage()))
 	}
 	return err
 }
 
-func (d *Dispatcher) state() []byte {
+// stateMessage encodes the report for the transport of the dispatcher.
+func (d *Dispatcher) stateMessage() []byte {
 	if d.ws {
-		return api(jsonl.Message{Type: "state", ID: "0", Fields: map[string]jsonl.Value{"report": jsonl.Value(d.report)}})
+		return encodeAPI(jsonl.Message{Type: "state", ID: "0", Fields: map[string]jsonl.Value{"report": jsonl.Value(d.report)}})
 	}
 	return sip.Append(nil, &sip.Message{Method: "NOTIFY", URI: "sip:state@net", CallID: "state", Seq: 1, SeqOf: "NOTIFY",
 		Headers: []sip.Header{{Name: "P-Report", Value: d.report}}})
 }
 
-// Next waits for what the dispatcher is told.
+// Next waits for the next event.
 func (d *Dispatcher) Next() (Event, error) {
 	select {
 	case e := <-d.Events:
 		return e, nil
 	case <-time.After(Patience):
-		return Event{}, errors.New("dispatcher: nothing came")
+		return Event{}, errors.New("dispatcher: timeout waiting for an event")
 	}
 }
 
-// Release ends a call that stands, on any connection.
+// Release ends an established call. The message goes out on the newest connection.
 func (d *Dispatcher) Release(id string, cause int) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.links) == 0 {
+	if len(d.conns) == 0 {
 		return errors.New("dispatcher: no connection")
 	}
-	return d.links[len(d.links)-1].release(id, cause)
+	return d.conns[len(d.conns)-1].release(id, cause)
 }
 
-// Rest has it take nothing in, nor see that a connection has closed, until Wake. What it is told to send it does send.
-func (d *Dispatcher) Rest() { d.rest.Lock() }
+// Rest pauses the input of all connections, including the detection of closed ones, until Dispatcher.Wake is called. Output is not
+// affected.
+func (d *Dispatcher) Rest() { d.pauseMu.Lock() }
 
-// Wake ends a Rest.
-func (d *Dispatcher) Wake() { d.rest.Unlock() }
+// Wake resumes the input after Dispatcher.Rest.
+func (d *Dispatcher) Wake() { d.pauseMu.Unlock() }
 
-// Stop has nothing listen any more and leaves the connections open.
+// Stop closes the listener and leaves the connections open.
 func (d *Dispatcher) Stop() { _ = d.ln.Close() }
 
-// Cut resets all connections and goes on listening.
+// Cut resets all connections and continues to listen.
 func (d *Dispatcher) Cut() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, l := range d.links {
-		if tcp, ok := l.Conn.(*net.TCPConn); ok {
+	for _, c := range d.conns {
+		if tcp, ok := c.Conn.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
-		_ = l.Close()
-		l.noteClosed()
+		_ = c.Close()
+		c.recordClose()
 	}
-	d.links = nil
+	d.conns = nil
 }
 
-// Die ends the process: nothing listens, and all connections are reset.
+// Die simulates the end of the process: it closes the listener and resets all connections.
 func (d *Dispatcher) Die() {
 	_ = d.ln.Close()
 	d.Cut()
--- a/internal/peer/event.go
+++ b/internal/peer/event.go
@@ -9,78 +9,78 @@
 	"cherryrelay/internal/websocket"
 )
 
-// Event is what a dispatcher has been told: "setup", "cancel", "release", "probe", or "ack"; and, if it tells of them, that a
-// connection was "opened" or has "closed".
+// Event is a message that a dispatcher has received. Its Kind is "setup", "release", "probe" or "ack". With TellLinks, the kinds "opened" and
+// "closed" report changes of connections.
 type Event struct {
 	Kind, ID, Class, Key, Description string
-	Left                              time.Duration
+	Left                              time.Duration // time until the deadline of a set-up
 	Cause                             int
 	At                                time.Time
-	link                              *link
-	seq                               uint32
+	conn                              *conn
+	seq                               uint32 // CSeq number of a SIP request
 }
 
-// Answer lets the call of a set-up stand. SIP's answer carries the number 1 whatever the attempt, as dispatchers do.
+// Answer answers a set-up, which establishes its call. A SIP answer has the sequence number 1 for every attempt, as real dispatchers send it.
 func (e Event) Answer(description string) error {
-	if e.link.d.ws {
-		return e.link.write(api(jsonl.Message{Type: "answer", ID: e.ID, SDP: &description}))
+	if e.conn.dispatcher.ws {
+		return e.conn.write(encodeAPI(jsonl.Message{Type: "answer", ID: e.ID, SDP: &description}))
 	}
-	return e.link.write(sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: e.ID, Seq: 1, SeqOf: "INVITE",
+	return e.conn.write(sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: e.ID, Seq: 1, SeqOf: "INVITE",
 		Body: []byte(description)}))
 }
 
-// AnswerHalf sends the first half of an answer, and no more.
+// AnswerHalf sends only the first half of an answer.
 func (e Event) AnswerHalf() error {
-	whole := sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: e.ID, Seq: 1, SeqOf: "INVITE", Body: []byte("half")})
-	if e.link.d.ws {
-		whole = websocket.Append(nil, websocket.Text, []byte(`{"type":"answer","id":"`+e.ID+`"}`), false)
+	message := sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: e.ID, Seq: 1, SeqOf: "INVITE", Body: []byte("half")})
+	if e.conn.dispatcher.ws {
+		message = websocket.Append(nil, websocket.Text, []byte(`{"type":"answer","id":"`+e.ID+`"}`), false)
 	}
-	return e.link.write(whole[:len(whole)/2])
+	return e.conn.write(message[:len(message)/2])
 }
 
-// Refuse turns a set-up down.
+// Refuse refuses a set-up.
 func (e Event) Refuse(r Refusal) error {
-	if e.link.d.ws {
-		return e.link.write(api(jsonl.Message{Type: "release", ID: e.ID, Cause: &r.Cause}))
+	if e.conn.dispatcher.ws {
+		return e.conn.write(encodeAPI(jsonl.Message{Type: "release", ID: e.ID, Cause: &r.Cause}))
 	}
-	return e.link.write(sip.Append(nil, &sip.Message{Status: r.Status, Phrase: "No", CallID: e.ID, Seq: 1, SeqOf: "INVITE",
+	return e.conn.write(sip.Append(nil, &sip.Message{Status: r.Status, Phrase: "No", CallID: e.ID, Seq: 1, SeqOf: "INVITE",
 		Headers: []sip.Header{{Name: "P-Reason", Value: r.Note}}}))
 }
 
-// ReleaseHere ends a call that stands, on the connection of the event.
-func (e Event) ReleaseHere(id string, cause int) error { return e.link.release(id, cause) }
+// ReleaseHere ends an established call with a message on the connection of the event.
+func (e Event) ReleaseHere(id string, cause int) error { return e.conn.release(id, cause) }
 
-// SendRaw writes bytes as they are, on the connection of the event.
-func (e Event) SendRaw(p []byte) error { return e.link.write(p) }
+// SendRaw writes unframed bytes on the connection of the event.
+func (e Event) SendRaw(p []byte) error { return e.conn.write(p) }
 
-// Reset resets the connection of the event, and no other.
+// Reset resets the connection of the event.
 func (e Event) Reset() error {
-	if tcp, ok := e.link.Conn.(*net.TCPConn); ok {
+	if tcp, ok := e.conn.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
-	err := e.link.Close()
-	e.link.noteClosed()
+	err := e.conn.Close()
+	e.conn.recordClose()
 	return err
 }
 
-// CloseHere ends the connection of the event in order.
+// CloseHere closes the connection of the event without a reset.
 func (e Event) CloseHere() error {
-	err := e.link.Close()
-	e.link.noteClosed()
+	err := e.conn.Close()
+	e.conn.recordClose()
 	return err
 }
 
-// ClosedHere is when a script had closed the connection of the event; zero if none has.
+// ClosedHere returns the time at which the test closed the connection of the event, or the zero time if it did not.
 func (e Event) ClosedHere() time.Time {
-	if at := e.link.closedAt.Load(); at != nil {
+	if at := e.conn.closedAt.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
 }
 
-// Deafen has the connection of the event be dead from now on, as its dispatcher does not know: nothing that comes is taken in, its end
-// neither. What the dispatcher tells there, the script leaves out.
-func (e Event) Deafen() { close(e.link.deaf) }
+// Deafen simulates a connection that is dead without the knowledge of the dispatcher: all further input, including its end, is ignored. The
+// test itself must send nothing more on this connection.
+func (e Event) Deafen() { close(e.conn.discarding) }
 
-// Beside reports whether two events came on the same connection.
-func (e Event) Beside(o Event) bool { return e.link == o.link }
+// Beside reports whether two events arrived on the same connection.
+func (e Event) Beside(other Event) bool { return e.conn == other.conn }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer has the other ends of a call controller, written from the protocol pages: a caller and a dispatcher
-// that do as they are told. Tests script them, and the example's toy is made of them.
+// Package peer provides the peers of a call controller for tests and examples: a caller and a dispatcher that are controlled step by step. They
+// implement the protocols as documented.
 package peer
 
 import (
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// Patience is how long a peer waits for what must come. Only what has gone wrong ever takes as long.
+// Patience is the timeout of a peer that waits for an expected message or connection. It expires only after a failure.
 const Patience = 20 * time.Second
 
-// Path is where the call-control API is served and dispatched to.
+// Path is the URL path of the call-control API, on controllers and on dispatchers.
 const Path = "/v1/calls"
 
-// Free is a local address that nobody listens at by now. Its host is one of the loopback range that no connection goes out from: at
-// 127.0.0.1 the port may be taken for one before who asked listens there.
+// Free returns a loopback address on which nothing listens at the moment. Its host is a random one of the loopback range, which no outgoing
+// connection uses as its source: on 127.0.0.1 an outgoing connection could occupy the port before a listener is opened there.
 func Free() (string, error) {
 	host := net.IPv4(127, byte(1+rand.IntN(254)), byte(rand.IntN(256)), byte(1+rand.IntN(254)))
-	l, err := net.Listen("tcp", net.JoinHostPort(host.String(), "0"))
+	ln, err := net.Listen("tcp", net.JoinHostPort(host.String(), "0"))
 	if err != nil {
 		return "", fmt.Errorf("free address: %w", err)
 	}
-	defer l.Close()
-	return l.Addr().String(), nil
+	defer ln.Close()
+	return ln.Addr().String(), nil
 }
--- a/internal/peer/refusal.go
+++ b/internal/peer/refusal.go
@@ -1,13 +1,13 @@
 package peer
 
-// Refusal is how a dispatcher turns a set-up down.
+// Refusal is the refusal of a set-up by a dispatcher.
 type Refusal struct {
-	Status int    // of SIP
-	Note   string // of SIP
-	Cause  int    // of the call-control API
+	Status int    // status of the SIP response
+	Note   string // P-Reason header of the SIP response
+	Cause  int    // cause in the call-control API
 }
 
-// The refusals.
+// Refusals for the usual reasons.
 var (
 	NoLine = Refusal{503, "all_trunks_busy", 34}
 	Full   = Refusal{503, "cpu_full", 42}
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -9,44 +9,44 @@
 	"cherryrelay/internal/ring"
 )
 
-// stream is a connection that reads into a ring.
+// stream is a connection with a ring buffer for its input.
 type stream struct {
 	net.Conn
-	in   *ring.Buffer
-	mu   sync.Mutex    // one writer at a time
-	rest *sync.RWMutex // held while nothing is to be taken in; nil for never
-	deaf chan struct{} // closed once nothing is to be taken in ever again, nor its end; nil for never
+	input      *ring.Buffer
+	mu         sync.Mutex    // serializes writes
+	pauseMu    *sync.RWMutex // locked for writing while input is paused; nil if input is never paused
+	discarding chan struct{} // closed to discard all further input and ignore its end; nil if input is never discarded
 }
 
-func newStream(nc net.Conn) *stream { return &stream{Conn: nc, in: ring.New(64 << 10)} }
+func newStream(nc net.Conn) *stream { return &stream{Conn: nc, input: ring.New(64 << 10)} }
 
-// more waits for bytes.
-func (s *stream) more() error {
-	buf := make([]byte, min(4096, s.in.Free()))
+// readMore waits for data and appends it to the input.
+func (s *stream) readMore() error {
+	buf := make([]byte, min(4096, s.input.Free()))
 	n, err := s.Read(buf)
-	if s.rest != nil {
-		s.rest.RLock()
-		defer s.rest.RUnlock()
+	if s.pauseMu != nil {
+		s.pauseMu.RLock()
+		defer s.pauseMu.RUnlock()
 	}
 	select {
-	case <-s.deaf:
-		return s.never()
+	case <-s.discarding:
+		return s.discardInput()
 	default:
 	}
-	s.in.Write(buf[:n])
+	s.input.Write(buf[:n])
 	if n > 0 {
 		return nil
 	}
 	return err
 }
 
-// never takes in what comes and leaves it, until this side is closed.
-func (s *stream) never() error {
+// discardInput reads and discards all data until this side is closed. It ignores that the other side has closed.
+func (s *stream) discardInput() error {
 	for {
 		if _, err := io.Copy(io.Discard, s.Conn); err != nil {
 			return err
 		}
-		time.Sleep(10 * time.Millisecond) // the other side has ended its part; this one does not see it
+		time.Sleep(10 * time.Millisecond) // the other side has closed; ignore it
 	}
 }
 
