--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -20,8 +20,8 @@
 	closedAt   atomic.Pointer[time.Time] // time at which the test closed the connection; nil before
 }
 
-// recordClose records the time at which the test closed the connection. The other side may detect the close before the reader of this side does, but not
-// before the close has started.
+// recordClose records the time at which the test closed the connection. The other side may detect the close before the
+// reader of this side does, but not before the close has started.
 func (c *conn) recordClose() {
 	now := time.Now()
 	c.closedAt.CompareAndSwap(nil, &now)
