--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,5 +1,6 @@
-// Package membership is the client side of the fleet's membership: it keeps a controller's key in etcd under a lease, and a view of the other
-// members. What is certain is decided in decide/members. Nothing here runs on the event loop: a store that stalls does not delay calls.
+// Package membership is the client side of the fleet's membership. It keeps a controller's key in etcd under a lease, and maintains a view of
+// the other members. Package decide/members decides what follows from the answers of the store: whether this process holds its lease, and
+// which members have ended. Nothing here runs on the event loop, so a store that stalls does not delay calls.
 package membership
 
 import (
@@ -16,53 +17,55 @@
 )
 
 const (
-	// DefaultLease is the TTL of the lease; LeastLease and MostLease bound it. Below a second, a pause of the garbage collector or of the
-	// store's disk would end it.
+	// DefaultLease is the TTL of the lease if none is configured. LeastLease and MostLease bound the configured value: a lease of less than a
+	// second could expire during a pause of the garbage collector or of the store's disk.
 	DefaultLease = 3 * time.Second
 	LeastLease   = time.Second
 	MostLease    = 30 * time.Second
-	// renewalsPerLease is the number of keepalives in a TTL. The own key is verified with every second one.
+	// renewalsPerLease is the number of lease renewals per TTL. Every second renewal also verifies the own key.
 	renewalsPerLease = 3
-	// retryFraction of the TTL is the pause after a failed request.
+	// retryFraction is the divisor of the TTL that gives the pause after a failed request.
 	retryFraction = 12
-	// revokeTimeout bounds how long Close waits for the store. The lease expires otherwise.
+	// revokeTimeout bounds how long Close waits for the store to revoke the lease. A lease that is not revoked expires.
 	revokeTimeout = 500 * time.Millisecond
-	// maxOwnLeases bounds the leases that a process remembers, to recognise a key of its own whose creation was not answered.
+	// maxOwnLeases bounds the lease ids that a process keeps to recognise its own key if the reply to the key's creation was lost.
 	maxOwnLeases = 16
 )
 
 // Options configure a Fleet.
 type Options struct {
-	Name    string
-	Address string // where the controller takes calls, for operators
-	Prefix  string // of the fleet's keys; ends in a slash
-	Lease   time.Duration
+	Name    string        // of this controller
+	Address string        // on which the controller accepts calls; shown to operators
+	Prefix  string        // of the fleet's keys; ends in a slash
+	Lease   time.Duration // TTL of the lease
 }
 
-// Counts are numbers of requests to the store since the start.
+// Counts holds the numbers of requests to the store, of those that failed, of complete reads of the members, and of created own keys since
+// the start.
 type Counts struct{ Requests, Failed, Reads, Joins uint64 }
 
-// Fleet is one process's view of the membership. Its methods may be called from any goroutine and do not wait for the store.
+// Fleet keeps this process's membership and its view of the other members. Except for Close, its methods do not wait for the store; all may be
+// called from any goroutine.
 type Fleet struct {
 	client       *clientv3.Client
 	options      Options
 	log          *slog.Logger
-	started      time.Time // zero of the view's monotonic clock
-	done         chan struct{}
+	started      time.Time     // origin of the view's monotonic clock
+	done         chan struct{} // closed when run returns
 	cancel       context.CancelFunc
-	stateChanged chan struct{} // the own record is to be written
-	storeChanged chan struct{} // another store answered: read the members again
+	stateChanged chan struct{} // signals that the own record has to be written
+	storeChanged chan struct{} // signals that the store was replaced: the members have to be read again
 
 	mu           sync.Mutex
 	view         *members.View
 	state        members.State
-	holder       string // who holds the own name in the store; empty if it is free or this process's
+	holder       string // other holder of the own name in the store; empty if there is none
 	counts       Counts
-	ownLeases    []clientv3.LeaseID
-	loggedEvents int // index of the next history event to log
+	ownLeases    []clientv3.LeaseID // the latest leases of this process
+	loggedEvents int                // index of the next event of the history to log
 }
 
-// Start joins the fleet in the background, in the state Joining. The client need not be connected; the Fleet does not close it.
+// Start joins the fleet in the background, in the state Joining. The client need not be connected yet, and Close does not close it.
 func Start(client *clientv3.Client, o Options, log *slog.Logger) *Fleet {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &Fleet{client: client, options: o, log: log, started: time.Now(), done: make(chan struct{}), cancel: cancel,
@@ -71,13 +74,13 @@
 	return f
 }
 
-// Close leaves the fleet: it revokes the lease, within a bounded time.
+// Close leaves the fleet. It revokes the lease and waits for the store to do so, but no longer than revokeTimeout.
 func (f *Fleet) Close() {
 	f.cancel()
 	<-f.done
 }
 
-// Say publishes a new state of this process.
+// Say publishes the state of this process.
 func (f *Fleet) Say(s members.State) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -91,25 +94,26 @@
 	}
 }
 
-// now is the view's clock, which is monotonic.
+// now returns the time since the start, by the monotonic clock of the view.
 func (f *Fleet) now() time.Duration { return time.Since(f.started) }
 
-// updateView runs an update on the view under the lock, and logs the events that it causes.
+// updateView applies an update to the view under the lock, and logs the events that result from it.
 func (f *Fleet) updateView(update func(now time.Duration, v *members.View)) {
 	f.mu.Lock()
 	now := f.now()
 	update(now, f.view)
 	f.view.HoldsLease(now)
-	var fresh []members.Event
-	fresh, f.loggedEvents = f.view.History(f.loggedEvents)
+	var newEvents []members.Event
+	newEvents, f.loggedEvents = f.view.History(f.loggedEvents)
 	f.mu.Unlock()
-	for _, e := range fresh {
+	for _, e := range newEvents {
 		f.log.Info("fleet", "what", string(e.Kind), "member", e.Name, "incarnation", e.Incarnation, "state", string(e.State), "cause", e.Cause)
 	}
 }
 
-// Certain reports whether this process certainly holds its name, its incarnation, and how long that holds without another renewal.
-func (f *Fleet) Certain() (incarnation int64, left time.Duration, ok bool) {
+// Certain reports whether this process holds its lease, and how long it will do so without another renewal. The incarnation is that of the own
+// key, or 0 if there is none.
+func (f *Fleet) Certain() (incarnation int64, remaining time.Duration, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
@@ -117,7 +121,7 @@
 	return incarnation, until - now, ok
 }
 
-// Life returns the incarnation under which this process certainly holds its name, and the id of the store that counted it.
+// Life returns the incarnation under which this process holds its lease, and the id of the store that assigned it.
 func (f *Fleet) Life() (store uint64, incarnation int64, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,7 +129,8 @@
 	return f.view.StoreID(), incarnation, ok
 }
 
-// HasEnded reports whether an incarnation has certainly ended and no member has its name, by a view that is fresh enough to act on.
+// HasEnded reports whether an incarnation has certainly ended and no member uses its name now. It returns false while the view is too old to
+// act on.
 func (f *Fleet) HasEnded(store uint64, name string, incarnation int64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -135,11 +140,11 @@
 	return !slices.ContainsFunc(f.view.Members(), func(m members.Member) bool { return m.Name == name })
 }
 
-// request runs a request to the store with a timeout, and counts it.
-func (f *Fleet) request(ctx context.Context, do func(context.Context) error) error {
+// request sends a request to the store with a timeout, and counts it.
+func (f *Fleet) request(ctx context.Context, send func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, f.options.Lease/renewalsPerLease)
 	defer cancel()
-	err := do(ctx)
+	err := send(ctx)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.counts.Requests++
@@ -149,7 +154,8 @@
 	return err
 }
 
-// checkStore records which store answered. It returns false if it is another one than before.
+// checkStore records which store answered. It returns false if another store answered than before, or if the store went back to an earlier
+// revision.
 func (f *Fleet) checkStore(h *etcdserverpb.ResponseHeader) bool {
 	same := true
 	f.updateView(func(now time.Duration, v *members.View) { same = v.ObserveStore(now, h.ClusterId, h.Revision) })
@@ -173,11 +179,11 @@
 
 func (f *Fleet) run(ctx context.Context) {
 	defer close(f.done)
-	var following sync.WaitGroup
-	following.Go(func() { f.watchMembers(ctx) })
+	var watcher sync.WaitGroup
+	watcher.Go(func() { f.watchMembers(ctx) })
 	for ctx.Err() == nil {
 		f.session(ctx)
 		sleep(ctx, f.options.Lease/retryFraction)
 	}
-	following.Wait()
+	watcher.Wait()
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -16,8 +16,8 @@
 	"cherryrelay/internal/store"
 )
 
-// fleetOf starts so many members in this process, each with a client of its own, and waits until all are certain and see all.
-func fleetOf(t *testing.T, s *store.Store, address string, n int, lease time.Duration) []*Fleet {
+// startFleet starts n members in this process, each with a client of its own, and waits deadline each holds its lease and sees all members.
+func startFleet(t *testing.T, s *store.Store, address string, n int, lease time.Duration) []*Fleet {
 	t.Helper()
 	var all []*Fleet
 	for i := range n {
@@ -31,62 +31,65 @@
 		f.Say(members.Serving)
 		all = append(all, f)
 	}
-	for until := time.Now().Add(time.Minute); ; time.Sleep(10 * time.Millisecond) {
-		whole := 0
+	for deadline := time.Now().Add(time.Minute); ; time.Sleep(10 * time.Millisecond) {
+		ready := 0
 		for _, f := range all {
 			if v := f.Show(); v.Certain && len(v.Members)+v.More == n {
-				whole++
+				ready++
 			}
 		}
-		if whole == n {
+		if ready == n {
 			return all
 		}
-		if time.Now().After(until) {
-			t.Fatalf("%d of %d see all", whole, n)
+		if time.Now().After(deadline) {
+			t.Fatalf("%d of %d members hold their lease and see all members", ready, n)
 		}
 	}
 }
 
-func processorTime() time.Duration {
+// cpuTime returns the user and system time of this process.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// cost starts a fleet and tells what it costs the store while nothing happens.
-func cost(t *testing.T, n int, lease, lasting time.Duration) (requests float64) {
+// measureIdleLoad starts a fleet and measures its load while the membership does not change. It returns the number of requests to the store per
+// second and member.
+func measureIdleLoad(t *testing.T, n int, lease, period time.Duration) (requests float64) {
 	s := store.New(1)
 	address, err := s.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Close)
-	begun := time.Now()
-	fleetOf(t, s, address, n, lease)
-	joined := time.Since(begun)
-	before, cpu := s.Counts().Sum(), processorTime()
-	time.Sleep(lasting)
-	requests = float64(s.Counts().Sum()-before) / lasting.Seconds() / float64(n)
-	cpu = processorTime() - cpu
+	start := time.Now()
+	startFleet(t, s, address, n, lease)
+	joined := time.Since(start)
+	before, cpu := s.Counts().Sum(), cpuTime()
+	time.Sleep(period)
+	requests = float64(s.Counts().Sum()-before) / period.Seconds() / float64(n)
+	cpu = cpuTime() - cpu
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	t.Logf("%d members, lease %v: all seen by all after %v; %.2f requests a second each; %.2f ms of processor a second each, store and clients together; heap %.1f MB",
-		n, lease, joined.Round(time.Millisecond), requests, cpu.Seconds()*1000/lasting.Seconds()/float64(n), float64(m.HeapAlloc)/1e6)
+	t.Logf("%d members, lease %v: complete after %v; per member and second %.2f requests and %.2f ms of CPU time (store and clients); heap %.1f MB",
+		n, lease, joined.Round(time.Millisecond), requests, cpu.Seconds()*1000/period.Seconds()/float64(n), float64(m.HeapAlloc)/1e6)
 	return requests
 }
 
-// TestIdleRequestRate: per TTL three renewals and one and a half verifications, and progress requests only after changes.
+// TestIdleRequestRate guards against needless requests to the store. An idle member sends three renewals and one and a half verifications per
+// TTL; it requests progress notifications only after changes.
 func TestIdleRequestRate(t *testing.T) {
-	if got := cost(t, 30, time.Second, 2*time.Second); got > 5.5 {
-		t.Errorf("%.2f requests a second each at a lease of a second, want some 4.5", got)
+	if got := measureIdleLoad(t, 30, time.Second, 2*time.Second); got > 5.5 {
+		t.Errorf("%.2f requests per second and member with a lease of one second, want about 4.5 and at most 5.5", got)
 	}
 }
 
 func TestSoakMembers(t *testing.T) {
 	if os.Getenv("CHERRYRELAY_SOAK") == "" {
-		t.Skip("make soak")
+		t.Skip("runs with make soak only")
 	}
 	for _, n := range []int{3, 30, 300} {
-		cost(t, n, 3*time.Second, 12*time.Second)
+		measureIdleLoad(t, n, 3*time.Second, 12*time.Second)
 	}
 }
--- a/internal/membership/page.go
+++ b/internal/membership/page.go
@@ -10,33 +10,33 @@
 	"cherryrelay/internal/telemetry"
 )
 
-// The paths of the operators' pages.
+// Path and HistoryPath are the paths of the operators' pages.
 const (
 	Path        = "/api/fleet"
 	HistoryPath = "/api/fleet/history"
 )
 
-// maxPageMembers bounds the members and the events on a page, which must be below 64 KiB.
+// maxPageMembers bounds the members and the events on a page, whose size must stay below 64 KiB.
 const maxPageMembers = 300
 
-// Shown is the operators' page of the fleet. Times are in milliseconds of this process's monotonic clock.
+// Shown is the operators' page of the fleet. All times are durations in milliseconds, by the monotonic clock of this process.
 type Shown struct {
 	Name        string        `json:"name"`
 	State       members.State `json:"state"`
-	Incarnation int64         `json:"incarnation"`           // 0 without an own key
-	Certain     bool          `json:"certain"`               // that this process holds its name
-	LeftMs      int64         `json:"left_ms"`               // how long that holds without another renewal
-	Holder      string        `json:"name_in_use,omitempty"` // the holder, while that keeps this process out
-	Known       bool          `json:"known"`                 // whether the members were read at all
+	Incarnation int64         `json:"incarnation"`           // of the own key; 0 if there is none
+	Certain     bool          `json:"certain"`               // whether this process holds its lease
+	LeftMs      int64         `json:"left_ms"`               // how long the lease remains held without another renewal
+	Holder      string        `json:"name_in_use,omitempty"` // other holder of the name, which keeps this process from joining
+	Known       bool          `json:"known"`                 // whether the members have been read at least once
 	AgeMs       int64         `json:"age_ms"`                // upper bound on the age of the view
 	Actable     bool          `json:"actable"`               // whether the view is fresh enough to act on
-	Store       uint64        `json:"store_id"`              // the id of the store that counts incarnations
-	Revision    int64         `json:"revision"`
-	LeaseMs     int64         `json:"lease_ms"`
+	Store       uint64        `json:"store_id"`              // id of the store that assigns incarnations
+	Revision    int64         `json:"revision"`              // revision of the store up to which the view is complete
+	LeaseMs     int64         `json:"lease_ms"`              // TTL of the lease
 	Counts      Counts        `json:"store"`
 	Members     []ShownMember `json:"members"`
-	Gone        []ShownMember `json:"gone"` // the latest last
-	More        int           `json:"more"` // members beyond the bound of the page
+	Gone        []ShownMember `json:"gone"` // the members that ended most recently, latest last
+	More        int           `json:"more"` // number of members that are left out of the page
 }
 
 // ShownMember is a member on the operators' page.
@@ -46,22 +46,22 @@
 	Incarnation int64         `json:"incarnation"`
 	State       members.State `json:"state"`
 	Address     string        `json:"address"`
-	KnownMs     int64         `json:"known_ms"` // how long this process knows it
-	GoneMs      int64         `json:"gone_ms"`  // how long ago its end was told
+	KnownMs     int64         `json:"known_ms"` // time since this process first saw the member
+	GoneMs      int64         `json:"gone_ms"`  // time since this process learnt of its end; 0 unless it has ended
 }
 
-// ShownEvent is an event of the history.
+// ShownEvent is an event on the history page.
 type ShownEvent struct {
-	AgoMs int64 `json:"ago_ms"`
+	AgoMs int64 `json:"ago_ms"` // time since the event
 	members.Event
 }
 
-// History is the operators' page of the latest events, oldest first.
+// History is the operators' page of the latest membership events, oldest first.
 type History struct {
 	Events []ShownEvent `json:"events"`
 }
 
-// Pages are the operators' pages, by path.
+// Pages returns the handlers of the operators' pages, by path.
 func (f *Fleet) Pages() map[string]func(url.Values) (any, error) {
 	return map[string]func(url.Values) (any, error){
 		Path:        func(url.Values) (any, error) { return f.Show(), nil },
@@ -69,17 +69,17 @@
 	}
 }
 
-// Show returns the view of this process.
+// Show returns the page with the current view of the fleet.
 func (f *Fleet) Show() Shown {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	incarnation, until, certain := f.view.HoldsLease(now)
+	incarnation, until, holdsLease := f.view.HoldsLease(now)
 	age, known := f.view.Age(now)
-	s := Shown{Name: f.options.Name, State: f.state, Incarnation: incarnation, Certain: certain, Holder: f.holder, Known: known,
+	s := Shown{Name: f.options.Name, State: f.state, Incarnation: incarnation, Certain: holdsLease, Holder: f.holder, Known: known,
 		AgeMs: age.Milliseconds(), Actable: f.view.Actable(now), Store: f.view.StoreID(), Revision: f.view.Revision(), LeaseMs: f.options.Lease.Milliseconds(),
 		Counts: f.counts, Members: []ShownMember{}, Gone: []ShownMember{}}
-	if certain {
+	if holdsLease {
 		s.LeftMs = (until - now).Milliseconds()
 	}
 	all, gone := f.view.Members(), f.view.Gone()
@@ -93,6 +93,7 @@
 	return s
 }
 
+// pageMember returns a member as it is shown on the page.
 func pageMember(m *members.Member, now time.Duration) ShownMember {
 	s := ShownMember{Name: m.Name, Store: m.Store, Incarnation: m.Incarnation, State: m.State, Address: m.Address, KnownMs: (now - m.FirstSeenAt).Milliseconds()}
 	if m.State == members.Gone {
@@ -113,10 +114,10 @@
 	return h
 }
 
-// Figures are the metrics of the membership.
+// Figures returns the metrics of the membership.
 func (f *Fleet) Figures() []*dto.MetricFamily {
 	s := f.Show()
-	is := func(b bool) float64 {
+	gaugeValue := func(b bool) float64 {
 		if b {
 			return 1
 		}
@@ -127,8 +128,8 @@
 		states[string(m.State)]++
 	}
 	return []*dto.MetricFamily{
-		telemetry.Gauge("fleet_certain", "Whether this process has its name for itself.", is(s.Certain)),
-		telemetry.Gauge("fleet_actable", "Whether the view of the fleet is young enough to act on.", is(s.Actable)),
+		telemetry.Gauge("fleet_certain", "Whether this process has its name for itself.", gaugeValue(s.Certain)),
+		telemetry.Gauge("fleet_actable", "Whether the view of the fleet is young enough to act on.", gaugeValue(s.Actable)),
 		telemetry.Gauge("fleet_view_age_seconds", "How old the view of the fleet is at most.", float64(s.AgeMs)/1000),
 		telemetry.Gauges("fleet_members", "Members that are not known to have ended, by what they say of themselves.", "state", states),
 		telemetry.Counter("fleet_store_requests_total", "Requests to the store of the fleet.", s.Counts.Requests),
--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -14,7 +14,7 @@
 	"cherryrelay/internal/decide/members"
 )
 
-// record is the value of a member's key, as JSON.
+// record is the value of a member's key, encoded as JSON.
 type record struct {
 	State   members.State `json:"state"`
 	Address string        `json:"address"`
@@ -23,11 +23,12 @@
 func (f *Fleet) encodedRecord() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	text, _ := jsoniter.ConfigDefault.MarshalToString(record{f.state, f.options.Address}) // strings only: it cannot fail
+	text, _ := jsoniter.ConfigDefault.MarshalToString(record{f.state, f.options.Address}) // a struct of strings: encoding cannot fail
 	return text
 }
 
-// nameIsFree reports whether the own name is free. A key under a lease of this process, whose creation was never answered, is revoked.
+// nameIsFree reports whether no key with the own name exists. If the key belongs to an earlier lease of this process, because the reply to its
+// creation was lost, nameIsFree revokes that lease.
 func (f *Fleet) nameIsFree(ctx context.Context) (bool, error) {
 	var resp *clientv3.GetResponse
 	err := f.request(ctx, func(ctx context.Context) (err error) {
@@ -35,7 +36,7 @@
 		return err
 	})
 	if err != nil {
-		return false, fmt.Errorf("fleet: looking for the own name: %w", err)
+		return false, fmt.Errorf("fleet: reading the own key: %w", err)
 	}
 	f.checkStore(resp.Header)
 	holder := ""
@@ -47,11 +48,11 @@
 		holder = fmt.Sprintf("incarnation %d: %.120s", kv.CreateRevision, kv.Value)
 	}
 	f.mu.Lock()
-	before := f.holder
+	previous := f.holder
 	f.holder = holder
 	f.mu.Unlock()
-	if holder != "" && before != holder {
-		f.log.Warn("fleet: the name is in use; it is taken once the lease on it has ended", "member", f.options.Name, "by", holder)
+	if holder != "" && previous != holder {
+		f.log.Warn("fleet: the name is in use; joining once the lease of its holder has ended", "member", f.options.Name, "by", holder)
 	}
 	return holder == "", nil
 }
@@ -59,13 +60,13 @@
 func (f *Fleet) revoke(ctx context.Context, id clientv3.LeaseID) error {
 	return f.request(ctx, func(ctx context.Context) error {
 		if _, err := f.client.Revoke(ctx, id); err != nil && !errors.Is(err, rpctypes.ErrLeaseNotFound) {
-			return fmt.Errorf("fleet: giving up a lease: %w", err)
+			return fmt.Errorf("fleet: revoking a lease: %w", err)
 		}
 		return nil
 	})
 }
 
-// session creates the own key and keeps it alive until it is lost or the process leaves.
+// session creates the own key under a new lease, and renews the lease until the lease or the key is lost or the process leaves.
 func (f *Fleet) session(ctx context.Context) {
 	if free, err := f.nameIsFree(ctx); err != nil || !free {
 		return
@@ -75,7 +76,7 @@
 	err := f.request(ctx, func(ctx context.Context) error {
 		resp, err := f.client.Grant(ctx, int64((f.options.Lease+time.Second-1)/time.Second))
 		if err != nil {
-			return fmt.Errorf("fleet: a lease: %w", err)
+			return fmt.Errorf("fleet: requesting a lease: %w", err)
 		}
 		id = resp.ID
 		return nil
@@ -88,21 +89,21 @@
 	}
 	incarnation := f.createKey(ctx, id, sent)
 	if incarnation == 0 {
-		_ = f.revoke(ctx, id) // it expires otherwise
+		_ = f.revoke(ctx, id) // on failure, the lease expires
 		return
 	}
 	f.keepAlive(ctx, id, incarnation)
-	// Whether or not the store answers, this process no longer holds its name.
+	// This process gives up its name whether or not the store answers.
 	f.updateView(func(now time.Duration, v *members.View) { v.RecordLeaseEnd(now, "left") })
-	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), revokeTimeout)
+	revokeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), revokeTimeout)
 	defer cancel()
-	if err := f.revoke(last, id); err != nil {
-		f.log.Info("fleet: the store was not told of the end", "err", err)
+	if err := f.revoke(revokeCtx, id); err != nil {
+		f.log.Info("fleet: the lease could not be revoked and will expire", "err", err)
 	}
 }
 
-// createKey creates the own key unless it exists, and returns its incarnation; 0 if that failed. After a lost answer it tries again: a key with
-// this process's lease is its own.
+// createKey creates the own key unless it exists, and returns its incarnation, or 0 on failure. It tries again after a lost reply: a key that
+// then exists under this lease was created by the earlier request.
 func (f *Fleet) createKey(ctx context.Context, id clientv3.LeaseID, sent time.Duration) (incarnation int64) {
 	for range renewalsPerLease {
 		var resp *clientv3.TxnResponse
@@ -138,11 +139,11 @@
 	return 0
 }
 
-// keepAlive renews the lease and verifies the own key until one of them is lost, or the process leaves.
+// keepAlive renews the lease and verifies the own key until the lease or the key is lost, or the process leaves.
 func (f *Fleet) keepAlive(ctx context.Context, id clientv3.LeaseID, incarnation int64) {
 	pause := time.Duration(0)
-	written := ""
-	for turn := 0; ; turn++ {
+	writtenText := ""
+	for iteration := 0; ; iteration++ {
 		select {
 		case <-ctx.Done():
 			return
@@ -151,21 +152,21 @@
 		}
 		pause = f.options.Lease / renewalsPerLease
 		var err error
-		if text := f.encodedRecord(); text != written {
+		if text := f.encodedRecord(); text != writtenText {
 			if err = f.writeRecord(ctx, id, incarnation, text); err == nil {
-				written = text
+				writtenText = text
 			}
 		}
 		sent := f.now()
-		if renewed := f.renewLease(ctx, id); renewed == nil {
+		if renewErr := f.renewLease(ctx, id); renewErr == nil {
 			f.updateView(func(now time.Duration, v *members.View) { v.RecordRenewal(now, sent, incarnation) })
-		} else if err = renewed; errors.Is(err, rpctypes.ErrLeaseNotFound) {
+		} else if err = renewErr; errors.Is(err, rpctypes.ErrLeaseNotFound) {
 			f.updateView(func(now time.Duration, v *members.View) { v.RecordLeaseEnd(now, "the store has ended the lease") })
 			return
 		}
-		if err == nil && turn%2 == 0 {
-			var there bool
-			if there, err = f.verifyKey(ctx, incarnation); err == nil && !there {
+		if err == nil && iteration%2 == 0 {
+			var exists bool
+			if exists, err = f.verifyKey(ctx, incarnation); err == nil && !exists {
 				f.updateView(func(now time.Duration, v *members.View) { v.RecordLeaseEnd(now, "the own key is gone") })
 				return
 			}
@@ -173,7 +174,7 @@
 		if err != nil {
 			pause = f.options.Lease / retryFraction
 		}
-		if own, _, _ := f.Certain(); own == 0 { // another store
+		if own, _, _ := f.Certain(); own == 0 { // the store was replaced, and the own key is lost with it
 			return
 		}
 	}
@@ -182,22 +183,23 @@
 func (f *Fleet) renewLease(ctx context.Context, id clientv3.LeaseID) error {
 	return f.request(ctx, func(ctx context.Context) error {
 		_, err := f.client.KeepAliveOnce(ctx, id)
-		return err //nolint:wrapcheck // its caller compares it
+		return err //nolint:wrapcheck // the caller compares it
 	})
 }
 
-// writeRecord updates the own record, unless the key is another incarnation's.
+// writeRecord updates the own record, unless the key belongs to another incarnation.
 func (f *Fleet) writeRecord(ctx context.Context, id clientv3.LeaseID, incarnation int64, text string) error {
 	return f.request(ctx, func(ctx context.Context) error {
 		_, err := f.client.Txn(ctx).
 			If(clientv3.Compare(clientv3.CreateRevision(f.key()), "=", incarnation)).
 			Then(clientv3.OpPut(f.key(), text, clientv3.WithLease(id))).Commit()
-		return err //nolint:wrapcheck // counted, and retried
+		return err //nolint:wrapcheck // request counts it, and the caller retries
 	})
 }
 
-// verifyKey reports whether the own key exists, and takes the store's revision from the answer.
-func (f *Fleet) verifyKey(ctx context.Context, incarnation int64) (there bool, err error) {
+// verifyKey reports whether the own key exists. It records the store's revision from the reply, and requests a progress notification if the
+// view is behind that revision.
+func (f *Fleet) verifyKey(ctx context.Context, incarnation int64) (exists bool, err error) {
 	sent := f.now()
 	var resp *clientv3.GetResponse
 	if err := f.request(ctx, func(ctx context.Context) (err error) {
@@ -215,7 +217,7 @@
 		behind = v.Behind()
 	})
 	if behind {
-		// The progress notification follows all earlier changes on the watch.
+		// The watch delivers the progress notification after all earlier changes.
 		_ = f.request(clientv3.WithRequireLeader(ctx), f.client.RequestProgress)
 	}
 	return len(resp.Kvs) > 0 && resp.Kvs[0].CreateRevision == incarnation, nil
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -14,7 +14,7 @@
 	"cherryrelay/internal/decide/members"
 )
 
-// watchMembers keeps the view of the members up to date. When a watch ends, all keys are read again.
+// watchMembers keeps the view of the members up to date. When a watch ends, it reads all keys again and starts another watch.
 func (f *Fleet) watchMembers(ctx context.Context) {
 	for ctx.Err() == nil {
 		revision, err := f.readMembers(ctx)
@@ -22,12 +22,13 @@
 			err = f.watch(ctx, revision+1)
 		}
 		if ctx.Err() == nil {
-			f.log.Info("fleet: the members are read anew", "err", err)
+			f.log.Info("fleet: reading all members again", "err", err)
 			sleep(ctx, f.options.Lease/retryFraction)
 		}
 	}
 }
 
+// readMembers reads all members into the view, and returns the revision of the store at which they were read.
 func (f *Fleet) readMembers(ctx context.Context) (int64, error) {
 	sent := f.now()
 	var resp *clientv3.GetResponse
@@ -49,11 +50,11 @@
 	return resp.Header.Revision, nil
 }
 
-// decodeEntry decodes a member's key. One with an invalid value still holds its name.
+// decodeEntry decodes a member's key. A key with an invalid value counts as a joining member, because it still occupies its name.
 func (f *Fleet) decodeEntry(kv *mvccpb.KeyValue) members.Entry {
 	var v record
 	if err := jsoniter.ConfigDefault.Unmarshal(kv.Value, &v); err != nil || !v.State.SelfReported() {
-		f.log.Error("fleet: a member's key that cannot be read", "key", string(kv.Key), "err", err)
+		f.log.Error("fleet: the value of a member's key is invalid", "key", string(kv.Key), "err", err)
 		v = record{State: members.Joining}
 	}
 	return members.Entry{Name: f.memberName(kv), Incarnation: kv.CreateRevision, Revision: kv.ModRevision,
@@ -61,16 +62,17 @@
 }
 
 var (
-	errStoreChanged = errors.New("the store is another one")
-	errWatchStalled = errors.New("the watch tells nothing")
+	errStoreChanged = errors.New("the store was replaced or went back to an earlier revision")
+	errWatchStalled = errors.New("the watch has stalled: it is behind the store's revision")
 )
 
-// watch applies changes until the watch ends, another store answers, or the watch stalls: the store's revision is ahead of it for a TTL.
+// watch applies changes to the view until the watch ends, the store is replaced, or the watch stalls. A watch has stalled if it has been behind
+// the store's revision for a TTL.
 func (f *Fleet) watch(ctx context.Context, revision int64) error {
 	ctx, cancel := context.WithCancel(clientv3.WithRequireLeader(ctx))
 	defer cancel()
 	responses := f.client.Watch(ctx, f.options.Prefix, clientv3.WithPrefix(), clientv3.WithRev(revision))
-	behindSince := time.Duration(0) // zero if the watch is not behind
+	behindSince := time.Duration(0) // time since the start; zero if the watch is not behind
 	ticker := time.NewTicker(f.options.Lease / renewalsPerLease)
 	defer ticker.Stop()
 	for {
@@ -88,12 +90,12 @@
 			case now-behindSince > f.options.Lease:
 				return errWatchStalled
 			}
-		case resp, more := <-responses:
-			if !more {
+		case resp, ok := <-responses:
+			if !ok {
 				return errors.New("the watch ended")
 			}
 			if err := resp.Err(); err != nil {
-				return fmt.Errorf("watching: %w", err)
+				return fmt.Errorf("watching the members: %w", err)
 			}
 			if len(resp.Events) > 0 || resp.IsProgressNotify() {
 				complete, changes := f.decodeChanges(&resp)
@@ -103,8 +105,8 @@
 	}
 }
 
-// decodeChanges returns the changes in a watch's response, and the revision up to which they are complete. The revision in the header may be
-// ahead of them.
+// decodeChanges returns the changes in a response of a watch, and the revision up to which they are complete. The revision in the header may be
+// higher than that of the last change.
 func (f *Fleet) decodeChanges(resp *clientv3.WatchResponse) (complete int64, changes []members.Change) {
 	complete = resp.Header.Revision
 	for _, e := range resp.Events {
@@ -119,7 +121,7 @@
 	return complete, changes
 }
 
-// memberName is the name of the member whose key it is.
+// memberName returns the name of the member that a key belongs to.
 func (f *Fleet) memberName(kv *mvccpb.KeyValue) string {
 	return strings.TrimPrefix(string(kv.Key), f.options.Prefix)
 }
