--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -168,8 +168,10 @@
 	return same
 }
 
+// key returns the own key.
 func (f *Fleet) key() string { return f.options.Prefix + f.options.Name }
 
+// sleep waits for a duration, or until the context is cancelled.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -177,6 +179,7 @@
 	}
 }
 
+// run keeps this process a member, one session after another, until the context is cancelled.
 func (f *Fleet) run(ctx context.Context) {
 	defer close(f.done)
 	var watcher sync.WaitGroup
--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -20,6 +20,7 @@
 	Address string        `json:"address"`
 }
 
+// encodedRecord returns the own record as JSON.
 func (f *Fleet) encodedRecord() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -57,6 +58,7 @@
 	return holder == "", nil
 }
 
+// revoke revokes a lease. A lease that has expired already is not an error.
 func (f *Fleet) revoke(ctx context.Context, id clientv3.LeaseID) error {
 	return f.request(ctx, func(ctx context.Context) error {
 		if _, err := f.client.Revoke(ctx, id); err != nil && !errors.Is(err, rpctypes.ErrLeaseNotFound) {
@@ -180,6 +182,7 @@
 	}
 }
 
+// renewLease renews a lease once.
 func (f *Fleet) renewLease(ctx context.Context, id clientv3.LeaseID) error {
 	return f.request(ctx, func(ctx context.Context) error {
 		_, err := f.client.KeepAliveOnce(ctx, id)
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -61,6 +61,7 @@
 		State: v.State, Address: v.Address}
 }
 
+// The reasons for which watch stops although etcd still serves it.
 var (
 	errStoreChanged = errors.New("the store was replaced or went back to an earlier revision")
 	errWatchStalled = errors.New("the watch has stalled: it is behind the store's revision")
