--- a/internal/takeover/call.go
+++ b/internal/takeover/call.go
@@ -14,20 +14,21 @@
 	"cherryrelay/internal/decide/recovery"
 )
 
-// Call is a call in transfer from one controller to another.
+// Call is a call that passes from one controller to another, by a takeover or a transfer.
 type Call struct {
-	Events  []recovery.Event `cbor:"1,keyasint"`
-	LastUs  int64            `cbor:"2,keyasint"` // when its owner was last known to be alive, in microseconds of the Unix clock
-	MayLive bool             `cbor:"3,keyasint"` // its owner may live: messages that it has sent cannot be recalled
+	Events  []recovery.Event `cbor:"1,keyasint"` // the recorded events of the call, oldest first
+	LastUs  int64            `cbor:"2,keyasint"` // time at which its owner was last known to be alive, in µs since the Unix epoch
+	MayLive bool             `cbor:"3,keyasint"` // whether the owner's process may still be alive: messages that it has sent cannot be recalled
 }
 
-// magic begins a call's file and names the version of its format.
+// magic is the beginning of a call's file, with the version of the format.
 const magic = "cherryrelay call 1\n"
 
-// errDamaged is the error of a call's file whose content is not what was written.
+// errDamaged is returned for a call's file whose content is not what was written.
 var errDamaged = errors.New("takeover: a call's file is damaged")
 
-// encode returns the content of a call's file: magic, HMAC-SHA256 (with an empty key a checksum) and the call as CBOR.
+// encode returns the content of a call's file: magic, the HMAC-SHA256 of the encoded call, and the call encoded as CBOR. With an empty key
+// the HMAC is only a checksum.
 func encode(c *Call, key []byte) ([]byte, error) {
 	body, err := cbor.Marshal(c)
 	if err != nil {
@@ -36,14 +37,16 @@
 	return slices.Concat([]byte(magic), authenticate(body, key), body), nil
 }
 
+// authenticate returns the HMAC of an encoded call.
 func authenticate(body, key []byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	mac.Write(body)
 	return mac.Sum(nil)
 }
 
-func decode(text, key []byte) (*Call, error) {
-	rest, ok := bytes.CutPrefix(text, []byte(magic))
+// decode decodes the content of a call's file.
+func decode(data, key []byte) (*Call, error) {
+	rest, ok := bytes.CutPrefix(data, []byte(magic))
 	if !ok || len(rest) < sha256.Size {
 		return nil, errDamaged
 	}
@@ -58,14 +61,14 @@
 	return c, nil
 }
 
-// Book returns the state of the call, replayed from its events.
+// Book replays the events of the call, and returns a table with its state.
 func (c *Call) Book() *recovery.CallTable {
-	b := recovery.NewCallTable()
+	table := recovery.NewCallTable()
 	for _, e := range c.Events {
-		b.Apply(e)
+		table.Apply(e)
 	}
-	b.MarkAlive(time.Duration(c.LastUs) * time.Microsecond)
-	return b
+	table.MarkAlive(time.Duration(c.LastUs) * time.Microsecond)
+	return table
 }
 
 // ID returns the call's id.
--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -11,110 +11,110 @@
 	decide "cherryrelay/internal/decide/takeover"
 )
 
-// notTerminated is the cause delivered with a call whose end nobody has reported.
+// notTerminated is passed as the cause to Core.CallReceived if no end of the call has been reported.
 const notTerminated = -1
 
-// processSealed continues with a sealed ledger whose claimant is this controller: it unpacks it if an earlier process of this name did not,
-// claims the calls that no caller came for in time, and deletes it when it is empty.
-func (r *Room) processSealed(s decide.SealedLedger) {
-	ids, unpacked, err := decide.UnclaimedCalls(r.files, s)
+// processSealed advances a sealed ledger that this controller has claimed. It unpacks the ledger if the previous process of this name did not,
+// claims the calls that were not resumed in time, and deletes the ledger when no calls are left in it.
+func (p *Room) processSealed(s decide.SealedLedger) {
+	ids, unpacked, err := decide.UnclaimedCalls(p.files, s)
 	if err != nil {
-		r.recordFailure(err)
+		p.recordFailure(err)
 		return
 	}
 	if !unpacked {
-		r.unpack(s, time.Now(), s.Claimant)
+		p.unpack(s, time.Now(), s.Claimant)
 		return
 	}
 	if len(ids) == 0 {
-		delete(r.unpackedAt, s)
+		delete(p.unpackedAt, s)
 		if s.Number != transferNumber {
-			r.recordFailure(decide.Delete(r.files, s))
+			p.recordFailure(decide.Delete(p.files, s))
 		}
 		return
 	}
-	if _, known := r.unpackedAt[s]; !known {
-		r.unpackedAt[s] = r.now()
+	if _, known := p.unpackedAt[s]; !known {
+		p.unpackedAt[s] = p.now()
 	}
-	r.claimExpired(s, ids)
+	p.claimExpired(s, ids)
 }
 
-// claimExpired claims the calls of a sealed ledger that no caller came for in time, and delivers those with the earliest deadline first.
-func (r *Room) claimExpired(s decide.SealedLedger, ids []string) {
+// claimExpired claims the calls of a sealed ledger that were not resumed in time, and delivers them in the order of their deadlines.
+func (p *Room) claimExpired(s decide.SealedLedger, ids []string) {
 	var claimed []*Call
-	for _, id := range decide.ExpiredCalls(r.now(), r.unpackedAt[s], ids) {
-		text, err := decide.ClaimCall(r.files, s, id, r.options.Name)
+	for _, id := range decide.ExpiredCalls(p.now(), p.unpackedAt[s], ids) {
+		data, err := decide.ClaimCall(p.files, s, id, p.options.Name)
 		if err != nil {
-			r.recordFailure(err)
+			p.recordFailure(err)
 			continue
 		}
-		if c := r.receive(id, text); c != nil {
+		if c := p.receive(id, data); c != nil {
 			claimed = append(claimed, c)
 		}
 	}
 	slices.SortFunc(claimed, func(a, b *Call) int { return cmp.Compare(a.Events[0].DeadlineUs, b.Events[0].DeadlineUs) })
-	r.updateStatus(func(s *Shown) { s.Left += uint64(len(claimed)) })
+	p.updateStatus(func(s *Shown) { s.Left += uint64(len(claimed)) })
 	for _, c := range claimed {
-		r.deliver(c)
+		p.deliver(c)
 	}
 }
 
-// receive decodes the file of a call in the own inbox. A damaged file is deleted, and nil returned.
-func (r *Room) receive(id string, text []byte) *Call {
-	r.inbox[id] = true
-	c, err := decode(text, r.options.Key)
+// receive decodes the file of a call in the own inbox. It deletes a damaged file and returns nil.
+func (p *Room) receive(id string, data []byte) *Call {
+	p.inbox[id] = true
+	c, err := decode(data, p.options.Key)
 	if err == nil && c.ID() != id {
 		err = errDamaged
 	}
 	if err != nil {
-		r.recordFailure(fmt.Errorf("call %s: %w", id, err))
-		r.recordFailure(decide.Acknowledge(r.files, id, r.options.Name))
-		delete(r.inbox, id)
+		p.recordFailure(fmt.Errorf("call %s: %w", id, err))
+		p.recordFailure(decide.Acknowledge(p.files, id, p.options.Name))
+		delete(p.inbox, id)
 		return nil
 	}
 	return c
 }
 
-// deliver passes a claimed call to the core, with the cause of its end if that was reported to another controller.
-func (r *Room) deliver(c *Call) {
+// deliver passes a claimed call to the core, with the cause of its end if a dispatcher has reported that to another controller.
+func (p *Room) deliver(c *Call) {
 	cause := notTerminated
 	path := filepath.Join(decide.TerminationsDir, c.ID())
-	if text, err := r.files.Read(path); err == nil {
-		if reported, err := strconv.Atoi(string(text)); err == nil {
+	if data, err := p.files.Read(path); err == nil {
+		if reported, err := strconv.Atoi(string(data)); err == nil {
 			cause = reported
-			r.recordFailure(r.files.Remove(path))
+			p.recordFailure(p.files.Remove(path))
 		}
 	}
-	r.options.Post(func() { r.core.CallReceived(c, cause) })
+	p.options.Post(func() { p.core.CallReceived(c, cause) })
 }
 
-// recoverInbox delivers the calls in the own inbox that the core does not know of: an earlier process of this name claimed them.
-func (r *Room) recoverInbox() {
-	ids, err := decide.ClaimedCalls(r.files, r.options.Name)
-	r.recordFailure(err)
+// recoverInbox delivers the calls in the own inbox that the core does not know of because the previous process of this name claimed them.
+func (p *Room) recoverInbox() {
+	ids, err := decide.ClaimedCalls(p.files, p.options.Name)
+	p.recordFailure(err)
 	for _, id := range ids {
-		if r.inbox[id] {
+		if p.inbox[id] {
 			continue
 		}
-		text, err := r.files.Read(filepath.Join(decide.InboxDir(r.options.Name), id))
+		data, err := p.files.Read(filepath.Join(decide.InboxDir(p.options.Name), id))
 		if err != nil {
-			r.recordFailure(err)
+			p.recordFailure(err)
 			continue
 		}
-		if c := r.receive(id, text); c != nil {
-			r.deliver(c)
+		if c := p.receive(id, data); c != nil {
+			p.deliver(c)
 		}
 	}
 }
 
-// acknowledgePersisted deletes the inbox files of calls that are in the own ledger.
-func (r *Room) acknowledgePersisted() {
-	r.mu.Lock()
-	ids := r.persisted
-	r.persisted = nil
-	r.mu.Unlock()
+// acknowledgePersisted deletes the inbox files of the claimed calls that the own ledger now contains.
+func (p *Room) acknowledgePersisted() {
+	p.mu.Lock()
+	ids := p.persisted
+	p.persisted = nil
+	p.mu.Unlock()
 	for _, id := range ids {
-		r.recordFailure(decide.Acknowledge(r.files, id, r.options.Name))
-		delete(r.inbox, id)
+		p.recordFailure(decide.Acknowledge(p.files, id, p.options.Name))
+		delete(p.inbox, id)
 	}
 }
--- a/internal/takeover/doc.go
+++ b/internal/takeover/doc.go
@@ -1,7 +1,8 @@
-// Package takeover runs the failover of calls between controllers that share a directory of ledgers: it seals the ledgers of failed
-// controllers, unpacks their calls, claims those that callers come back for, and transfers live calls to where their callers are.
+// Package takeover implements the failover of calls between controllers that share a directory of ledgers. It seals the ledgers of failed
+// controllers, unpacks their calls, claims the calls that callers resume, and transfers calls of live controllers to the controllers that their
+// callers have reconnected to.
 //
-// The protocol on the shared directory and its timing are decided in decide/takeover; this package does the I/O. Nothing here runs on the
-// event loop: one goroutine scans the directory and posts results to the loop. docs/takeover.md has the protocol, docs/names.md the
+// Package decide/takeover defines the protocol on the shared directory and its timing; this package performs the I/O. Nothing here runs on the
+// event loop: one goroutine scans the directory and posts the results to the loop. docs/takeover.md describes the protocol, docs/names.md the
 // vocabulary.
 package takeover
--- a/internal/takeover/files.go
+++ b/internal/takeover/files.go
@@ -10,7 +10,7 @@
 	decide "cherryrelay/internal/decide/takeover"
 )
 
-// partialSuffix ends the name of a file that is being written, before it is renamed.
+// partialSuffix is the suffix of the name under which a file is written before it is renamed into place.
 const partialSuffix = ".new"
 
 // files implements decide.Files on the shared directory.
@@ -26,7 +26,7 @@
 	}
 	defer d.Close()
 	names, err := d.Readdirnames(-1)
-	if err != nil && !errors.Is(err, fs.ErrNotExist) { // removed while it is read
+	if err != nil && !errors.Is(err, fs.ErrNotExist) { // the directory may be removed while it is read
 		return nil, fmt.Errorf("takeover: %w", err)
 	}
 	slices.Sort(names)
@@ -34,12 +34,13 @@
 }
 
 func (f files) Read(file string) ([]byte, error) {
-	text, err := f.root.ReadFile(file)
-	return text, wrap(err)
+	data, err := f.root.ReadFile(file)
+	return data, wrap(err)
 }
 
-func (f files) Write(file string, text []byte) error {
-	return wrap(f.root.WriteFile(file, text, 0o600))
+// Write creates or overwrites a file; a concurrent reader may see a part of it.
+func (f files) Write(file string, data []byte) error {
+	return wrap(f.root.WriteFile(file, data, 0o600))
 }
 
 func (f files) Mkdir(dir string) error { return wrap(f.root.Mkdir(dir, 0o700)) }
@@ -48,16 +49,16 @@
 
 func (f files) Remove(path string) error { return wrap(f.root.RemoveAll(path)) }
 
-// replace writes a file that others read: they see the old content or the new.
-func (f files) replace(file string, text []byte) error {
+// replace writes a file atomically: a concurrent reader sees either the old content or the new.
+func (f files) replace(file string, data []byte) error {
 	partial := file + partialSuffix
-	if err := f.Write(partial, text); err != nil {
+	if err := f.Write(partial, data); err != nil {
 		return err
 	}
 	return f.Rename(partial, file)
 }
 
-// wrap translates the error of a file that does not exist into decide.ErrNotFound.
+// wrap adds context to an error; one for a file that does not exist also matches decide.ErrNotFound.
 func wrap(err error) error {
 	switch {
 	case err == nil:
--- a/internal/takeover/lookup.go
+++ b/internal/takeover/lookup.go
@@ -9,71 +9,72 @@
 	"cherryrelay/internal/ledger"
 )
 
-// lookup is a call that a caller came back for.
+// lookup is a pending lookup of a call that a caller wants to resume.
 type lookup struct {
-	since time.Duration
-	token []byte // hash of the caller's token
+	startedAt time.Duration
+	token     []byte // hash of the caller's token
 }
 
-// resolveLookups claims the calls that are looked up, queries the other controllers for those that are not found, and gives up on those that
-// cannot be found any more. Holders is the number of ledgers of others that may hold calls; notUnpacked tells that one of those that are
-// sealed is not unpacked yet.
-func (r *Room) resolveLookups(holders int, others []string, notUnpacked bool) {
-	r.mu.Lock()
-	lookups := maps.Clone(r.lookups)
-	r.status.Waiting = len(lookups)
-	r.mu.Unlock()
-	r.observeQueries() // a caller that is looked up here has left the controllers that asked for its call before
+// resolveLookups claims the calls that are looked up. For those that it does not find, it queries the other controllers, or reports them as not
+// found once no further wait can help. The argument holders is the number of ledgers that may hold calls and are not the own one; others has
+// the names of those that are not sealed; notUnpacked is true if one of the sealed ones is not unpacked yet.
+func (p *Room) resolveLookups(holders int, others []string, notUnpacked bool) {
+	p.mu.Lock()
+	lookups := maps.Clone(p.lookups)
+	p.status.Waiting = len(lookups)
+	p.mu.Unlock()
+	p.observeQueries() // before the lookups: a caller that resumes here has left the controllers whose queries for its call are older
 	if len(lookups) == 0 {
 		return
 	}
-	answeredAt := r.answeredAt(others)
+	answeredAt := p.answeredAt(others)
 	for id, l := range lookups {
-		text, _, err := decide.FindAndClaim(r.files, id, r.options.Name)
+		data, _, err := decide.FindAndClaim(p.files, id, p.options.Name)
 		if err == nil {
-			r.endLookup(id)
-			if c := r.receive(id, text); c != nil {
-				r.updateStatus(func(s *Shown) { s.Found++ })
-				r.deliver(c)
+			p.endLookup(id)
+			if c := p.receive(id, data); c != nil {
+				p.updateStatus(func(s *Shown) { s.Found++ })
+				p.deliver(c)
 			}
 			continue
 		}
-		r.recordFailure(err)
-		queriedAt := r.queriedAt[id]
+		p.recordFailure(err)
+		queriedAt := p.queriedAt[id]
 		unanswered := len(others) > 0 && answeredAt.Sub(queriedAt) < decide.QueryAnswerWindow
 		mayBeFound := notUnpacked || queriedAt.IsZero() || unanswered
-		outcome := decide.ResolveLookup(r.now()-l.since, r.options.Lease, holders, mayBeFound)
+		outcome := decide.ResolveLookup(p.now()-l.startedAt, p.options.Lease, holders, mayBeFound)
 		switch {
 		case outcome != decide.LookupPending:
-			r.endLookup(id)
-			r.updateStatus(func(s *Shown) { s.Unknown++ })
-			r.options.Post(func() { r.core.CallNotFound(id, outcome == decide.LookupImpossible) })
-		case queriedAt.IsZero() || r.queryLost(id):
-			r.query(id, l.token)
+			p.endLookup(id)
+			p.updateStatus(func(s *Shown) { s.Unknown++ })
+			p.options.Post(func() { p.core.CallNotFound(id, outcome == decide.LookupImpossible) })
+		case queriedAt.IsZero() || p.queryRemoved(id):
+			p.query(id, l.token)
 		}
 	}
 }
 
-// endLookup drops a lookup and its query.
-func (r *Room) endLookup(id string) {
-	r.mu.Lock()
-	delete(r.lookups, id)
-	r.mu.Unlock()
-	if !r.queriedAt[id].IsZero() {
-		delete(r.queriedAt, id)
-		r.recordFailure(r.files.Remove(filepath.Join(decide.QueriesDir, id)))
+// endLookup removes a lookup and its query.
+func (p *Room) endLookup(id string) {
+	p.mu.Lock()
+	delete(p.lookups, id)
+	p.mu.Unlock()
+	if !p.queriedAt[id].IsZero() {
+		delete(p.queriedAt, id)
+		p.recordFailure(p.files.Remove(filepath.Join(decide.QueriesDir, id)))
 	}
 }
 
-// answeredAt returns the time up to which all owners of other ledgers have answered queries; zero if one of them never did or may have failed.
-func (r *Room) answeredAt(others []string) (earliest time.Time) {
+// answeredAt returns the time up to which the owners of all other ledgers have answered queries. It returns zero if one of them never has, or
+// may have failed.
+func (p *Room) answeredAt(others []string) (earliest time.Time) {
 	for i, name := range others {
-		info, err := r.files.root.Stat(filepath.Join(name, answeredName))
+		info, err := p.files.root.Stat(filepath.Join(name, answeredFile))
 		if err != nil {
 			return time.Time{}
 		}
-		if held, err := ledger.IsLocked(filepath.Join(r.options.Ledgers, name)); err != nil || !held {
-			return time.Time{} // it is about to be sealed
+		if locked, err := ledger.IsLocked(filepath.Join(p.options.Ledgers, name)); err != nil || !locked {
+			return time.Time{} // the owner's process has ended, and the ledger will be sealed
 		}
 		if at := info.ModTime(); i == 0 || at.Before(earliest) {
 			earliest = at
--- a/internal/takeover/queries.go
+++ b/internal/takeover/queries.go
@@ -8,94 +8,97 @@
 	decide "cherryrelay/internal/decide/takeover"
 )
 
-// answeredName is the file in a ledger's directory that its owner rewrites after each scan in which it has answered the queries of others.
-// Its modification time and that of the query files are compared: both are the file system's.
-const answeredName = "looked"
+// answeredFile is the name of the file in a ledger's directory that its owner rewrites after each scan whose queries it has answered. Its
+// modification time is compared with those of the query files: all of them come from the clock of the file system.
+const answeredFile = "looked"
 
-// Query is another controller's query for a call that its caller came back for there.
+// Query is the request of another controller for a call that its caller wants to resume there.
 type Query struct {
 	Token []byte    // hash of the caller's token
-	Seen  time.Time // when this controller first saw the query
+	Seen  time.Time // time at which this controller first saw the query
 }
 
-// seenQuery is the file of a query, as it was first seen.
+// seenQuery is the state of a query's file when this controller first saw it.
 type seenQuery struct {
 	modified time.Time
 	seen     time.Time
 }
 
-// observeQueries notes which queries of other controllers there are. The controller that wrote one may have failed since and never removes
-// it: one that is older than any lookup is removed here.
-func (r *Room) observeQueries() {
-	ids, err := r.files.List(decide.QueriesDir)
-	r.recordFailure(err)
+// observeQueries records the queries of other controllers. A controller that has failed never removes its queries, so a query that is older than
+// any lookup can be is removed here.
+func (p *Room) observeQueries() {
+	ids, err := p.files.List(decide.QueriesDir)
+	p.recordFailure(err)
 	observed := map[string]seenQuery{}
 	for _, id := range ids {
-		if !r.queriedAt[id].IsZero() {
+		if !p.queriedAt[id].IsZero() {
 			continue
 		}
 		path := filepath.Join(decide.QueriesDir, id)
-		info, err := r.files.root.Stat(path)
+		info, err := p.files.root.Stat(path)
 		if err != nil {
-			continue // its lookup has ended
+			continue // removed: its lookup has ended
 		}
-		q, known := r.queries[id]
+		q, known := p.queries[id]
 		if !known || !q.modified.Equal(info.ModTime()) {
 			q = seenQuery{modified: info.ModTime(), seen: time.Now()}
 		}
-		if decide.QueryExpired(time.Since(q.seen), r.options.Lease) {
-			r.recordFailure(r.files.Remove(path))
+		if decide.QueryExpired(time.Since(q.seen), p.options.Lease) {
+			p.recordFailure(p.files.Remove(path))
 			continue
 		}
 		observed[id] = q
 	}
-	r.queries = observed
+	p.queries = observed
 }
 
-// answerQueries passes the queries of other controllers to the core, which transfers the calls that it holds.
-func (r *Room) answerQueries() {
-	queries := r.readQueries()
-	if r.queriesDelivered.Swap(false) {
-		r.recordFailure(r.files.Write(filepath.Join(r.options.Name, answeredName), []byte(r.options.Name)))
+// answerQueries passes the queries of other controllers to the core, which transfers those of the calls that it holds. Once the core has handled
+// them, the next scan records that in answeredFile.
+func (p *Room) answerQueries() {
+	queries := p.readQueries()
+	if p.queriesDelivered.Swap(false) {
+		p.recordFailure(p.files.Write(filepath.Join(p.options.Name, answeredFile), []byte(p.options.Name)))
 	}
-	if len(r.queries)+len(r.queriedAt) == 0 { // another one may ask for the same call as this controller
+	if len(p.queries)+len(p.queriedAt) == 0 { // an own query counts: another controller may query the same call
 		return
 	}
-	r.options.Post(func() {
-		r.core.TransferRequested(queries)
-		r.queriesDelivered.Store(true) // set on the event loop: one that is blocked has not answered
+	p.options.Post(func() {
+		p.core.TransferRequested(queries)
+		p.queriesDelivered.Store(true) // set on the event loop, so that a blocked loop does not count as an answer
 	})
 }
 
-// readQueries returns the queries that were observed, by the id of the call, but for calls that are being transferred.
-func (r *Room) readQueries() map[string]Query {
+// readQueries returns the observed queries by the id of the call, without those for calls in the own inbox, which are being claimed or
+// transferred.
+func (p *Room) readQueries() map[string]Query {
 	queries := map[string]Query{}
-	for id, q := range r.queries {
-		if r.inbox[id] {
+	for id, q := range p.queries {
+		if p.inbox[id] {
 			continue
 		}
-		text, err := r.files.Read(filepath.Join(decide.QueriesDir, id))
+		data, err := p.files.Read(filepath.Join(decide.QueriesDir, id))
 		if err != nil {
 			continue
 		}
-		if token, err := hex.DecodeString(string(text)); err == nil && len(token) > 0 {
+		if token, err := hex.DecodeString(string(data)); err == nil && len(token) > 0 {
 			queries[id] = Query{Token: token, Seen: q.seen}
 		}
 	}
 	return queries
 }
 
-// query asks the other controllers for a call: one that holds it and has lost its caller transfers it.
-func (r *Room) query(id string, token []byte) {
+// query writes a query for a call. A controller that holds the call transfers it unless its caller has resumed it there since.
+func (p *Room) query(id string, token []byte) {
 	path := filepath.Join(decide.QueriesDir, id)
-	r.recordFailure(r.files.Write(path, []byte(hex.EncodeToString(token))))
-	if info, err := r.files.root.Stat(path); err == nil {
-		r.queriedAt[id] = info.ModTime()
+	p.recordFailure(p.files.Write(path, []byte(hex.EncodeToString(token))))
+	if info, err := p.files.root.Stat(path); err == nil {
+		p.queriedAt[id] = info.ModTime()
 	}
 }
 
-// queryLost reports whether the file of an own query has been removed by another controller, which saw an earlier one of the same call.
-func (r *Room) queryLost(id string) bool {
-	_, err := r.files.root.Stat(filepath.Join(decide.QueriesDir, id))
+// queryRemoved reports whether the file of an own query no longer exists: another controller took it for an older, expired query
+// for the same call.
+func (p *Room) queryRemoved(id string) bool {
+	_, err := p.files.root.Stat(filepath.Join(decide.QueriesDir, id))
 	return err != nil
 }
--- a/internal/takeover/queries_test.go
+++ b/internal/takeover/queries_test.go
@@ -13,50 +13,50 @@
 	decide "cherryrelay/internal/decide/takeover"
 )
 
-// awaitFile waits until a file is there, or is not.
-func awaitFile(t *testing.T, path string, there bool) {
+// awaitFile waits until a file exists, or until it does not.
+func awaitFile(t *testing.T, path string, exists bool) {
 	t.Helper()
-	for begun := time.Now(); ; time.Sleep(time.Millisecond) {
+	for start := time.Now(); ; time.Sleep(time.Millisecond) {
 		_, err := os.Stat(path)
-		if there && err == nil || !there && errors.Is(err, os.ErrNotExist) {
+		if exists && err == nil || !exists && errors.Is(err, os.ErrNotExist) {
 			return
 		}
-		if time.Since(begun) > patience {
-			t.Fatalf("%s: there %v is never so: %v", path, there, err)
+		if time.Since(start) > timeout {
+			t.Fatalf("%s: want exists %v, stat returned %v", path, exists, err)
 		}
 	}
 }
 
-// TestAQueryOfAFailedControllerIsRemoved guards against calls that their holder transfers again and again, as a query stays whose controller has
-// failed before its lookup ended.
+// TestAQueryOfAFailedControllerIsRemoved guards against a call that its holder transfers again and again. That happens if a query is never removed
+// because the controller that wrote it failed before its lookup ended.
 func TestAQueryOfAFailedControllerIsRemoved(t *testing.T) {
 	t.Parallel()
-	site := t.TempDir()
-	a, _ := controller(t, site, "a", nil, "01")
-	query := filepath.Join(site, decide.QueriesDir, "01")
+	dir := t.TempDir()
+	a, _ := startController(t, dir, "a", nil, "01")
+	query := filepath.Join(dir, decide.QueriesDir, "01")
 	if err := os.WriteFile(query, []byte(hex.EncodeToString(recovery.HashToken("t"))), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	a.heard(t, "given 01")                     // to nobody
-	a.heard(t, "arrived 01 -1 may live false") // it comes back
+	a.await(t, "transfer written 01")                         // no other controller claims it
+	a.await(t, "received 01, cause -1, owner may live false") // its previous holder claims it again
 	awaitFile(t, query, false)
 }
 
-// TestALookupWhoseQueryIsRemovedQueriesAgain guards against a lookup that nobody hears of, as its query has been taken for an earlier one of the
-// same call.
+// TestALookupWhoseQueryIsRemovedQueriesAgain guards against a lookup that no other controller sees, because another controller has removed its query
+// as an expired one for the same call.
 func TestALookupWhoseQueryIsRemovedQueriesAgain(t *testing.T) {
 	t.Parallel()
-	site := t.TempDir()
-	controller(t, site, "a", nil)
-	b, _ := controller(t, site, "bb", nil)
-	query := filepath.Join(site, decide.QueriesDir, "03")
-	b.room.Lookup("03", recovery.HashToken("t"))
+	dir := t.TempDir()
+	startController(t, dir, "a", nil)
+	b, _ := startController(t, dir, "bb", nil)
+	query := filepath.Join(dir, decide.QueriesDir, "03")
+	b.participant.Lookup("03", recovery.HashToken("t"))
 	awaitFile(t, query, true)
 	if err := os.Remove(query); err != nil {
 		t.Fatal(err)
 	}
 	awaitFile(t, query, true)
-	if slices.Contains(words(b), "missing 03 cut false") {
-		t.Error("the lookup has ended before")
+	if slices.Contains(results(b), "not found 03, no holder false") {
+		t.Error("the lookup ended before its query was written again")
 	}
 }
--- a/internal/takeover/read.go
+++ b/internal/takeover/read.go
@@ -9,64 +9,64 @@
 	"cherryrelay/internal/ledger"
 )
 
-// readLedger returns a function that reads the calls of a ledger's directory: those of its records, and those in its inbox that its owner
-// had claimed and not yet persisted.
-func (r *Room) readLedger(ownerMayLive bool) decide.LedgerReader {
+// readLedger returns a function that reads the calls of a ledger's directory. These are the calls in its records, and the calls in its inbox,
+// which its owner had claimed and not yet persisted.
+func (p *Room) readLedger(ownerMayLive bool) decide.LedgerReader {
 	return func(dir string) (map[string][]byte, error) {
-		book, err := r.replay(dir)
+		table, err := p.replay(dir)
 		if err != nil {
 			return nil, err
 		}
-		calls, err := r.readInbox(dir)
+		calls, err := p.readInbox(dir)
 		if err != nil {
 			return nil, err
 		}
-		for _, c := range book.Calls() {
+		for _, c := range table.Calls() {
 			events := c.Events()
-			forgotten := c.State >= recovery.StateRejected && book.LastAlive()-c.LastEventAt > recovery.RetentionPeriod
-			if forgotten || len(events) == 0 {
+			expired := c.State >= recovery.StateRejected && table.LastAlive()-c.LastEventAt > recovery.RetentionPeriod
+			if expired || len(events) == 0 {
 				continue
 			}
-			text, err := encode(&Call{Events: events, LastUs: book.LastAlive().Microseconds(), MayLive: ownerMayLive}, r.options.Key)
+			data, err := encode(&Call{Events: events, LastUs: table.LastAlive().Microseconds(), MayLive: ownerMayLive}, p.options.Key)
 			if err != nil {
 				return nil, err
 			}
-			calls[c.ID] = text // the records take precedence over the inbox
+			calls[c.ID] = data // the records are newer than the inbox file
 		}
 		return calls, nil
 	}
 }
 
-// replay reads the records of a ledger into a book. Damage is logged.
-func (r *Room) replay(dir string) (*recovery.CallTable, error) {
-	d, err := ledger.OpenReadOnly(filepath.Join(r.options.Ledgers, dir))
+// replay reads the records of a ledger into a table of calls. It logs any damage to the ledger.
+func (p *Room) replay(dir string) (*recovery.CallTable, error) {
+	d, err := ledger.OpenReadOnly(filepath.Join(p.options.Ledgers, dir))
 	if err != nil {
 		return nil, wrap(err)
 	}
-	found, err := ledger.Read(d, "", r.options.Key)
+	contents, err := ledger.Read(d, "", p.options.Key)
 	if err := errors.Join(err, d.Close()); err != nil {
-		return nil, err //nolint:wrapcheck // its error names the path
+		return nil, err //nolint:wrapcheck // the error names the path
 	}
-	book, unreadable := recovery.Replay(found.Records, found.Gaps)
-	if unreadable != nil {
-		found.Damage = append(found.Damage, unreadable.Error())
+	table, decodeErr := recovery.Replay(contents.Records, contents.Gaps)
+	if decodeErr != nil {
+		contents.Damage = append(contents.Damage, decodeErr.Error())
 	}
-	for _, text := range found.Damage {
-		r.log.Error("the ledger of a lost controller is damaged", "ledger", dir, "damage", text)
+	for _, damage := range contents.Damage {
+		p.log.Error("the ledger of a failed controller is damaged", "ledger", dir, "damage", damage)
 	}
-	return book, nil
+	return table, nil
 }
 
-// readInbox reads the files of calls in a ledger's inbox, by id.
-func (r *Room) readInbox(dir string) (map[string][]byte, error) {
+// readInbox returns the contents of the files in a ledger's inbox, by the id of the call.
+func (p *Room) readInbox(dir string) (map[string][]byte, error) {
 	inbox := decide.InboxDir(dir)
-	ids, err := r.files.List(inbox)
+	ids, err := p.files.List(inbox)
 	if err != nil {
 		return nil, err
 	}
 	calls := map[string][]byte{}
 	for _, id := range ids {
-		if calls[id], err = r.files.Read(filepath.Join(inbox, id)); err != nil {
+		if calls[id], err = p.files.Read(filepath.Join(inbox, id)); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/takeover/scan.go
+++ b/internal/takeover/scan.go
@@ -12,78 +12,79 @@
 )
 
 const (
-	// scanInterval is the pause between two scans of the shared directory.
+	// scanInterval is the pause between two scans of the shared directory if it has no ledgers.
 	scanInterval = 50 * time.Millisecond
-	// scanIntervalPerLedger is added for each ledger in it, to bound the load of scanning in a large fleet.
+	// scanIntervalPerLedger is added to the pause for each ledger, to bound the load of the scans in a large fleet.
 	scanIntervalPerLedger = 500 * time.Microsecond
 )
 
-// run scans the shared directory until the context ends or the own ledger is sealed by another controller.
-func (r *Room) run(ctx context.Context) {
-	defer close(r.done)
+// run scans the shared directory until the context is cancelled or another controller has sealed the own ledger.
+func (p *Room) run(ctx context.Context) {
+	defer close(p.done)
 	interval := scanInterval
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.wake:
+		case <-p.wake:
 		case <-time.After(interval):
 		}
-		begun := time.Now()
-		if err := r.options.Still(); err != nil {
+		start := time.Now()
+		if err := p.options.Still(); err != nil {
 			if errors.Is(err, ledger.ErrSealed) {
-				r.options.Taken(err)
+				p.options.Taken(err)
 				return
 			}
-			r.recordFailure(err)
+			p.recordFailure(err)
 			continue
 		}
-		ledgers := r.scan(ctx)
-		r.updateStatus(func(s *Shown) { s.LookMs = time.Since(begun).Milliseconds() })
+		ledgers := p.scan(ctx)
+		p.updateStatus(func(s *Shown) { s.LookMs = time.Since(start).Milliseconds() })
 		interval = scanInterval + time.Duration(ledgers)*scanIntervalPerLedger
 	}
 }
 
-// scan does all that is due in the shared directory, and returns the number of ledgers there.
-func (r *Room) scan(ctx context.Context) int {
-	r.writeOwner()
-	r.acknowledgePersisted()
-	r.transferCalls()
-	r.recoverInbox()
-	names, err := r.files.List(".")
-	r.recordFailure(err)
+// scan performs all steps of the protocol that are due in the shared directory, and returns the number of ledgers there.
+func (p *Room) scan(ctx context.Context) int {
+	p.writeOwner()
+	p.acknowledgePersisted()
+	p.transferCalls()
+	p.recoverInbox()
+	names, err := p.files.List(".")
+	p.recordFailure(err)
 	names = slices.DeleteFunc(names, func(n string) bool { return strings.HasPrefix(n, ".") })
-	others := slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == r.options.Name })
-	r.sealFailed(others)
-	sealed, err := decide.SealedLedgers(r.files)
-	r.recordFailure(err)
-	sealed = r.reclaimFailed(sealed)
+	others := slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == p.options.Name })
+	p.sealFailed(others)
+	sealed, err := decide.SealedLedgers(p.files)
+	p.recordFailure(err)
+	sealed = p.reclaimFailed(sealed)
 	holders := len(others)
 	for _, s := range sealed {
 		if s.Number != transferNumber {
 			holders++
 		}
-		if s.Claimant == r.options.Name && ctx.Err() == nil {
-			r.processSealed(s)
+		if s.Claimant == p.options.Name && ctx.Err() == nil {
+			p.processSealed(s)
 		}
 	}
-	r.resolveLookups(holders, others, slices.ContainsFunc(sealed, r.notUnpacked))
-	r.exchangeTerminations()
-	r.answerQueries()
+	p.resolveLookups(holders, others, slices.ContainsFunc(sealed, p.notUnpacked))
+	p.exchangeTerminations()
+	p.answerQueries()
 	return len(names) + len(sealed)
 }
 
 // notUnpacked reports whether a sealed ledger may hold calls that are not unpacked yet.
-func (r *Room) notUnpacked(s decide.SealedLedger) bool {
-	_, unpacked, err := decide.UnclaimedCalls(r.files, s)
+func (p *Room) notUnpacked(s decide.SealedLedger) bool {
+	_, unpacked, err := decide.UnclaimedCalls(p.files, s)
 	return err != nil || !unpacked
 }
 
-// recordFailure counts and logs an error of the shared directory. ErrNotFound is none: another process was quicker.
-func (r *Room) recordFailure(err error) {
+// recordFailure counts and logs a failed operation on the shared directory. It ignores ErrNotFound, which means that another process has moved
+// or removed the file first.
+func (p *Room) recordFailure(err error) {
 	if err == nil || errors.Is(err, decide.ErrNotFound) {
 		return
 	}
-	r.updateStatus(func(s *Shown) { s.Failed++ })
-	r.log.Error("the directory of the fleet's ledgers", "err", err)
+	p.updateStatus(func(s *Shown) { s.Failed++ })
+	p.log.Error("an operation on the shared directory of ledgers failed", "err", err)
 }
--- a/internal/takeover/seal.go
+++ b/internal/takeover/seal.go
@@ -13,137 +13,140 @@
 )
 
 const (
-	// settledLeases is how many leases a process must have been certain of its name before it seals the ledger of an owner that may live.
-	settledLeases = 2
-	// liveOwnerSuffix ends the number of a sealed ledger whose owner may live.
+	// minLeasesHeld is the time, in TTLs of a lease, for which a process must have held its lease before it seals the ledger of an owner whose
+	// process may be alive.
+	minLeasesHeld = 2
+	// liveOwnerSuffix ends the number of a sealed ledger whose owner's process may be alive.
 	liveOwnerSuffix = "h"
 )
 
-// writeOwner writes the own incarnation beside the own ledger, for others to judge whether its owner lives while the lock is held.
-func (r *Room) writeOwner() {
-	if r.options.Certain == nil {
+// writeOwner writes the own incarnation into the directory of the own ledger. While the ledger is locked, other controllers use it to decide
+// whether the owner is alive.
+func (p *Room) writeOwner() {
+	if p.options.Certain == nil {
 		return
 	}
-	incarnation, certain := r.options.Certain()
-	if !certain {
-		r.certainSince = r.now()
+	incarnation, held := p.options.Certain()
+	if !held {
+		p.heldSince = p.now()
 	}
-	if !certain || incarnation == r.incarnation {
+	if !held || incarnation == p.incarnation {
 		return
 	}
-	r.certainSince = r.now()
-	text, err := json.Marshal(incarnation)
+	p.heldSince = p.now()
+	data, err := json.Marshal(incarnation)
 	if err == nil {
-		err = r.files.replace(filepath.Join(r.options.Name, OwnerName), text)
+		err = p.files.replace(filepath.Join(p.options.Name, OwnerName), data)
 	}
 	if err != nil {
-		r.recordFailure(err)
+		p.recordFailure(err)
 		return
 	}
-	r.incarnation = incarnation
+	p.incarnation = incarnation
 }
 
-// observe reads the state of another controller's ledger.
-func (r *Room) observe(name string) decide.Observation {
+// observe returns the state of another controller's ledger.
+func (p *Room) observe(name string) decide.Observation {
 	o := decide.Observation{Name: name}
 	var err error
-	if o.Locked, err = ledger.IsLocked(filepath.Join(r.options.Ledgers, name)); err != nil {
-		r.recordFailure(err)
-		o.Locked = true // nothing is known of it
+	if o.Locked, err = ledger.IsLocked(filepath.Join(p.options.Ledgers, name)); err != nil {
+		p.recordFailure(err)
+		o.Locked = true // its state is unknown: it may be locked
 	}
 	if o.Locked {
-		if text, err := r.files.Read(filepath.Join(name, OwnerName)); err == nil {
-			_ = json.Unmarshal(text, &o.Owner) // a damaged file says nothing
+		if data, err := p.files.Read(filepath.Join(name, OwnerName)); err == nil {
+			_ = json.Unmarshal(data, &o.Owner) // without a valid file, the incarnation of the owner is unknown
 		}
 	}
 	return o
 }
 
-func (r *Room) observeAll(names []string) []decide.Observation {
+// observeAll returns the states of the ledgers of the named controllers.
+func (p *Room) observeAll(names []string) []decide.Observation {
 	var all []decide.Observation
 	for _, name := range names {
-		all = append(all, r.observe(name))
+		all = append(all, p.observe(name))
 	}
 	return all
 }
 
-// noMembership knows of no incarnation that has ended.
+// noMembership is a Membership that reports no incarnation as ended.
 type noMembership struct{}
 
 func (noMembership) HasEnded(string, decide.IncarnationID) bool { return false }
 
-// membership is the fleet's, once this process has held its lease for long enough.
-func (r *Room) membership() decide.Membership {
-	// A store that was lost for long has ended everybody's lease: the first process to return must not seal the ledgers of others that
-	// are about to return.
-	if r.options.Fleet == nil || r.incarnation == (decide.IncarnationID{}) || r.now()-r.certainSince < settledLeases*r.options.Lease {
+// membership returns the membership of the fleet once this process has held its lease for long enough, and noMembership until then.
+func (p *Room) membership() decide.Membership {
+	// All leases expire during a long outage of the store. The first process that holds a lease again must not seal the ledgers of the others,
+	// which are about to rejoin.
+	if p.options.Fleet == nil || p.incarnation == (decide.IncarnationID{}) || p.now()-p.heldSince < minLeasesHeld*p.options.Lease {
 		return noMembership{}
 	}
-	return r.options.Fleet
+	return p.options.Fleet
 }
 
-// newNumber returns a number for a sealed ledger.
+// newNumber returns a number for a sealed ledger, unique among those of the same name.
 func newNumber() string { return strconv.FormatInt(time.Now().UnixNano(), 16) }
 
 // sealFailed seals and unpacks the ledgers of failed controllers.
-func (r *Room) sealFailed(others []string) {
-	for _, failed := range r.owners.ReadyToSeal(r.now(), r.observeAll(others), r.membership()) {
+func (p *Room) sealFailed(others []string) {
+	for _, failed := range p.owners.ReadyToSeal(p.now(), p.observeAll(others), p.membership()) {
 		number := newNumber()
 		if failed.Locked {
 			number += liveOwnerSuffix
 		}
-		begun := time.Now()
-		s, err := decide.Seal(r.files, failed.Name, number, r.options.Name)
+		start := time.Now()
+		s, err := decide.Seal(p.files, failed.Name, number, p.options.Name)
 		if err != nil {
-			r.recordFailure(err)
+			p.recordFailure(err)
 			continue
 		}
-		r.updateStatus(func(s *Shown) { s.Sealed++ })
-		r.unpack(s, begun, "")
+		p.updateStatus(func(s *Shown) { s.Sealed++ })
+		p.unpack(s, start, "")
 	}
 }
 
-// reclaimFailed takes over the sealed ledgers of claimants that have failed as well, and returns all sealed ledgers as they are then.
-func (r *Room) reclaimFailed(sealed []decide.SealedLedger) []decide.SealedLedger {
+// reclaimFailed claims the sealed ledgers of claimants that have failed, and returns all sealed ledgers with their claimants updated.
+func (p *Room) reclaimFailed(sealed []decide.SealedLedger) []decide.SealedLedger {
 	var names []string
 	for _, s := range sealed {
-		if s.Claimant != r.options.Name && !slices.Contains(names, s.Claimant) {
+		if s.Claimant != p.options.Name && !slices.Contains(names, s.Claimant) {
 			names = append(names, s.Claimant)
 		}
 	}
-	failed := r.claimants.ReadyToSeal(r.now(), r.observeAll(names), r.membership())
+	failed := p.claimants.ReadyToSeal(p.now(), p.observeAll(names), p.membership())
 	for i, s := range sealed {
 		if !slices.ContainsFunc(failed, func(o decide.Observation) bool { return o.Name == s.Claimant }) {
 			continue
 		}
 		number := s.Number
-		if number == transferNumber { // it becomes an ordinary sealed ledger: this controller has a transfer ledger of its own
+		if number == transferNumber { // gets a number of its own: the reclaiming controller has its own transfer ledger
 			number = newNumber()
 		}
-		begun := time.Now()
-		reclaimed, err := decide.ReclaimAs(r.files, s, number, r.options.Name)
+		start := time.Now()
+		reclaimed, err := decide.ReclaimAs(p.files, s, number, p.options.Name)
 		if err != nil {
-			r.recordFailure(err)
+			p.recordFailure(err)
 			continue
 		}
 		sealed[i] = reclaimed
-		r.unpack(reclaimed, begun, s.Claimant)
+		p.unpack(reclaimed, start, s.Claimant)
 	}
 	return sealed
 }
 
-// unpack writes the calls of a sealed ledger to files, one each. The previous claimant is empty for a ledger that was just sealed.
-func (r *Room) unpack(s decide.SealedLedger, begun time.Time, previous string) {
+// unpack writes each call of a sealed ledger to a file of its own. The previous claimant is empty for a ledger that was just sealed.
+func (p *Room) unpack(s decide.SealedLedger, start time.Time, previous string) {
 	ownerMayLive := strings.HasSuffix(s.Number, liveOwnerSuffix)
-	if err := decide.Unpack(r.files, s, r.readLedger(ownerMayLive)); err != nil {
-		r.recordFailure(err)
+	if err := decide.Unpack(p.files, s, p.readLedger(ownerMayLive)); err != nil {
+		p.recordFailure(err)
 		return
 	}
-	ids, _, err := decide.UnclaimedCalls(r.files, s)
-	r.recordFailure(err)
-	r.unpackedAt[s] = r.now()
-	took := time.Since(begun)
-	r.addTakeover(Told{At: begun, Name: s.Name, Held: ownerMayLive, Calls: len(ids), TookMs: took.Milliseconds(), From: previous})
-	r.log.Warn("the ledger of a lost controller is taken over",
+	ids, _, err := decide.UnclaimedCalls(p.files, s)
+	p.recordFailure(err)
+	p.unpackedAt[s] = p.now()
+	took := time.Since(start)
+	p.addTakeover(Told{At: start, Name: s.Name, Held: ownerMayLive, Calls: len(ids), TookMs: took.Milliseconds(), From: previous})
+	p.log.Warn("the ledger of a lost controller is taken over",
 		"lost", s.Name, "calls", len(ids), "owner_may_live", ownerMayLive, "took", took, "from", previous)
 }
--- a/internal/takeover/status.go
+++ b/internal/takeover/status.go
@@ -9,66 +9,68 @@
 	"cherryrelay/internal/telemetry"
 )
 
-// Path is the operators' page of takeovers.
+// Path is the path of the operators' page of takeovers.
 const Path = "/api/fleet/takeovers"
 
-// maxTakeovers bounds the takeovers on the operators' page, the latest.
+// maxTakeovers bounds the takeovers on the operators' page, which shows the latest ones.
 const maxTakeovers = 256
 
-// Told is one takeover on the operators' page.
+// Told describes a takeover on the operators' page.
 type Told struct {
-	At     time.Time `json:"at"`
-	Name   string    `json:"name"`
-	Held   bool      `json:"held"` // its owner's process may live
-	Calls  int       `json:"calls"`
-	TookMs int64     `json:"took_ms"`        // until its calls were unpacked
-	From   string    `json:"from,omitempty"` // the claimant that failed before
+	At     time.Time `json:"at"`             // start of the takeover
+	Name   string    `json:"name"`           // controller whose ledger was taken over
+	Held   bool      `json:"held"`           // whether the owner's process may be alive
+	Calls  int       `json:"calls"`          // number of calls in the ledger that were unpacked
+	TookMs int64     `json:"took_ms"`        // time until the calls were unpacked
+	From   string    `json:"from,omitempty"` // previous claimant, which has failed too; empty for a newly sealed ledger
 }
 
-// Shown is the operators' page. Counters start with the process.
+// Shown is the operators' page of takeovers. Its counts start at zero with the process.
 type Shown struct {
-	Sealed  uint64 `json:"sealed"`  // ledgers of failed controllers that this one sealed
-	Found   uint64 `json:"found"`   // calls claimed for callers that came back
-	Left    uint64 `json:"left"`    // calls that no caller came back for, claimed by the claimant of their ledger
-	Given   uint64 `json:"given"`   // calls transferred to other controllers, whose callers had come back there
-	Unknown uint64 `json:"unknown"` // lookups that found nothing
-	Ends    uint64 `json:"ends"`    // ends reported here of calls held elsewhere
+	Sealed  uint64 `json:"sealed"`  // ledgers of failed controllers that this controller sealed
+	Found   uint64 `json:"found"`   // calls claimed because their callers resumed them here
+	Left    uint64 `json:"left"`    // calls that no caller resumed in time, claimed from the ledgers that this controller claimed
+	Given   uint64 `json:"given"`   // calls transferred to other controllers, because their callers resumed them there
+	Unknown uint64 `json:"unknown"` // lookups that did not find their call
+	Ends    uint64 `json:"ends"`    // ends reported here of calls that are not held here
 	Failed  uint64 `json:"failed"`  // failed operations on the shared directory
 	Waiting int    `json:"waiting"` // pending lookups
 	LookMs  int64  `json:"look_ms"` // duration of the last scan
 	Told    []Told `json:"takeovers"`
 }
 
-func (r *Room) updateStatus(update func(*Shown)) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	update(&r.status)
+// updateStatus applies an update to the status under the lock.
+func (p *Room) updateStatus(update func(*Shown)) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	update(&p.status)
 }
 
-func (r *Room) addTakeover(t Told) {
-	r.updateStatus(func(s *Shown) {
+// addTakeover appends a takeover to the status, which keeps the latest maxTakeovers.
+func (p *Room) addTakeover(t Told) {
+	p.updateStatus(func(s *Shown) {
 		latest := s.Told[max(len(s.Told)-maxTakeovers+1, 0):]
 		s.Told = append(latest, t)
 	})
 }
 
-// Show returns what this controller has taken over.
-func (r *Room) Show() Shown {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	s := r.status
+// Show returns the page of takeovers.
+func (p *Room) Show() Shown {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	s := p.status
 	s.Told = append([]Told{}, s.Told...)
 	return s
 }
 
-// Pages are the operators' pages, by path.
-func (r *Room) Pages() map[string]func(url.Values) (any, error) {
-	return map[string]func(url.Values) (any, error){Path: func(url.Values) (any, error) { return r.Show(), nil }}
+// Pages returns the handlers of the operators' pages, by path.
+func (p *Room) Pages() map[string]func(url.Values) (any, error) {
+	return map[string]func(url.Values) (any, error){Path: func(url.Values) (any, error) { return p.Show(), nil }}
 }
 
-// Figures are the metrics of takeovers.
-func (r *Room) Figures() []*dto.MetricFamily {
-	s := r.Show()
+// Figures returns the metrics of takeovers.
+func (p *Room) Figures() []*dto.MetricFamily {
+	s := p.Show()
 	calls := map[string]uint64{"found": s.Found, "left": s.Left, "given": s.Given, "unknown": s.Unknown}
 	return []*dto.MetricFamily{
 		telemetry.Counter("takeover_ledgers_total", "Ledgers of lost controllers that this one took.", s.Sealed),
--- a/internal/takeover/terminations.go
+++ b/internal/takeover/terminations.go
@@ -9,65 +9,69 @@
 	decide "cherryrelay/internal/decide/takeover"
 )
 
-// terminationTTL is how long a termination file is kept for the holder of the call: as long as a call that has ended is remembered.
+// terminationTTL is how long a termination file is kept for the holder of the call. Terminated calls are retained for the same time.
 const terminationTTL = recovery.RetentionPeriod
 
-// exchangeTerminations publishes the ends reported here of calls that other controllers hold, and delivers those that they published.
-func (r *Room) exchangeTerminations() {
-	r.publishTerminations()
-	r.expireTerminations()
-	if published := r.readTerminations(); len(published) > 0 {
-		r.options.Post(func() {
-			if held := r.core.ApplyRemoteEnds(published); len(held) > 0 {
-				go r.removeTerminations(held) // the event loop does no I/O
+// exchangeTerminations publishes the ends of calls that are not held here, and passes the published ends to the core, which applies those of the
+// calls that it holds.
+func (p *Room) exchangeTerminations() {
+	p.publishTerminations()
+	p.expireTerminations()
+	if published := p.readTerminations(); len(published) > 0 {
+		p.options.Post(func() {
+			if held := p.core.ApplyRemoteEnds(published); len(held) > 0 {
+				go p.removeTerminations(held) // the event loop does no I/O
 			}
 		})
 	}
 }
 
-func (r *Room) publishTerminations() {
-	r.mu.Lock()
-	terminations := r.terminations
-	r.terminations = map[string]int{}
-	r.status.Ends += uint64(len(terminations))
-	r.mu.Unlock()
+// publishTerminations writes a termination file for each end reported with Terminated.
+func (p *Room) publishTerminations() {
+	p.mu.Lock()
+	terminations := p.terminations
+	p.terminations = map[string]int{}
+	p.status.Ends += uint64(len(terminations))
+	p.mu.Unlock()
 	for id, cause := range terminations {
-		if err := r.files.replace(filepath.Join(decide.TerminationsDir, id), []byte(strconv.Itoa(cause))); err != nil {
-			r.recordFailure(err)
+		if err := p.files.replace(filepath.Join(decide.TerminationsDir, id), []byte(strconv.Itoa(cause))); err != nil {
+			p.recordFailure(err)
 			continue
 		}
-		r.terminatedAt[id] = r.now()
+		p.terminatedAt[id] = p.now()
 	}
 }
 
-func (r *Room) expireTerminations() {
-	for id, at := range r.terminatedAt {
-		if r.now()-at > terminationTTL {
-			delete(r.terminatedAt, id)
-			r.recordFailure(r.files.Remove(filepath.Join(decide.TerminationsDir, id)))
+// expireTerminations removes the termination files of this controller that are older than terminationTTL.
+func (p *Room) expireTerminations() {
+	for id, at := range p.terminatedAt {
+		if p.now()-at > terminationTTL {
+			delete(p.terminatedAt, id)
+			p.recordFailure(p.files.Remove(filepath.Join(decide.TerminationsDir, id)))
 		}
 	}
 }
 
 // readTerminations returns the causes of all published ends, by the id of the call.
-func (r *Room) readTerminations() map[string]int {
-	ids, err := r.files.List(decide.TerminationsDir)
-	r.recordFailure(err)
+func (p *Room) readTerminations() map[string]int {
+	ids, err := p.files.List(decide.TerminationsDir)
+	p.recordFailure(err)
 	causes := map[string]int{}
 	for _, id := range ids {
-		text, err := r.files.Read(filepath.Join(decide.TerminationsDir, id))
+		data, err := p.files.Read(filepath.Join(decide.TerminationsDir, id))
 		if err != nil || strings.HasSuffix(id, partialSuffix) {
 			continue
 		}
-		if cause, err := strconv.Atoi(string(text)); err == nil {
+		if cause, err := strconv.Atoi(string(data)); err == nil {
 			causes[id] = cause
 		}
 	}
 	return causes
 }
 
-func (r *Room) removeTerminations(ids []string) {
+// removeTerminations removes the termination files of calls whose ends have been applied.
+func (p *Room) removeTerminations(ids []string) {
 	for _, id := range ids {
-		_ = r.files.Remove(filepath.Join(decide.TerminationsDir, id)) // its publisher removes it otherwise
+		_ = p.files.Remove(filepath.Join(decide.TerminationsDir, id)) // on failure, its publisher removes it later
 	}
 }
--- a/internal/takeover/transfer.go
+++ b/internal/takeover/transfer.go
@@ -6,23 +6,24 @@
 	decide "cherryrelay/internal/decide/takeover"
 )
 
-// transferCalls writes the files of outgoing calls, and makes those claimable that have left the own ledger.
-func (r *Room) transferCalls() {
-	r.mu.Lock()
-	outgoing, released := r.outgoing, r.released
-	r.outgoing, r.released = map[string][]byte{}, nil
-	r.mu.Unlock()
-	for id, text := range outgoing {
-		r.inbox[id] = true
-		if err := r.files.Write(filepath.Join(decide.InboxDir(r.options.Name), id), text); err != nil {
-			r.recordFailure(err)
+// transferCalls writes the files of outgoing calls to the own inbox, and moves the calls that are removed from the own ledger to the transfer
+// ledger, where other controllers may claim them.
+func (p *Room) transferCalls() {
+	p.mu.Lock()
+	outgoing, transferred := p.outgoing, p.transferred
+	p.outgoing, p.transferred = map[string][]byte{}, nil
+	p.mu.Unlock()
+	for id, data := range outgoing {
+		p.inbox[id] = true
+		if err := p.files.Write(filepath.Join(decide.InboxDir(p.options.Name), id), data); err != nil {
+			p.recordFailure(err)
 			continue
 		}
-		r.options.Post(func() { r.core.TransferWritten(id) })
+		p.options.Post(func() { p.core.TransferWritten(id) })
 	}
-	for _, id := range released {
-		r.recordFailure(decide.TransferCall(r.files, r.transferLedger(), id))
-		delete(r.inbox, id)
+	for _, id := range transferred {
+		p.recordFailure(decide.TransferCall(p.files, p.transferLedger(), id))
+		delete(p.inbox, id)
 	}
-	r.updateStatus(func(s *Shown) { s.Given += uint64(len(released)) })
+	p.updateStatus(func(s *Shown) { s.Given += uint64(len(transferred)) })
 }
