--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// Last queues a message and waits while the queue is full, unless the connection is closed. It is for the messages before Finish, which may
-// exceed the capacity of the queue.
+// Last queues a message and waits while the queue is full, unless the connection is closed. It is for the messages before Finish, which
+// may exceed the capacity of the queue.
 func (p *Peer) Last(m Message) {
 	select {
 	case <-p.done:
@@ -164,8 +164,8 @@
 	}
 }
 
-// Ask requests the listening sockets of the process that serves at a path, and returns them by their addresses. The error matches fs.ErrNotExist
-// or ECONNREFUSED if there is no such process, and ErrBusy if that process has a successor already.
+// Ask requests the listening sockets of the process that serves at a path, and returns them by their addresses. The error matches
+// fs.ErrNotExist or ECONNREFUSED if there is no such process, and ErrBusy if that process has a successor already.
 func Ask(path string) (_ *Peer, _ map[string]*net.TCPListener, err error) {
 	nc, err := dial(path)
 	if err != nil {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -32,7 +32,7 @@
 	maxOwnLeases = 16
 )
 
-// Options configure a Fleet.
+// Options are the settings for Start.
 type Options struct {
 	Name    string        // of this controller
 	Address string        // on which the controller accepts calls; shown to operators
--- a/internal/takeover/participant.go
+++ b/internal/takeover/participant.go
@@ -37,7 +37,7 @@
 	TransferWritten(id string)
 }
 
-// Options configure a Room.
+// Options are the settings and callbacks for Open.
 type Options struct {
 	Ledgers string        // path of the shared directory
 	Name    string        // of this controller and its ledger
@@ -51,8 +51,8 @@
 	Fleet   decide.Membership // nil without a fleet
 }
 
-// Room takes part in the failover of calls on behalf of one controller. Its exported methods may be called from any goroutine; except for Close,
-// they do not wait for the disk.
+// Room takes part in the failover of calls on behalf of one controller. Its exported methods may be called from any goroutine; except for
+// Close, they do not wait for the disk.
 type Room struct {
 	options Options
 	core    Core
--- a/internal/takeover/participant_test.go
+++ b/internal/takeover/participant_test.go
@@ -61,10 +61,7 @@
 		}
 	}
 }
-func (c *core) TransferWritten(id string) {
-	c.record("transfer written %s", id)
-	c.participant.Transferred(id)
-}
+func (c *core) TransferWritten(id string) { c.record("written %s", id); c.participant.Transferred(id) }
 
 // results returns the results that the cores have received so far.
 func results(cores ...*core) (all []string) {
@@ -209,7 +206,7 @@
 	a, _ := startController(t, dir, "a", nil, "01", "02")
 	b, _ := startController(t, dir, "bb", nil)
 	b.participant.Lookup("01", recovery.HashToken("t"))
-	a.await(t, "transfer written 01")
+	a.await(t, "written 01")
 	b.await(t, "received 01, cause -1, owner may live false")
 	b.participant.Terminated("02", 16)
 	a.await(t, "ended elsewhere 02, cause 16")
--- a/internal/takeover/queries_test.go
+++ b/internal/takeover/queries_test.go
@@ -37,7 +37,7 @@
 	if err := os.WriteFile(query, []byte(hex.EncodeToString(recovery.HashToken("t"))), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	a.await(t, "transfer written 01")                         // no other controller claims it
+	a.await(t, "written 01")                                  // no other controller claims it
 	a.await(t, "received 01, cause -1, owner may live false") // its previous holder claims it again
 	awaitFile(t, query, false)
 }
