--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -74,7 +74,7 @@
 	return f
 }
 
-// Close leaves the fleet. It revokes the lease and waits for the store to do so, but no longer than revokeTimeout.
+// Close leaves the fleet. It revokes the lease, and waits at most revokeTimeout for the store to do so.
 func (f *Fleet) Close() {
 	f.cancel()
 	<-f.done
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -16,7 +16,7 @@
 	"cherryrelay/internal/store"
 )
 
-// startFleet starts n members in this process, each with a client of its own, and waits deadline each holds its lease and sees all members.
+// startFleet starts n members in this process, each with a client of its own, and waits until each holds its lease and sees all members.
 func startFleet(t *testing.T, s *store.Store, address string, n int, lease time.Duration) []*Fleet {
 	t.Helper()
 	var all []*Fleet
@@ -85,6 +85,7 @@
 	}
 }
 
+// TestSoakMembers measures the idle load for fleets of different sizes.
 func TestSoakMembers(t *testing.T) {
 	if os.Getenv("CHERRYRELAY_SOAK") == "" {
 		t.Skip("runs with make soak only")
