--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads what a call controller is told at its start.
+// Package config reads and checks the configuration of a call controller.
 package config
 
 import (
@@ -19,11 +19,11 @@
 	"cherryrelay/internal/settings"
 )
 
-// Config is the object in the file that LB_CONFIG names, with what the operator's file adds to it.
+// Config is the JSON object in the file that LB_CONFIG names, extended by the operator's file that LB_OPERATOR names.
 type Config struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
-	// Management is the address for operators; without one there is none.
+	// Management is the host:port of the management interface, which is off if it is empty.
 	Management string `json:"management" need:"optional"`
 	Seed       string `json:"seed" need:"platform"`
 	Limits     struct {
@@ -38,13 +38,13 @@
 	Settings *settings.Settings `json:"settings"`
 	Operator
 
-	keys map[string]bool // of the files
+	keys map[string]bool // paths of the keys that the files set
 }
 
 var api = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// Read takes the configuration from the environment, as os.Getenv gives it, and the files it names: LB_CONFIG the
-// platform's, LB_OPERATOR an operator's, of which one is enough.
+// Read reads the configuration from the environment, which getenv returns like os.Getenv, and from the files that it names:
+// the platform's in LB_CONFIG and an operator's in LB_OPERATOR. One of the two is enough.
 func Read(getenv func(string) string) (*Config, error) {
 	c := &Config{keys: map[string]bool{}}
 	path, operator := getenv("LB_CONFIG"), getenv("LB_OPERATOR")
@@ -55,9 +55,9 @@
 		if err := c.readPlatform(path); err != nil {
 			return nil, err
 		}
-		c.Operator = Operator{} // the second front is off on the platform
-		if lost := missing(reflect.TypeFor[Config](), "", c.keys, true); lost != "" {
-			return nil, fmt.Errorf("configuration %s: %s is missing", path, lost)
+		c.Operator = Operator{} // the platform's file cannot enable the options of an operator
+		if key := missingKey(reflect.TypeFor[Config](), "", c.keys, true); key != "" {
+			return nil, fmt.Errorf("configuration %s: %s is missing", path, key)
 		}
 	}
 	if operator != "" {
@@ -69,8 +69,8 @@
 		if err := c.readOperator(path, text); err != nil {
 			return nil, err
 		}
-		if lost := missing(reflect.TypeFor[Config](), "", c.keys, false); lost != "" {
-			return nil, fmt.Errorf("configuration %s: %s is missing", path, lost)
+		if key := missingKey(reflect.TypeFor[Config](), "", c.keys, false); key != "" {
+			return nil, fmt.Errorf("configuration %s: %s is missing", path, key)
 		}
 	}
 	if name := getenv("LB_NAME"); name != "" {
@@ -90,7 +90,7 @@
 
 // readPlatform reads the platform's file, which is JSON.
 func (c *Config) readPlatform(path string) error {
-	var all map[string]any
+	var object map[string]any
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
@@ -98,32 +98,33 @@
 	if err := api.Unmarshal(text, c); err != nil {
 		return fmt.Errorf("configuration %s: %s", path, oneLine(err))
 	}
-	if err := api.Unmarshal(text, &all); err != nil {
+	if err := api.Unmarshal(text, &object); err != nil {
 		return fmt.Errorf("configuration %s: %s", path, oneLine(err))
 	}
-	maps.Copy(c.keys, keys(all))
+	maps.Copy(c.keys, keyPaths(object))
 	return nil
 }
 
-// oneLine cuts the decoder's excerpt of the file, which may run over lines.
+// oneLine returns the text of a decoder's error without its excerpt of the file, which may span several lines.
 func oneLine(err error) string {
 	text, _, _ := strings.Cut(err.Error(), ", error found in")
 	return strings.Join(strings.Fields(text), " ")
 }
 
-func address(key, value string) error {
+// checkAddress returns an error that names the key if its value is not a host:port.
+func checkAddress(key, value string) error {
 	if _, port, err := net.SplitHostPort(value); err != nil || port == "" {
-		return fmt.Errorf("%s: %q is no host:port", key, value)
+		return fmt.Errorf("%s: %q is not a host:port", key, value)
 	}
 	return nil
 }
 
 func (c *Config) check() error {
-	if err := address("listen", c.Listen); err != nil {
+	if err := checkAddress("listen", c.Listen); err != nil {
 		return err
 	}
 	if c.Management != "" {
-		if err := address("management", c.Management); err != nil {
+		if err := checkAddress("management", c.Management); err != nil {
 			return err
 		}
 	}
@@ -131,10 +132,10 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	if c.Limits.MemoryMB < 0 || c.Limits.Sockets < 0 {
-		return errors.New("limits: a limit is below 0")
+		return errors.New("limits: memory_mb and sockets must not be negative")
 	}
 	if c.Coordinator != "" {
-		if err := address("coordinator", c.Coordinator); err != nil {
+		if err := checkAddress("coordinator", c.Coordinator); err != nil {
 			return err
 		}
 	}
@@ -151,34 +152,34 @@
 			return err
 		}
 	}
-	if n := c.sources(); n > 1 {
-		return errors.New("more than one of coordinator, etcd and pool are named: there can be one list")
+	if n := c.listSources(); n > 1 {
+		return errors.New("more than one of coordinator, etcd and pool is configured: only one list of dispatchers is possible")
 	}
 	_, err := c.SeedNumber()
 	return err
 }
 
-// sources is how many lists of dispatchers are named.
-func (c *Config) sources() int {
+// listSources returns how many lists of dispatchers are configured.
+func (c *Config) listSources() int {
 	n := 0
-	for _, named := range []bool{c.Coordinator != "", c.Etcd != nil, c.Pool != nil} {
-		if named {
+	for _, configured := range []bool{c.Coordinator != "", c.Etcd != nil, c.Pool != nil} {
+		if configured {
 			n++
 		}
 	}
 	return n
 }
 
-// SeedNumber is the seed, written in hex; without one it is drawn.
+// SeedNumber parses the seed, a hexadecimal number. Without a configured seed, it returns a random one.
 func (c *Config) SeedNumber() (uint64, error) {
 	if c.Seed == "" {
 		var raw [8]byte
-		_, _ = rand.Read(raw[:]) // it never fails: crypto/rand ends the program instead
+		_, _ = rand.Read(raw[:]) // it returns no error: crypto/rand ends the program instead
 		return binary.BigEndian.Uint64(raw[:]), nil
 	}
 	n, err := strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil {
-		return 0, fmt.Errorf("seed: %q is no hex number of 64 bits", c.Seed)
+		return 0, fmt.Errorf("seed: %q is not a hexadecimal number of at most 64 bits", c.Seed)
 	}
 	return n, nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,39 +11,40 @@
 	"cherryrelay/internal/lists/files"
 )
 
-// The repository's own files must always start a controller.
+// Configuration files of the repository. A controller must be able to start with each of them.
 const (
-	platform = "../../example/config.json"
-	gateway  = "../../deploy/gateway.ini"
-	api2     = "../../example/websocket.ini"
+	platformFile  = "../../example/config.json"
+	gatewayFile   = "../../deploy/gateway.ini"
+	webSocketFile = "../../example/websocket.ini"
 )
 
-func TestTheRepositorysFiles(t *testing.T) {
+func TestRepositoryFiles(t *testing.T) {
 	for name, env := range map[string]map[string]string{
-		"platform":             {"LB_CONFIG": platform, "LB_NAME": "n3", "LB_LISTEN": "127.0.0.9:1"},
-		"gateway":              {"LB_OPERATOR": gateway},
-		"platform with an API": {"LB_CONFIG": platform, "LB_OPERATOR": api2},
+		"platform":             {"LB_CONFIG": platformFile, "LB_NAME": "n3", "LB_LISTEN": "127.0.0.9:1"},
+		"gateway":              {"LB_OPERATOR": gatewayFile},
+		"platform with an API": {"LB_CONFIG": platformFile, "LB_OPERATOR": webSocketFile},
 	} {
 		c, err := Read(func(key string) string { return env[key] })
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		if on := c.WebSocket != nil; on != (env["LB_OPERATOR"] != "") {
-			t.Errorf("%s: API on: %v", name, on)
+		if enabled := c.WebSocket != nil; enabled != (env["LB_OPERATOR"] != "") {
+			t.Errorf("%s: call-control API enabled: %v", name, enabled)
 		}
 		if env["LB_NAME"] != "" && (c.Name != "n3" || c.Listen != "127.0.0.9:1") {
-			t.Errorf("%s: name %q at %q", name, c.Name, c.Listen)
+			t.Errorf("%s: name %q, address %q", name, c.Name, c.Listen)
 		}
 	}
 }
 
-func TestBadConfigurationIsOnePlainLine(t *testing.T) {
-	whole, err := os.ReadFile(platform)
+// TestInvalidConfigurationIsReportedInOneLine checks that the error for each fault is a single line that names the key.
+func TestInvalidConfigurationIsReportedInOneLine(t *testing.T) {
+	whole, err := os.ReadFile(platformFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	operator, err := os.ReadFile(gateway)
+	operator, err := os.ReadFile(gatewayFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,19 +67,19 @@
 		{"o", "peersTotal", "peers", `line 23: unknown key "peers"`},
 		{"o", "peersTotal = 5\n", "", "settings.peersTotal is missing"},
 		{"o", "aimUs = 1500000\n", "", "line 48: [class send-setup] lacks the key aimUs"},
-		{"o", "aimUs = 1500000", "aimUs = soon", `line 49: aimUs: "soon" is no whole number`},
+		{"o", "aimUs = 1500000", "aimUs = soon", `line 49: aimUs: "soon" is not a whole number`},
 		{"o", "mayCancel = true", "mayCancel = perhaps", `line 30: mayCancel: "perhaps" is neither true nor false`},
-		{"o", "worth = 1", "worth = NaN", `line 51: worth: "NaN" is no number`},
+		{"o", "worth = 1", "worth = NaN", `line 51: worth: "NaN" is not a number`},
 		{"o", "path = /v1/calls", "path = v1", "websocket.path"},
 		{"o", "[websocket]", "[websockets]", "line 13: unknown section [websockets]"},
-		{"o", "[limits]", "[controller]", "line 9: section [controller] stands in line 4, too"},
+		{"o", "[limits]", "[controller]", "line 9: section [controller] is already defined in line 4"},
 		{"o", "[limits]", "[known]", "unknown section [known]"},
 		{"o", "[class send-setup]", "[class]", "lacks a name"},
 		{"o", "memory_mb", "settings", `unknown key "settings"`},
 		{"o", "127.0.0.1:2379", "", "endpoints"},
 		{"o", "/cherryrelay/dispatchers/", "", "prefix"},
-		{"o", "[etcd]", "[pool]\nfile = x\n[etcd]", "there can be one list"},
-		{"o", "[etcd]", "[pool]\n[etcd]", "no file is named"},
+		{"o", "[etcd]", "[pool]\nfile = x\n[etcd]", "only one list of dispatchers"},
+		{"o", "[etcd]", "[pool]\n[etcd]", "no file is given"},
 		{"o", "[etcd]", "[state]\ndirectory = nowhere\n[etcd]", "state.directory"},
 		{"o", "[etcd]", "[log]\nformat = xml\n[etcd]", "log.format"},
 		{"o", "[etcd]", "[log]\nlevel = loud\n[etcd]", "log.level"},
@@ -86,7 +87,7 @@
 		{"o", "[etcd]", "[ledger]\ndirectory = x\nsync = often\n[etcd]", "ledger.sync"},
 		{"o", "[etcd]", "[ledger]\ndirectory = x\nmost_mb = 3\n[etcd]", "ledger.most_mb"},
 		{"o", "[etcd]", "[ledger]\ndirectory = x\non_failure = stop\n[etcd]", "ledger.on_failure"},
-		{"o", "[etcd]", "[subset]\nsize = many\n[etcd]", "no whole number"},
+		{"o", "[etcd]", "[subset]\nsize = many\n[etcd]", "is not a whole number"},
 		{"o", "[etcd]", "[subset]\nsize = -1\n[etcd]", "subset.size"},
 		{"o", "[etcd]", "[subset]\nsize = 9\nmost = 8\n[etcd]", "subset.most"},
 		{"o", "[etcd]", "[subset]\nquiet_ms = -1\n[etcd]", "subset.quiet_ms"},
@@ -97,7 +98,7 @@
 		{"o", "[etcd]", "[fleet]\nendpoints = h:1\n[etcd]", "fleet.prefix"},
 		{"o", "[etcd]", "[fleet]\nendpoints = h:1\nprefix = /p\nlease_ms = 999\n[etcd]", "fleet.lease_ms"},
 		{"o", "[etcd]", "[fleet]\nendpoints = h:1\nprefix = /p\nlease_ms = 30001\n[etcd]", "fleet.lease_ms"},
-		{"o", "[etcd]", "[fleet]\nendpoints = h:1\nprefix = /p\nledgers = /l\n[etcd]", "there is no [ledger]"},
+		{"o", "[etcd]", "[fleet]\nendpoints = h:1\nprefix = /p\nledgers = /l\n[etcd]", "it requires a section [ledger]"},
 		{"o", "[etcd]", "[fleet]\nendpoints = h:1\nprefix = /p\nledgers = /l\n[ledger]\ndirectory = /l/other\n[etcd]", "ledger.directory must be"},
 		{"o", "[etcd]", "[fleet]\nendpoints = h:1\nprefix = /p\ncolour = red\n[etcd]", "unknown key \"colour\""},
 		{"o", string(operator), "{}", "it is JSON"},
@@ -106,23 +107,24 @@
 		if test.file == "o" {
 			key, text = "LB_OPERATOR", string(operator)
 		}
-		broken := strings.Replace(text, test.from, test.to, 1)
-		if broken == text {
-			t.Errorf("%s is not in the file", test.from)
+		invalid := strings.Replace(text, test.from, test.to, 1)
+		if invalid == text {
+			t.Errorf("the file does not contain %s", test.from)
 		}
 		path := filepath.Join(t.TempDir(), "config")
-		if err := os.WriteFile(path, []byte(broken), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(invalid), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		_, err := Read(func(k string) string { return map[string]string{key: path}[k] })
 		if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s for %s: error %q, want one line that names %s", test.to, test.from, err, test.want)
+			t.Errorf("%s replaced by %s: error %q, want one line that contains %s", test.from, test.to, err, test.want)
 		}
 	}
 }
 
-// TestAnOperatorsFile: lists, classes and tenants, and that its keys go before those of the platform's file.
-func TestAnOperatorsFile(t *testing.T) {
+// TestOperatorFile reads lists, classes and tenants from an operator's file, and checks that its keys override those of the
+// platform's file.
+func TestOperatorFile(t *testing.T) {
 	directory := t.TempDir()
 	path := filepath.Join(directory, "operator.ini")
 	text := "[pool]\nfile = pool.ini\nkey_file = /k\n[state]\ndirectory = .\n[limits]\nsockets = 7\n[log]\nlevel = warn\n[controller]\nseed = ff\n" +
@@ -134,7 +136,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c, err := Read(func(k string) string { return map[string]string{"LB_CONFIG": platform, "LB_OPERATOR": path}[k] })
+	c, err := Read(func(k string) string { return map[string]string{"LB_CONFIG": platformFile, "LB_OPERATOR": path}[k] })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,11 +150,12 @@
 	}
 }
 
-// TestAConfigurationThatFollows: one that lacks a key which was there, even one that is read nowhere, was cut on its way.
-func TestAConfigurationThatFollows(t *testing.T) {
+// TestReplacementWithoutKeyIsRejected guards against a reload of a truncated file: a configuration that lacks a key of the
+// previous one is rejected, even if nothing reads that key.
+func TestReplacementWithoutKeyIsRejected(t *testing.T) {
 	read := func(from, to string) *Config {
 		t.Helper()
-		whole, err := os.ReadFile(platform)
+		whole, err := os.ReadFile(platformFile)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -166,14 +169,14 @@
 		}
 		return c
 	}
-	plain, more := read("", ""), read(`"sockets"`, `"cores": 0.25, "sockets"`)
-	if err := more.Follow(plain); err != nil {
-		t.Errorf("one with more keys: %v", err)
+	base, extended := read("", ""), read(`"sockets"`, `"cores": 0.25, "sockets"`)
+	if err := extended.Follow(base); err != nil {
+		t.Errorf("configuration with an additional key: %v", err)
 	}
-	if err := plain.Follow(more); err == nil || !strings.Contains(err.Error(), "limits.cores") {
-		t.Errorf("one with fewer: error %v, want one that names limits.cores", err)
+	if err := base.Follow(extended); err == nil || !strings.Contains(err.Error(), "limits.cores") {
+		t.Errorf("configuration without a key: error %v, want one that names limits.cores", err)
 	}
 	if err := read(`"updates"`, `"later": [], "updates"`).Follow(read(`"updates"`, `"other": [], "updates"`)); err != nil {
-		t.Errorf("one with another list: %v", err)
+		t.Errorf("configuration with other known dispatchers: %v", err)
 	}
 }
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -8,51 +8,53 @@
 	"strings"
 )
 
-// keys are the paths of all that an object holds, such as "settings.requestClasses[].name". In an array, a path counts if
-// all elements have it. A null counts as a key that is missing, since it would be read as 0.
-func keys(v any) map[string]bool {
-	all := map[string]bool{}
+// keyPaths returns the paths of all keys of an object, such as "settings.requestClasses[].name". A path into an array is
+// returned only if all its elements have it. A key with the value null is left out, since it would be read as 0.
+func keyPaths(v any) map[string]bool {
+	paths := map[string]bool{}
 	switch v := v.(type) {
 	case map[string]any:
 		for name, inner := range v {
 			if inner == nil {
 				continue
 			}
-			all[name] = true
-			for path := range keys(inner) {
+			paths[name] = true
+			for path := range keyPaths(inner) {
 				if !strings.HasPrefix(path, "[]") {
 					path = "." + path
 				}
-				all[name+path] = true
+				paths[name+path] = true
 			}
 		}
 	case []any:
 		for i, element := range v {
-			inner := keys(element)
+			inner := keyPaths(element)
 			if i == 0 {
 				for path := range inner {
-					all["[]."+path] = true
+					paths["[]."+path] = true
 				}
-				all["[]"] = true
+				paths["[]"] = true
 			}
-			maps.DeleteFunc(all, func(path string, _ bool) bool { return path != "[]" && !inner[strings.TrimPrefix(path, "[].")] })
+			maps.DeleteFunc(paths, func(path string, _ bool) bool { return path != "[]" && !inner[strings.TrimPrefix(path, "[].")] })
 		}
 	}
-	return all
+	return paths
 }
 
-// Tags of fields: any file may lack the key, an operator's may, which can stand alone, or what it holds is checked elsewhere.
+// Values of the tag "need": the key is optional in any file; it is required only if the platform's file is read; it is
+// required, but the keys of its elements are checked elsewhere.
 const needOptional, needPlatform, needShallow = "optional", "platform", "shallow"
 
-// missing names the first key that a type wants and an object lacks.
-func missing(t reflect.Type, at string, have map[string]bool, ofPlatform bool) string {
+// missingKey returns the path of the first key that a type requires and that is not in keys, or "" if there is none. prefix
+// is the path of the type, and withPlatform reports whether the platform's file is read.
+func missingKey(t reflect.Type, prefix string, keys map[string]bool, withPlatform bool) string {
 	for _, f := range reflect.VisibleFields(t) {
 		name, need := f.Tag.Get("json"), f.Tag.Get("need")
-		if name == "" || need == needOptional || need == needPlatform && !ofPlatform {
+		if name == "" || need == needOptional || need == needPlatform && !withPlatform {
 			continue
 		}
-		path := at + name
-		if !have[path] {
+		path := prefix + name
+		if !keys[path] {
 			return path
 		}
 		inner := f.Type
@@ -61,26 +63,26 @@
 		}
 		path += "."
 		if inner.Kind() == reflect.Slice {
-			inner, path = inner.Elem(), at+name+"[]."
-			if !have[at+name+"[]"] {
+			inner, path = inner.Elem(), prefix+name+"[]."
+			if !keys[prefix+name+"[]"] {
 				continue
 			}
 		}
 		if inner.Kind() == reflect.Struct && need != needShallow {
-			if lost := missing(inner, path, have, ofPlatform); lost != "" {
-				return lost
+			if key := missingKey(inner, path, keys, withPlatform); key != "" {
+				return key
 			}
 		}
 	}
 	return ""
 }
 
-// Follow reports whether a configuration may take the place of an earlier one: it must not lack a key that was there. The
-// list that is known at the start may have other events.
-func (c *Config) Follow(earlier *Config) error {
-	for _, path := range slices.Sorted(maps.Keys(earlier.keys)) {
+// Follow returns an error if the configuration must not replace the previous one: a key that the previous one has and this
+// one lacks shows that the file was truncated or damaged. The dispatchers known at the start may differ.
+func (c *Config) Follow(previous *Config) error {
+	for _, path := range slices.Sorted(maps.Keys(previous.keys)) {
 		if !c.keys[path] && !strings.HasPrefix(path, "known.") && !strings.HasSuffix(path, "[]") {
-			return fmt.Errorf("configuration: %s is missing, which was there", path)
+			return fmt.Errorf("configuration: %s is missing, but the previous configuration has it", path)
 		}
 	}
 	return nil
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -20,7 +20,7 @@
 	"cherryrelay/internal/settings"
 )
 
-// Operator is what only an operator's file can switch on.
+// Operator holds the options that only an operator's file can set.
 type Operator struct {
 	WebSocket *WebSocket     `json:"websocket" need:"optional"`
 	Etcd      *etcd.Options  `json:"etcd" need:"optional"`
@@ -32,55 +32,55 @@
 	Log       Log            `json:"log" need:"optional"`
 }
 
-// WebSocket is the front for the call-control API.
+// WebSocket configures the front for the call-control API.
 type WebSocket struct {
 	Listen string `json:"listen"`
 	Path   string `json:"path"`
 }
 
-// State is where what outlasts a process is kept.
+// State configures the directory for data that must survive a restart.
 type State struct {
 	Directory string `json:"directory"`
 }
 
-// Ledger is how the state of calls is kept over a restart.
+// Ledger configures how the state of calls is stored to survive a restart.
 type Ledger struct {
 	Directory string `json:"directory"`
-	KeyFile   string `json:"key_file"`   // of the MAC of its records; empty for none
+	KeyFile   string `json:"key_file"`   // file with the key for the MAC of the records; empty for no MAC
 	Sync      string `json:"sync"`       // none, interval or always
-	SegmentMB int64  `json:"segment_mb"` // 0 for the default
-	MostMB    int64  `json:"most_mb"`    // 0 for the default
+	SegmentMB int64  `json:"segment_mb"` // size of a segment; 0 for the default
+	MostMB    int64  `json:"most_mb"`    // limit on the size of the ledger; 0 for the default
 	OnFailure string `json:"on_failure"` // serve or refuse
-	Lines     bool   `json:"lines"`      // calls may be resumed over JSON lines, too
+	Lines     bool   `json:"lines"`      // whether calls can be resumed over JSON lines, too
 }
 
-// Syncs are the words for the ways to sync.
+// Syncs maps the values of the key sync to the sync modes of the ledger.
 var Syncs = map[string]ledger.Sync{"": ledger.SyncNone, "none": ledger.SyncNone, "interval": ledger.SyncInterval, "always": ledger.SyncAlways}
 
 func (l *Ledger) check() error {
 	_, known := Syncs[l.Sync]
 	switch {
 	case l.Directory == "":
-		return errors.New("ledger.directory: no directory is named")
+		return errors.New("ledger.directory: no directory is given")
 	case !known:
 		return fmt.Errorf("ledger.sync: %q is none of none, interval and always", l.Sync)
 	case l.SegmentMB < 0 || l.MostMB < 0 || l.MostMB > 0 && l.MostMB < 4*max(l.SegmentMB, ledger.DefaultSegmentSize>>20):
-		return errors.New("ledger.most_mb: it must hold four segments of segment_mb")
+		return errors.New("ledger.most_mb: it must be at least four times segment_mb")
 	case l.OnFailure != "" && l.OnFailure != "serve" && l.OnFailure != "refuse":
 		return fmt.Errorf("ledger.on_failure: %q is neither serve nor refuse", l.OnFailure)
 	}
 	return nil
 }
 
-// Fleet is where the controllers of a site know of one another.
+// Fleet configures the membership of this controller in the fleet of its site.
 type Fleet struct {
-	Endpoints []string `json:"endpoints"` // of etcd
-	Prefix    string   `json:"prefix"`    // of the members' keys; a slash is put at its end
-	Ledgers   string   `json:"ledgers"`   // a directory that all controllers reach, each with its ledger below it under its name; empty for none
-	LeaseMs   int64    `json:"lease_ms"`  // 0 for the default
+	Endpoints []string `json:"endpoints"` // addresses of etcd
+	Prefix    string   `json:"prefix"`    // prefix of the members' keys; a slash is appended
+	Ledgers   string   `json:"ledgers"`   // directory shared by all controllers, with a ledger for each under its name; empty for none
+	LeaseMs   int64    `json:"lease_ms"`  // duration of the lease; 0 for the default
 }
 
-// Lease is how long a controller keeps its place without a word.
+// Lease returns how long a controller stays a member without renewing its lease.
 func (f *Fleet) Lease() time.Duration {
 	if f.LeaseMs == 0 {
 		return membership.DefaultLease
@@ -90,52 +90,52 @@
 
 func (f *Fleet) check(name string, l *Ledger) error {
 	if len(f.Endpoints) == 0 {
-		return errors.New("fleet.endpoints: no endpoints are named")
+		return errors.New("fleet.endpoints: no endpoints are given")
 	}
-	for _, e := range f.Endpoints {
-		if err := address("fleet.endpoints", e); err != nil {
+	for _, endpoint := range f.Endpoints {
+		if err := checkAddress("fleet.endpoints", endpoint); err != nil {
 			return err
 		}
 	}
 	switch {
 	case f.Prefix == "":
-		return errors.New("fleet.prefix: no prefix is named")
+		return errors.New("fleet.prefix: no prefix is given")
 	case f.Lease() < membership.LeastLease || f.Lease() > membership.MostLease:
 		return fmt.Errorf("fleet.lease_ms: %d is not between %d and %d", f.LeaseMs, membership.LeastLease.Milliseconds(), membership.MostLease.Milliseconds())
 	case name == "" || strings.Contains(name, "/"):
-		return fmt.Errorf("fleet: the controller's name %.40q must be one that a key can end in, without a slash", name)
+		return fmt.Errorf("fleet: the controller's name %.40q must not be empty or contain a slash, as it ends its key", name)
 	case f.Ledgers != "" && l == nil:
-		return errors.New("fleet.ledgers: there is no [ledger]")
+		return errors.New("fleet.ledgers: it requires a section [ledger]")
 	case f.Ledgers != "" && filepath.Clean(l.Directory) != filepath.Join(f.Ledgers, name):
 		return fmt.Errorf("fleet.ledgers: ledger.directory must be %q", filepath.Join(f.Ledgers, name))
 	}
 	return nil
 }
 
-// Subset is how many of the listed dispatchers this controller connects to. docs/subset.md tells the keys.
+// Subset configures to how many of the listed dispatchers this controller connects. docs/subset.md describes the keys.
 type Subset struct {
-	Size    int    `json:"size"`     // 0 for the default
-	Most    int    `json:"most"`     // after growth; 0 for the default
-	Zone    string `json:"zone"`     // whose dispatchers are preferred; empty for none
-	QuietMs int64  `json:"quiet_ms"` // without need until what has grown goes back; 0 for the default
+	Size    int    `json:"size"`     // dispatchers in the subset; 0 for the default
+	Most    int    `json:"most"`     // dispatchers in the subset after growth; 0 for the default
+	Zone    string `json:"zone"`     // zone whose dispatchers are preferred; empty for none
+	QuietMs int64  `json:"quiet_ms"` // time without a need for growth until a grown subset shrinks; 0 for the default
 }
 
-// Options are those of a controller's subset.
+// Options returns the options of the subset of a controller.
 func (s *Subset) Options(controller string) subset.Options {
 	return subset.Options{Identity: controller, Zone: s.Zone, Size: s.Size, GrowthLimit: s.Most, ShrinkAfter: time.Duration(s.QuietMs) * time.Millisecond}
 }
 
 const (
-	// listedBytes is what a listed dispatcher takes that is not connected to, as measured (docs/subset.md), with that of the text and the
-	// parts of the list that is read while another one is in force.
+	// listedBytes is the memory for a listed dispatcher without a connection. It includes the memory for the text and the parsed parts of
+	// a new list that is read while the old one is still active (docs/subset.md).
 	listedBytes = 4 << 10
-	// listShare of the memory is what the list may take.
+	// listShare is the share of the memory that the list may use.
 	listShare = 0.75
-	// MostListed bounds lists where no bound on the memory is known.
+	// MostListed limits the dispatchers on a list. It is the only limit if the memory is not limited.
 	MostListed = 100_000
 )
 
-// ListBound is the most dispatchers that a list may have, with a bound on the memory in bytes; 0 is no bound.
+// ListBound returns the maximum number of dispatchers on a list, for a limit on the memory in bytes; 0 is no limit.
 func (s *Subset) ListBound(memory int64) int {
 	if memory <= 0 {
 		return MostListed
@@ -145,10 +145,10 @@
 
 func (s *Subset) check(controller string) error {
 	if controller == "" {
-		return errors.New("subset: the controller has no name to choose by")
+		return errors.New("subset: the controller has no name, which the choice of dispatchers depends on")
 	}
 	if s.QuietMs > maxQuietMs {
-		return fmt.Errorf("subset.quiet_ms: %d is over %d, a day", s.QuietMs, maxQuietMs)
+		return fmt.Errorf("subset.quiet_ms: %d is above %d, which is a day", s.QuietMs, maxQuietMs)
 	}
 	if err := s.Options(controller).Check(); err != nil {
 		return fmt.Errorf("subset.%w", err)
@@ -156,19 +156,19 @@
 	return nil
 }
 
-// maxQuietMs is a day.
+// maxQuietMs limits quiet_ms to a day.
 const maxQuietMs = 24 * 60 * 60 * 1000
 
-// Log is how the log is written.
+// Log configures the format and the level of the log.
 type Log struct {
 	Format string `json:"format"` // text or json
 	Level  string `json:"level"`  // debug, info, warn or error
 }
 
-// check reports what cannot be used.
+// check returns an error for the first option that is not valid.
 func (o *Operator) check() error {
 	if w := o.WebSocket; w != nil {
-		if err := address("websocket.listen", w.Listen); err != nil {
+		if err := checkAddress("websocket.listen", w.Listen); err != nil {
 			return err
 		}
 		if !strings.HasPrefix(w.Path, "/") {
@@ -177,15 +177,15 @@
 	}
 	if o.Etcd != nil {
 		if err := o.Etcd.Check(); err != nil {
-			return err //nolint:wrapcheck // it says what it is
+			return err //nolint:wrapcheck // the error names the key
 		}
 	}
 	if o.Pool != nil && o.Pool.File == "" {
-		return errors.New("pool.file: no file is named")
+		return errors.New("pool.file: no file is given")
 	}
 	if s := o.State; s != nil {
 		if info, err := os.Stat(s.Directory); err != nil || !info.IsDir() {
-			return fmt.Errorf("state.directory: %q is no directory", s.Directory)
+			return fmt.Errorf("state.directory: %q is not a directory", s.Directory)
 		}
 	}
 	if o.Ledger != nil {
@@ -208,7 +208,7 @@
 	return nil
 }
 
-// Faults are what is wrong with a file. As an error, they are one line.
+// Faults holds all faults of a file. Its error text is a single line.
 type Faults struct {
 	Path string
 	All  []inifile.Fault
@@ -222,85 +222,87 @@
 	return text
 }
 
-// operator reads an operator's file over what is there. Sections are named after the objects of the platform's
-// configuration and have the same keys in the same units, but for classes and tenants, which have a section each.
-type operator struct {
+// operatorReader applies an operator's file to a configuration, whose values it overrides. Sections are named after the
+// objects of the platform's configuration and have the same keys in the same units, except that each class and each tenant
+// has a section of its own.
+type operatorReader struct {
 	c       *Config
 	faults  []inifile.Fault
-	classes map[string]int // where they are in the settings
-	tenants bool
+	classes map[string]int // index in the settings, by name
+	tenants bool           // whether the file has a section for a tenant
 }
 
 func (c *Config) readOperator(path string, text []byte) error {
 	if strings.HasPrefix(strings.TrimSpace(string(text)), "{") {
-		return fmt.Errorf("configuration %s: it is JSON; operators' files are INI now, CHANGELOG.md says how to convert them", path)
+		return fmt.Errorf("configuration %s: it is JSON, but the format of operators' files is INI; CHANGELOG.md describes how to convert them", path)
 	}
 	f, faults := inifile.Parse(text)
 	if len(faults) > 0 {
 		return &Faults{path, faults}
 	}
-	o := &operator{c: c, classes: map[string]int{}}
+	o := &operatorReader{c: c, classes: map[string]int{}}
 	seen := map[string]int{}
 	for i := range f.Sections {
 		s := &f.Sections[i]
 		if first := seen[s.Name]; first > 0 {
-			o.fault(s.Line, "section [%.80s] stands in line %d, too", s.Name, first)
+			o.fault(s.Line, "section [%.80s] is already defined in line %d", s.Name, first)
 			continue
 		}
 		seen[s.Name] = s.Line
-		o.section(s)
+		o.readSection(s)
 	}
 	if len(o.faults) > 0 {
 		return &Faults{path, o.faults}
 	}
-	if p := c.Pool; p != nil { // paths are as seen from the file that names them
-		p.File, p.KeyFile = beside(path, p.File), beside(path, p.KeyFile)
+	if p := c.Pool; p != nil { // paths are relative to the directory of the file that contains them
+		p.File, p.KeyFile = resolvePath(path, p.File), resolvePath(path, p.KeyFile)
 	}
 	if l := c.Ledger; l != nil {
-		l.Directory, l.KeyFile = beside(path, l.Directory), beside(path, l.KeyFile)
+		l.Directory, l.KeyFile = resolvePath(path, l.Directory), resolvePath(path, l.KeyFile)
 	}
 	if f := c.Fleet; f != nil {
-		f.Ledgers = beside(path, f.Ledgers)
+		f.Ledgers = resolvePath(path, f.Ledgers)
 	}
 	if s := c.State; s != nil {
-		s.Directory = beside(path, s.Directory)
+		s.Directory = resolvePath(path, s.Directory)
 	}
 	return nil
 }
 
-func beside(file, path string) string {
+// resolvePath returns a path that is relative to the directory of a file as one that is relative to the working directory.
+func resolvePath(file, path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
 	}
 	return filepath.Join(filepath.Dir(file), path)
 }
 
-func (o *operator) fault(line int, format string, args ...any) {
+func (o *operatorReader) fault(line int, format string, args ...any) {
 	o.faults = append(o.faults, inifile.Fault{Line: line, Text: fmt.Sprintf(format, args...)})
 }
 
-func (o *operator) section(s *inifile.Section) {
+func (o *operatorReader) readSection(s *inifile.Section) {
 	if name, ok := s.Named("class"); ok {
-		o.class(s, name)
+		o.readClass(s, name)
 		return
 	}
 	if name, ok := s.Named("tenant"); ok {
-		o.tenant(s, name)
+		o.readTenant(s, name)
 		return
 	}
-	into, path := o.object(s.Name)
-	if !into.IsValid() {
+	target, path := o.object(s.Name)
+	if !target.IsValid() {
 		o.fault(s.Line, "unknown section [%.80s]", s.Name)
 		return
 	}
 	o.c.keys[strings.TrimSuffix(path, ".")] = true
 	for i := range s.Keys {
-		o.key(into, path, &s.Keys[i])
+		o.readKey(target, path, &s.Keys[i])
 	}
 }
 
-// object is the part of the configuration that a section stands for, and the path to it.
-func (o *operator) object(name string) (reflect.Value, string) {
+// object returns the part of the configuration that a section sets, and its path. It creates the part if it is nil.
+func (o *operatorReader) object(name string) (reflect.Value, string) {
 	c := o.c
 	if name == "controller" {
 		return reflect.ValueOf(c).Elem(), ""
@@ -326,7 +328,7 @@
 	return at, name + "."
 }
 
-// field is the field of an object that a key names.
+// field returns the field of an object whose JSON name is name, or the zero Value.
 func field(object reflect.Value, name string) reflect.Value {
 	for _, f := range reflect.VisibleFields(object.Type()) {
 		if f.Tag.Get("json") == name {
@@ -336,8 +338,8 @@
 	return reflect.Value{}
 }
 
-// key sets one field.
-func (o *operator) key(object reflect.Value, path string, key *inifile.Key) {
+// readKey sets the field that a key names.
+func (o *operatorReader) readKey(object reflect.Value, path string, key *inifile.Key) {
 	at := field(object, key.Name)
 	if !at.IsValid() || at.Kind() == reflect.Struct || at.Kind() == reflect.Pointer {
 		o.fault(key.Line, "unknown key %.40q", key.Name)
@@ -350,7 +352,7 @@
 	o.c.keys[path+key.Name] = true
 }
 
-// set reads a value; lists have commas.
+// set parses a value into a field. The elements of a list are separated by commas.
 func set(at reflect.Value, text string) error {
 	switch at.Kind() {
 	case reflect.String:
@@ -364,13 +366,13 @@
 	case reflect.Int, reflect.Int64:
 		v, err := strconv.ParseInt(text, 10, 64)
 		if err != nil {
-			return fmt.Errorf("%.40q is no whole number", text)
+			return fmt.Errorf("%.40q is not a whole number", text)
 		}
 		at.SetInt(v)
 	case reflect.Float64:
 		v, err := strconv.ParseFloat(text, 64)
 		if err != nil || v != v || v > 1e18 || v < -1e18 {
-			return fmt.Errorf("%.40q is no number", text)
+			return fmt.Errorf("%.40q is not a number", text)
 		}
 		at.SetFloat(v)
 	case reflect.Slice:
@@ -386,19 +388,19 @@
 		}
 		at.Set(list)
 	default:
-		return fmt.Errorf("cannot be set here")
+		return fmt.Errorf("this key cannot be set here")
 	}
 	return nil
 }
 
-// classExtras are the keys of a class that the platform keeps elsewhere.
+// classExtras holds the keys of a class that the platform's configuration has outside of requestClasses.
 type classExtras struct {
-	Pools []int `json:"pools"` // groups of dispatchers that may take it; empty for all
-	Width int   `json:"width"` // of its calls; 0 for any
+	Pools []int `json:"pools"` // groups of dispatchers that accept the class; empty for all
+	Width int   `json:"width"` // width of its calls; 0 for any
 }
 
-// class reads a section of a class. With the first one, those of the platform's file are gone.
-func (o *operator) class(s *inifile.Section, name string) {
+// readClass reads the section of a class. The first one removes the classes of the platform's file.
+func (o *operatorReader) readClass(s *inifile.Section, name string) {
 	c := o.c
 	if c.Settings == nil {
 		c.Settings = new(settings.Settings)
@@ -414,13 +416,13 @@
 	list := reflect.ValueOf(&c.Settings.RequestClasses).Elem()
 	class := reflect.New(list.Type().Elem()).Elem()
 	var extras classExtras
-	more := reflect.ValueOf(&extras).Elem()
+	extraFields := reflect.ValueOf(&extras).Elem()
 	class.FieldByName("Name").SetString(name)
 	for i := range s.Keys {
 		key := &s.Keys[i]
 		at := field(class, key.Name)
 		if !at.IsValid() {
-			at = field(more, key.Name)
+			at = field(extraFields, key.Name)
 		}
 		switch {
 		case !at.IsValid() || key.Name == "name":
@@ -445,8 +447,8 @@
 	c.keys["settings.requestClasses"], c.keys["settings.requestClasses[]"] = true, true
 }
 
-// tenant reads a section of a tenant; it has no keys. With the first one, those of the platform's file are gone.
-func (o *operator) tenant(s *inifile.Section, name string) {
+// readTenant reads the section of a tenant, which has no keys. The first one removes the tenants of the platform's file.
+func (o *operatorReader) readTenant(s *inifile.Section, name string) {
 	c := o.c
 	if c.Settings == nil {
 		c.Settings = new(settings.Settings)
