--- a/internal/commands/commands.go
+++ b/internal/commands/commands.go
@@ -1,4 +1,5 @@
-// Package commands is the command line: the controller itself, and what operators ask of files and of one that runs.
+// Package commands implements the command line: it runs the controller, and checks, writes and shows files, ledgers and the
+// state of a running controller for operators.
 package commands
 
 import (
@@ -12,81 +13,81 @@
 	"cherryrelay/internal/config"
 )
 
-// Options are the flags of a controller that serves; empty ones leave it to the files.
+// Options holds the flags of the command serve. An empty one leaves the value to the configuration files.
 type Options struct {
 	LogFormat string
 	LogLevel  string
 }
 
-// The exit statuses.
+// Exit statuses.
 const (
 	Yes      = 0
-	No       = 1 // with the reasons on standard error
+	No       = 1 // the check or the command failed; the reasons are on standard error
 	WrongUse = 2
 )
 
-// no is an answer, or a failure, as against a wrong use of the command line.
-type no struct{ error }
+// commandError is the error of a command that has run, as opposed to a wrong use of the command line.
+type commandError struct{ error }
 
-func (n no) Unwrap() error { return n.error }
+func (e commandError) Unwrap() error { return e.error }
 
-// Run does what the arguments say and returns the exit status. Serve runs a controller to its end; getenv gives the
-// environment that names its files.
-func Run(args []string, getenv func(string) string, out, faults io.Writer, serve func(Options) error) int {
-	root := root(getenv, serve)
+// Run executes the command that the arguments name and returns the exit status. Serve runs a controller until it ends; getenv
+// returns the environment variables that name the configuration files.
+func Run(args []string, getenv func(string) string, out, errOut io.Writer, serve func(Options) error) int {
+	root := rootCommand(getenv, serve)
 	root.SetArgs(args)
 	root.SetOut(out)
-	root.SetErr(faults)
+	root.SetErr(errOut)
 	err := root.Execute()
-	var answer no
+	var failure commandError
 	switch {
 	case err == nil:
 		return Yes
-	case errors.As(err, &answer):
-		fmt.Fprintln(faults, "cherryrelay:", err)
+	case errors.As(err, &failure):
+		fmt.Fprintln(errOut, "cherryrelay:", err)
 		return No
 	}
-	fmt.Fprintln(faults, "cherryrelay:", err)
-	fmt.Fprintln(faults, "see cherryrelay --help")
+	fmt.Fprintln(errOut, "cherryrelay:", err)
+	fmt.Fprintln(errOut, "see cherryrelay --help")
 	return WrongUse
 }
 
-// answering is a command's work whose errors are answers.
-func answering(work func(*cobra.Command, []string) error) func(*cobra.Command, []string) error {
+// withExitFailure wraps the errors of a command, so that they lead to the exit status No instead of WrongUse.
+func withExitFailure(run func(*cobra.Command, []string) error) func(*cobra.Command, []string) error {
 	return func(c *cobra.Command, args []string) error {
-		if err := work(c, args); err != nil {
-			return no{err}
+		if err := run(c, args); err != nil {
+			return commandError{err}
 		}
 		return nil
 	}
 }
 
-func root(getenv func(string) string, serve func(Options) error) *cobra.Command {
+func rootCommand(getenv func(string) string, serve func(Options) error) *cobra.Command {
 	var o Options
-	serving := answering(func(*cobra.Command, []string) error { return serve(o) })
+	runServe := withExitFailure(func(*cobra.Command, []string) error { return serve(o) })
 	root := &cobra.Command{
-		Use: "cherryrelay", Short: "A call controller; alone, it serves",
-		Long: "Alone, or with serve, it runs a call controller with the files that LB_CONFIG and LB_OPERATOR name.\n" +
-			"Exit status: 0 yes, 1 no or failed, 2 wrong use.",
-		Args: cobra.NoArgs, RunE: serving, SilenceUsage: true, SilenceErrors: true,
+		Use: "cherryrelay", Short: "Call controller; without a command, it runs serve",
+		Long: "Without a command, or with serve, it runs a call controller with the files that LB_CONFIG and LB_OPERATOR name.\n" +
+			"Exit status: 0 success, 1 failure or a failed check, 2 wrong use.",
+		Args: cobra.NoArgs, RunE: runServe, SilenceUsage: true, SilenceErrors: true,
 		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true},
 	}
-	root.PersistentFlags().StringVar(&o.LogFormat, "log-format", "", "text or json")
-	root.PersistentFlags().StringVar(&o.LogLevel, "log-level", "", "debug, info, warn or error")
+	root.PersistentFlags().StringVar(&o.LogFormat, "log-format", "", "format of the log: text or json")
+	root.PersistentFlags().StringVar(&o.LogLevel, "log-level", "", "level of the log: debug, info, warn or error")
 	root.AddCommand(
-		&cobra.Command{Use: "serve", Short: "Run a call controller", Args: cobra.NoArgs, RunE: serving},
-		check(getenv),
+		&cobra.Command{Use: "serve", Short: "Run a call controller", Args: cobra.NoArgs, RunE: runServe},
+		checkCommand(getenv),
 		poolCommand(getenv),
 		ledgerCommand(),
 		fleetCommand(getenv),
-		&cobra.Command{Use: "version", Short: "Tell the version", Args: cobra.NoArgs, Run: func(c *cobra.Command, _ []string) {
+		&cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs, Run: func(c *cobra.Command, _ []string) {
 			fmt.Fprintln(c.OutOrStdout(), version())
 		}},
 	)
 	return root
 }
 
-// version is that of the build, as far as it is known.
+// version returns the version, the Go release and the revision of the build, as far as they are known.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -101,34 +102,35 @@
 	return text
 }
 
-// check reads a configuration file as a controller would.
-func check(getenv func(string) string) *cobra.Command {
+// checkCommand returns the command that checks configuration files by the same rules as a controller at its start.
+func checkCommand(getenv func(string) string) *cobra.Command {
 	return &cobra.Command{
-		Use: "check [FILE]", Short: "Check a configuration file, or those that the environment names",
+		Use: "check [FILE]", Short: "Check a configuration file, or the files that the environment names",
 		Long: "Checks the files that LB_CONFIG and LB_OPERATOR name, or one FILE: a platform's (JSON), an operator's or a\n" +
-			"pool's (INI). Every fault is told, a line each.",
+			"pool's (INI). Every fault is printed on a line of its own.",
 		Args: cobra.MaximumNArgs(1),
-		RunE: answering(func(c *cobra.Command, args []string) error {
+		RunE: withExitFailure(func(c *cobra.Command, args []string) error {
 			if len(args) == 1 {
 				return checkFile(c, args[0])
 			}
 			checked, err := config.Read(getenv)
 			if err != nil {
-				return tellAll(c, err)
+				return printFaults(c, err)
 			}
 			if p := checked.Pool; p != nil {
 				if err := checkPool(c, p.File, p.KeyFile); err != nil {
 					return err
 				}
 			}
-			fmt.Fprintln(c.OutOrStdout(), "the configuration can be used")
+			fmt.Fprintln(c.OutOrStdout(), "the configuration is valid")
 			return nil
 		}),
 	}
 }
 
-// tellAll tells every fault of an operator's file, and returns what is left to say.
-func tellAll(c *cobra.Command, err error) error {
+// printFaults prints every fault of an operator's file, and returns an error that summarizes them. Other errors are returned
+// as they are.
+func printFaults(c *cobra.Command, err error) error {
 	var faults *config.Faults
 	if !errors.As(err, &faults) {
 		return err
--- a/internal/commands/ledger.go
+++ b/internal/commands/ledger.go
@@ -15,7 +15,7 @@
 	"cherryrelay/internal/lists/files"
 )
 
-// ledgerFlags are those of all commands on ledgers.
+// ledgerFlags holds the flags of the commands on ledgers.
 type ledgerFlags struct {
 	name, keyFile string
 	json          bool
@@ -24,25 +24,25 @@
 func ledgerCommand() *cobra.Command {
 	f := &ledgerFlags{}
 	c := &cobra.Command{
-		Use: "ledger", Short: "What is kept of the state of calls", Args: cobra.NoArgs,
+		Use: "ledger", Short: "The stored state of calls", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
-	c.PersistentFlags().StringVar(&f.name, "name", "", "the controller's name, to be held against the ledger's; empty for any")
-	c.PersistentFlags().StringVar(&f.keyFile, "key-file", "", "key that it is written with")
-	dump := f.command("dump DIR", "Tell every event that is kept", f.dump)
-	dump.Flags().BoolVar(&f.json, "json", false, "a JSON object a line")
+	c.PersistentFlags().StringVar(&f.name, "name", "", "name that the controller of the ledger must have; empty for any")
+	c.PersistentFlags().StringVar(&f.keyFile, "key-file", "", "file with the key that the ledger is written with")
+	dump := f.command("dump DIR", "Print every stored event", f.dump)
+	dump.Flags().BoolVar(&f.json, "json", false, "print a JSON object per line")
 	c.AddCommand(
-		f.command("inspect DIR", "Tell what a ledger holds", f.inspect),
-		f.command("verify DIR", "Say no if anything is damaged or missing", f.verify),
+		f.command("inspect DIR", "Summarize the contents of a ledger", f.inspect),
+		f.command("verify DIR", "Fail if anything is damaged or missing", f.verify),
 		dump,
-		f.command("compact DIR", "Write a ledger anew, with what counts alone; no controller may have it", f.compact),
+		f.command("compact DIR", "Rewrite a ledger with only the records that are still needed; no controller may use it meanwhile", f.compact),
 	)
 	return c
 }
 
-func (f *ledgerFlags) command(use, short string, work func(out io.Writer, directory string) error) *cobra.Command {
-	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1), RunE: answering(func(c *cobra.Command, args []string) error {
-		return work(c.OutOrStdout(), args[0])
+func (f *ledgerFlags) command(use, short string, run func(out io.Writer, directory string) error) *cobra.Command {
+	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1), RunE: withExitFailure(func(c *cobra.Command, args []string) error {
+		return run(c.OutOrStdout(), args[0])
 	})}
 }
 
@@ -57,7 +57,7 @@
 	return key, nil
 }
 
-// read reads a ledger without touching it, also one that a controller writes.
+// read reads a ledger without changing it. A controller may be writing it.
 func (f *ledgerFlags) read(directory string) (*ledger.Contents, error) {
 	key, err := f.key()
 	if err != nil {
@@ -65,28 +65,28 @@
 	}
 	d, err := ledger.OpenReadOnly(directory)
 	if err != nil {
-		return nil, err //nolint:wrapcheck // it says what it is
+		return nil, err //nolint:wrapcheck // the error names its operation
 	}
-	return ledger.Read(d, f.name, key) //nolint:wrapcheck // it says what it is
+	return ledger.Read(d, f.name, key) //nolint:wrapcheck // the error names its operation
 }
 
 func (f *ledgerFlags) inspect(out io.Writer, directory string) error {
-	found, err := f.read(directory)
+	contents, err := f.read(directory)
 	if err != nil {
 		return err
 	}
-	book, bad := recovery.Replay(found.Records, found.Gaps)
+	calls, decodeErr := recovery.Replay(contents.Records, contents.Gaps)
 	states := map[string]int{}
-	for _, call := range book.Calls() {
+	for _, call := range calls.Calls() {
 		name := [...]string{"open", "standing", "answered", "ended"}[call.State]
 		if call.Doubtful {
 			name += ", doubtful"
 		}
 		states[name]++
 	}
-	fmt.Fprintf(out, "%d files, %d bytes; %d records, %d of them of the snapshot; gaps: %d, torn end: %v\n",
-		found.FileCount, found.Bytes, len(found.Records), found.SnapshotRecords, len(found.Gaps), found.Torn)
-	if last := book.LastAlive(); last > 0 {
+	fmt.Fprintf(out, "%d files, %d bytes; %d records, %d of them from the snapshot; gaps: %d, torn end: %v\n",
+		contents.FileCount, contents.Bytes, len(contents.Records), contents.SnapshotRecords, len(contents.Gaps), contents.Torn)
+	if last := calls.LastAlive(); last > 0 {
 		fmt.Fprintf(out, "last event at %s\n", time.Unix(0, int64(last)).UTC().Format(time.RFC3339Nano))
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -94,43 +94,44 @@
 		fmt.Fprintf(table, "%s\t%d\n", name, states[name])
 	}
 	if err := table.Flush(); err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error names its operation
 	}
-	for _, text := range found.Damage {
+	for _, text := range contents.Damage {
 		fmt.Fprintln(out, "damage:", text)
 	}
-	if bad != nil {
-		fmt.Fprintln(out, "damage:", bad)
+	if decodeErr != nil {
+		fmt.Fprintln(out, "damage:", decodeErr)
 	}
 	return nil
 }
 
 func (f *ledgerFlags) verify(out io.Writer, directory string) error {
-	found, err := f.read(directory)
+	contents, err := f.read(directory)
 	if err != nil {
 		return err
 	}
-	book, bad := recovery.Replay(found.Records, found.Gaps)
+	calls, decodeErr := recovery.Replay(contents.Records, contents.Gaps)
 	switch {
-	case bad != nil:
-		return bad
-	case found.Gapped():
-		return fmt.Errorf("records are missing in %d places: %s", len(found.Gaps), found.Damage[0])
-	case len(found.Damage) > 0:
-		return errors.New(found.Damage[0])
-	case book.UnexpectedEvents() > 0:
-		return fmt.Errorf("%d events do not fit the others", book.UnexpectedEvents())
-	}
-	fmt.Fprintf(out, "%d records, %d calls: nothing is damaged or missing\n", len(found.Records), len(book.Calls()))
+	case decodeErr != nil:
+		return decodeErr
+	case contents.Gapped():
+		return fmt.Errorf("records are missing in %d places: %s", len(contents.Gaps), contents.Damage[0])
+	case len(contents.Damage) > 0:
+		return errors.New(contents.Damage[0])
+	case calls.UnexpectedEvents() > 0:
+		return fmt.Errorf("%d events do not fit the events before them", calls.UnexpectedEvents())
+	}
+	fmt.Fprintf(out, "%d records, %d calls: nothing is damaged or missing\n", len(contents.Records), len(calls.Calls()))
 	return nil
 }
 
+// kinds names the kinds of events in the output.
 var kinds = map[recovery.Kind]string{
 	recovery.KindAccepted: "took", recovery.KindAttemptSent: "sent", recovery.KindAttemptFailed: "back", recovery.KindEstablished: "stood", recovery.KindRejected: "final",
 	recovery.KindTerminated: "over", recovery.KindCancelled: "left",
 }
 
-// shownEvent is an event as operators see it: neither descriptions nor tokens are theirs to read.
+// shownEvent is an event in the output for operators. It has no session description and no token, which are confidential.
 type shownEvent struct {
 	At      time.Time `json:"at"`
 	Call    string    `json:"call"`
@@ -144,12 +145,12 @@
 }
 
 func (f *ledgerFlags) dump(out io.Writer, directory string) error {
-	found, err := f.read(directory)
+	contents, err := f.read(directory)
 	if err != nil {
 		return err
 	}
-	for i, record := range found.Records {
-		if found.Gaps[i] {
+	for i, record := range contents.Records {
+		if contents.Gaps[i] {
 			fmt.Fprintln(out, "# records may be missing here")
 		}
 		e, err := recovery.Decode(record)
@@ -164,7 +165,7 @@
 		}
 		text, err := api.MarshalToString(s)
 		if err != nil {
-			return err //nolint:wrapcheck // it says what it is
+			return err //nolint:wrapcheck // the error names its operation
 		}
 		fmt.Fprintln(out, text)
 	}
@@ -173,7 +174,7 @@
 
 func (f *ledgerFlags) compact(out io.Writer, directory string) (err error) {
 	if f.name == "" {
-		return errors.New("--name is wanted: the ledger is written anew under it")
+		return errors.New("--name is required: the ledger is rewritten under this name")
 	}
 	key, err := f.key()
 	if err != nil {
@@ -181,21 +182,21 @@
 	}
 	d, err := ledger.OpenDirectory(directory)
 	if err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error names its operation
 	}
-	found, err := ledger.Read(d, f.name, key)
+	contents, err := ledger.Read(d, f.name, key)
 	if err != nil {
 		return errors.Join(err, d.Close())
 	}
-	least, err := recovery.Compact(found.Records, found.Gaps, clock())
+	compacted, err := recovery.Compact(contents.Records, contents.Gaps, clock())
 	if err != nil {
 		return errors.Join(err, d.Close())
 	}
-	l := ledger.New(d, ledger.Options{Name: f.name, Key: key, Sync: ledger.SyncAlways}, found)
+	l := ledger.New(d, ledger.Options{Name: f.name, Key: key, Sync: ledger.SyncAlways}, contents)
 	defer func() { err = errors.Join(err, l.Close()) }()
-	if err := l.BeginEpochAndWait(slices.Clone(least), time.Minute); err != nil {
-		return err //nolint:wrapcheck // it says what it is
+	if err := l.BeginEpochAndWait(slices.Clone(compacted), time.Minute); err != nil {
+		return err //nolint:wrapcheck // the error names its operation
 	}
-	fmt.Fprintf(out, "%d records are %d now\n", len(found.Records), len(least))
+	fmt.Fprintf(out, "compacted %d records to %d\n", len(contents.Records), len(compacted))
 	return nil
 }
--- a/internal/commands/ledger_test.go
+++ b/internal/commands/ledger_test.go
@@ -11,8 +11,8 @@
 	"cherryrelay/internal/ledger"
 )
 
-// keep writes a ledger in which one call stands and one is open.
-func keep(t *testing.T, path string) {
+// writeLedger writes a ledger with one established call and one open call.
+func writeLedger(t *testing.T, path string) {
 	t.Helper()
 	d, err := ledger.OpenDirectory(path)
 	if err != nil {
@@ -49,17 +49,17 @@
 
 func TestLedgerCommands(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
-	keep(t, path)
-	expect := func(args string, status int, has ...string) string {
+	writeLedger(t, path)
+	expect := func(args string, status int, wants ...string) string {
 		t.Helper()
-		got, out, faults := run(nil, strings.Fields("ledger "+args)...)
-		for _, want := range has {
-			if !strings.Contains(out+faults, want) {
-				t.Errorf("%s: says %q%q, want %q", args, out, faults, want)
+		got, out, errOut := runCommand(nil, strings.Fields("ledger "+args)...)
+		for _, want := range wants {
+			if !strings.Contains(out+errOut, want) {
+				t.Errorf("%s: printed %q%q, want %q", args, out, errOut, want)
 			}
 		}
 		if got != status {
-			t.Errorf("%s: status %d, want %d: %s", args, got, status, faults)
+			t.Errorf("%s: status %d, want %d: %s", args, got, status, errOut)
 		}
 		return out
 	}
@@ -70,8 +70,8 @@
 		t.Errorf("dump: %s", out)
 	}
 	expect("dump "+path, 0, "00000000000000aa back 0 s")
-	expect("compact "+path, 1, "--name is wanted")
-	expect("compact --name n1 "+path, 0, "6 records are 3 now")
+	expect("compact "+path, 1, "--name is required")
+	expect("compact --name n1 "+path, 0, "compacted 6 records to 3")
 	expect("verify "+path, 0, "3 records, 2 calls")
 	expect("inspect", 2)
 	expect("inspect "+path+"x", 1, "no such file")
--- a/internal/commands/pool.go
+++ b/internal/commands/pool.go
@@ -26,30 +26,31 @@
 )
 
 const (
-	// askWithin bounds one call at a management address, which answers at once or not at all.
-	askWithin = 2 * time.Second
-	// maxPage bounds an answer; pages are far smaller.
-	maxPage = 1 << 20
+	// requestTimeout limits a request to a management address. The response of a working controller comes at once.
+	requestTimeout = 2 * time.Second
+	// maxResponseSize limits the bytes read of a response. Pages are far smaller.
+	maxResponseSize = 1 << 20
 )
 
 var api = jsoniter.ConfigCompatibleWithStandardLibrary
 
 func poolCommand(getenv func(string) string) *cobra.Command {
 	c := &cobra.Command{
-		Use: "pool", Short: "Pool files, and the set of dispatchers in force", Args: cobra.NoArgs,
+		Use: "pool", Short: "Pool files, and the active set of dispatchers", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
 	c.AddCommand(poolCheck(), poolSeal(), poolDiff(), poolShow(getenv), poolHistory(getenv))
 	return c
 }
 
+// clock returns the time since the Unix epoch, as the functions of decide/pool and decide/recovery expect it.
 func clock() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// readPool reads and checks a pool file.
+// readPool reads a pool file and returns it with its faults.
 func readPool(path, keyFile string) (pool.Candidate, []pool.Fault, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return pool.Candidate{}, nil, err //nolint:wrapcheck // it says what it is
+		return pool.Candidate{}, nil, err //nolint:wrapcheck // the error names its operation
 	}
 	var key []byte
 	if keyFile != "" {
@@ -61,6 +62,7 @@
 	return c, pool.Check(clock(), &c), nil
 }
 
+// checkPool checks a pool file and prints its faults, or a summary if it has none.
 func checkPool(c *cobra.Command, path, keyFile string) error {
 	set, faults, err := readPool(path, keyFile)
 	if err != nil {
@@ -76,53 +78,53 @@
 	for _, m := range set.Servers {
 		weight += max(m.Weight, 0)
 	}
-	fmt.Fprintf(c.OutOrStdout(), "%s can be used: version %q, digest %s, %d servers, weights %d together\n", path, set.Label, set.Digest, len(set.Servers), weight)
+	fmt.Fprintf(c.OutOrStdout(), "%s is valid: version %q, digest %s, %d servers, total weight %d\n", path, set.Label, set.Digest, len(set.Servers), weight)
 	return nil
 }
 
-// checkFile checks a file of any kind.
+// checkFile checks a platform's, an operator's or a pool file, whose kind it finds out from the contents.
 func checkFile(c *cobra.Command, path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error names its operation
 	}
-	name := "LB_OPERATOR"
+	variable := "LB_OPERATOR"
 	switch {
 	case bytes.HasPrefix(bytes.TrimSpace(text), []byte("{")):
-		name = "LB_CONFIG"
+		variable = "LB_CONFIG"
 	case bytes.Contains(text, []byte("[server ")) || bytes.HasSuffix(bytes.TrimSpace(text), []byte("[end]")):
 		return checkPool(c, path, "")
 	}
-	if _, err := config.Read(func(key string) string { return map[string]string{name: path}[key] }); err != nil {
-		return tellAll(c, err)
+	if _, err := config.Read(func(key string) string { return map[string]string{variable: path}[key] }); err != nil {
+		return printFaults(c, err)
 	}
-	fmt.Fprintf(c.OutOrStdout(), "%s can be used\n", path)
+	fmt.Fprintf(c.OutOrStdout(), "%s is valid\n", path)
 	return nil
 }
 
 func poolCheck() *cobra.Command {
 	var keyFile string
 	c := &cobra.Command{
-		Use: "check FILE", Short: "Tell all that is wrong with a pool file", Args: cobra.ExactArgs(1),
-		RunE: answering(func(c *cobra.Command, args []string) error { return checkPool(c, args[0], keyFile) }),
+		Use: "check FILE", Short: "Print all faults of a pool file", Args: cobra.ExactArgs(1),
+		RunE: withExitFailure(func(c *cobra.Command, args []string) error { return checkPool(c, args[0], keyFile) }),
 	}
-	c.Flags().StringVar(&keyFile, "key-file", "", "key that the file must be sealed with")
+	c.Flags().StringVar(&keyFile, "key-file", "", "file with the key that the pool file must be sealed with")
 	return c
 }
 
 func poolSeal() *cobra.Command {
 	var keyFile string
 	c := &cobra.Command{
-		Use: "seal FILE --key-file KEY", Short: "Give a pool file its MAC, in place of the one it has", Args: cobra.ExactArgs(1),
-		Long: "Checks the file and replaces it by a sealed one in one rename, so that a controller that watches it sees one change.",
-		RunE: answering(func(c *cobra.Command, args []string) error {
+		Use: "seal FILE --key-file KEY", Short: "Add the MAC to a pool file, or replace it", Args: cobra.ExactArgs(1),
+		Long: "Checks the file and replaces it with a sealed one by a single rename, so that a controller that watches it sees a single change.",
+		RunE: withExitFailure(func(c *cobra.Command, args []string) error {
 			key, err := files.Key(keyFile)
 			if err != nil {
 				return fmt.Errorf("key: %w", err)
 			}
 			text, err := os.ReadFile(args[0])
 			if err != nil {
-				return err //nolint:wrapcheck // it says what it is
+				return err //nolint:wrapcheck // the error names its operation
 			}
 			sealed, err := poolfile.Seal(text, key)
 			if err != nil {
@@ -132,7 +134,7 @@
 			if faults := pool.Check(clock(), &set); len(faults) > 0 {
 				return fmt.Errorf("%s is not sealed: %v (faults: %d)", args[0], faults[0], len(faults))
 			}
-			if err := replace(args[0], sealed); err != nil {
+			if err := replaceFile(args[0], sealed); err != nil {
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s is sealed\n", args[0])
@@ -141,23 +143,23 @@
 	}
 	c.Flags().StringVar(&keyFile, "key-file", "", "file with the key, of 16 bytes or more")
 	if err := c.MarkFlagRequired("key-file"); err != nil {
-		panic(err) // the flag is named one line above
+		panic(err) // impossible: the flag is defined above
 	}
 	return c
 }
 
-// replace puts other bytes at a path by one rename, with the rights that the file has.
-func replace(path string, text []byte) (err error) {
-	if real, err := filepath.EvalSymlinks(path); err == nil {
-		path = real // a link stays one
+// replaceFile replaces the contents of a file by a single rename, and keeps its permissions.
+func replaceFile(path string, text []byte) (err error) {
+	if target, err := filepath.EvalSymlinks(path); err == nil {
+		path = target // replace the target, not the symbolic link
 	}
 	info, err := os.Stat(path)
 	if err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error names its operation
 	}
 	f, err := os.CreateTemp(filepath.Dir(path), "."+filepath.Base(path)+".*")
 	if err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error names its operation
 	}
 	defer func() {
 		if err != nil {
@@ -168,14 +170,14 @@
 	if err = errors.Join(err, f.Chmod(info.Mode().Perm()), f.Sync(), f.Close()); err != nil {
 		return err
 	}
-	return os.Rename(f.Name(), path) //nolint:wrapcheck // it says what it is
+	return os.Rename(f.Name(), path) //nolint:wrapcheck // the error names its operation
 }
 
 func poolDiff() *cobra.Command {
 	var keyFile string
 	c := &cobra.Command{
-		Use: "diff BEFORE AFTER", Short: "Tell what a pool file changes against another", Args: cobra.ExactArgs(2),
-		RunE: answering(func(c *cobra.Command, args []string) error {
+		Use: "diff BEFORE AFTER", Short: "Print the changes from one pool file to another", Args: cobra.ExactArgs(2),
+		RunE: withExitFailure(func(c *cobra.Command, args []string) error {
 			var sets [2]pool.Candidate
 			for i, path := range args {
 				set, faults, err := readPool(path, keyFile)
@@ -192,88 +194,88 @@
 			return nil
 		}),
 	}
-	c.Flags().StringVar(&keyFile, "key-file", "", "key that the files are sealed with")
+	c.Flags().StringVar(&keyFile, "key-file", "", "file with the key that the pool files are sealed with")
 	return c
 }
 
-// asker asks a controller that runs.
-type asker struct {
+// managementClient sends requests to the management address of a running controller.
+type managementClient struct {
 	address string
 	json    bool
 	getenv  func(string) string
 }
 
-func (a *asker) flags(c *cobra.Command) {
-	c.Flags().StringVar(&a.address, "management", "", "the controller's management address (else that of the environment's files)")
-	c.Flags().BoolVar(&a.json, "json", false, "as JSON")
+func (m *managementClient) addFlags(c *cobra.Command) {
+	c.Flags().StringVar(&m.address, "management", "", "management address of the controller (default: from the environment or its files)")
+	c.Flags().BoolVar(&m.json, "json", false, "print JSON")
 }
 
-// where is the address: the flag's, or that of the configuration.
-func (a *asker) where() (string, error) {
-	if a.address != "" {
-		return a.address, nil
+// resolveAddress returns the address from the flag, the environment or the configuration files, in this order.
+func (m *managementClient) resolveAddress() (string, error) {
+	if m.address != "" {
+		return m.address, nil
 	}
-	if address := a.getenv("LB_MANAGEMENT"); address != "" {
+	if address := m.getenv("LB_MANAGEMENT"); address != "" {
 		return address, nil
 	}
-	c, err := config.Read(a.getenv)
+	c, err := config.Read(m.getenv)
 	switch {
 	case err != nil:
-		return "", fmt.Errorf("no --management, and none from the files: %w", err)
+		return "", fmt.Errorf("--management is not set, and the configuration cannot be used: %w", err)
 	case c.Management == "":
-		return "", errors.New("no --management, and the configuration names none")
+		return "", errors.New("--management is not set, and the configuration has no management address")
 	}
 	return c.Management, nil
 }
 
-// ask gets one page.
-func (a *asker) ask(path string, query url.Values, into any) error {
-	address, err := a.where()
+// get requests a page and decodes its JSON.
+func (m *managementClient) get(path string, query url.Values, page any) error {
+	address, err := m.resolveAddress()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), askWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	u := url.URL{Scheme: "http", Host: address, Path: path, RawQuery: query.Encode()}
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
 	if err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error names its operation
 	}
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error names its operation
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxPage))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseSize))
 	if err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error names its operation
 	}
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s answers %s: %s", address, resp.Status, bytes.TrimSpace(text))
+		return fmt.Errorf("%s answered %s: %s", address, resp.Status, bytes.TrimSpace(text))
 	}
-	return api.Unmarshal(text, into) //nolint:wrapcheck // it says what it is
+	return api.Unmarshal(text, page) //nolint:wrapcheck // the error names its operation
 }
 
-// shown is the set in force with all its servers.
-type shown struct {
+// activeSet is the active set of dispatchers, with all its servers.
+type activeSet struct {
 	lists.State
 	Members []lists.ServerState `json:"members"`
 }
 
-// maxRestarts bounds how often the pages are read anew because the set changed between two of them.
-const maxRestarts = 20
+// maxReadAttempts limits how often all pages are read again because the set changed between two of them.
+const maxReadAttempts = 20
 
-// set reads the whole set, of one version.
-func (a *asker) set() (shown, error) {
-	for range maxRestarts {
-		var s shown
-		if err := a.ask(lists.StatePath, nil, &s.State); err != nil {
+// readSet reads all pages of the active set, which must belong to the same version.
+func (m *managementClient) readSet() (activeSet, error) {
+	for range maxReadAttempts {
+		var s activeSet
+		if err := m.get(lists.StatePath, nil, &s.State); err != nil {
 			return s, err
 		}
-		number, after, whole := -1, "", false
-		for !whole {
+		number, after, complete := -1, "", false
+		for !complete {
 			var page lists.Servers
-			if err := a.ask(lists.ServersPath, url.Values{"after": {after}}, &page); err != nil {
+			if err := m.get(lists.ServersPath, url.Values{"after": {after}}, &page); err != nil {
 				return s, err
 			}
 			if number >= 0 && page.Number != number {
@@ -281,45 +283,45 @@
 			}
 			number = page.Number
 			s.Members = append(s.Members, page.Servers...)
-			if whole = !page.More; !whole {
+			if complete = !page.More; !complete {
 				after = page.Servers[len(page.Servers)-1].Name
 			}
 		}
-		if whole && (s.Version == nil && number == 0 || s.Version != nil && s.Version.Number == number) {
+		if complete && (s.Version == nil && number == 0 || s.Version != nil && s.Version.Number == number) {
 			return s, nil
 		}
 	}
-	return shown{}, errors.New("the set changes faster than it can be read")
+	return activeSet{}, errors.New("the set changes faster than it can be read")
 }
 
 func poolShow(getenv func(string) string) *cobra.Command {
-	a := &asker{getenv: getenv}
+	client := &managementClient{getenv: getenv}
 	c := &cobra.Command{
-		Use: "show", Short: "Show the set in force at a controller that runs", Args: cobra.NoArgs,
-		RunE: answering(func(c *cobra.Command, _ []string) error {
-			s, err := a.set()
+		Use: "show", Short: "Show the active set of a running controller", Args: cobra.NoArgs,
+		RunE: withExitFailure(func(c *cobra.Command, _ []string) error {
+			s, err := client.readSet()
 			if err != nil {
 				return err
 			}
-			if a.json {
+			if client.json {
 				return printJSON(c.OutOrStdout(), s)
 			}
 			return printSet(c.OutOrStdout(), s)
 		}),
 	}
-	a.flags(c)
+	client.addFlags(c)
 	return c
 }
 
 func poolHistory(getenv func(string) string) *cobra.Command {
-	a := &asker{getenv: getenv}
+	client := &managementClient{getenv: getenv}
 	c := &cobra.Command{
-		Use: "history", Short: "Show the last versions, taken and refused, the newest first", Args: cobra.NoArgs,
-		RunE: answering(func(c *cobra.Command, _ []string) error {
+		Use: "history", Short: "Show the latest versions, accepted and refused ones, newest first", Args: cobra.NoArgs,
+		RunE: withExitFailure(func(c *cobra.Command, _ []string) error {
 			var all []pool.Version
 			for before, more := 0, true; more; {
 				var page lists.Versions
-				if err := a.ask(lists.HistoryPath, url.Values{"before": {strconv.Itoa(before)}}, &page); err != nil {
+				if err := client.get(lists.HistoryPath, url.Values{"before": {strconv.Itoa(before)}}, &page); err != nil {
 					return err
 				}
 				all = append(all, page.Versions...)
@@ -327,7 +329,7 @@
 					before = page.Versions[len(page.Versions)-1].Number
 				}
 			}
-			if a.json {
+			if client.json {
 				return printJSON(c.OutOrStdout(), all)
 			}
 			for i := range all {
@@ -336,26 +338,26 @@
 			return nil
 		}),
 	}
-	a.flags(c)
+	client.addFlags(c)
 	return c
 }
 
 func printJSON(out io.Writer, v any) error {
 	text, err := api.MarshalIndent(v, "", "  ")
 	if err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error names its operation
 	}
 	fmt.Fprintln(out, string(text))
 	return nil
 }
 
-// printVersion tells of one version, with its faults.
+// printVersion prints a version and its changes, or its faults if it was refused.
 func printVersion(out io.Writer, v *pool.Version) {
-	what := "refused"
+	outcome := "refused"
 	if v.Accepted {
-		what = "taken"
+		outcome = "taken"
 	}
-	fmt.Fprintf(out, "%d  %s  %s from %s", v.Number, time.Unix(0, int64(v.At)).UTC().Format(time.RFC3339Nano), what, v.Source)
+	fmt.Fprintf(out, "%d  %s  %s from %s", v.Number, time.Unix(0, int64(v.At)).UTC().Format(time.RFC3339Nano), outcome, v.Source)
 	if v.Label != "" {
 		fmt.Fprintf(out, ", version %s", v.Label)
 	}
@@ -374,19 +376,19 @@
 		fmt.Fprintf(out, "    and %d more\n", more)
 	}
 	if v.Repeats > 0 {
-		fmt.Fprintf(out, "    seen %d times more\n", v.Repeats)
+		fmt.Fprintf(out, "    seen %d more times\n", v.Repeats)
 	}
 }
 
-func printSet(out io.Writer, s shown) error {
+func printSet(out io.Writer, s activeSet) error {
 	if s.Version == nil {
-		fmt.Fprintln(out, "no set is in force")
+		fmt.Fprintln(out, "no set is active")
 	} else {
-		fmt.Fprintf(out, "in force for %v, stored: %s %s\n", (time.Duration(s.AgeMs) * time.Millisecond).Round(time.Second), s.Stored, s.NotSaved)
+		fmt.Fprintf(out, "active for %v, stored: %s %s\n", (time.Duration(s.AgeMs) * time.Millisecond).Round(time.Second), s.Stored, s.NotSaved)
 		printVersion(out, s.Version)
 	}
 	if s.Trouble != nil {
-		fmt.Fprintln(out, "the last candidate is refused:")
+		fmt.Fprintln(out, "the latest candidate was refused:")
 		printVersion(out, s.Trouble)
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -398,5 +400,5 @@
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%d\t%s\n", m.Name, m.Address, m.Zone, m.Group, m.Status, m.Weight, since)
 	}
-	return table.Flush() //nolint:wrapcheck // it says what it is
+	return table.Flush() //nolint:wrapcheck // the error names its operation
 }
