--- a/internal/endlog/endlog.go
+++ b/internal/endlog/endlog.go
@@ -1,4 +1,4 @@
-// Package endlog writes the steps by which the ends of calls come to their callers to a log, at the debug level. Nothing is computed or
+// Package endlog logs, at the debug level, the steps by which the ends of calls are delivered to their callers. Nothing is computed or
 // allocated while that level is off.
 package endlog
 
@@ -7,17 +7,17 @@
 	"log/slog"
 )
 
-// The messages of the log, one for each kind of thing that a step belongs to.
+// Log messages for the steps of a call, of a dispatcher and of a connection from callers.
 const (
 	CallMessage       = "step of a call"                    // attributes: step, id
 	DispatcherMessage = "step of a dispatcher"              // step, server
 	CallersMessage    = "step of a connection from callers" // step, connection
 )
 
-// Messages are all of them, for a handler that limits their rate.
+// Messages returns all messages of this package, for a handler that limits their rate.
 func Messages() []string { return []string{CallMessage, DispatcherMessage, CallersMessage} }
 
-// Names of attributes.
+// Keys of the attributes.
 const (
 	StepKey       = "step"
 	IDKey         = "id"
@@ -29,10 +29,10 @@
 	ResultKey     = "result"
 )
 
-// Step names what has happened.
+// Step is an event in the life of a call or a connection.
 type Step string
 
-// Steps of a call, in the order in which they come about.
+// Steps of a call, in the order in which they occur.
 const (
 	AnswerAgain      Step = "answer ignored: the call is established there"
 	AnswerOfEarlier  Step = "answer ignored: it is an earlier attempt's"
@@ -47,7 +47,7 @@
 	LostAnswer     Step = "released at the dispatcher: its connection ended without an answer"
 
 	ReleaseRead   Step = "release read from the dispatcher"
-	EndReceived   Step = "end received" // with the result, as the figures name it
+	EndReceived   Step = "end received" // with the result, as in the metrics
 	Over          Step = "over"
 	EndOfEarlier  Step = "ambiguous end is an earlier attempt's: a reply came on the connection of the later one"
 	EndOfLatest   Step = "ambiguous end counts as that of the established call: no reply came on its connection"
@@ -55,7 +55,7 @@
 	EndedByCaller Step = "ended by its caller"
 	Arrived       Step = "taken over from another controller"
 	Given         Step = "given to another controller"
-	Recovered     Step = "taken up from an earlier process" // with what is done with it
+	Recovered     Step = "taken up from an earlier process" // with the action
 	CameBack      Step = "its caller came back"             // with the state of the call
 	ToSuccessor   Step = "end handed to the successor"
 	EndQueued     Step = "end queued to the caller"
@@ -84,7 +84,7 @@
 	CountsAsGone  Step = "counts as gone: its calls are over"
 )
 
-// CallersEnded is the step of a connection from callers.
+// CallersEnded is the end of a connection from callers.
 const CallersEnded Step = "connection ended"
 
 // Enabled reports whether steps are logged.
@@ -113,21 +113,22 @@
 	}
 }
 
-func write(log *slog.Logger, message string, step Step, of slog.Attr, more []slog.Attr) {
-	attributes := append([]slog.Attr{slog.String(StepKey, string(step)), of}, more...)
+// write logs a step with the attribute that identifies its call, dispatcher or connection.
+func write(log *slog.Logger, message string, step Step, subject slog.Attr, more []slog.Attr) {
+	attributes := append([]slog.Attr{slog.String(StepKey, string(step)), subject}, more...)
 	log.LogAttrs(context.Background(), slog.LevelDebug, message, attributes...)
 }
 
-// Server is the attribute of a dispatcher.
+// Server returns the attribute with the name of a dispatcher.
 func Server[T ~string](id T) slog.Attr { return slog.String(ServerKey, string(id)) }
 
-// Connection is the attribute of a connection.
+// Connection returns the attribute with the number of a connection.
 func Connection(number uint64) slog.Attr { return slog.Uint64(ConnectionKey, number) }
 
-// Attempt is the attribute of an attempt; -1 for none.
+// Attempt returns the attribute with the number of an attempt; -1 for none.
 func Attempt(number int) slog.Attr { return slog.Int(AttemptKey, number) }
 
-// Reason is the attribute of an error that ended something; an empty one, which is not logged, without an error.
+// Reason returns the attribute with the error that caused a step. Without an error, it returns an empty attribute, which is not logged.
 func Reason(err error) slog.Attr {
 	if err == nil {
 		return slog.Attr{}
--- a/internal/endlog/endlog_test.go
+++ b/internal/endlog/endlog_test.go
@@ -8,23 +8,23 @@
 	"testing"
 )
 
-// TestNothingIsAllocatedWhileOff guards against calls that cost more for steps that nobody reads.
+// TestNothingIsAllocatedWhileOff guards against allocations for steps that are not logged.
 func TestNothingIsAllocatedWhileOff(t *testing.T) {
-	log := slog.New(slog.NewTextHandler(io.Discard, nil)) // from info on
+	log := slog.New(slog.NewTextHandler(io.Discard, nil)) // logs the levels info and above
 	id, server, number := strings.Repeat("a", 16), strings.Repeat("b", 16), uint64(1)<<40
-	allocated := testing.AllocsPerRun(100, func() {
+	allocations := testing.AllocsPerRun(100, func() {
 		Call(log, ReleaseRead, id, Server(server), Connection(number), Attempt(1<<20))
 		Dispatcher(log, LinkEnded, server, Connection(number), Reason(io.EOF))
 		Callers(log, CallersEnded, number, Reason(io.EOF))
 		Call(nil, EndQueued, id)
 	})
-	if allocated > 0 {
-		t.Errorf("%v allocations", allocated)
+	if allocations > 0 {
+		t.Errorf("%v allocations, want none", allocations)
 	}
 }
 
-// TestStepsNameWhatTheyBelongTo guards against steps that can't be found by their call, dispatcher or connection.
-func TestStepsNameWhatTheyBelongTo(t *testing.T) {
+// TestStepsHaveIdentifyingAttributes guards against steps that cannot be found by their call, dispatcher or connection.
+func TestStepsHaveIdentifyingAttributes(t *testing.T) {
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	Call(log, EndQueued, "c1", Connection(7))
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,4 +1,5 @@
-// Package logs limits the rate of log messages: thousands of misbehaving peers must not fill the log or keep the processor busy.
+// Package logs creates log handlers and limits the rate of log messages, so that thousands of misbehaving peers cannot fill the log
+// or keep the processor busy.
 package logs
 
 import (
@@ -10,21 +11,22 @@
 	"time"
 )
 
-// limit is the size of a token bucket, and its refill per second.
+// limit is the size of a token bucket, and the tokens added to it per second.
 type limit struct{ burst, refillRate float64 }
 
-// Limits of messages above the debug level, and of those at it that are limited.
+// Rate limits for each message above the debug level, and for each debug message that is limited at all.
 var (
 	ordinary = limit{burst: 30, refillRate: 2}
 	frequent = limit{burst: 4000, refillRate: 1000}
 )
 
 const (
-	// maxMessages bounds the distinct messages with a bucket. The program has fewer.
+	// maxMessages limits the distinct messages with a bucket. The program has fewer.
 	maxMessages = 256
 )
 
-// Handler returns a handler that writes records as text (the default) or json, from a level on: debug, info (the default), warn or error.
+// Handler returns a handler that writes records as text (the default) or json if their level is at least debug, info (the default),
+// warn or error.
 func Handler(out io.Writer, format, level string) (slog.Handler, error) {
 	o := &slog.HandlerOptions{}
 	if level != "" {
@@ -43,8 +45,9 @@
 	return nil, fmt.Errorf("log format: %q is neither text nor json", format)
 }
 
-// Bounded limits the rate of each message with a token bucket before another handler. The first record after dropped ones has their number
-// as not_logged. Debug records are not limited but for some messages, which may come more often than others.
+// Bounded limits the rate of each message with a token bucket and passes the remaining records to another handler. The first record
+// after dropped ones has their number as the attribute not_logged. Debug records are not limited, except for some messages, which have a
+// higher limit than those above the debug level.
 type Bounded struct {
 	slog.Handler
 	limiter  *limiter
@@ -57,13 +60,14 @@
 	buckets map[string]*bucket
 }
 
+// bucket is the token bucket of a message.
 type bucket struct {
 	tokens     float64
 	refilledAt time.Time
-	dropped    int
+	dropped    int // records since the last one that was passed on
 }
 
-// Bound returns a handler that limits what it passes to another one, some messages at the debug level among it.
+// Bound returns a handler that limits the rate of the records that it passes to h. At the debug level, only debugMessages are limited.
 func Bound(h slog.Handler, debugMessages ...string) *Bounded {
 	b := &Bounded{Handler: h, limiter: &limiter{buckets: map[string]*bucket{}}, frequent: map[string]bool{}}
 	for _, message := range debugMessages {
@@ -87,10 +91,11 @@
 			r.AddAttrs(slog.Int("not_logged", dropped))
 		}
 	}
-	return b.Handler.Handle(ctx, r) //nolint:wrapcheck // it is a wrapper
+	return b.Handler.Handle(ctx, r) //nolint:wrapcheck // slog expects the error of the wrapped handler
 }
 
-// allow takes a token of a message. It returns false if there is none, and else the number of records dropped since the last one.
+// allow takes a token from the bucket of a message. It returns false if there is none; otherwise it returns the number of records that
+// were dropped since the last one that was passed on.
 func (l *limiter) allow(message string, now time.Time, limit limit) (dropped int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,12 +118,12 @@
 	return dropped, true
 }
 
-// WithAttrs shares the limit.
+// WithAttrs returns a handler with additional attributes that shares the token buckets.
 func (b *Bounded) WithAttrs(attrs []slog.Attr) slog.Handler {
 	return &Bounded{Handler: b.Handler.WithAttrs(attrs), limiter: b.limiter, frequent: b.frequent}
 }
 
-// WithGroup shares the limit.
+// WithGroup returns a handler with a group that shares the token buckets.
 func (b *Bounded) WithGroup(name string) slog.Handler {
 	return &Bounded{Handler: b.Handler.WithGroup(name), limiter: b.limiter, frequent: b.frequent}
 }
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -1,5 +1,5 @@
-// Package management serves the address for operators: whether this process can serve, its figures, and leaving and
-// rejoining work. Each connection carries one call.
+// Package management serves the HTTP interface for operators: readiness, metrics, status pages, and the requests to evacuate
+// the controller and to let it rejoin. Each connection carries a single request.
 package management
 
 import (
@@ -22,91 +22,93 @@
 )
 
 const (
-	// MaxOpen is how many connections are kept, for which descriptors are reserved: a few operators and their tools at once.
+	// MaxOpen is the maximum number of open connections: enough for a few operators and their tools at once.
 	MaxOpen = 8
-	// spare may be open beyond them for a moment, until the oldest has made room for the newest.
-	spare = 4
-	// callWithin is how long a call may take to come in whole. Operators wait for 1 s.
-	callWithin = 2 * time.Second
-	// lookEvery is the pace at which connections are looked at.
-	lookEvery = 250 * time.Millisecond
+	// spareConnections may be open in addition for a moment, until the oldest ones are evicted.
+	spareConnections = 4
+	// requestTimeout limits the time until a request has arrived completely. Operators wait for 1 s.
+	requestTimeout = 2 * time.Second
+	// scanInterval is the time between two scans for connections whose request has timed out.
+	scanInterval = 250 * time.Millisecond
 )
 
-// Descriptors is what the address may take.
-const Descriptors = MaxOpen + spare + 1
+// Descriptors is the maximum number of file descriptors for the listener and its connections, which are reserved.
+const Descriptors = MaxOpen + spareConnections + 1
 
 var (
-	errStalled = errors.New("no whole call came in time")
-	errRoom    = errors.New("room for a newer call")
+	errTimeout = errors.New("no complete request arrived in time")
+	errEvicted = errors.New("evicted by a newer connection")
 )
 
-// Core is what operators ask and tell; *call.Core is one.
+// Core handles the requests of operators. *call.Core implements it.
 type Core interface {
 	Ready() bool
-	// Telemetry is all figures as text.
+	// Telemetry returns all metrics in Prometheus's text format.
 	Telemetry() (string, error)
 	Evacuate()
 	Rejoin()
 }
 
-// route is what a path stands for.
+// route is the method of a path and the function that serves it.
 type route struct {
 	method string
 	serve  func(Core) (status int, kind, body string)
 }
 
-const plain = "text/plain; charset=utf-8"
+// plainText is the content type of plain text.
+const plainText = "text/plain; charset=utf-8"
 
 var routes = map[string]route{
 	"/api/ready": {http.MethodGet, func(c Core) (int, string, string) {
 		if !c.Ready() {
-			return http.StatusServiceUnavailable, plain, "not ready\n"
+			return http.StatusServiceUnavailable, plainText, "not ready\n"
 		}
-		return http.StatusOK, plain, "ready\n"
+		return http.StatusOK, plainText, "ready\n"
 	}},
 	"/api/telemetry": {http.MethodGet, func(c Core) (int, string, string) {
 		text, err := c.Telemetry()
 		if err != nil {
-			return http.StatusInternalServerError, plain, err.Error() + "\n"
+			return http.StatusInternalServerError, plainText, err.Error() + "\n"
 		}
 		return http.StatusOK, string(expfmt.NewFormat(expfmt.TypeTextPlain)), text
 	}},
 	"/api/evacuate": {http.MethodPost, func(c Core) (int, string, string) {
 		c.Evacuate()
-		return http.StatusOK, plain, "evacuating\n"
+		return http.StatusOK, plainText, "evacuating\n"
 	}},
 	"/api/rejoin": {http.MethodPost, func(c Core) (int, string, string) {
 		c.Rejoin()
-		return http.StatusOK, plain, "rejoined\n"
+		return http.StatusOK, plainText, "rejoined\n"
 	}},
 }
 
-// Server is the address and its connections.
+// Server is the listener for operators and its connections.
 type Server struct {
 	loop     *call.Loop
 	core     Core
 	log      *slog.Logger
 	listener *conn.Listener
-	open     []*client // in the order in which they came
+	clients  []*client // open connections, oldest first
 	pages    map[string]Page
 }
 
-// Listen opens the address.
+// Listen starts to serve operators at an address.
 func Listen(loop *call.Loop, core Core, log *slog.Logger, address string) (*Server, error) {
 	s := &Server{loop: loop, core: core, log: log}
-	l, err := conn.Listen(loop, address, MaxOpen+spare, s.accept)
+	l, err := conn.Listen(loop, address, MaxOpen+spareConnections, s.accept)
 	if err != nil {
 		return nil, fmt.Errorf("management: %w", err)
 	}
 	s.listener = l
-	loop.Post(s.look)
+	loop.Post(s.closeStalled)
 	return s, nil
 }
 
-// Page is what a part of the program shows of itself: an object for JSON, by the query of the call.
+// Page returns the object that a page shows as JSON, for the query of a request.
 type Page func(url.Values) (any, error)
 
-// Show adds a page that operators may GET. Its JSON must be below 64 KiB: more than that is not written to a slow reader.
+// Show adds a page that operators can read with GET. Its JSON must be shorter than 64 KiB: more than that is not written to a slow
+// reader.
 func (s *Server) Show(path string, p Page) {
 	if s.pages == nil {
 		s.pages = map[string]Page{}
@@ -114,61 +116,61 @@
 	s.pages[path] = p
 }
 
-// page answers with a page.
-func (s *Server) page(p Page, r *http1.Request) []byte {
+// servePage returns the response to a request for a page.
+func (s *Server) servePage(p Page, r *http1.Request) []byte {
 	if r.Method != http.MethodGet {
 		return http1.Response(http.StatusMethodNotAllowed, "", "Allow: "+http.MethodGet)
 	}
 	query, err := url.ParseQuery(r.Query)
-	var shown any
+	var object any
 	if err == nil {
-		shown, err = p(query)
+		object, err = p(query)
 	}
 	if err != nil {
-		return http1.Response(http.StatusBadRequest, err.Error()+"\n", "Content-Type: "+plain)
+		return http1.Response(http.StatusBadRequest, err.Error()+"\n", "Content-Type: "+plainText)
 	}
-	text, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalToString(shown)
+	text, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalToString(object)
 	if err != nil {
-		return http1.Response(http.StatusInternalServerError, err.Error()+"\n", "Content-Type: "+plain)
+		return http1.Response(http.StatusInternalServerError, err.Error()+"\n", "Content-Type: "+plainText)
 	}
 	return http1.Response(http.StatusOK, text+"\n", "Content-Type: application/json")
 }
 
-// Address is where the server listens.
+// Address returns the host:port on which the server listens.
 func (s *Server) Address() string { return s.listener.Address() }
 
-// Close ends the server and its connections.
+// Close stops accepting connections and closes the open ones.
 func (s *Server) Close() error { return s.listener.Shutdown() }
 
 func (s *Server) accept(c *conn.Conn) conn.Handler {
-	k := &client{server: s, conn: c, since: time.Now()}
-	s.open = append(s.open, k)
-	if len(s.open) > MaxOpen { // who has stalled for longest keeps nobody out
-		s.open[0].shut(errRoom)
+	newest := &client{server: s, conn: c, since: time.Now()}
+	s.clients = append(s.clients, newest)
+	if len(s.clients) > MaxOpen { // stalled connections must not keep new ones out
+		s.clients[0].closeWith(errEvicted)
 	}
-	return k
+	return newest
 }
 
-// look closes connections on which no call comes.
-func (s *Server) look() {
-	for _, c := range slices.Clone(s.open) {
-		if time.Since(c.since) > callWithin {
-			c.shut(errStalled)
+// closeStalled closes the connections whose request has not arrived in time.
+func (s *Server) closeStalled() {
+	for _, c := range slices.Clone(s.clients) {
+		if time.Since(c.since) > requestTimeout {
+			c.closeWith(errTimeout)
 		}
 	}
-	s.loop.After(lookEvery, s.look)
+	s.loop.After(scanInterval, s.closeStalled)
 }
 
-// client is one connection.
+// client is the connection of an operator.
 type client struct {
 	server *Server
 	conn   *conn.Conn
 	dec    http1.Decoder
-	since  time.Time
+	since  time.Time // when the connection was accepted
 	closed bool
 }
 
-// Data takes in a call and answers it.
+// Data reads a request and responds to it.
 func (c *client) Data(in *ring.Buffer, _ time.Time) error {
 	if c.closed {
 		in.Discard(in.Len())
@@ -177,23 +179,24 @@
 	r, err := c.dec.Next(in)
 	switch {
 	case err != nil:
-		c.conn.Write(http1.Response(http.StatusBadRequest, err.Error()+"\n", "Content-Type: "+plain))
+		c.conn.Write(http1.Response(http.StatusBadRequest, err.Error()+"\n", "Content-Type: "+plainText))
 		return err
 	case r == nil:
 		return nil
 	}
-	c.conn.Write(c.server.answer(r))
+	c.conn.Write(c.server.respond(r))
 	return conn.ErrClosedHere
 }
 
-func (s *Server) answer(r *http1.Request) []byte {
+// respond returns the response to a request.
+func (s *Server) respond(r *http1.Request) []byte {
 	if page := s.pages[r.Path]; page != nil {
-		return s.page(page, r)
+		return s.servePage(page, r)
 	}
-	route, known := routes[r.Path]
+	route, exists := routes[r.Path]
 	switch {
-	case !known:
-		return http1.Response(http.StatusNotFound, "no such call\n", "Content-Type: "+plain)
+	case !exists:
+		return http1.Response(http.StatusNotFound, "no such call\n", "Content-Type: "+plainText)
 	case r.Method != route.method:
 		return http1.Response(http.StatusMethodNotAllowed, "", "Allow: "+route.method)
 	}
@@ -201,20 +204,21 @@
 	return http1.Response(status, body, "Content-Type: "+kind)
 }
 
-func (c *client) shut(reason error) {
+// closeWith closes the connection for a reason.
+func (c *client) closeWith(reason error) {
 	c.conn.Close(reason)
 	c.Closed(reason)
 }
 
-// Closed forgets the connection.
+// Closed removes the connection from the server and logs the reason unless it is a normal one.
 func (c *client) Closed(reason error) {
 	if c.closed {
 		return
 	}
 	c.closed = true
 	s := c.server
-	s.open = slices.DeleteFunc(s.open, func(o *client) bool { return o == c })
+	s.clients = slices.DeleteFunc(s.clients, func(other *client) bool { return other == c })
 	if !errors.Is(reason, io.EOF) && !errors.Is(reason, conn.ErrClosedHere) {
-		s.log.Warn("connection from operators closed", "peer", c.conn.Remote(), "reason", reason)
+		s.log.Warn("connection from an operator closed", "peer", c.conn.Remote(), "reason", reason)
 	}
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,4 +1,4 @@
-// Package telemetry holds the figures of a call controller and writes them in Prometheus's text format.
+// Package telemetry holds the metrics of a call controller and writes them in Prometheus's text format.
 package telemetry
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/prometheus/common/expfmt"
 )
 
-// prefix begins every name.
+// prefix is the prefix of the names of all metrics.
 const prefix = "edge_lb_"
 
-// Figures are counted by the event loop that owns them. Counts start with the process.
+// Figures holds the metrics of the event loop, which alone may use them. Counters start with the process.
 type Figures struct {
 	Attempts                 uint64
 	InFlight                 int
@@ -23,13 +23,14 @@
 	classes                  []*Class
 }
 
-// Class is what became of the requests of one class.
+// Class counts the requests of a class by their outcome.
 type Class struct {
 	name                    string
 	Served, Refused, Failed uint64
 }
 
-// Class is that of the name, from now on if it is a new one. One that the settings have no longer keeps its counts.
+// Class returns the counters of a class, which are created if there are none. A class that is removed from the settings keeps
+// its counters.
 func (f *Figures) Class(name string) *Class {
 	i := slices.IndexFunc(f.classes, func(c *Class) bool { return c.name == name })
 	if i < 0 {
@@ -39,27 +40,27 @@
 	return f.classes[i]
 }
 
-// Has reports whether the class is shown.
+// Has reports whether there are counters for a class.
 func (f *Figures) Has(name string) bool {
 	return slices.ContainsFunc(f.classes, func(c *Class) bool { return c.name == name })
 }
 
-// Text writes all figures, and those of other parts after them.
+// Text returns all metrics as text, followed by those of other parts of the program.
 func (f *Figures) Text(more ...*dto.MetricFamily) (string, error) {
 	requests := family("requests_total", "Requests that have had their final answer, by class and outcome.", dto.MetricType_COUNTER)
 	for _, c := range f.classes {
-		for _, o := range []struct {
-			outcome string
-			count   uint64
+		for _, outcome := range []struct {
+			name  string
+			count uint64
 		}{{"served", c.Served}, {"refused", c.Refused}, {"failed", c.Failed}} {
 			requests.Metric = append(requests.Metric, &dto.Metric{
-				Label:   []*dto.LabelPair{{Name: new("class"), Value: new(c.name)}, {Name: new("outcome"), Value: new(o.outcome)}},
-				Counter: &dto.Counter{Value: new(float64(o.count))},
+				Label:   []*dto.LabelPair{{Name: new("class"), Value: new(c.name)}, {Name: new("outcome"), Value: new(outcome.name)}},
+				Counter: &dto.Counter{Value: new(float64(outcome.count))},
 			})
 		}
 	}
 	var text strings.Builder
-	for _, m := range append([]*dto.MetricFamily{
+	for _, metric := range append([]*dto.MetricFamily{
 		requests,
 		Counter("attempts_total", "Attempts written whole to dispatchers.", f.Attempts),
 		Gauge("in_flight", "Requests taken that have not ended: set-ups without an answer, and calls that stand.", float64(f.InFlight)),
@@ -68,32 +69,33 @@
 		Counter("reloads_ok_total", "Configurations taken at SIGHUP.", f.ReloadsOK),
 		Counter("reloads_failed_total", "Configurations turned down at SIGHUP.", f.ReloadsFailed),
 	}, more...) {
-		if _, err := expfmt.MetricFamilyToText(&text, m); err != nil {
+		if _, err := expfmt.MetricFamilyToText(&text, metric); err != nil {
 			return "", fmt.Errorf("telemetry: %w", err)
 		}
 	}
 	return text.String(), nil
 }
 
+// family returns a metric family without samples; the prefix is added to its name.
 func family(name, help string, kind dto.MetricType) *dto.MetricFamily {
 	return &dto.MetricFamily{Name: new(prefix + name), Help: new(help), Type: new(kind)}
 }
 
-// Counter is a figure that only grows, by its name without the prefix.
+// Counter returns a counter; the prefix is added to its name.
 func Counter(name, help string, n uint64) *dto.MetricFamily {
 	m := family(name, help, dto.MetricType_COUNTER)
 	m.Metric = []*dto.Metric{{Counter: &dto.Counter{Value: new(float64(n))}}}
 	return m
 }
 
-// Gauge is a figure that goes up and down.
+// Gauge returns a gauge; the prefix is added to its name.
 func Gauge(name, help string, n float64) *dto.MetricFamily {
 	m := family(name, help, dto.MetricType_GAUGE)
 	m.Metric = []*dto.Metric{{Gauge: &dto.Gauge{Value: new(n)}}}
 	return m
 }
 
-// Gauges are figures that go up and down, one for each value of a label, in the order of the values.
+// Gauges returns a gauge for each value of a label, sorted by the values.
 func Gauges(name, help, label string, values map[string]float64) *dto.MetricFamily {
 	m := family(name, help, dto.MetricType_GAUGE)
 	for _, value := range slices.Sorted(maps.Keys(values)) {
@@ -104,7 +106,7 @@
 	return m
 }
 
-// Counters are figures that only grow, one for each value of a label, in the order of the values.
+// Counters returns a counter for each value of a label, sorted by the values.
 func Counters(name, help, label string, counts map[string]uint64) *dto.MetricFamily {
 	m := family(name, help, dto.MetricType_COUNTER)
 	for _, value := range slices.Sorted(maps.Keys(counts)) {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -6,11 +6,12 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestText: names, kinds and help as the format wants them, and labels that hold what would end them.
+// TestText checks the names, types and help texts in the text format, and the escaping of quotes, backslashes and line feeds in
+// labels.
 func TestText(t *testing.T) {
 	var f Figures
 	f.Class("a\"b\\\n").Refused = 2
-	f.Class("gone").Served++ // it stays, whatever the settings have since
+	f.Class("gone").Served++ // a class that is not in the settings any more
 	f.Attempts, f.InFlight, f.Known, f.Excluded, f.ReloadsOK, f.ReloadsFailed = 1234567, 3, 4, 1, 5, 6
 	want := `# HELP edge_lb_requests_total Requests that have had their final answer, by class and outcome.
 # TYPE edge_lb_requests_total counter
