--- a/deploy/built_test.go
+++ b/deploy/built_test.go
@@ -1,4 +1,5 @@
-// Package deploy tests what the deploy file's build line has left, in bin, as the platform starts it.
+// Package deploy tests the program that the build command of balancer.toml has put into bin, and starts it in the way of the
+// platform.
 package deploy
 
 import (
@@ -20,8 +21,8 @@
 	"cherryrelay/internal/peer"
 )
 
-// line is a command of the deploy file.
-func line(t *testing.T, name string) string {
+// deployCommand returns a command from balancer.toml.
+func deployCommand(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile("balancer.toml")
 	if err != nil {
@@ -29,15 +30,15 @@
 	}
 	m := regexp.MustCompile(`(?m)^` + name + ` = "(.*)"$`).FindSubmatch(text)
 	if m == nil {
-		t.Fatalf("no %s in balancer.toml", name)
+		t.Fatalf("balancer.toml has no command %s", name)
 	}
 	return string(m[1])
 }
 
-// TestBuilt is for a tree in which the build line has just run: .ci/run asks for it.
+// TestBuilt tests bin/cherryrelay. It requires that the build command has just run, as in .ci/run.
 func TestBuilt(t *testing.T) {
 	if os.Getenv("CHERRYRELAY_BUILT") == "" {
-		t.Skip("CHERRYRELAY_BUILT is not set: bin may be old")
+		t.Skip("CHERRYRELAY_BUILT is not set: bin may be outdated")
 	}
 	t.Run("linked dynamically", func(t *testing.T) {
 		f, err := elf.Open("../bin/cherryrelay")
@@ -47,52 +48,53 @@
 		defer f.Close()
 		libraries, err := f.ImportedLibraries()
 		if err != nil || !slices.ContainsFunc(libraries, func(l string) bool { return strings.HasPrefix(l, "libc.") }) {
-			t.Errorf("libraries %v, %v", libraries, err)
+			t.Errorf("libraries %v, error %v; want libc among them", libraries, err)
 		}
 		if !slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
 			t.Error("no dynamic interpreter")
 		}
 	})
-	t.Run("starts, is ready, ends at SIGTERM, in one process", func(t *testing.T) {
+	t.Run("starts, becomes ready and ends at SIGTERM, as a single process", func(t *testing.T) {
 		d, err := peer.Dispatch("tcp", "127.0.0.1:0", "x0:40;x1:40")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer d.Die()
-		p := run(t, d.Address())
-		p.ready()
-		p.alone()
+		p := start(t, d.Address())
+		p.waitReady()
+		p.checkSingleProcess()
 		if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
 		if err := p.cmd.Wait(); err != nil {
-			t.Errorf("ended with %v: %s", err, p.said())
+			t.Errorf("ended with %v; output: %s", err, p.output())
 		}
 	})
-	t.Run("ends at a SIGTERM of its first moments", func(t *testing.T) {
+	t.Run("ends at a SIGTERM shortly after its start", func(t *testing.T) {
 		for _, after := range []time.Duration{20, 40, 60, 80, 100} {
-			p := run(t, "127.0.0.1:9")
-			p.logged("serving") // before that, a signal ends it as any program
+			p := start(t, "127.0.0.1:9")
+			p.waitLogged("serving") // until then, signals have their default effect
 			time.Sleep(after * time.Millisecond)
 			if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 				t.Fatal(err)
 			}
 			if err := p.cmd.Wait(); err != nil {
-				t.Errorf("after %d ms: ended with %v: %s", after, err, p.said())
+				t.Errorf("after %d ms: ended with %v; output: %s", after, err, p.output())
 			}
 		}
 	})
 }
 
-// process is a controller that the run line has started.
+// process is a controller that was started with the run command.
 type process struct {
 	*testing.T
 	cmd        *exec.Cmd
-	log        string // the path of what it writes
+	log        string // path of the file with its output
 	management string
 }
 
-func free(t *testing.T) string {
+// freeAddress returns an address that nothing listens on.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	address, err := peer.Free()
 	if err != nil {
@@ -101,8 +103,8 @@
 	return address
 }
 
-// run starts the run line's program with one dispatcher on its list.
-func run(t *testing.T, dispatcher string) *process {
+// start starts a controller with the run command, with a single dispatcher on its list.
+func start(t *testing.T, dispatcher string) *process {
 	t.Helper()
 	dir := t.TempDir()
 	example, err := os.ReadFile("../example/config.json")
@@ -114,16 +116,16 @@
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p := &process{T: t, management: free(t), log: filepath.Join(dir, "log")}
+	p := &process{T: t, management: freeAddress(t), log: filepath.Join(dir, "log")}
 	out, err := os.Create(p.log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer out.Close()
-	p.cmd = exec.Command("/bin/sh", "-c", line(t, "run"))
+	p.cmd = exec.Command("/bin/sh", "-c", deployCommand(t, "run"))
 	p.cmd.Dir = ".."
 	p.cmd.Stdout, p.cmd.Stderr = out, out
-	p.cmd.Env = append(os.Environ(), "LB_CONFIG="+path, "LB_LISTEN="+free(t), "LB_MANAGEMENT="+p.management, "TMPDIR="+dir)
+	p.cmd.Env = append(os.Environ(), "LB_CONFIG="+path, "LB_LISTEN="+freeAddress(t), "LB_MANAGEMENT="+p.management, "TMPDIR="+dir)
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -131,7 +133,8 @@
 	return p
 }
 
-func (p *process) said() string {
+// output returns all that the process has written.
+func (p *process) output() string {
 	p.Helper()
 	text, err := os.ReadFile(p.log)
 	if err != nil {
@@ -140,23 +143,26 @@
 	return string(text)
 }
 
-func (p *process) within(what string, done func() bool) {
+// waitFor waits until a condition is met, and fails the test if that takes too long.
+func (p *process) waitFor(condition string, met func() bool) {
 	p.Helper()
-	for until := time.Now().Add(peer.Patience); !done(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(until) {
-			p.Fatalf("%s: not in time: %s", what, p.said())
+	for deadline := time.Now().Add(peer.Patience); !met(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			p.Fatalf("timeout while waiting for %s; output: %s", condition, p.output())
 		}
 	}
 }
 
-func (p *process) logged(word string) {
+// waitLogged waits until the output contains a word.
+func (p *process) waitLogged(word string) {
 	p.Helper()
-	p.within(word, func() bool { return strings.Contains(p.said(), word) })
+	p.waitFor(word, func() bool { return strings.Contains(p.output(), word) })
 }
 
-func (p *process) ready() {
+// waitReady waits until the management address reports that the controller is ready.
+func (p *process) waitReady() {
 	p.Helper()
-	p.within("ready", func() bool {
+	p.waitFor("ready", func() bool {
 		response, err := http.Get("http://" + p.management + "/api/ready")
 		if err != nil {
 			return false
@@ -166,22 +172,22 @@
 	})
 }
 
-// alone holds that the process is the program itself, that it has no child, and that none was waited for on the way: a child
-// that ended would have left page faults in its parent's account.
-func (p *process) alone() {
+// checkSingleProcess checks that the process is the program itself, that it has no child process, and that none has ended before:
+// the page faults of a child are added to those of its parent when the child is waited for.
+func (p *process) checkSingleProcess() {
 	p.Helper()
 	proc := fmt.Sprintf("/proc/%d", p.cmd.Process.Pid)
 	name, err := os.ReadFile(proc + "/comm")
 	if err != nil || strings.TrimSpace(string(name)) != "cherryrelay" {
-		p.Errorf("the process is %q, %v", name, err)
+		p.Errorf("the process is %q, error %v; want cherryrelay", name, err)
 	}
-	lists, err := filepath.Glob(proc + "/task/*/children")
+	childLists, err := filepath.Glob(proc + "/task/*/children")
 	if err != nil {
 		p.Fatal(err)
 	}
-	for _, path := range lists {
+	for _, path := range childLists {
 		if children, err := os.ReadFile(path); err == nil && len(children) > 0 || err != nil && !errors.Is(err, os.ErrNotExist) {
-			p.Errorf("children of %s: %q, %v", path, children, err)
+			p.Errorf("%s: children %q, error %v; want none", path, children, err)
 		}
 	}
 	stat, err := os.ReadFile(proc + "/stat")
@@ -189,8 +195,8 @@
 		p.Fatal(err)
 	}
 	_, rest, _ := strings.Cut(string(stat), ") ")
-	const faultsOfChildren = 8 // cminflt, field 11 of proc(5), after the two before ") "
-	if f := strings.Fields(rest); len(f) <= faultsOfChildren || f[faultsOfChildren] != "0" {
-		p.Errorf("a child was started and has ended: %s", rest)
+	const childFaults = 8 // index of cminflt, field 11 in proc(5), without the two fields before ") "
+	if f := strings.Fields(rest); len(f) <= childFaults || f[childFaults] != "0" {
+		p.Errorf("a child process was started and has ended: %s", rest)
 	}
 }
--- a/deploy/sites/link.sh
+++ b/deploy/sites/link.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# The bench wants what it knows of the wire beside a site's file. It belongs to the operators and is not kept here: this links it
-# from where it lies, ../given unless another place is named.
+# Links the files that describe the wire into this directory, where the bench expects them beside a site's file. They belong to the
+# operators and are not in this repository. The argument is the directory that holds them; the default is ../given.
 set -eu
 from=$(cd "${1:-$(dirname "$0")/../../../given}/kit/more/mass/other" && pwd)
 cd "$(dirname "$0")"
