--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -40,7 +40,7 @@
 
 // TestInvalidConfigurationIsReportedInOneLine checks that the error for each fault is a single line that names the key.
 func TestInvalidConfigurationIsReportedInOneLine(t *testing.T) {
-	whole, err := os.ReadFile(platformFile)
+	platform, err := os.ReadFile(platformFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,8 +55,8 @@
 		{"c", `"settings"`, `"other"`, "settings"},
 		{"c", `"listen"`, "\n\n", "configuration"},
 		{"c", `"connectTimeoutUs": 500000`, `"connectTimeoutUs": 0`, "connectTimeoutUs"},
-		{"c", string(whole), "", "configuration"},
-		{"c", string(whole)[len(whole)/2:], "", "configuration"},
+		{"c", string(platform), "", "configuration"},
+		{"c", string(platform)[len(platform)/2:], "", "configuration"},
 		{"c", `"sendCap": 5`, `"sendCap": 0`, "sendCap"},
 		{"c", `"sendCap": 5`, `"sendCap": "five"`, "configuration"},
 		{"c", `"deadlineUs": 9000000`, `"deadlineUs": -5`, "deadline"},
@@ -103,7 +103,7 @@
 		{"o", "[etcd]", "[fleet]\nendpoints = h:1\nprefix = /p\ncolour = red\n[etcd]", "unknown key \"colour\""},
 		{"o", string(operator), "{}", "it is JSON"},
 	} {
-		key, text := "LB_CONFIG", string(whole)
+		key, text := "LB_CONFIG", string(platform)
 		if test.file == "o" {
 			key, text = "LB_OPERATOR", string(operator)
 		}
@@ -155,12 +155,12 @@
 func TestReplacementWithoutKeyIsRejected(t *testing.T) {
 	read := func(from, to string) *Config {
 		t.Helper()
-		whole, err := os.ReadFile(platformFile)
+		platform, err := os.ReadFile(platformFile)
 		if err != nil {
 			t.Fatal(err)
 		}
 		path := filepath.Join(t.TempDir(), "config.json")
-		if err := os.WriteFile(path, []byte(strings.Replace(string(whole), from, to, 1)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(strings.Replace(string(platform), from, to, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		c, err := Read(func(k string) string { return map[string]string{"LB_CONFIG": path}[k] })
