--- a/internal/commands/commands.go
+++ b/internal/commands/commands.go
@@ -52,7 +52,7 @@
 	return WrongUse
 }
 
-// withExitFailure wraps the errors of a command, so that they lead to the exit status No instead of WrongUse.
+// withExitFailure wraps the errors of a command, so that the exit status is that of a failure and not that of a wrong use.
 func withExitFailure(run func(*cobra.Command, []string) error) func(*cobra.Command, []string) error {
 	return func(c *cobra.Command, args []string) error {
 		if err := run(c, args); err != nil {
