--- a/internal/call/ledger_writer.go
+++ b/internal/call/ledger_writer.go
@@ -285,14 +285,14 @@
 	}
 	return []*dto.MetricFamily{
 		telemetry.Gauge("ledger_on", "1 while the state of calls is persisted.", on),
-		telemetry.Counter("ledger_records_total", "Events of calls written to the ledger.", f.Records),
-		telemetry.Counter("ledger_bytes_total", "Bytes written to the ledger.", f.Bytes),
-		telemetry.Counter("ledger_commits_total", "Event loop iterations whose events were committed together.", f.Commits),
-		telemetry.Counter("ledger_failures_total", "Failures after which the ledger was started again.", f.Failures),
+		telemetry.Counter("ledger_records_total", "Events of calls that were kept.", f.Records),
+		telemetry.Counter("ledger_bytes_total", "Bytes written for them.", f.Bytes),
+		telemetry.Counter("ledger_commits_total", "Turns whose events were written together.", f.Commits),
+		telemetry.Counter("ledger_failures_total", "Times that the ledger was given up, to be begun with anew.", f.Failures),
 		telemetry.Counter("ledger_snapshots_total", "Snapshots written.", f.Snapshots),
-		telemetry.Gauge("ledger_files_bytes", "Size of the ledger's files in bytes.", float64(f.FileBytes)),
-		telemetry.Gauge("ledger_commit_seconds_mean", "Mean time that an event loop iteration waited for its commit.", mean),
-		telemetry.Gauge("ledger_commit_seconds_worst", "Longest time that an event loop iteration waited for its commit.",
+		telemetry.Gauge("ledger_files_bytes", "Bytes of its files.", float64(f.FileBytes)),
+		telemetry.Gauge("ledger_commit_seconds_mean", "Mean wait of a turn for its write.", mean),
+		telemetry.Gauge("ledger_commit_seconds_worst", "Worst wait of a turn for its write.",
 			f.LongestCommitWait.Seconds()),
 	}
 }
--- a/internal/call/received_end.go
+++ b/internal/call/received_end.go
@@ -84,6 +84,6 @@
 		counts[string(result)] = c.endCounts[result]
 	}
 	return []*dto.MetricFamily{
-		telemetry.Counters("ends_received_total", "Ends of calls received from dispatchers, by result.", "result", counts),
+		telemetry.Counters("ends_received_total", "Ends of calls that dispatchers have sent, by what became of them.", "result", counts),
 	}
 }
--- a/internal/call/recover.go
+++ b/internal/call/recover.go
@@ -365,12 +365,12 @@
 		counts["none"] = 0
 	}
 	return []*dto.MetricFamily{
-		telemetry.Counters("recovered_total", "Calls of the previous process, by recovery action.", "act", counts),
-		telemetry.Counter("recovered_cut_total", "Established calls of the previous process that were cut after the list was received.",
+		telemetry.Counters("recovered_total", "Calls of an earlier process, by what was done with them.", "act", counts),
+		telemetry.Counter("recovered_cut_total", "Calls of an earlier process that stood where they can't stand any more.",
 			uint64(c.recovered.Cut)),
-		telemetry.Counter("resumed_total", "Calls that were resumed by their callers.", uint64(c.recovered.Resumed)),
-		telemetry.Counter("resumed_unknown_total", "Resume requests for unknown calls.", uint64(c.recovered.Unknown)),
-		telemetry.Gauge("recovery_seconds", "Duration of the recovery of the previous process's calls.",
+		telemetry.Counter("resumed_total", "Calls given to callers that came back.", uint64(c.recovered.Resumed)),
+		telemetry.Counter("resumed_unknown_total", "Calls that callers came back for and that are not known.", uint64(c.recovered.Unknown)),
+		telemetry.Gauge("recovery_seconds", "Time that taking them up took.",
 			float64(c.recovered.TookUs)/1e6),
 	}
 }
--- a/internal/call/selection.go
+++ b/internal/call/selection.go
@@ -512,7 +512,7 @@
 	return []*dto.MetricFamily{
 		telemetry.Gauge("subset_listed", "Dispatchers in the list.", float64(len(s.entries))),
 		telemetry.Gauge("subset_size", "Dispatchers of the list that this controller connects to.", float64(len(s.announced))),
-		telemetry.Gauge("subset_waiting", "Changes of the list that are not applied yet.", float64(len(s.queue))),
-		telemetry.Counter("subset_growths_total", "Times that the subset has grown.", uint64(s.subset.Growths())),
+		telemetry.Gauge("subset_waiting", "Changes of the list that are not taken in yet.", float64(len(s.queue))),
+		telemetry.Counter("subset_growths_total", "Times that more dispatchers were needed.", uint64(s.subset.Growths())),
 	}
 }
