--- /dev/null
+++ b/internal/trial/call_checker.go
@@ -0,0 +1,305 @@
+package trial
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"sync"
+	"time"
+)
+
+// Judge checks the rules for every call, over all controllers, from the messages that dispatchers and callers receive:
+//
+//   - A call has at most one attempt in progress, and none while it is established or after its caller was answered.
+//   - After an attempt that may have left a trace at its dispatcher, the next one comes no earlier than after the guard.
+//   - A caller receives one final answer before the deadline, and an answer is one that a dispatcher sent.
+//
+// Left and Unsettled return what remains at the end. A Judge does no I/O: it depends only on the events that are reported to it and their
+// times. Its methods may be called from any goroutine.
+type Judge struct {
+	guard, deadline time.Duration
+	onSetUp         func(id string, when time.Time) // may be nil
+
+	mu           sync.Mutex
+	calls        map[string]*callState
+	violations   []string
+	setUps       int
+	finalAnswers map[string]int
+}
+
+// callState is what dispatchers and callers have reported of a call.
+type callState struct {
+	attemptAt, establishedAt string    // dispatchers of the attempt in progress and of the established call
+	guardStart               time.Time // when the last attempt ended that may have left a trace
+	releaseCause             int       // cause with which its dispatcher has ended it
+	endedAt                  time.Time // when its dispatcher has ended it
+	releasedByControllerAt   time.Time // when its controller has released it, after the latest attempt
+	releaseSentAt            time.Time // when its dispatcher first sent the release; zero if it has not
+	notifiedAt               time.Time // when its caller, after an answer, was notified of the end
+	answeredAt               time.Time // when its dispatcher answered
+
+	placedAt time.Time
+	answered bool // its caller has received an answer
+	finished bool // its caller expects no further message
+
+	history callHistory
+}
+
+// clockTolerance is the largest difference between the times that the two ends of a loopback connection record for one event.
+const clockTolerance = 5 * time.Millisecond
+
+// NewJudge returns a checker for a guard time after attempts that may have left a trace, and for a deadline of final answers, counted from
+// the set-up.
+func NewJudge(guard, deadline time.Duration) *Judge {
+	return &Judge{guard: guard, deadline: deadline, calls: map[string]*callState{}, finalAnswers: map[string]int{}}
+}
+
+// state returns the state of a call and creates it if needed.
+func (cc *Judge) state(id string) *callState {
+	c := cc.calls[id]
+	if c == nil {
+		c = &callState{}
+		cc.calls[id] = c
+	}
+	return c
+}
+
+// addViolation records a violation with the history of the call.
+func (cc *Judge) addViolation(c *callState, format string, args ...any) {
+	if len(cc.violations) < maxViolations {
+		cc.violations = append(cc.violations, fmt.Sprintf(format, args...)+"; "+c.history.String())
+	}
+}
+
+// --- Events at dispatchers ---
+
+// OnSetUp registers a function that is called for each set-up that a dispatcher receives, while the checker is locked. It must be called
+// before the first set-up.
+func (cc *Judge) OnSetUp(f func(id string, when time.Time)) { cc.onSetUp = f }
+
+// SetUp records that a dispatcher has received a complete set-up.
+func (cc *Judge) SetUp(id, dispatcher string, when time.Time) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	c := cc.state(id)
+	c.history.add(when, "set up at", dispatcher)
+	cc.setUps++
+	if cc.onSetUp != nil {
+		cc.onSetUp(id, when)
+	}
+	switch {
+	case c.attemptAt != "":
+		cc.addViolation(c, "%s: a second attempt at %s while one is in progress at %s", id, dispatcher, c.attemptAt)
+	case c.establishedAt != "":
+		cc.addViolation(c, "%s: an attempt at %s while the call is established at %s", id, dispatcher, c.establishedAt)
+	case c.answered: // without an answer at its caller, as after the kill of its controller, a terminated call may be attempted again
+		cc.addViolation(c, "%s: an attempt at %s after its caller was answered", id, dispatcher)
+	}
+	if elapsed := when.Sub(c.guardStart); elapsed < cc.guard-clockTolerance {
+		cc.addViolation(c, "%s: sent again %v after the last attempt", id, elapsed)
+	}
+	c.attemptAt, c.releasedByControllerAt = dispatcher, time.Time{}
+}
+
+// GivenUp records that an attempt was cancelled or failed, or that its connection closed. Such an attempt may have left a trace at its
+// dispatcher.
+func (cc *Judge) GivenUp(id, dispatcher string, when time.Time) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	if c := cc.state(id); c.attemptAt == dispatcher {
+		c.attemptAt, c.guardStart = "", when
+		c.history.add(when, "aborted at", dispatcher)
+	}
+}
+
+// Refused records that a dispatcher has refused an attempt, which leaves no trace.
+func (cc *Judge) Refused(id, dispatcher string) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	if c := cc.state(id); c.attemptAt == dispatcher {
+		c.attemptAt = ""
+		c.history.add(time.Now(), "refused at", dispatcher)
+	}
+}
+
+// Answered records that a dispatcher answers an attempt, which establishes the call there.
+func (cc *Judge) Answered(id, dispatcher string) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	if c := cc.state(id); c.attemptAt == dispatcher {
+		c.attemptAt, c.establishedAt, c.answeredAt = "", dispatcher, time.Now()
+		c.history.add(c.answeredAt, "answered at", dispatcher)
+	}
+}
+
+// AnswerUnsent records that a dispatcher could not send an answer, as it had closed the connection. The attempt ended with the close.
+func (cc *Judge) AnswerUnsent(id, dispatcher string, when time.Time) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	if c := cc.state(id); c.establishedAt == dispatcher {
+		c.establishedAt, c.guardStart = "", when
+		c.history.add(when, "answer not sent at", dispatcher)
+	}
+}
+
+// AnswersLost records that a dispatcher resets its connections. The answers that it has sent since the given time may never have been read.
+func (cc *Judge) AnswersLost(dispatcher string, since, when time.Time) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	for _, c := range cc.calls {
+		if c.establishedAt == dispatcher && c.answeredAt.After(since) {
+			c.establishedAt, c.guardStart = "", when
+			c.history.add(when, "answer lost at", dispatcher)
+		}
+	}
+}
+
+// Cut records that a controller has released an established call.
+func (cc *Judge) Cut(id, dispatcher string) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	if c := cc.state(id); c.establishedAt == dispatcher {
+		c.establishedAt, c.releasedByControllerAt = "", time.Now()
+		c.history.add(c.releasedByControllerAt, "released by its controller at", dispatcher)
+	}
+}
+
+// Over records that a dispatcher ends an established call. It returns false if the call is not established there.
+func (cc *Judge) Over(id, dispatcher string, cause int) bool {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	c := cc.state(id)
+	if c.establishedAt != dispatcher {
+		return false
+	}
+	c.establishedAt, c.releaseCause, c.endedAt, c.releaseSentAt = "", cause, time.Now(), time.Time{}
+	c.history.add(c.endedAt, "ended at", dispatcher)
+	return true
+}
+
+// Out returns the dispatcher of the attempt in progress; empty if there is none.
+func (cc *Judge) Out(id string) string {
+	return readState(cc, id, func(c *callState) string { return c.attemptAt })
+}
+
+// Stands returns the dispatcher at which the call is established; empty if there is none.
+func (cc *Judge) Stands(id string) string {
+	return readState(cc, id, func(c *callState) string { return c.establishedAt })
+}
+
+// Guarded returns when the last attempt that may have left a trace ended.
+func (cc *Judge) Guarded(id string) time.Time {
+	return readState(cc, id, func(c *callState) time.Time { return c.guardStart })
+}
+
+// OverAt returns when the call's dispatcher has ended it; zero if it has not.
+func (cc *Judge) OverAt(id string) time.Time {
+	return readState(cc, id, func(c *callState) time.Time { return c.endedAt })
+}
+
+// Released returns the cause with which the call's dispatcher has ended it; 0 if it has not.
+func (cc *Judge) Released(id string) int {
+	return readState(cc, id, func(c *callState) int { return c.releaseCause })
+}
+
+func readState[T any](cc *Judge, id string, read func(*callState) T) T {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	return read(cc.state(id))
+}
+
+// --- Events at callers ---
+
+// Placed records that a caller sends a set-up.
+func (cc *Judge) Placed(id string, when time.Time) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	c := cc.state(id)
+	c.placedAt = when
+	c.history.add(when, "placed", "")
+}
+
+// Heard records that a caller has received a message of a kind about its call. The text is the description of an answer or the error of a
+// release. It reports whether the caller expects further messages.
+func (cc *Judge) Heard(id, kind, text string, cause int, when time.Time) (unfinished bool) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	c := cc.calls[id]
+	if c == nil || c.placedAt.IsZero() {
+		cc.addViolation(&callState{}, "%s: a %s for a call that nobody has placed", id, kind)
+		return false
+	}
+	c.history.add(when, "received", fmt.Sprint(kind, " ", cause, " ", text))
+	if c.finished {
+		return false // a repeated notification of the end
+	}
+	switch kind {
+	case "answer":
+		if c.answered {
+			cc.addViolation(c, "%s is answered twice", id)
+		}
+		if text != Description(id) {
+			cc.addViolation(c, "%s has an answer that no dispatcher gave: %.40q", id, text)
+		}
+		if elapsed := when.Sub(c.placedAt); elapsed > cc.deadline {
+			cc.addViolation(c, "%s is answered after %v", id, elapsed)
+		}
+		c.answered = true
+		cc.finalAnswers["answer"]++
+		return true
+	case "release":
+		outcome := fmt.Sprint("release ", cause, " ", text)
+		if c.answered {
+			c.notifiedAt = when
+			outcome = "after the answer: " + outcome
+		} else if elapsed := when.Sub(c.placedAt); elapsed > cc.deadline {
+			cc.addViolation(c, "%s has its final answer after %v", id, elapsed)
+		}
+		cc.finalAnswers[outcome]++
+		c.finished = true
+		return false
+	}
+	return true
+}
+
+// Description returns the session description in the answer to a call.
+func Description(id string) string { return "y" + id }
+
+// Unsettled returns the calls whose callers wait for a final answer, and those whose callers were answered and not notified of the end.
+func (cc *Judge) Unsettled() (unanswered, unnotified []string) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	for id, c := range cc.calls {
+		switch {
+		case c.placedAt.IsZero() || c.finished:
+		case c.answered:
+			unnotified = append(unnotified, id)
+		default:
+			unanswered = append(unanswered, id)
+		}
+	}
+	slices.Sort(unanswered)
+	slices.Sort(unnotified)
+	return unanswered, unnotified
+}
+
+// Left lists the calls with an attempt in progress and the established calls, with their dispatchers.
+func (cc *Judge) Left() []string {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	var remaining []string
+	for id, c := range cc.calls {
+		if c.attemptAt != "" || c.establishedAt != "" {
+			remaining = append(remaining, fmt.Sprintf("%s: attempt in progress at %q, established at %q", id, c.attemptAt, c.establishedAt))
+		}
+	}
+	slices.Sort(remaining)
+	return remaining
+}
+
+// Verdict returns the violations, the number of set-ups that dispatchers received, and the numbers of final answers and ends by kind.
+func (cc *Judge) Verdict() (violations []string, setUps int, finalAnswers map[string]int) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	return slices.Clone(cc.violations), cc.setUps, maps.Clone(cc.finalAnswers)
+}
--- a/internal/trial/peers.go
+++ b/internal/trial/peers.go
@@ -15,238 +15,241 @@
 	"cherryrelay/internal/peer"
 )
 
-// Dispatcher is a stand-in whose acts go by the id of the call alone, and that tells a judge what it is told.
+// Dispatcher is a fake dispatcher that reports its events to a checker. Its response to a set-up is a function of the call's id, the
+// dispatcher's name and the number of set-ups so far.
 type Dispatcher struct {
 	*peer.Dispatcher
-	Name  string
-	judge *Judge
+	Name    string
+	checker *Judge
 
-	mu     sync.Mutex
-	links  map[string]peer.Event // of attempts that are out, by id
-	sent   map[string]time.Time  // releases, to be sent again on the next connection
-	quick  bool
-	never  bool
-	breaks int
+	mu            sync.Mutex
+	attempts      map[string]peer.Event // set-ups of the attempts in progress, by call id
+	releases      map[string]time.Time  // times of releases by call id; they are sent again on new connections
+	answersAtOnce bool
+	neverAnswers  bool
+	failNext      int // number of the next set-ups that fail
 }
 
-// Stand opens a dispatcher; its acts are drawn for each call.
-func Stand(transport, name string, j *Judge) (*Dispatcher, error) {
-	return StandAt(transport, "127.0.0.1:0", name, j)
+// Stand starts a dispatcher on a free port. Its response to each call is pseudo-random until Act changes that.
+func Stand(transport, name string, checker *Judge) (*Dispatcher, error) {
+	return StandAt(transport, "127.0.0.1:0", name, checker)
 }
 
-// StandAt opens one at an address.
-func StandAt(transport, address, name string, j *Judge) (*Dispatcher, error) {
-	d, err := peer.Dispatch(transport, address, "x0:1000000;x1:1000000")
+// StandAt starts a dispatcher at an address.
+func StandAt(transport, address, name string, checker *Judge) (*Dispatcher, error) {
+	listener, err := peer.Dispatch(transport, address, "x0:1000000;x1:1000000")
 	if err != nil {
-		return nil, err //nolint:wrapcheck // it says what it is
+		return nil, err //nolint:wrapcheck // the error needs no context
 	}
-	d.TellLinks()
-	s := &Dispatcher{Dispatcher: d, Name: name, judge: j, links: map[string]peer.Event{}, sent: map[string]time.Time{}}
+	listener.TellLinks()
+	d := &Dispatcher{Dispatcher: listener, Name: name, checker: checker, attempts: map[string]peer.Event{}, releases: map[string]time.Time{}}
 	go func() {
-		for range d.Acks { // nobody waits for them
+		for range listener.Acks { // unused, but the channel must not fill up
 		}
 	}()
 	go func() {
-		for e := range d.Events {
-			s.event(e)
+		for e := range listener.Events {
+			d.handleEvent(e)
 		}
 	}()
-	return s, nil
+	return d, nil
 }
 
-// Act has it answer everything at once, or nothing at all, or as is drawn.
-func (d *Dispatcher) Act(quick, never bool) {
+// Act makes the dispatcher answer every set-up at once, or none at all, or, with neither, respond pseudo-randomly.
+func (d *Dispatcher) Act(answersAtOnce, neverAnswers bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.quick, d.never = quick, never
+	d.answersAtOnce, d.neverAnswers = answersAtOnce, neverAnswers
 }
 
-// Break has so many set-ups to come break on their way.
-func (d *Dispatcher) Break(next int) {
+// Break makes the given number of following set-ups fail temporarily.
+func (d *Dispatcher) Break(setUps int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.breaks = next
+	d.failNext = setUps
 }
 
-// AnswerAll answers what a dispatcher that never does has left open.
+// AnswerAll answers all attempts in progress of a dispatcher that never answers.
 func (d *Dispatcher) AnswerAll() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for id, e := range d.links {
-		delete(d.links, id)
-		d.answer(e)
+	for id, e := range d.attempts {
+		delete(d.attempts, id)
+		d.answerSetUp(e)
 	}
 }
 
-// answer answers a set-up, and reports whether the answer has left. The judge is told before it leaves: what its controller does then may come
-// first.
-func (d *Dispatcher) answer(e peer.Event) bool {
-	d.judge.Answered(e.ID, d.Name)
-	if e.Answer(Description(e.ID)) != nil { // the connection is closed here: this dispatcher dies
-		d.judge.AnswerUnsent(e.ID, d.Name, endOf(e, time.Now()))
+// answerSetUp answers a set-up and reports whether the answer was sent. It notifies the checker before it sends the answer, as the
+// controller's reaction could otherwise reach the checker first.
+func (d *Dispatcher) answerSetUp(e peer.Event) bool {
+	d.checker.Answered(e.ID, d.Name)
+	if e.Answer(Description(e.ID)) != nil { // this dispatcher has closed the connection, as it is being killed
+		d.checker.AnswerUnsent(e.ID, d.Name, attemptEnd(e, time.Now()))
 		return false
 	}
 	return true
 }
 
-func (d *Dispatcher) event(e peer.Event) {
+func (d *Dispatcher) handleEvent(e peer.Event) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch e.Kind {
 	case "setup":
-		d.judge.SetUp(e.ID, d.Name, e.At)
-		d.links[e.ID] = e
-		d.act(e)
+		d.checker.SetUp(e.ID, d.Name, e.At)
+		d.attempts[e.ID] = e
+		d.respondToSetUp(e)
 	case "release":
-		if o, out := d.links[e.ID]; out {
-			delete(d.links, e.ID)
-			d.judge.GivenUp(e.ID, d.Name, endOf(o, e.At))
+		if attempt, inProgress := d.attempts[e.ID]; inProgress {
+			delete(d.attempts, e.ID)
+			d.checker.GivenUp(e.ID, d.Name, attemptEnd(attempt, e.At))
 		}
-		d.judge.Cut(e.ID, d.Name)
-	case "closed": // the set-ups that are open on it are given up
-		for id, o := range d.links {
-			if o.Beside(e) {
-				d.judge.Note(id, "connection closed at", d.Name)
-				delete(d.links, id)
-				d.judge.GivenUp(id, d.Name, endOf(o, e.At))
+		d.checker.Cut(e.ID, d.Name)
+	case "closed": // the attempts on the connection end with it
+		for id, attempt := range d.attempts {
+			if attempt.Beside(e) {
+				d.checker.Note(id, "connection closed at", d.Name)
+				delete(d.attempts, id)
+				d.checker.GivenUp(id, d.Name, attemptEnd(attempt, e.At))
 			}
 		}
 	case "opened":
-		for id, at := range d.sent { // on each: the process at the other end may be killed before it has read this
-			if time.Since(at) > 10*time.Second {
-				delete(d.sent, id)
+		for id, sentAt := range d.releases { // on every new connection, as the controller may be killed before it reads the release
+			if time.Since(sentAt) > 10*time.Second {
+				delete(d.releases, id)
 				continue
 			}
-			_ = e.ReleaseHere(id, d.judge.Released(id))
+			_ = e.ReleaseHere(id, d.checker.Released(id))
 		}
 	}
 }
 
-// endOf is when an attempt ended that this dispatcher has seen to end at a time: with its connection, if a script has closed that before. The
-// reader of the connection may see the close later than the controller does.
-func endOf(setUp peer.Event, seen time.Time) time.Time {
+// attemptEnd returns when an attempt ended whose end was seen at the given time. If a test has closed the connection before, the attempt
+// ended with the close, which the reader of the connection may see later than the controller does.
+func attemptEnd(setUp peer.Event, seen time.Time) time.Time {
 	if closed := setUp.ClosedHere(); !closed.IsZero() && closed.Before(seen) {
 		return closed
 	}
 	return seen
 }
 
-// act has the set-up answered, refused, broken or left, soon or late, by the call's id and how often it was tried.
-func (d *Dispatcher) act(e peer.Event) {
+// respondToSetUp answers or refuses a set-up, makes it fail or ignores it, after a delay. Outcome and delay depend on the call's id, the
+// dispatcher's name and the number of set-ups so far.
+func (d *Dispatcher) respondToSetUp(e peer.Event) {
 	h := fnv.New64a()
-	_, setUps, _ := d.judge.Verdict()
+	_, setUps, _ := d.checker.Verdict()
 	fmt.Fprint(h, e.ID, d.Name, setUps%3)
-	draw := rand.New(rand.NewPCG(h.Sum64(), 1))
-	delay := time.Duration(draw.IntN(120)) * time.Millisecond
-	what := draw.IntN(20)
+	rng := rand.New(rand.NewPCG(h.Sum64(), 1))
+	delay := time.Duration(rng.IntN(120)) * time.Millisecond
+	outcome := rng.IntN(20)
 	switch {
-	case d.breaks > 0:
-		d.breaks--
-		delay, what = 0, 0
-	case d.never:
+	case d.failNext > 0:
+		d.failNext--
+		delay, outcome = 0, 0
+	case d.neverAnswers:
 		return
-	case d.quick:
-		delay, what = 0, 19
+	case d.answersAtOnce:
+		delay, outcome = 0, 19
 	}
 	time.AfterFunc(delay, func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if o, out := d.links[e.ID]; !out || !o.Beside(e) || o.At != e.At {
-			return // given up meanwhile
+		if attempt, inProgress := d.attempts[e.ID]; !inProgress || !attempt.Beside(e) || attempt.At != e.At {
+			return // the attempt ended in the meantime
 		}
-		delete(d.links, e.ID)
+		delete(d.attempts, e.ID)
 		switch {
-		case what < 2: // the set-up broke on its way
-			d.judge.GivenUp(e.ID, d.Name, time.Now())
+		case outcome < 2: // a temporary failure
+			d.checker.GivenUp(e.ID, d.Name, time.Now())
 			_ = e.Refuse(peer.Broken)
-		case what < 4:
-			d.judge.Refused(e.ID, d.Name)
+		case outcome < 4:
+			d.checker.Refused(e.ID, d.Name)
 			_ = e.Refuse(peer.NoLine)
 		default:
-			if d.answer(e) && !d.quick {
-				time.AfterFunc(time.Duration(draw.IntN(1500))*time.Millisecond, func() { d.End(e.ID) })
+			if d.answerSetUp(e) && !d.answersAtOnce {
+				time.AfterFunc(time.Duration(rng.IntN(1500))*time.Millisecond, func() { d.End(e.ID) })
 			}
 		}
 	})
 }
 
-// End ends a call that stands, and says so on whatever connection there is, and on the next one.
+// End ends an established call. It sends the release on an open connection, and again on each connection that opens in the next 10 s.
 func (d *Dispatcher) End(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.judge.Over(id, d.Name, 16) {
+	if d.checker.Over(id, d.Name, 16) {
 		_ = d.Release(id, 16)
-		d.sent[id] = time.Now()
+		d.releases[id] = time.Now()
 	}
 }
 
-// refusedPause is a caller's after a refusal: a controller that serves out refuses at once, and would be asked thousands of times a second.
-const refusedPause = 10 * time.Millisecond
+// refusalPause is the pause of a caller after a refusal. A draining controller refuses at once and would otherwise receive thousands of
+// set-ups a second.
+const refusalPause = 10 * time.Millisecond
 
-// resumeWithin is how long a caller waits for a word before it tries another connection: a controller may look for a call that long
-// (docs/takeover.md) before it says that nothing is known of it.
-const resumeWithin = 5 * time.Second
+// resumeTimeout is how long a caller waits for a message before it tries another connection. The lookup of a call may take a controller
+// that long (docs/takeover.md) before it reports the call as unknown.
+const resumeTimeout = 5 * time.Second
 
-// left is how long a caller waits for the answer to a set-up.
-const left = 8 * time.Second
+// answerTimeout is how long a caller waits for the final answer to a set-up.
+const answerTimeout = 8 * time.Second
 
-// Token is that of a call.
+// Token returns the token with which the caller of a call resumes it.
 func Token(id string) string { return "a token of " + id }
 
-// Caller comes back for its calls, at the same address or at the next of several.
+// Caller is a fake caller. After the loss of a connection it connects to the next of its addresses and resumes its calls.
 type Caller struct {
 	Transport string
 	Addresses []string
-	First     int // number of the first call
-	Window    int // how many may be under way
+	First     int // number of its first call
+	Window    int // maximum number of open calls
 	Judge     *Judge
-	Patience  time.Duration // with what is left once no more are to be placed; 0 for a peer's
+	Patience  time.Duration // how long Run waits for open calls once done is closed; 0 for the default of package peer
 
-	Placed, Resumes int
-	Words           []time.Duration // from each loss of a connection to the first word of each call that was owed something
-	lost            time.Time       // when the last connection was lost
-	unheard         map[string]bool // calls that were resumed and have had no word since
-	next            int
-	at              int                  // of the addresses
-	open            map[string]bool      // its calls that are owed something, and whether they were answered
-	until           map[string]time.Time // when each is given up, unless it stands
-	stopAt          time.Time            // when it has had patience enough with what is left; zero while more calls are placed
+	Placed, Resumes  int             // numbers of set-ups and of resume requests
+	Words            []time.Duration // from the loss of a connection to the first message of each call that was pending on it
+	connectionLostAt time.Time       // the loss that Words counts from
+	awaitingMessage  map[string]bool // pending calls without a message since they were resumed
+	nextCall         int
+	addressIndex     int                  // grows with each connection
+	openCalls        map[string]bool      // calls that have not ended, and whether they were answered
+	answerDeadlines  map[string]time.Time // deadlines of the answers to the open calls
+	stopDeadline     time.Time            // when Run stops waiting for open calls; zero before done is closed
 }
 
-// From has the caller begin at one of its addresses.
-func (c *Caller) From(address int) { c.at = address }
+// From sets the index of the address that the caller connects to first.
+func (c *Caller) From(index int) { c.addressIndex = index }
 
-// Run places calls and sees each to its end, until done is closed and nothing is left, or it has had patience enough: the judge tells
-// what is not settled.
+// Run places calls and follows each to its end, until done is closed and no call is open or the timeout has passed. Calls that are open
+// after that are known to the checker.
 func (c *Caller) Run(done <-chan struct{}) {
-	c.open, c.next, c.unheard, c.until = map[string]bool{}, c.First, map[string]bool{}, map[string]time.Time{}
+	c.openCalls, c.nextCall, c.awaitingMessage, c.answerDeadlines = map[string]bool{}, c.First, map[string]bool{}, map[string]time.Time{}
 	for {
-		connection, err := peer.Call(c.Transport, c.Addresses[c.at%len(c.Addresses)])
+		connection, err := peer.Call(c.Transport, c.Addresses[c.addressIndex%len(c.Addresses)])
 		if err != nil {
 			time.Sleep(2 * time.Millisecond)
 		} else {
-			c.serve(connection, done)
+			c.useConnection(connection, done)
 			_ = connection.Close()
-			for id := range c.open {
+			for id := range c.openCalls {
 				c.Judge.Note(id, "connection ended", connection.RemoteAddr().String())
 			}
-			if len(c.unheard) == 0 { // else it was lost again before all was heard
-				c.lost = time.Now()
+			if len(c.awaitingMessage) == 0 { // otherwise this connection was lost before all pending calls had a message
+				c.connectionLostAt = time.Now()
 			}
 		}
-		c.at++
-		if c.finishing(done) && (len(c.open) == 0 || time.Now().After(c.stopAt)) {
+		c.addressIndex++
+		if c.stopping(done) && (len(c.openCalls) == 0 || time.Now().After(c.stopDeadline)) {
 			return
 		}
 	}
 }
 
-// finishing reports whether no more calls are to be placed.
-func (c *Caller) finishing(done <-chan struct{}) bool {
+// stopping reports whether done is closed, so that no more calls are placed. The first time it sets the deadline for the open calls.
+func (c *Caller) stopping(done <-chan struct{}) bool {
 	select {
 	case <-done:
-		if c.stopAt.IsZero() {
-			c.stopAt = time.Now().Add(cmp.Or(c.Patience, peer.Patience))
+		if c.stopDeadline.IsZero() {
+			c.stopDeadline = time.Now().Add(cmp.Or(c.Patience, peer.Patience))
 		}
 		return true
 	default:
@@ -254,18 +257,18 @@
 	}
 }
 
-// serve uses one connection until it ends.
-func (c *Caller) serve(connection *peer.Caller, done <-chan struct{}) {
-	for id, answered := range c.open {
+// useConnection resumes the open calls on a connection and then places calls and reads messages until the connection ends.
+func (c *Caller) useConnection(connection *peer.Caller, done <-chan struct{}) {
+	for id, answered := range c.openCalls {
 		c.Resumes++
-		if !answered { // one that stands has no word to come but its end
-			c.unheard[id] = true
+		if !answered { // the next message of an established call is its end, which may come at any time
+			c.awaitingMessage[id] = true
 		}
 		fields := map[string]jsonl.Value{"token": jsonl.Value(Token(id))}
 		if answered {
 			fields["answered"] = "1"
 		} else {
-			fields["left"] = jsonl.Value(strconv.FormatInt(max(time.Until(c.until[id]), 0).Milliseconds(), 10))
+			fields["left"] = jsonl.Value(strconv.FormatInt(max(time.Until(c.answerDeadlines[id]), 0).Milliseconds(), 10))
 		}
 		c.Judge.Note(id, "resumed at", connection.RemoteAddr().String())
 		if connection.Send(jsonl.Message{Type: "resume", ID: id, Fields: fields}) != nil {
@@ -273,58 +276,60 @@
 		}
 	}
 	for {
-		finished := c.finishing(done)
-		if finished && time.Now().After(c.stopAt) {
+		stopping := c.stopping(done)
+		if stopping && time.Now().After(c.stopDeadline) {
 			return
 		}
-		for !finished && len(c.open) < c.Window {
-			if !c.place(connection) {
+		for !stopping && len(c.openCalls) < c.Window {
+			if !c.placeCall(connection) {
 				return
 			}
 		}
-		if len(c.open) == 0 {
+		if len(c.openCalls) == 0 {
 			return
 		}
-		m, err := connection.NextWithin(resumeWithin)
+		m, err := connection.NextWithin(resumeTimeout)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			if finished {
-				return // try on another connection what is left
+			if stopping {
+				return // resume the open calls on another connection
 			}
 			continue
 		}
 		if err != nil {
 			return
 		}
-		if _, mine := c.open[m.ID]; !mine {
-			continue // the end of one that is over, told again
+		if _, isOpen := c.openCalls[m.ID]; !isOpen {
+			continue // a repeated notification of an end
 		}
-		if c.unheard[m.ID] {
-			delete(c.unheard, m.ID)
-			c.Words = append(c.Words, time.Since(c.lost))
+		if c.awaitingMessage[m.ID] {
+			delete(c.awaitingMessage, m.ID)
+			c.Words = append(c.Words, time.Since(c.connectionLostAt))
 		}
 		text := m.Description()
 		if m.Type == "release" {
 			text = string(m.Fields["error"])
 		}
 		if c.Judge.Heard(m.ID, m.Type, text, m.CauseOr(0), time.Now()) {
-			c.open[m.ID] = c.open[m.ID] || m.Type == "answer"
+			c.openCalls[m.ID] = c.openCalls[m.ID] || m.Type == "answer"
 		} else {
-			if !c.open[m.ID] {
-				time.Sleep(refusedPause)
+			if !c.openCalls[m.ID] {
+				time.Sleep(refusalPause)
 			}
-			delete(c.open, m.ID)
-			delete(c.until, m.ID)
+			delete(c.openCalls, m.ID)
+			delete(c.answerDeadlines, m.ID)
 		}
 	}
 }
 
-func (c *Caller) place(connection *peer.Caller) bool {
-	id := fmt.Sprintf("%016x", c.next)
-	c.next++
+// placeCall sends the set-up of the next call and reports whether that succeeded.
+func (c *Caller) placeCall(connection *peer.Caller) bool {
+	id := fmt.Sprintf("%016x", c.nextCall)
+	c.nextCall++
 	c.Placed++
-	c.open[id], c.until[id] = false, time.Now().Add(left)
+	c.openCalls[id], c.answerDeadlines[id] = false, time.Now().Add(answerTimeout)
 	c.Judge.Placed(id, time.Now())
-	x := "x"
-	return connection.Send(jsonl.Message{Type: "setup", ID: id, SDP: &x, Fields: map[string]jsonl.Value{
-		"class": "send-setup", "tenant": "acme", "key": jsonl.Value("k" + id), "left": jsonl.Value(strconv.Itoa(int(left.Milliseconds()))), "token": jsonl.Value(Token(id))}}) == nil
+	description := "x"
+	return connection.Send(jsonl.Message{Type: "setup", ID: id, SDP: &description, Fields: map[string]jsonl.Value{
+		"class": "send-setup", "tenant": "acme", "key": jsonl.Value("k" + id), "left": jsonl.Value(strconv.Itoa(int(answerTimeout.Milliseconds()))),
+		"token": jsonl.Value(Token(id))}}) == nil
 }
--- a/internal/trial/scenario.go
+++ b/internal/trial/scenario.go
@@ -10,21 +10,21 @@
 	"cherryrelay/internal/inifile"
 )
 
-// Scenario is what a trial plays.
+// Scenario describes a trial.
 type Scenario struct {
 	Controllers, Dispatchers int
-	Callers                  int // at each controller
-	Window                   int // calls under way of each caller
-	Lease, Lasting           time.Duration
+	Callers                  int           // for each controller
+	Window                   int           // maximum number of open calls of each caller
+	Lease, Lasting           time.Duration // of the controllers; of the trial
 	Steps                    []Step
-	Drawn                    []string      // what happens beside the steps, drawn by the seed
-	Every                    time.Duration // the mean pause between two that are drawn
+	Drawn                    []string      // actions of the random steps, which the seed determines
+	Every                    time.Duration // mean interval between random steps
 }
 
-// Step is one thing that is done, to a controller ("n1"), all of them ("*"), or one that is drawn ("?"), and undone after a while.
+// Step is an action on one controller ("n1"), all of them ("*") or a random one ("?"), which is undone after a duration.
 type Step struct {
-	At, For time.Duration
-	Do, Who string
+	At, For time.Duration // time since the start of the trial; duration of the effect
+	Do, Who string        // action; controller, empty for an action that affects none
 }
 
 func (s Step) String() string {
@@ -38,46 +38,47 @@
 	return text
 }
 
-// The things that can be done, and whether to a controller and for a while.
-var deeds = map[string]struct{ who, lasts bool }{
+// actions has the known actions: whether each affects a controller, and whether it lasts for a duration.
+var actions = map[string]struct{ who, lasts bool }{
 	"kill": {true, true}, "stop": {true, true}, "pause": {true, true}, "part": {true, true}, "mute": {true, true}, "slow": {true, true},
 	"cut": {true, false}, "stall store": {false, true}, "stop store": {false, true}, "deafen store": {false, true}, "compact": {false, false},
 	"lose answers": {false, false}, "part dispatchers": {true, true}, "slow dispatchers": {true, true}, "crawl": {true, true},
 	"upgrade": {true, false},
 }
 
-// The bounds of a scenario: what one machine may be asked to play.
+// The limits of a scenario on one machine.
 const (
 	maxControllers = 32
 	maxLasting     = time.Hour
 	maxSteps       = 10_000
 )
 
-// ReadScenario reads a scenario: a section [trial] and one [step ...] for each step. All faults are told.
+// ReadScenario reads a scenario with a section [trial] and a section [step ...] for each step. It returns either the scenario or all faults
+// of the text.
 func ReadScenario(text []byte) (*Scenario, []inifile.Fault) {
 	f, faults := inifile.Parse(text)
 	if len(faults) > 0 {
 		return nil, faults
 	}
 	s := &Scenario{Controllers: 3, Dispatchers: 2, Callers: 1, Window: 8, Lease: time.Second, Lasting: 10 * time.Second, Every: 500 * time.Millisecond}
-	fault := func(line int, format string, args ...any) {
+	addFault := func(line int, format string, args ...any) {
 		faults = append(faults, inifile.Fault{Line: line, Text: fmt.Sprintf(format, args...)})
 	}
-	number := func(k *inifile.Key, least, most int) int {
-		n, wrong := k.Number(least, most)
-		if wrong != nil {
-			faults = append(faults, *wrong)
+	number := func(k *inifile.Key, lowest, highest int) int {
+		n, problem := k.Number(lowest, highest)
+		if problem != nil {
+			faults = append(faults, *problem)
 		}
 		return n
 	}
-	millis := func(k *inifile.Key, least, most time.Duration) time.Duration {
-		return time.Duration(number(k, int(least.Milliseconds()), int(most.Milliseconds()))) * time.Millisecond
+	millis := func(k *inifile.Key, lowest, highest time.Duration) time.Duration {
+		return time.Duration(number(k, int(lowest.Milliseconds()), int(highest.Milliseconds()))) * time.Millisecond
 	}
 	for i := range f.Sections {
 		section := &f.Sections[i]
-		if _, is := section.Named("step"); is {
+		if _, isStep := section.Named("step"); isStep {
 			if len(s.Steps) == maxSteps {
-				fault(section.Line, "more than %d steps", maxSteps)
+				addFault(section.Line, "more than %d steps", maxSteps)
 				break
 			}
 			step := Step{Who: "?"}
@@ -88,26 +89,26 @@
 				case "for_ms":
 					step.For = millis(k, 0, maxLasting)
 				case "do":
-					if step.Do = k.Value; !known(step.Do) {
-						fault(k.Line, "do: %.40q is none of %s", step.Do, strings.Join(Deeds(), ", "))
+					if step.Do = k.Value; !isAction(step.Do) {
+						addFault(k.Line, "do: %.40q is none of %s", step.Do, strings.Join(Deeds(), ", "))
 					}
 				case "who":
 					step.Who = k.Value
 				default:
-					fault(k.Line, "unknown key %.40q", k.Name)
+					addFault(k.Line, "unknown key %.40q", k.Name)
 				}
 			}
 			if step.Do == "" {
-				fault(section.Line, "[%.80s] lacks the key do", section.Name)
+				addFault(section.Line, "[%.80s] lacks the key do", section.Name)
 			}
-			if !deeds[step.Do].who {
+			if !actions[step.Do].who {
 				step.Who = ""
 			}
 			s.Steps = append(s.Steps, step)
 			continue
 		}
 		if section.Name != "trial" {
-			fault(section.Line, "unknown section [%.80s]", section.Name)
+			addFault(section.Line, "unknown section [%.80s]", section.Name)
 			continue
 		}
 		for j := range section.Keys {
@@ -127,24 +128,24 @@
 			case "every_ms":
 				s.Every = millis(k, 10*time.Millisecond, maxLasting)
 			case "drawn":
-				for part := range strings.SplitSeq(k.Value, ",") {
-					do := strings.TrimSpace(part)
-					if !known(do) {
-						fault(k.Line, "drawn: %.40q is none of %s", do, strings.Join(Deeds(), ", "))
+				for item := range strings.SplitSeq(k.Value, ",") {
+					action := strings.TrimSpace(item)
+					if !isAction(action) {
+						addFault(k.Line, "drawn: %.40q is none of %s", action, strings.Join(Deeds(), ", "))
 					}
-					s.Drawn = append(s.Drawn, do)
+					s.Drawn = append(s.Drawn, action)
 				}
 			default:
-				fault(k.Line, "unknown key %.40q", k.Name)
+				addFault(k.Line, "unknown key %.40q", k.Name)
 			}
 		}
 	}
 	for _, step := range s.Steps {
-		if step.Who != "" && step.Who != "?" && step.Who != "*" && !slices.Contains(s.names(), step.Who) {
-			fault(0, "%v: there is no controller %.40q", step, step.Who)
+		if step.Who != "" && step.Who != "?" && step.Who != "*" && !slices.Contains(s.controllerNames(), step.Who) {
+			addFault(0, "%v: there is no controller %.40q", step, step.Who)
 		}
 		if step.At > s.Lasting {
-			fault(0, "%v: the trial lasts %v", step, s.Lasting)
+			addFault(0, "%v: the trial lasts %v", step, s.Lasting)
 		}
 	}
 	if len(faults) > 0 {
@@ -153,19 +154,21 @@
 	return s, nil
 }
 
-func known(do string) bool { _, is := deeds[do]; return is }
+// isAction reports whether an action is known.
+func isAction(action string) bool { _, ok := actions[action]; return ok }
 
-// Deeds are the things that can be done.
+// Deeds returns the names of all actions, sorted.
 func Deeds() []string {
-	var all []string
-	for do := range deeds {
-		all = append(all, do)
+	var names []string
+	for name := range actions {
+		names = append(names, name)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(names)
+	return names
 }
 
-func (s *Scenario) names() []string {
+// controllerNames returns the names of all controllers.
+func (s *Scenario) controllerNames() []string {
 	var names []string
 	for i := range s.Controllers {
 		names = append(names, fmt.Sprint("n", i+1))
@@ -173,10 +176,10 @@
 	return names
 }
 
-// Plan is all that is done, in order, by a seed: the same for the same seed.
+// Plan returns all steps in the order of their times, with the random choices made. The same seed results in the same plan.
 func (s *Scenario) Plan(seed uint64) []Step {
-	rng := rand.New(rand.NewPCG(seed, 0x7472)) // apart from the links' own
-	names := s.names()
+	rng := rand.New(rand.NewPCG(seed, 0x7472)) // independent of the random numbers of the links
+	names := s.controllerNames()
 	var plan []Step
 	for _, step := range s.Steps {
 		switch step.Who {
@@ -193,13 +196,13 @@
 		}
 	}
 	if len(s.Drawn) > 0 {
-		// The last third of a second lease is calm, so that what was done can be undone before the end.
+		// No random step starts in the last two leases, so that all are undone before the end.
 		for at := s.Lease; at < s.Lasting-2*s.Lease && len(plan) < maxSteps; at += s.Every/2 + time.Duration(rng.Int64N(int64(s.Every))) {
 			step := Step{At: at, Do: s.Drawn[rng.IntN(len(s.Drawn))]}
-			if deeds[step.Do].who {
+			if actions[step.Do].who {
 				step.Who = names[rng.IntN(len(names))]
 			}
-			if deeds[step.Do].lasts {
+			if actions[step.Do].lasts {
 				step.For = time.Duration(rng.Int64N(int64(2 * s.Lease)))
 			}
 			plan = append(plan, step)
--- a/internal/trial/scenario_test.go
+++ b/internal/trial/scenario_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const drawn = `[trial]
+const scenarioText = `[trial]
 controllers = 4
 lease_ms = 2000
 lasting_ms = 20000
@@ -26,8 +26,9 @@
 for_ms = 100
 `
 
+// TestScenarios checks that a scenario is read as written and that its plan is sorted and depends on the seed alone.
 func TestScenarios(t *testing.T) {
-	s, faults := ReadScenario([]byte(drawn))
+	s, faults := ReadScenario([]byte(scenarioText))
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
@@ -36,7 +37,7 @@
 	}
 	plan := s.Plan(7)
 	if diff := cmp.Diff(plan, s.Plan(7)); diff != "" {
-		t.Errorf("the same seed has two plans:\n%s", diff)
+		t.Errorf("two plans of the same seed differ:\n%s", diff)
 	}
 	if cmp.Equal(plan, s.Plan(8)) {
 		t.Error("two seeds have the same plan")
@@ -51,7 +52,7 @@
 	}
 }
 
-// TestBadScenarios: each fault is told with its line, and there is no scenario then.
+// TestBadScenarios checks that a fault is reported, with its line where it has one, and that no scenario is returned with it.
 func TestBadScenarios(t *testing.T) {
 	for text, want := range map[string]string{
 		"[trial]\ncontrollers = 0\n":                                "line 2: controllers: \"0\" is no whole number from 1 to 32",
