--- a/internal/trial/call_checker.go
+++ b/internal/trial/call_checker.go
@@ -229,7 +229,7 @@
 		cc.addViolation(&callState{}, "%s: a %s for a call that nobody has placed", id, kind)
 		return false
 	}
-	c.history.add(when, "received", fmt.Sprint(kind, " ", cause, " ", text))
+	c.history.add(when, "heard", fmt.Sprint(kind, " ", cause, " ", text))
 	if c.finished {
 		return false // a repeated notification of the end
 	}
--- a/internal/trial/checkers_test.go
+++ b/internal/trial/checkers_test.go
@@ -180,7 +180,8 @@
 			t.Errorf("%s: %d ends, want 1", test.name, len(ends))
 			continue
 		}
-		if late := max(ends[0].Late(now), 0); late < test.wantLate-time.Second/100 || late > test.wantLate+time.Second/100 || (late > 0) != (test.wantLate > 0) {
+		if late := max(ends[0].Late(now), 0); late < test.wantLate-time.Second/100 || late > test.wantLate+time.Second/100 ||
+			(late > 0) != (test.wantLate > 0) {
 			t.Errorf("%s: late by %v, want %v", test.name, late, test.wantLate)
 		}
 	}
@@ -241,7 +242,7 @@
 	cc.GivenUp("a", "s1", start.Add(20*time.Millisecond))
 	cc.Heard("a", "release", "failed", 41, start.Add(9500*time.Millisecond))
 	violations, _, _ := cc.Verdict()
-	const want = "a has its final answer after 9.5s; 0 ms placed, 3 ms set up at s1, 20 ms aborted at s1, 9500 ms received release 41 failed"
+	const want = "a has its final answer after 9.5s; 0 ms placed, 3 ms set up at s1, 20 ms aborted at s1, 9500 ms heard release 41 failed"
 	if len(violations) != 1 || violations[0] != want {
 		t.Errorf("got %q, want %q", violations, want)
 	}
--- a/internal/trial/log_steps_test.go
+++ b/internal/trial/log_steps_test.go
@@ -31,7 +31,8 @@
 	logStep(cl.Controllers[1], 20, loggedID, endlog.Arrived)
 	fmt.Fprintf(&cl.Controllers[1].log, "time=2100-01-01T00:00:00.000Z level=WARN msg=%q id=%s\n", "end of a call given up", loggedID)
 	got := cl.LastSteps([]string{loggedID, unloggedID})
-	if len(got) != 2 || !containsInOrder(got[0], loggedID, string(endlog.ReleaseRead), "name=n2", string(endlog.Arrived), "name=n1", string(endlog.EndQueued), "connection=7") ||
+	if len(got) != 2 || !containsInOrder(got[0], loggedID, string(endlog.ReleaseRead), "name=n2", string(endlog.Arrived),
+		"name=n1", string(endlog.EndQueued), "connection=7") ||
 		strings.Contains(got[0], otherID) || strings.Contains(got[0], "given up") || got[1] != unloggedID+": no step is logged" {
 		t.Errorf("last steps %q", got)
 	}
