--- a/internal/trial/call_checker.go
+++ b/internal/trial/call_checker.go
@@ -14,8 +14,8 @@
 //   - After an attempt that may have left a trace at its dispatcher, the next one comes no earlier than after the guard.
 //   - A caller receives one final answer before the deadline, and an answer is one that a dispatcher sent.
 //
-// Left and Unsettled return what remains at the end. A Judge does no I/O: it depends only on the events that are reported to it and their
-// times. Its methods may be called from any goroutine.
+// Judge.Left and Judge.Unsettled return what remains at the end. The checker does no I/O: it depends only on the events that are reported
+// to it and their times. Its methods may be called from any goroutine.
 type Judge struct {
 	guard, deadline time.Duration
 	onSetUp         func(id string, when time.Time) // may be nil
@@ -202,6 +202,7 @@
 	return readState(cc, id, func(c *callState) int { return c.releaseCause })
 }
 
+// readState returns what read returns for the state of a call, under the lock of the checker.
 func readState[T any](cc *Judge, id string, read func(*callState) T) T {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
--- a/internal/trial/cluster.go
+++ b/internal/trial/cluster.go
@@ -266,9 +266,9 @@
 	return second
 }
 
-// Management returns the address of the management API.
+// Management returns the address of the management interface.
 func (c *Controller) Management() string {
-	address, _ := c.management.Load().(string) // addController and Beside set it
+	address, _ := c.management.Load().(string) // every controller is created with one
 	return address
 }
 
@@ -317,6 +317,7 @@
 // exitTimeout is the timeout for the exit of a process.
 const exitTimeout = 30 * time.Second
 
+// terminate sends a signal to all processes of the controller and waits for their exit.
 func (c *Controller) terminate(sig syscall.Signal) error {
 	if c.cmd == nil {
 		return nil
@@ -339,6 +340,7 @@
 // maxLogTail limits the bytes of a log in an error.
 const maxLogTail = 600
 
+// signal sends a signal to the process and continues it if it is paused. A process that has exited is no error.
 func (p process) signal(sig syscall.Signal) error {
 	err := errors.Join(p.cmd.Process.Signal(sig), p.cmd.Process.Signal(syscall.SIGCONT)) // a paused process handles no signal before it continues
 	if errors.Is(err, os.ErrProcessDone) {
@@ -347,6 +349,7 @@
 	return err
 }
 
+// waitForExit waits until the process exits and kills it after exitTimeout. An error status counts only after SIGTERM.
 func (p process) waitForExit(sig syscall.Signal) error {
 	select {
 	case err := <-p.exit:
@@ -371,7 +374,7 @@
 	}
 }
 
-// pauseTimeout is the timeout for the threads of a process to stop.
+// pauseTimeout bounds the wait until all threads of a process have stopped, which a process that exits meanwhile may never reach.
 const pauseTimeout = time.Second
 
 // isStopped reports whether every thread of a process is stopped or has exited.
@@ -393,6 +396,7 @@
 // Resume continues the execution of the controller after Pause.
 func (c *Controller) Resume() { c.signalAll(syscall.SIGCONT) }
 
+// signalAll sends a signal to all processes of the controller.
 func (c *Controller) signalAll(sig syscall.Signal) {
 	for _, p := range append(slices.Clone(c.predecessors), c.process) {
 		if p.cmd != nil {
@@ -408,10 +412,10 @@
 
 var api = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// requestTimeout is the timeout of a request to the management API.
+// requestTimeout is the timeout of a request to the management interface.
 const requestTimeout = time.Second
 
-// Ask requests a page of the management API and decodes it into result, unless that is nil.
+// Ask requests a page of the management interface and decodes it into result, unless that is nil.
 func (c *Controller) Ask(path string, result any) (status int, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
@@ -443,7 +447,8 @@
 	return view
 }
 
-// Until waits until the condition holds and reports whether it did before the timeout.
+// Until waits until the condition holds and reports whether it did before the timeout, which should be long
+// enough for a busy machine.
 func Until(timeout time.Duration, condition func() bool) bool {
 	for deadline := time.Now().Add(timeout); ; time.Sleep(5 * time.Millisecond) {
 		if condition() {
--- a/internal/trial/fleet_checker.go
+++ b/internal/trial/fleet_checker.go
@@ -40,8 +40,8 @@
 	from, until time.Time
 }
 
-// maxViolations limits the violations that a checker keeps. It keeps the first ones, which say most
-// about the cause.
+// maxViolations limits the violations that a checker keeps. It keeps the first ones, which say most about the
+// cause.
 const maxViolations = 50
 
 // Sample adds the view of a process, which was requested at asked and received at answered. The view was true at some moment between the
@@ -80,6 +80,7 @@
 	}
 }
 
+// addViolation records a violation.
 func (f *Beliefs) addViolation(format string, args ...any) {
 	if len(f.violations) < maxViolations {
 		f.violations = append(f.violations, fmt.Sprintf(format, args...))
--- a/internal/trial/peers.go
+++ b/internal/trial/peers.go
@@ -30,7 +30,7 @@
 	failNext      int // number of the next set-ups that fail
 }
 
-// Stand starts a dispatcher on a free port. Its response to each call is pseudo-random until Act changes that.
+// Stand starts a dispatcher on a free port. Its response to each call is pseudo-random until Dispatcher.Act changes that.
 func Stand(transport, name string, checker *Judge) (*Dispatcher, error) {
 	return StandAt(transport, "127.0.0.1:0", name, checker)
 }
@@ -90,6 +90,7 @@
 	return true
 }
 
+// handleEvent reports an event to the checker and reacts to it.
 func (d *Dispatcher) handleEvent(e peer.Event) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -207,7 +208,7 @@
 
 	Placed, Resumes  int             // numbers of set-ups and of resume requests
 	Words            []time.Duration // from the loss of a connection to the first message of each call that was pending on it
-	connectionLostAt time.Time       // the loss that Words counts from
+	connectionLostAt time.Time       // when the connection was lost on which the calls in awaitingMessage were pending
 	awaitingMessage  map[string]bool // pending calls without a message since they were resumed
 	nextCall         int
 	addressIndex     int                  // grows with each connection
--- a/internal/trial/replaced_dispatcher.go
+++ b/internal/trial/replaced_dispatcher.go
@@ -8,7 +8,7 @@
 	"cherryrelay/internal/peer"
 )
 
-// Work configures how a Replaced dispatcher treats its calls. Shares are from 0 to 1.
+// Work configures how a dispatcher treats its calls. Shares are from 0 to 1.
 type Work struct {
 	Lines      int           // maximum number of pending and established calls; further set-ups are refused
 	Answers    time.Duration // maximum delay of an answer
@@ -37,7 +37,7 @@
 	dead             bool
 }
 
-// maxBriefDuration is the maximum time that a call of the share Brief is established.
+// maxBriefDuration is the maximum time that a call is established which ends shortly after its answer.
 const maxBriefDuration = 30 * time.Millisecond
 
 // answerTransitTime is how long before a reset an answer may have been sent that the reset still loses.
@@ -78,6 +78,7 @@
 	r.workload.Answers = maxDelay
 }
 
+// handleEvent reports an event to the checker and reacts to it.
 func (r *Replaced) handleEvent(e peer.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -23,7 +23,7 @@
 	SetUps     int            `json:"set_ups"`    // received by dispatchers
 	Finals     map[string]int `json:"finals"`     // numbers of final answers and ends by kind
 	Unanswered int            `json:"unanswered"` // calls without a final answer
-	Untold     int            `json:"untold"`     // answered calls without their end, which went to a controller that did not have the call
+	Untold     int            `json:"untold"`     // answered calls whose end went to a controller without the call, not to the caller
 	Together   bool           `json:"together"`   // in the end all controllers held their leases and knew all members
 	EndsMs     []Ended        `json:"ends_ms"`
 	WordsMs    []int64        `json:"words_ms"` // from the loss of a connection to the first message of each call that was pending on it
@@ -38,7 +38,8 @@
 	Ms    []int64 `json:"ms"`
 }
 
-// Passed reports whether no rule was violated, every call was answered and the fleet converged. Calls in Untold do not count.
+// Passed reports whether no rule was violated, every call was answered and the fleet converged. Ends that did not
+// reach their callers do not count.
 func (r *Result) Passed() bool {
 	return len(r.Faults) == 0 && len(r.Beliefs) == 0 && r.Unanswered == 0 && r.Together
 }
