--- a/internal/mutants/cmd/main.go
+++ b/internal/mutants/cmd/main.go
@@ -1,4 +1,4 @@
-// Command cmd plays the mutants of the list: each takes a mechanism out of the sources, and the tests named with it must fail.
+// Command cmd runs the tests of each mutant in the list. A mutant removes one mechanism from the sources, and its tests must fail.
 package main
 
 import (
@@ -16,17 +16,17 @@
 )
 
 const (
-	// defaultLimit is the time limit of the tests of one mutant.
-	defaultLimit = 3 * time.Minute
-	// defaultParallel is how many mutants are played at once.
+	// defaultTimeout is the default time limit for the tests of one mutant.
+	defaultTimeout = 3 * time.Minute
+	// defaultParallel is the default number of mutants that run at the same time.
 	defaultParallel = 2
 )
 
 func main() {
-	name := flag.String("name", "", "play the mutants of this name, or of those that begin with it and a hyphen; empty for all")
-	limit := flag.Duration("limit", defaultLimit, "time limit of the tests of one mutant")
-	skip := flag.String("skip", "", "an expression for tests that fail without a mutant")
-	parallel := flag.Int("parallel", defaultParallel, "mutants that are played at once")
+	name := flag.String("name", "", "run the mutant of this name and those whose names begin with it and a hyphen; empty for all")
+	timeout := flag.Duration("limit", defaultTimeout, "time limit for the tests of one mutant")
+	skip := flag.String("skip", "", "regular expression of tests to skip because they fail without a mutant")
+	parallel := flag.Int("parallel", defaultParallel, "number of mutants that run at the same time")
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -34,40 +34,40 @@
 	if err != nil {
 		fail(err)
 	}
-	list := named(mutants.List(), *name)
+	list := selectByName(mutants.List(), *name)
 	if len(list) == 0 {
-		fail(fmt.Errorf("no mutant is named %q", *name))
+		fail(fmt.Errorf("no mutant has the name or prefix %q", *name))
 	}
 	if err := mutants.Check(root, list); err != nil {
 		fail(err)
 	}
-	if !play(ctx, &mutants.Player{Root: root, Limit: *limit, Parallel: *parallel, Skip: *skip}, list) {
+	if !runMutants(ctx, &mutants.Player{Root: root, Limit: *timeout, Parallel: *parallel, Skip: *skip}, list) {
 		os.Exit(1)
 	}
 }
 
-// named are the mutants of a name, or of those that begin with it and a hyphen.
-func named(list []mutants.Mutant, name string) []mutants.Mutant {
+// selectByName returns the mutant with the given name and those whose names begin with it and a hyphen, or all if the name is empty.
+func selectByName(list []mutants.Mutant, name string) []mutants.Mutant {
 	return slices.DeleteFunc(slices.Clone(list), func(m mutants.Mutant) bool {
 		return name != "" && m.Name != name && !strings.HasPrefix(m.Name, name+"-")
 	})
 }
 
-// play prints a line for each mutant, and reports whether all of them passed.
-func play(ctx context.Context, p *mutants.Player, list []mutants.Mutant) bool {
+// runMutants runs the mutants, prints a line for each, and reports whether all of them passed.
+func runMutants(ctx context.Context, p *mutants.Player, list []mutants.Mutant) bool {
 	passed := 0
 	p.Play(ctx, list, func(r mutants.Result) {
 		if r.Passed() {
 			passed++
 		}
-		fmt.Printf("%-10s  %-44s  %5.1f s  %s\n", r.Verdict, r.Mutant.Name, r.Took.Seconds(), remark(r))
+		fmt.Printf("%-10s  %-44s  %5.1f s  %s\n", r.Verdict, r.Mutant.Name, r.Took.Seconds(), detail(r))
 	})
 	fmt.Printf("%d of %d mutants passed\n", passed, len(list))
 	return passed == len(list)
 }
 
-// remark says by what a mutant was found, or what is wrong.
-func remark(r mutants.Result) string {
+// detail returns the error of a result, the reason why the mutant is equivalent, or the test that failed.
+func detail(r mutants.Result) string {
 	switch {
 	case r.Err != nil:
 		return r.Err.Error()
--- a/internal/mutants/list.go
+++ b/internal/mutants/list.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// List is all mutants.
-func List() []Mutant { return slices.Concat(ofDispatchers(), ofCalls(), ofCallers()) }
+// List returns all mutants.
+func List() []Mutant { return slices.Concat(dispatcherMutants(), callMutants(), callerMutants()) }
 
-// The tests of connections to dispatchers, of calls, of a call in all orders of what may be said of it, of connections from
-// callers, and of connections.
+// The tests that mutants name. callOrderTests include those that deliver the messages of a call in every order; callersScenarioTests
+// run the whole controller; connTests include the users of package conn.
 var (
-	dispatchersTests = Tests{"./internal/dispatchers", ""}
-	callTests        = Tests{"./internal/call ./internal/dispatchers", "EachEnd|AfterARefusal|CouldNotBe|TheDecisions|AsItsAttempt|ALateAnswer|TheEndOfACall|AnEnd|OfUnknown|ReleasesIn|HeldBy|Ambiguous"}
-	callOrderTests   = Tests{"./internal/call ./internal/dispatchers", "MessagesOfACall|AfterARefusal|CouldNotBe|TheDecisions|AsItsAttempt|TheEndOfACall|AnEnd|ReleasesIn"}
-	callersTests     = Tests{"./internal/callers", ""}
-	callersStories   = Tests{"./cmd/cherryrelay", "AnEndThatHasNotLeft|AnEndAsTheLast|AnEndIsNotATests|AConnectionIsKept|LastAnswersWait"}
-	connTests        = Tests{"./internal/conn ./internal/callers ./internal/dispatchers", ""}
+	dispatchersTests     = Tests{"./internal/dispatchers", ""}
+	callTests            = Tests{"./internal/call ./internal/dispatchers", "EachEnd|AfterARefusal|CouldNotBe|TheDecisions|AsItsAttempt|ALateAnswer|TheEndOfACall|AnEnd|OfUnknown|ReleasesIn|HeldBy|Ambiguous"}
+	callOrderTests       = Tests{"./internal/call ./internal/dispatchers", "MessagesOfACall|AfterARefusal|CouldNotBe|TheDecisions|AsItsAttempt|TheEndOfACall|AnEnd|ReleasesIn"}
+	callersTests         = Tests{"./internal/callers", ""}
+	callersScenarioTests = Tests{"./cmd/cherryrelay", "AnEndThatHasNotLeft|AnEndAsTheLast|AnEndIsNotATests|AConnectionIsKept|LastAnswersWait"}
+	connTests            = Tests{"./internal/conn ./internal/callers ./internal/dispatchers", ""}
 )
--- a/internal/mutants/list_calls.go
+++ b/internal/mutants/list_calls.go
@@ -1,7 +1,7 @@
 package mutants
 
-// ofCalls are the mutants of what is known of calls.
-func ofCalls() []Mutant {
+// callMutants returns the mutants of the state of calls.
+func callMutants() []Mutant {
 	return []Mutant{
 		{Name: "overtakes", File: "internal/call/ends.go", Row: "end-before-its-answer.md", Tests: callOrderTests,
 			Text:        "\tcase endBeforeAnswer:\n\t\tc.holdEarlyEnd(k, cause, report)\n",
@@ -10,14 +10,14 @@
 			Text:        "\tcase k.triedEarlier():\n\t\treturn endAmbiguous\n",
 			Replacement: ""},
 		{Name: "overtakes-twice", File: "internal/call/early_end.go", Row: "end-before-its-answer.md", Tests: callOrderTests,
-			Equivalent:  "the first wait goes on, and ends the call as the second would",
+			Equivalent:  "the timer of the first end keeps running, and terminates the call as that of the second would",
 			Text:        "\tcase k.earlyEnd != nil:\n\t\treturn endRepeated\n",
 			Replacement: ""},
 		{Name: "overtakes-waits", File: "internal/call/early_end.go", Row: "end-before-its-answer.md", Tests: callOrderTests,
 			Text:        "\t\tif k.attemptInProgress && k.attempts == attempt {\n\t\t\tc.cancelAttempt(k, control.TimedOut, false)\n\t\t}\n",
 			Replacement: "\t\t_ = attempt\n"},
 		{Name: "overtakes-wait-of-its-attempt", File: "internal/call/early_end.go", Row: "end-before-its-answer.md", Tests: callOrderTests,
-			Equivalent:  "dropEarlyEnd and stopTimers stop the wait with its attempt",
+			Equivalent:  "dropEarlyEnd and stopTimers stop the timer together with its attempt",
 			Text:        `if k.attemptInProgress && k.attempts == attempt {`,
 			Replacement: `if k.attemptInProgress && attempt > 0 {`},
 		{Name: "overtakes-wait-withdraws", File: "internal/call/early_end.go", Row: "crossings.md, an attempt ends: the same, and the answer does not come in time", Tests: callOrderTests,
@@ -60,7 +60,7 @@
 			Text:        "\t\tk.tried = append(k.tried, triedAttempt{server, k.attempts - 1, true}) // the dispatcher has established it\n",
 			Replacement: ``},
 		{Name: "noteTried-drops", File: "internal/call/early_end.go", Row: "end-before-its-answer.md", Tests: callTests,
-			Equivalent:  "no attempt with such an end is followed by another one: cancelAttempt and AttemptEnded end the call",
+			Equivalent:  "no other attempt follows one with an early end: cancelAttempt and AttemptEnded terminate the call",
 			Text:        "\tc.dropEarlyEnd(k)\n\tc.dropAmbiguous(k)\n",
 			Replacement: "\tc.dropAmbiguous(k)\n"},
 		{Name: "ambiguous-probed", File: "internal/call/ends.go", Row: "end-ahead-of-its-answer-after-a-reset.md", Tests: callTests,
@@ -133,7 +133,7 @@
 			Text:        "\tcase endWithoutAnswer:\n\t\tc.terminateUnanswered(k, report)\n",
 			Replacement: ""},
 		{Name: "released-unanswered-of-another-dispatcher", File: "internal/call/received_end.go", Row: "crossings.md, an attempt ends: the end comes and the answer never did", Tests: callTests,
-			Equivalent:  "the number of the attempt that is out is known on the connections of its own dispatcher alone",
+			Equivalent:  "only connections to the dispatcher of the attempt in progress know its number",
 			Text:        "case k.attemptInProgress && k.server == server && attempt >= 0:",
 			Replacement: "case k.attemptInProgress && attempt >= 0:"},
 		{Name: "finish-tells", File: "internal/call/ends.go", Row: "crossings.md, an attempt ends: the end", Tests: callTests,
@@ -182,14 +182,14 @@
 			Text:        "\t\t\tc.dispatchers.Release(\"\", id, cause)\n\t\t\tc.recordTerminated(id)",
 			Replacement: "\t\t\tc.recordTerminated(id)"},
 		{Name: "close-forgets-the-answer-wait", File: "internal/call/requests.go", Row: "end-before-its-answer.md", Tests: callTests,
-			Equivalent:  "the wait finds no attempt out",
+			Equivalent:  "the timer finds no attempt in progress",
 			Text:        "\tif k.earlyEnd != nil {\n\t\tc.loop.Stop(k.earlyEnd.timer)\n\t}\n",
 			Replacement: ``},
 		{Name: "heldThere", File: "internal/call/outcomes.go", Row: "crossings.md, an attempt ends: time-out", Tests: callTests,
 			Text:        "\t\tk.heldByEarlierAttempt = true\n",
 			Replacement: ``},
 		{Name: "heldThere-established", File: "internal/call/outcomes.go", Row: "crossings.md, an attempt ends: time-out", Tests: callTests,
-			Equivalent:  "releaseEarlierAttempt is asked for attempts that are out, and a call that stands has none",
+			Equivalent:  "releaseEarlierAttempt is called only for an attempt in progress, and an established call has none",
 			Text:        "k.attemptInProgress, k.state, k.heldByEarlierAttempt = false, established, false",
 			Replacement: "k.attemptInProgress, k.state = false, established"},
 		{Name: "releaseEarlier-ended", File: "internal/call/outcomes.go", Row: "crossings.md, an attempt ends: time-out", Tests: callTests,
--- a/internal/mutants/mutants.go
+++ b/internal/mutants/mutants.go
@@ -1,5 +1,5 @@
-// Package mutants checks that tests notice when a mechanism is missing: each mutant takes one out of the sources, and the tests named with it
-// must fail. The sources stay as they are; the go command builds the mutant from an overlay.
+// Package mutants checks that tests detect a missing mechanism. Each mutant removes one mechanism from the sources, and the tests that it
+// names must fail. The sources are not modified: the go command builds the mutant with an overlay.
 package mutants
 
 import (
@@ -10,36 +10,36 @@
 	"strings"
 )
 
-// Mutant is a change of one source file that tests must notice.
+// Mutant is a change to one source file that tests must detect.
 type Mutant struct {
 	Name        string
-	File        string // from the root of the module
-	Text        string // that is replaced; it stands exactly once in the file
+	File        string // path relative to the root of the module
+	Text        string // text to replace; it occurs exactly once in the file
 	Replacement string
 	Tests       Tests
-	Row         string // the page or row that the mechanism belongs to
-	Equivalent  string // why no order of events that the protocol allows tells it from the sources; empty where tests must notice
+	Row         string // issue page or table row that describes the mechanism
+	Equivalent  string // why no order of events that the protocol allows distinguishes it from the sources; empty if tests must detect it
 }
 
-// Tests are those of some packages whose names match an expression.
+// Tests selects the tests of some packages whose names match a regular expression.
 type Tests struct {
 	Packages string // separated by spaces
-	Run      string
+	Run      string // regular expression; empty for all tests
 }
 
-// Errors of the list.
+// Errors that Check reports.
 var (
-	// ErrNoText is a text that the file does not have.
+	// ErrNoText means that the file does not contain the text.
 	ErrNoText = errors.New("the text is not in the file")
-	// ErrAmbiguous is a text that the file has more than once.
+	// ErrAmbiguous means that the file contains the text more than once.
 	ErrAmbiguous = errors.New("the text is in the file more than once")
-	// ErrUnchanged is a replacement that is the text itself.
-	ErrUnchanged = errors.New("the replacement is the text")
-	// ErrNameTwice is a name that two mutants have.
+	// ErrUnchanged means that the replacement equals the text.
+	ErrUnchanged = errors.New("the replacement equals the text")
+	// ErrNameTwice means that two mutants have the same name.
 	ErrNameTwice = errors.New("two mutants have the name")
 )
 
-// Apply returns the file of a mutant with its text replaced.
+// Apply returns the content of the mutant's file with the text replaced.
 func (m *Mutant) Apply(root string) ([]byte, error) {
 	source, err := os.ReadFile(filepath.Join(root, m.File))
 	if err != nil {
@@ -56,18 +56,18 @@
 	return []byte(strings.Replace(string(source), m.Text, m.Replacement, 1)), nil
 }
 
-// Check reports the faults of a list: names that are not unique, and mutants that do not apply.
+// Check returns an error for each name that is not unique and each mutant that does not apply.
 func Check(root string, list []Mutant) error {
-	var faults []error
+	var errs []error
 	seen := map[string]bool{}
 	for _, m := range list {
 		if seen[m.Name] {
-			faults = append(faults, fmt.Errorf("%w %s", ErrNameTwice, m.Name))
+			errs = append(errs, fmt.Errorf("%w %s", ErrNameTwice, m.Name))
 		}
 		seen[m.Name] = true
 		if _, err := m.Apply(root); err != nil {
-			faults = append(faults, err)
+			errs = append(errs, err)
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
--- a/internal/mutants/mutants_test.go
+++ b/internal/mutants/mutants_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// tinyModule is a module with one function and one test.
-func tinyModule(t *testing.T) (root string) {
+// writeTestModule writes a small module with tests that pass, fail or loop, and returns its directory.
+func writeTestModule(t *testing.T) (root string) {
 	t.Helper()
 	root = t.TempDir()
 	for name, text := range map[string]string{
@@ -28,7 +28,7 @@
 
 var addTests = Tests{".", "TestAdd"}
 
-// TestTheListApplies guards against a list that has fallen behind the sources.
+// TestTheListApplies guards against a list whose texts no longer match the sources.
 func TestTheListApplies(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -39,29 +39,29 @@
 	}
 	for _, m := range List() {
 		if m.Tests.Packages == "" || m.Row == "" {
-			t.Errorf("%s names no packages or no row", m.Name)
+			t.Errorf("%s has no packages or no row", m.Name)
 		}
 	}
 }
 
-// TestAListWithFaultsIsRefused guards against mutants that are not what their line says.
+// TestAListWithFaultsIsRefused guards against mutants that change nothing, or not the place that their entry describes.
 func TestAListWithFaultsIsRefused(t *testing.T) {
 	t.Parallel()
-	root := tinyModule(t)
-	inAdd := func(text, replacement string) Mutant {
+	root := writeTestModule(t)
+	mutantOfAdd := func(text, replacement string) Mutant {
 		return Mutant{Name: "m", File: "add.go", Text: text, Replacement: replacement}
 	}
 	for name, test := range map[string]struct {
 		list []Mutant
 		want error
 	}{
-		"a text that is not there":   {[]Mutant{inAdd("a - b", "0")}, ErrNoText},
-		"no text":                    {[]Mutant{inAdd("", "0")}, ErrNoText},
-		"a text that is there twice": {[]Mutant{inAdd("return", "panic")}, ErrAmbiguous},
-		"a replacement that is none": {[]Mutant{inAdd("a + b", "a + b")}, ErrUnchanged},
-		"no such file":               {[]Mutant{{Name: "m", File: "sub.go", Text: "a + b", Replacement: "0"}}, os.ErrNotExist},
-		"a name twice":               {[]Mutant{inAdd("a + b", "0"), inAdd("return 0", "return 1")}, ErrNameTwice},
-		"nothing wrong":              {[]Mutant{inAdd("a + b", "0")}, nil},
+		"text missing from the file":  {[]Mutant{mutantOfAdd("a - b", "0")}, ErrNoText},
+		"empty text":                  {[]Mutant{mutantOfAdd("", "0")}, ErrNoText},
+		"text twice in the file":      {[]Mutant{mutantOfAdd("return", "panic")}, ErrAmbiguous},
+		"replacement equals the text": {[]Mutant{mutantOfAdd("a + b", "a + b")}, ErrUnchanged},
+		"no such file":                {[]Mutant{{Name: "m", File: "sub.go", Text: "a + b", Replacement: "0"}}, os.ErrNotExist},
+		"duplicate name":              {[]Mutant{mutantOfAdd("a + b", "0"), mutantOfAdd("return 0", "return 1")}, ErrNameTwice},
+		"valid":                       {[]Mutant{mutantOfAdd("a + b", "0")}, nil},
 	} {
 		if err := Check(root, test.list); !errors.Is(err, test.want) {
 			t.Errorf("%s: %v, want %v", name, err, test.want)
@@ -69,30 +69,30 @@
 	}
 }
 
-// TestVerdicts guards against a mutant that counts as found for anything but a test that fails for it.
+// TestVerdicts guards against a mutant that counts as found although no test failed because of it.
 func TestVerdicts(t *testing.T) {
 	t.Parallel()
-	root := tinyModule(t)
-	minus := Mutant{File: "add.go", Text: "a + b", Replacement: "a - b", Tests: addTests}
+	root := writeTestModule(t)
+	killed := Mutant{File: "add.go", Text: "a + b", Replacement: "a - b", Tests: addTests}
 	survivor := Mutant{File: "add.go", Text: "return 0", Replacement: "return 1", Tests: addTests}
-	with := func(m Mutant, change func(*Mutant)) Mutant { change(&m); return m }
+	modified := func(m Mutant, change func(*Mutant)) Mutant { change(&m); return m }
 	for name, test := range map[string]struct {
 		mutant  Mutant
 		verdict Verdict
 		test    string
 		err     error
 	}{
-		"a test fails":                                {minus, Found, "TestAdd/ones", nil},
-		"no test fails":                               {survivor, NotFound, "", nil},
-		"it does not compile":                         {with(minus, func(m *Mutant) { m.Replacement = "a +" }), Faulty, "", ErrDoesNotCompile},
-		"its tests do not compile with it":            {with(minus, func(m *Mutant) { m.Text, m.Replacement = "func add", "func plus" }), Faulty, "", ErrNoVerdict},
-		"it does not apply":                           {with(minus, func(m *Mutant) { m.Text = "a * b" }), Faulty, "", ErrNoText},
-		"its tests fail without it":                   {with(minus, func(m *Mutant) { m.Tests.Run = "TestAdd|TestRed" }), Faulty, "", ErrFailsAnyway},
-		"no test matches":                             {with(minus, func(m *Mutant) { m.Tests.Run = "TestNothing" }), Faulty, "", ErrNoTests},
-		"it panics":                                   {with(minus, func(m *Mutant) { m.Replacement = "a / (b - 1)" }), Found, "TestAdd/ones", nil},
-		"its tests do not end":                        {Mutant{File: "spin.go", Text: "false", Replacement: "true", Tests: Tests{".", "TestSpins"}}, TimedOut, "", nil},
-		"no test fails, as the list has it":           {with(survivor, func(m *Mutant) { m.Equivalent = "nothing calls it" }), Equivalent, "", nil},
-		"a test fails that can't, as the list has it": {with(minus, func(m *Mutant) { m.Equivalent = "nothing calls it" }), Faulty, "", ErrNotEquivalent},
+		"a test fails":                           {killed, Found, "TestAdd/ones", nil},
+		"no test fails":                          {survivor, NotFound, "", nil},
+		"mutant does not compile":                {modified(killed, func(m *Mutant) { m.Replacement = "a +" }), Faulty, "", ErrDoesNotCompile},
+		"tests do not compile with the mutant":   {modified(killed, func(m *Mutant) { m.Text, m.Replacement = "func add", "func plus" }), Faulty, "", ErrNoVerdict},
+		"mutant does not apply":                  {modified(killed, func(m *Mutant) { m.Text = "a * b" }), Faulty, "", ErrNoText},
+		"tests fail without the mutant":          {modified(killed, func(m *Mutant) { m.Tests.Run = "TestAdd|TestRed" }), Faulty, "", ErrFailsAnyway},
+		"no test matches":                        {modified(killed, func(m *Mutant) { m.Tests.Run = "TestNothing" }), Faulty, "", ErrNoTests},
+		"mutant panics":                          {modified(killed, func(m *Mutant) { m.Replacement = "a / (b - 1)" }), Found, "TestAdd/ones", nil},
+		"tests do not end":                       {Mutant{File: "spin.go", Text: "false", Replacement: "true", Tests: Tests{".", "TestSpins"}}, TimedOut, "", nil},
+		"no test fails for an equivalent mutant": {modified(survivor, func(m *Mutant) { m.Equivalent = "unused function" }), Equivalent, "", nil},
+		"a test fails for an equivalent mutant":  {modified(killed, func(m *Mutant) { m.Equivalent = "unused function" }), Faulty, "", ErrNotEquivalent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := Player{Root: root, Limit: time.Minute, Parallel: 1}
