--- a/internal/mutants/list_callers.go
+++ b/internal/mutants/list_callers.go
@@ -179,7 +179,7 @@
 			Text:        "\tc.out.Discard(c.out.Len())\n\tc.writeCallbacks = nil\n",
 			Replacement: ``},
 		{Name: "finish-drops-the-marks", File: "internal/conn/conn.go", Row: "crossings.md, a connection to a dispatcher ends: given up as dead", Tests: connTests,
-			Equivalent:  "onWritten runs the callbacks only after bytes were written, and none are written after this side is closed",
+			Equivalent:  "onWritten runs the callbacks only after bytes were written, and none are written after Finish has closed this side for writing",
 			Text:        "\tc.out.Discard(c.out.Len())\n\tc.writeCallbacks = nil\n",
 			Replacement: "\tc.out.Discard(c.out.Len())\n"},
 		{Name: "write-fails-and-closes", File: "internal/conn/write.go", Row: "thrown-away-as-a-write-fails.md", Tests: connTests,
--- a/internal/mutants/runner.go
+++ b/internal/mutants/runner.go
@@ -36,7 +36,7 @@
 	// ErrFailsAnyway means that the tests fail without the mutant.
 	ErrFailsAnyway = errors.New("the tests fail without a mutant")
 	// ErrNoVerdict means that the run failed but no test did, for example because the tests do not compile with the mutant.
-	ErrNoVerdict = errors.New("the tests did not run")
+	ErrNoVerdict = errors.New("the test run failed, but no test did")
 	// ErrNotEquivalent means that a test detects a mutant that the list calls equivalent.
 	ErrNotEquivalent = errors.New("a test detects a mutant that the list calls equivalent")
 )
