--- a/internal/store/backup.go
+++ b/internal/store/backup.go
@@ -2,53 +2,54 @@
 
 import "go.etcd.io/etcd/api/v3/mvccpb"
 
-// view is a state of the keys.
-type view struct {
+// snapshot holds the keys at one revision.
+type snapshot struct {
 	revision int64
 	keys     map[string]*mvccpb.KeyValue
 }
 
-func (s *Store) state() *view {
-	v := &view{revision: s.revision, keys: make(map[string]*mvccpb.KeyValue, len(s.keys))}
+// snapshot returns a copy of the present keys. The caller holds the lock.
+func (s *Store) snapshot() *snapshot {
+	snap := &snapshot{revision: s.revision, keys: make(map[string]*mvccpb.KeyValue, len(s.keys))}
 	for k, kv := range s.keys {
-		v.keys[k] = kv
+		snap.keys[k] = kv
 	}
-	return v
+	return snap
 }
 
-// Hold has reads that ask for no quorum answered from the present state until Hold(false).
+// Hold freezes the state that serializable reads return, until Hold(false). Linearizable reads still return the present state.
 func (s *Store) Hold(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.older = nil
+	s.frozen = nil
 	if on {
-		s.older = s.state()
+		s.frozen = s.snapshot()
 	}
 }
 
-// Backup is a state to go back to.
-func (s *Store) Backup() any { // its type is the store's own
+// Backup returns a copy of the present keys for Restore.
+func (s *Store) Backup() any { // opaque to the caller
 
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state()
+	return s.snapshot()
 }
 
-// Restore puts the store back to a state, or to none if it is nil, as after a restore from a backup; its leases are lost. It is to be
-// called between Close and Listen.
+// Restore replaces the contents of the store with a backup, or with nothing if the backup is nil, and sets the cluster ID, as an etcd restore
+// does. All leases and the keys attached to a lease are lost. Restore must be called between Close and Listen.
 func (s *Store) Restore(backup any, cluster uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v, ok := backup.(*view)
+	snap, ok := backup.(*snapshot)
 	if !ok {
-		v = &view{revision: 1}
+		snap = &snapshot{revision: 1}
 	}
-	s.revision, s.compacted, s.cluster = v.revision, v.revision, cluster
+	s.revision, s.compacted, s.cluster = snap.revision, snap.revision, cluster
 	s.keys, s.history, s.leases = map[string]*mvccpb.KeyValue{}, nil, map[int64]*lease{}
-	for k, kv := range v.keys {
+	for k, kv := range snap.keys {
 		if kv.Lease == 0 {
 			s.keys[k] = kv
 		}
 	}
-	s.tell()
+	s.notifyWatches()
 }
--- a/internal/store/faults.go
+++ b/internal/store/faults.go
@@ -7,52 +7,52 @@
 	"google.golang.org/grpc/status"
 )
 
-// Faults are what goes wrong until it is set otherwise.
+// Faults selects the faults that the store injects.
 type Faults struct {
-	Stall bool // nothing is taken in or answered, and leases do not end: their time goes on once the stall is over
-	// Late is how long answers take on their way, after the work is done.
+	Stall bool // no request is processed or answered, and no lease expires: the time of a stall does not count for leases
+	// Late is the delay of each response and notification, after the request was processed.
 	Late time.Duration
-	// Lost is how many of the next writes are done and then answered too late for anybody: the call ends with the client's patience.
+	// Lost is the number of coming writes and lease requests that are processed but never answered: the request ends when the client cancels it or times out.
 	Lost int
-	// Deaf watches are told nothing, and do not end.
+	// Deaf stops all notifications to watches, which stay open.
 	Deaf bool
 }
 
-// Fault sets what goes wrong from now on.
+// Fault replaces the injected faults. Notifications that Deaf held back are sent once it is reset.
 func (s *Store) Fault(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.Stall && !f.Stall {
-		close(s.stalled)
-		s.stalled = make(chan struct{})
+		close(s.stallEnded)
+		s.stallEnded = make(chan struct{})
 	}
-	wake := s.faults.Deaf && !f.Deaf
+	resume := s.faults.Deaf && !f.Deaf
 	s.faults = f
-	if wake {
-		s.tell()
+	if resume {
+		s.notifyWatches()
 	}
 }
 
-// enter waits for a stall to end, then locks.
-func (s *Store) enter(ctx context.Context) error {
+// lock waits for a stall to end and takes the lock. It fails, without the lock, if the context ends first.
+func (s *Store) lock(ctx context.Context) error {
 	for {
 		s.mu.Lock()
 		if !s.faults.Stall {
 			return nil
 		}
-		stalled := s.stalled
+		stallEnded := s.stallEnded
 		s.mu.Unlock()
 		select {
 		case <-ctx.Done():
 			return status.FromContextError(ctx.Err()).Err()
-		case <-stalled:
+		case <-stallEnded:
 		}
 	}
 }
 
-// leave unlocks, and holds the answer back as the faults say.
-func (s *Store) leave(ctx context.Context, wrote bool) error {
-	late := s.faults.Late
+// unlock releases the lock and delays the response as Faults demands. It returns an error if the response must not be sent.
+func (s *Store) unlock(ctx context.Context, wrote bool) error {
+	delay := s.faults.Late
 	lost := wrote && s.faults.Lost > 0
 	if lost {
 		s.faults.Lost--
@@ -62,9 +62,10 @@
 		<-ctx.Done()
 		return status.FromContextError(ctx.Err()).Err()
 	}
-	return sleep(ctx, late)
+	return sleep(ctx, delay)
 }
 
+// sleep waits for d or until the context ends.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return nil
--- a/internal/store/keys.go
+++ b/internal/store/keys.go
@@ -10,7 +10,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// Keys are the keys below a prefix, in order.
+// Keys returns the keys with a prefix in ascending order.
 func (s *Store) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -24,7 +24,7 @@
 	return keys
 }
 
-// Put sets a key as a client would; an empty value deletes it.
+// Put sets a key as a client would. An empty value deletes the key.
 func (s *Store) Put(key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,10 +34,11 @@
 	} else {
 		s.put(&etcdserverpb.PutRequest{Key: []byte(key), Value: []byte(value)})
 	}
-	s.tell()
+	s.notifyWatches()
 }
 
-func within(key string, from, to []byte) bool {
+// inRange reports whether a key is in a range of the etcd API: no end stands for the single key, an end of one zero byte for no upper bound.
+func inRange(key string, from, to []byte) bool {
 	switch {
 	case len(to) == 0:
 		return key == string(from)
@@ -47,17 +48,18 @@
 	return key >= string(from) && key < string(to)
 }
 
-func (s *Store) read(r *etcdserverpb.RangeRequest) (*etcdserverpb.RangeResponse, error) {
+// readRange returns the keys of a range. Serializable reads return the frozen state if there is one.
+func (s *Store) readRange(r *etcdserverpb.RangeRequest) (*etcdserverpb.RangeResponse, error) {
 	header, keys := s.header(), s.keys
-	if r.Serializable && s.older != nil {
-		header.Revision, keys = s.older.revision, s.older.keys
+	if r.Serializable && s.frozen != nil {
+		header.Revision, keys = s.frozen.revision, s.frozen.keys
 	}
 	if r.Revision != 0 && r.Revision != header.Revision {
-		return nil, status.Error(codes.Unimplemented, "store: reads of the past are not kept")
+		return nil, status.Error(codes.Unimplemented, "store: reads at past revisions are not supported")
 	}
 	resp := &etcdserverpb.RangeResponse{Header: header}
 	for key, kv := range keys {
-		if within(key, r.Key, r.RangeEnd) {
+		if inRange(key, r.Key, r.RangeEnd) {
 			resp.Kvs = append(resp.Kvs, kv)
 		}
 	}
@@ -72,6 +74,7 @@
 	return resp, nil
 }
 
+// put sets a key at the present revision and moves it from its old lease to its new one.
 func (s *Store) put(r *etcdserverpb.PutRequest) *etcdserverpb.PutResponse {
 	key := string(r.Key)
 	kv := &mvccpb.KeyValue{Key: r.Key, Value: r.Value, Lease: r.Lease, CreateRevision: s.revision, ModRevision: s.revision, Version: 1}
@@ -97,7 +100,7 @@
 	return resp
 }
 
-// delete takes a key out at the present revision.
+// delete removes a key at the present revision and returns its last value, or nil if there is no such key.
 func (s *Store) delete(key string) *mvccpb.KeyValue {
 	old := s.keys[key]
 	if old == nil {
@@ -112,11 +115,12 @@
 	return old
 }
 
+// deleteRange removes the keys of a range in ascending order.
 func (s *Store) deleteRange(r *etcdserverpb.DeleteRangeRequest) *etcdserverpb.DeleteRangeResponse {
 	resp := &etcdserverpb.DeleteRangeResponse{}
 	var names []string
 	for key := range s.keys {
-		if within(key, r.Key, r.RangeEnd) {
+		if inRange(key, r.Key, r.RangeEnd) {
 			names = append(names, key)
 		}
 	}
@@ -130,13 +134,14 @@
 	return resp
 }
 
-// Compact forgets what was before the present revision: a watch from before it ends.
+// Compact drops the history up to the present revision. Watches that still need it end.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.compact(s.revision)
 }
 
+// compact drops the history up to a revision.
 func (s *Store) compact(at int64) {
 	s.compacted = max(s.compacted, at)
 	s.history = slices.DeleteFunc(s.history, func(e *mvccpb.Event) bool { return e.Kv.ModRevision <= s.compacted })
--- a/internal/store/kv.go
+++ b/internal/store/kv.go
@@ -7,26 +7,28 @@
 	"go.etcd.io/etcd/api/v3/v3rpc/rpctypes"
 )
 
-// kv is the KV service.
-type kv struct {
+// kvServer implements the KV service.
+type kvServer struct {
 	etcdserverpb.UnimplementedKVServer
 	s *Store
 }
 
-func (k kv) Range(ctx context.Context, r *etcdserverpb.RangeRequest) (*etcdserverpb.RangeResponse, error) {
+// Range reads the keys of a range.
+func (k kvServer) Range(ctx context.Context, r *etcdserverpb.RangeRequest) (*etcdserverpb.RangeResponse, error) {
 	s := k.s
-	if err := s.enter(ctx); err != nil {
+	if err := s.lock(ctx); err != nil {
 		return nil, err
 	}
 	s.counts.Reads++
-	resp, err := s.read(r)
-	if late := s.leave(ctx, false); late != nil {
-		return nil, late
+	resp, err := s.readRange(r)
+	if unlockErr := s.unlock(ctx, false); unlockErr != nil {
+		return nil, unlockErr
 	}
 	return resp, err
 }
 
-func (k kv) Put(ctx context.Context, r *etcdserverpb.PutRequest) (*etcdserverpb.PutResponse, error) {
+// Put sets a key in a transaction of its own.
+func (k kvServer) Put(ctx context.Context, r *etcdserverpb.PutRequest) (*etcdserverpb.PutResponse, error) {
 	resp, err := k.Txn(ctx, &etcdserverpb.TxnRequest{Success: []*etcdserverpb.RequestOp{
 		{Request: &etcdserverpb.RequestOp_RequestPut{RequestPut: r}},
 	}})
@@ -38,35 +40,37 @@
 	return put, nil
 }
 
-func (k kv) DeleteRange(ctx context.Context, r *etcdserverpb.DeleteRangeRequest) (*etcdserverpb.DeleteRangeResponse, error) {
+// DeleteRange removes the keys of a range in a transaction of its own.
+func (k kvServer) DeleteRange(ctx context.Context, r *etcdserverpb.DeleteRangeRequest) (*etcdserverpb.DeleteRangeResponse, error) {
 	resp, err := k.Txn(ctx, &etcdserverpb.TxnRequest{Success: []*etcdserverpb.RequestOp{
 		{Request: &etcdserverpb.RequestOp_RequestDeleteRange{RequestDeleteRange: r}},
 	}})
 	if err != nil {
 		return nil, err
 	}
-	gone := resp.Responses[0].GetResponseDeleteRange()
-	gone.Header = resp.Header
-	return gone, nil
+	deleted := resp.Responses[0].GetResponseDeleteRange()
+	deleted.Header = resp.Header
+	return deleted, nil
 }
 
-// Txn does all of one branch at one revision, or nothing.
-func (k kv) Txn(ctx context.Context, r *etcdserverpb.TxnRequest) (*etcdserverpb.TxnResponse, error) {
+// Txn applies all operations of one branch at one revision, or none of them.
+func (k kvServer) Txn(ctx context.Context, r *etcdserverpb.TxnRequest) (*etcdserverpb.TxnResponse, error) {
 	s := k.s
-	if err := s.enter(ctx); err != nil {
+	if err := s.lock(ctx); err != nil {
 		return nil, err
 	}
 	s.counts.Writes++
 	resp, wrote, err := s.txn(r)
-	if late := s.leave(ctx, wrote); late != nil {
-		return nil, late
+	if unlockErr := s.unlock(ctx, wrote); unlockErr != nil {
+		return nil, unlockErr
 	}
 	return resp, err
 }
 
-func (k kv) Compact(ctx context.Context, r *etcdserverpb.CompactionRequest) (*etcdserverpb.CompactionResponse, error) {
+// Compact drops the history up to the requested revision.
+func (k kvServer) Compact(ctx context.Context, r *etcdserverpb.CompactionRequest) (*etcdserverpb.CompactionResponse, error) {
 	s := k.s
-	if err := s.enter(ctx); err != nil {
+	if err := s.lock(ctx); err != nil {
 		return nil, err
 	}
 	defer s.mu.Unlock()
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// lease ends at its time, with all its keys.
+// lease is a lease with the keys that are deleted when it ends.
 type lease struct {
-	id   int64
-	ttl  time.Duration
-	ends time.Time
-	keys map[string]bool
+	id        int64
+	ttl       time.Duration
+	expiresAt time.Time
+	keys      map[string]bool
 }
 
-// tickEvery is how exactly leases end.
-const tickEvery = 10 * time.Millisecond
+// leaseCheckInterval is the interval at which leases are checked for expiry.
+const leaseCheckInterval = 10 * time.Millisecond
 
-// tick ends leases. While the store stalls their time stands still.
-func (s *Store) tick(ended chan struct{}) {
+// expireLeases ends expired leases until the store is closed. A stall postpones the expiry of all leases by its duration.
+func (s *Store) expireLeases(closed chan struct{}) {
 	last := time.Now()
 	for {
 		select {
-		case <-ended:
+		case <-closed:
 			return
-		case <-time.After(tickEvery):
+		case <-time.After(leaseCheckInterval):
 		}
 		now := time.Now()
 		s.mu.Lock()
-		for _, id := range s.sorted() {
+		for _, id := range s.sortedLeaseIDs() {
 			l := s.leases[id]
 			if s.faults.Stall {
-				l.ends = l.ends.Add(now.Sub(last))
-			} else if now.After(l.ends) {
+				l.expiresAt = l.expiresAt.Add(now.Sub(last))
+			} else if now.After(l.expiresAt) {
 				s.endLease(l)
 			}
 		}
@@ -41,8 +41,8 @@
 	}
 }
 
-// sorted are the leases in order, so that they end in the same order each time.
-func (s *Store) sorted() []int64 {
+// sortedLeaseIDs returns the lease IDs in ascending order, so that leases end in the same order in each run.
+func (s *Store) sortedLeaseIDs() []int64 {
 	ids := make([]int64, 0, len(s.leases))
 	for id := range s.leases {
 		ids = append(ids, id)
@@ -51,6 +51,7 @@
 	return ids
 }
 
+// endLease removes a lease and deletes its keys at one new revision.
 func (s *Store) endLease(l *lease) {
 	delete(s.leases, l.id)
 	if len(l.keys) == 0 {
@@ -65,14 +66,14 @@
 	for _, key := range names {
 		s.delete(key)
 	}
-	s.tell()
+	s.notifyWatches()
 }
 
-// LoseLeases ends the leases of the keys below a prefix before their time.
+// LoseLeases ends all leases that have a key with the prefix, before they expire.
 func (s *Store) LoseLeases(prefix string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, id := range s.sorted() {
+	for _, id := range s.sortedLeaseIDs() {
 		for key := range s.leases[id].keys {
 			if bytes.HasPrefix([]byte(key), []byte(prefix)) {
 				s.endLease(s.leases[id])
--- a/internal/store/lease_service.go
+++ b/internal/store/lease_service.go
@@ -8,15 +8,16 @@
 	"go.etcd.io/etcd/api/v3/v3rpc/rpctypes"
 )
 
-// leasing is the Lease service.
-type leasing struct {
+// leaseServer implements the Lease service.
+type leaseServer struct {
 	etcdserverpb.UnimplementedLeaseServer
 	s *Store
 }
 
-func (l leasing) LeaseGrant(ctx context.Context, r *etcdserverpb.LeaseGrantRequest) (*etcdserverpb.LeaseGrantResponse, error) {
+// LeaseGrant creates a lease. An ID of 0 lets the store choose one.
+func (l leaseServer) LeaseGrant(ctx context.Context, r *etcdserverpb.LeaseGrantRequest) (*etcdserverpb.LeaseGrantResponse, error) {
 	s := l.s
-	if err := s.enter(ctx); err != nil {
+	if err := s.lock(ctx); err != nil {
 		return nil, err
 	}
 	s.counts.Writes++
@@ -30,17 +31,18 @@
 		return nil, rpctypes.ErrGRPCLeaseExist
 	}
 	ttl := time.Duration(r.TTL) * time.Second
-	s.leases[id] = &lease{id: id, ttl: ttl, ends: time.Now().Add(ttl), keys: map[string]bool{}}
+	s.leases[id] = &lease{id: id, ttl: ttl, expiresAt: time.Now().Add(ttl), keys: map[string]bool{}}
 	resp := &etcdserverpb.LeaseGrantResponse{Header: s.header(), ID: id, TTL: r.TTL}
-	if err := s.leave(ctx, true); err != nil {
+	if err := s.unlock(ctx, true); err != nil {
 		return nil, err
 	}
 	return resp, nil
 }
 
-func (l leasing) LeaseRevoke(ctx context.Context, r *etcdserverpb.LeaseRevokeRequest) (*etcdserverpb.LeaseRevokeResponse, error) {
+// LeaseRevoke ends a lease and deletes its keys.
+func (l leaseServer) LeaseRevoke(ctx context.Context, r *etcdserverpb.LeaseRevokeRequest) (*etcdserverpb.LeaseRevokeResponse, error) {
 	s := l.s
-	if err := s.enter(ctx); err != nil {
+	if err := s.lock(ctx); err != nil {
 		return nil, err
 	}
 	s.counts.Writes++
@@ -51,30 +53,30 @@
 	}
 	s.endLease(found)
 	resp := &etcdserverpb.LeaseRevokeResponse{Header: s.header()}
-	if err := s.leave(ctx, true); err != nil {
+	if err := s.unlock(ctx, true); err != nil {
 		return nil, err
 	}
 	return resp, nil
 }
 
-// LeaseKeepAlive answers each renewal; a lease that has ended is answered with no time left.
-func (l leasing) LeaseKeepAlive(stream etcdserverpb.Lease_LeaseKeepAliveServer) error {
+// LeaseKeepAlive renews leases. The response for a lease that has ended has a TTL of 0.
+func (l leaseServer) LeaseKeepAlive(stream etcdserverpb.Lease_LeaseKeepAliveServer) error {
 	s := l.s
 	for {
 		r, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		if err := s.enter(stream.Context()); err != nil {
+		if err := s.lock(stream.Context()); err != nil {
 			return err
 		}
 		s.counts.Renewals++
 		resp := &etcdserverpb.LeaseKeepAliveResponse{Header: s.header(), ID: r.ID}
 		if found := s.leases[r.ID]; found != nil {
-			found.ends = time.Now().Add(found.ttl)
+			found.expiresAt = time.Now().Add(found.ttl)
 			resp.TTL = int64(found.ttl / time.Second)
 		}
-		if err := s.leave(stream.Context(), true); err != nil {
+		if err := s.unlock(stream.Context(), true); err != nil {
 			return err
 		}
 		if err := stream.Send(resp); err != nil {
@@ -83,20 +85,21 @@
 	}
 }
 
-func (l leasing) LeaseTimeToLive(ctx context.Context, r *etcdserverpb.LeaseTimeToLiveRequest) (*etcdserverpb.LeaseTimeToLiveResponse, error) {
+// LeaseTimeToLive returns the remaining time and the keys of a lease. The TTL is -1 if the lease has ended.
+func (l leaseServer) LeaseTimeToLive(ctx context.Context, r *etcdserverpb.LeaseTimeToLiveRequest) (*etcdserverpb.LeaseTimeToLiveResponse, error) {
 	s := l.s
-	if err := s.enter(ctx); err != nil {
+	if err := s.lock(ctx); err != nil {
 		return nil, err
 	}
 	s.counts.Reads++
 	resp := &etcdserverpb.LeaseTimeToLiveResponse{Header: s.header(), ID: r.ID, TTL: -1}
 	if found := s.leases[r.ID]; found != nil {
-		resp.TTL, resp.GrantedTTL = int64(time.Until(found.ends)/time.Second), int64(found.ttl/time.Second)
+		resp.TTL, resp.GrantedTTL = int64(time.Until(found.expiresAt)/time.Second), int64(found.ttl/time.Second)
 		for key := range found.keys {
 			resp.Keys = append(resp.Keys, []byte(key))
 		}
 	}
-	if err := s.leave(ctx, false); err != nil {
+	if err := s.unlock(ctx, false); err != nil {
 		return nil, err
 	}
 	return resp, nil
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,6 @@
-// Package store stands in for etcd in tests and trials: its KV, Watch and Lease services over gRPC, written from their published
-// definitions, in memory, with faults on command. It is one server; what it answers is linearizable but for reads that ask for less.
+// Package store is a fake etcd for tests and trials. It implements the KV, Watch and Lease services over gRPC from their published
+// definitions, keeps all data in memory, and injects faults on request. It is a single server; its responses are linearizable, except
+// for serializable reads.
 package store
 
 import (
@@ -13,74 +14,75 @@
 	"google.golang.org/grpc"
 )
 
-// Store is the stand-in. Its zero value is not ready: use New.
+// Store is a fake etcd server. Its zero value is not usable; New creates a Store.
 type Store struct {
-	mu        sync.Mutex
-	cluster   uint64
-	revision  int64
-	compacted int64
-	keys      map[string]*mvccpb.KeyValue
-	history   []*mvccpb.Event // by revision, from compacted+1 on
-	leases    map[int64]*lease
-	nextLease int64
-	changed   chan struct{} // closed when there is something new to watch
-	older     *view         // what reads that ask for no quorum get; nil for the present
-	faults    Faults
-	stalled   chan struct{} // closed when a stall ends
-	counts    Counts
+	mu         sync.Mutex
+	cluster    uint64 // cluster ID
+	revision   int64
+	compacted  int64 // last revision without history
+	keys       map[string]*mvccpb.KeyValue
+	history    []*mvccpb.Event // in order of revision, from compacted+1 on
+	leases     map[int64]*lease
+	nextLease  int64
+	changed    chan struct{} // closed and replaced at each change of the keys
+	frozen     *snapshot     // state that serializable reads return; nil for the present one
+	faults     Faults
+	stallEnded chan struct{} // closed and replaced when a stall ends
+	counts     Counts
 
 	server   *grpc.Server
 	address  string
-	ended    chan struct{}
+	closed   chan struct{}
 	watchers int
 }
 
-// New returns a store with nothing in it. The cluster's number tells it from another one.
+// New returns an empty store with the given cluster ID, by which clients distinguish stores.
 func New(cluster uint64) *Store {
 	return &Store{cluster: cluster, revision: 1, keys: map[string]*mvccpb.KeyValue{}, leases: map[int64]*lease{}, nextLease: 1000,
-		changed: make(chan struct{}), stalled: make(chan struct{})}
+		changed: make(chan struct{}), stallEnded: make(chan struct{})}
 }
 
-// Listen serves at an address until Close; 127.0.0.1:0 draws one.
+// Listen serves at an address until Close, and returns the address. The port 0 stands for any free port.
 func (s *Store) Listen(address string) (string, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return "", fmt.Errorf("store: %w", err)
 	}
 	server := grpc.NewServer()
-	etcdserverpb.RegisterKVServer(server, kv{s: s})
-	etcdserverpb.RegisterWatchServer(server, watch{s: s})
-	etcdserverpb.RegisterLeaseServer(server, leasing{s: s})
-	ended := make(chan struct{})
+	etcdserverpb.RegisterKVServer(server, kvServer{s: s})
+	etcdserverpb.RegisterWatchServer(server, watchServer{s: s})
+	etcdserverpb.RegisterLeaseServer(server, leaseServer{s: s})
+	closed := make(chan struct{})
 	s.mu.Lock()
-	s.server, s.address, s.ended = server, ln.Addr().String(), ended
-	for _, l := range s.leases { // a store that is back gives every lease its whole time again, as etcd does
-		l.ends = time.Now().Add(l.ttl)
+	s.server, s.address, s.closed = server, ln.Addr().String(), closed
+	for _, l := range s.leases { // etcd renews every lease for its full TTL after a restart, too
+		l.expiresAt = time.Now().Add(l.ttl)
 	}
 	s.mu.Unlock()
 	go func() { _ = server.Serve(ln) }()
-	go s.tick(ended)
+	go s.expireLeases(closed)
 	return s.address, nil
 }
 
-// Close ends the service, its connections with it. What it holds stays, and Listen begins again.
+// Close stops the service and closes its connections. The contents stay, and Listen can be called again.
 func (s *Store) Close() {
 	s.mu.Lock()
-	server, ended := s.server, s.ended
-	s.server, s.ended = nil, nil
+	server, closed := s.server, s.closed
+	s.server, s.closed = nil, nil
 	s.mu.Unlock()
 	if server != nil {
-		close(ended)
+		close(closed)
 		server.Stop()
 	}
 }
 
+// header returns the header of a response at the present revision.
 func (s *Store) header() *etcdserverpb.ResponseHeader {
 	return &etcdserverpb.ResponseHeader{ClusterId: s.cluster, MemberId: 1, Revision: s.revision, RaftTerm: 2}
 }
 
-// tell wakes the watches.
-func (s *Store) tell() {
+// notifyWatches wakes all watch streams.
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
--- a/internal/store/transaction.go
+++ b/internal/store/transaction.go
@@ -10,10 +10,10 @@
 	"google.golang.org/grpc/status"
 )
 
-// txn does the branch that the conditions choose, and reports whether that changed anything.
+// txn applies the branch that the conditions select, and reports whether it changed anything.
 func (s *Store) txn(r *etcdserverpb.TxnRequest) (resp *etcdserverpb.TxnResponse, wrote bool, err error) {
-	branch, holds := s.branch(r)
-	if wrote, err = s.writes(branch); err != nil {
+	branch, holds := s.selectBranch(r)
+	if wrote, err = s.checkWrites(branch); err != nil {
 		return nil, false, err
 	}
 	before := len(s.history)
@@ -22,15 +22,15 @@
 	}
 	resp = &etcdserverpb.TxnResponse{Succeeded: holds}
 	for _, op := range branch {
-		one, err := s.operate(op)
+		opResp, err := s.apply(op)
 		if err != nil {
 			return nil, false, err
 		}
-		resp.Responses = append(resp.Responses, one)
+		resp.Responses = append(resp.Responses, opResp)
 	}
 	if len(s.history) > before {
-		s.tell()
-	} else if wrote { // nothing was there to delete
+		s.notifyWatches()
+	} else if wrote { // all deletions found no key
 		s.revision--
 		wrote = false
 	}
@@ -38,11 +38,11 @@
 	return resp, wrote, nil
 }
 
-// branch is what a transaction is to do, and whether its conditions hold.
-func (s *Store) branch(r *etcdserverpb.TxnRequest) (branch []*etcdserverpb.RequestOp, holds bool) {
+// selectBranch returns the operations to apply, and whether the conditions hold.
+func (s *Store) selectBranch(r *etcdserverpb.TxnRequest) (branch []*etcdserverpb.RequestOp, holds bool) {
 	holds = true
 	for _, c := range r.Compare {
-		holds = holds && s.compare(c)
+		holds = holds && s.evaluate(c)
 	}
 	if holds {
 		return r.Success, true
@@ -50,9 +50,9 @@
 	return r.Failure, false
 }
 
-// writes reports whether one of the operations may change something. It is asked before anything is changed: a put with a lease that has ended is
-// an error.
-func (s *Store) writes(branch []*etcdserverpb.RequestOp) (writes bool, err error) {
+// checkWrites reports whether one of the operations may change something. It runs before any change, because a put with a lease that has
+// ended makes the whole transaction fail.
+func (s *Store) checkWrites(branch []*etcdserverpb.RequestOp) (writes bool, err error) {
 	for _, op := range branch {
 		if put := op.GetRequestPut(); put != nil && put.Lease != 0 && s.leases[put.Lease] == nil {
 			return false, rpctypes.ErrGRPCLeaseNotFound
@@ -62,28 +62,28 @@
 	return writes, nil
 }
 
-// operate does one operation at the present revision.
-func (s *Store) operate(op *etcdserverpb.RequestOp) (*etcdserverpb.ResponseOp, error) {
-	done := &etcdserverpb.ResponseOp{}
+// apply applies one operation at the present revision.
+func (s *Store) apply(op *etcdserverpb.RequestOp) (*etcdserverpb.ResponseOp, error) {
+	resp := &etcdserverpb.ResponseOp{}
 	switch {
 	case op.GetRequestPut() != nil:
-		done.Response = &etcdserverpb.ResponseOp_ResponsePut{ResponsePut: s.put(op.GetRequestPut())}
+		resp.Response = &etcdserverpb.ResponseOp_ResponsePut{ResponsePut: s.put(op.GetRequestPut())}
 	case op.GetRequestDeleteRange() != nil:
-		done.Response = &etcdserverpb.ResponseOp_ResponseDeleteRange{ResponseDeleteRange: s.deleteRange(op.GetRequestDeleteRange())}
+		resp.Response = &etcdserverpb.ResponseOp_ResponseDeleteRange{ResponseDeleteRange: s.deleteRange(op.GetRequestDeleteRange())}
 	case op.GetRequestRange() != nil:
-		found, err := s.read(op.GetRequestRange())
+		rangeResp, err := s.readRange(op.GetRequestRange())
 		if err != nil {
 			return nil, err
 		}
-		done.Response = &etcdserverpb.ResponseOp_ResponseRange{ResponseRange: found}
+		resp.Response = &etcdserverpb.ResponseOp_ResponseRange{ResponseRange: rangeResp}
 	default:
-		return nil, status.Error(codes.Unimplemented, "store: transactions in transactions are not kept")
+		return nil, status.Error(codes.Unimplemented, "store: nested transactions are not supported")
 	}
-	return done, nil
+	return resp, nil
 }
 
-// compare is one condition of a transaction; a key that is not there has zeros.
-func (s *Store) compare(c *etcdserverpb.Compare) bool {
+// evaluate reports whether a condition of a transaction holds. A key that does not exist compares as if all its fields were zero.
+func (s *Store) evaluate(c *etcdserverpb.Compare) bool {
 	kv := s.keys[string(c.Key)]
 	if kv == nil {
 		kv = &mvccpb.KeyValue{}
@@ -113,6 +113,7 @@
 	}
 }
 
+// compareInt returns -1, 0 or 1, like bytes.Compare.
 func compareInt(a, b int64) int {
 	switch {
 	case a < b:
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -8,40 +8,41 @@
 	"go.etcd.io/etcd/api/v3/mvccpb"
 )
 
-// watch is the Watch service.
-type watch struct {
+// watchServer implements the Watch service.
+type watchServer struct {
 	etcdserverpb.UnimplementedWatchServer
 	s *Store
 }
 
-// watching is one watch of a stream.
-type watching struct {
-	id   int64
-	r    *etcdserverpb.WatchCreateRequest
-	next int64
+// watcher is one watch of a stream.
+type watcher struct {
+	id           int64
+	request      *etcdserverpb.WatchCreateRequest
+	nextRevision int64 // first revision that was not checked for events yet
 }
 
-// watchStream is one stream with its watches.
+// watchStream is a stream with all its watches.
 type watchStream struct {
 	etcdserverpb.Watch_WatchServer
-	s      *Store
-	all    []*watching
-	nextID int64
+	s        *Store
+	watchers []*watcher
+	nextID   int64
 }
 
-// Watch serves any number of watches on one stream. One goroutine reads what the client asks; the stream's own sends.
-func (w watch) Watch(stream etcdserverpb.Watch_WatchServer) error {
+// Watch serves any number of watches on one stream. A second goroutine receives the requests; all responses are sent by the goroutine that
+// runs Watch.
+func (w watchServer) Watch(stream etcdserverpb.Watch_WatchServer) error {
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
-	asked := make(chan *etcdserverpb.WatchRequest)
+	requests := make(chan *etcdserverpb.WatchRequest)
 	go func() {
 		defer cancel()
-		forward(ctx, stream, asked)
+		forwardRequests(ctx, stream, requests)
 	}()
-	served := &watchStream{Watch_WatchServer: stream, s: w.s}
-	defer served.end()
+	ws := &watchStream{Watch_WatchServer: stream, s: w.s}
+	defer ws.removeWatchers()
 	for {
-		changed, err := served.notify(ctx)
+		changed, err := ws.notify(ctx)
 		if err != nil {
 			return err
 		}
@@ -49,52 +50,52 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-changed:
-		case r := <-asked:
-			if err := served.answer(ctx, r); err != nil {
+		case r := <-requests:
+			if err := ws.handle(ctx, r); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// forward passes on what the client asks, until the stream ends.
-func forward(ctx context.Context, stream etcdserverpb.Watch_WatchServer, asked chan<- *etcdserverpb.WatchRequest) {
+// forwardRequests sends the requests of the client to a channel until the stream ends.
+func forwardRequests(ctx context.Context, stream etcdserverpb.Watch_WatchServer, requests chan<- *etcdserverpb.WatchRequest) {
 	for {
 		r, err := stream.Recv()
 		if err != nil {
 			return
 		}
 		select {
-		case asked <- r:
+		case requests <- r:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// end takes the watches of the stream off the count.
-func (w *watchStream) end() {
+// removeWatchers subtracts the watches of the stream from the store's count.
+func (w *watchStream) removeWatchers() {
 	w.s.mu.Lock()
-	w.s.watchers -= len(w.all)
+	w.s.watchers -= len(w.watchers)
 	w.s.mu.Unlock()
 }
 
-// notify tells all watches what is new. Changed is closed when there is more.
+// notify sends the pending events of all watches. The returned channel is closed at the next change.
 func (w *watchStream) notify(ctx context.Context) (changed <-chan struct{}, err error) {
 	s := w.s
-	if err := s.enter(ctx); err != nil {
+	if err := s.lock(ctx); err != nil {
 		return nil, err
 	}
-	late := s.faults.Late
-	out := w.news()
+	delay := s.faults.Late
+	responses := w.pendingResponses()
 	changed = s.changed
 	s.mu.Unlock()
-	if len(out) > 0 {
-		if err := sleep(ctx, late); err != nil {
+	if len(responses) > 0 {
+		if err := sleep(ctx, delay); err != nil {
 			return nil, err
 		}
 	}
-	for _, resp := range out {
+	for _, resp := range responses {
 		if err := w.Send(resp); err != nil {
 			return nil, err
 		}
@@ -102,28 +103,28 @@
 	return changed, nil
 }
 
-// news is what there is to tell; watches that end by it are taken out.
-func (w *watchStream) news() (out []*etcdserverpb.WatchResponse) {
-	kept := w.all[:0]
-	for _, one := range w.all {
-		resp, ended := w.s.news(one)
+// pendingResponses returns the pending responses of all watches, and removes the watches that end with theirs.
+func (w *watchStream) pendingResponses() (responses []*etcdserverpb.WatchResponse) {
+	kept := w.watchers[:0]
+	for _, wr := range w.watchers {
+		resp, ended := w.s.pendingResponse(wr)
 		if resp != nil {
-			out = append(out, resp)
+			responses = append(responses, resp)
 		}
 		if ended {
 			w.s.watchers--
 		} else {
-			kept = append(kept, one)
+			kept = append(kept, wr)
 		}
 	}
-	w.all = kept
-	return out
+	w.watchers = kept
+	return responses
 }
 
-// answer does what the client asks.
-func (w *watchStream) answer(ctx context.Context, r *etcdserverpb.WatchRequest) error {
+// handle executes one request of the client and sends the response, if there is one.
+func (w *watchStream) handle(ctx context.Context, r *etcdserverpb.WatchRequest) error {
 	s := w.s
-	if err := s.enter(ctx); err != nil {
+	if err := s.lock(ctx); err != nil {
 		return err
 	}
 	var resp *etcdserverpb.WatchResponse
@@ -135,9 +136,9 @@
 	case r.GetProgressRequest() != nil && !s.faults.Deaf:
 		resp = w.progress()
 	}
-	late := s.faults.Late
+	delay := s.faults.Late
 	s.mu.Unlock()
-	if err := sleep(ctx, late); err != nil {
+	if err := sleep(ctx, delay); err != nil {
 		return err
 	}
 	if resp == nil {
@@ -146,25 +147,25 @@
 	return w.Send(resp)
 }
 
-// create begins a watch.
+// create adds a watch. Without a start revision it begins after the present one.
 func (w *watchStream) create(r *etcdserverpb.WatchCreateRequest) *etcdserverpb.WatchResponse {
 	s := w.s
 	s.counts.Watches++
-	one := &watching{id: w.nextID, r: r, next: r.StartRevision}
-	if one.next == 0 {
-		one.next = s.revision + 1
+	wr := &watcher{id: w.nextID, request: r, nextRevision: r.StartRevision}
+	if wr.nextRevision == 0 {
+		wr.nextRevision = s.revision + 1
 	}
 	w.nextID++
-	w.all = append(w.all, one)
+	w.watchers = append(w.watchers, wr)
 	s.watchers++
-	return &etcdserverpb.WatchResponse{Header: s.header(), WatchId: one.id, Created: true}
+	return &etcdserverpb.WatchResponse{Header: s.header(), WatchId: wr.id, Created: true}
 }
 
-// cancel ends a watch, if there is one of that number.
+// cancel removes the watch with the given ID, if it exists.
 func (w *watchStream) cancel(id int64) *etcdserverpb.WatchResponse {
-	for i, one := range w.all {
-		if one.id == id {
-			w.all = append(w.all[:i], w.all[i+1:]...)
+	for i, wr := range w.watchers {
+		if wr.id == id {
+			w.watchers = append(w.watchers[:i], w.watchers[i+1:]...)
 			w.s.watchers--
 			break
 		}
@@ -172,33 +173,33 @@
 	return &etcdserverpb.WatchResponse{Header: w.s.header(), WatchId: id, Canceled: true}
 }
 
-// progress answers as etcd does: for all watches of the stream at once, and only when none of them is behind; nil otherwise.
+// progress returns one progress notification for all watches of the stream, or nil if one of them has unsent events, as etcd does.
 func (w *watchStream) progress() *etcdserverpb.WatchResponse {
 	s := w.s
 	s.counts.Progress++
-	for _, one := range w.all {
-		if one.next <= s.revision && s.has(one) {
+	for _, wr := range w.watchers {
+		if wr.nextRevision <= s.revision && s.hasEvents(wr) {
 			return nil
 		}
 	}
 	return &etcdserverpb.WatchResponse{Header: s.header(), WatchId: -1}
 }
 
-// news is what a watch has to be told, and whether that ends it.
-func (s *Store) news(w *watching) (resp *etcdserverpb.WatchResponse, ended bool) {
-	if w.next <= s.compacted {
+// pendingResponse returns the next response of a watch, or nil, and whether it ends the watch.
+func (s *Store) pendingResponse(w *watcher) (resp *etcdserverpb.WatchResponse, ended bool) {
+	if w.nextRevision <= s.compacted {
 		return &etcdserverpb.WatchResponse{Header: s.header(), WatchId: w.id, Canceled: true, CompactRevision: s.compacted}, true
 	}
-	if s.faults.Deaf || w.next > s.revision {
+	if s.faults.Deaf || w.nextRevision > s.revision {
 		return nil, false
 	}
 	var events []*mvccpb.Event
-	for _, e := range s.since(w.next) {
-		if within(string(e.Kv.Key), w.r.Key, w.r.RangeEnd) {
+	for _, e := range s.eventsSince(w.nextRevision) {
+		if inRange(string(e.Kv.Key), w.request.Key, w.request.RangeEnd) {
 			events = append(events, e)
 		}
 	}
-	w.next = s.revision + 1
+	w.nextRevision = s.revision + 1
 	if len(events) == 0 {
 		return nil, false
 	}
@@ -207,18 +208,18 @@
 	return &etcdserverpb.WatchResponse{Header: s.header(), WatchId: w.id, Events: events}, false
 }
 
-// since is the history from a revision on. The events stand in the order of their revisions.
-func (s *Store) since(revision int64) []*mvccpb.Event {
+// eventsSince returns the history from a revision on. The binary search relies on the order of the revisions.
+func (s *Store) eventsSince(revision int64) []*mvccpb.Event {
 	first, _ := slices.BinarySearchFunc(s.history, revision, func(e *mvccpb.Event, revision int64) int {
 		return compareInt(e.Kv.ModRevision, revision)
 	})
 	return s.history[first:]
 }
 
-// has reports whether a watch has events that it was not told.
-func (s *Store) has(w *watching) bool {
-	for _, e := range s.since(w.next) {
-		if within(string(e.Kv.Key), w.r.Key, w.r.RangeEnd) {
+// hasEvents reports whether a watch has events that were not sent yet.
+func (s *Store) hasEvents(w *watcher) bool {
+	for _, e := range s.eventsSince(w.nextRevision) {
+		if inRange(string(e.Kv.Key), w.request.Key, w.request.RangeEnd) {
 			return true
 		}
 	}
