--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,7 +1,8 @@
-// Package fleet is a small model of a deployment in simulated time: controllers, each with its own decision module, dispatchers
-// with a processor of one line, and callers that dial again. It shows what the decisions of several controllers do to one
-// another, which one controller alone can't, and it plays minutes in a fraction of a second, the same for a seed. It is a model,
-// not a measurement: what it shows is held against the bench.
+// Package fleet simulates a deployment in simulated time: several controllers, each with its own decision module, dispatchers
+// whose processors handle one work item at a time, and callers that dial again. It shows how the decisions of several
+// controllers affect one another, which tests of a single controller can't show. It simulates minutes in a fraction of a
+// second, and a seed always gives the same result. It is a model, not a measurement: its results have to be compared with the
+// benchmark.
 package fleet
 
 import (
@@ -14,102 +15,103 @@
 	"cherryrelay/control"
 )
 
-// Scenario is what is played. Times are from its start.
+// Scenario describes a simulated deployment and its load. Times count from the start of the simulation.
 type Scenario struct {
 	Seed        uint64
 	Lasting     time.Duration
-	ServedFrom  time.Duration // calls that stand before it are not counted in Result.Served
+	ServedFrom  time.Duration // calls established earlier are not counted in Result.Served
 	Controllers int
 	Dispatchers int
-	Rate        float64 // calls a second that one warm processor can carry
-	Load        float64 // calls offered, as a share of what all can carry
-	Uneven      float64 // the share of all calls that the first controller gets; 0 for an even one
+	Rate        float64 // calls per second that one warm processor can handle
+	Load        float64 // offered calls as a fraction of what all warm processors can handle
+	Uneven      float64 // fraction of calls that go straight to the first controller; the rest are spread over all
 	Jumps       []Jump
 	Withdrawn   []Withdrawn
 	Slow        []Slow
 	Replaced    []Replaced
-	ReportEvery time.Duration // a processor's figure is taken so often,
-	ReportDelay time.Duration // told so late,
-	ReportNoise float64       // and is off by so much
+	ReportEvery time.Duration // interval of the reports of a processor
+	ReportDelay time.Duration // delay of a report
+	ReportNoise float64       // standard deviation of the relative error of a report
 	Settings    control.Settings
-	Lines       int           // that a dispatcher has for calls; 0 for as many as come
-	CallTime    time.Duration // how long calls stand on average; 0 for lasts
-	NoReports   bool          // dispatchers tell nothing of themselves
+	Lines       int           // lines of a dispatcher; 0 for no limit
+	CallTime    time.Duration // mean duration of established calls; 0 for defaultCallTime
+	NoReports   bool          // dispatchers send no reports
 }
 
-// callTime is how long calls stand on average.
-func (s *Scenario) callTime() time.Duration { return cmp.Or(s.CallTime, lasts) }
+// callTime returns the mean duration of established calls.
+func (s *Scenario) callTime() time.Duration { return cmp.Or(s.CallTime, defaultCallTime) }
 
-// Jump multiplies the calls offered for a time.
+// Jump multiplies the offered load for a time.
 type Jump struct {
 	From, For time.Duration
 	Times     float64
 }
 
-// Withdrawn has a controller get no new calls for a time; the others get them. One that is killed loses what it has.
+// Withdrawn stops new calls from reaching a controller for a time; the other controllers get them. A killed controller also loses its calls.
 type Withdrawn struct {
 	Controller int
 	From, For  time.Duration
 	Killed     bool
 }
 
-// Slow has a processor take so many times as long for a time.
+// Slow multiplies the processing times of a dispatcher for a time.
 type Slow struct {
 	Dispatcher int
 	From, For  time.Duration
 	Times      float64
 }
 
-// Replaced has a dispatcher drain and a cold one take its place.
+// Replaced drains a dispatcher and puts a cold one in its place.
 type Replaced struct {
 	Dispatcher int
 	At         time.Duration
 }
 
-// The model's figures, as the operators' pages have them where they have any.
+// The parameters of the model. They agree with the operators' documentation wherever it states them.
 const (
-	// setUpPart, answerPart and endPart are how a call's work is made up; refusePart and repeatPart are what a refusal and a
-	// repeat cost against a call.
-	setUpPart, answerPart, endPart = 0.5, 0.25, 0.25
-	refusePart, repeatPart         = 0.1, 0.25
-	// repeatAfter is when a set-up without an answer is repeated; the gaps double.
-	repeatAfter = 800 * time.Millisecond
-	// fullAfter is the wait of set-ups at which a processor turns new ones away.
-	fullAfter = 2500 * time.Millisecond
-	// tries and redialAfter are how often and when callers dial again; giveUpShare of the limit is how long they wait for a try.
-	tries, redialAfter, giveUpShare = 4, 1100 * time.Millisecond, 0.35
-	// honour is the part of callers that keep away as long as they are told.
-	honour = 0.6
-	// lasts is how long calls stand.
-	lasts = 8700 * time.Millisecond
-	// hop is the way between a controller and a dispatcher.
-	hop = 8 * time.Millisecond
-	// tick is how often a controller takes in what has come.
+	// setUpCost, answerCost and endCost are the parts of the work of a call. refusalCost and repeatCost are the work of a
+	// refusal and of a repeated set-up, as fractions of the work of a call.
+	setUpCost, answerCost, endCost = 0.5, 0.25, 0.25
+	refusalCost, repeatCost        = 0.1, 0.25
+	// firstRepeatDelay is the time after which an unanswered set-up is repeated. The delay doubles with each repetition.
+	firstRepeatDelay = 800 * time.Millisecond
+	// maxQueueWait is the queue wait above which a processor refuses new set-ups.
+	maxQueueWait = 2500 * time.Millisecond
+	// maxDials is how often a caller dials in all, with redialDelay between two dials. A caller waits for an answer for
+	// callerTimeoutShare of the deadline of the class.
+	maxDials, redialDelay, callerTimeoutShare = 4, 1100 * time.Millisecond, 0.35
+	// holdOffCompliance is the probability that a caller waits for the hold-off of a refusal.
+	holdOffCompliance = 0.6
+	// defaultCallTime is the mean duration of established calls.
+	defaultCallTime = 8700 * time.Millisecond
+	// networkDelay is the one-way delay between a controller and a dispatcher.
+	networkDelay = 8 * time.Millisecond
+	// tick is the interval between event loop iterations of a controller.
 	tick = 5 * time.Millisecond
-	// tipFor is how long a cold processor bears more than the tipping multiple.
-	tipFor = 1500 * time.Millisecond
+	// maxOverloadTime is how long a cold processor withstands more set-ups than ColdOverloadFactor allows.
+	maxOverloadTime = 1500 * time.Millisecond
 )
 
-// Second is what happened in one second, counted where a call was first tried.
+// Second holds the counts of one second. Offered, InTime, Late and Lost count a call in the second of its first dial.
 type Second struct {
 	Offered, InTime, Late, Lost int
-	Refusals                    int           // in this second, of tries
-	Attempts                    int           // set-ups sent
-	Busy                        float64       // of all processors
-	Wait                        time.Duration // the longest wait for set-ups at its end
-	Avoided                     int           // pairs of a controller and a dispatcher that it gives trial calls at most, at its end
-	Held                        int           // calls without an attempt out, at its end
+	Refusals                    int           // refused or failed calls; each dial counts
+	Attempts                    int           // attempts sent
+	Busy                        float64       // mean utilization of the processors
+	Wait                        time.Duration // longest queue wait of set-ups at the end of the second
+	Avoided                     int           // pairs of a controller and a dispatcher that it avoids, at the end of the second
+	Held                        int           // calls without an attempt in progress at the end of the second
 }
 
-// Result is what a scenario came to.
+// Result holds the outcome of a simulation.
 type Result struct {
 	Seconds []Second
-	Tipped  int   // cold dispatchers that were pushed over
-	Served  []int // calls that stood, by controller, from ServedFrom on
-	Faults  []string
+	Tipped  int      // cold dispatchers that failed under overload
+	Served  []int    // calls established from ServedFrom on, by controller
+	Faults  []string // attempts that broke a rule
 }
 
-// Service is the worth of the calls first tried between two times, of what was offered.
+// Service returns the worth of the calls first dialled between two times, as a fraction of the worth if all were answered in time.
 func (r *Result) Service(from, to time.Duration) float64 {
 	worth, offered := 0.0, 0
 	for i := int(from / time.Second); i < min(int(to/time.Second), len(r.Seconds)); i++ {
@@ -123,255 +125,263 @@
 	return worth / float64(offered)
 }
 
-// event is something that is due.
+// event is a function that is scheduled for a time.
 type event struct {
-	at    time.Duration
-	order int
-	do    func()
+	at       time.Duration
+	sequence int // orders events of the same time
+	run      func()
 }
 
-type agenda []event
+// eventQueue is a heap of events, ordered by time and sequence number.
+type eventQueue []event
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].order < a[j].order
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
+	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].sequence < a[j].sequence
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any) {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any) {
 	if e, ok := x.(event); ok {
 		*a = append(*a, e)
 	}
 }
-func (a *agenda) Pop() any {
+func (a *eventQueue) Pop() any {
 	last := len(*a) - 1
 	e := (*a)[last]
 	*a = (*a)[:last]
 	return e
 }
 
-// world plays a scenario.
-type world struct {
+// simulation is the state of a running scenario.
+type simulation struct {
 	Scenario
 	now         time.Duration
-	agenda      agenda
-	order       int
+	queue       eventQueue
+	sequence    int
 	rng         *rand.Rand
 	controllers []*controller
 	dispatchers []*dispatcher
 	result      *Result
-	ids         int
+	callerCount int
 }
 
-// start is the modules' clock at the beginning: a time of 0 means never to them.
-const start = time.Hour
+// clockStart is the time on the modules' clock at the start. It isn't 0 because the modules take 0 for never.
+const clockStart = time.Hour
 
-// Play plays a scenario to its end.
+// Play simulates a scenario to its end. It fails if the settings are invalid.
 func Play(s Scenario) (*Result, error) {
-	w := &world{Scenario: s, rng: rand.New(rand.NewPCG(s.Seed, 99)), result: &Result{Seconds: make([]Second, int(s.Lasting/time.Second)+1)}}
+	sim := &simulation{Scenario: s, rng: rand.New(rand.NewPCG(s.Seed, 99)), result: &Result{Seconds: make([]Second, int(s.Lasting/time.Second)+1)}}
 	for i := range s.Dispatchers {
-		w.dispatchers = append(w.dispatchers, &dispatcher{w: w, index: i, id: name(i, 0), warmAt: -time.Hour})
+		sim.dispatchers = append(sim.dispatchers, &dispatcher{sim: sim, index: i, id: serverID(i, 0), warmAt: -time.Hour})
 	}
 	for i := range s.Controllers {
 		module, err := control.New(s.Settings, s.Seed*1000+uint64(i))
 		if err != nil {
-			return nil, err //nolint:wrapcheck // it says what it is
+			return nil, err //nolint:wrapcheck // the error names its cause
 		}
-		c := &controller{w: w, index: i, module: module, calls: map[control.CallID]*try{}}
-		w.controllers = append(w.controllers, c)
-		c.tell(w.list())
-		w.after(time.Duration(w.rng.Int64N(int64(tick))), c.turn)
+		c := &controller{sim: sim, index: i, module: module, calls: map[control.CallID]*pendingCall{}}
+		sim.controllers = append(sim.controllers, c)
+		c.deliver(sim.serverList())
+		sim.schedule(time.Duration(sim.rng.Int64N(int64(tick))), c.runIteration)
 	}
-	for _, x := range s.Withdrawn {
-		c := w.controllers[x.Controller]
-		w.after(x.From, func() { c.withdraw(x.Killed) })
-		w.after(x.From+x.For, func() { c.back(x.Killed) })
+	for _, withdrawal := range s.Withdrawn {
+		c := sim.controllers[withdrawal.Controller]
+		sim.schedule(withdrawal.From, func() { c.withdraw(withdrawal.Killed) })
+		sim.schedule(withdrawal.From+withdrawal.For, func() { c.restore(withdrawal.Killed) })
 	}
-	for _, x := range s.Slow {
-		d := x.Dispatcher
-		w.after(x.From, func() { w.dispatchers[d].slow = x.Times })
-		w.after(x.From+x.For, func() { w.dispatchers[d].slow = 0 })
+	for _, slowdown := range s.Slow {
+		i := slowdown.Dispatcher
+		sim.schedule(slowdown.From, func() { sim.dispatchers[i].slowdown = slowdown.Times })
+		sim.schedule(slowdown.From+slowdown.For, func() { sim.dispatchers[i].slowdown = 0 })
 	}
-	for _, x := range s.Replaced {
-		w.after(x.At, func() { w.replace(x.Dispatcher) })
+	for _, replacement := range s.Replaced {
+		sim.schedule(replacement.At, func() { sim.replace(replacement.Dispatcher) })
 	}
-	w.result.Served = make([]int, s.Controllers)
+	sim.result.Served = make([]int, s.Controllers)
 	for i := range s.Dispatchers {
 		if s.NoReports {
 			break
 		}
-		w.after(time.Duration(w.rng.Int64N(int64(s.ReportEvery))), func() { w.report(i) })
+		sim.schedule(time.Duration(sim.rng.Int64N(int64(s.ReportEvery))), func() { sim.report(i) })
 	}
-	w.after(0, w.arrive)
-	w.after(time.Second, w.eachSecond)
-	for len(w.agenda) > 0 {
-		e, ok := heap.Pop(&w.agenda).(event)
+	sim.schedule(0, sim.generateCall)
+	sim.schedule(time.Second, sim.sampleSecond)
+	for len(sim.queue) > 0 {
+		e, ok := heap.Pop(&sim.queue).(event)
 		if !ok || e.at > s.Lasting {
 			break
 		}
-		w.now = e.at
-		e.do()
+		sim.now = e.at
+		e.run()
 	}
-	return w.result, nil
+	return sim.result, nil
 }
 
-func (w *world) after(d time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.agenda, event{w.now + max(d, 0), w.order, do})
+// schedule runs a function after a delay.
+func (sim *simulation) schedule(d time.Duration, run func()) {
+	sim.sequence++
+	heap.Push(&sim.queue, event{sim.now + max(d, 0), sim.sequence, run})
 }
 
-func (w *world) second(at time.Duration) *Second {
-	return &w.result.Seconds[min(int(at/time.Second), len(w.result.Seconds)-1)]
+// secondAt returns the counts of the second that contains a time.
+func (sim *simulation) secondAt(at time.Duration) *Second {
+	return &sim.result.Seconds[min(int(at/time.Second), len(sim.result.Seconds)-1)]
 }
 
-func (w *world) eachSecond() {
-	s := w.second(w.now - time.Millisecond)
-	for _, d := range w.dispatchers {
-		s.Wait = max(s.Wait, d.waits())
-		s.Busy += d.busy.Seconds() / float64(len(w.dispatchers))
-		d.busy = 0
-		for _, c := range w.controllers {
-			if c.module.Avoids(start+w.now, d.id) {
+// sampleSecond records the state at the end of a second and schedules the next sample.
+func (sim *simulation) sampleSecond() {
+	s := sim.secondAt(sim.now - time.Millisecond)
+	for _, d := range sim.dispatchers {
+		s.Wait = max(s.Wait, d.queueWait())
+		s.Busy += d.busyTime.Seconds() / float64(len(sim.dispatchers))
+		d.busyTime = 0
+		for _, c := range sim.controllers {
+			if c.module.Avoids(clockStart+sim.now, d.id) {
 				s.Avoided++
 			}
 		}
 	}
-	for _, c := range w.controllers {
-		for _, t := range c.calls {
-			if t.out == nil {
+	for _, c := range sim.controllers {
+		for _, call := range c.calls {
+			if call.attempt == nil {
 				s.Held++
 			}
 		}
 	}
-	w.after(time.Second, w.eachSecond)
+	sim.schedule(time.Second, sim.sampleSecond)
 }
 
-// arrive has a call come, and plans the next.
-func (w *world) arrive() {
-	rate := w.Rate * float64(w.Dispatchers) * w.Load
-	for _, j := range w.Jumps {
-		if w.now >= j.From && w.now < j.From+j.For {
-			rate *= j.Times
+// generateCall creates a caller that dials now, and schedules the next caller.
+func (sim *simulation) generateCall() {
+	rate := sim.Rate * float64(sim.Dispatchers) * sim.Load
+	for _, change := range sim.Jumps {
+		if sim.now >= change.From && sim.now < change.From+change.For {
+			rate *= change.Times
 		}
 	}
-	w.after(time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), w.arrive)
-	p := &person{w: w, first: w.now, cell: w.rng.IntN(w.Dispatchers)}
-	w.ids++
-	p.number = w.ids
-	w.second(w.now).Offered++
-	p.dial()
+	sim.schedule(time.Duration(sim.rng.ExpFloat64()/rate*float64(time.Second)), sim.generateCall)
+	cl := &caller{sim: sim, firstDialAt: sim.now, cell: sim.rng.IntN(sim.Dispatchers)}
+	sim.callerCount++
+	cl.number = sim.callerCount
+	sim.secondAt(sim.now).Offered++
+	cl.dial()
 }
 
-// choose picks the controller for a try: among those that serve.
-func (w *world) choose() *controller {
-	var serve []*controller
-	for _, c := range w.controllers {
-		if !c.away {
-			serve = append(serve, c)
+// chooseController returns the controller for a dial, or nil if all are withdrawn.
+func (sim *simulation) chooseController() *controller {
+	var serving []*controller
+	for _, c := range sim.controllers {
+		if !c.withdrawn {
+			serving = append(serving, c)
 		}
 	}
-	if len(serve) == 0 {
+	if len(serving) == 0 {
 		return nil
 	}
-	if w.Uneven > 0 && !w.controllers[0].away && w.rng.Float64() < w.Uneven {
-		return w.controllers[0]
+	if sim.Uneven > 0 && !sim.controllers[0].withdrawn && sim.rng.Float64() < sim.Uneven {
+		return sim.controllers[0]
 	}
-	return serve[w.rng.IntN(len(serve))]
+	return serving[sim.rng.IntN(len(serving))]
 }
 
-// person is a caller with one call to make.
-type person struct {
-	w      *world
-	number int
-	first  time.Duration
-	cell   int
-	tries  int
-	done   bool
+// caller makes one call and may dial several times for it.
+type caller struct {
+	sim         *simulation
+	number      int
+	firstDialAt time.Duration
+	cell        int
+	dials       int
+	finished    bool // whether the call was established or the caller stopped dialling
 }
 
-func (p *person) dial() {
-	w := p.w
-	c := w.choose()
-	p.tries++
+// dial offers the call to a controller and cancels it after the timeout of the caller.
+func (cl *caller) dial() {
+	sim := cl.sim
+	c := sim.chooseController()
+	cl.dials++
 	if c == nil {
-		p.again(0)
+		cl.redial(0)
 		return
 	}
-	limit := time.Duration(giveUpShare * float64(w.Settings.Classes[0].Deadline))
-	t := &try{id: control.CallID(id(p.number, p.tries)), person: p, deadline: w.now + limit, cell: p.cell}
-	c.offer(t)
-	w.after(limit, func() {
-		if !t.over {
-			t.over = true
-			c.tell(control.CallerLeft{ID: t.id})
-			c.drop(t)
-			p.again(0)
+	timeout := time.Duration(callerTimeoutShare * float64(sim.Settings.Classes[0].Deadline))
+	call := &pendingCall{id: control.CallID(callID(cl.number, cl.dials)), caller: cl, deadline: sim.now + timeout, cell: cl.cell}
+	c.offerCall(call)
+	sim.schedule(timeout, func() {
+		if !call.finished {
+			call.finished = true
+			c.deliver(control.CallerLeft{ID: call.id})
+			c.removeCall(call)
+			cl.redial(0)
 		}
 	})
 }
 
-// again has the caller dial again, if it still does.
-func (p *person) again(wait time.Duration) {
-	if p.done || p.tries >= tries || p.w.now-p.first > p.w.Settings.Classes[0].Deadline {
-		if !p.done {
-			p.done = true
-			p.w.second(p.first).Lost++
+// redial schedules the next dial after a delay, unless the caller has reached maxDials or its deadline. The wait is the hold-off of a refusal.
+func (cl *caller) redial(wait time.Duration) {
+	if cl.finished || cl.dials >= maxDials || cl.sim.now-cl.firstDialAt > cl.sim.Settings.Classes[0].Deadline {
+		if !cl.finished {
+			cl.finished = true
+			cl.sim.secondAt(cl.firstDialAt).Lost++
 		}
 		return
 	}
-	pause := redialAfter
-	if p.w.rng.Float64() < honour {
+	pause := redialDelay
+	if cl.sim.rng.Float64() < holdOffCompliance {
 		pause = max(pause, wait)
 	}
-	p.w.after(pause, p.dial)
+	cl.sim.schedule(pause, cl.dial)
 }
 
-// stands tells the caller that its call stands.
-func (p *person) stands() {
-	if p.done {
+// recordEstablished counts the established call as in time or late.
+func (cl *caller) recordEstablished() {
+	if cl.finished {
 		return
 	}
-	p.done = true
-	if p.w.now-p.first <= p.w.Settings.Classes[0].Aim {
-		p.w.second(p.first).InTime++
+	cl.finished = true
+	if cl.sim.now-cl.firstDialAt <= cl.sim.Settings.Classes[0].Aim {
+		cl.sim.secondAt(cl.firstDialAt).InTime++
 	} else {
-		p.w.second(p.first).Late++
+		cl.sim.secondAt(cl.firstDialAt).Late++
 	}
 }
 
-func (w *world) list() control.ListReceived {
+// serverList returns the complete list of dispatchers.
+func (sim *simulation) serverList() control.ListReceived {
 	l := control.ListReceived{Whole: true}
-	for _, d := range w.dispatchers {
+	for _, d := range sim.dispatchers {
 		l.Entries = append(l.Entries, d.entry())
 	}
 	return l
 }
 
-// replace has a dispatcher drain and a cold one take its place. The controllers hear of it a second later.
-func (w *world) replace(i int) {
-	old := w.dispatchers[i]
+// replace drains a dispatcher and puts a cold one in its place. The controllers receive the change of the list a second later.
+func (sim *simulation) replace(i int) {
+	old := sim.dispatchers[i]
 	old.draining = true
-	d := &dispatcher{w: w, index: i, id: name(i, old.life+1), life: old.life + 1, coldFrom: w.now, warmAt: w.now + w.Settings.WarmUpTime}
-	w.dispatchers[i] = d
-	w.after(time.Second, func() {
-		for _, c := range w.controllers {
-			c.tell(control.ListReceived{Entries: []control.ServerEntry{
+	d := &dispatcher{sim: sim, index: i, id: serverID(i, old.incarnation+1), incarnation: old.incarnation + 1, coldFrom: sim.now,
+		warmAt: sim.now + sim.Settings.WarmUpTime}
+	sim.dispatchers[i] = d
+	sim.schedule(time.Second, func() {
+		for _, c := range sim.controllers {
+			c.deliver(control.ListReceived{Entries: []control.ServerEntry{
 				{ID: old.id, Status: control.Removed, Cell: i}, d.entry()}})
 		}
 	})
 }
 
-// report tells all controllers a processor's wait, as it is told: late, and off by some noise.
-func (w *world) report(i int) {
-	d := w.dispatchers[i]
-	wait := float64(d.waits()) / float64(time.Millisecond) * math.Max(0, 1+w.ReportNoise*w.rng.NormFloat64())
+// report sends the queue wait of a dispatcher and its lines to all controllers, with the delay and the noise of the scenario, and
+// schedules the next report.
+func (sim *simulation) report(i int) {
+	d := sim.dispatchers[i]
+	wait := float64(d.queueWait()) / float64(time.Millisecond) * math.Max(0, 1+sim.ReportNoise*sim.rng.NormFloat64())
 	free, lines := -1.0, -1.0
-	if w.Lines > 0 {
-		free, lines = float64(max(w.Lines-d.inUse, 0)), float64(w.Lines)
+	if sim.Lines > 0 {
+		free, lines = float64(max(sim.Lines-d.inUse, 0)), float64(sim.Lines)
 	}
-	w.after(w.ReportDelay+hop, func() {
-		for _, c := range w.controllers {
-			c.tell(control.ReportReceived{Server: d.id, OK: true, Report: []float64{free, lines, wait}})
+	sim.schedule(sim.ReportDelay+networkDelay, func() {
+		for _, c := range sim.controllers {
+			c.deliver(control.ReportReceived{Server: d.id, OK: true, Report: []float64{free, lines, wait}})
 		}
 	})
-	w.after(w.ReportEvery, func() { w.report(i) })
+	sim.schedule(sim.ReportEvery, func() { sim.report(i) })
 }
--- a/internal/fleet/parts.go
+++ b/internal/fleet/parts.go
@@ -7,355 +7,375 @@
 	"cherryrelay/control"
 )
 
-func name(i, life int) control.ServerID { return control.ServerID(fmt.Sprintf("d%d.%d", i, life)) }
+// serverID returns the name of the dispatcher at position i in its given incarnation.
+func serverID(i, incarnation int) control.ServerID {
+	return control.ServerID(fmt.Sprintf("d%d.%d", i, incarnation))
+}
 
-func id(number, try int) string { return fmt.Sprintf("%d.%d", number, try) }
+// callID returns the identifier of one dial of a caller.
+func callID(number, dial int) string { return fmt.Sprintf("%d.%d", number, dial) }
 
-// try is one call at a controller.
-type try struct {
+// pendingCall is a call that was offered to a controller. Each dial of a caller offers another one.
+type pendingCall struct {
 	id       control.CallID
-	person   *person
+	caller   *caller
 	cell     int
 	deadline time.Duration
-	over     bool // it has had its final answer, or its caller has left
-	attempts int
-	out      *attempt
-	readyAt  time.Duration
+	finished bool          // whether the final answer was given or the caller cancelled
+	attempts int           // number of attempts sent
+	attempt  *attempt      // attempt in progress; nil if there is none
+	readyAt  time.Duration // end of the release guard after the last attempt
 }
 
-// attempt is a set-up at a dispatcher.
+// attempt is a set-up that was sent to a dispatcher.
 type attempt struct {
-	try      *try
-	number   int
-	at       *dispatcher
-	from     *controller
-	sentAt   time.Duration
-	answered bool
-	gone     bool // its controller does not wait for it any more
+	call       *pendingCall
+	number     int
+	dispatcher *dispatcher // nil if the chosen dispatcher no longer exists
+	controller *controller
+	sentAt     time.Duration
+	answered   bool
+	cancelled  bool // whether the controller has stopped waiting for the answer
 }
 
-// controller is one access node: the decision module and as much of the core as it needs.
+// controller models one controller: a decision module and the parts of the core that the module needs.
 type controller struct {
-	w      *world
-	index  int
-	life   int
-	module *control.Controller
-	events []control.Event
-	calls  map[control.CallID]*try
-	away   bool
-	wakeAt time.Duration
+	sim         *simulation
+	index       int
+	incarnation int
+	module      *control.Controller
+	events      []control.Event // not yet passed to the module
+	calls       map[control.CallID]*pendingCall
+	withdrawn   bool          // whether it gets no new calls
+	wakeAt      time.Duration // when the module asked to be woken; 0 for never
 }
 
-func (c *controller) tell(e control.Event) { c.events = append(c.events, e) }
+// deliver queues an event for the next event loop iteration.
+func (c *controller) deliver(e control.Event) { c.events = append(c.events, e) }
 
-func (c *controller) offer(t *try) {
-	c.calls[t.id] = t
-	c.tell(control.CallOffered{ID: t.id, Budget: t.deadline - c.w.now, Called: fmt.Sprint("n", t.person.number), FirstCell: t.cell})
+// offerCall offers a new call to the controller.
+func (c *controller) offerCall(call *pendingCall) {
+	c.calls[call.id] = call
+	c.deliver(control.CallOffered{ID: call.id, Budget: call.deadline - c.sim.now, Called: fmt.Sprint("n", call.caller.number), FirstCell: call.cell})
 }
 
-// drop gives up what is out for a call that is over.
-func (c *controller) drop(t *try) {
-	delete(c.calls, t.id)
-	if t.out != nil {
-		t.out.gone = true
-		t.out = nil
+// removeCall removes a call and cancels its attempt in progress.
+func (c *controller) removeCall(call *pendingCall) {
+	delete(c.calls, call.id)
+	if call.attempt != nil {
+		call.attempt.cancelled = true
+		call.attempt = nil
 	}
 }
 
-// withdraw has the controller get no new calls. One that is killed loses those it has, and what it knows.
+// withdraw stops new calls from reaching the controller. A killed controller also loses its calls and undelivered events; their callers dial
+// again.
 func (c *controller) withdraw(killed bool) {
-	c.away = true
+	c.withdrawn = true
 	if !killed {
 		return
 	}
-	for _, t := range c.calls {
-		t.over = true
-		if t.out != nil {
-			t.out.gone = true
+	for _, call := range c.calls {
+		call.finished = true
+		if call.attempt != nil {
+			call.attempt.cancelled = true
 		}
-		t.person.again(0)
+		call.caller.redial(0)
 	}
-	c.calls, c.events = map[control.CallID]*try{}, nil
-	c.life++
+	c.calls, c.events = map[control.CallID]*pendingCall{}, nil
+	c.incarnation++
 }
 
-func (c *controller) back(killed bool) {
-	c.away = false
+// restore lets the controller receive calls again. A killed controller starts with a new decision module.
+func (c *controller) restore(killed bool) {
+	c.withdrawn = false
 	if killed {
-		module, err := control.New(c.w.Settings, c.w.Seed*1000+uint64(c.index)+uint64(c.life)*7)
+		module, err := control.New(c.sim.Settings, c.sim.Seed*1000+uint64(c.index)+uint64(c.incarnation)*7)
 		if err == nil {
 			c.module = module
 		}
-		c.tell(c.w.list())
+		c.deliver(c.sim.serverList())
 	}
 }
 
-// turn gives the module what has come, and does what it says.
-func (c *controller) turn() {
-	w := c.w
-	w.after(tick, c.turn)
-	if c.wakeAt > 0 && w.now >= c.wakeAt {
+// runIteration runs one event loop iteration: it passes the queued events to the module and executes the returned actions.
+func (c *controller) runIteration() {
+	sim := c.sim
+	sim.schedule(tick, c.runIteration)
+	if c.wakeAt > 0 && sim.now >= c.wakeAt {
 		c.wakeAt = 0
-		c.tell(control.Woken{})
+		c.deliver(control.Woken{})
 	}
 	if len(c.events) == 0 {
 		return
 	}
 	events := c.events
 	c.events = nil
-	for _, a := range c.module.Step(start+w.now, events) {
+	for _, a := range c.module.Step(clockStart+sim.now, events) {
 		switch a := a.(type) {
 		case control.SetUp:
 			c.setUp(a)
 		case control.Cancel:
-			if t := c.calls[a.ID]; t != nil && t.out != nil && t.out.number == a.Attempt {
-				c.ended(t.out, control.Cancelled, false)
+			if call := c.calls[a.ID]; call != nil && call.attempt != nil && call.attempt.number == a.Attempt {
+				c.endAttempt(call.attempt, control.Cancelled, false)
 			}
 		case control.Refuse:
-			c.final(a.ID, a.HoldOff)
+			c.refuseCall(a.ID, a.HoldOff)
 		case control.Fail:
-			c.final(a.ID, 0)
+			c.refuseCall(a.ID, 0)
 		case control.Wake:
-			c.wakeAt = w.now + a.After
+			c.wakeAt = sim.now + a.After
 		}
 	}
 }
 
-func (c *controller) final(id control.CallID, wait time.Duration) {
-	t := c.calls[id]
-	if t == nil || t.over {
+// refuseCall refuses a call. Its caller may wait for the hold-off before it dials again.
+func (c *controller) refuseCall(id control.CallID, wait time.Duration) {
+	call := c.calls[id]
+	if call == nil || call.finished {
 		return
 	}
-	c.w.second(c.w.now).Refusals++
-	t.over = true
-	c.drop(t)
-	t.person.again(wait)
+	c.sim.secondAt(c.sim.now).Refusals++
+	call.finished = true
+	c.removeCall(call)
+	call.caller.redial(wait)
 }
 
-// setUp sends an attempt, and holds it against the rules.
+// setUp sends an attempt. It records a violation if another attempt of the call is in progress or the release guard has not ended.
 func (c *controller) setUp(a control.SetUp) {
-	w, t := c.w, c.calls[a.ID]
-	if t == nil || t.over {
+	sim, call := c.sim, c.calls[a.ID]
+	if call == nil || call.finished {
 		return
 	}
-	if t.out != nil || w.now < t.readyAt {
-		w.result.Faults = append(w.result.Faults, fmt.Sprintf("%v: %s sent while one is out, or inside the guard", w.now, a.ID))
+	if call.attempt != nil || sim.now < call.readyAt {
+		sim.result.Faults = append(sim.result.Faults, fmt.Sprintf(
+			"%v: call %s: attempt sent while another is in progress, or within the release guard", sim.now, a.ID))
 	}
-	x := &attempt{try: t, number: t.attempts, from: c, sentAt: w.now}
-	t.attempts++
-	t.out = x
-	w.second(w.now).Attempts++
-	for _, d := range w.dispatchers {
+	att := &attempt{call: call, number: call.attempts, controller: c, sentAt: sim.now}
+	call.attempts++
+	call.attempt = att
+	sim.secondAt(sim.now).Attempts++
+	for _, d := range sim.dispatchers {
 		if d.id == a.Server {
-			x.at = d
+			att.dispatcher = d
 		}
 	}
-	limit := t.deadline - w.now - 25*time.Millisecond
+	timeout := call.deadline - sim.now - 25*time.Millisecond
 	if a.Limit > 0 {
-		limit = min(limit, a.Limit)
+		timeout = min(timeout, a.Limit)
 	}
-	life := c.life
-	w.after(limit, func() {
-		if t.out == x && c.life == life {
-			c.ended(x, control.TimedOut, false)
+	incarnation := c.incarnation
+	sim.schedule(timeout, func() {
+		if call.attempt == att && c.incarnation == incarnation {
+			c.endAttempt(att, control.TimedOut, false)
 		}
 	})
-	if x.at == nil { // it has gone, and this controller was not told yet
-		w.after(2*hop, func() { c.ended(x, control.Unreachable, false) })
+	if att.dispatcher == nil { // the dispatcher was replaced, and the controller has not been notified yet
+		sim.schedule(2*networkDelay, func() { c.endAttempt(att, control.Unreachable, false) })
 		return
 	}
-	w.after(hop, func() { x.at.take(x) })
+	sim.schedule(networkDelay, func() { att.dispatcher.acceptSetUp(att) })
 }
 
-// ended tells the module the outcome of the attempt that is out.
-func (c *controller) ended(x *attempt, o control.Outcome, noLine bool) {
-	t := x.try
-	if t.out != x {
+// endAttempt reports the outcome of an attempt to the module, unless the attempt is no longer in progress.
+func (c *controller) endAttempt(att *attempt, o control.Outcome, noLine bool) {
+	call := att.call
+	if call.attempt != att {
 		return
 	}
-	t.out, x.gone = nil, true
+	call.attempt, att.cancelled = nil, true
 	switch o {
 	case control.TimedOut, control.Cancelled, control.Reset:
-		t.readyAt = c.w.now + c.w.Settings.ReleaseGuard
+		call.readyAt = c.sim.now + c.sim.Settings.ReleaseGuard
 	}
-	c.tell(control.AttemptEnded{ID: t.id, Server: x.at.name(), Attempt: x.number, Outcome: o, Elapsed: c.w.now - x.sentAt, NoLine: noLine})
+	c.deliver(control.AttemptEnded{ID: call.id, Server: att.dispatcher.serverID(), Attempt: att.number, Outcome: o,
+		Elapsed: c.sim.now - att.sentAt, NoLine: noLine})
 }
 
-func (d *dispatcher) name() control.ServerID {
+// serverID returns the name of the dispatcher, or the empty name if there is no dispatcher.
+func (d *dispatcher) serverID() control.ServerID {
 	if d == nil {
 		return ""
 	}
 	return d.id
 }
 
-// answered tells that an attempt was answered.
-func (c *controller) answered(x *attempt) {
-	t := x.try
-	if t.out != x || t.over {
+// handleAnswer establishes the call of an answered attempt and schedules its end.
+func (c *controller) handleAnswer(att *attempt) {
+	call := att.call
+	if call.attempt != att || call.finished {
 		return
 	}
-	t.out, t.over = nil, true
-	delete(c.calls, t.id)
-	c.tell(control.CallStands{ID: t.id, Server: x.at.id, Attempt: x.number, Elapsed: c.w.now - x.sentAt})
-	t.person.stands()
-	if c.w.now >= c.w.ServedFrom {
-		c.w.result.Served[c.index]++
+	call.attempt, call.finished = nil, true
+	delete(c.calls, call.id)
+	c.deliver(control.CallStands{ID: call.id, Server: att.dispatcher.id, Attempt: att.number, Elapsed: c.sim.now - att.sentAt})
+	call.caller.recordEstablished()
+	if c.sim.now >= c.sim.ServedFrom {
+		c.sim.result.Served[c.index]++
 	}
-	elapsed := c.w.now - x.sentAt
-	c.w.after(time.Duration(float64(c.w.callTime())*(0.5+c.w.rng.Float64())), func() {
-		x.at.put(work{cost: endPart, done: func() {
-			x.at.inUse--
-			c.tell(control.AttemptEnded{ID: t.id, Server: x.at.id, Attempt: x.number, Outcome: control.Completed, Elapsed: elapsed, CallOver: true})
+	elapsed := c.sim.now - att.sentAt
+	c.sim.schedule(time.Duration(float64(c.sim.callTime())*(0.5+c.sim.rng.Float64())), func() {
+		att.dispatcher.enqueue(work{cost: endCost, onDone: func() {
+			att.dispatcher.inUse--
+			c.deliver(control.AttemptEnded{ID: call.id, Server: att.dispatcher.id, Attempt: att.number, Outcome: control.Completed,
+				Elapsed: elapsed, CallOver: true})
 		}})
 	})
 }
 
-// dispatcher has a processor of one line: set-ups first, and behind them answers and releases.
+// dispatcher models a dispatcher whose processor handles one work item at a time. Set-ups go before answers, refusals and releases.
 type dispatcher struct {
-	w        *world
-	index    int
-	life     int
-	id       control.ServerID
-	coldFrom time.Duration
-	warmAt   time.Duration // when it is warm
-	slow     float64
-	draining bool
-	down     bool // pushed over
-	setUps   []work
-	others   []work
-	working  bool
-	busy     time.Duration
-	pressure float64 // set-ups that came, lately, against what it can do
-	pressed  time.Duration
-	inUse    int // lines that calls have, those being set up included
-	seenAt   time.Duration
+	sim          *simulation
+	index        int
+	incarnation  int
+	id           control.ServerID
+	coldFrom     time.Duration // when the warm-up began
+	warmAt       time.Duration // when the warm-up ends
+	slowdown     float64       // factor on processing times; 0 for none
+	draining     bool
+	down         bool // whether it failed under overload while cold
+	setUpQueue   []work
+	otherQueue   []work        // answers, refusals and releases
+	working      bool          // whether a work item is being processed
+	busyTime     time.Duration // processing time since the last sample
+	recentSetUps float64       // set-ups of about the last second, with linear decay
+	overloadTime time.Duration // how long the overload of the cold processor has lasted
+	inUse        int           // lines in use, including those of calls being set up
+	lastSetUpAt  time.Duration
 }
 
-// work is a piece of work for the processor, as a part of that of a call.
+// work is a work item of the processor. Its cost is a fraction of the work of a whole call.
 type work struct {
-	cost float64
-	done func()
+	cost   float64
+	onDone func()
 }
 
+// entry returns the list entry of the dispatcher. Only a replacement has a start time.
 func (d *dispatcher) entry() control.ServerEntry {
 	e := control.ServerEntry{ID: d.id, Cell: d.index, Zone: "z"}
-	if d.life > 0 {
-		e.StartedAt = start + d.coldFrom
+	if d.incarnation > 0 {
+		e.StartedAt = clockStart + d.coldFrom
 	}
 	return e
 }
 
-// speed is what part of a warm processor's work it does now.
+// speed returns the present speed of the processor as a fraction of that of a warm one.
 func (d *dispatcher) speed() float64 {
 	speed := 1.0
-	if d.w.now < d.warmAt {
-		share := d.w.Settings.ColdCapacity
-		speed = share + (1-share)*float64(d.w.now-d.coldFrom)/float64(d.w.Settings.WarmUpTime)
+	if d.sim.now < d.warmAt {
+		share := d.sim.Settings.ColdCapacity
+		speed = share + (1-share)*float64(d.sim.now-d.coldFrom)/float64(d.sim.Settings.WarmUpTime)
 	}
-	if d.slow > 0 {
-		speed /= d.slow
+	if d.slowdown > 0 {
+		speed /= d.slowdown
 	}
 	return speed
 }
 
-// takes is how long a piece of work takes now.
-func (d *dispatcher) takes(cost float64) time.Duration {
-	return time.Duration(cost / (d.w.Rate * d.speed()) * float64(time.Second))
+// processingTime returns how long work of the given cost takes at the present speed.
+func (d *dispatcher) processingTime(cost float64) time.Duration {
+	return time.Duration(cost / (d.sim.Rate * d.speed()) * float64(time.Second))
 }
 
-// waits is how long a set-up that came now would wait.
-func (d *dispatcher) waits() time.Duration {
+// queueWait returns how long a set-up that arrived now would wait in the queue.
+func (d *dispatcher) queueWait() time.Duration {
 	cost := 0.0
-	for _, x := range d.setUps {
-		cost += x.cost
+	for _, item := range d.setUpQueue {
+		cost += item.cost
 	}
-	return d.takes(cost)
+	return d.processingTime(cost)
 }
 
-// take has a set-up come.
-func (d *dispatcher) take(x *attempt) {
+// acceptSetUp handles an arriving set-up. It refuses the set-up if no line is free or the queue is too long.
+func (d *dispatcher) acceptSetUp(att *attempt) {
 	if d.down || d.draining {
-		d.w.after(hop, func() { x.from.ended(x, control.Unreachable, false) })
+		d.sim.schedule(networkDelay, func() { att.controller.endAttempt(att, control.Unreachable, false) })
 		return
 	}
-	d.press()
-	if d.w.Lines > 0 && d.inUse >= d.w.Lines {
-		d.put(work{cost: refusePart, done: func() { d.w.after(hop, func() { x.from.ended(x, control.Full, true) }) }})
+	d.recordSetUp()
+	if d.sim.Lines > 0 && d.inUse >= d.sim.Lines {
+		d.enqueue(work{cost: refusalCost, onDone: func() {
+			d.sim.schedule(networkDelay, func() { att.controller.endAttempt(att, control.Full, true) })
+		}})
 		return
 	}
-	if d.waits() > fullAfter {
-		d.put(work{cost: refusePart, done: func() { d.w.after(hop, func() { x.from.ended(x, control.Full, false) }) }})
+	if d.queueWait() > maxQueueWait {
+		d.enqueue(work{cost: refusalCost, onDone: func() {
+			d.sim.schedule(networkDelay, func() { att.controller.endAttempt(att, control.Full, false) })
+		}})
 		return
 	}
 	d.inUse++
-	d.setUp(work{cost: setUpPart, done: func() {
-		d.put(work{cost: answerPart, done: func() {
-			if x.gone {
-				d.inUse-- // nobody waits for it
+	d.enqueueSetUp(work{cost: setUpCost, onDone: func() {
+		d.enqueue(work{cost: answerCost, onDone: func() {
+			if att.cancelled {
+				d.inUse-- // the controller has cancelled the attempt
 			}
-			x.answered = true
-			d.w.after(hop, func() { x.from.answered(x) })
+			att.answered = true
+			d.sim.schedule(networkDelay, func() { att.controller.handleAnswer(att) })
 		}})
 	}})
-	d.repeat(x, repeatAfter)
+	d.scheduleRepeat(att, firstRepeatDelay)
 }
 
-// repeat has a set-up without an answer sent again; each repeat is work in front of answers.
-func (d *dispatcher) repeat(x *attempt, gap time.Duration) {
-	d.w.after(gap, func() {
-		if x.answered || x.gone || d.down {
+// scheduleRepeat schedules the repetition of an unanswered set-up. Each repetition is work that goes before answers.
+func (d *dispatcher) scheduleRepeat(att *attempt, gap time.Duration) {
+	d.sim.schedule(gap, func() {
+		if att.answered || att.cancelled || d.down {
 			return
 		}
-		d.setUp(work{cost: repeatPart, done: func() {}})
-		d.repeat(x, 2*gap)
+		d.enqueueSetUp(work{cost: repeatCost, onDone: func() {}})
+		d.scheduleRepeat(att, 2*gap)
 	})
 }
 
-// press notes a set-up against what a cold processor bears.
-func (d *dispatcher) press() {
-	since := d.w.now - d.seenAt
-	d.seenAt = d.w.now
-	d.pressure = d.pressure*max(0, 1-since.Seconds()) + 1
-	if d.w.now >= d.warmAt || d.pressure <= d.w.Settings.ColdOverloadFactor*d.w.Rate*d.speed() {
-		d.pressed = 0
+// recordSetUp updates the rate of set-ups. A cold processor fails if the rate exceeds its overload limit for longer than maxOverloadTime.
+func (d *dispatcher) recordSetUp() {
+	since := d.sim.now - d.lastSetUpAt
+	d.lastSetUpAt = d.sim.now
+	d.recentSetUps = d.recentSetUps*max(0, 1-since.Seconds()) + 1
+	if d.sim.now >= d.warmAt || d.recentSetUps <= d.sim.Settings.ColdOverloadFactor*d.sim.Rate*d.speed() {
+		d.overloadTime = 0
 		return
 	}
-	if d.pressed += min(since, 100*time.Millisecond); d.pressed > tipFor {
+	if d.overloadTime += min(since, 100*time.Millisecond); d.overloadTime > maxOverloadTime {
 		d.down = true
-		d.w.result.Tipped++
+		d.sim.result.Tipped++
 	}
 }
 
-func (d *dispatcher) setUp(x work) {
-	d.setUps = append(d.setUps, x)
-	d.next()
+// enqueueSetUp queues the work for a set-up.
+func (d *dispatcher) enqueueSetUp(item work) {
+	d.setUpQueue = append(d.setUpQueue, item)
+	d.startNext()
 }
 
-func (d *dispatcher) put(x work) {
-	d.others = append(d.others, x)
-	d.next()
+// enqueue queues work that comes after set-ups.
+func (d *dispatcher) enqueue(item work) {
+	d.otherQueue = append(d.otherQueue, item)
+	d.startNext()
 }
 
-// next begins the next piece of work.
-func (d *dispatcher) next() {
+// startNext starts the next work item if the processor is free.
+func (d *dispatcher) startNext() {
 	if d.working || d.down {
 		return
 	}
-	var x work
+	var item work
 	switch {
-	case len(d.setUps) > 0:
-		x, d.setUps = d.setUps[0], d.setUps[1:]
-	case len(d.others) > 0:
-		x, d.others = d.others[0], d.others[1:]
+	case len(d.setUpQueue) > 0:
+		item, d.setUpQueue = d.setUpQueue[0], d.setUpQueue[1:]
+	case len(d.otherQueue) > 0:
+		item, d.otherQueue = d.otherQueue[0], d.otherQueue[1:]
 	default:
 		return
 	}
 	d.working = true
-	takes := d.takes(x.cost)
-	d.busy += takes
-	d.w.after(takes, func() {
+	duration := d.processingTime(item.cost)
+	d.busyTime += duration
+	d.sim.schedule(duration, func() {
 		d.working = false
-		x.done()
-		d.next()
+		item.onDone()
+		d.startNext()
 	})
 }
--- a/internal/fleet/share_test.go
+++ b/internal/fleet/share_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// scarceLines has callers ask for more lines than there are.
+// scarceLines returns a scenario in which callers demand load times the existing lines.
 func scarceLines(seed uint64, controllers int, load float64, reports bool) Scenario {
 	lines := max(6, controllers)
-	s := scenario(seed, controllers)
+	s := testScenario(seed, controllers)
 	s.Dispatchers, s.Lines, s.CallTime = 4, lines, time.Second
 	s.Rate = 5 * float64(lines) / s.CallTime.Seconds()
 	s.Load = load / 5
@@ -22,8 +22,8 @@
 	return s
 }
 
-// jain is Jain's index of fairness: 1 if all have the same, 1/n if one has all.
-func jain(served []int) float64 {
+// jainIndex returns Jain's fairness index: 1 if all have the same share, 1/n if one has all.
+func jainIndex(served []int) float64 {
 	sum, squares := 0.0, 0.0
 	for _, n := range served {
 		sum += float64(n)
@@ -35,17 +35,18 @@
 // TestNoControllerIsLeftWithoutLines guards against controllers that get few lines while others with the same demand get many.
 func TestNoControllerIsLeftWithoutLines(t *testing.T) { shareLines(t, 6) }
 
-// TestSoakNoControllerIsLeftWithoutLines is the same over a hundred seeds of each kind.
+// TestSoakNoControllerIsLeftWithoutLines runs the same check with 100 seeds per combination.
 func TestSoakNoControllerIsLeftWithoutLines(t *testing.T) {
 	if os.Getenv("CHERRYRELAY_SOAK") == "" {
-		t.Skip("a long run: make soak")
+		t.Skip("long test: run make soak")
 	}
 	shareLines(t, 100)
 }
 
+// shareLines checks the distribution of served calls over the controllers, for several loads and numbers of controllers.
 func shareLines(t *testing.T, seeds uint64) {
 	t.Helper()
-	const least, index = 0.1, 0.8
+	const minShare, minIndex = 0.1, 0.8
 	for _, reports := range []bool{true, false} {
 		for _, load := range []float64{1.2, 1.5, 3} {
 			for _, controllers := range []int{2, 6, 30} {
@@ -55,19 +56,19 @@
 					var mu sync.Mutex
 					var indices, worst []float64
 					total := 0
-					var all sync.WaitGroup
+					var workers sync.WaitGroup
 					next := make(chan uint64)
 					for range 4 {
-						all.Go(func() {
+						workers.Go(func() {
 							for seed := range next {
-								r := play(t, scarceLines(seed, controllers, load, reports))
+								r := run(t, scarceLines(seed, controllers, load, reports))
 								sum := 0
 								for _, n := range r.Served {
 									sum += n
 								}
 								mu.Lock()
 								total += sum
-								indices = append(indices, jain(r.Served))
+								indices = append(indices, jainIndex(r.Served))
 								worst = append(worst, float64(slices.Min(r.Served))*float64(controllers)/float64(sum))
 								if len(r.Faults) > 0 {
 									t.Errorf("seed %d: %s", seed, r.Faults[0])
@@ -80,16 +81,16 @@
 						next <- seed
 					}
 					close(next)
-					all.Wait()
+					workers.Wait()
 					slices.Sort(indices)
 					slices.Sort(worst)
-					t.Logf("%s: served %d in all; Jain's index %.3f at the median, %.3f at the least; least of the mean %.2f at the median, %.2f at the least",
+					t.Logf("%s: served %d in all; Jain's index: median %.3f, minimum %.3f; least served controller relative to the mean: median %.2f, minimum %.2f",
 						name, total, indices[len(indices)/2], indices[0], worst[len(worst)/2], worst[0])
-					if indices[len(indices)/2] < index {
-						t.Errorf("Jain's index is %.3f at the median, want %.1f", indices[len(indices)/2], index)
+					if indices[len(indices)/2] < minIndex {
+						t.Errorf("median of Jain's index is %.3f, want at least %.1f", indices[len(indices)/2], minIndex)
 					}
-					if worst[0] < least {
-						t.Errorf("the least served controller has %.2f of the mean, want %.1f", worst[0], least)
+					if worst[0] < minShare {
+						t.Errorf("the least served controller has %.2f of the mean, want at least %.1f", worst[0], minShare)
 					}
 				})
 			}
