--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -47,7 +47,8 @@
 	Times     float64
 }
 
-// Withdrawn stops new calls from reaching a controller for a time; the other controllers get them. A killed controller also loses its calls.
+// Withdrawn stops new calls from reaching a controller for a time; the other controllers get them. A killed controller also
+// loses its calls and its state.
 type Withdrawn struct {
 	Controller int
 	From, For  time.Duration
@@ -92,15 +93,15 @@
 	maxOverloadTime = 1500 * time.Millisecond
 )
 
-// Second holds the counts of one second. Offered, InTime, Late and Lost count a call in the second of its first dial.
+// Second holds the counts of one second. Offered calls and their outcomes count in the second of the first dial.
 type Second struct {
-	Offered, InTime, Late, Lost int
+	Offered, InTime, Late, Lost int           // calls: offered, established within the aim, established later, never established
 	Refusals                    int           // refused or failed calls; each dial counts
 	Attempts                    int           // attempts sent
 	Busy                        float64       // mean utilization of the processors
 	Wait                        time.Duration // longest queue wait of set-ups at the end of the second
-	Avoided                     int           // pairs of a controller and a dispatcher that it avoids, at the end of the second
-	Held                        int           // calls without an attempt in progress at the end of the second
+	Avoided                     int           // pairs of a controller and a dispatcher that gets at most trial calls from it, at the end of the second
+	Held                        int           // pending calls without an attempt in progress at the end of the second
 }
 
 // Result holds the outcome of a simulation.
@@ -135,20 +136,20 @@
 // eventQueue is a heap of events, ordered by time and sequence number.
 type eventQueue []event
 
-func (a eventQueue) Len() int { return len(a) }
-func (a eventQueue) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].sequence < a[j].sequence
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
-func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *eventQueue) Push(x any) {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any) {
 	if e, ok := x.(event); ok {
-		*a = append(*a, e)
+		*q = append(*q, e)
 	}
 }
-func (a *eventQueue) Pop() any {
-	last := len(*a) - 1
-	e := (*a)[last]
-	*a = (*a)[:last]
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	e := (*q)[last]
+	*q = (*q)[:last]
 	return e
 }
 
@@ -157,7 +158,7 @@
 	Scenario
 	now         time.Duration
 	queue       eventQueue
-	sequence    int
+	sequence    int // number of events scheduled so far
 	rng         *rand.Rand
 	controllers []*controller
 	dispatchers []*dispatcher
@@ -316,8 +317,8 @@
 	})
 }
 
-// redial schedules the next dial after a delay, unless the caller has reached maxDials or its deadline. The wait is the hold-off of a refusal.
-func (cl *caller) redial(wait time.Duration) {
+// redial schedules the next dial after redialDelay or the hold-off of a refusal. The caller stops dialling after maxDials or at its deadline.
+func (cl *caller) redial(holdOff time.Duration) {
 	if cl.finished || cl.dials >= maxDials || cl.sim.now-cl.firstDialAt > cl.sim.Settings.Classes[0].Deadline {
 		if !cl.finished {
 			cl.finished = true
@@ -325,11 +326,11 @@
 		}
 		return
 	}
-	pause := redialDelay
+	delay := redialDelay
 	if cl.sim.rng.Float64() < holdOffCompliance {
-		pause = max(pause, wait)
+		delay = max(delay, holdOff)
 	}
-	cl.sim.schedule(pause, cl.dial)
+	cl.sim.schedule(delay, cl.dial)
 }
 
 // recordEstablished counts the established call as in time or late.
--- a/internal/fleet/uneven_test.go
+++ b/internal/fleet/uneven_test.go
@@ -20,7 +20,8 @@
 		{0.8, 1.2, 2, 2698}, {0.8, 1.2, 6, 2631}, {0.8, 1.2, 30, 13017}, {0.8, 2, 2, 2663}, {0.8, 2, 6, 2641}, {0.8, 2, 30, 13483},
 		{0.95, 1.2, 2, 2689}, {0.95, 1.2, 6, 2660}, {0.95, 1.2, 30, 13008}, {0.95, 2, 2, 2701}, {0.95, 2, 6, 2646}, {0.95, 2, 30, 12951},
 	} {
-		t.Run(fmt.Sprintf("%d controllers, %.2f of the calls at one, %.1f times the lines", test.controllers, test.firstShare, test.load), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d controllers, %.2f of the calls at one, %.1f times the lines",
+			test.controllers, test.firstShare, test.load), func(t *testing.T) {
 			t.Parallel()
 			var mu sync.Mutex
 			var runs sync.WaitGroup
--- a/internal/store/counts.go
+++ b/internal/store/counts.go
@@ -1,6 +1,6 @@
 package store
 
-// Counts holds the number of requests by kind, and the number of messages (Notices) and changes (Events) that were sent to watches.
+// Counts holds the numbers of requests by kind, of notifications that were sent to watches, and of the events in them.
 type Counts struct {
 	Reads, Writes, Renewals, Watches, Progress int
 	Notices, Events                            int
--- a/internal/store/faults.go
+++ b/internal/store/faults.go
@@ -12,13 +12,14 @@
 	Stall bool // no request is processed or answered, and no lease expires: the time of a stall does not count for leases
 	// Late is the delay of each response and notification, after the request was processed.
 	Late time.Duration
-	// Lost is the number of coming writes and lease requests that are processed but never answered: the request ends when the client cancels it or times out.
+	// Lost is the number of coming writes and lease requests that are processed but never answered. Each of these requests
+	// ends when its client cancels it or times out.
 	Lost int
 	// Deaf stops all notifications to watches, which stay open.
 	Deaf bool
 }
 
-// Fault replaces the injected faults. Notifications that Deaf held back are sent once it is reset.
+// Fault replaces the injected faults. Notifications to watches that were held back are sent when that fault ends.
 func (s *Store) Fault(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
