--- a/internal/store/backup.go
+++ b/internal/store/backup.go
@@ -17,8 +17,8 @@
 	return snap
 }
 
-// Hold freezes the state that serializable reads return at the present one if on is true, and unfreezes it otherwise. Linearizable reads always
-// return the present state.
+// Hold makes serializable reads keep returning the state at the time of the call if on is true,
+// and the present state again otherwise. Linearizable reads always return the present state.
 func (s *Store) Hold(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
