--- a/internal/store/backup.go
+++ b/internal/store/backup.go
@@ -28,9 +28,8 @@
 	}
 }
 
-// Backup returns a copy of the present keys for Restore.
-func (s *Store) Backup() any { // opaque to the caller
-
+// Backup returns a copy of the present keys for Restore. The result is opaque to the caller.
+func (s *Store) Backup() any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.snapshot()
