--- a/cmd/cherryrelay-lab/chart.go
+++ b/cmd/cherryrelay-lab/chart.go
@@ -12,17 +12,17 @@
 	"gonum.org/v1/plot/vg"
 )
 
-func causes(ends map[string]*hdrhistogram.Histogram) []string {
+func sortedCauses(ends map[string]*hdrhistogram.Histogram) []string {
 	return slices.Sorted(maps.Keys(ends))
 }
 
-// chart draws the share of controllers that have told a certain end by so long after the loss, a line a cause.
-func chart(path string, ends map[string]*hdrhistogram.Histogram) error {
+// drawChart draws the share of controllers that have told a certain end by so long after the loss, a line a cause.
+func drawChart(path string, ends map[string]*hdrhistogram.Histogram) error {
 	p := plot.New()
 	p.Title.Text = "Told of a certain end"
 	p.X.Label.Text, p.Y.Label.Text = "ms after the loss", "share"
 	p.Y.Min, p.Y.Max, p.X.Min = 0, 1, 0
-	for i, cause := range causes(ends) {
+	for i, cause := range sortedCauses(ends) {
 		var points plotter.XYs
 		for q := 0.0; q <= 100; q++ {
 			points = append(points, plotter.XY{X: float64(ends[cause].ValueAtQuantile(q)), Y: q / 100})
--- a/cmd/cherryrelay-lab/main.go
+++ b/cmd/cherryrelay-lab/main.go
@@ -66,8 +66,8 @@
 	return c
 }
 
-// trials are the flags of a trial.
-type trials struct {
+// trialFlags are the flags of a trial.
+type trialFlags struct {
 	seed        uint64
 	seeds       int
 	controllers int
@@ -77,7 +77,7 @@
 }
 
 func trialCommand() *cobra.Command {
-	var t trials
+	var t trialFlags
 	c := &cobra.Command{
 		Use: "trial SCENARIO.ini", Short: "Play a scenario, once or for many seeds",
 		Long: "Plays a scenario on controllers that it starts as processes. What is done in a scenario:\n  " + strings.Join(trial.Deeds(), ", ") +
@@ -93,7 +93,7 @@
 	return c
 }
 
-func (t *trials) run(c *cobra.Command, path string) error {
+func (t *trialFlags) run(c *cobra.Command, path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err //nolint:wrapcheck // it says what it is
@@ -130,7 +130,7 @@
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", seed, err)
 		}
-		if err := t.keep(r); err != nil {
+		if err := t.save(r); err != nil {
 			return err
 		}
 		sum.add(r)
@@ -145,7 +145,7 @@
 		return err
 	}
 	if t.out != "" {
-		if err := chart(filepath.Join(t.out, "ends.svg"), sum.ends); err != nil {
+		if err := drawChart(filepath.Join(t.out, "ends.svg"), sum.ends); err != nil {
 			return err
 		}
 	}
@@ -156,7 +156,7 @@
 }
 
 // progress draws a bar that stays in its line.
-func (t *trials) progress(out io.Writer, seed int) func(float64) {
+func (t *trialFlags) progress(out io.Writer, seed int) func(float64) {
 	if t.quiet {
 		return func(float64) {}
 	}
@@ -170,8 +170,8 @@
 	}
 }
 
-// keep writes a result as a small file.
-func (t *trials) keep(r *trial.Result) error {
+// save writes a result as a small file.
+func (t *trialFlags) save(r *trial.Result) error {
 	if t.out == "" {
 		return nil
 	}
@@ -182,26 +182,26 @@
 	return os.WriteFile(filepath.Join(t.out, fmt.Sprintf("%d.json", r.Seed)), append(text, '\n'), 0o644) //nolint:wrapcheck // it says what it is
 }
 
-// firstWord is the line for how long callers waited for a word of an open call whose connection was lost.
-const firstWord = "a lost connection"
+// lostConnectionRow is the line for how long callers waited for a word of an open call whose connection was lost.
+const lostConnectionRow = "a lost connection"
 
 // summary is what many seeds came to.
 type summary struct {
-	seeds, failed                     int
-	calls, setUps, unanswered, untold int
-	deeds, samples, resumes           int
-	requests                          int
-	took                              int64
-	ends                              map[string]*hdrhistogram.Histogram // milliseconds to a certain end, by cause
+	seeds, failed                          int
+	calls, setUps, unanswered, unconfirmed int
+	steps, samples, resumes                int
+	requests                               int
+	durationMs                             int64
+	ends                                   map[string]*hdrhistogram.Histogram // milliseconds to a certain end, by cause
 }
 
 func (s *summary) add(r *trial.Result) {
 	s.seeds++
-	s.calls, s.setUps, s.unanswered, s.untold = s.calls+r.Calls, s.setUps+r.SetUps, s.unanswered+r.Unanswered, s.untold+r.Untold
-	s.deeds, s.samples, s.requests, s.took = s.deeds+len(r.Plan), s.samples+r.Samples, s.requests+r.Store.Sum(), s.took+r.TookMs
+	s.calls, s.setUps, s.unanswered, s.unconfirmed = s.calls+r.Calls, s.setUps+r.SetUps, s.unanswered+r.Unanswered, s.unconfirmed+r.Untold
+	s.steps, s.samples, s.requests, s.durationMs = s.steps+len(r.Plan), s.samples+r.Samples, s.requests+r.Store.Sum(), s.durationMs+r.TookMs
 	s.resumes += r.Resumes
 	if len(r.WordsMs) > 0 {
-		r.EndsMs = append(r.EndsMs, trial.Ended{Cause: firstWord, Ms: r.WordsMs})
+		r.EndsMs = append(r.EndsMs, trial.Ended{Cause: lostConnectionRow, Ms: r.WordsMs})
 	}
 	for _, e := range r.EndsMs {
 		h := s.ends[e.Cause]
@@ -220,11 +220,11 @@
 		return errors.New("nothing was played")
 	}
 	fmt.Fprintf(out, "%d seeds, %d broke a rule; %d controllers, lease %v; %d deeds, %d calls, %d set-ups, %d resumes, %d unanswered, %d ends untold; %d samples of beliefs; %.1f store requests a second a controller\n",
-		s.seeds, s.failed, scenario.Controllers, scenario.Lease, s.deeds, s.calls, s.setUps, s.resumes, s.unanswered, s.untold, s.samples,
-		float64(s.requests)/(float64(s.took)/1000)/float64(scenario.Controllers))
+		s.seeds, s.failed, scenario.Controllers, scenario.Lease, s.steps, s.calls, s.setUps, s.resumes, s.unanswered, s.unconfirmed, s.samples,
+		float64(s.requests)/(float64(s.durationMs)/1000)/float64(scenario.Controllers))
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "to a certain end, or a word, after\tcount\tp50 ms\tp90 ms\tp99 ms\tmax ms")
-	for _, cause := range causes(s.ends) {
+	for _, cause := range sortedCauses(s.ends) {
 		h := s.ends[cause]
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\n", cause, h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.ValueAtQuantile(99), h.Max())
 	}
--- a/cmd/cherryrelay-lab/scale.go
+++ b/cmd/cherryrelay-lab/scale.go
@@ -64,7 +64,7 @@
 	if f.program == "" {
 		f.program = filepath.Join(filepath.Dir(own), "cherryrelay")
 	}
-	o := scale.Options{Worker: []string{own, workerCommandName}, Program: []string{f.program}, Version: version(), Command: f.repeats(path, s)}
+	o := scale.Options{Worker: []string{own, workerCommandName}, Program: []string{f.program}, Version: version(), Command: f.commandLine(path, s)}
 	if !f.quiet {
 		o.Progress = scaleProgress(c.ErrOrStderr())
 	}
@@ -111,8 +111,8 @@
 	return s, nil
 }
 
-// repeats is the line that plays the run again.
-func (f *scaleFlags) repeats(path string, s *scale.Scenario) string {
+// commandLine is the line that plays the run again.
+func (f *scaleFlags) commandLine(path string, s *scale.Scenario) string {
 	return fmt.Sprintf("%s scale %s --controllers %d --real %d --services %d --seed %d", os.Args[0], path, s.Controllers, s.Real, s.Services, f.seed)
 }
 
--- a/cmd/cherryrelay-lab/scalechart.go
+++ b/cmd/cherryrelay-lab/scalechart.go
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			return scaleChart(args[0], reports)
+			return drawScaleChart(args[0], reports)
 		},
 	}
 }
@@ -48,8 +48,8 @@
 	return all, nil
 }
 
-// scaleChart draws each figure as points, one a result.
-func scaleChart(path string, reports []*scale.Report) error {
+// drawScaleChart draws each figure as points, one a result.
+func drawScaleChart(path string, reports []*scale.Report) error {
 	p := plot.New()
 	p.Title.Text = "A fleet in ordinary time"
 	p.X.Label.Text, p.Y.Label.Text = "controllers", "a second, or ms"
@@ -60,9 +60,9 @@
 		name string
 		of   func(*scale.Report) float64
 	}{
-		{"store requests/s", func(r *scale.Report) float64 { return ordinary(r).Requests }},
-		{"watch messages/s", func(r *scale.Report) float64 { return ordinary(r).Notices }},
-		{"in force, p99 ms", staleness},
+		{"store requests/s", func(r *scale.Report) float64 { return ordinaryPhase(r).Requests }},
+		{"watch messages/s", func(r *scale.Report) float64 { return ordinaryPhase(r).Notices }},
+		{"in force, p99 ms", hollowP99Ms},
 	} {
 		var points plotter.XYs
 		for _, r := range reports {
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// ordinary is the phase without faults.
-func ordinary(r *scale.Report) scale.Phase {
+// ordinaryPhase is the phase without faults.
+func ordinaryPhase(r *scale.Report) scale.Phase {
 	for _, p := range r.Phases {
 		if p.Name == scale.OrdinaryPhase {
 			return p
@@ -97,8 +97,8 @@
 	return scale.Phase{}
 }
 
-// staleness is the p99 of changes of the list in ordinary time, in milliseconds, at hollow controllers.
-func staleness(r *scale.Report) float64 {
+// hollowP99Ms is the p99 of changes of the list in ordinary time, in milliseconds, at hollow controllers.
+func hollowP99Ms(r *scale.Report) float64 {
 	for _, f := range r.Staleness {
 		if f.Phase == scale.OrdinaryPhase && f.Kind == scale.HollowKind && f.Change == scale.Change {
 			return f.P99
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -16,7 +16,7 @@
 	"pgregory.net/rapid"
 )
 
-func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(a), math.Abs(b)) }
+func approxEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(a), math.Abs(b)) }
 
 func TestLeastSquares(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -30,14 +30,14 @@
 		"beside a line":  {[]point{{0, 1}, {0, 3}, {10, 21}, {10, 23}}, Line{2, 2}},
 		"three unequals": {[]point{{1, 2}, {2, 2}, {3, 5}}, Line{1.5, 0}},
 	} {
-		if got := leastSquares(c.points); !near(got.Slope, c.want.Slope) || !near(got.Offset, c.want.Offset) {
+		if got := leastSquares(c.points); !approxEqual(got.Slope, c.want.Slope) || !approxEqual(got.Offset, c.want.Offset) {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
 		}
 	}
 }
 
-// TestFitOfALine: what lies on a line is found again, in whatever order it was played, and plays that agree have no spread.
-func TestFitOfALine(t *testing.T) {
+// TestFitRecoversLine: what lies on a line is found again, in whatever order it was played, and plays that agree have no spread.
+func TestFitRecoversLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		line := Line{rapid.Float64Range(-10, 10).Draw(t, "slope"), rapid.Float64Range(-100, 100).Draw(t, "offset")}
 		sizes := rapid.SliceOfNDistinct(rapid.IntRange(1, 5000), 2, 6, rapid.ID).Draw(t, "sizes")
@@ -48,15 +48,15 @@
 			}
 		}
 		samples = rapid.Permutation(samples).Draw(t, "order")
-		f := fits(samples)[0]
-		if !near(f.Slope, line.Slope) || !near(f.Offset, line.Offset) || !near(f.Spread.Least, f.Spread.Most) || len(f.AtSizes) != len(sizes) {
+		f := fitAll(samples)[0]
+		if !approxEqual(f.Slope, line.Slope) || !approxEqual(f.Offset, line.Offset) || !approxEqual(f.Spread.Least, f.Spread.Most) || len(f.AtSizes) != len(sizes) {
 			t.Fatalf("%+v, want %+v", f, line)
 		}
 	})
 }
 
-// TestSpreadHoldsTheSlope: the line over all plays of the same sizes lies between those of single plays.
-func TestSpreadHoldsTheSlope(t *testing.T) {
+// TestSpreadContainsSlope: the line over all plays of the same sizes lies between those of single plays.
+func TestSpreadContainsSlope(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sizes := rapid.SliceOfNDistinct(rapid.IntRange(1, 5000), 2, 5, rapid.ID).Draw(t, "sizes")
 		var samples []Sample
@@ -65,7 +65,7 @@
 				samples = append(samples, Sample{Size: size, Play: play, Figures: []Figure{{"f", "", rapid.Float64Range(0, 1000).Draw(t, "value")}}})
 			}
 		}
-		f := fits(samples)[0]
+		f := fitAll(samples)[0]
 		const rounding = 1e-6
 		if f.Slope < f.Spread.Least-rounding || f.Slope > f.Spread.Most+rounding {
 			t.Fatalf("slope %v outside of %+v", f.Slope, f.Spread)
@@ -73,18 +73,18 @@
 	})
 }
 
-func TestFitsPassOverWhatFailed(t *testing.T) {
+func TestFitSkipsFailedSamples(t *testing.T) {
 	samples := []Sample{
 		{Size: 10, Play: 1, Figures: []Figure{{"a", "MB", 20}}}, {Size: 20, Play: 1, Error: "no"},
 		{Size: 30, Play: 1, Figures: []Figure{{"a", "MB", 60}, {"b", "", 1}}},
 	}
-	all := fits(samples)
-	if len(all) != 2 || all[0].Figure != "a" || !near(all[0].Slope, 2) || all[1].Figure != "b" || all[0].Sizes != (Range{10, 30}) {
+	all := fitAll(samples)
+	if len(all) != 2 || all[0].Figure != "a" || !approxEqual(all[0].Slope, 2) || all[1].Figure != "b" || all[0].Sizes != (Range{10, 30}) {
 		t.Errorf("%+v", all)
 	}
 }
 
-func TestBounds(t *testing.T) {
+func TestBudgetCheck(t *testing.T) {
 	if err := newBudget(1<<40, 1).check(); err != nil {
 		t.Errorf("within: %v", err)
 	}
@@ -102,14 +102,14 @@
 	}
 }
 
-// TestAPassedBoundEndsTheRun with one plain line, whatever is being measured.
-func TestAPassedBoundEndsTheRun(t *testing.T) {
-	m := Measurement{Name: "wait", play: func(ctx context.Context, _ *bench, _ int) ([]Figure, error) {
+// TestExceededBudgetEndsTheRun with one plain line, whatever is being measured.
+func TestExceededBudgetEndsTheRun(t *testing.T) {
+	m := Measurement{Name: "wait", measure: func(ctx context.Context, _ *bench, _ int) ([]Figure, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}}
 	kept := 0
-	err := run(t.Context(), m, options{sizes: []int{1, 2}, plays: 1, processes: 8}, func(Sample) { kept++ })
+	err := runMeasurement(t.Context(), m, options{sizes: []int{1, 2}, repetitions: 1, processes: 8}, func(Sample) { kept++ })
 	if !errors.Is(err, errMemory) || strings.Contains(err.Error(), "\n") || kept > 0 {
 		t.Errorf("%v, %d samples", err, kept)
 	}
@@ -132,19 +132,19 @@
 	}
 }
 
-// heard waits until so many calls are answered, and none refused.
-func (l *load) heard(t *testing.T, calls int) {
+// waitAnswered waits until so many calls are answered, and none refused.
+func (l *load) waitAnswered(t *testing.T, calls int) {
 	t.Helper()
-	err := until(t.Context(), time.Minute, time.Millisecond, func() bool { answered, _ := l.counts(); return answered >= calls })
+	err := waitUntil(t.Context(), time.Minute, time.Millisecond, func() bool { answered, _ := l.counts(); return answered >= calls })
 	if answered, refused := l.counts(); err != nil || answered != calls || refused > 0 {
 		t.Fatalf("%d answered, %d refused, %d placed: %v", answered, refused, calls, err)
 	}
 }
 
-// TestARelayedCall: calls over the plain relay are answered, each once, and counted.
-func TestARelayedCall(t *testing.T) {
+// TestRelayedCalls: calls over the plain relay are answered, each once, and counted.
+func TestRelayedCalls(t *testing.T) {
 	l := newLoad(0)
-	target, err := echo(l.arrived)
+	target, err := startEchoServer(l.recordArrival)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,21 +164,21 @@
 	// The kernel begins to stamp a moment after it was told to.
 	const one = time.Millisecond // of a load that sends one a millisecond
 	before := 0
-	for until := time.Now().Add(time.Minute); l.passages.TotalCount() == 0; before++ {
-		if _, err := l.place(ctx, 1000, one); err != nil || time.Now().After(until) {
+	for until := time.Now().Add(time.Minute); l.forwardTimes.TotalCount() == 0; before++ {
+		if _, err := l.placeCalls(ctx, 1000, one); err != nil || time.Now().After(until) {
 			t.Fatalf("nothing is stamped: %v", err)
 		}
-		l.heard(t, before+1)
+		l.waitAnswered(t, before+1)
 	}
-	placed, err := l.place(ctx, 1000, 50*time.Millisecond)
+	placed, err := l.placeCalls(ctx, 1000, 50*time.Millisecond)
 	if err != nil || placed != 50 {
 		t.Fatalf("%d placed: %v", placed, err)
 	}
-	l.heard(t, before+placed)
-	if got := l.passages.TotalCount(); got != int64(1+placed) {
+	l.waitAnswered(t, before+placed)
+	if got := l.forwardTimes.TotalCount(); got != int64(1+placed) {
 		t.Errorf("%d of %d set-ups were seen on their way", got, 1+placed)
 	}
-	if way, whole := l.passage("relay")[0].Value, l.latency("relay")[0].Value; way > whole {
+	if way, whole := l.forwardTime("relay")[0].Value, l.latency("relay")[0].Value; way > whole {
 		t.Errorf("median %v ms to the target, %v ms there and back", way, whole)
 	}
 	end()
@@ -187,19 +187,19 @@
 	}
 }
 
-// TestTheStreamsRate: a coordinator with a rate takes the time that its bytes need, and one without tells all numbers in order.
-func TestTheStreamsRate(t *testing.T) {
-	c, err := coordinate(1000)
+// TestStreamRate: a coordinator with a rate takes the time that its bytes need, and one without tells all numbers in order.
+func TestStreamRate(t *testing.T) {
+	c, err := startCoordinator(1000)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.close()
-	size, err := c.publish(true, entries(0, refusing(3)))
+	size, err := c.publish(true, entries(0, refusingAddresses(3)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	begun := time.Now()
-	nc, err := net.Dial("tcp", c.at)
+	start := time.Now()
+	nc, err := net.Dial("tcp", c.address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -217,7 +217,7 @@
 		text = append(text, chunk[:n]...)
 	}
 	const parts = 10 // of a second; the first is written at once, the last need not be whole
-	if least := time.Duration(size/(1000/parts)-2) * time.Second / parts; time.Since(begun) < least || !bytes.Contains(text, []byte("id: 1\n")) {
-		t.Errorf("%d bytes came within %v", size, time.Since(begun))
+	if least := time.Duration(size/(1000/parts)-2) * time.Second / parts; time.Since(start) < least || !bytes.Contains(text, []byte("id: 1\n")) {
+		t.Errorf("%d bytes came within %v", size, time.Since(start))
 	}
 }
--- a/internal/capacity/command.go
+++ b/internal/capacity/command.go
@@ -17,15 +17,15 @@
 
 // options are the flags of the command.
 type options struct {
-	sizes     []int
-	plays     int
-	json      string
-	program   string
-	lasting   time.Duration
-	sockets   int
-	memoryMB  int64
-	processes int
-	at        int
+	sizes       []int
+	repetitions int
+	json        string
+	program     string
+	window      time.Duration
+	sockets     int
+	memoryMB    int64
+	processes   int
+	shownSize   int
 }
 
 // Command is "cherryrelay-lab capacity".
@@ -33,24 +33,24 @@
 	var o options
 	c := &cobra.Command{
 		Use: "capacity MEASUREMENT", Short: "Measure what one controller costs, as lines over a size",
-		Long: "Starts a controller beside stand-ins on loopback, measures it from outside at several sizes, and fits a line to each figure.\n" + list(),
+		Long: "Starts a controller beside stand-ins on loopback, measures it from outside at several sizes, and fits a line to each figure.\n" + measurementTable(),
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error { return o.run(c, args[0]) },
 	}
 	c.Flags().IntSliceVar(&o.sizes, "sizes", nil, "the sizes (else those of the measurement)")
-	c.Flags().IntVar(&o.plays, "plays", 3, "how often each size is played")
+	c.Flags().IntVar(&o.repetitions, "plays", 3, "how often each size is played")
 	c.Flags().StringVar(&o.json, "json", "", "a file for all samples and lines")
 	c.Flags().StringVar(&o.program, "program", "", "the controller (else cherryrelay beside this program)")
-	c.Flags().DurationVar(&o.lasting, "lasting", 4*time.Second, "the window in which something is measured")
+	c.Flags().DurationVar(&o.window, "lasting", 4*time.Second, "the window in which something is measured")
 	c.Flags().IntVar(&o.sockets, "sockets", 20_000, "limits.sockets of the controller")
 	c.Flags().Int64Var(&o.memoryMB, "memory-mb", 6144, "the bound on the memory of all processes together")
 	c.Flags().IntVar(&o.processes, "processes", 8, "the bound on processes")
-	c.Flags().IntVar(&o.at, "at", 0, "the size at which lines are shown, too (else that of the deployment)")
+	c.Flags().IntVar(&o.shownSize, "at", 0, "the size at which lines are shown, too (else that of the deployment)")
 	c.AddCommand(relayCommand())
 	return c
 }
 
-// list names the measurements.
-func list() string {
+// measurementTable names the measurements.
+func measurementTable() string {
 	var b strings.Builder
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	for _, m := range measurements {
@@ -70,11 +70,11 @@
 	Fits        []Fit    `json:"fits"`
 }
 
-func (o *options) check() error {
+func (o *options) validate() error {
 	switch {
-	case o.plays < 1:
+	case o.repetitions < 1:
 		return errors.New("--plays: at least 1")
-	case o.lasting <= 0:
+	case o.window <= 0:
 		return errors.New("--lasting: above 0")
 	}
 	for _, size := range o.sizes {
@@ -86,11 +86,11 @@
 }
 
 func (o *options) run(c *cobra.Command, name string) error {
-	m, err := find(name)
+	m, err := findMeasurement(name)
 	if err != nil {
 		return err
 	}
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		return err
 	}
 	if len(o.sizes) == 0 {
@@ -103,29 +103,29 @@
 		}
 		o.program = filepath.Join(filepath.Dir(own), "cherryrelay")
 	}
-	r := Report{Measurement: m.Name, SizeOf: m.SizeOf, Command: o.repeat(m), Begun: time.Now().UTC().Format(time.RFC3339)}
-	err = run(c.Context(), m, *o, func(s Sample) {
+	r := Report{Measurement: m.Name, SizeOf: m.SizeOf, Command: o.commandLine(m), Begun: time.Now().UTC().Format(time.RFC3339)}
+	err = runMeasurement(c.Context(), m, *o, func(s Sample) {
 		r.Samples = append(r.Samples, s)
-		progress(c.ErrOrStderr(), s)
+		printProgress(c.ErrOrStderr(), s)
 	})
-	if o.at == 0 {
-		o.at = m.At
+	if o.shownSize == 0 {
+		o.shownSize = m.At
 	}
-	r.Fits = fits(r.Samples)
-	printFits(c.OutOrStdout(), r, o.at)
+	r.Fits = fitAll(r.Samples)
+	printFits(c.OutOrStdout(), r, o.shownSize)
 	if o.json != "" {
 		err = errors.Join(err, r.write(o.json))
 	}
 	return err
 }
 
-// repeat is the line that measures the same again.
-func (o *options) repeat(m Measurement) string {
+// commandLine is the line that measures the same again.
+func (o *options) commandLine(m Measurement) string {
 	var sizes []string
 	for _, s := range o.sizes {
 		sizes = append(sizes, strconv.Itoa(s))
 	}
-	return fmt.Sprintf("bin/cherryrelay-lab capacity %s --sizes %s --plays %d --lasting %v --sockets %d", m.Name, strings.Join(sizes, ","), o.plays, o.lasting, o.sockets)
+	return fmt.Sprintf("bin/cherryrelay-lab capacity %s --sizes %s --plays %d --lasting %v --sockets %d", m.Name, strings.Join(sizes, ","), o.repetitions, o.window, o.sockets)
 }
 
 func (r Report) write(path string) error {
--- a/internal/capacity/controller.go
+++ b/internal/capacity/controller.go
@@ -17,8 +17,8 @@
 	"cherryrelay/internal/peer"
 )
 
-// settings are those of a controller with one class, in the platform's form.
-const settings = `{"caps":{"connIdleUs":600000000,"connectTimeoutUs":500000,"maxRetryAfterUs":2000000,"mayCancel":true,"retryAfter":true,"sendCap":5},
+// settingsJSON are those of a controller with one class, in the platform's form.
+const settingsJSON = `{"caps":{"connIdleUs":600000000,"connectTimeoutUs":500000,"maxRetryAfterUs":2000000,"mayCancel":true,"retryAfter":true,"sendCap":5},
 "familyInfo":{"allowedPools":[],"classWidth":[],"guardUs":500000,"layout":"skills","thisNode":-1},"membershipMode":"pushed",
 "tenants":[{"name":"acme"}],"peersTotal":1,"report":{"fields":["idle","circuits"]},
 "requestClasses":[{"name":"send-setup","aimUs":1500000,"deadlineUs":9000000,"worth":1,"lateValue":0.25,"semantics":"read_like","group":"all","windowUs":5000000}],
@@ -26,23 +26,23 @@
 
 const (
 	memoryMB = 256 // limits.memory_mb: what the deployment allows a controller
-	// startWithin bounds a start, also on a busy machine with a long list.
-	startWithin = 60 * time.Second
-	// askWithin bounds a question to the management address.
-	askWithin = 10 * time.Second
+	// startTimeout bounds a start, also on a busy machine with a long list.
+	startTimeout = 60 * time.Second
+	// requestTimeout bounds a question to the management address.
+	requestTimeout = 10 * time.Second
 )
 
-// site is what a controller is started with, beside its addresses.
-type site struct {
-	coordinator string  // address; empty for none
-	known       []entry // the list at the start
-	operator    string  // sections of an operator's file; empty for none
+// controllerOptions is what a controller is started with, beside its addresses.
+type controllerOptions struct {
+	coordinator      string  // address; empty for none
+	dispatchers      []entry // the list at the start
+	operatorSections string  // sections of an operator's file; empty for none
 }
 
 // controller is a controller's process.
 type controller struct {
 	*process
-	lines, management string
+	listenAddress, managementAddress string
 }
 
 // limits is the part of a configuration of that name.
@@ -69,8 +69,8 @@
 	Settings    json.RawMessage `json:"settings"`
 }
 
-// control starts a controller and does not wait for it.
-func (b *bench) control(ctx context.Context, s site) (*controller, error) {
+// startController starts a controller and does not wait for it.
+func (b *bench) startController(ctx context.Context, s controllerOptions) (*controller, error) {
 	lines, err := peer.Free()
 	if err != nil {
 		return nil, err //nolint:wrapcheck // it says what it is
@@ -80,9 +80,9 @@
 		return nil, err //nolint:wrapcheck // it says what it is
 	}
 	c := configuration{Name: "n1", Listen: lines, Management: management, Seed: "1", Limits: limits{memoryMB, b.sockets},
-		Coordinator: s.coordinator, Known: known{Updates: []event{}}, Settings: json.RawMessage(settings)}
-	if s.known != nil {
-		c.Known.Updates = append(c.Known.Updates, event{Endpoints: endpoints{Snapshot: true, Endpoints: s.known}})
+		Coordinator: s.coordinator, Known: known{Updates: []event{}}, Settings: json.RawMessage(settingsJSON)}
+	if s.dispatchers != nil {
+		c.Known.Updates = append(c.Known.Updates, event{Endpoints: endpoints{Snapshot: true, Endpoints: s.dispatchers}})
 	}
 	text, err := json.Marshal(c)
 	if err != nil {
@@ -93,25 +93,25 @@
 		return nil, fmt.Errorf("capacity: %w", err)
 	}
 	environment := []string{"LB_CONFIG=" + path}
-	if s.operator != "" {
+	if s.operatorSections != "" {
 		operator := filepath.Join(b.directory, "operator.ini")
-		if err := os.WriteFile(operator, []byte(s.operator), 0o600); err != nil {
+		if err := os.WriteFile(operator, []byte(s.operatorSections), 0o600); err != nil {
 			return nil, fmt.Errorf("capacity: %w", err)
 		}
 		environment = append(environment, "LB_OPERATOR="+operator)
 	}
-	p, err := b.process(ctx, environment, b.program)
+	p, err := b.startProcess(ctx, environment, b.program)
 	if err != nil {
 		return nil, err
 	}
-	return &controller{process: p, lines: lines, management: management}, nil
+	return &controller{process: p, listenAddress: lines, managementAddress: management}, nil
 }
 
-// ask gets a page of the management address.
-func (c *controller) ask(ctx context.Context, path string) (status int, text []byte, err error) {
-	ctx, cancel := context.WithTimeout(ctx, askWithin)
+// get gets a page of the management address.
+func (c *controller) get(ctx context.Context, path string) (status int, text []byte, err error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.management+path, nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.managementAddress+path, nil)
 	if err != nil {
 		return 0, nil, fmt.Errorf("capacity: %w", err)
 	}
@@ -124,9 +124,9 @@
 	return resp.StatusCode, text, err //nolint:wrapcheck // it says what it is
 }
 
-// telemetry is a figure without labels, by its name without the prefix; 0 if it is not told.
-func (c *controller) telemetry(ctx context.Context, name string) float64 {
-	_, text, err := c.ask(ctx, "/api/telemetry")
+// metric is a figure without labels, by its name without the prefix; 0 if it is not told.
+func (c *controller) metric(ctx context.Context, name string) float64 {
+	_, text, err := c.get(ctx, "/api/telemetry")
 	if err != nil {
 		return 0
 	}
@@ -139,31 +139,31 @@
 	return 0
 }
 
-// knows waits until the controller has so many dispatchers on its list.
-func (c *controller) knows(ctx context.Context, n int, within time.Duration) error {
+// waitForList waits until the controller has so many dispatchers on its list.
+func (c *controller) waitForList(ctx context.Context, n int, within time.Duration) error {
 	const pace = 5 * time.Millisecond
 	ended := false
-	err := until(ctx, within, pace, func() bool {
-		ended = c.over()
-		return ended || int(c.telemetry(ctx, "dispatchers_known")) == n
+	err := waitUntil(ctx, within, pace, func() bool {
+		ended = c.hasEnded()
+		return ended || int(c.metric(ctx, "dispatchers_known")) == n
 	})
 	switch {
 	case ended:
-		return fmt.Errorf("capacity: the controller has ended: %s", c.lastLine())
+		return fmt.Errorf("capacity: the controller has ended: %s", c.lastLogLine())
 	case err != nil:
 		return fmt.Errorf("capacity: %d dispatchers are not known: %w", n, err)
 	}
 	return nil
 }
 
-// ready waits until the controller serves.
-func (c *controller) ready(ctx context.Context) error {
-	err := until(ctx, startWithin, 5*time.Millisecond, func() bool {
-		status, _, err := c.ask(ctx, "/api/ready")
-		return c.over() || err == nil && status == http.StatusOK
+// waitReady waits until the controller serves.
+func (c *controller) waitReady(ctx context.Context) error {
+	err := waitUntil(ctx, startTimeout, 5*time.Millisecond, func() bool {
+		status, _, err := c.get(ctx, "/api/ready")
+		return c.hasEnded() || err == nil && status == http.StatusOK
 	})
-	if c.over() {
-		return fmt.Errorf("capacity: the controller has ended: %s", c.lastLine())
+	if c.hasEnded() {
+		return fmt.Errorf("capacity: the controller has ended: %s", c.lastLogLine())
 	}
 	return err
 }
--- a/internal/capacity/coordinator.go
+++ b/internal/capacity/coordinator.go
@@ -39,9 +39,9 @@
 }
 
 const (
-	zones   = 18 // of the deployment that docs/CAPACITY.md is about
-	cells   = 2
-	heartOf = time.Second // pace of the stream's comments
+	zones           = 18 // of the deployment that docs/CAPACITY.md is about
+	cells           = 2
+	commentInterval = time.Second // pace of the stream's comments
 )
 
 // entries are the list of dispatchers at some addresses. Names of different generations differ.
@@ -56,9 +56,9 @@
 
 // coordinator is a stand-in that serves the stream of events.
 type coordinator struct {
-	server *http.Server
-	at     string
-	rate   int // bytes a second of each stream; 0 for any
+	server  *http.Server
+	address string
+	rate    int // bytes a second of each stream; 0 for any
 
 	streams, bytes atomic.Int64 // times that the stream was asked for, and bytes of events that were written
 
@@ -67,13 +67,13 @@
 	changed chan struct{}
 }
 
-// coordinate opens a coordinator that knows of no event yet.
-func coordinate(rate int) (*coordinator, error) {
+// startCoordinator opens a coordinator that knows of no event yet.
+func startCoordinator(rate int) (*coordinator, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("capacity: coordinator: %w", err)
 	}
-	c := &coordinator{at: ln.Addr().String(), rate: rate, changed: make(chan struct{})}
+	c := &coordinator{address: ln.Addr().String(), rate: rate, changed: make(chan struct{})}
 	c.server = &http.Server{Handler: http.HandlerFunc(c.stream), ReadHeaderTimeout: time.Second}
 	go func() { _ = c.server.Serve(ln) }() // it ends with close
 	return c, nil
@@ -97,8 +97,8 @@
 	return len(text), nil
 }
 
-// after is the event that follows a number, if there is one yet, and what is closed when there are more.
-func (c *coordinator) after(number int) (text []byte, more <-chan struct{}) {
+// eventAfter is the event that follows a number, if there is one yet, and what is closed when there are more.
+func (c *coordinator) eventAfter(number int) (text []byte, more <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if number < len(c.events) {
@@ -111,10 +111,10 @@
 	c.streams.Add(1)
 	next, _ := strconv.Atoi(r.Header.Get("Last-Event-ID")) // without one, from the start
 	w.Header().Set("Content-Type", "text/event-stream")
-	heart := time.NewTicker(heartOf)
-	defer heart.Stop()
+	ticker := time.NewTicker(commentInterval)
+	defer ticker.Stop()
 	for {
-		text, more := c.after(next)
+		text, more := c.eventAfter(next)
 		if text != nil {
 			next++
 			if c.write(r.Context(), w, text) != nil {
@@ -126,7 +126,7 @@
 		case <-r.Context().Done():
 			return
 		case <-more:
-		case <-heart.C:
+		case <-ticker.C:
 			if c.write(r.Context(), w, []byte(": still here\n\n")) != nil {
 				return
 			}
--- a/internal/capacity/dispatchers.go
+++ b/internal/capacity/dispatchers.go
@@ -14,31 +14,31 @@
 	"cherryrelay/internal/sip"
 )
 
-// report is the state that every stand-in of a dispatcher tells: it is never full.
-const report = "x0:1000000;x1:1000000"
+// reportedState is the state that every stand-in of a dispatcher tells: it is never full.
+const reportedState = "x0:1000000;x1:1000000"
 
-// linkBuffer holds the messages of one connection. Those of the measurements are below 1 KiB.
-const linkBuffer = 4 << 10
+// connBuffer holds the messages of one connection. Those of the measurements are below 1 KiB.
+const connBuffer = 4 << 10
 
 // dispatchers are stand-ins at an address each, that answer every set-up at once. They cost little memory, so there can be thousands;
 // internal/peer has the one whose every step a test scripts.
 type dispatchers struct {
 	listeners []net.Listener
-	// arrived is told of each set-up and when the kernel took it in; nil for nobody. It does not change once there are connections.
-	arrived func(id string, at time.Time)
+	// onSetUp is told of each set-up and when the kernel took it in; nil for nobody. It does not change once there are connections.
+	onSetUp func(id string, at time.Time)
 
 	mu    sync.Mutex
-	links map[net.Conn]bool
+	conns map[net.Conn]bool
 
 	open, accepted, setUps, messages, bytes atomic.Int64
 }
 
-// dispatch opens so many dispatchers.
-func dispatch(n int) (*dispatchers, error) { return dispatchStamped(n, nil) }
+// startDispatchers opens so many dispatchers.
+func startDispatchers(n int) (*dispatchers, error) { return startStampedDispatchers(n, nil) }
 
-// dispatchStamped is dispatch with somebody who is told of set-ups.
-func dispatchStamped(n int, arrived func(id string, at time.Time)) (*dispatchers, error) {
-	d := &dispatchers{links: map[net.Conn]bool{}, arrived: arrived}
+// startStampedDispatchers is dispatch with somebody who is told of set-ups.
+func startStampedDispatchers(n int, arrived func(id string, at time.Time)) (*dispatchers, error) {
+	d := &dispatchers{conns: map[net.Conn]bool{}, onSetUp: arrived}
 	for range n {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -66,46 +66,46 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for link := range d.links {
-		err = errors.Join(err, link.Close())
+	for conn := range d.conns {
+		err = errors.Join(err, conn.Close())
 	}
 	return err
 }
 
 func (d *dispatchers) accept(ln net.Listener) {
 	for {
-		link, err := ln.Accept()
+		conn, err := ln.Accept()
 		if err != nil {
 			return // closed
 		}
 		d.mu.Lock()
-		d.links[link] = true
+		d.conns[conn] = true
 		d.mu.Unlock()
 		d.open.Add(1)
 		d.accepted.Add(1)
 		go func() {
-			d.serve(link)
-			_ = link.Close()
+			d.serve(conn)
+			_ = conn.Close()
 			d.open.Add(-1)
 			d.mu.Lock()
-			delete(d.links, link)
+			delete(d.conns, conn)
 			d.mu.Unlock()
 		}()
 	}
 }
 
 // serve answers what comes on a connection until it ends.
-func (d *dispatchers) serve(link net.Conn) {
+func (d *dispatchers) serve(conn net.Conn) {
 	state := sip.Append(nil, &sip.Message{Method: "NOTIFY", URI: "sip:state@net", CallID: "state", Seq: 1, SeqOf: "NOTIFY",
-		Headers: []sip.Header{{Name: "P-Report", Value: report}}})
-	if _, err := link.Write(state); err != nil {
+		Headers: []sip.Header{{Name: "P-Report", Value: reportedState}}})
+	if _, err := conn.Write(state); err != nil {
 		return
 	}
-	read, err := d.reader(link)
+	read, err := d.reader(conn)
 	if err != nil {
 		return
 	}
-	in, chunk := ring.New(linkBuffer), make([]byte, linkBuffer/2)
+	in, chunk := ring.New(connBuffer), make([]byte, connBuffer/2)
 	var decoder sip.Decoder
 	for {
 		n, at, err := read(chunk[:min(len(chunk), in.Free())])
@@ -123,11 +123,11 @@
 				break
 			}
 			d.messages.Add(1)
-			if d.arrived != nil && m.Method == "INVITE" {
-				d.arrived(m.CallID, at)
+			if d.onSetUp != nil && m.Method == "INVITE" {
+				d.onSetUp(m.CallID, at)
 			}
 			if answer := d.answer(m); answer != nil {
-				if _, err := link.Write(answer); err != nil {
+				if _, err := conn.Write(answer); err != nil {
 					return
 				}
 			}
@@ -136,25 +136,25 @@
 }
 
 // reader reads from a connection, with stamps where somebody is told of them.
-func (d *dispatchers) reader(link net.Conn) (func(p []byte) (int, time.Time, error), error) {
-	if d.arrived == nil {
+func (d *dispatchers) reader(conn net.Conn) (func(p []byte) (int, time.Time, error), error) {
+	if d.onSetUp == nil {
 		return func(p []byte) (int, time.Time, error) {
-			n, err := link.Read(p)
+			n, err := conn.Read(p)
 			return n, time.Time{}, err //nolint:wrapcheck // as any connection's
 		}, nil
 	}
-	r, err := stamped(link)
+	r, err := newStampedReader(conn)
 	if err != nil {
 		return nil, err
 	}
 	return r.read, nil
 }
 
-// tell sends the state of the dispatcher on one of its connections, unasked.
-func tell(link net.Conn, number int) error {
+// sendReport sends the state of the dispatcher on one of its connections, unasked.
+func sendReport(conn net.Conn, number int) error {
 	text := sip.Append(nil, &sip.Message{Method: "NOTIFY", URI: "sip:state@net", CallID: "state", Seq: 1, SeqOf: "NOTIFY",
 		Headers: []sip.Header{{Name: "P-Report", Value: fmt.Sprintf("x0:%d;x1:1000000", 1_000_000-number%1000)}}})
-	_, err := link.Write(text)
+	_, err := conn.Write(text)
 	return err //nolint:wrapcheck // it says what it is
 }
 
@@ -162,7 +162,7 @@
 func (d *dispatchers) connections() []net.Conn {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Collect(maps.Keys(d.links))
+	return slices.Collect(maps.Keys(d.conns))
 }
 
 // answer is what a dispatcher says to a message; nil for nothing.
@@ -173,7 +173,7 @@
 		d.setUps.Add(1)
 		reply.Body = m.Body
 	case "OPTIONS":
-		reply.Headers = []sip.Header{{Name: "P-Report", Value: report}}
+		reply.Headers = []sip.Header{{Name: "P-Report", Value: reportedState}}
 	case "BYE":
 	default:
 		return nil
@@ -181,8 +181,8 @@
 	return sip.Append(nil, reply)
 }
 
-// refusing are addresses of loopback at which nobody listens: connections are refused at once.
-func refusing(n int) []string {
+// refusingAddresses are addresses of loopback at which nobody listens: connections are refused at once.
+func refusingAddresses(n int) []string {
 	const closedPort = 9 // of the discard service, which runs nowhere by now
 	var all []string
 	for i := range n {
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -67,21 +67,21 @@
 	Range  Range   `json:"range"`
 }
 
-// fits are the lines of all figures, in the order in which the figures first come.
-func fits(samples []Sample) []Fit {
+// fitAll are the lines of all figures, in the order in which the figures first come.
+func fitAll(samples []Sample) []Fit {
 	var all []Fit
 	for _, s := range samples {
 		for _, f := range s.Figures {
 			if !slices.ContainsFunc(all, func(o Fit) bool { return o.Figure == f.Name }) {
-				all = append(all, fit(samples, f))
+				all = append(all, fitFigure(samples, f))
 			}
 		}
 	}
 	return all
 }
 
-// fit is the line of one figure.
-func fit(samples []Sample, figure Figure) Fit {
+// fitFigure is the line of one figure.
+func fitFigure(samples []Sample, figure Figure) Fit {
 	var points []point
 	byPlay, bySize := map[int][]point{}, map[int][]float64{}
 	for _, s := range samples {
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -24,10 +24,10 @@
 )
 
 const (
-	prefix = "/capacity/members/"
-	lease  = membership.DefaultLease
-	// joinWithin bounds the time until all members see all.
-	joinWithin = time.Minute
+	keyPrefix = "/capacity/members/"
+	leaseTime = membership.DefaultLease
+	// joinTimeout bounds the time until all members see all.
+	joinTimeout = time.Minute
 	// storeLink is the link on which all that members and store say to one another passes.
 	storeLink = "members>store"
 )
@@ -56,16 +56,16 @@
 	if err != nil {
 		return err //nolint:wrapcheck // it says what it is
 	}
-	m := membership.Start(client, membership.Options{Name: name, Address: "127.0.0.1:5060", Prefix: prefix, Lease: lease}, slog.New(slog.DiscardHandler))
+	m := membership.Start(client, membership.Options{Name: name, Address: "127.0.0.1:5060", Prefix: keyPrefix, Lease: leaseTime}, slog.New(slog.DiscardHandler))
 	m.Say(members.Serving)
 	f.members, f.clients = append(f.members, m), append(f.clients, client)
 	return nil
 }
 
-// whole waits until every member is certain and sees all.
-func (f *fleet) whole(ctx context.Context) error {
+// waitComplete waits until every member is certain and sees all.
+func (f *fleet) waitComplete(ctx context.Context) error {
 	from := 0 // those before it see all
-	return until(ctx, joinWithin, 2*time.Millisecond, func() bool {
+	return waitUntil(ctx, joinTimeout, 2*time.Millisecond, func() bool {
 		for ; from < len(f.members); from++ {
 			if v := f.members[from].Show(); !v.Certain || len(v.Members)+v.More != len(f.members) {
 				return false
@@ -86,73 +86,73 @@
 	f.net.Close()
 }
 
-// bytes is all that has passed between members and store.
-func (f *fleet) bytes() int64 {
+// bytesPassed is all that has passed between members and store.
+func (f *fleet) bytesPassed() int64 {
 	forth, back := f.net.Passed(storeLink)
 	return forth + back
 }
 
-func ownProcessorTime() time.Duration {
+func ownCPUTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u) // it can't fail with these arguments
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// playMembers has members join one store and measures them at rest, and then what one more that joins makes of it.
-func playMembers(ctx context.Context, b *bench, size int) ([]Figure, error) {
+// measureMembers has members join one store and measures them at rest, and then what one more that joins makes of it.
+func measureMembers(ctx context.Context, b *bench, size int) ([]Figure, error) {
 	f, err := newFleet()
 	if err != nil {
 		return nil, err
 	}
 	defer f.close()
-	begun := time.Now()
+	start := time.Now()
 	for i := range size {
 		if err := f.join(fmt.Sprint("n", i)); err != nil {
 			return nil, err
 		}
 	}
-	if err := f.whole(ctx); err != nil {
+	if err := f.waitComplete(ctx); err != nil {
 		return nil, err
 	}
-	joined, joinBytes := time.Since(begun), f.bytes()
-	if err := pause(ctx, b.settleFor()); err != nil {
+	joined, joinBytes := time.Since(start), f.bytesPassed()
+	if err := pause(ctx, b.settleTime()); err != nil {
 		return nil, err
 	}
-	requests, bytes, cpu := f.store.Counts().Sum(), f.bytes(), ownProcessorTime()
-	if err := pause(ctx, b.lasting); err != nil {
+	requests, bytes, cpu := f.store.Counts().Sum(), f.bytesPassed(), ownCPUTime()
+	if err := pause(ctx, b.window); err != nil {
 		return nil, err
 	}
-	seconds := b.lasting.Seconds()
+	seconds := b.window.Seconds()
 	figures := []Figure{
 		{"all see all after", "s", joined.Seconds()},
 		{"bytes until all see all", "", float64(joinBytes)},
 		{"requests at the store", "a second", float64(f.store.Counts().Sum()-requests) / seconds},
-		{"bytes", "a second", float64(f.bytes()-bytes) / seconds},
-		{"processor, store and members together", "% of a core", 100 * (ownProcessorTime() - cpu).Seconds() / seconds},
+		{"bytes", "a second", float64(f.bytesPassed()-bytes) / seconds},
+		{"processor, store and members together", "% of a core", 100 * (ownCPUTime() - cpu).Seconds() / seconds},
 	}
 	// The bytes at rest are taken off what one that joins makes.
-	bytes, begun = f.bytes(), time.Now()
+	bytes, start = f.bytesPassed(), time.Now()
 	if err := f.join("late"); err != nil {
 		return nil, err
 	}
-	if err := f.whole(ctx); err != nil {
+	if err := f.waitComplete(ctx); err != nil {
 		return nil, err
 	}
-	known := time.Since(begun)
-	if err := pause(ctx, b.settleFor()); err != nil {
+	known := time.Since(start)
+	if err := pause(ctx, b.settleTime()); err != nil {
 		return nil, err
 	}
-	more := float64(f.bytes()-bytes) - figures[3].Value*time.Since(begun).Seconds()
+	more := float64(f.bytesPassed()-bytes) - figures[3].Value*time.Since(start).Seconds()
 	return append(figures, Figure{"one joins: known to all after", "ms", milliseconds(known)}, Figure{"one joins: bytes", "", max(more, 0)}), nil
 }
 
-// operator is the part of a controller's file for this fleet.
-func (f *fleet) operator() string {
-	return fmt.Sprintf("[fleet]\nendpoints = %s\nprefix = %s\nledgers = ledgers\n[ledger]\ndirectory = ledgers/n1\nlines = true\n", f.address, prefix)
+// operatorSections is the part of a controller's file for this fleet.
+func (f *fleet) operatorSections() string {
+	return fmt.Sprintf("[fleet]\nendpoints = %s\nprefix = %s\nledgers = ledgers\n[ledger]\ndirectory = ledgers/n1\nlines = true\n", f.address, keyPrefix)
 }
 
-// playLedgers has a controller watch the ledgers of others, whose owners live.
-func playLedgers(ctx context.Context, b *bench, size int) ([]Figure, error) {
+// measureLedgers has a controller watch the ledgers of others, whose owners live.
+func measureLedgers(ctx context.Context, b *bench, size int) ([]Figure, error) {
 	f, err := newFleet()
 	if err != nil {
 		return nil, err
@@ -165,33 +165,33 @@
 		}
 		defer disk.Close()
 	}
-	d, err := dispatch(1)
+	d, err := startDispatchers(1)
 	if err != nil {
 		return nil, err
 	}
 	defer d.close()
-	c, err := b.control(ctx, site{known: entries(0, d.addresses()), operator: f.operator()})
+	c, err := b.startController(ctx, controllerOptions{dispatchers: entries(0, d.addresses()), operatorSections: f.operatorSections()})
 	if err != nil {
 		return nil, err
 	}
 	defer c.stop()
-	if err := errors.Join(c.ready(ctx), pause(ctx, b.settleFor())); err != nil {
+	if err := errors.Join(c.waitReady(ctx), pause(ctx, b.settleTime())); err != nil {
 		return nil, err
 	}
-	share, err := c.share(ctx, b.lasting)
+	share, err := c.cpuPercent(ctx, b.window)
 	if err != nil {
 		return nil, err
 	}
 	var shown takeover.Shown
-	_, text, err := c.ask(ctx, takeover.Path)
+	_, text, err := c.get(ctx, takeover.Path)
 	if err := errors.Join(err, json.Unmarshal(text, &shown)); err != nil {
 		return nil, err
 	}
-	return c.withHoldings([]Figure{{"processor", "% of a core", share}, {"a look takes", "ms", float64(shown.LookMs)}, {"ledgers taken that live", "", float64(shown.Sealed)}})
+	return c.withResourceUsage([]Figure{{"processor", "% of a core", share}, {"a look takes", "ms", float64(shown.LookMs)}, {"ledgers taken that live", "", float64(shown.Sealed)}})
 }
 
-// lostName is the controller whose ledger is taken over.
-const lostName = "n0"
+// lostController is the controller whose ledger is taken over.
+const lostController = "n0"
 
 // writeLedger leaves the ledger of a controller that is gone, with so many calls, nine in ten of which stand.
 func writeLedger(directory string, calls int, server, address string) (size uint64, err error) {
@@ -199,7 +199,7 @@
 	if err != nil {
 		return 0, err //nolint:wrapcheck // it says what it is
 	}
-	l := ledger.New(disk, ledger.Options{Name: lostName, CommitTimeout: time.Minute, MaxSize: 1 << 30, SegmentSize: 1 << 30}, nil)
+	l := ledger.New(disk, ledger.Options{Name: lostController, CommitTimeout: time.Minute, MaxSize: 1 << 30, SegmentSize: 1 << 30}, nil)
 	if err := l.BeginEpochAndWait(nil, time.Minute); err != nil {
 		return 0, err //nolint:wrapcheck // it says what it is
 	}
@@ -207,9 +207,9 @@
 	for i := range calls {
 		id := fmt.Sprintf("%016x", i+1)
 		events := []recovery.Event{
-			{Kind: recovery.KindAccepted, ID: id, AtUs: now, DeadlineUs: now + time.Minute.Microseconds(), Class: "send-setup", Called: "k", Description: description, Token: recovery.HashToken("token")},
+			{Kind: recovery.KindAccepted, ID: id, AtUs: now, DeadlineUs: now + time.Minute.Microseconds(), Class: "send-setup", Called: "k", Description: sessionDescription, Token: recovery.HashToken("token")},
 			{Kind: recovery.KindAttemptSent, ID: id, AtUs: now, Server: server, Address: address},
-			{Kind: recovery.KindEstablished, ID: id, AtUs: now, Server: server, Address: address, Description: description},
+			{Kind: recovery.KindEstablished, ID: id, AtUs: now, Server: server, Address: address, Description: sessionDescription},
 		}
 		if i%10 == 0 {
 			events = events[:2]
@@ -233,56 +233,56 @@
 	return size, l.Close() //nolint:wrapcheck // it says what it is
 }
 
-// playTakeover has a controller take over the calls of one that is gone. Nobody comes for them, so the taker takes all.
-func playTakeover(ctx context.Context, b *bench, size int) ([]Figure, error) {
+// measureTakeover has a controller take over the calls of one that is gone. Nobody comes for them, so the taker takes all.
+func measureTakeover(ctx context.Context, b *bench, size int) ([]Figure, error) {
 	f, err := newFleet()
 	if err != nil {
 		return nil, err
 	}
 	defer f.close()
-	d, err := dispatch(1)
+	d, err := startDispatchers(1)
 	if err != nil {
 		return nil, err
 	}
 	defer d.close()
 	listed := entries(0, d.addresses())
 	ledgers := filepath.Join(b.directory, "ledgers")
-	bytes, err := writeLedger(filepath.Join(ledgers, lostName), size, listed[0].Name, listed[0].Address)
+	bytes, err := writeLedger(filepath.Join(ledgers, lostController), size, listed[0].Name, listed[0].Address)
 	if err != nil {
 		return nil, err
 	}
-	c, err := b.control(ctx, site{known: listed, operator: f.operator()})
+	c, err := b.startController(ctx, controllerOptions{dispatchers: listed, operatorSections: f.operatorSections()})
 	if err != nil {
 		return nil, err
 	}
 	defer c.stop()
-	begun := time.Now()
+	start := time.Now()
 	sealed, taken := time.Duration(0), time.Duration(0)
 	var shown takeover.Shown
 	used, _, err := c.cpuDuring(func() error {
-		return until(ctx, time.Minute, 5*time.Millisecond, func() bool {
-			_, text, err := c.ask(ctx, takeover.Path)
+		return waitUntil(ctx, time.Minute, 5*time.Millisecond, func() bool {
+			_, text, err := c.get(ctx, takeover.Path)
 			if err != nil || json.Unmarshal(text, &shown) != nil {
-				return c.over()
+				return c.hasEnded()
 			}
 			if shown.Sealed > 0 && sealed == 0 {
-				sealed = time.Since(begun)
+				sealed = time.Since(start)
 			}
-			taken = time.Since(begun)
-			return c.over() || int(shown.Found+shown.Left) >= size
+			taken = time.Since(start)
+			return c.hasEnded() || int(shown.Found+shown.Left) >= size
 		})
 	})
 	if err != nil {
-		return nil, fmt.Errorf("%w; taken %d of %d, %d steps failed, logged: %s", err, shown.Left, size, shown.Failed, c.lastLine())
+		return nil, fmt.Errorf("%w; taken %d of %d, %d steps failed, logged: %s", err, shown.Left, size, shown.Failed, c.lastLogLine())
 	}
-	if c.over() {
-		return nil, fmt.Errorf("capacity: the controller has ended: %s", strings.TrimSpace(c.lastLine()))
+	if c.hasEnded() {
+		return nil, fmt.Errorf("capacity: the controller has ended: %s", strings.TrimSpace(c.lastLogLine()))
 	}
 	var layMs int64
 	for _, t := range shown.Told {
 		layMs = max(layMs, t.TookMs)
 	}
-	return c.withHoldings([]Figure{
+	return c.withResourceUsage([]Figure{
 		{"ledger", "bytes", float64(bytes)},
 		{"ledger sealed after", "ms", milliseconds(sealed)},
 		{"calls laid out in", "ms", float64(layMs)},
--- a/internal/capacity/loop.go
+++ b/internal/capacity/loop.go
@@ -8,26 +8,26 @@
 	"cherryrelay/internal/peer"
 )
 
-// testEvery is the pace at which a controller's event loop is asked for a sign.
-const testEvery = 2 * time.Millisecond
+// pingInterval is the pace at which a controller's event loop is asked for a sign.
+const pingInterval = 2 * time.Millisecond
 
 // loopWatch asks a controller's event loop for a sign every few milliseconds, and keeps the longest wait for one.
 type loopWatch struct {
-	address string
-	end     chan struct{}
-	done    chan struct{}
+	address  string
+	stopping chan struct{}
+	done     chan struct{}
 
 	mu      sync.Mutex
 	longest time.Duration
 }
 
-// watchLoop tests the front of a controller, over and over: every answer is given by its event loop.
-func watchLoop(address string) (*loopWatch, error) {
+// startLoopWatch tests the front of a controller, over and over: every answer is given by its event loop.
+func startLoopWatch(address string) (*loopWatch, error) {
 	c, err := peer.Call("tcp", address)
 	if err != nil {
 		return nil, err //nolint:wrapcheck // it says what it is
 	}
-	w := &loopWatch{address: address, end: make(chan struct{}), done: make(chan struct{})}
+	w := &loopWatch{address: address, stopping: make(chan struct{}), done: make(chan struct{})}
 	go w.run(c)
 	return w, nil
 }
@@ -37,13 +37,13 @@
 	defer close(w.done)
 	for {
 		select {
-		case <-w.end:
+		case <-w.stopping:
 			_ = c.Close() // it has served
 			return
 		default:
 		}
-		begun := time.Now()
-		if w.test(c) != nil {
+		start := time.Now()
+		if w.ping(c) != nil {
 			_ = c.Close() // it is closed at the other end
 			var err error
 			if c, err = peer.Call("tcp", w.address); err != nil {
@@ -52,13 +52,13 @@
 			continue
 		}
 		w.mu.Lock()
-		w.longest = max(w.longest, time.Since(begun))
+		w.longest = max(w.longest, time.Since(start))
 		w.mu.Unlock()
-		time.Sleep(testEvery)
+		time.Sleep(pingInterval)
 	}
 }
 
-func (w *loopWatch) test(c *peer.Caller) error {
+func (w *loopWatch) ping(c *peer.Caller) error {
 	if err := c.Send(jsonl.Message{Type: "ping", ID: "0000000000000000"}); err != nil {
 		return err //nolint:wrapcheck // only that there is one counts
 	}
@@ -76,6 +76,6 @@
 }
 
 func (w *loopWatch) close() {
-	close(w.end)
+	close(w.stopping)
 	<-w.done
 }
--- a/internal/capacity/process.go
+++ b/internal/capacity/process.go
@@ -18,29 +18,29 @@
 
 // process is one that this program has started.
 type process struct {
-	cmd    *exec.Cmd
-	log    string // file of what it logged
-	ended  chan struct{}
-	budget *budget
+	cmd     *exec.Cmd
+	logFile string // file of what it logged
+	ended   chan struct{}
+	budget  *budget
 }
 
-// stopWithin is how long a process may take to serve out after SIGTERM; then it is killed.
-const stopWithin = 500 * time.Millisecond
+// stopTimeout is how long a process may take to serve out after SIGTERM; then it is killed.
+const stopTimeout = 500 * time.Millisecond
 
 // stop ends the process and waits for its end.
 func (p *process) stop() {
 	_ = p.cmd.Process.Signal(syscall.SIGTERM) // to one that has ended it is for nobody
 	select {
 	case <-p.ended:
-	case <-time.After(stopWithin):
+	case <-time.After(stopTimeout):
 		_ = p.cmd.Process.Kill()
 		<-p.ended
 	}
 	p.budget.remove(p.cmd.Process.Pid)
 }
 
-// over reports whether the process has ended.
-func (p *process) over() bool {
+// hasEnded reports whether the process has ended.
+func (p *process) hasEnded() bool {
 	select {
 	case <-p.ended:
 		return true
@@ -49,20 +49,20 @@
 	}
 }
 
-// lastLine is the last line that the process has logged.
-func (p *process) lastLine() string {
-	text, _ := os.ReadFile(p.log) // what can't be read tells nothing
+// lastLogLine is the last line that the process has logged.
+func (p *process) lastLogLine() string {
+	text, _ := os.ReadFile(p.logFile) // what can't be read tells nothing
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 	return lines[len(lines)-1]
 }
 
-// processClock is the kernel's number of a process's processor clock (CPUCLOCK_SCHED of its thread group; see clock_getcpuclockid).
-func processClock(pid int) int32 { return int32(^pid)<<3 | 2 }
+// cpuClockID is the kernel's number of a process's processor clock (CPUCLOCK_SCHED of its thread group; see clock_getcpuclockid).
+func cpuClockID(pid int) int32 { return int32(^pid)<<3 | 2 }
 
 // cpu is the processor time that the process has used, in all its threads, to the nanosecond.
 func (p *process) cpu() (time.Duration, error) {
 	var t unix.Timespec
-	if err := unix.ClockGettime(processClock(p.cmd.Process.Pid), &t); err != nil {
+	if err := unix.ClockGettime(cpuClockID(p.cmd.Process.Pid), &t); err != nil {
 		return 0, fmt.Errorf("capacity: processor time: %w", err)
 	}
 	return time.Duration(t.Nano()), nil
@@ -74,16 +74,16 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	begun := time.Now()
+	start := time.Now()
 	if err := do(); err != nil {
 		return 0, 0, err
 	}
 	after, err := p.cpu()
-	return after - before, time.Since(begun), err
+	return after - before, time.Since(start), err
 }
 
-// share is the part of one core that the process uses while a time passes, in percent.
-func (p *process) share(ctx context.Context, lasting time.Duration) (float64, error) {
+// cpuPercent is the part of one core that the process uses while a time passes, in percent.
+func (p *process) cpuPercent(ctx context.Context, lasting time.Duration) (float64, error) {
 	used, took, err := p.cpuDuring(func() error { return pause(ctx, lasting) })
 	return 100 * used.Seconds() / took.Seconds(), err
 }
@@ -102,10 +102,12 @@
 	return len(names), nil
 }
 
-// resident is the memory that the process has, in bytes: now, and at most so far.
-func (p *process) resident() (now, most int64, err error) { return resident(p.cmd.Process.Pid) }
+// residentMemory is the memory that the process has, in bytes: now, and at most so far.
+func (p *process) residentMemory() (now, most int64, err error) {
+	return residentBytes(p.cmd.Process.Pid)
+}
 
-func resident(pid int) (now, most int64, err error) {
+func residentBytes(pid int) (now, most int64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0, 0, fmt.Errorf("capacity: %w", err)
@@ -163,7 +165,7 @@
 	}
 	total := int64(0)
 	for pid := range b.pids {
-		now, _, err := resident(pid)
+		now, _, err := residentBytes(pid)
 		if err == nil { // else it has just ended
 			total += now
 		}
@@ -174,17 +176,17 @@
 	return nil
 }
 
-// checkEvery is the pace at which bounds are checked.
-const checkEvery = 100 * time.Millisecond
+// checkInterval is the pace at which bounds are checked.
+const checkInterval = 100 * time.Millisecond
 
-// watch ends the run once a bound is passed.
-func (b *budget) watch(ctx context.Context, end context.CancelCauseFunc) {
+// enforce ends the run once a bound is passed.
+func (b *budget) enforce(ctx context.Context, end context.CancelCauseFunc) {
 	for {
 		if err := b.check(); err != nil {
 			end(err)
 			return
 		}
-		if pause(ctx, checkEvery) != nil {
+		if pause(ctx, checkInterval) != nil {
 			return
 		}
 	}
--- a/internal/capacity/relay.go
+++ b/internal/capacity/relay.go
@@ -35,22 +35,22 @@
 	context.AfterFunc(ctx, func() { _ = ln.Close() })
 	fmt.Fprintln(out, ln.Addr())
 	for {
-		near, err := ln.Accept()
+		caller, err := ln.Accept()
 		if err != nil {
 			return nil //nolint:nilerr // it is told to end
 		}
-		far, err := net.Dial("tcp", target)
+		remote, err := net.Dial("tcp", target)
 		if err != nil {
 			return fmt.Errorf("capacity: relay: %w", err)
 		}
-		go pass(near, far)
-		go pass(far, near)
+		go forward(caller, remote)
+		go forward(remote, caller)
 	}
 }
 
-// pass copies what comes from one connection to another until one of them ends. It reads and writes, as a program that looks at what
+// forward copies what comes from one connection to another until one of them ends. It reads and writes, as a program that looks at what
 // passes has to; io.Copy would leave the copying to the kernel.
-func pass(from, to net.Conn) {
+func forward(from, to net.Conn) {
 	defer from.Close()
 	defer to.Close()
 	chunk := make([]byte, 16<<10)
@@ -65,8 +65,8 @@
 	}
 }
 
-// echo is a server that answers every set-up that comes as a JSON line, as a dispatcher would. It tells when the kernel took each in.
-func echo(arrived func(id string, at time.Time)) (net.Listener, error) {
+// startEchoServer is a server that answers every set-up that comes as a JSON line, as a dispatcher would. It tells when the kernel took each in.
+func startEchoServer(arrived func(id string, at time.Time)) (net.Listener, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("capacity: echo: %w", err)
@@ -77,19 +77,19 @@
 			if err != nil {
 				return // closed
 			}
-			go answerLines(c, arrived)
+			go answerSetUps(c, arrived)
 		}
 	}()
 	return ln, nil
 }
 
-func answerLines(c net.Conn, arrived func(id string, at time.Time)) {
+func answerSetUps(c net.Conn, arrived func(id string, at time.Time)) {
 	defer c.Close()
-	r, err := stamped(c)
+	r, err := newStampedReader(c)
 	if err != nil {
 		return
 	}
-	in, chunk := ring.New(linkBuffer), make([]byte, linkBuffer/2)
+	in, chunk := ring.New(connBuffer), make([]byte, connBuffer/2)
 	var decoder jsonl.Decoder
 	for {
 		n, at, err := r.read(chunk[:min(len(chunk), in.Free())])
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	if p, err = b.processTo(ctx, write, nil, own, "capacity", "relay", "--to", target); err != nil {
+	if p, err = b.startProcessTo(ctx, write, nil, own, "capacity", "relay", "--to", target); err != nil {
 		return nil, "", err
 	}
 	line, err := bufio.NewReader(read).ReadString('\n')
--- a/internal/capacity/stamp.go
+++ b/internal/capacity/stamp.go
@@ -20,8 +20,8 @@
 	oob []byte
 }
 
-// stamped has the kernel stamp what a connection brings.
-func stamped(c net.Conn) (*stampedReader, error) {
+// newStampedReader has the kernel stamp what a connection brings.
+func newStampedReader(c net.Conn) (*stampedReader, error) {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return nil, fmt.Errorf("capacity: %T has no time stamps", c)
