--- a/cmd/cherryrelay-lab/chart.go
+++ b/cmd/cherryrelay-lab/chart.go
@@ -12,14 +12,15 @@
 	"gonum.org/v1/plot/vg"
 )
 
+// sortedCauses returns the causes in alphabetical order.
 func sortedCauses(ends map[string]*hdrhistogram.Histogram) []string {
 	return slices.Sorted(maps.Keys(ends))
 }
 
-// drawChart draws the share of controllers that have told a certain end by so long after the loss, a line a cause.
+// drawChart draws one line for each cause: the share of certain ends that were reported by a time after the loss.
 func drawChart(path string, ends map[string]*hdrhistogram.Histogram) error {
 	p := plot.New()
-	p.Title.Text = "Told of a certain end"
+	p.Title.Text = "Reports of certain ends"
 	p.X.Label.Text, p.Y.Label.Text = "ms after the loss", "share"
 	p.Y.Min, p.Y.Max, p.X.Min = 0, 1, 0
 	for i, cause := range sortedCauses(ends) {
--- a/cmd/cherryrelay-lab/main.go
+++ b/cmd/cherryrelay-lab/main.go
@@ -1,5 +1,5 @@
-// Command cherryrelay-lab plays trials: several controllers as processes, with stand-ins around them and faults between them, judged at
-// both ends of every call. It runs large fleets and measures them (scale), and the stand-in of the store alone.
+// Command cherryrelay-lab runs trials: several controllers as processes, with fake peers and injected faults, whose calls are checked at
+// both ends. It also measures one controller (capacity) and large fleets (scale), and runs the in-memory store alone.
 package main
 
 import (
@@ -49,12 +49,12 @@
 func storeCommand() *cobra.Command {
 	var listen string
 	c := &cobra.Command{
-		Use: "store", Short: "Run the stand-in of etcd alone, in memory, until it is told to end", Args: cobra.NoArgs,
+		Use: "store", Short: "Run the in-memory replacement of etcd alone until it is interrupted", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			s := store.New(1)
 			address, err := s.Listen(listen)
 			if err != nil {
-				return err //nolint:wrapcheck // it says what it is
+				return err //nolint:wrapcheck // the error names its operation
 			}
 			defer s.Close()
 			fmt.Fprintln(c.OutOrStdout(), "serving at", address)
@@ -62,11 +62,11 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&listen, "listen", "127.0.0.1:2379", "the address")
+	c.Flags().StringVar(&listen, "listen", "127.0.0.1:2379", "listen address")
 	return c
 }
 
-// trialFlags are the flags of a trial.
+// trialFlags holds the flags of a trial.
 type trialFlags struct {
 	seed        uint64
 	seeds       int
@@ -79,31 +79,31 @@
 func trialCommand() *cobra.Command {
 	var t trialFlags
 	c := &cobra.Command{
-		Use: "trial SCENARIO.ini", Short: "Play a scenario, once or for many seeds",
-		Long: "Plays a scenario on controllers that it starts as processes. What is done in a scenario:\n  " + strings.Join(trial.Deeds(), ", ") +
-			"\nExit status 1 says that a rule was broken; the line that plays that seed again is printed.",
+		Use: "trial SCENARIO.ini", Short: "Run a scenario, once or for many seeds",
+		Long: "Runs a scenario on controllers that it starts as processes. Actions in a scenario:\n  " + strings.Join(trial.Deeds(), ", ") +
+			"\nThe exit status is 1 if a rule was broken; the command that repeats that seed is printed.",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error { return t.run(c, args[0]) },
 	}
-	c.Flags().Uint64Var(&t.seed, "seed", 1, "the seed, or the first of several")
-	c.Flags().IntVar(&t.seeds, "seeds", 1, "how many seeds")
-	c.Flags().IntVar(&t.controllers, "controllers", 0, "in place of the scenario's")
-	c.Flags().StringVar(&t.program, "program", "", "the controller (else cherryrelay beside this program)")
-	c.Flags().StringVar(&t.out, "out", "", "a directory for results, one JSON file a seed, and a chart")
-	c.Flags().BoolVar(&t.quiet, "quiet", false, "no progress")
+	c.Flags().Uint64Var(&t.seed, "seed", 1, "seed, or the first of several")
+	c.Flags().IntVar(&t.seeds, "seeds", 1, "number of seeds")
+	c.Flags().IntVar(&t.controllers, "controllers", 0, "number of controllers (default: that of the scenario)")
+	c.Flags().StringVar(&t.program, "program", "", "controller program (default: cherryrelay in the directory of this program)")
+	c.Flags().StringVar(&t.out, "out", "", "directory for the results: a JSON file for each seed, and a chart")
+	c.Flags().BoolVar(&t.quiet, "quiet", false, "do not show progress")
 	return c
 }
 
 func (t *trialFlags) run(c *cobra.Command, path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error names its operation
 	}
 	s, faults := trial.ReadScenario(text)
 	for _, f := range faults {
 		fmt.Fprintf(c.ErrOrStderr(), "%s: %v\n", path, f)
 	}
 	if len(faults) > 0 {
-		return fmt.Errorf("%s has faults: %d", path, len(faults))
+		return fmt.Errorf("%s is invalid, faults: %d", path, len(faults))
 	}
 	if t.controllers > 0 {
 		s.Controllers = t.controllers
@@ -111,13 +111,13 @@
 	if t.program == "" {
 		own, err := os.Executable()
 		if err != nil {
-			return err //nolint:wrapcheck // it says what it is
+			return err //nolint:wrapcheck // the error names its operation
 		}
 		t.program = filepath.Join(filepath.Dir(own), "cherryrelay")
 	}
 	if t.out != "" {
 		if err := os.MkdirAll(t.out, 0o755); err != nil {
-			return err //nolint:wrapcheck // it says what it is
+			return err //nolint:wrapcheck // the error names its operation
 		}
 	}
 	sum := summary{ends: map[string]*hdrhistogram.Histogram{}}
@@ -136,7 +136,7 @@
 		sum.add(r)
 		if !r.Passed() {
 			sum.failed++
-			fmt.Fprintf(c.OutOrStdout(), "seed %d: %s\nplay it again: %s trial %s --seed %d --controllers %d\n", seed,
+			fmt.Fprintf(c.OutOrStdout(), "seed %d: %s\nrepeat with: %s trial %s --seed %d --controllers %d\n", seed,
 				strings.Join(append(append([]string{fmt.Sprintf("%d unanswered, together %v", r.Unanswered, r.Together)}, r.Faults...), r.Beliefs...), "\n  "),
 				os.Args[0], path, seed, s.Controllers)
 		}
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// progress draws a bar that stays in its line.
+// progress returns a function that redraws a progress bar in place.
 func (t *trialFlags) progress(out io.Writer, seed int) func(float64) {
 	if t.quiet {
 		return func(float64) {}
@@ -170,29 +170,29 @@
 	}
 }
 
-// save writes a result as a small file.
+// save writes a result as a JSON file, if there is a directory for results.
 func (t *trialFlags) save(r *trial.Result) error {
 	if t.out == "" {
 		return nil
 	}
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error names its operation
 	}
-	return os.WriteFile(filepath.Join(t.out, fmt.Sprintf("%d.json", r.Seed)), append(text, '\n'), 0o644) //nolint:wrapcheck // it says what it is
+	return os.WriteFile(filepath.Join(t.out, fmt.Sprintf("%d.json", r.Seed)), append(text, '\n'), 0o644) //nolint:wrapcheck // the error names its operation
 }
 
-// lostConnectionRow is the line for how long callers waited for a word of an open call whose connection was lost.
+// lostConnectionRow names the table row of the time until callers are notified about an established call whose connection was lost.
 const lostConnectionRow = "a lost connection"
 
-// summary is what many seeds came to.
+// summary adds up the results of all seeds.
 type summary struct {
 	seeds, failed                          int
 	calls, setUps, unanswered, unconfirmed int
 	steps, samples, resumes                int
 	requests                               int
 	durationMs                             int64
-	ends                                   map[string]*hdrhistogram.Histogram // milliseconds to a certain end, by cause
+	ends                                   map[string]*hdrhistogram.Histogram // milliseconds until a certain end, by cause
 }
 
 func (s *summary) add(r *trial.Result) {
@@ -210,14 +210,14 @@
 			s.ends[e.Cause] = h
 		}
 		for _, ms := range e.Ms {
-			_ = h.RecordValue(max(ms, 1)) // beyond ten minutes there is none
+			_ = h.RecordValue(max(ms, 1)) // no end takes longer than ten minutes
 		}
 	}
 }
 
 func (s *summary) print(out io.Writer, scenario *trial.Scenario) error {
 	if s.seeds == 0 {
-		return errors.New("nothing was played")
+		return errors.New("no seed was run")
 	}
 	fmt.Fprintf(out, "%d seeds, %d broke a rule; %d controllers, lease %v; %d deeds, %d calls, %d set-ups, %d resumes, %d unanswered, %d ends untold; %d samples of beliefs; %.1f store requests a second a controller\n",
 		s.seeds, s.failed, scenario.Controllers, scenario.Lease, s.steps, s.calls, s.setUps, s.resumes, s.unanswered, s.unconfirmed, s.samples,
@@ -228,9 +228,10 @@
 		h := s.ends[cause]
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\n", cause, h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.ValueAtQuantile(99), h.Max())
 	}
-	return table.Flush() //nolint:wrapcheck // it says what it is
+	return table.Flush() //nolint:wrapcheck // the error names its operation
 }
 
+// version returns the VCS revision of the build.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/cherryrelay-lab/scale.go
+++ b/cmd/cherryrelay-lab/scale.go
@@ -13,10 +13,10 @@
 	"cherryrelay/internal/scale"
 )
 
-// workerCommandName is the sub-command with which this program starts itself as a worker process.
+// workerCommandName is the subcommand with which this program starts itself as a worker process.
 const workerCommandName = "scale-worker"
 
-// scaleFlags are the flags of a scale run. Negative numbers leave it to the scenario.
+// scaleFlags holds the flags of a scale run. A negative number stands for the value of the scenario.
 type scaleFlags struct {
 	seed                        uint64
 	controllers, real, services int
@@ -27,24 +27,24 @@
 func scaleCommand() *cobra.Command {
 	var f scaleFlags
 	c := &cobra.Command{
-		Use: "scale SCENARIO.ini", Short: "Run a large fleet, most of it without callers, and measure it",
-		Long: "Runs hollow controllers, many in a process, beside a few real ones that carry calls, and tells what each takes and how long changes need\n" +
-			"to be in force. What a fault of a scenario does: " + strings.Join(scale.Kinds(), ", ") + ".\n" +
-			"Exit status 1 says that a rule was broken, or that the run was ended at its bounds; docs/scale.md has both.",
+		Use: "scale SCENARIO.ini", Short: "Run and measure a large fleet, most of it without callers",
+		Long: "Runs hollow controllers, many in a process, and a few real ones that serve calls. Reports their resource usage and the time until\n" +
+			"changes are active. Kinds of faults in a scenario: " + strings.Join(scale.Kinds(), ", ") + ".\n" +
+			"The exit status is 1 if a rule was broken or the run exceeded its limits; docs/scale.md describes both.",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error { return f.run(c, args[0]) },
 	}
-	c.Flags().IntVar(&f.controllers, "controllers", -1, "hollow ones, in place of the scenario's")
-	c.Flags().IntVar(&f.real, "real", -1, "in place of the scenario's")
-	c.Flags().IntVar(&f.services, "services", -1, "in place of the scenario's")
-	c.Flags().Uint64Var(&f.seed, "seed", 1, "what is drawn, and when it happens")
-	c.Flags().StringVar(&f.json, "json", "", "a file for the result")
-	c.Flags().StringVar(&f.program, "program", "", "the real controller (else cherryrelay beside this program)")
-	c.Flags().BoolVar(&f.quiet, "quiet", false, "no progress")
+	c.Flags().IntVar(&f.controllers, "controllers", -1, "number of hollow controllers (default: that of the scenario)")
+	c.Flags().IntVar(&f.real, "real", -1, "number of real controllers (default: that of the scenario)")
+	c.Flags().IntVar(&f.services, "services", -1, "number of services (default: that of the scenario)")
+	c.Flags().Uint64Var(&f.seed, "seed", 1, "seed of the random events and their times")
+	c.Flags().StringVar(&f.json, "json", "", "file for the result")
+	c.Flags().StringVar(&f.program, "program", "", "program of the real controllers (default: cherryrelay in the directory of this program)")
+	c.Flags().BoolVar(&f.quiet, "quiet", false, "do not show progress")
 	c.AddCommand(scaleChartCommand())
 	return c
 }
 
-// scaleWorkerCommand is what the program is in the processes that scale starts.
+// scaleWorkerCommand returns the command of the worker processes that scale starts.
 func scaleWorkerCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: workerCommandName, Hidden: true, Args: cobra.NoArgs,
@@ -59,7 +59,7 @@
 	}
 	own, err := os.Executable()
 	if err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error names its operation
 	}
 	if f.program == "" {
 		f.program = filepath.Join(filepath.Dir(own), "cherryrelay")
@@ -70,18 +70,18 @@
 	}
 	r, err := scale.Play(c.Context(), s, f.seed, o)
 	if err != nil {
-		return fmt.Errorf("%w; played by: %s", err, o.Command)
+		return fmt.Errorf("%w; repeat with: %s", err, o.Command)
 	}
 	if err := r.Print(c.OutOrStdout()); err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error names its operation
 	}
 	if f.json != "" {
 		text, err := json.MarshalIndent(r, "", " ")
 		if err != nil {
-			return err //nolint:wrapcheck // it says what it is
+			return err //nolint:wrapcheck // the error names its operation
 		}
 		if err := os.WriteFile(f.json, append(text, '\n'), 0o644); err != nil {
-			return err //nolint:wrapcheck // it says what it is
+			return err //nolint:wrapcheck // the error names its operation
 		}
 	}
 	if !r.Passed() {
@@ -90,33 +90,33 @@
 	return nil
 }
 
-// scenario reads the file, and what the flags put in its place.
-func (f *scaleFlags) scenario(faultsTo io.Writer, path string) (*scale.Scenario, error) {
+// scenario reads the scenario and applies the flags that override it.
+func (f *scaleFlags) scenario(errOut io.Writer, path string) (*scale.Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, err //nolint:wrapcheck // it says what it is
+		return nil, err //nolint:wrapcheck // the error names its operation
 	}
 	s, faults := scale.Read(text)
 	for _, fault := range faults {
-		fmt.Fprintf(faultsTo, "%s: %v\n", path, fault)
+		fmt.Fprintf(errOut, "%s: %v\n", path, fault)
 	}
 	if len(faults) > 0 {
-		return nil, fmt.Errorf("%s has faults: %d", path, len(faults))
+		return nil, fmt.Errorf("%s is invalid, faults: %d", path, len(faults))
 	}
-	for _, flag := range []struct{ value, into *int }{{&f.controllers, &s.Controllers}, {&f.real, &s.Real}, {&f.services, &s.Services}} {
+	for _, flag := range []struct{ value, target *int }{{&f.controllers, &s.Controllers}, {&f.real, &s.Real}, {&f.services, &s.Services}} {
 		if *flag.value >= 0 {
-			*flag.into = *flag.value
+			*flag.target = *flag.value
 		}
 	}
 	return s, nil
 }
 
-// commandLine is the line that plays the run again.
+// commandLine returns the command that repeats the run.
 func (f *scaleFlags) commandLine(path string, s *scale.Scenario) string {
 	return fmt.Sprintf("%s scale %s --controllers %d --real %d --services %d --seed %d", os.Args[0], path, s.Controllers, s.Real, s.Services, f.seed)
 }
 
-// scaleProgress draws a bar that stays in its line.
+// scaleProgress returns a function that redraws a progress bar in place.
 func scaleProgress(out io.Writer) func(string, float64) {
 	const wide = 40
 	return func(phase string, part float64) {
--- a/cmd/cherryrelay-lab/scalechart.go
+++ b/cmd/cherryrelay-lab/scalechart.go
@@ -18,9 +18,9 @@
 
 func scaleChartCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "chart OUT.svg RESULT.json...", Short: "Draw what results of several sizes come to", Args: cobra.MinimumNArgs(2),
-		Long: "Draws, over the number of controllers, the requests to the store and the messages of watches a second, all together, and the p99 of the\n" +
-			"time from a change of the list to its being in force, in ms, each in ordinary time. Both axes are logarithmic.",
+		Use: "chart OUT.svg RESULT.json...", Short: "Draw a chart of the results of several sizes", Args: cobra.MinimumNArgs(2),
+		Long: "Draws three figures over the number of controllers, each from the phase without faults: the total store requests per second, the total\n" +
+			"watch messages per second, and the p99 of the time until a change of the list is active, in ms. Both axes are logarithmic.",
 		RunE: func(_ *cobra.Command, args []string) error {
 			reports, err := readReports(args[1:])
 			if err != nil {
@@ -31,12 +31,13 @@
 	}
 }
 
+// readReports reads the results and sorts them by the number of controllers.
 func readReports(paths []string) ([]*scale.Report, error) {
 	var all []*scale.Report
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			return nil, err //nolint:wrapcheck // it says what it is
+			return nil, err //nolint:wrapcheck // the error names its operation
 		}
 		var r scale.Report
 		if err := json.Unmarshal(text, &r); err != nil {
@@ -48,10 +49,10 @@
 	return all, nil
 }
 
-// drawScaleChart draws each figure as points, one a result.
+// drawScaleChart draws each figure as a series of points, one for each result.
 func drawScaleChart(path string, reports []*scale.Report) error {
 	p := plot.New()
-	p.Title.Text = "A fleet in ordinary time"
+	p.Title.Text = "Fleet without faults"
 	p.X.Label.Text, p.Y.Label.Text = "controllers", "a second, or ms"
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{}, plot.LogTicks{}
@@ -66,7 +67,7 @@
 	} {
 		var points plotter.XYs
 		for _, r := range reports {
-			if y := figure.of(r); y > 0 && r.Controllers > 0 { // there is no logarithm of 0
+			if y := figure.of(r); y > 0 && r.Controllers > 0 { // 0 has no logarithm
 				points = append(points, plotter.XY{X: float64(r.Controllers), Y: y})
 			}
 		}
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// ordinaryPhase is the phase without faults.
+// ordinaryPhase returns the phase without faults, or an empty phase if there is none.
 func ordinaryPhase(r *scale.Report) scale.Phase {
 	for _, p := range r.Phases {
 		if p.Name == scale.OrdinaryPhase {
@@ -97,7 +98,8 @@
 	return scale.Phase{}
 }
 
-// hollowP99Ms is the p99 of changes of the list in ordinary time, in milliseconds, at hollow controllers.
+// hollowP99Ms returns the p99 of the time until a change of the list is active at hollow controllers in the phase without faults, in
+// milliseconds.
 func hollowP99Ms(r *scale.Report) float64 {
 	for _, f := range r.Staleness {
 		if f.Phase == scale.OrdinaryPhase && f.Kind == scale.HollowKind && f.Change == scale.Change {
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,7 +1,7 @@
-// Command toy plays the other ends of a call controller, to try one by hand:
+// Command toy runs a dispatcher or a caller to try out a call controller by hand:
 //
 //	toy dispatch ADDRESS [ws]        answers every set-up and releases the call two seconds later
-//	toy call ADDRESS [ws] [COUNT]    makes calls, one each half second, and prints what it is told
+//	toy call ADDRESS [ws] [COUNT]    places calls, one every half second, and prints the messages it receives
 package main
 
 import (
@@ -26,11 +26,11 @@
 	case len(args) == 2 && args[0] == "dispatch":
 		err = dispatch(transport, args[1])
 	case len(args) == 2 && args[0] == "call":
-		err = makeCalls(transport, args[1], 5)
+		err = placeCalls(transport, args[1], 5)
 	case len(args) == 3 && args[0] == "call":
 		var count int
 		if count, err = strconv.Atoi(args[2]); err == nil {
-			err = makeCalls(transport, args[1], count)
+			err = placeCalls(transport, args[1], count)
 		}
 	default:
 		err = fmt.Errorf("usage: toy dispatch ADDRESS [ws] | toy call ADDRESS [ws] [COUNT]")
@@ -41,6 +41,7 @@
 	}
 }
 
+// dispatch runs a dispatcher that answers every set-up.
 func dispatch(transport, address string) error {
 	d, err := peer.Dispatch(transport, address, "x0:100;x1:100")
 	if err != nil {
@@ -69,7 +70,8 @@
 	return nil
 }
 
-func makeCalls(transport, address string, count int) error {
+// placeCalls places calls and waits until all of them are released.
+func placeCalls(transport, address string, count int) error {
 	c, err := peer.Call(transport, address)
 	if err != nil {
 		return err
@@ -85,14 +87,14 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 	}()
-	for over := 0; over < count; {
+	for released := 0; released < count; {
 		m, err := c.Next()
 		if err != nil {
 			return err
 		}
 		fmt.Println(m.Type, m.ID, m.Description(), m.CauseOr(0), m.Fields)
 		if m.Type == "release" {
-			over++
+			released++
 		}
 	}
 	return c.Close()
--- a/internal/capacity/calls.go
+++ b/internal/capacity/calls.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// dispatcherCount are listed where their number is not what is measured.
+	// dispatcherCount is the length of the list in measurements that do not vary it.
 	dispatcherCount = 8
-	// phaseTime is how long calls go one way before they go the other.
+	// phaseTime is how long calls take one route before they alternate to the other.
 	phaseTime = time.Second
-	// firstRelayedCall is the number of the first call over the relay.
+	// firstRelayedCall offsets the numbers of the calls over the relay, so that they differ from those of the controller.
 	firstRelayedCall = 1 << 40
 )
 
-// route is one of the two ways that calls are sent turn about.
+// route is one of the two alternating paths of calls: through the controller or through the plain relay.
 type route struct {
 	*process
 	*load
@@ -25,30 +25,30 @@
 	placed  int
 }
 
-// runPhase sends calls this way for a while.
-func (w *route) runPhase(ctx context.Context, perSecond int) error {
-	used, _, err := w.cpuDuring(func() error {
-		n, err := w.placeCalls(ctx, perSecond, phaseTime)
-		w.placed += n
+// runPhase places calls on this route for phaseTime and adds up the processor time of its process.
+func (r *route) runPhase(ctx context.Context, perSecond int) error {
+	used, _, err := r.cpuDuring(func() error {
+		n, err := r.placeCalls(ctx, perSecond, phaseTime)
+		r.placed += n
 		return err
 	})
-	w.cpuTime += used
+	r.cpuTime += used
 	return err
 }
 
-// measuredFigures are what the calls of this way took.
-func (w *route) measuredFigures(ctx context.Context, name string) ([]Figure, error) {
-	left, err := w.countUnanswered(ctx)
+// measuredFigures returns the latencies, the processor time per call and the number of unanswered calls of this route.
+func (r *route) measuredFigures(ctx context.Context, name string) ([]Figure, error) {
+	unanswered, err := r.countUnanswered(ctx)
 	if err != nil {
 		return nil, err
 	}
-	_, refused := w.counts()
-	return append(append(w.latency(name), w.forwardTime(name)...),
-		Figure{name + " processor a call", "us", float64(w.cpuTime.Microseconds()) / float64(max(w.placed, 1))},
-		Figure{name + " calls not answered", "", float64(left + refused)}), nil
+	_, refused := r.counts()
+	return append(append(r.latency(name), r.forwardTime(name)...),
+		Figure{name + " processor a call", "us", float64(r.cpuTime.Microseconds()) / float64(max(r.placed, 1))},
+		Figure{name + " calls not answered", "", float64(unanswered + refused)}), nil
 }
 
-// measureCalls sends calls through the controller and through a plain relay, turn about.
+// measureCalls sends calls alternately through the controller and through a plain relay.
 func measureCalls(ctx context.Context, b *bench, size int) ([]Figure, error) {
 	controlled, relayed := &route{load: newLoad(0)}, &route{load: newLoad(firstRelayedCall)}
 	defer controlled.load.close()
@@ -68,12 +68,12 @@
 		return nil, err
 	}
 	defer target.Close()
-	relaying, address, err := b.startRelay(ctx, target.Addr().String())
+	relayProcess, address, err := b.startRelay(ctx, target.Addr().String())
 	if err != nil {
 		return nil, err
 	}
-	defer relaying.stop()
-	controlled.process, relayed.process = c.process, relaying
+	defer relayProcess.stop()
+	controlled.process, relayed.process = c.process, relayProcess
 	err = errors.Join(c.waitReady(ctx), pause(ctx, b.settleTime()))
 	if err := errors.Join(err, controlled.connect(c.listenAddress), relayed.connect(address)); err != nil {
 		return nil, err
@@ -91,20 +91,20 @@
 	return append(append(figures, differences(figures, more)...), more...), err
 }
 
-// differences are the differences of all quantiles, which come first and in the same order.
-func differences(figures, less []Figure) []Figure {
+// differences subtracts the latency quantiles of the relay from those of the controller. Both lists begin with them in the same order.
+func differences(controlled, relayed []Figure) []Figure {
 	var all []Figure
 	for i := range 2 * len(quantiles) {
-		name := strings.TrimPrefix(figures[i].Name, "controller ") + " above the relay's"
-		all = append(all, Figure{name, figures[i].Unit, figures[i].Value - less[i].Value})
+		name := strings.TrimPrefix(controlled[i].Name, "controller ") + " above the relay's"
+		all = append(all, Figure{name, controlled[i].Unit, controlled[i].Value - relayed[i].Value})
 	}
 	return all
 }
 
-// decisionsCallRate is that of calls where the list's length is what is measured.
+// decisionsCallRate is the number of calls per second in measureDecisions, which varies the length of the list.
 const decisionsCallRate = 200
 
-// measureDecisions sends calls through a controller with a long list.
+// measureDecisions measures calls through a controller by the length of its list.
 func measureDecisions(ctx context.Context, b *bench, size int) ([]Figure, error) {
 	f, err := b.startFollower(ctx, size, 0, 0)
 	if err != nil {
@@ -131,17 +131,17 @@
 	if err != nil {
 		return nil, err
 	}
-	left, err := l.countUnanswered(ctx)
+	unanswered, err := l.countUnanswered(ctx)
 	_, refused := l.counts()
 	return append(l.latency("controller"),
 		Figure{"processor a call", "us", float64((used - idle).Microseconds()) / float64(placed)},
-		Figure{"calls not answered", "", float64(left + refused)}), err
+		Figure{"calls not answered", "", float64(unanswered + refused)}), err
 }
 
-// syncModes are the ways in which a ledger is kept; none at all is for comparison.
+// syncModes are the sync settings of the ledger. With "off" there is no ledger, as the baseline.
 var syncModes = []string{"off", "none", "interval", "always"}
 
-// measureLedger sends calls through a controller that keeps them in a ledger, for each way to sync it.
+// measureLedger measures calls through a controller that records them in a ledger, once for each sync mode.
 func measureLedger(ctx context.Context, b *bench, size int) ([]Figure, error) {
 	var figures []Figure
 	for _, sync := range syncModes {
@@ -154,6 +154,7 @@
 	return figures, nil
 }
 
+// measureSyncMode measures calls with a ledger in one sync mode.
 func (b *bench) measureSyncMode(ctx context.Context, sync string, perSecond int) ([]Figure, error) {
 	d, err := startDispatchers(dispatcherCount)
 	if err != nil {
@@ -185,14 +186,14 @@
 	if err != nil {
 		return nil, err
 	}
-	left, err := l.countUnanswered(ctx)
+	unanswered, err := l.countUnanswered(ctx)
 	if err != nil {
 		return nil, err
 	}
 	_, refused := l.counts()
 	figures := append(l.latency(sync),
 		Figure{sync + " processor a call", "us", float64(used.Microseconds()) / float64(placed)},
-		Figure{sync + " calls not answered", "", float64(left + refused)})
+		Figure{sync + " calls not answered", "", float64(unanswered + refused)})
 	if sync == "off" {
 		return figures, nil
 	}
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -23,12 +23,12 @@
 		points []point
 		want   Line
 	}{
-		"none":           {nil, Line{}},
-		"one":            {[]point{{100, 7}}, Line{0, 7}},
-		"the same size":  {[]point{{100, 6}, {100, 8}}, Line{0, 7}},
-		"a line":         {[]point{{100, 117}, {300, 317}, {3000, 3017}}, Line{1, 17}},
-		"beside a line":  {[]point{{0, 1}, {0, 3}, {10, 21}, {10, 23}}, Line{2, 2}},
-		"three unequals": {[]point{{1, 2}, {2, 2}, {3, 5}}, Line{1.5, 0}},
+		"none":          {nil, Line{}},
+		"one":           {[]point{{100, 7}}, Line{0, 7}},
+		"the same size": {[]point{{100, 6}, {100, 8}}, Line{0, 7}},
+		"a line":        {[]point{{100, 117}, {300, 317}, {3000, 3017}}, Line{1, 17}},
+		"off a line":    {[]point{{0, 1}, {0, 3}, {10, 21}, {10, 23}}, Line{2, 2}},
+		"uneven values": {[]point{{1, 2}, {2, 2}, {3, 5}}, Line{1.5, 0}},
 	} {
 		if got := leastSquares(c.points); !approxEqual(got.Slope, c.want.Slope) || !approxEqual(got.Offset, c.want.Offset) {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
@@ -36,15 +36,15 @@
 	}
 }
 
-// TestFitRecoversLine: what lies on a line is found again, in whatever order it was played, and plays that agree have no spread.
+// TestFitRecoversLine checks that samples on a line yield that line in any order, and that equal repetitions have no spread.
 func TestFitRecoversLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		line := Line{rapid.Float64Range(-10, 10).Draw(t, "slope"), rapid.Float64Range(-100, 100).Draw(t, "offset")}
 		sizes := rapid.SliceOfNDistinct(rapid.IntRange(1, 5000), 2, 6, rapid.ID).Draw(t, "sizes")
 		var samples []Sample
-		for play := range rapid.IntRange(1, 3).Draw(t, "plays") {
+		for repetition := range rapid.IntRange(1, 3).Draw(t, "plays") {
 			for _, size := range sizes {
-				samples = append(samples, Sample{Size: size, Play: play + 1, Figures: []Figure{{"f", "", line.At(float64(size))}}})
+				samples = append(samples, Sample{Size: size, Play: repetition + 1, Figures: []Figure{{"f", "", line.At(float64(size))}}})
 			}
 		}
 		samples = rapid.Permutation(samples).Draw(t, "order")
@@ -55,14 +55,14 @@
 	})
 }
 
-// TestSpreadContainsSlope: the line over all plays of the same sizes lies between those of single plays.
+// TestSpreadContainsSlope checks that the slope over all repetitions of the same sizes lies between those of the single repetitions.
 func TestSpreadContainsSlope(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sizes := rapid.SliceOfNDistinct(rapid.IntRange(1, 5000), 2, 5, rapid.ID).Draw(t, "sizes")
 		var samples []Sample
-		for play := range rapid.IntRange(1, 4).Draw(t, "plays") {
+		for repetition := range rapid.IntRange(1, 4).Draw(t, "plays") {
 			for _, size := range sizes {
-				samples = append(samples, Sample{Size: size, Play: play, Figures: []Figure{{"f", "", rapid.Float64Range(0, 1000).Draw(t, "value")}}})
+				samples = append(samples, Sample{Size: size, Play: repetition, Figures: []Figure{{"f", "", rapid.Float64Range(0, 1000).Draw(t, "value")}}})
 			}
 		}
 		f := fitAll(samples)[0]
@@ -102,25 +102,25 @@
 	}
 }
 
-// TestExceededBudgetEndsTheRun with one plain line, whatever is being measured.
+// TestExceededBudgetEndsTheRun checks that an exceeded budget ends any measurement with an error of one line and without samples.
 func TestExceededBudgetEndsTheRun(t *testing.T) {
 	m := Measurement{Name: "wait", measure: func(ctx context.Context, _ *bench, _ int) ([]Figure, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}}
-	kept := 0
-	err := runMeasurement(t.Context(), m, options{sizes: []int{1, 2}, repetitions: 1, processes: 8}, func(Sample) { kept++ })
-	if !errors.Is(err, errMemory) || strings.Contains(err.Error(), "\n") || kept > 0 {
-		t.Errorf("%v, %d samples", err, kept)
+	samples := 0
+	err := runMeasurement(t.Context(), m, options{sizes: []int{1, 2}, repetitions: 1, processes: 8}, func(Sample) { samples++ })
+	if !errors.Is(err, errMemory) || strings.Contains(err.Error(), "\n") || samples > 0 {
+		t.Errorf("%v, %d samples", err, samples)
 	}
 }
 
 func TestBadArguments(t *testing.T) {
 	for line, want := range map[string]string{
 		"nothing":               `unknown measurement "nothing"`,
-		"idle-live --plays 0":   "--plays: at least 1",
-		"idle-live --sizes 0,5": "--sizes: at least 1 each",
-		"idle-live --lasting 0": "--lasting: above 0",
+		"idle-live --plays 0":   "--plays must be at least 1",
+		"idle-live --sizes 0,5": "--sizes must be at least 1 each",
+		"idle-live --lasting 0": "--lasting must be above 0",
 		"":                      "accepts 1 arg(s), received 0",
 	} {
 		c := Command()
@@ -132,7 +132,7 @@
 	}
 }
 
-// waitAnswered waits until so many calls are answered, and none refused.
+// waitAnswered waits until the given number of calls is answered and fails the test if one was refused.
 func (l *load) waitAnswered(t *testing.T, calls int) {
 	t.Helper()
 	err := waitUntil(t.Context(), time.Minute, time.Millisecond, func() bool { answered, _ := l.counts(); return answered >= calls })
@@ -141,7 +141,7 @@
 	}
 }
 
-// TestRelayedCalls: calls over the plain relay are answered, each once, and counted.
+// TestRelayedCalls checks that each call over the plain relay is answered and counted once.
 func TestRelayedCalls(t *testing.T) {
 	l := newLoad(0)
 	target, err := startEchoServer(l.recordArrival)
@@ -161,12 +161,12 @@
 		t.Fatal(err)
 	}
 	defer l.close()
-	// The kernel begins to stamp a moment after it was told to.
-	const one = time.Millisecond // of a load that sends one a millisecond
+	// The kernel starts to set time stamps shortly after they are enabled.
+	const interval = time.Millisecond // one call at 1000 per second
 	before := 0
 	for until := time.Now().Add(time.Minute); l.forwardTimes.TotalCount() == 0; before++ {
-		if _, err := l.placeCalls(ctx, 1000, one); err != nil || time.Now().After(until) {
-			t.Fatalf("nothing is stamped: %v", err)
+		if _, err := l.placeCalls(ctx, 1000, interval); err != nil || time.Now().After(until) {
+			t.Fatalf("no set-up has a time stamp: %v", err)
 		}
 		l.waitAnswered(t, before+1)
 	}
@@ -176,10 +176,10 @@
 	}
 	l.waitAnswered(t, before+placed)
 	if got := l.forwardTimes.TotalCount(); got != int64(1+placed) {
-		t.Errorf("%d of %d set-ups were seen on their way", got, 1+placed)
+		t.Errorf("%d of %d set-ups have a forwarding time", got, 1+placed)
 	}
-	if way, whole := l.forwardTime("relay")[0].Value, l.latency("relay")[0].Value; way > whole {
-		t.Errorf("median %v ms to the target, %v ms there and back", way, whole)
+	if oneWay, roundTrip := l.forwardTime("relay")[0].Value, l.latency("relay")[0].Value; oneWay > roundTrip {
+		t.Errorf("median %v ms to the target, %v ms for the round trip", oneWay, roundTrip)
 	}
 	end()
 	if err := <-ended; err != nil {
@@ -187,7 +187,7 @@
 	}
 }
 
-// TestStreamRate: a coordinator with a rate takes the time that its bytes need, and one without tells all numbers in order.
+// TestStreamRate checks that a coordinator with a rate limit does not send an event faster than that.
 func TestStreamRate(t *testing.T) {
 	c, err := startCoordinator(1000)
 	if err != nil {
@@ -209,15 +209,15 @@
 	}
 	var text []byte
 	chunk := make([]byte, 4096)
-	for !bytes.Contains(text, []byte(`"s-00000002"`)) { // the last of the list
+	for !bytes.Contains(text, []byte(`"s-00000002"`)) { // the last entry of the list
 		n, err := nc.Read(chunk)
 		if err != nil {
 			t.Fatal(err)
 		}
 		text = append(text, chunk[:n]...)
 	}
-	const parts = 10 // of a second; the first is written at once, the last need not be whole
+	const parts = 10 // writes per second; the first is immediate, the last may be partial
 	if least := time.Duration(size/(1000/parts)-2) * time.Second / parts; time.Since(start) < least || !bytes.Contains(text, []byte("id: 1\n")) {
-		t.Errorf("%d bytes came within %v", size, time.Since(start))
+		t.Errorf("%d bytes arrived within %v", size, time.Since(start))
 	}
 }
--- a/internal/capacity/command.go
+++ b/internal/capacity/command.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 )
 
-// options are the flags of the command.
+// options holds the flags of the command.
 type options struct {
 	sizes       []int
 	repetitions int
@@ -28,39 +28,39 @@
 	shownSize   int
 }
 
-// Command is "cherryrelay-lab capacity".
+// Command returns the command "cherryrelay-lab capacity".
 func Command() *cobra.Command {
 	var o options
 	c := &cobra.Command{
-		Use: "capacity MEASUREMENT", Short: "Measure what one controller costs, as lines over a size",
-		Long: "Starts a controller beside stand-ins on loopback, measures it from outside at several sizes, and fits a line to each figure.\n" + measurementTable(),
+		Use: "capacity MEASUREMENT", Short: "Measure the resource usage of one controller by size",
+		Long: "Starts a controller with fake peers on loopback, measures the process at several sizes, and fits a line to each figure.\n" + measurementTable(),
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error { return o.run(c, args[0]) },
 	}
-	c.Flags().IntSliceVar(&o.sizes, "sizes", nil, "the sizes (else those of the measurement)")
-	c.Flags().IntVar(&o.repetitions, "plays", 3, "how often each size is played")
-	c.Flags().StringVar(&o.json, "json", "", "a file for all samples and lines")
-	c.Flags().StringVar(&o.program, "program", "", "the controller (else cherryrelay beside this program)")
-	c.Flags().DurationVar(&o.window, "lasting", 4*time.Second, "the window in which something is measured")
+	c.Flags().IntSliceVar(&o.sizes, "sizes", nil, "sizes (default: those of the measurement)")
+	c.Flags().IntVar(&o.repetitions, "plays", 3, "number of repetitions of each size")
+	c.Flags().StringVar(&o.json, "json", "", "file for all samples and fitted lines")
+	c.Flags().StringVar(&o.program, "program", "", "controller program (default: cherryrelay in the directory of this program)")
+	c.Flags().DurationVar(&o.window, "lasting", 4*time.Second, "length of the measured interval")
 	c.Flags().IntVar(&o.sockets, "sockets", 20_000, "limits.sockets of the controller")
-	c.Flags().Int64Var(&o.memoryMB, "memory-mb", 6144, "the bound on the memory of all processes together")
-	c.Flags().IntVar(&o.processes, "processes", 8, "the bound on processes")
-	c.Flags().IntVar(&o.shownSize, "at", 0, "the size at which lines are shown, too (else that of the deployment)")
+	c.Flags().Int64Var(&o.memoryMB, "memory-mb", 6144, "limit on the total memory of all processes")
+	c.Flags().IntVar(&o.processes, "processes", 8, "limit on the number of processes")
+	c.Flags().IntVar(&o.shownSize, "at", 0, "size at which the fitted lines are evaluated (default: that of the deployment)")
 	c.AddCommand(relayCommand())
 	return c
 }
 
-// measurementTable names the measurements.
+// measurementTable returns the help text that lists all measurements.
 func measurementTable() string {
 	var b strings.Builder
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	for _, m := range measurements {
 		fmt.Fprintf(w, "  %s\t%s, by %s\n", m.Name, m.Short, m.SizeOf)
 	}
-	_ = w.Flush() // a builder takes everything
+	_ = w.Flush() // writing to a strings.Builder does not fail
 	return b.String()
 }
 
-// Report is what the command writes as JSON.
+// Report is the JSON result of the command.
 type Report struct {
 	Measurement string   `json:"measurement"`
 	SizeOf      string   `json:"size_of"`
@@ -73,13 +73,13 @@
 func (o *options) validate() error {
 	switch {
 	case o.repetitions < 1:
-		return errors.New("--plays: at least 1")
+		return errors.New("--plays must be at least 1")
 	case o.window <= 0:
-		return errors.New("--lasting: above 0")
+		return errors.New("--lasting must be above 0")
 	}
 	for _, size := range o.sizes {
 		if size < 1 {
-			return errors.New("--sizes: at least 1 each")
+			return errors.New("--sizes must be at least 1 each")
 		}
 	}
 	return nil
@@ -119,7 +119,7 @@
 	return err
 }
 
-// commandLine is the line that measures the same again.
+// commandLine returns the command that repeats the measurement.
 func (o *options) commandLine(m Measurement) string {
 	var sizes []string
 	for _, s := range o.sizes {
@@ -133,10 +133,10 @@
 	if err != nil {
 		return fmt.Errorf("capacity: %w", err)
 	}
-	return os.WriteFile(path, append(text, '\n'), 0o644) //nolint:wrapcheck // it says what it is
+	return os.WriteFile(path, append(text, '\n'), 0o644) //nolint:wrapcheck // the error names its operation
 }
 
-// printFits writes the lines as a table, and what gave nothing.
+// printFits writes the fitted lines as a table, followed by the failed samples.
 func printFits(out io.Writer, r Report, at int) {
 	fmt.Fprintf(out, "%s, by %s; repeat with: %s\n", r.Measurement, r.SizeOf, r.Command)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -149,7 +149,7 @@
 		}
 		fmt.Fprintln(w)
 	}
-	_ = w.Flush() // to a terminal or a file that is full nothing can be told
+	_ = w.Flush() // a failed write to the output cannot be reported there
 	for _, s := range r.Samples {
 		if s.Error != "" {
 			fmt.Fprintf(out, "size %d, play %d failed: %s\n", s.Size, s.Play, s.Error)
--- a/internal/capacity/controller.go
+++ b/internal/capacity/controller.go
@@ -17,7 +17,7 @@
 	"cherryrelay/internal/peer"
 )
 
-// settingsJSON are those of a controller with one class, in the platform's form.
+// settingsJSON configures a controller with one request class, in the format of the platform.
 const settingsJSON = `{"caps":{"connIdleUs":600000000,"connectTimeoutUs":500000,"maxRetryAfterUs":2000000,"mayCancel":true,"retryAfter":true,"sendCap":5},
 "familyInfo":{"allowedPools":[],"classWidth":[],"guardUs":500000,"layout":"skills","thisNode":-1},"membershipMode":"pushed",
 "tenants":[{"name":"acme"}],"peersTotal":1,"report":{"fields":["idle","circuits"]},
@@ -25,39 +25,39 @@
 "resolutionUs":5000,"rules":{"coldUs":15000000,"graceToAnswerUs":20000,"startCapacity":0.28,"tipMultiple":2}}`
 
 const (
-	memoryMB = 256 // limits.memory_mb: what the deployment allows a controller
-	// startTimeout bounds a start, also on a busy machine with a long list.
+	memoryMB = 256 // limits.memory_mb of a controller in the deployment
+	// startTimeout allows for a long list on a busy machine.
 	startTimeout = 60 * time.Second
-	// requestTimeout bounds a question to the management address.
+	// requestTimeout applies to requests to the management address.
 	requestTimeout = 10 * time.Second
 )
 
-// controllerOptions is what a controller is started with, beside its addresses.
+// controllerOptions configures a controller that is started; its addresses are chosen by startController.
 type controllerOptions struct {
-	coordinator      string  // address; empty for none
-	dispatchers      []entry // the list at the start
-	operatorSections string  // sections of an operator's file; empty for none
+	coordinator      string  // address; empty without a coordinator
+	dispatchers      []entry // initial list
+	operatorSections string  // contents of the operator's file; empty for no file
 }
 
-// controller is a controller's process.
+// controller is a running controller process.
 type controller struct {
 	*process
 	listenAddress, managementAddress string
 }
 
-// limits is the part of a configuration of that name.
+// limits is the section "limits" of the configuration.
 type limits struct {
 	MemoryMB int `json:"memory_mb"`
 	Sockets  int `json:"sockets"`
 }
 
-// known is the list that a configuration holds.
+// known is the section "known" of the configuration: the initial list.
 type known struct {
 	Index   int64   `json:"index"`
 	Updates []event `json:"updates"`
 }
 
-// configuration is the platform's file.
+// configuration is the configuration file in the format of the platform.
 type configuration struct {
 	Name        string          `json:"name"`
 	Listen      string          `json:"listen"`
@@ -69,17 +69,17 @@
 	Settings    json.RawMessage `json:"settings"`
 }
 
-// startController starts a controller and does not wait for it.
+// startController starts a controller without waiting until it is ready.
 func (b *bench) startController(ctx context.Context, s controllerOptions) (*controller, error) {
-	lines, err := peer.Free()
+	listenAddress, err := peer.Free()
 	if err != nil {
-		return nil, err //nolint:wrapcheck // it says what it is
+		return nil, err //nolint:wrapcheck // the error names its operation
 	}
 	management, err := peer.Free()
 	if err != nil {
-		return nil, err //nolint:wrapcheck // it says what it is
+		return nil, err //nolint:wrapcheck // the error names its operation
 	}
-	c := configuration{Name: "n1", Listen: lines, Management: management, Seed: "1", Limits: limits{memoryMB, b.sockets},
+	c := configuration{Name: "n1", Listen: listenAddress, Management: management, Seed: "1", Limits: limits{memoryMB, b.sockets},
 		Coordinator: s.coordinator, Known: known{Updates: []event{}}, Settings: json.RawMessage(settingsJSON)}
 	if s.dispatchers != nil {
 		c.Known.Updates = append(c.Known.Updates, event{Endpoints: endpoints{Snapshot: true, Endpoints: s.dispatchers}})
@@ -104,10 +104,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &controller{process: p, listenAddress: lines, managementAddress: management}, nil
+	return &controller{process: p, listenAddress: listenAddress, managementAddress: management}, nil
 }
 
-// get gets a page of the management address.
+// get requests a path of the management address.
 func (c *controller) get(ctx context.Context, path string) (status int, text []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -121,10 +121,10 @@
 	}
 	defer resp.Body.Close()
 	text, err = io.ReadAll(resp.Body)
-	return resp.StatusCode, text, err //nolint:wrapcheck // it says what it is
+	return resp.StatusCode, text, err //nolint:wrapcheck // the error names its operation
 }
 
-// metric is a figure without labels, by its name without the prefix; 0 if it is not told.
+// metric returns the value of a metric without labels. The name excludes the prefix edge_lb_. It returns 0 if the metric is missing.
 func (c *controller) metric(ctx context.Context, name string) float64 {
 	_, text, err := c.get(ctx, "/api/telemetry")
 	if err != nil {
@@ -132,43 +132,43 @@
 	}
 	for line := range bytes.Lines(text) {
 		if rest, found := strings.CutPrefix(string(line), "edge_lb_"+name+" "); found {
-			value, _ := strconv.ParseFloat(strings.TrimSpace(rest), 64) // what is no number is not told
+			value, _ := strconv.ParseFloat(strings.TrimSpace(rest), 64) // an invalid number counts as 0
 			return value
 		}
 	}
 	return 0
 }
 
-// waitForList waits until the controller has so many dispatchers on its list.
-func (c *controller) waitForList(ctx context.Context, n int, within time.Duration) error {
-	const pace = 5 * time.Millisecond
-	ended := false
-	err := waitUntil(ctx, within, pace, func() bool {
-		ended = c.hasEnded()
-		return ended || int(c.metric(ctx, "dispatchers_known")) == n
+// waitForList waits until the list of the controller has n dispatchers.
+func (c *controller) waitForList(ctx context.Context, n int, timeout time.Duration) error {
+	const interval = 5 * time.Millisecond
+	exited := false
+	err := waitUntil(ctx, timeout, interval, func() bool {
+		exited = c.hasEnded()
+		return exited || int(c.metric(ctx, "dispatchers_known")) == n
 	})
 	switch {
-	case ended:
-		return fmt.Errorf("capacity: the controller has ended: %s", c.lastLogLine())
+	case exited:
+		return fmt.Errorf("capacity: the controller exited: %s", c.lastLogLine())
 	case err != nil:
-		return fmt.Errorf("capacity: %d dispatchers are not known: %w", n, err)
+		return fmt.Errorf("capacity: waiting for a list of %d dispatchers: %w", n, err)
 	}
 	return nil
 }
 
-// waitReady waits until the controller serves.
+// waitReady waits until the controller reports that it is ready.
 func (c *controller) waitReady(ctx context.Context) error {
 	err := waitUntil(ctx, startTimeout, 5*time.Millisecond, func() bool {
 		status, _, err := c.get(ctx, "/api/ready")
 		return c.hasEnded() || err == nil && status == http.StatusOK
 	})
 	if c.hasEnded() {
-		return fmt.Errorf("capacity: the controller has ended: %s", c.lastLogLine())
+		return fmt.Errorf("capacity: the controller exited: %s", c.lastLogLine())
 	}
 	return err
 }
 
-// reload has the controller read its files again.
+// reload makes the controller reload its configuration files.
 func (c *controller) reload() error {
-	return c.cmd.Process.Signal(syscall.SIGHUP) //nolint:wrapcheck // it says what it is
+	return c.cmd.Process.Signal(syscall.SIGHUP) //nolint:wrapcheck // the error names its operation
 }
--- a/internal/capacity/coordinator.go
+++ b/internal/capacity/coordinator.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// entry is a dispatcher as the coordinator tells of it.
+// entry is a dispatcher in an event of the coordinator.
 type entry struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
@@ -32,19 +32,19 @@
 	Endpoints []entry `json:"endpoints"`
 }
 
-// event is one numbered change of the list.
+// event is one numbered update of the list.
 type event struct {
 	Index     int64     `json:"index"`
 	Endpoints endpoints `json:"endpoints"`
 }
 
 const (
-	zones           = 18 // of the deployment that docs/CAPACITY.md is about
+	zones           = 18 // in the deployment that docs/CAPACITY.md describes
 	cells           = 2
-	commentInterval = time.Second // pace of the stream's comments
+	commentInterval = time.Second // between the keep-alive comments of the stream
 )
 
-// entries are the list of dispatchers at some addresses. Names of different generations differ.
+// entries returns a list of dispatchers with the given addresses. Each generation has its own names.
 func entries(generation int, addresses []string) []entry {
 	all := make([]entry, 0, len(addresses))
 	for i, a := range addresses {
@@ -54,20 +54,20 @@
 	return all
 }
 
-// coordinator is a stand-in that serves the stream of events.
+// coordinator is a fake coordinator that serves the event stream.
 type coordinator struct {
 	server  *http.Server
 	address string
-	rate    int // bytes a second of each stream; 0 for any
+	rate    int // bytes per second of each stream; 0 for no limit
 
-	streams, bytes atomic.Int64 // times that the stream was asked for, and bytes of events that were written
+	streams, bytes atomic.Int64 // requests for the stream, and bytes written to all streams
 
 	mu      sync.Mutex
-	events  [][]byte // from number 1
+	events  [][]byte // events[0] has the number 1
 	changed chan struct{}
 }
 
-// startCoordinator opens a coordinator that knows of no event yet.
+// startCoordinator starts a coordinator without events.
 func startCoordinator(rate int) (*coordinator, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -75,18 +75,18 @@
 	}
 	c := &coordinator{address: ln.Addr().String(), rate: rate, changed: make(chan struct{})}
 	c.server = &http.Server{Handler: http.HandlerFunc(c.stream), ReadHeaderTimeout: time.Second}
-	go func() { _ = c.server.Serve(ln) }() // it ends with close
+	go func() { _ = c.server.Serve(ln) }() // it returns once close is called
 	return c, nil
 }
 
-func (c *coordinator) close() error { return c.server.Close() } //nolint:wrapcheck // it says what it is
+func (c *coordinator) close() error { return c.server.Close() } //nolint:wrapcheck // the error names its operation
 
-// publish tells an event; whole is for one that holds the entire list. It returns the bytes that go over the stream.
-func (c *coordinator) publish(whole bool, list []entry) (int, error) {
+// publish appends an event; snapshot marks one that holds the entire list. It returns the size of the event on the stream in bytes.
+func (c *coordinator) publish(snapshot bool, list []entry) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	number := int64(len(c.events) + 1)
-	data, err := json.Marshal(event{Index: number, Endpoints: endpoints{Index: number, Snapshot: whole, Endpoints: list}})
+	data, err := json.Marshal(event{Index: number, Endpoints: endpoints{Index: number, Snapshot: snapshot, Endpoints: list}})
 	if err != nil {
 		return 0, fmt.Errorf("capacity: %w", err)
 	}
@@ -97,7 +97,8 @@
 	return len(text), nil
 }
 
-// eventAfter is the event that follows a number, if there is one yet, and what is closed when there are more.
+// eventAfter returns the event after the given number, or nil if there is none yet, and a channel that is closed when an event is
+// published.
 func (c *coordinator) eventAfter(number int) (text []byte, more <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,9 +108,10 @@
 	return nil, c.changed
 }
 
+// stream serves all events after the Last-Event-ID of the request, and comments while there are none.
 func (c *coordinator) stream(w http.ResponseWriter, r *http.Request) {
 	c.streams.Add(1)
-	next, _ := strconv.Atoi(r.Header.Get("Last-Event-ID")) // without one, from the start
+	next, _ := strconv.Atoi(r.Header.Get("Last-Event-ID")) // 0 without the header: all events
 	w.Header().Set("Content-Type", "text/event-stream")
 	ticker := time.NewTicker(commentInterval)
 	defer ticker.Stop()
@@ -134,7 +136,7 @@
 	}
 }
 
-// write writes a text at the stream's rate, a tenth of a second's worth at a time.
+// write writes text at the rate of the stream, in parts of a tenth of a second each.
 func (c *coordinator) write(ctx context.Context, w http.ResponseWriter, text []byte) error {
 	const parts = 10
 	for len(text) > 0 {
--- a/internal/capacity/dispatchers.go
+++ b/internal/capacity/dispatchers.go
@@ -14,17 +14,17 @@
 	"cherryrelay/internal/sip"
 )
 
-// reportedState is the state that every stand-in of a dispatcher tells: it is never full.
+// reportedState is the state that every fake dispatcher reports. It is never full.
 const reportedState = "x0:1000000;x1:1000000"
 
-// connBuffer holds the messages of one connection. Those of the measurements are below 1 KiB.
+// connBuffer is the size of the read buffer of a connection in bytes. Messages in the measurements are below 1 KiB.
 const connBuffer = 4 << 10
 
-// dispatchers are stand-ins at an address each, that answer every set-up at once. They cost little memory, so there can be thousands;
-// internal/peer has the one whose every step a test scripts.
+// dispatchers is a set of fake dispatchers, each at its own address, that answer every set-up immediately. They need little memory, so
+// there can be thousands of them. internal/peer has a dispatcher that a test controls step by step.
 type dispatchers struct {
 	listeners []net.Listener
-	// onSetUp is told of each set-up and when the kernel took it in; nil for nobody. It does not change once there are connections.
+	// onSetUp, if not nil, is called for each set-up with the time at which the kernel received it. It is not changed after the start.
 	onSetUp func(id string, at time.Time)
 
 	mu    sync.Mutex
@@ -33,12 +33,12 @@
 	open, accepted, setUps, messages, bytes atomic.Int64
 }
 
-// startDispatchers opens so many dispatchers.
+// startDispatchers starts n dispatchers.
 func startDispatchers(n int) (*dispatchers, error) { return startStampedDispatchers(n, nil) }
 
-// startStampedDispatchers is dispatch with somebody who is told of set-ups.
-func startStampedDispatchers(n int, arrived func(id string, at time.Time)) (*dispatchers, error) {
-	d := &dispatchers{conns: map[net.Conn]bool{}, onSetUp: arrived}
+// startStampedDispatchers is like startDispatchers and calls onSetUp, if not nil, for each set-up.
+func startStampedDispatchers(n int, onSetUp func(id string, at time.Time)) (*dispatchers, error) {
+	d := &dispatchers{conns: map[net.Conn]bool{}, onSetUp: onSetUp}
 	for range n {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -50,7 +50,7 @@
 	return d, nil
 }
 
-// addresses are where they listen.
+// addresses returns the listen address of each dispatcher.
 func (d *dispatchers) addresses() []string {
 	var all []string
 	for _, ln := range d.listeners {
@@ -94,7 +94,7 @@
 	}
 }
 
-// serve answers what comes on a connection until it ends.
+// serve answers the messages on a connection until it is closed.
 func (d *dispatchers) serve(conn net.Conn) {
 	state := sip.Append(nil, &sip.Message{Method: "NOTIFY", URI: "sip:state@net", CallID: "state", Seq: 1, SeqOf: "NOTIFY",
 		Headers: []sip.Header{{Name: "P-Report", Value: reportedState}}})
@@ -135,12 +135,12 @@
 	}
 }
 
-// reader reads from a connection, with stamps where somebody is told of them.
+// reader returns a read function for a connection, with kernel time stamps if onSetUp is set.
 func (d *dispatchers) reader(conn net.Conn) (func(p []byte) (int, time.Time, error), error) {
 	if d.onSetUp == nil {
 		return func(p []byte) (int, time.Time, error) {
 			n, err := conn.Read(p)
-			return n, time.Time{}, err //nolint:wrapcheck // as any connection's
+			return n, time.Time{}, err //nolint:wrapcheck // io.Reader implementations return plain errors
 		}, nil
 	}
 	r, err := newStampedReader(conn)
@@ -150,22 +150,22 @@
 	return r.read, nil
 }
 
-// sendReport sends the state of the dispatcher on one of its connections, unasked.
+// sendReport sends an unsolicited state report on a connection. The reported state varies with number.
 func sendReport(conn net.Conn, number int) error {
 	text := sip.Append(nil, &sip.Message{Method: "NOTIFY", URI: "sip:state@net", CallID: "state", Seq: 1, SeqOf: "NOTIFY",
 		Headers: []sip.Header{{Name: "P-Report", Value: fmt.Sprintf("x0:%d;x1:1000000", 1_000_000-number%1000)}}})
 	_, err := conn.Write(text)
-	return err //nolint:wrapcheck // it says what it is
+	return err //nolint:wrapcheck // the error names its operation
 }
 
-// connections are those that are open.
+// connections returns the open connections.
 func (d *dispatchers) connections() []net.Conn {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Collect(maps.Keys(d.conns))
 }
 
-// answer is what a dispatcher says to a message; nil for nothing.
+// answer returns the encoded reply to a message, or nil if it needs none.
 func (d *dispatchers) answer(m *sip.Message) []byte {
 	reply := &sip.Message{Status: 200, Phrase: "OK", CallID: m.CallID, Seq: m.Seq, SeqOf: m.Method}
 	switch m.Method {
@@ -181,12 +181,12 @@
 	return sip.Append(nil, reply)
 }
 
-// refusingAddresses are addresses of loopback at which nobody listens: connections are refused at once.
+// refusingAddresses returns loopback addresses without a listener, which refuse connections immediately.
 func refusingAddresses(n int) []string {
-	const closedPort = 9 // of the discard service, which runs nowhere by now
+	const closedPort = 9 // port of the discard service, which is not in use today
 	var all []string
 	for i := range n {
-		address := net.IPv4(127, 77, byte(i>>8), byte(i)) // over 65,536 there are none
+		address := net.IPv4(127, 77, byte(i>>8), byte(i)) // unique up to 65,536 addresses
 		all = append(all, net.JoinHostPort(address.String(), fmt.Sprint(closedPort)))
 	}
 	return all
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -10,13 +10,13 @@
 	Slope, Offset float64
 }
 
-// At is the line's value at a size.
+// At returns the value of the line at a size.
 func (l Line) At(size float64) float64 { return l.Offset + l.Slope*size }
 
-// point is a value at a size.
+// point is a measured value at a size.
 type point struct{ size, value float64 }
 
-// leastSquares is the line with the least sum of squared distances. Of sizes that are all the same it is flat, at the mean.
+// leastSquares fits a line with the method of least squares. If all sizes are equal, the line is flat at the mean.
 func leastSquares(points []point) Line {
 	if len(points) == 0 {
 		return Line{}
@@ -40,34 +40,34 @@
 	return Line{Slope: slope, Offset: meanValue - slope*meanSize}
 }
 
-// Range is the least and the greatest of some values.
+// Range holds the least and the greatest of a set of values.
 type Range struct {
 	Least float64 `json:"least"`
 	Most  float64 `json:"most"`
 }
 
-// Fit is the line of one figure over all plays, and how far the lines of single plays lie apart.
+// Fit is the line fitted to one figure over all repetitions, with the spread between the single repetitions.
 type Fit struct {
 	Figure string  `json:"figure"`
 	Unit   string  `json:"unit"`
 	Slope  float64 `json:"slope"`
 	Offset float64 `json:"offset"`
-	Spread Range   `json:"spread"` // slopes of single plays
+	Spread Range   `json:"spread"` // slopes of the single repetitions
 	Sizes  Range   `json:"sizes"`
 	Plays  int     `json:"plays"`
-	// Residual is the greatest distance of a sample from the line, as a part of the line's value at the greatest size.
+	// Residual is the greatest distance of a sample from the line, relative to the value of the line at the greatest size.
 	Residual float64 `json:"residual"`
 	AtSizes  []Row   `json:"at_sizes"`
 }
 
-// Row is what a figure was at one size.
+// Row summarizes the values of a figure at one size.
 type Row struct {
 	Size   int     `json:"size"`
 	Median float64 `json:"median"`
 	Range  Range   `json:"range"`
 }
 
-// fitAll are the lines of all figures, in the order in which the figures first come.
+// fitAll fits a line to each figure, in the order in which the figures first occur.
 func fitAll(samples []Sample) []Fit {
 	var all []Fit
 	for _, s := range samples {
@@ -80,7 +80,7 @@
 	return all
 }
 
-// fitFigure is the line of one figure.
+// fitFigure fits a line to one figure.
 func fitFigure(samples []Sample, figure Figure) Fit {
 	var points []point
 	byPlay, bySize := map[int][]point{}, map[int][]float64{}
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -26,17 +26,17 @@
 const (
 	keyPrefix = "/capacity/members/"
 	leaseTime = membership.DefaultLease
-	// joinTimeout bounds the time until all members see all.
+	// joinTimeout is the time by which every member must see all members.
 	joinTimeout = time.Minute
-	// storeLink is the link on which all that members and store say to one another passes.
+	// storeLink names the fault link that carries all traffic between the members and the store.
 	storeLink = "members>store"
 )
 
-// fleet is a store with members, all in this process. They are the real members' code with a client each.
+// fleet is a fake store with members that run the real membership code, each with its own client, all in this process.
 type fleet struct {
 	store   *store.Store
 	net     *fault.Net
-	address string // of the store, as members reach it
+	address string // of the store, through the fault link
 	members []*membership.Fleet
 	clients []*clientv3.Client
 }
@@ -45,16 +45,17 @@
 	f := &fleet{store: store.New(1), net: fault.New(1)}
 	own, err := f.store.Listen("127.0.0.1:0")
 	if err != nil {
-		return nil, err //nolint:wrapcheck // it says what it is
+		return nil, err //nolint:wrapcheck // the error names its operation
 	}
 	f.address, err = f.net.Between("members", "store", own)
-	return f, err //nolint:wrapcheck // it says what it is
+	return f, err //nolint:wrapcheck // the error names its operation
 }
 
+// join starts a member that is serving.
 func (f *fleet) join(name string) error {
 	client, err := etcd.Dial([]string{f.address})
 	if err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error names its operation
 	}
 	m := membership.Start(client, membership.Options{Name: name, Address: "127.0.0.1:5060", Prefix: keyPrefix, Lease: leaseTime}, slog.New(slog.DiscardHandler))
 	m.Say(members.Serving)
@@ -62,12 +63,12 @@
 	return nil
 }
 
-// waitComplete waits until every member is certain and sees all.
+// waitComplete waits until every member holds its lease and sees all members.
 func (f *fleet) waitComplete(ctx context.Context) error {
-	from := 0 // those before it see all
+	next := 0 // members before this index see all members
 	return waitUntil(ctx, joinTimeout, 2*time.Millisecond, func() bool {
-		for ; from < len(f.members); from++ {
-			if v := f.members[from].Show(); !v.Certain || len(v.Members)+v.More != len(f.members) {
+		for ; next < len(f.members); next++ {
+			if v := f.members[next].Show(); !v.Certain || len(v.Members)+v.More != len(f.members) {
 				return false
 			}
 		}
@@ -76,29 +77,30 @@
 }
 
 func (f *fleet) close() {
-	f.store.Close() // first: nobody need say good-bye
+	f.store.Close() // first, so that the members need not leave one by one
 	for i, m := range f.members {
 		go func() {
 			m.Close()
-			_ = f.clients[i].Close() // its store has gone
+			_ = f.clients[i].Close() // the store is closed already
 		}()
 	}
 	f.net.Close()
 }
 
-// bytesPassed is all that has passed between members and store.
+// bytesPassed returns the bytes transferred between the members and the store, in both directions.
 func (f *fleet) bytesPassed() int64 {
-	forth, back := f.net.Passed(storeLink)
-	return forth + back
+	sent, received := f.net.Passed(storeLink)
+	return sent + received
 }
 
+// ownCPUTime returns the processor time of this process.
 func ownCPUTime() time.Duration {
 	var u syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u) // it can't fail with these arguments
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u) // it cannot fail with these arguments
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// measureMembers has members join one store and measures them at rest, and then what one more that joins makes of it.
+// measureMembers measures a fleet while it forms, while it is idle, and while one more member joins.
 func measureMembers(ctx context.Context, b *bench, size int) ([]Figure, error) {
 	f, err := newFleet()
 	if err != nil {
@@ -130,7 +132,7 @@
 		{"bytes", "a second", float64(f.bytesPassed()-bytes) / seconds},
 		{"processor, store and members together", "% of a core", 100 * (ownCPUTime() - cpu).Seconds() / seconds},
 	}
-	// The bytes at rest are taken off what one that joins makes.
+	// The bytes of the join exclude the traffic of the idle fleet.
 	bytes, start = f.bytesPassed(), time.Now()
 	if err := f.join("late"); err != nil {
 		return nil, err
@@ -146,12 +148,12 @@
 	return append(figures, Figure{"one joins: known to all after", "ms", milliseconds(known)}, Figure{"one joins: bytes", "", max(more, 0)}), nil
 }
 
-// operatorSections is the part of a controller's file for this fleet.
+// operatorSections returns the operator's file of a controller in this fleet.
 func (f *fleet) operatorSections() string {
 	return fmt.Sprintf("[fleet]\nendpoints = %s\nprefix = %s\nledgers = ledgers\n[ledger]\ndirectory = ledgers/n1\nlines = true\n", f.address, keyPrefix)
 }
 
-// measureLedgers has a controller watch the ledgers of others, whose owners live.
+// measureLedgers measures a controller that scans the ledgers of other controllers, all of which are live.
 func measureLedgers(ctx context.Context, b *bench, size int) ([]Figure, error) {
 	f, err := newFleet()
 	if err != nil {
@@ -161,7 +163,7 @@
 	for i := range size {
 		disk, err := ledger.OpenDirectory(filepath.Join(b.directory, "ledgers", fmt.Sprintf("other%d", i)))
 		if err != nil {
-			return nil, err //nolint:wrapcheck // it says what it is
+			return nil, err //nolint:wrapcheck // the error names its operation
 		}
 		defer disk.Close()
 	}
@@ -190,18 +192,19 @@
 	return c.withResourceUsage([]Figure{{"processor", "% of a core", share}, {"a look takes", "ms", float64(shown.LookMs)}, {"ledgers taken that live", "", float64(shown.Sealed)}})
 }
 
-// lostController is the controller whose ledger is taken over.
+// lostController is the name of the controller whose ledger is taken over.
 const lostController = "n0"
 
-// writeLedger leaves the ledger of a controller that is gone, with so many calls, nine in ten of which stand.
+// writeLedger writes the ledger of a failed controller. Nine in ten of its calls are established, the others have an attempt in
+// progress.
 func writeLedger(directory string, calls int, server, address string) (size uint64, err error) {
 	disk, err := ledger.OpenDirectory(directory)
 	if err != nil {
-		return 0, err //nolint:wrapcheck // it says what it is
+		return 0, err //nolint:wrapcheck // the error names its operation
 	}
 	l := ledger.New(disk, ledger.Options{Name: lostController, CommitTimeout: time.Minute, MaxSize: 1 << 30, SegmentSize: 1 << 30}, nil)
 	if err := l.BeginEpochAndWait(nil, time.Minute); err != nil {
-		return 0, err //nolint:wrapcheck // it says what it is
+		return 0, err //nolint:wrapcheck // the error names its operation
 	}
 	now := time.Now().UnixMicro()
 	for i := range calls {
@@ -222,18 +225,18 @@
 		}
 		if i%1000 == 999 {
 			if err := l.Commit(); err != nil {
-				return 0, err //nolint:wrapcheck // it says what it is
+				return 0, err //nolint:wrapcheck // the error names its operation
 			}
 		}
 	}
 	if err := l.Commit(); err != nil {
-		return 0, err //nolint:wrapcheck // it says what it is
+		return 0, err //nolint:wrapcheck // the error names its operation
 	}
 	size = l.Metrics().Bytes
-	return size, l.Close() //nolint:wrapcheck // it says what it is
+	return size, l.Close() //nolint:wrapcheck // the error names its operation
 }
 
-// measureTakeover has a controller take over the calls of one that is gone. Nobody comes for them, so the taker takes all.
+// measureTakeover measures a controller that takes over the calls of a failed one. No caller resumes a call, so it takes over all of them.
 func measureTakeover(ctx context.Context, b *bench, size int) ([]Figure, error) {
 	f, err := newFleet()
 	if err != nil {
@@ -273,19 +276,19 @@
 		})
 	})
 	if err != nil {
-		return nil, fmt.Errorf("%w; taken %d of %d, %d steps failed, logged: %s", err, shown.Left, size, shown.Failed, c.lastLogLine())
+		return nil, fmt.Errorf("%w; %d of %d calls taken over, %d steps failed, last log line: %s", err, shown.Left, size, shown.Failed, c.lastLogLine())
 	}
 	if c.hasEnded() {
-		return nil, fmt.Errorf("capacity: the controller has ended: %s", strings.TrimSpace(c.lastLogLine()))
+		return nil, fmt.Errorf("capacity: the controller exited: %s", strings.TrimSpace(c.lastLogLine()))
 	}
-	var layMs int64
+	var longestMs int64
 	for _, t := range shown.Told {
-		layMs = max(layMs, t.TookMs)
+		longestMs = max(longestMs, t.TookMs)
 	}
 	return c.withResourceUsage([]Figure{
 		{"ledger", "bytes", float64(bytes)},
 		{"ledger sealed after", "ms", milliseconds(sealed)},
-		{"calls laid out in", "ms", float64(layMs)},
+		{"calls laid out in", "ms", float64(longestMs)},
 		{"all calls taken after", "ms", milliseconds(taken)},
 		{"processor", "ms", milliseconds(used)},
 	})
--- a/internal/capacity/lists.go
+++ b/internal/capacity/lists.go
@@ -19,31 +19,33 @@
 )
 
 const (
-	// connectTimeoutFactor bounds the wait for connections to all that are listed, in times of settling: not all need come.
+	// connectTimeoutFactor times the settle time is the timeout for connections to all listed dispatchers. It may expire: a controller
+	// need not connect to all of them.
 	connectTimeoutFactor = 10
-	// maxAccepting is the longest list whose dispatchers all accept: each takes two descriptors of this process.
+	// maxAccepting is the largest number of dispatchers that accept connections: each needs two descriptors of this process.
 	maxAccepting = 4000
 	megabyte     = 1 << 20
 )
 
-// follower is a controller that follows a coordinator.
+// follower is a controller that gets its list from a coordinator.
 type follower struct {
 	*controller
 	coordinator *coordinator
-	dispatchers *dispatchers // nil if they refuse
+	dispatchers *dispatchers // nil if the addresses refuse connections
 	addresses   []string
 }
 
+// close stops the controller, the coordinator and the dispatchers.
 func (f *follower) close() {
 	f.stop()
-	_ = f.coordinator.close() // what it had to tell is told
+	_ = f.coordinator.close() // an error does not affect the measurement
 	if f.dispatchers != nil {
-		_ = f.dispatchers.close() // likewise
+		_ = f.dispatchers.close() // as above
 	}
 }
 
-// startFollower starts a controller with a list of dispatchers that accept, and spare dispatchers beside the list. Where there are too many
-// of them, all refuse.
+// startFollower starts a controller with a list of dispatchers that accept connections, and spare dispatchers that are not listed. If
+// there are more than maxAccepting in total, all of them refuse connections.
 func (b *bench) startFollower(ctx context.Context, listed, spare, rate int) (*follower, error) {
 	f := &follower{}
 	var err error
@@ -68,21 +70,21 @@
 	return f, nil
 }
 
-// waitSettled waits until the list is known and connections are up, and then until what that caused is over.
+// waitSettled waits until the list is active and its dispatchers are connected, and then for the settle time.
 func (f *follower) waitSettled(ctx context.Context, b *bench, listed int) error {
 	if err := f.waitForList(ctx, listed, startTimeout); err != nil {
 		return err
 	}
 	if f.dispatchers != nil {
 		err := waitUntil(ctx, connectTimeoutFactor*b.settleTime(), 5*time.Millisecond, func() bool { return int(f.dispatchers.open.Load()) >= listed })
-		if err != nil && !errors.Is(err, errTimeout) { // a controller may connect to some of them only
+		if err != nil && !errors.Is(err, errTimeout) { // a controller may connect to only some of them
 			return err
 		}
 	}
 	return pause(ctx, b.settleTime())
 }
 
-// measureIdleLive measures a controller that has nothing to do but to know its dispatchers.
+// measureIdleLive measures a controller with connected dispatchers and no calls.
 func measureIdleLive(ctx context.Context, b *bench, size int) ([]Figure, error) {
 	f, err := b.startFollower(ctx, size, 0, 0)
 	if err != nil {
@@ -105,7 +107,7 @@
 	return f.withResourceUsage(figures)
 }
 
-// withResourceUsage adds what the process holds: descriptors and memory.
+// withResourceUsage appends the descriptors and the memory of the process.
 func (p *process) withResourceUsage(figures []Figure) ([]Figure, error) {
 	descriptors, err := p.descriptors()
 	if err != nil {
@@ -116,8 +118,8 @@
 		Figure{"resident at most", "MB", float64(most) / megabyte}), err
 }
 
-// measureIdleRefusing measures a controller whose dispatchers all refuse connections. Dials are counted by the kernel for the whole
-// machine; what others fail to dial is taken off, as it was before the controller began.
+// measureIdleRefusing measures a controller whose dispatchers all refuse connections. The kernel counts failed dials for the whole
+// machine, so the rate before the start of the controller is subtracted.
 func measureIdleRefusing(ctx context.Context, b *bench, size int) ([]Figure, error) {
 	before, err := refusedDialRate(ctx, time.Second)
 	if err != nil {
@@ -131,7 +133,7 @@
 	return append(figures, Figure{"dials", "a second", max(dials-before, 0)}), err
 }
 
-// measureIdleSilent measures a controller whose dispatchers' machines are gone: connections to them never come up.
+// measureIdleSilent measures a controller whose dispatchers do not respond: connections to them are never established.
 func measureIdleSilent(ctx context.Context, b *bench, size int) ([]Figure, error) {
 	silent, err := startUnreachableDispatchers(size)
 	if err != nil {
@@ -145,7 +147,8 @@
 	return b.measureUnreachable(ctx, addresses, func() error { return pause(ctx, b.window) })
 }
 
-// startUnreachableDispatchers opens so many dispatchers to which no connection comes up. Each takes a while, so many are opened at once.
+// startUnreachableDispatchers starts n dispatchers to which no connection can be established. Starting one takes some time, so several
+// are started concurrently.
 func startUnreachableDispatchers(n int) ([]*peer.Dispatcher, error) {
 	const atOnce = 64
 	all, failed := make([]*peer.Dispatcher, n), make([]error, n)
@@ -162,8 +165,8 @@
 	return all, errors.Join(failed...)
 }
 
-// measureUnreachable measures a controller that reaches none of its dispatchers, while something is done.
-func (b *bench) measureUnreachable(ctx context.Context, addresses []string, do func() error) ([]Figure, error) {
+// measureUnreachable measures a controller that cannot connect to any of its dispatchers, for as long as the action runs.
+func (b *bench) measureUnreachable(ctx context.Context, addresses []string, action func() error) ([]Figure, error) {
 	c, err := b.startController(ctx, controllerOptions{dispatchers: entries(0, addresses)})
 	if err != nil {
 		return nil, err
@@ -172,10 +175,10 @@
 	if err := errors.Join(c.waitForList(ctx, len(addresses), startTimeout), pause(ctx, b.settleTime())); err != nil {
 		return nil, err
 	}
-	polling, stop := context.WithCancel(ctx)
+	pollCtx, stop := context.WithCancel(ctx)
 	most := make(chan int, 1)
-	go func() { most <- c.maxDescriptors(polling) }()
-	used, took, err := c.cpuDuring(do)
+	go func() { most <- c.maxDescriptors(pollCtx) }()
+	used, took, err := c.cpuDuring(action)
 	stop()
 	figures := []Figure{{"processor", "% of a core", 100 * used.Seconds() / took.Seconds()}, {"descriptors at most", "", float64(<-most)}}
 	if err != nil {
@@ -184,22 +187,22 @@
 	return c.withResourceUsage(figures)
 }
 
-// maxDescriptors looks at the process until the context ends, and returns how many descriptors it had at most.
+// maxDescriptors polls the process until the context ends, and returns the largest number of open descriptors.
 func (p *process) maxDescriptors(ctx context.Context) int {
-	const pace = 20 * time.Millisecond
+	const interval = 20 * time.Millisecond
 	most := 0
 	for ctx.Err() == nil {
 		n, err := p.descriptors()
 		if err != nil {
-			return most // it has ended
+			return most // the process has ended
 		}
 		most = max(most, n)
-		_ = pause(ctx, pace) // its end is seen above
+		_ = pause(ctx, interval) // the loop condition checks ctx
 	}
 	return most
 }
 
-// refusedDialRate is how many connections a second are refused on this machine, while a time passes.
+// refusedDialRate returns the number of refused connections per second on this machine, measured over a duration.
 func refusedDialRate(ctx context.Context, lasting time.Duration) (float64, error) {
 	before, err := attemptFails()
 	if err != nil {
@@ -213,7 +216,7 @@
 	return float64(after-before) / time.Since(start).Seconds(), err
 }
 
-// attemptFails is the kernel's count of that name (RFC 4022): connections that ended before they came up.
+// attemptFails returns the counter AttemptFails of the kernel (RFC 4022): connections that failed before they were established.
 func attemptFails() (int64, error) {
 	text, err := os.ReadFile("/proc/net/snmp")
 	if err != nil {
@@ -231,14 +234,14 @@
 		}
 		for i, name := range names {
 			if name == "AttemptFails" && i < len(fields) {
-				return strconv.ParseInt(fields[i], 10, 64) //nolint:wrapcheck // it says what it is
+				return strconv.ParseInt(fields[i], 10, 64) //nolint:wrapcheck // the error names its operation
 			}
 		}
 	}
-	return 0, errors.New("capacity: /proc/net/snmp does not tell AttemptFails")
+	return 0, errors.New("capacity: /proc/net/snmp has no field AttemptFails")
 }
 
-// measureStart measures a start with a pool file. Its dispatchers refuse.
+// measureStart measures the start of a controller with a pool file, whose servers refuse connections.
 func measureStart(ctx context.Context, b *bench, size int) ([]Figure, error) {
 	var members []pool.Member
 	for i, address := range refusingAddresses(size) {
@@ -278,10 +281,10 @@
 	})
 }
 
-// eventTimeout is how long an event is waited for.
+// eventTimeout is the time by which an event must take effect.
 const eventTimeout = 20 * time.Second
 
-// measureWholeList has a list of one replaced by a whole one.
+// measureWholeList measures one event that replaces a list of one dispatcher by a whole list.
 func measureWholeList(ctx context.Context, b *bench, size int) ([]Figure, error) {
 	f, err := b.startFollower(ctx, 1, size, 0)
 	if err != nil {
@@ -303,7 +306,7 @@
 		return errors.Join(err, f.waitForList(ctx, size, eventTimeout))
 	})
 	if err != nil {
-		return nil, fmt.Errorf("%w; %d bytes, the stream was asked for %d times; logged: %s", err, length, f.coordinator.streams.Load(), f.lastLogLine())
+		return nil, fmt.Errorf("%w; %d bytes, %d requests for the stream, last log line: %s", err, length, f.coordinator.streams.Load(), f.lastLogLine())
 	}
 	later, _, err := f.cpuDuring(func() error { return pause(ctx, b.settleTime()) })
 	return []Figure{
@@ -318,13 +321,14 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// slowListRate is what the deployment allows a controller for control, in bytes a second.
+// slowListRate is the bandwidth of a controller for control traffic in the deployment, in bytes per second.
 const slowListRate = 16 << 10
 
-// slowListTimeout is how long it is waited for there: twice the time in which a change is to be in force.
+// slowListTimeout is twice the time in which a change must become active.
 const slowListTimeout = 10 * time.Second
 
-// measureSlowList has a whole list come at the rate that the deployment allows.
+// measureSlowList measures one event with a whole list at slowListRate. A list that does not become active in time is a result, not an
+// error.
 func measureSlowList(ctx context.Context, b *bench, size int) ([]Figure, error) {
 	f, err := b.startFollower(ctx, 1, size, slowListRate)
 	if err != nil {
@@ -337,23 +341,23 @@
 	if err != nil {
 		return nil, err
 	}
-	arrived := 1.0
+	active := 1.0
 	err = f.waitForList(ctx, size, slowListTimeout)
 	took := time.Since(start)
 	if errors.Is(err, errTimeout) {
-		arrived, err = 0, nil
+		active, err = 0, nil
 	}
 	return []Figure{
 		{"bytes", "", float64(length)},
-		{"in force", "1 for yes", arrived},
+		{"in force", "1 for yes", active},
 		{"in force after, or given up after", "s", took.Seconds()},
 		{"streams asked for anew", "", float64(f.coordinator.streams.Load() - streams)},
 	}, err
 }
 
-// measureOneChange adds dispatchers to a list, an event each.
+// measureOneChange measures events that each add one dispatcher to a list.
 func measureOneChange(ctx context.Context, b *bench, size int) ([]Figure, error) {
-	const timed, counted = 10, 40 // events whose time is taken, and events whose processor time is
+	const timed, counted = 10, 40 // events for the latency, and events for the processor time
 	f, err := b.startFollower(ctx, size, timed+counted, 0)
 	if err != nil {
 		return nil, err
@@ -403,7 +407,7 @@
 	}, nil
 }
 
-// measureReplace has a whole list replaced by another at the same addresses, with one more.
+// measureReplace measures one event that replaces the whole list by one with the same addresses, other names and one more dispatcher.
 func measureReplace(ctx context.Context, b *bench, size int) ([]Figure, error) {
 	f, err := b.startFollower(ctx, size, 1, 0)
 	if err != nil {
@@ -438,8 +442,8 @@
 	}, err
 }
 
-// measureReload has the settings read again with a list in force: some times to see when they are in force, and some times for the processor
-// time, in which nothing is asked.
+// measureReload measures reloads of the configuration with an active list. A first series measures the time until a reload takes effect.
+// A second one measures the processor time, without requests for metrics, which would add to it.
 func measureReload(ctx context.Context, b *bench, size int) ([]Figure, error) {
 	const times = 5
 	f, err := b.startFollower(ctx, size, 0, 0)
@@ -477,7 +481,7 @@
 		return nil, err
 	}
 	if n := int(f.metric(ctx, "reloads_ok_total")); n != 2*times {
-		return nil, fmt.Errorf("capacity: %d of %d reloads came into force", n, 2*times)
+		return nil, fmt.Errorf("capacity: %d of %d reloads took effect", n, 2*times)
 	}
 	return []Figure{
 		{"in force after, median", "ms", milliseconds(median(took))},
@@ -485,10 +489,10 @@
 	}, nil
 }
 
-// reportingDispatchers is how many dispatchers tell their state where reports are measured.
+// reportingDispatchers is the number of dispatchers in measureReports.
 const reportingDispatchers = 200
 
-// measureReports has dispatchers tell their state unasked, so many a second in all.
+// measureReports measures unsolicited state reports of dispatchers; the size is their total number per second.
 func measureReports(ctx context.Context, b *bench, size int) ([]Figure, error) {
 	f, err := b.startFollower(ctx, reportingDispatchers, 0, 0)
 	if err != nil {
@@ -499,16 +503,16 @@
 	if err != nil {
 		return nil, err
 	}
-	links := f.dispatchers.connections()
-	if len(links) == 0 {
-		return nil, errors.New("capacity: no connections to tell a state on")
+	conns := f.dispatchers.connections()
+	if len(conns) == 0 {
+		return nil, errors.New("capacity: no connections for the reports")
 	}
-	told := 0
+	sent := 0
 	used, took, err := f.cpuDuring(func() error {
 		for start := time.Now(); time.Since(start) < b.window; {
 			due := int(time.Since(start).Seconds() * float64(size))
-			for ; told < due; told++ {
-				if err := sendReport(links[told%len(links)], told); err != nil {
+			for ; sent < due; sent++ {
+				if err := sendReport(conns[sent%len(conns)], sent); err != nil {
 					return err
 				}
 			}
@@ -524,7 +528,7 @@
 	share := 100 * used.Seconds() / took.Seconds()
 	return []Figure{
 		{"processor", "% of a core", share},
-		{"processor a report", "us", 1e6 * (share - idle) / 100 * took.Seconds() / float64(max(told, 1))},
-		{"reports told", "a second", float64(told) / took.Seconds()},
+		{"processor a report", "us", 1e6 * (share - idle) / 100 * took.Seconds() / float64(max(sent, 1))},
+		{"reports told", "a second", float64(sent) / took.Seconds()},
 	}, nil
 }
--- a/internal/capacity/load.go
+++ b/internal/capacity/load.go
@@ -14,47 +14,47 @@
 )
 
 const (
-	// sessionDescription is that of a call, of the size of a small SDP.
+	// sessionDescription is the description of every call. It has the size of a small SDP body.
 	sessionDescription = "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0 8 101\r\n"
-	// answerTimeout is how long a caller waits for an answer.
+	// answerTimeout is how long a caller waits for the final answer.
 	answerTimeout = 5 * time.Second
-	// callerConnections share the calls of a load.
+	// callerConnections is the number of connections over which the calls are distributed.
 	callerConnections = 4
-	// drainTimeout is how long the last answers are waited for.
+	// drainTimeout is the time allowed for the last answers.
 	drainTimeout = 500 * time.Millisecond
-	// maxLatencyUs bounds a histogram, in microseconds.
+	// maxLatencyUs is the upper limit of a histogram in microseconds.
 	maxLatencyUs = 60_000_000
-	// releaseCause is that of a call that ends as it should.
+	// releaseCause is the cause of a normal release.
 	releaseCause = 16
 )
 
-// load places calls at a pace, whatever the answers take, and releases each once it is answered.
+// load places calls at a constant rate, independent of the latency of answers, and releases each call once it is answered.
 type load struct {
 	callers    []*peer.Caller
 	lastNumber int
 
 	mu           sync.Mutex
-	pending      map[string]time.Time // calls without an answer
+	pending      map[string]time.Time // time of the set-up of each call without an answer, by id
 	latencies    *hdrhistogram.Histogram
-	forwardTimes *hdrhistogram.Histogram // from a caller's write to the write towards the dispatcher
+	forwardTimes *hdrhistogram.Histogram // from the write of the caller to the write to the dispatcher
 	answered     int
 	refused      int
 }
 
-// newLoad is a load without callers. Numbers of calls begin at first.
-func newLoad(first int) *load {
+// newLoad returns a load without callers. Its calls are numbered after last.
+func newLoad(last int) *load {
 	const digits = 3
-	return &load{lastNumber: first, pending: map[string]time.Time{}, latencies: hdrhistogram.New(1, maxLatencyUs, digits),
+	return &load{lastNumber: last, pending: map[string]time.Time{}, latencies: hdrhistogram.New(1, maxLatencyUs, digits),
 		forwardTimes: hdrhistogram.New(1, maxLatencyUs, digits)}
 }
 
-// connect connects callers to an address.
+// connect opens the connections of the callers.
 func (l *load) connect(address string) error {
 	for range callerConnections {
 		c, err := peer.Call("tcp", address)
 		if err != nil {
 			l.close()
-			return err //nolint:wrapcheck // it says what it is
+			return err //nolint:wrapcheck // the error names its operation
 		}
 		l.callers = append(l.callers, c)
 		go l.readMessages(c)
@@ -62,22 +62,23 @@
 	return nil
 }
 
-// recordArrival takes in when a set-up was written towards its dispatcher.
+// recordArrival records the time at which a set-up was written to its dispatcher.
 func (l *load) recordArrival(id string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if sent, open := l.pending[id]; open && !at.IsZero() {
-		_ = l.forwardTimes.RecordValue(max(at.UnixMicro()-sent.UnixMicro(), 1)) // beyond a minute nobody waits
+		_ = l.forwardTimes.RecordValue(max(at.UnixMicro()-sent.UnixMicro(), 1)) // no caller waits longer than maxLatencyUs
 	}
 }
 
+// close closes the connections of the callers.
 func (l *load) close() {
 	for _, c := range l.callers {
-		_ = c.Close() // what it was for is over
+		_ = c.Close() // the measurement is complete
 	}
 }
 
-// readMessages takes what callers are told.
+// readMessages processes the messages to one caller: it records answers and refusals, and releases answered calls.
 func (l *load) readMessages(c *peer.Caller) {
 	for {
 		m, err := c.NextWithin(time.Hour)
@@ -90,7 +91,7 @@
 		delete(l.pending, m.ID)
 		if open && m.Type == "answer" {
 			l.answered++
-			_ = l.latencies.RecordValue(at.Sub(sent).Microseconds()) // beyond a minute nobody waits
+			_ = l.latencies.RecordValue(at.Sub(sent).Microseconds()) // no caller waits longer than maxLatencyUs
 		} else if open {
 			l.refused++
 		}
@@ -101,12 +102,12 @@
 	}
 }
 
-// placeCalls sets calls up at a pace while a time passes, and returns how many.
-func (l *load) placeCalls(ctx context.Context, perSecond int, lasting time.Duration) (int, error) {
+// placeCalls sets up calls at a constant rate for a duration, and returns the number of calls.
+func (l *load) placeCalls(ctx context.Context, perSecond int, duration time.Duration) (int, error) {
 	start, placed := time.Now(), 0
 	for ; ; placed++ {
 		due := start.Add(time.Duration(placed) * time.Second / time.Duration(perSecond))
-		if due.Sub(start) >= lasting {
+		if due.Sub(start) >= duration {
 			return placed, nil
 		}
 		if wait := time.Until(due); wait > 0 {
@@ -125,28 +126,28 @@
 	}
 }
 
-// countUnanswered waits a little for the last answers, and counts what is left.
+// countUnanswered waits up to drainTimeout for the last answers, and returns the number of calls without one.
 func (l *load) countUnanswered(ctx context.Context) (int, error) {
-	left := 0
+	unanswered := 0
 	err := waitUntil(ctx, drainTimeout, time.Millisecond, func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		left = len(l.pending)
-		return left == 0
+		unanswered = len(l.pending)
+		return unanswered == 0
 	})
 	if errors.Is(err, errTimeout) {
 		err = nil
 	}
-	return left, err
+	return unanswered, err
 }
 
-// quantiles that are told of latencies.
+// quantiles are the percentiles that are reported of each latency.
 var quantiles = []float64{50, 90, 95, 99}
 
-// latency tells the quantiles from set-up to answer in milliseconds, each under a name that begins like that.
+// latency returns the quantiles of the time from set-up to answer, as figures whose names begin with name.
 func (l *load) latency(name string) []Figure { return l.quantilesOf(name, l.latencies) }
 
-// forwardTime tells those from the caller's write to the write towards the dispatcher.
+// forwardTime returns the quantiles of the time from the write of the caller to the write to the dispatcher.
 func (l *load) forwardTime(name string) []Figure {
 	return l.quantilesOf(name+" set-up passed on", l.forwardTimes)
 }
@@ -161,14 +162,14 @@
 	return figures
 }
 
-// counts are how many calls were answered, and how many refused.
+// counts returns the numbers of answered and refused calls.
 func (l *load) counts() (answered, refused int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.answered, l.refused
 }
 
-// median is the middle one of some times.
+// median returns the median of times; of an even number, it is the upper one.
 func median(times []time.Duration) time.Duration {
 	sorted := slices.Sorted(slices.Values(times))
 	return sorted[len(sorted)/2]
--- a/internal/capacity/loop.go
+++ b/internal/capacity/loop.go
@@ -8,10 +8,10 @@
 	"cherryrelay/internal/peer"
 )
 
-// pingInterval is the pace at which a controller's event loop is asked for a sign.
+// pingInterval is the pause between two pings.
 const pingInterval = 2 * time.Millisecond
 
-// loopWatch asks a controller's event loop for a sign every few milliseconds, and keeps the longest wait for one.
+// loopWatch pings the event loop of a controller every few milliseconds, and records the longest wait for a reply.
 type loopWatch struct {
 	address  string
 	stopping chan struct{}
@@ -21,30 +21,30 @@
 	longest time.Duration
 }
 
-// startLoopWatch tests the front of a controller, over and over: every answer is given by its event loop.
+// startLoopWatch starts to ping the listener for callers, where the event loop sends every reply.
 func startLoopWatch(address string) (*loopWatch, error) {
 	c, err := peer.Call("tcp", address)
 	if err != nil {
-		return nil, err //nolint:wrapcheck // it says what it is
+		return nil, err //nolint:wrapcheck // the error names its operation
 	}
 	w := &loopWatch{address: address, stopping: make(chan struct{}), done: make(chan struct{})}
 	go w.run(c)
 	return w, nil
 }
 
-// run tests on one connection after the other: a front closes one on which no call is set up.
+// run pings until close is called. It reconnects when the controller closes the connection, as it does if no call is set up.
 func (w *loopWatch) run(c *peer.Caller) {
 	defer close(w.done)
 	for {
 		select {
 		case <-w.stopping:
-			_ = c.Close() // it has served
+			_ = c.Close() // the measurement is complete
 			return
 		default:
 		}
 		start := time.Now()
 		if w.ping(c) != nil {
-			_ = c.Close() // it is closed at the other end
+			_ = c.Close() // the controller has closed it
 			var err error
 			if c, err = peer.Call("tcp", w.address); err != nil {
 				return // the controller has ended
@@ -58,15 +58,16 @@
 	}
 }
 
+// ping sends one ping and waits for the reply.
 func (w *loopWatch) ping(c *peer.Caller) error {
 	if err := c.Send(jsonl.Message{Type: "ping", ID: "0000000000000000"}); err != nil {
-		return err //nolint:wrapcheck // only that there is one counts
+		return err //nolint:wrapcheck // the caller only compares it with nil
 	}
 	_, err := c.Next()
-	return err //nolint:wrapcheck // only that there is one counts
+	return err //nolint:wrapcheck // the caller only compares it with nil
 }
 
-// reset returns the longest wait since it was called last.
+// reset returns the longest wait since the previous call.
 func (w *loopWatch) reset() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -75,6 +76,7 @@
 	return longest
 }
 
+// close stops the pings and waits until they have ended.
 func (w *loopWatch) close() {
 	close(w.stopping)
 	<-w.done
--- a/internal/capacity/process.go
+++ b/internal/capacity/process.go
@@ -16,20 +16,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// process is one that this program has started.
+// process is a child process whose resource usage is measured.
 type process struct {
 	cmd     *exec.Cmd
-	logFile string // file of what it logged
+	logFile string // path of its log
 	ended   chan struct{}
 	budget  *budget
 }
 
-// stopTimeout is how long a process may take to serve out after SIGTERM; then it is killed.
+// stopTimeout is how long a process may drain after SIGTERM before it is killed.
 const stopTimeout = 500 * time.Millisecond
 
-// stop ends the process and waits for its end.
+// stop terminates the process and waits until it has ended.
 func (p *process) stop() {
-	_ = p.cmd.Process.Signal(syscall.SIGTERM) // to one that has ended it is for nobody
+	_ = p.cmd.Process.Signal(syscall.SIGTERM) // it fails if the process has ended already
 	select {
 	case <-p.ended:
 	case <-time.After(stopTimeout):
@@ -49,17 +49,17 @@
 	}
 }
 
-// lastLogLine is the last line that the process has logged.
+// lastLogLine returns the last line of the log of the process.
 func (p *process) lastLogLine() string {
-	text, _ := os.ReadFile(p.logFile) // what can't be read tells nothing
+	text, _ := os.ReadFile(p.logFile) // empty if the log cannot be read
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 	return lines[len(lines)-1]
 }
 
-// cpuClockID is the kernel's number of a process's processor clock (CPUCLOCK_SCHED of its thread group; see clock_getcpuclockid).
+// cpuClockID returns the id of the processor clock of a process (CPUCLOCK_SCHED of its thread group; see clock_getcpuclockid).
 func cpuClockID(pid int) int32 { return int32(^pid)<<3 | 2 }
 
-// cpu is the processor time that the process has used, in all its threads, to the nanosecond.
+// cpu returns the processor time of all threads of the process, to the nanosecond.
 func (p *process) cpu() (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(cpuClockID(p.cmd.Process.Pid), &t); err != nil {
@@ -68,27 +68,27 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// cpuDuring is the processor time that the process uses while something is done, and how long that took.
-func (p *process) cpuDuring(do func() error) (used, took time.Duration, err error) {
+// cpuDuring runs an action and returns the processor time that the process used meanwhile, and the duration.
+func (p *process) cpuDuring(action func() error) (used, took time.Duration, err error) {
 	before, err := p.cpu()
 	if err != nil {
 		return 0, 0, err
 	}
 	start := time.Now()
-	if err := do(); err != nil {
+	if err := action(); err != nil {
 		return 0, 0, err
 	}
 	after, err := p.cpu()
 	return after - before, time.Since(start), err
 }
 
-// cpuPercent is the part of one core that the process uses while a time passes, in percent.
-func (p *process) cpuPercent(ctx context.Context, lasting time.Duration) (float64, error) {
-	used, took, err := p.cpuDuring(func() error { return pause(ctx, lasting) })
+// cpuPercent returns the processor usage of the process over a duration, in percent of one core.
+func (p *process) cpuPercent(ctx context.Context, duration time.Duration) (float64, error) {
+	used, took, err := p.cpuDuring(func() error { return pause(ctx, duration) })
 	return 100 * used.Seconds() / took.Seconds(), err
 }
 
-// descriptors is how many the process has open.
+// descriptors returns the number of open file descriptors of the process.
 func (p *process) descriptors() (int, error) {
 	d, err := os.Open(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil {
@@ -102,12 +102,13 @@
 	return len(names), nil
 }
 
-// residentMemory is the memory that the process has, in bytes: now, and at most so far.
-func (p *process) residentMemory() (now, most int64, err error) {
+// residentMemory returns the current and the peak resident memory of the process in bytes.
+func (p *process) residentMemory() (now, peak int64, err error) {
 	return residentBytes(p.cmd.Process.Pid)
 }
 
-func residentBytes(pid int) (now, most int64, err error) {
+// residentBytes returns the current and the peak resident memory of a process in bytes.
+func residentBytes(pid int) (now, peak int64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0, 0, fmt.Errorf("capacity: %w", err)
@@ -119,13 +120,13 @@
 		case "VmRSS":
 			now = kilobytes << 10
 		case "VmHWM":
-			most = kilobytes << 10
+			peak = kilobytes << 10
 		}
 	}
-	return now, most, nil
+	return now, peak, nil
 }
 
-// budget bounds the memory and the processes of a run, this process among them.
+// budget limits the total memory and the number of processes of a run, including this process.
 type budget struct {
 	memory    int64 // bytes
 	processes int
@@ -134,10 +135,10 @@
 	pids map[int]bool
 }
 
-// Errors of a run that was ended because it used too much.
+// Errors of a run that exceeded its budget.
 var (
-	errMemory    = errors.New("the bound on memory is passed")
-	errProcesses = errors.New("the bound on processes is passed")
+	errMemory    = errors.New("memory limit exceeded")
+	errProcesses = errors.New("process limit exceeded")
 )
 
 func newBudget(memory int64, processes int) *budget {
@@ -156,7 +157,7 @@
 	delete(b.pids, pid)
 }
 
-// check reports whether a bound is passed now.
+// check returns an error if a limit is exceeded.
 func (b *budget) check() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -166,7 +167,7 @@
 	total := int64(0)
 	for pid := range b.pids {
 		now, _, err := residentBytes(pid)
-		if err == nil { // else it has just ended
+		if err == nil { // the process may have just ended
 			total += now
 		}
 	}
@@ -176,14 +177,14 @@
 	return nil
 }
 
-// checkInterval is the pace at which bounds are checked.
+// checkInterval is the interval between two checks of the budget.
 const checkInterval = 100 * time.Millisecond
 
-// enforce ends the run once a bound is passed.
-func (b *budget) enforce(ctx context.Context, end context.CancelCauseFunc) {
+// enforce checks the budget until the context ends, and ends the run once a limit is exceeded.
+func (b *budget) enforce(ctx context.Context, cancel context.CancelCauseFunc) {
 	for {
 		if err := b.check(); err != nil {
-			end(err)
+			cancel(err)
 			return
 		}
 		if pause(ctx, checkInterval) != nil {
--- a/internal/capacity/relay.go
+++ b/internal/capacity/relay.go
@@ -15,18 +15,18 @@
 	"cherryrelay/internal/ring"
 )
 
-// relayCommand runs the plain relay that calls are held against, as a process of its own.
+// relayCommand returns the command that runs the plain relay, the baseline for calls, as a separate process.
 func relayCommand() *cobra.Command {
 	var target string
 	c := &cobra.Command{
 		Use: "relay", Short: "Run the plain relay that calls are measured against", Args: cobra.NoArgs, Hidden: true,
 		RunE: func(c *cobra.Command, _ []string) error { return relay(c.Context(), c.OutOrStdout(), target) },
 	}
-	c.Flags().StringVar(&target, "to", "", "where it passes everything on to")
+	c.Flags().StringVar(&target, "to", "", "address to forward all connections to")
 	return c
 }
 
-// relay passes the bytes of each connection on to a target and back, until the context ends. It says where it listens.
+// relay forwards the bytes of each connection to a target and back until the context ends. It writes its listen address to out.
 func relay(ctx context.Context, out io.Writer, target string) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,7 +37,7 @@
 	for {
 		caller, err := ln.Accept()
 		if err != nil {
-			return nil //nolint:nilerr // it is told to end
+			return nil //nolint:nilerr // the context has ended
 		}
 		remote, err := net.Dial("tcp", target)
 		if err != nil {
@@ -48,8 +48,8 @@
 	}
 }
 
-// forward copies what comes from one connection to another until one of them ends. It reads and writes, as a program that looks at what
-// passes has to; io.Copy would leave the copying to the kernel.
+// forward copies bytes from one connection to another until one of them is closed. It reads and writes, as a program that inspects the
+// data must; io.Copy would leave the copying to the kernel.
 func forward(from, to net.Conn) {
 	defer from.Close()
 	defer to.Close()
@@ -65,8 +65,9 @@
 	}
 }
 
-// startEchoServer is a server that answers every set-up that comes as a JSON line, as a dispatcher would. It tells when the kernel took each in.
-func startEchoServer(arrived func(id string, at time.Time)) (net.Listener, error) {
+// startEchoServer starts a server that answers every set-up in a JSON line, in place of a dispatcher. It calls onSetUp with the time at
+// which the kernel received each set-up.
+func startEchoServer(onSetUp func(id string, at time.Time)) (net.Listener, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("capacity: echo: %w", err)
@@ -77,13 +78,14 @@
 			if err != nil {
 				return // closed
 			}
-			go answerSetUps(c, arrived)
+			go answerSetUps(c, onSetUp)
 		}
 	}()
 	return ln, nil
 }
 
-func answerSetUps(c net.Conn, arrived func(id string, at time.Time)) {
+// answerSetUps answers the set-ups on a connection until it is closed.
+func answerSetUps(c net.Conn, onSetUp func(id string, at time.Time)) {
 	defer c.Close()
 	r, err := newStampedReader(c)
 	if err != nil {
@@ -108,7 +110,7 @@
 			if m.Type != "setup" {
 				continue
 			}
-			arrived(m.ID, at)
+			onSetUp(m.ID, at)
 			text, err := jsonl.Append(nil, jsonl.Message{Type: "answer", ID: m.ID, SDP: m.SDP})
 			if err != nil {
 				return
@@ -120,7 +122,7 @@
 	}
 }
 
-// startRelay starts the relay as a process, and returns where it listens.
+// startRelay starts the relay as a process, and returns its listen address.
 func (b *bench) startRelay(ctx context.Context, target string) (p *process, address string, err error) {
 	read, write := io.Pipe()
 	own, err := ownProgram()
--- a/internal/capacity/stamp.go
+++ b/internal/capacity/stamp.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// stampedReader reads from a connection and tells when the kernel took in what is read (SO_TIMESTAMPNS). On loopback that is when the
-// other end wrote it, so the time in which this program wakes up is left out. The kernel begins a moment after the first socket asks for
-// it: until then at is zero.
+// stampedReader reads from a connection and returns the time at which the kernel received the data (SO_TIMESTAMPNS). On loopback that is
+// the time at which the other end wrote it, so it excludes the time until this program wakes up. The kernel starts to set time stamps
+// shortly after the first socket enables them; until then the time is zero.
 type stampedReader struct {
 	raw interface {
 		Read(func(fd uintptr) bool) error
@@ -20,7 +20,7 @@
 	oob []byte
 }
 
-// newStampedReader has the kernel stamp what a connection brings.
+// newStampedReader enables kernel time stamps on a connection and returns a reader for it.
 func newStampedReader(c net.Conn) (*stampedReader, error) {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
@@ -40,7 +40,7 @@
 	return &stampedReader{raw: raw, oob: make([]byte, unix.CmsgSpace(int(unsafe.Sizeof(unix.Timespec{}))))}, nil
 }
 
-// read is like a connection's Read; at is the stamp of the last bytes.
+// read is like Read of a connection; at is the time stamp of the last bytes.
 func (r *stampedReader) read(p []byte) (n int, at time.Time, err error) {
 	var received error
 	length := 0
@@ -50,9 +50,9 @@
 	})
 	switch {
 	case err != nil:
-		return 0, at, err //nolint:wrapcheck // as any connection's
+		return 0, at, err //nolint:wrapcheck // io.Reader implementations return plain errors
 	case received != nil:
-		return 0, at, received //nolint:wrapcheck // as any connection's
+		return 0, at, received //nolint:wrapcheck // io.Reader implementations return plain errors
 	case n == 0:
 		return 0, at, io.EOF
 	}
@@ -62,7 +62,7 @@
 	}
 	for _, m := range messages {
 		if m.Header.Level == unix.SOL_SOCKET && m.Header.Type == unix.SCM_TIMESTAMPNS {
-			stamp := *(*unix.Timespec)(unsafe.Pointer(unsafe.SliceData(m.Data))) // of the kernel, which aligns and fills it
+			stamp := *(*unix.Timespec)(unsafe.Pointer(unsafe.SliceData(m.Data))) // the kernel aligns and fills the data
 			at = time.Unix(stamp.Unix())
 		}
 	}
