--- a/cmd/cherryrelay-lab/main.go
+++ b/cmd/cherryrelay-lab/main.go
@@ -160,11 +160,11 @@
 	if t.quiet {
 		return func(float64) {}
 	}
-	const wide = 40
-	return func(part float64) {
-		done := int(min(part, 1) * wide)
-		fmt.Fprintf(out, "\r%d of %d [%s%s]", seed+1, t.seeds, strings.Repeat("#", done), strings.Repeat(" ", wide-done))
-		if part >= 1 {
+	const width = 40
+	return func(fraction float64) {
+		done := int(min(fraction, 1) * width)
+		fmt.Fprintf(out, "\r%d of %d [%s%s]", seed+1, t.seeds, strings.Repeat("#", done), strings.Repeat(" ", width-done))
+		if fraction >= 1 {
 			fmt.Fprint(out, "\r\033[K")
 		}
 	}
--- a/cmd/cherryrelay-lab/scale.go
+++ b/cmd/cherryrelay-lab/scale.go
@@ -118,11 +118,11 @@
 
 // scaleProgress returns a function that redraws a progress bar in place.
 func scaleProgress(out io.Writer) func(string, float64) {
-	const wide = 40
-	return func(phase string, part float64) {
-		done := int(max(min(part, 1), 0) * wide)
-		fmt.Fprintf(out, "\r[%s%s] %-12s", strings.Repeat("#", done), strings.Repeat(" ", wide-done), phase)
-		if part >= 1 {
+	const width = 40
+	return func(phase string, fraction float64) {
+		done := int(max(min(fraction, 1), 0) * width)
+		fmt.Fprintf(out, "\r[%s%s] %-12s", strings.Repeat("#", done), strings.Repeat(" ", width-done), phase)
+		if fraction >= 1 {
 			fmt.Fprint(out, "\r\033[K")
 		}
 	}
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -199,18 +199,18 @@
 		t.Fatal(err)
 	}
 	start := time.Now()
-	nc, err := net.Dial("tcp", c.address)
+	conn, err := net.Dial("tcp", c.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
-	if _, err := io.WriteString(nc, "GET /v2/stream HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
+	defer conn.Close()
+	if _, err := io.WriteString(conn, "GET /v2/stream HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
 	var text []byte
 	chunk := make([]byte, 4096)
 	for !bytes.Contains(text, []byte(`"s-00000002"`)) { // the last entry of the list
-		n, err := nc.Read(chunk)
+		n, err := conn.Read(chunk)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/capacity/dispatchers.go
+++ b/internal/capacity/dispatchers.go
@@ -59,6 +59,7 @@
 	return all
 }
 
+// close closes all listeners and connections.
 func (d *dispatchers) close() error {
 	var err error
 	for _, ln := range d.listeners {
@@ -72,6 +73,7 @@
 	return err
 }
 
+// accept serves the connections to one dispatcher until its listener is closed.
 func (d *dispatchers) accept(ln net.Listener) {
 	for {
 		conn, err := ln.Accept()
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -41,6 +41,7 @@
 	clients []*clientv3.Client
 }
 
+// newFleet starts a store that is reached through a fault link, without members.
 func newFleet() (*fleet, error) {
 	f := &fleet{store: store.New(1), net: fault.New(1)}
 	own, err := f.store.Listen("127.0.0.1:0")
@@ -76,6 +77,7 @@
 	})
 }
 
+// close closes the store, the members and their clients. It does not wait for the members.
 func (f *fleet) close() {
 	f.store.Close() // first, so that the members need not leave one by one
 	for i, m := range f.members {
--- a/internal/capacity/lists.go
+++ b/internal/capacity/lists.go
@@ -113,9 +113,9 @@
 	if err != nil {
 		return nil, err
 	}
-	now, most, err := p.residentMemory()
+	now, peak, err := p.residentMemory()
 	return append(figures, Figure{"descriptors", "", float64(descriptors)}, Figure{"resident", "MB", float64(now) / megabyte},
-		Figure{"resident at most", "MB", float64(most) / megabyte}), err
+		Figure{"resident at most", "MB", float64(peak) / megabyte}), err
 }
 
 // measureIdleRefusing measures a controller whose dispatchers all refuse connections. The kernel counts failed dials for the whole
@@ -135,12 +135,12 @@
 
 // measureIdleSilent measures a controller whose dispatchers do not respond: connections to them are never established.
 func measureIdleSilent(ctx context.Context, b *bench, size int) ([]Figure, error) {
-	silent, err := startUnreachableDispatchers(size)
+	unreachable, err := startUnreachableDispatchers(size)
 	if err != nil {
 		return nil, err
 	}
 	var addresses []string
-	for _, d := range silent {
+	for _, d := range unreachable {
 		defer d.Die()
 		addresses = append(addresses, d.Address())
 	}
@@ -150,19 +150,19 @@
 // startUnreachableDispatchers starts n dispatchers to which no connection can be established. Starting one takes some time, so several
 // are started concurrently.
 func startUnreachableDispatchers(n int) ([]*peer.Dispatcher, error) {
-	const atOnce = 64
-	all, failed := make([]*peer.Dispatcher, n), make([]error, n)
-	slots := make(chan struct{}, atOnce)
+	const maxConcurrent = 64
+	all, errs := make([]*peer.Dispatcher, n), make([]error, n)
+	slots := make(chan struct{}, maxConcurrent)
 	var opening sync.WaitGroup
 	for i := range n {
 		slots <- struct{}{}
 		opening.Go(func() {
-			all[i], failed[i] = peer.DispatchLate("tcp", reportedState)
+			all[i], errs[i] = peer.DispatchLate("tcp", reportedState)
 			<-slots
 		})
 	}
 	opening.Wait()
-	return all, errors.Join(failed...)
+	return all, errors.Join(errs...)
 }
 
 // measureUnreachable measures a controller that cannot connect to any of its dispatchers, for as long as the action runs.
@@ -176,11 +176,11 @@
 		return nil, err
 	}
 	pollCtx, stop := context.WithCancel(ctx)
-	most := make(chan int, 1)
-	go func() { most <- c.maxDescriptors(pollCtx) }()
+	peak := make(chan int, 1)
+	go func() { peak <- c.maxDescriptors(pollCtx) }()
 	used, took, err := c.cpuDuring(action)
 	stop()
-	figures := []Figure{{"processor", "% of a core", 100 * used.Seconds() / took.Seconds()}, {"descriptors at most", "", float64(<-most)}}
+	figures := []Figure{{"processor", "% of a core", 100 * used.Seconds() / took.Seconds()}, {"descriptors at most", "", float64(<-peak)}}
 	if err != nil {
 		return nil, err
 	}
@@ -190,26 +190,26 @@
 // maxDescriptors polls the process until the context ends, and returns the largest number of open descriptors.
 func (p *process) maxDescriptors(ctx context.Context) int {
 	const interval = 20 * time.Millisecond
-	most := 0
+	peak := 0
 	for ctx.Err() == nil {
 		n, err := p.descriptors()
 		if err != nil {
-			return most // the process has ended
+			return peak // the process has ended
 		}
-		most = max(most, n)
+		peak = max(peak, n)
 		_ = pause(ctx, interval) // the loop condition checks ctx
 	}
-	return most
+	return peak
 }
 
 // refusedDialRate returns the number of refused connections per second on this machine, measured over a duration.
-func refusedDialRate(ctx context.Context, lasting time.Duration) (float64, error) {
+func refusedDialRate(ctx context.Context, duration time.Duration) (float64, error) {
 	before, err := attemptFails()
 	if err != nil {
 		return 0, err
 	}
 	start := time.Now()
-	if err := pause(ctx, lasting); err != nil {
+	if err := pause(ctx, duration); err != nil {
 		return 0, err
 	}
 	after, err := attemptFails()
