--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -16,56 +16,56 @@
 	"pgregory.net/rapid"
 )
 
-func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(a), math.Abs(b)) }
+func approxEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(a), math.Abs(b)) }
 
 func TestLeastSquares(t *testing.T) {
 	for name, c := range map[string]struct {
 		points []point
 		want   Line
 	}{
-		"none":           {nil, Line{}},
-		"one":            {[]point{{100, 7}}, Line{0, 7}},
-		"the same size":  {[]point{{100, 6}, {100, 8}}, Line{0, 7}},
-		"a line":         {[]point{{100, 117}, {300, 317}, {3000, 3017}}, Line{1, 17}},
-		"beside a line":  {[]point{{0, 1}, {0, 3}, {10, 21}, {10, 23}}, Line{2, 2}},
-		"three unequals": {[]point{{1, 2}, {2, 2}, {3, 5}}, Line{1.5, 0}},
+		"none":          {nil, Line{}},
+		"one":           {[]point{{100, 7}}, Line{0, 7}},
+		"the same size": {[]point{{100, 6}, {100, 8}}, Line{0, 7}},
+		"a line":        {[]point{{100, 117}, {300, 317}, {3000, 3017}}, Line{1, 17}},
+		"off a line":    {[]point{{0, 1}, {0, 3}, {10, 21}, {10, 23}}, Line{2, 2}},
+		"uneven values": {[]point{{1, 2}, {2, 2}, {3, 5}}, Line{1.5, 0}},
 	} {
-		if got := leastSquares(c.points); !near(got.Slope, c.want.Slope) || !near(got.Offset, c.want.Offset) {
+		if got := leastSquares(c.points); !approxEqual(got.Slope, c.want.Slope) || !approxEqual(got.Offset, c.want.Offset) {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
 		}
 	}
 }
 
-// TestFitOfALine: what lies on a line is found again, in whatever order it was played, and plays that agree have no spread.
-func TestFitOfALine(t *testing.T) {
+// TestFitRecoversLine checks that samples on a line yield that line in any order, and that equal repetitions have no spread.
+func TestFitRecoversLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		line := Line{rapid.Float64Range(-10, 10).Draw(t, "slope"), rapid.Float64Range(-100, 100).Draw(t, "offset")}
 		sizes := rapid.SliceOfNDistinct(rapid.IntRange(1, 5000), 2, 6, rapid.ID).Draw(t, "sizes")
 		var samples []Sample
-		for play := range rapid.IntRange(1, 3).Draw(t, "plays") {
+		for repetition := range rapid.IntRange(1, 3).Draw(t, "plays") {
 			for _, size := range sizes {
-				samples = append(samples, Sample{Size: size, Play: play + 1, Figures: []Figure{{"f", "", line.At(float64(size))}}})
+				samples = append(samples, Sample{Size: size, Play: repetition + 1, Figures: []Figure{{"f", "", line.At(float64(size))}}})
 			}
 		}
 		samples = rapid.Permutation(samples).Draw(t, "order")
-		f := fits(samples)[0]
-		if !near(f.Slope, line.Slope) || !near(f.Offset, line.Offset) || !near(f.Spread.Least, f.Spread.Most) || len(f.AtSizes) != len(sizes) {
+		f := fitAll(samples)[0]
+		if !approxEqual(f.Slope, line.Slope) || !approxEqual(f.Offset, line.Offset) || !approxEqual(f.Spread.Least, f.Spread.Most) || len(f.AtSizes) != len(sizes) {
 			t.Fatalf("%+v, want %+v", f, line)
 		}
 	})
 }
 
-// TestSpreadHoldsTheSlope: the line over all plays of the same sizes lies between those of single plays.
-func TestSpreadHoldsTheSlope(t *testing.T) {
+// TestSpreadContainsSlope checks that the slope over all repetitions of the same sizes lies between those of the single repetitions.
+func TestSpreadContainsSlope(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sizes := rapid.SliceOfNDistinct(rapid.IntRange(1, 5000), 2, 5, rapid.ID).Draw(t, "sizes")
 		var samples []Sample
-		for play := range rapid.IntRange(1, 4).Draw(t, "plays") {
+		for repetition := range rapid.IntRange(1, 4).Draw(t, "plays") {
 			for _, size := range sizes {
-				samples = append(samples, Sample{Size: size, Play: play, Figures: []Figure{{"f", "", rapid.Float64Range(0, 1000).Draw(t, "value")}}})
+				samples = append(samples, Sample{Size: size, Play: repetition, Figures: []Figure{{"f", "", rapid.Float64Range(0, 1000).Draw(t, "value")}}})
 			}
 		}
-		f := fits(samples)[0]
+		f := fitAll(samples)[0]
 		const rounding = 1e-6
 		if f.Slope < f.Spread.Least-rounding || f.Slope > f.Spread.Most+rounding {
 			t.Fatalf("slope %v outside of %+v", f.Slope, f.Spread)
@@ -73,18 +73,18 @@
 	})
 }
 
-func TestFitsPassOverWhatFailed(t *testing.T) {
+func TestFitSkipsFailedSamples(t *testing.T) {
 	samples := []Sample{
 		{Size: 10, Play: 1, Figures: []Figure{{"a", "MB", 20}}}, {Size: 20, Play: 1, Error: "no"},
 		{Size: 30, Play: 1, Figures: []Figure{{"a", "MB", 60}, {"b", "", 1}}},
 	}
-	all := fits(samples)
-	if len(all) != 2 || all[0].Figure != "a" || !near(all[0].Slope, 2) || all[1].Figure != "b" || all[0].Sizes != (Range{10, 30}) {
+	all := fitAll(samples)
+	if len(all) != 2 || all[0].Figure != "a" || !approxEqual(all[0].Slope, 2) || all[1].Figure != "b" || all[0].Sizes != (Range{10, 30}) {
 		t.Errorf("%+v", all)
 	}
 }
 
-func TestBounds(t *testing.T) {
+func TestBudgetCheck(t *testing.T) {
 	if err := newBudget(1<<40, 1).check(); err != nil {
 		t.Errorf("within: %v", err)
 	}
@@ -102,25 +102,25 @@
 	}
 }
 
-// TestAPassedBoundEndsTheRun with one plain line, whatever is being measured.
-func TestAPassedBoundEndsTheRun(t *testing.T) {
-	m := Measurement{Name: "wait", play: func(ctx context.Context, _ *bench, _ int) ([]Figure, error) {
+// TestExceededBudgetEndsTheRun checks that an exceeded budget ends any measurement with an error of one line and without samples.
+func TestExceededBudgetEndsTheRun(t *testing.T) {
+	m := Measurement{Name: "wait", measure: func(ctx context.Context, _ *bench, _ int) ([]Figure, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}}
-	kept := 0
-	err := run(t.Context(), m, options{sizes: []int{1, 2}, plays: 1, processes: 8}, func(Sample) { kept++ })
-	if !errors.Is(err, errMemory) || strings.Contains(err.Error(), "\n") || kept > 0 {
-		t.Errorf("%v, %d samples", err, kept)
+	samples := 0
+	err := runMeasurement(t.Context(), m, options{sizes: []int{1, 2}, repetitions: 1, processes: 8}, func(Sample) { samples++ })
+	if !errors.Is(err, errMemory) || strings.Contains(err.Error(), "\n") || samples > 0 {
+		t.Errorf("%v, %d samples", err, samples)
 	}
 }
 
 func TestBadArguments(t *testing.T) {
 	for line, want := range map[string]string{
 		"nothing":               `unknown measurement "nothing"`,
-		"idle-live --plays 0":   "--plays: at least 1",
-		"idle-live --sizes 0,5": "--sizes: at least 1 each",
-		"idle-live --lasting 0": "--lasting: above 0",
+		"idle-live --plays 0":   "--plays must be at least 1",
+		"idle-live --sizes 0,5": "--sizes must be at least 1 each",
+		"idle-live --lasting 0": "--lasting must be above 0",
 		"":                      "accepts 1 arg(s), received 0",
 	} {
 		c := Command()
@@ -132,19 +132,19 @@
 	}
 }
 
-// heard waits until so many calls are answered, and none refused.
-func (l *load) heard(t *testing.T, calls int) {
+// waitAnswered waits until the given number of calls is answered and fails the test if one was refused.
+func (l *load) waitAnswered(t *testing.T, calls int) {
 	t.Helper()
-	err := until(t.Context(), time.Minute, time.Millisecond, func() bool { answered, _ := l.counts(); return answered >= calls })
+	err := waitUntil(t.Context(), time.Minute, time.Millisecond, func() bool { answered, _ := l.counts(); return answered >= calls })
 	if answered, refused := l.counts(); err != nil || answered != calls || refused > 0 {
 		t.Fatalf("%d answered, %d refused, %d placed: %v", answered, refused, calls, err)
 	}
 }
 
-// TestARelayedCall: calls over the plain relay are answered, each once, and counted.
-func TestARelayedCall(t *testing.T) {
+// TestRelayedCalls checks that each call over the plain relay is answered and counted once.
+func TestRelayedCalls(t *testing.T) {
 	l := newLoad(0)
-	target, err := echo(l.arrived)
+	target, err := startEchoServer(l.recordArrival)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -161,25 +161,25 @@
 		t.Fatal(err)
 	}
 	defer l.close()
-	// The kernel begins to stamp a moment after it was told to.
-	const one = time.Millisecond // of a load that sends one a millisecond
+	// The kernel starts to set time stamps shortly after they are enabled.
+	const interval = time.Millisecond // one call at 1000 per second
 	before := 0
-	for until := time.Now().Add(time.Minute); l.passages.TotalCount() == 0; before++ {
-		if _, err := l.place(ctx, 1000, one); err != nil || time.Now().After(until) {
-			t.Fatalf("nothing is stamped: %v", err)
+	for until := time.Now().Add(time.Minute); l.forwardTimes.TotalCount() == 0; before++ {
+		if _, err := l.placeCalls(ctx, 1000, interval); err != nil || time.Now().After(until) {
+			t.Fatalf("no set-up has a time stamp: %v", err)
 		}
-		l.heard(t, before+1)
+		l.waitAnswered(t, before+1)
 	}
-	placed, err := l.place(ctx, 1000, 50*time.Millisecond)
+	placed, err := l.placeCalls(ctx, 1000, 50*time.Millisecond)
 	if err != nil || placed != 50 {
 		t.Fatalf("%d placed: %v", placed, err)
 	}
-	l.heard(t, before+placed)
-	if got := l.passages.TotalCount(); got != int64(1+placed) {
-		t.Errorf("%d of %d set-ups were seen on their way", got, 1+placed)
+	l.waitAnswered(t, before+placed)
+	if got := l.forwardTimes.TotalCount(); got != int64(1+placed) {
+		t.Errorf("%d of %d set-ups have a forwarding time", got, 1+placed)
 	}
-	if way, whole := l.passage("relay")[0].Value, l.latency("relay")[0].Value; way > whole {
-		t.Errorf("median %v ms to the target, %v ms there and back", way, whole)
+	if oneWay, roundTrip := l.forwardTime("relay")[0].Value, l.latency("relay")[0].Value; oneWay > roundTrip {
+		t.Errorf("median %v ms to the target, %v ms for the round trip", oneWay, roundTrip)
 	}
 	end()
 	if err := <-ended; err != nil {
@@ -187,37 +187,37 @@
 	}
 }
 
-// TestTheStreamsRate: a coordinator with a rate takes the time that its bytes need, and one without tells all numbers in order.
-func TestTheStreamsRate(t *testing.T) {
-	c, err := coordinate(1000)
+// TestStreamRate checks that a coordinator with a rate limit does not send an event faster than that.
+func TestStreamRate(t *testing.T) {
+	c, err := startCoordinator(1000)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.close()
-	size, err := c.publish(true, entries(0, refusing(3)))
+	size, err := c.publish(true, entries(0, refusingAddresses(3)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	begun := time.Now()
-	nc, err := net.Dial("tcp", c.at)
+	start := time.Now()
+	conn, err := net.Dial("tcp", c.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
-	if _, err := io.WriteString(nc, "GET /v2/stream HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
+	defer conn.Close()
+	if _, err := io.WriteString(conn, "GET /v2/stream HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
 	var text []byte
 	chunk := make([]byte, 4096)
-	for !bytes.Contains(text, []byte(`"s-00000002"`)) { // the last of the list
-		n, err := nc.Read(chunk)
+	for !bytes.Contains(text, []byte(`"s-00000002"`)) { // the last entry of the list
+		n, err := conn.Read(chunk)
 		if err != nil {
 			t.Fatal(err)
 		}
 		text = append(text, chunk[:n]...)
 	}
-	const parts = 10 // of a second; the first is written at once, the last need not be whole
-	if least := time.Duration(size/(1000/parts)-2) * time.Second / parts; time.Since(begun) < least || !bytes.Contains(text, []byte("id: 1\n")) {
-		t.Errorf("%d bytes came within %v", size, time.Since(begun))
+	const parts = 10 // writes per second; the first is immediate, the last may be partial
+	if least := time.Duration(size/(1000/parts)-2) * time.Second / parts; time.Since(start) < least || !bytes.Contains(text, []byte("id: 1\n")) {
+		t.Errorf("%d bytes arrived within %v", size, time.Since(start))
 	}
 }
--- a/internal/capacity/dispatchers.go
+++ b/internal/capacity/dispatchers.go
@@ -14,31 +14,31 @@
 	"cherryrelay/internal/sip"
 )
 
-// report is the state that every stand-in of a dispatcher tells: it is never full.
-const report = "x0:1000000;x1:1000000"
+// reportedState is the state that every fake dispatcher reports. It is never full.
+const reportedState = "x0:1000000;x1:1000000"
 
-// linkBuffer holds the messages of one connection. Those of the measurements are below 1 KiB.
-const linkBuffer = 4 << 10
+// connBuffer is the size of the read buffer of a connection in bytes. Messages in the measurements are below 1 KiB.
+const connBuffer = 4 << 10
 
-// dispatchers are stand-ins at an address each, that answer every set-up at once. They cost little memory, so there can be thousands;
-// internal/peer has the one whose every step a test scripts.
+// dispatchers is a set of fake dispatchers, each at its own address, that answer every set-up immediately. They need little memory, so
+// there can be thousands of them. internal/peer has a dispatcher that a test controls step by step.
 type dispatchers struct {
 	listeners []net.Listener
-	// arrived is told of each set-up and when the kernel took it in; nil for nobody. It does not change once there are connections.
-	arrived func(id string, at time.Time)
+	// onSetUp, if not nil, is called for each set-up with the time at which the kernel received it. It is not changed after the start.
+	onSetUp func(id string, at time.Time)
 
 	mu    sync.Mutex
-	links map[net.Conn]bool
+	conns map[net.Conn]bool
 
 	open, accepted, setUps, messages, bytes atomic.Int64
 }
 
-// dispatch opens so many dispatchers.
-func dispatch(n int) (*dispatchers, error) { return dispatchStamped(n, nil) }
+// startDispatchers starts n dispatchers.
+func startDispatchers(n int) (*dispatchers, error) { return startStampedDispatchers(n, nil) }
 
-// dispatchStamped is dispatch with somebody who is told of set-ups.
-func dispatchStamped(n int, arrived func(id string, at time.Time)) (*dispatchers, error) {
-	d := &dispatchers{links: map[net.Conn]bool{}, arrived: arrived}
+// startStampedDispatchers is like startDispatchers and calls onSetUp, if not nil, for each set-up.
+func startStampedDispatchers(n int, onSetUp func(id string, at time.Time)) (*dispatchers, error) {
+	d := &dispatchers{conns: map[net.Conn]bool{}, onSetUp: onSetUp}
 	for range n {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -50,7 +50,7 @@
 	return d, nil
 }
 
-// addresses are where they listen.
+// addresses returns the listen address of each dispatcher.
 func (d *dispatchers) addresses() []string {
 	var all []string
 	for _, ln := range d.listeners {
@@ -59,6 +59,7 @@
 	return all
 }
 
+// close closes all listeners and connections.
 func (d *dispatchers) close() error {
 	var err error
 	for _, ln := range d.listeners {
@@ -66,46 +67,47 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for link := range d.links {
-		err = errors.Join(err, link.Close())
+	for conn := range d.conns {
+		err = errors.Join(err, conn.Close())
 	}
 	return err
 }
 
+// accept serves the connections to one dispatcher until its listener is closed.
 func (d *dispatchers) accept(ln net.Listener) {
 	for {
-		link, err := ln.Accept()
+		conn, err := ln.Accept()
 		if err != nil {
 			return // closed
 		}
 		d.mu.Lock()
-		d.links[link] = true
+		d.conns[conn] = true
 		d.mu.Unlock()
 		d.open.Add(1)
 		d.accepted.Add(1)
 		go func() {
-			d.serve(link)
-			_ = link.Close()
+			d.serve(conn)
+			_ = conn.Close()
 			d.open.Add(-1)
 			d.mu.Lock()
-			delete(d.links, link)
+			delete(d.conns, conn)
 			d.mu.Unlock()
 		}()
 	}
 }
 
-// serve answers what comes on a connection until it ends.
-func (d *dispatchers) serve(link net.Conn) {
+// serve answers the messages on a connection until it is closed.
+func (d *dispatchers) serve(conn net.Conn) {
 	state := sip.Append(nil, &sip.Message{Method: "NOTIFY", URI: "sip:state@net", CallID: "state", Seq: 1, SeqOf: "NOTIFY",
-		Headers: []sip.Header{{Name: "P-Report", Value: report}}})
-	if _, err := link.Write(state); err != nil {
+		Headers: []sip.Header{{Name: "P-Report", Value: reportedState}}})
+	if _, err := conn.Write(state); err != nil {
 		return
 	}
-	read, err := d.reader(link)
+	read, err := d.reader(conn)
 	if err != nil {
 		return
 	}
-	in, chunk := ring.New(linkBuffer), make([]byte, linkBuffer/2)
+	in, chunk := ring.New(connBuffer), make([]byte, connBuffer/2)
 	var decoder sip.Decoder
 	for {
 		n, at, err := read(chunk[:min(len(chunk), in.Free())])
@@ -123,11 +125,11 @@
 				break
 			}
 			d.messages.Add(1)
-			if d.arrived != nil && m.Method == "INVITE" {
-				d.arrived(m.CallID, at)
+			if d.onSetUp != nil && m.Method == "INVITE" {
+				d.onSetUp(m.CallID, at)
 			}
 			if answer := d.answer(m); answer != nil {
-				if _, err := link.Write(answer); err != nil {
+				if _, err := conn.Write(answer); err != nil {
 					return
 				}
 			}
@@ -135,37 +137,37 @@
 	}
 }
 
-// reader reads from a connection, with stamps where somebody is told of them.
-func (d *dispatchers) reader(link net.Conn) (func(p []byte) (int, time.Time, error), error) {
-	if d.arrived == nil {
+// reader returns a read function for a connection, with kernel time stamps if onSetUp is set.
+func (d *dispatchers) reader(conn net.Conn) (func(p []byte) (int, time.Time, error), error) {
+	if d.onSetUp == nil {
 		return func(p []byte) (int, time.Time, error) {
-			n, err := link.Read(p)
-			return n, time.Time{}, err //nolint:wrapcheck // as any connection's
+			n, err := conn.Read(p)
+			return n, time.Time{}, err //nolint:wrapcheck // io.Reader implementations return plain errors
 		}, nil
 	}
-	r, err := stamped(link)
+	r, err := newStampedReader(conn)
 	if err != nil {
 		return nil, err
 	}
 	return r.read, nil
 }
 
-// tell sends the state of the dispatcher on one of its connections, unasked.
-func tell(link net.Conn, number int) error {
+// sendReport sends an unsolicited state report on a connection. The reported state varies with number.
+func sendReport(conn net.Conn, number int) error {
 	text := sip.Append(nil, &sip.Message{Method: "NOTIFY", URI: "sip:state@net", CallID: "state", Seq: 1, SeqOf: "NOTIFY",
 		Headers: []sip.Header{{Name: "P-Report", Value: fmt.Sprintf("x0:%d;x1:1000000", 1_000_000-number%1000)}}})
-	_, err := link.Write(text)
-	return err //nolint:wrapcheck // it says what it is
+	_, err := conn.Write(text)
+	return err //nolint:wrapcheck // the error names its operation
 }
 
-// connections are those that are open.
+// connections returns the open connections.
 func (d *dispatchers) connections() []net.Conn {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Collect(maps.Keys(d.links))
+	return slices.Collect(maps.Keys(d.conns))
 }
 
-// answer is what a dispatcher says to a message; nil for nothing.
+// answer returns the encoded reply to a message, or nil if it needs none.
 func (d *dispatchers) answer(m *sip.Message) []byte {
 	reply := &sip.Message{Status: 200, Phrase: "OK", CallID: m.CallID, Seq: m.Seq, SeqOf: m.Method}
 	switch m.Method {
@@ -173,7 +175,7 @@
 		d.setUps.Add(1)
 		reply.Body = m.Body
 	case "OPTIONS":
-		reply.Headers = []sip.Header{{Name: "P-Report", Value: report}}
+		reply.Headers = []sip.Header{{Name: "P-Report", Value: reportedState}}
 	case "BYE":
 	default:
 		return nil
@@ -181,12 +183,12 @@
 	return sip.Append(nil, reply)
 }
 
-// refusing are addresses of loopback at which nobody listens: connections are refused at once.
-func refusing(n int) []string {
-	const closedPort = 9 // of the discard service, which runs nowhere by now
+// refusingAddresses returns loopback addresses without a listener, which refuse connections immediately.
+func refusingAddresses(n int) []string {
+	const closedPort = 9 // port of the discard service, which is not in use today
 	var all []string
 	for i := range n {
-		address := net.IPv4(127, 77, byte(i>>8), byte(i)) // over 65,536 there are none
+		address := net.IPv4(127, 77, byte(i>>8), byte(i)) // unique up to 65,536 addresses
 		all = append(all, net.JoinHostPort(address.String(), fmt.Sprint(closedPort)))
 	}
 	return all
