--- a/internal/scale/events.go
+++ b/internal/scale/events.go
@@ -9,7 +9,7 @@
 	"cherryrelay/internal/fault"
 )
 
-// do does what an event says and returns what undoes it; nil if there is nothing to undo.
+// do executes an event. The function that it returns reverts the event; it is nil if there is nothing to revert.
 func (w *world) do(e Event, phase string) (undo func() error, err error) {
 	switch e.Do {
 	case Change:
@@ -31,10 +31,10 @@
 			return err //nolint:wrapcheck // it says what it is
 		}, nil
 	}
-	return nil, fmt.Errorf("scale: unknown event %v", e)
+	return nil, fmt.Errorf("scale: event %v has an unknown kind", e)
 }
 
-// next is the number of the next change of a stream, which is made now.
+// next increments and returns the number of the last change of a stream.
 func (w *world) next(s stream) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -42,20 +42,21 @@
 	return w.number[s]
 }
 
-// last is the number of the last change of a stream.
+// last returns the number of the last change of a stream.
 func (w *world) last(s stream) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.number[s]
 }
 
+// change writes a new version of a scope's marker into the list and records when.
 func (w *world) change(scope, phase string) error {
 	number := w.next(stream{Change, scope})
 	w.note(issued{Change, scope, number, time.Now(), phase})
 	return w.mark(scope, number)
 }
 
-// settings has every controller read its file again. How new files come to the machines is no part of this.
+// settings writes new configuration files and makes every controller reload its file. The distribution of files to machines is not simulated.
 func (w *world) settings(phase string) error {
 	number := w.next(stream{kind: Settings})
 	if err := operatorFile(w.config, "hollow", "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1", allServices, w.s.Lease, w.s.Controllers+w.s.Real, number); err != nil {
@@ -78,7 +79,7 @@
 	})
 }
 
-// take has an event hold controllers down, and returns those that were up.
+// take counts one more event that keeps each controller down, and returns the controllers that were up before.
 func (w *world) take(names []string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -91,7 +92,7 @@
 	return up
 }
 
-// give ends that, and returns those that nothing holds down any more.
+// give reverts take for one event, and returns the controllers that no event keeps down any longer.
 func (w *world) give(names []string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -104,7 +105,7 @@
 	return up
 }
 
-// restart ends controllers in order and starts them again; those that are down are left alone.
+// restart shuts controllers down gracefully and starts them again. It skips controllers that are already down.
 func (w *world) restart(names []string) error {
 	up := w.take(names)
 	if err := w.stop(up, false); err != nil {
@@ -113,7 +114,7 @@
 	return w.start(w.give(names))
 }
 
-// release restarts the controllers of a service, one after the other over the time of the event.
+// release restarts the controllers of a service one after the other, spread over the duration of the event.
 func (w *world) release(e Event) error {
 	names := w.s.within(e)
 	begun := time.Now()
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// lose ends controllers without a word to the store.
+// lose stops controllers as in a crash: they do not notify the store. Its undo function starts them again.
 func (w *world) lose(e Event) (undo func() error, err error) {
 	names := w.s.within(e)
 	if err := w.stop(w.take(names), true); err != nil {
@@ -135,7 +136,7 @@
 	return func() error { return w.start(w.give(names)) }, nil
 }
 
-// cut cuts the controllers of a zone or region off from the store, and has its dispatchers refuse connections. Everybody goes on running.
+// cut disconnects the controllers of a zone or region from the store and makes its dispatchers refuse connections. All processes keep running.
 func (w *world) cut(e Event) (undo func() error, err error) {
 	links, ends := w.cutBy(e)
 	for _, link := range w.counted(w.cuts, links, 1) {
@@ -163,7 +164,7 @@
 	}, err
 }
 
-// cutBy are the links to the store and the dispatchers that an event cuts off.
+// cutBy returns the connections to the store (links) and the dispatchers (ends) that an event cuts off.
 func (w *world) cutBy(e Event) (links, ends []string) {
 	for i := range w.s.Controllers {
 		if p := w.s.place(i); e.cut(p) && !slices.Contains(links, p.rack) {
@@ -183,7 +184,7 @@
 	return links, ends
 }
 
-// counted counts what holds something, and returns those that are held for the first time, or not any more.
+// counted adds by to the number of events that hold each name, and returns the names whose number changed from 0 or to 0.
 func (w *world) counted(holds map[string]int, names []string, by int) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -198,19 +199,19 @@
 	return turned
 }
 
-// of are those of the dispatchers that are in a process.
+// of returns those of the named dispatchers that run in process p.
 func (w *world) of(p *process, names []string) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(name string) bool { return w.at[name] != p })
 }
 
-// note keeps that a change is made.
-func (w *world) note(c issued) {
+// note records a change that is about to be made.
+func (w *world) note(change issued) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.made = append(w.made, c)
+	w.made = append(w.made, change)
 }
 
-// runner does the events of a plan when they are due.
+// runner executes the events of a plan at their times.
 type runner struct {
 	w     *world
 	begun time.Time
@@ -221,6 +222,7 @@
 	events []string
 }
 
+// failed keeps the first error.
 func (r *runner) failed(err error) {
 	if err == nil {
 		return
@@ -232,7 +234,7 @@
 	}
 }
 
-// one does an event and undoes it after its time.
+// one executes an event and reverts it after its duration.
 func (r *runner) one(e Event, phase string) {
 	undo, err := r.w.do(e, phase)
 	r.failed(err)
@@ -243,7 +245,7 @@
 	r.failed(undo())
 }
 
-// run does the plan, and returns when all is undone. It breaks off when over is closed, and undoes nothing more.
+// run executes the plan and returns when every event is reverted. If over is closed, it returns early and does not wait for the events in progress.
 func (r *runner) run(plan []Event, over <-chan struct{}, phaseOf func(time.Duration) string) {
 	for _, e := range plan {
 		select {
--- a/internal/scale/figures_test.go
+++ b/internal/scale/figures_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestTimesToForce: a controller that has a change has all before it; what a first list holds is not timed; a log that tells the status alone
-// means the last change to it.
+// TestTimesToForce checks that a controller with a change counts as having all earlier ones, that the contents of a first list are not timed, and
+// that a log line with only a status stands for the last change to that status.
 func TestTimesToForce(t *testing.T) {
 	begun := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return begun.Add(time.Duration(ms) * time.Millisecond) }
@@ -32,34 +32,35 @@
 	})
 	hollow := stalenessOf(found[stalenessKey{OrdinaryPhase, HollowKind, Change}])
 	if hollow.Count != 4 || hollow.P50 < 4 || hollow.P50 > 11 || hollow.Last < 109 || hollow.Last > 111 {
-		t.Errorf("hollow %+v: of 1, 110, 10 and 5 ms", hollow)
+		t.Errorf("hollow: %+v, want the staleness of 1, 110, 10 and 5 ms", hollow)
 	}
 	if real := stalenessOf(found[stalenessKey{OrdinaryPhase, RealKind, Change}]); real.Count != 2 || real.Last < 19 || real.Last > 21 {
-		t.Errorf("real %+v: of 20 and 20 ms", real)
+		t.Errorf("real: %+v, want the staleness of 20 and 20 ms", real)
 	}
 }
 
-// TestBounds: what a machine or the rules do not bear is refused before anything starts, or ended with one plain line.
+// TestBounds checks that a run beyond the limits on processes or descriptors is rejected before it starts, and that the error for too much memory
+// is a single line with the amount.
 func TestBounds(t *testing.T) {
 	if err := withinMemory(MostMemory); err != nil {
 		t.Error(err)
 	}
 	if err := withinMemory(MostMemory + 1<<20); err == nil || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), "12289 MB") {
-		t.Errorf("%v", err)
+		t.Errorf("too much memory: %v", err)
 	}
 	s := Default()
 	s.PerProcess, s.Controllers = 1, MostProcesses
 	if err := s.bounds(); err == nil || !strings.Contains(err.Error(), "processes, 200 are allowed") {
-		t.Errorf("too many processes: %v", err)
+		t.Errorf("too many processes: error %v", err)
 	}
 	s = Default()
 	s.Controllers, s.PerProcess, s.Dispatchers = maxControllers, 5000, 1
 	if err := s.bounds(); err == nil || !strings.Contains(err.Error(), "descriptors") {
-		t.Errorf("too many descriptors: %v", err)
+		t.Errorf("too many descriptors: error %v", err)
 	}
 }
 
-// TestUsage reads this process's own figures, and a stat line whose name has spaces and brackets.
+// TestUsage reads the usage of this process, and parses a stat line whose process name contains spaces and parentheses.
 func TestUsage(t *testing.T) {
 	u, err := usageOf(os.Getpid(), true)
 	if err != nil || u.Memory < 1<<20 {
@@ -71,6 +72,6 @@
 		t.Errorf("%v, %d, %v", processor, memory, err)
 	}
 	if _, _, err := parseStat("7 (a) S 1"); err == nil {
-		t.Error("a short line was read")
+		t.Error("parseStat accepted a line that is too short")
 	}
 }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -24,24 +24,25 @@
 )
 
 const (
-	// tellStateEvery is the pace at which the fleet is told whether a controller serves, as in the program.
+	// tellStateEvery is the interval at which a controller reports its state to the fleet, the same as in the program.
 	tellStateEvery = 100 * time.Millisecond
-	// closeConnectionsWithin is how long a pool takes to close its connections once no dispatcher is listed any more.
+	// closeConnectionsWithin is the time that a pool needs to close its connections after the list has become empty.
 	closeConnectionsWithin = 4 * time.Second
-	// markerPrefix begins the names of the entries whose changes are timed. Their group is markerGroup and the number of the change.
+	// markerPrefix starts the names of markers, the list entries whose changes are timed. The group of a marker is markerGroup plus the number
+	// of its last change.
 	markerPrefix = "marker-"
 	markerGroup  = 1_000_000
 )
 
-// Spec is a hollow controller that is to be started.
+// Spec describes a hollow controller to start.
 type Spec struct {
 	Name   string `json:"name"`
-	Store  string `json:"store"`  // its address
-	Prefix string `json:"prefix"` // of its list
+	Store  string `json:"store"`  // address of the store
+	Prefix string `json:"prefix"` // key prefix of its list
 }
 
-// Hollow is a call controller that no caller can reach: the loop, list, membership, decisions and connections to dispatchers of the program,
-// with their timers, wired as the program wires them. It has no listening sockets.
+// Hollow is a call controller without listening sockets, so that no caller can reach it. Its event loop, list, membership, decision module,
+// connections to dispatchers and timers are those of the program and are wired in the same way.
 type Hollow struct {
 	name    string
 	loop    *call.Loop
@@ -52,21 +53,22 @@
 	cancel  context.CancelFunc
 	applied func(Applied)
 	ready   atomic.Bool
-	leaving bool // belongs to the loop
-	known   bool // whether a list has been in force; belongs to the loop
+	leaving bool // used by the event loop only
+	known   bool // whether a complete list has been applied; used by the event loop only
 }
 
-// Applied tells that a change is in force at a controller.
+// Applied records that a controller has applied a change.
 type Applied struct {
 	Controller string `json:"controller"`
 	Kind       Kind   `json:"kind"`  // Change or Settings
-	Scope      string `json:"scope"` // of a Change
+	Scope      string `json:"scope"` // scope of the list, if Kind is Change
 	Number     int    `json:"number"`
-	AtNs       int64  `json:"at_ns"` // Unix time
-	First      bool   `json:"first"` // it was in the first list after a start: there is no change to time
+	AtNs       int64  `json:"at_ns"` // Unix time in nanoseconds
+	First      bool   `json:"first"` // part of the first list or configuration after a start, which is not timed
 }
 
-// StartHollow starts a controller with a configuration of the program's form, of which it takes all but the listening addresses.
+// StartHollow starts a controller with a configuration of the program. The listening addresses in it are ignored. The controller calls applied
+// for each change that it applies.
 func StartHollow(c config.Config, s Spec, log slog.Handler, applied func(Applied)) (*Hollow, error) {
 	logger := slog.New(log).With("name", s.Name)
 	h := &Hollow{name: s.Name, loop: call.NewLoop(), applied: applied}
@@ -96,7 +98,7 @@
 	return h, nil
 }
 
-// tellState tells the fleet whether this controller serves.
+// tellState reports the state of this controller to the fleet, and schedules the next report.
 func (h *Hollow) tellState() {
 	ready := h.core.Ready()
 	h.ready.Store(ready)
@@ -111,7 +113,7 @@
 	h.loop.After(tellStateEvery, h.tellState)
 }
 
-// update puts a change of the list in force.
+// update applies a change of the list and reports the markers in it.
 func (h *Hollow) update(u pool.Update) {
 	h.core.Update(u)
 	now := time.Now().UnixNano()
@@ -125,7 +127,7 @@
 	h.known = h.known || u.Complete
 }
 
-// Reload takes the settings of a file, as the program does at SIGHUP.
+// Reload reads a file and applies its settings, as the program does at SIGHUP.
 func (h *Hollow) Reload(path string) error {
 	fresh, err := readConfig(path)
 	if err != nil {
@@ -133,7 +135,7 @@
 	}
 	h.loop.Post(func() {
 		if err := h.core.Reconfigure(fresh.Settings); err != nil {
-			return // the end of the run finds that it has not the last settings
+			return // the check at the end of the run finds controllers without the last settings
 		}
 		h.pool.Reconfigure(fresh.Settings.ConnectTimeout(), fresh.Settings.Report.Fields)
 		h.applied(Applied{Controller: h.name, Kind: Settings, Number: settingsNumber(fresh), AtNs: time.Now().UnixNano()})
@@ -141,13 +143,13 @@
 	return nil
 }
 
-// Joined reports whether the controller serves and is certain of its name.
+// Joined reports whether the controller is ready and holds its lease.
 func (h *Hollow) Joined() bool {
 	_, _, certain := h.fleet.Certain()
 	return certain && h.ready.Load()
 }
 
-// Members is how many members of the fleet the controller knows; 0 while its view may not be acted on.
+// Members returns the number of fleet members that the controller knows, or 0 while its view is not actable.
 func (h *Hollow) Members() int {
 	shown := h.fleet.Show()
 	if !shown.Actable {
@@ -156,8 +158,8 @@
 	return len(shown.Members) + shown.More
 }
 
-// Close ends the controller: in order, or as a machine that is lost, without a word to the store. The store and the dispatchers are let go
-// when it returns; the connections to dispatchers close a little later.
+// Close shuts the controller down gracefully or, if lost is set, as in the crash of a machine: without a notification of the store. The
+// connection to the store is closed when Close returns; the connections to dispatchers close within closeConnectionsWithin.
 func (h *Hollow) Close(lost bool) error {
 	h.cancel()
 	if lost {
@@ -172,13 +174,13 @@
 	return h.client.Close() //nolint:wrapcheck // it says what it is
 }
 
-// unlist has the pool close its connections, and ends the loop after that.
+// unlist applies an empty list, which makes the pool close its connections, and stops the event loop after closeConnectionsWithin.
 func (h *Hollow) unlist() {
 	h.loop.Post(func() { h.pool.Update(pool.Update{Complete: true}) })
 	time.AfterFunc(closeConnectionsWithin, h.loop.Quit)
 }
 
-// readConfig reads an operator's file as the program does.
+// readConfig reads an operator file in the same way as the program.
 func readConfig(path string) (*config.Config, error) {
 	c, err := config.Read(func(name string) string {
 		if name == "LB_OPERATOR" {
@@ -192,16 +194,16 @@
 	return c, nil
 }
 
-// marker is the entry of a scope whose changes are timed: every change turns its status round, which the program logs.
+// marker returns the list entry whose changes are timed for a scope. Every change toggles its status, because the program logs status changes.
 func marker(scope, address string, number int) (name string, entry coordinator.Endpoint) {
 	name = markerPrefix + scope
 	return name, coordinator.Endpoint{Name: name, Address: address, Group: markerGroup + number, Status: settings.StatusName(statusOf(number)), SinceMs: longRunning}
 }
 
-// longRunning is the start of the dispatchers, as the list has it, in Unix milliseconds: long ago.
+// longRunning is the start time of all dispatchers in the list, in Unix milliseconds. It lies far enough back that none counts as new.
 var longRunning = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).UnixMilli()
 
-// statusOf is the status of a marker, as the program logs it.
+// statusOf returns the status of a marker after the change with the given number.
 func statusOf(number int) control.ServerStatus {
 	if number%2 == 1 {
 		return control.Draining
@@ -209,4 +211,4 @@
 	return control.Active
 }
 
-var errNoController = fmt.Errorf("scale: there is no such controller")
+var errNoController = fmt.Errorf("scale worker: unknown controller")
--- a/internal/scale/latency.go
+++ b/internal/scale/latency.go
@@ -13,10 +13,11 @@
 	"cherryrelay/internal/sip"
 )
 
-// callWithin is how long a caller gives a set-up.
+// callWithin is the timeout of a set-up.
 const callWithin = 8 * time.Second
 
-// callers places calls through real controllers and, turn about, straight at a dispatcher, one at a time for each controller.
+// callers places calls alternately through a real controller and directly at a dispatcher, and records how long each set-up takes. For each
+// controller there is one call at a time.
 type callers struct {
 	mu               sync.Mutex
 	direct, relayed  *hdrhistogram.Histogram
@@ -27,7 +28,7 @@
 	return &callers{direct: newHistogram(), relayed: newHistogram()}
 }
 
-// run places so many pairs of calls a second, until over is closed. The caller's number keeps the ids of calls apart.
+// run places perSecond pairs of calls each second until over is closed. The number of the caller makes its call ids unique.
 func (c *callers) run(number int, controller, dispatcher string, perSecond int, over <-chan struct{}) {
 	next := time.NewTicker(time.Second / time.Duration(perSecond))
 	defer next.Stop()
@@ -51,7 +52,7 @@
 		if relay == nil {
 			if relay, err = peer.Call("tcp", controller); err != nil {
 				relay = nil
-				continue // it is not up yet
+				continue // the controller does not listen yet
 			}
 		}
 		if straight == nil {
@@ -71,7 +72,7 @@
 	}
 }
 
-// through places a call through a controller, and ends it. It reports whether the connection can be used on.
+// through places a call through a controller and releases it. It reports whether the connection is still usable.
 func (c *callers) through(caller *peer.Caller, id string) bool {
 	begun := time.Now()
 	if caller.SetUp(id, callWithin, 0, "x") != nil {
@@ -84,7 +85,7 @@
 		switch {
 		case err != nil:
 			c.unheard++
-		case m.ID != id: // the end of an earlier one
+		case m.ID != id: // the end of an earlier call
 			c.mu.Unlock()
 			continue
 		case m.Type == "answer":
@@ -98,6 +99,7 @@
 	}
 }
 
+// straight places a call directly at a dispatcher and ends it. It reports whether the connection is still usable.
 func (c *callers) straight(d *directCaller, id string) bool {
 	begun := time.Now()
 	if d.call(id) != nil {
@@ -109,14 +111,14 @@
 	return true
 }
 
-// latency is what was measured.
+// latency returns the results so far.
 func (c *callers) latency() *Latency {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return &Latency{Calls: int(c.relayed.TotalCount()), Refused: c.refused, Unanswered: c.unheard, Direct: quantiles(c.direct), Relayed: quantiles(c.relayed)}
 }
 
-// directCaller speaks to a dispatcher as a controller does.
+// directCaller is a connection to a dispatcher that uses the protocol of a controller.
 type directCaller struct {
 	net.Conn
 	in      *ring.Buffer
@@ -131,7 +133,7 @@
 	return &directCaller{Conn: c, in: ring.New(sip.MaxMessage)}, nil
 }
 
-// call places a call, waits for the answer and ends it.
+// call places a call, waits for its final answer and ends the call.
 func (d *directCaller) call(id string) error {
 	const uri = "sip:k@net"
 	if err := d.SetDeadline(time.Now().Add(callWithin)); err != nil {
@@ -156,6 +158,7 @@
 	return err //nolint:wrapcheck // it says what it is
 }
 
+// next reads the next message.
 func (d *directCaller) next() (*sip.Message, error) {
 	buf := make([]byte, 4096)
 	for {
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// planStream keeps the random numbers of the plan apart from those of other parts under the same seed.
+// planStream selects a random sequence for the plan that differs from the sequences of other parts with the same seed.
 const planStream = 0x7363616c65
 
-// maxPlanned bounds a plan.
+// maxPlanned limits the number of events in a plan.
 const maxPlanned = 100_000
 
-// Plan is all that happens, in order: the same for the same seed. The scenario must have passed Check.
+// Plan returns the events of a run in the order of time. The same seed gives the same plan. The scenario must have passed Check.
 func (s *Scenario) Plan(seed uint64) []Event {
 	rng := rand.New(rand.NewPCG(seed, planStream))
 	var plan []Event
@@ -34,7 +34,7 @@
 	return plan
 }
 
-// drawn appends events at exponential gaps, so many a second in the mean.
+// drawn appends events with exponentially distributed gaps, perSecond of them each second on average, up to maxPlanned.
 func (s *Scenario) drawn(plan []Event, rng *rand.Rand, do Kind, perSecond float64, among []string) []Event {
 	if perSecond <= 0 || len(among) == 0 {
 		return plan
@@ -50,6 +50,7 @@
 	return plan
 }
 
+// draw picks a name at random; it returns "" if there is none.
 func draw(rng *rand.Rand, among []string) string {
 	if len(among) == 0 {
 		return ""
--- a/internal/scale/play.go
+++ b/internal/scale/play.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// togetherWithin bounds the start, and the time at the end until every controller has all that was changed.
+	// togetherWithin limits how long the fleet may take to converge: after the start, and at the end until every controller has every change.
 	togetherWithin = 4 * time.Minute
-	// lookEvery is the pace of looks for that.
+	// lookEvery is the interval between checks for convergence.
 	lookEvery = 250 * time.Millisecond
-	// membersAsked is of how many controllers of a process the members are counted, as long as the run goes on. In the end all are asked.
+	// membersAsked is the number of controllers in each process whose known members are counted during the run. At the end all are counted.
 	membersAsked = 3
-	// requestsPerLease bounds the requests to the store of a controller in a lease: three renewals and two looks make 4.5, and where each fails,
-	// it is tried again twelve times in a lease, with a read of the list beside it.
+	// requestsPerLease limits the requests of a controller to the store for each lease. Three renewals and two polls make 4.5; if they fail, they
+	// are retried twelve times in a lease, each time with a read of the list.
 	requestsPerLease = 24
-	// requestsPerStart bounds those that a start takes.
+	// requestsPerStart limits the requests to the store for each start of a controller.
 	requestsPerStart = 24
 )
 
-// Play plays a scenario once. All that it starts has ended when it returns.
+// Play runs a scenario once. All processes that it starts have ended when it returns.
 func Play(ctx context.Context, s *Scenario, seed uint64, o Options) (*Report, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -51,16 +51,16 @@
 	return r, nil
 }
 
-// play is one run.
+// play is one run of a scenario.
 type play struct {
 	*world
 	plan    []Event
 	sampler *sampler
 	callers *callers
-	begun   time.Time     // of the scenario, after the start
-	ended   time.Time     // of the scenario
-	over    chan struct{} // closed when nothing more is to be done
-	stopped chan error    // what ended the sampler
+	begun   time.Time     // of the scenario, after the fleet has started
+	ended   time.Time     // of the scenario, before the fleet settles
+	over    chan struct{} // closed to stop the sampler
+	stopped chan error    // the error of the sampler, if any; closed when it has stopped
 	runner  *runner
 	spans   []span
 	faults  []string
@@ -72,7 +72,7 @@
 	}
 }
 
-// sample takes samples until the run is over, or a bound is passed.
+// sample takes samples until the run is over. If a sample fails or exceeds a limit, it cancels the run.
 func (p *play) sample(ctx context.Context, cancel func()) {
 	defer close(p.stopped)
 	for count := 0; ; count++ {
@@ -95,6 +95,7 @@
 	}
 }
 
+// play starts the fleet, executes the plan, waits until the fleet has converged again and checks the run.
 func (p *play) play(parent context.Context) error {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
@@ -114,7 +115,7 @@
 		return err
 	}
 	if parent.Err() != nil {
-		return fmt.Errorf("scale: broken off: %w", parent.Err())
+		return fmt.Errorf("scale: run interrupted: %w", parent.Err())
 	}
 	if p.runner.err != nil {
 		return p.runner.err
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// start has all hollow controllers start at once, and waits until everybody sees everybody.
+// start starts all hollow controllers at once and waits until every controller knows every other.
 func (p *play) start(ctx context.Context) error {
 	if err := p.sampler.take(0); err != nil {
 		return err
@@ -137,7 +138,7 @@
 	return p.until(ctx, "start", func() (bool, error) { return p.together(membersAsked) })
 }
 
-// until waits until something holds, and takes samples meanwhile.
+// until waits until a condition holds, and takes samples while it waits.
 func (p *play) until(ctx context.Context, what string, holds func() (bool, error)) error {
 	for begun := time.Now(); ; {
 		is, err := holds()
@@ -145,7 +146,7 @@
 			return err
 		}
 		if time.Since(begun) > togetherWithin {
-			return fmt.Errorf("scale: %s: not all controllers are certain and see one another after %v: %s", what, togetherWithin, p.lacking())
+			return fmt.Errorf("scale: %s: the fleet has not converged after %v: %s", what, togetherWithin, p.lacking())
 		}
 		if err := p.sampler.take(0); err != nil {
 			return err
@@ -153,13 +154,14 @@
 		p.progress(what, 0)
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("scale: broken off at the %s after %v: %s", what, time.Since(begun).Round(time.Second), p.lacking())
+			return fmt.Errorf("scale: run interrupted during the %s after %v: %s", what, time.Since(begun).Round(time.Second), p.lacking())
 		case <-time.After(lookEvery):
 		}
 	}
 }
 
-// together reports whether all controllers serve, are certain, and those asked see all others. So many of each process are asked.
+// together reports whether all controllers serve and hold their leases, and whether the polled ones know all members. It polls up to asked hollow
+// controllers in each process, and all real ones.
 func (p *play) together(asked int) (bool, error) {
 	if err := p.ask(asked); err != nil {
 		return false, err
@@ -185,7 +187,7 @@
 	return true, nil
 }
 
-// lacking says what is not together.
+// lacking describes the processes and controllers that keep the fleet from being converged.
 func (p *play) lacking() string {
 	text := ""
 	for i, worker := range p.workers {
@@ -193,18 +195,18 @@
 		r := worker.last
 		worker.mu.Unlock()
 		if r.Joined != r.Controllers || r.LeastMembers != p.s.Controllers+p.s.Real {
-			text += fmt.Sprintf("process %d has %d controllers, %d joined, the least members known %d; ", i+1, r.Controllers, r.Joined, r.LeastMembers)
+			text += fmt.Sprintf("worker %d: %d controllers, %d joined, fewest members known %d; ", i+1, r.Controllers, r.Joined, r.LeastMembers)
 		}
 	}
 	for _, r := range p.real {
 		if n := r.members(); n != p.s.Controllers+p.s.Real {
-			text += fmt.Sprintf("%s knows %d members; ", r.name, n)
+			text += fmt.Sprintf("%s: %d members known; ", r.name, n)
 		}
 	}
 	return text
 }
 
-// call has callers at the real controllers, and returns what ends them.
+// call starts a caller at each real controller. The function that it returns stops them and waits for their end.
 func (p *play) call() (end func()) {
 	if p.s.CallsPerSecond == 0 {
 		return func() {}
@@ -226,7 +228,7 @@
 	}
 }
 
-// settle waits until every controller has all that was changed, and all see one another.
+// settle waits until all controllers know one another and the real ones have the last change. It reports whether that happened in time.
 func (p *play) settle(ctx context.Context) bool {
 	for begun := time.Now(); time.Since(begun) < togetherWithin && ctx.Err() == nil; time.Sleep(lookEvery) {
 		if is, err := p.together(membersAsked); err != nil || !is {
@@ -239,7 +241,7 @@
 	return false
 }
 
-// behind are the real controllers that do not have the last change.
+// behind returns the names of the real controllers that do not have the last change of their list.
 func (p *play) behind() []string {
 	var names []string
 	for _, r := range p.real {
@@ -250,33 +252,33 @@
 	return names
 }
 
-// judge holds the run against its rules. None of them is about speed.
+// judge checks the invariants of the run and records violations. None of the invariants is about speed.
 func (p *play) judge(settled bool) {
 	fault := func(format string, args ...any) { p.faults = append(p.faults, fmt.Sprintf(format, args...)) }
 	if !settled {
-		fault("not all controllers came together again after %v: %s", togetherWithin, p.lacking())
+		fault("the fleet did not converge again within %v: %s", togetherWithin, p.lacking())
 	}
 	if late := p.lateHollow(); len(late) > 0 {
-		fault("%d hollow controllers do not have the last change, %s first", len(late), late[0])
+		fault("%d hollow controllers lack the last change, the first is %s", len(late), late[0])
 	}
 	if late := p.behind(); len(late) > 0 {
-		fault("real controllers without the last change: %v", late)
+		fault("real controllers lack the last change: %v", late)
 	}
 	for _, worker := range p.workers {
 		if worker.last.ReloadsFailed > 0 {
-			fault("%d controllers could not read other settings", worker.last.ReloadsFailed)
+			fault("%d controllers failed to read changed settings", worker.last.ReloadsFailed)
 		}
 	}
 	if len(p.runner.events) != len(p.plan) {
-		fault("%d events were planned, %d done", len(p.plan), len(p.runner.events))
+		fault("%d events were planned, %d executed", len(p.plan), len(p.runner.events))
 	}
 	if l := p.callers.latency(); l.Unanswered > 0 {
-		fault("%d calls had no final answer", l.Unanswered)
+		fault("%d calls got no final answer", l.Unanswered)
 	}
 	p.judgeRequests(fault)
 }
 
-// judgeRequests bounds the requests to the store by the number of controllers, of starts and of leases that have passed.
+// judgeRequests checks the number of requests to the store against a limit that follows from the number of controllers, starts and elapsed leases.
 func (p *play) judgeRequests(fault func(string, ...any)) {
 	samples := p.sampler.samples
 	first, last := &samples[0], &samples[len(samples)-1]
@@ -284,11 +286,11 @@
 	controllers := float64(p.s.Controllers + p.s.Real)
 	most := controllers*leases*requestsPerLease + float64(p.startsPlanned())*requestsPerStart
 	if requests := float64(last.store.Sum() - first.store.Sum()); requests > most {
-		fault("%.0f requests at the store, over %.0f: %d a lease and controller, %d a start", requests, most, requestsPerLease, requestsPerStart)
+		fault("%.0f requests to the store exceed the limit of %.0f: %d for each controller and lease, %d for each start", requests, most, requestsPerLease, requestsPerStart)
 	}
 }
 
-// startsPlanned is how many starts there are, with that of the run.
+// startsPlanned returns the number of controller starts in the run: the initial ones and those of the plan.
 func (p *play) startsPlanned() int {
 	starts := p.s.Controllers + p.s.Real
 	for _, e := range p.plan {
@@ -299,7 +301,7 @@
 	return starts
 }
 
-// lateHollow are the hollow controllers that do not have the last change of their list and of the settings.
+// lateHollow returns the names of the hollow controllers that lack the last change of their list or of the settings.
 func (p *play) lateHollow() []string {
 	has := map[string]map[stream]int{}
 	slices.SortStableFunc(p.sampler.applied, func(a, b Applied) int { return int(a.AtNs - b.AtNs) })
@@ -320,6 +322,7 @@
 	return late
 }
 
+// report summarizes the run.
 func (p *play) report() *Report {
 	phaseOf := func(at time.Time) string {
 		switch {
--- a/internal/scale/play_test.go
+++ b/internal/scale/play_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// asWorker has this test program be a worker process.
+// asWorker is the environment variable that makes this test program run as a worker process.
 const asWorker = "CHERRYRELAY_SCALE_WORKER"
 
 func TestMain(m *testing.M) {
@@ -24,7 +24,7 @@
 	os.Exit(m.Run())
 }
 
-// program builds the controller.
+// program builds the controller and returns its command.
 func program(t *testing.T) []string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "cherryrelay")
@@ -34,6 +34,7 @@
 	return []string{path}
 }
 
+// example reads a scenario from example/scale.
 func example(t *testing.T, name string) *Scenario {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "..", "example", "scale", name))
@@ -47,6 +48,7 @@
 	return s
 }
 
+// mustPlay runs a scenario, logs its report, and fails the test at errors and at violations of the rules of a run.
 func mustPlay(t *testing.T, s *Scenario, seed uint64) *Report {
 	t.Helper()
 	var programOf []string
@@ -68,8 +70,8 @@
 	return r
 }
 
-// TestASmallFleet: through every fault once, all controllers come together again and have the last change, the store is not asked beyond its
-// bound, and what happened is what the seed plans.
+// TestASmallFleet injects each kind of fault once. Afterwards the fleet must converge, every controller must have the last change, the requests to
+// the store must be within their limit, and the executed events must be those that the seed plans.
 func TestASmallFleet(t *testing.T) {
 	s := example(t, "small.ini")
 	r := mustPlay(t, s, 5)
@@ -78,20 +80,20 @@
 		planned = append(planned, e.String())
 	}
 	if !slices.Equal(r.Events, planned) {
-		t.Errorf("done: %v\nplanned: %v", r.Events, planned)
+		t.Errorf("executed: %v\nplanned: %v", r.Events, planned)
 	}
 	if r.Processes > MostProcesses || r.MemoryMB > MostMemory>>20 {
-		t.Errorf("%d processes, %d MB", r.Processes, r.MemoryMB)
+		t.Errorf("%d processes and %d MB exceed the limits", r.Processes, r.MemoryMB)
 	}
 	if r.Latency.Calls == 0 {
 		t.Error("no call was answered")
 	}
 	for _, kind := range []string{HollowKind, RealKind} {
 		if !slices.ContainsFunc(r.Staleness, func(f InForce) bool { return f.Kind == kind && f.Change == Settings && f.Count > 0 }) {
-			t.Errorf("no %s controller has told of other settings", kind)
+			t.Errorf("no %s controller reported a change of the settings", kind)
 		}
 		if !slices.ContainsFunc(r.Staleness, func(f InForce) bool { return f.Kind == kind && f.Change == Change && f.Count > 0 }) {
-			t.Errorf("no %s controller has told of a change of the list", kind)
+			t.Errorf("no %s controller reported a change of the list", kind)
 		}
 	}
 }
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -12,28 +12,28 @@
 	"time"
 )
 
-// endWithin bounds the end of a process that is asked to end.
+// endWithin is the time that a process has to exit before it is killed.
 const endWithin = 20 * time.Second
 
-// process is a worker process and the pipe to it.
+// process is a worker process with the pipes to and from it.
 type process struct {
 	cmd    *exec.Cmd
 	orders io.WriteCloser
 	lines  *bufio.Scanner
 	stderr *tail
 
-	mu      sync.Mutex // one order at a time
-	applied []Applied  // what replies have told and nobody has taken
+	mu      sync.Mutex // held during an order, so that there is one at a time
+	applied []Applied  // from replies, not yet collected by take
 	last    Reply
 }
 
-// tail keeps the end of what is written.
+// tail is a writer that keeps the last tailKeeps bytes.
 type tail struct {
 	mu   sync.Mutex
 	text []byte
 }
 
-// tailKeeps is how much.
+// tailKeeps is the capacity of a tail in bytes.
 const tailKeeps = 2000
 
 func (t *tail) Write(p []byte) (int, error) {
@@ -50,7 +50,7 @@
 	return string(t.text)
 }
 
-// startProcess starts a worker.
+// startProcess starts a worker process.
 func startProcess(command, env []string) (*process, error) {
 	p := &process{cmd: exec.Command(command[0], command[1:]...), stderr: &tail{}}
 	p.cmd.Env, p.cmd.Stderr = append(os.Environ(), env...), p.stderr
@@ -70,7 +70,7 @@
 	return p, nil
 }
 
-// ask has an order done, and waits for its reply.
+// ask sends an order to the worker and waits for the reply.
 func (p *process) ask(o *Order) (Reply, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,25 +79,25 @@
 		_, err = p.orders.Write(append(text, '\n'))
 	}
 	if err != nil {
-		return Reply{}, fmt.Errorf("scale: a worker: %w: %s", err, p.stderr)
+		return Reply{}, fmt.Errorf("scale: send an order to a worker: %w: %s", err, p.stderr)
 	}
 	if !p.lines.Scan() {
-		return Reply{}, fmt.Errorf("scale: a worker has ended: %w: %s", errors.Join(p.lines.Err(), io.ErrUnexpectedEOF), p.stderr)
+		return Reply{}, fmt.Errorf("scale: worker ended without a reply: %w: %s", errors.Join(p.lines.Err(), io.ErrUnexpectedEOF), p.stderr)
 	}
 	var r Reply
 	if err := json.Unmarshal(p.lines.Bytes(), &r); err != nil {
-		return Reply{}, fmt.Errorf("scale: a worker's reply: %w", err)
+		return Reply{}, fmt.Errorf("scale: decode the reply of a worker: %w", err)
 	}
 	p.applied = append(p.applied, r.Applied...)
 	r.Applied = nil
 	p.last = r
 	if r.Error != "" {
-		return r, fmt.Errorf("scale: a worker: %s", r.Error)
+		return r, fmt.Errorf("scale: worker: %s", r.Error)
 	}
 	return r, nil
 }
 
-// take is what has been applied since the last take.
+// take returns the changes that were reported as applied since the last call.
 func (p *process) take() []Applied {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,10 +106,10 @@
 	return all
 }
 
-// end closes the pipe, at which a worker ends; one that does not is killed.
+// end closes the input of the worker, which makes it exit, and kills it if it has not exited after endWithin.
 func (p *process) end() {
 	_ = p.orders.Close()
 	kill := time.AfterFunc(endWithin, func() { _ = p.cmd.Process.Kill() })
 	defer kill.Stop()
-	_ = p.cmd.Wait() // how it ended is of no interest any more
+	_ = p.cmd.Wait() // the exit status does not matter any more
 }
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -23,7 +23,7 @@
 	"cherryrelay/internal/trial"
 )
 
-// realFile is the operator's file of a real controller; of a hollow one, too, which has no listening address of its own.
+// realFile is the format of an operator file. Hollow controllers use it, too, and ignore the listening addresses.
 const realFile = `[controller]
 name = %s
 listen = %s
@@ -37,38 +37,38 @@
 lease_ms = %d
 ` + trial.Settings
 
-// memberPrefix and listPrefix are where the keys are.
+// memberPrefix and listPrefix are the key prefixes in the store of the members and of the lists of dispatchers.
 const (
 	memberPrefix = "/scale/members/"
 	listPrefix   = "/scale/list/"
 )
 
-// baseHoldOff is the hold-off of the settings in microseconds; the number of a change of settings is added.
+// baseHoldOff is the hold-off in trial.Settings, in microseconds. Each change of settings adds its number to it.
 const baseHoldOff = 2_000_000
 
-// operatorFile writes a configuration. The hold-off is the setting that a change of settings changes.
+// operatorFile writes an operator file. The number of the change of settings is encoded in the hold-off.
 func operatorFile(path, name, listen, management, store, scope string, lease time.Duration, controllers, number int) error {
 	text := fmt.Sprintf(realFile, name, listen, management, store, listPrefix+scope+"/", store, memberPrefix, lease.Milliseconds(), max(controllers, 1))
 	before := fmt.Sprintf("maxRetryAfterUs = %d\n", baseHoldOff)
 	if !strings.Contains(text, before) {
-		return errors.New("scale: the settings have another form")
+		return errors.New("scale: trial.Settings lack the expected line of maxRetryAfterUs")
 	}
 	text = strings.Replace(text, before, fmt.Sprintf("maxRetryAfterUs = %d\n", baseHoldOff+number), 1)
-	fresh := path + ".new" // it is read while it is replaced
+	fresh := path + ".new" // renamed, as controllers may read the file at the same time
 	if err := errors.Join(os.WriteFile(fresh, []byte(text), 0o600), os.Rename(fresh, path)); err != nil {
 		return fmt.Errorf("scale: %w", err)
 	}
 	return nil
 }
 
-// settingsNumber is the number that a configuration was written with.
+// settingsNumber returns the number of the change of settings that is encoded in a configuration.
 func settingsNumber(c *config.Config) int { return int(c.Settings.Caps.MaxRetryAfterUs) - baseHoldOff }
 
-// realController is a process of the program.
+// realController is a process of the program that accepts calls.
 type realController struct {
 	name, scope       string
 	lines, management string
-	path              string // of its file
+	path              string // of the operator file
 	store             string
 	cmd               *exec.Cmd
 	ended             chan struct{}
@@ -77,10 +77,10 @@
 	mu      sync.Mutex
 	applied []Applied
 	failed  int64
-	number  int // of the last settings
+	number  int // of the last change of settings
 }
 
-// start starts the process with the file that is there.
+// start starts the process with the operator file that was written last.
 func (r *realController) start(program, env []string, directory string) error {
 	r.cmd, r.ended = exec.Command(program[0], program[1:]...), make(chan struct{})
 	r.cmd.Env = append(append(os.Environ(), env...), "LB_OPERATOR="+r.path, "TMPDIR="+directory)
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// read follows the log, which tells when a change is in force.
+// read parses the log until it ends. Log lines show when a change has been applied and when a dial has failed.
 func (r *realController) read(log io.Reader) {
 	lines := bufio.NewScanner(log)
 	for lines.Scan() {
@@ -117,18 +117,18 @@
 		}
 		r.mu.Unlock()
 	}
-	_, _ = io.Copy(io.Discard, log) // a line that is too long ends the scanner, and must not hold the process up
+	_, _ = io.Copy(io.Discard, log) // a line that is too long stops the scanner; the process must not block on a full pipe
 }
 
-// logged is the number of a field of a log line.
+// logged returns the number in a field of a log line.
 func logged(line, field string) int64 {
 	_, rest, _ := strings.Cut(line, field+"=")
 	text, _, _ := strings.Cut(rest, " ")
-	n, _ := strconv.ParseInt(text, 10, 64) // a field that is not there counts 0
+	n, _ := strconv.ParseInt(text, 10, 64) // a missing field counts as 0
 	return n
 }
 
-// reload has it read its file again.
+// reload makes the process read its operator file again.
 func (r *realController) reload(number int) error {
 	r.mu.Lock()
 	r.number = number
@@ -136,7 +136,7 @@
 	return r.cmd.Process.Signal(syscall.SIGHUP) //nolint:wrapcheck // it says what it is
 }
 
-// take is what has been applied since the last take, and how many dials have failed in all.
+// take returns the changes that were applied since the last call, and the total number of failed dials.
 func (r *realController) take() ([]Applied, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -145,10 +145,10 @@
 	return all, r.failed
 }
 
-// askWithin bounds a question.
+// askWithin is the timeout of a management request.
 const askWithin = 2 * time.Second
 
-// ask gets a page of the management address.
+// ask gets a page from the management address and decodes it into the given value.
 func (r *realController) ask(path string, into any) error {
 	client := http.Client{Timeout: askWithin}
 	resp, err := client.Get("http://" + r.management + path)
@@ -159,7 +159,7 @@
 	return json.NewDecoder(resp.Body).Decode(into) //nolint:wrapcheck // it says what it is
 }
 
-// members is how many members of the fleet it knows; 0 while it does not serve, or may not act on what it knows.
+// members returns the number of fleet members that the controller knows, or 0 if it does not answer, does not serve or its view is not actable.
 func (r *realController) members() int {
 	var shown membership.Shown
 	if r.ask(membership.Path, &shown) != nil || !shown.Actable || shown.State != "serving" {
@@ -168,7 +168,7 @@
 	return len(shown.Members) + shown.More
 }
 
-// inForce is the number of the change that its list has; -1 if it does not tell.
+// inForce returns the number of the last change in the controller's list, or -1 if that cannot be determined.
 func (r *realController) inForce() int {
 	name := markerPrefix + r.scope
 	var page struct {
@@ -188,13 +188,13 @@
 	return -1
 }
 
-// end kills it.
+// end kills the process and waits for its exit.
 func (r *realController) end() {
 	_ = r.cmd.Process.Kill()
 	<-r.ended
 }
 
-// newReal prepares a controller and its file.
+// newReal reserves addresses for a controller and writes its operator file.
 func newReal(directory, name, scope, store string, s *Scenario) (*realController, error) {
 	r := &realController{name: name, scope: scope, store: store, path: filepath.Join(directory, name+".ini")}
 	for _, at := range []*string{&r.lines, &r.management} {
@@ -206,7 +206,7 @@
 	return r, r.write(s, 0)
 }
 
-// write writes its file, with the settings of a number.
+// write writes the operator file with the settings of the given number.
 func (r *realController) write(s *Scenario, number int) error {
 	return operatorFile(r.path, r.name, r.lines, r.management, r.store, r.scope, s.Lease, s.Controllers+s.Real, number)
 }
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -11,9 +11,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is what a run came to. It is kept as JSON.
+// Report is the result of a run. It is stored as JSON.
 type Report struct {
-	Command     string        `json:"command"` // plays it again
+	Command     string        `json:"command"` // command line that repeats the run
 	Version     string        `json:"version"`
 	Seed        uint64        `json:"seed"`
 	Controllers int           `json:"controllers"`
@@ -26,39 +26,39 @@
 	Phases      []Phase       `json:"phases"`
 	Staleness   []InForce     `json:"staleness"`
 	Latency     *Latency      `json:"latency"` // nil without real controllers
-	Faults      []string      `json:"faults"`  // rules broken
+	Faults      []string      `json:"faults"`  // violations of the rules of a run
 	MemoryMB    int64         `json:"memory_mb"`
 	Processes   int           `json:"processes"`
 	Took        time.Duration `json:"took_ns"`
 }
 
-// Passed reports whether no rule was broken.
+// Passed reports whether the run violated no rule.
 func (r *Report) Passed() bool { return len(r.Faults) == 0 }
 
-// Phase is a part of the run: the start, ordinary time, or the time of a kind of fault.
+// Phase summarizes a part of the run: the start, the time without faults, the time of a kind of fault, or the settling at the end.
 type Phase struct {
 	Name    string  `json:"name"`
 	Seconds float64 `json:"seconds"`
 	Kinds   []Cost  `json:"kinds"`
-	// Of the store, all controllers together.
+	// Rates over all controllers: of requests to the store, of watch messages and of connections that dispatchers accepted.
 	Requests float64 `json:"requests_per_second"`
-	Notices  float64 `json:"notices_per_second"` // messages to watches
+	Notices  float64 `json:"notices_per_second"` // messages that the store sent to watches
 	Changes  float64 `json:"changes_per_second"` // in those messages
 	Accepted float64 `json:"accepted_per_second"`
 }
 
-// Cost is what controllers of a kind take, each.
+// Cost is the average resource usage of one controller of a kind.
 type Cost struct {
 	Kind           string  `json:"kind"`
 	Count          int     `json:"count"`
-	ProcessorShare float64 `json:"processor_percent"` // of a core
+	ProcessorShare float64 `json:"processor_percent"` // percent of a core
 	MemoryKB       float64 `json:"memory_kb"`         // resident
 	Bytes          float64 `json:"bytes_per_second"`  // to and from the store
 	Sockets        float64 `json:"sockets"`
 	FailedDials    float64 `json:"failed_dials_per_second"`
 }
 
-// InForce is the staleness of changes that were made in a phase.
+// InForce is the staleness of the changes of one kind that were made in a phase, at one kind of controllers.
 type InForce struct {
 	Phase  string `json:"phase"`
 	Kind   string `json:"kind"`
@@ -66,7 +66,7 @@
 	Staleness
 }
 
-// Latency is that of set-ups, from request to answer, in microseconds.
+// Latency is the distribution of the time from a set-up to its answer, in microseconds, directly at a dispatcher and through a real controller.
 type Latency struct {
 	Calls      int       `json:"calls"`
 	Refused    int       `json:"refused"`
@@ -75,7 +75,7 @@
 	Relayed    Quantiles `json:"relayed_us"`
 }
 
-// Quantiles are those of a histogram.
+// Quantiles are the quantiles of a histogram.
 type Quantiles struct {
 	P50 int64 `json:"p50"`
 	P90 int64 `json:"p90"`
@@ -87,20 +87,20 @@
 	return Quantiles{h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.ValueAtQuantile(99), h.Max()}
 }
 
-// The phases beside those that bear the name of a fault.
+// The phases that are not named after a kind of fault.
 const (
 	startPhase    = "start"
 	OrdinaryPhase = "ordinary"
-	settlePhase   = "settling" // after the last event, until every controller has all
+	settlePhase   = "settling" // after the plan, until every controller has every change
 )
 
-// span is a time that belongs to a phase.
+// span is a period of the run that belongs to a phase.
 type span struct {
 	phase    string
 	from, to time.Duration
 }
 
-// spans are the times of faults; the rest is ordinary. Where they overlap, the one that began last has its start.
+// spans returns the periods of faults, each with its recovery time. They may overlap.
 func (s *Scenario) spans(plan []Event) []span {
 	var all []span
 	for _, e := range plan {
@@ -111,6 +111,7 @@
 	return all
 }
 
+// phaseAt returns the phase of a point in time. Where periods of faults overlap, the fault that began last determines the phase.
 func phaseAt(spans []span, at time.Duration) string {
 	phase := OrdinaryPhase
 	for _, s := range spans {
@@ -121,7 +122,7 @@
 	return phase
 }
 
-// phases sums up the samples by phase.
+// phases aggregates the samples by phase.
 func phases(samples []sample, phaseOf func(time.Time) string, s *Scenario) []Phase {
 	type sum struct {
 		Phase
@@ -132,7 +133,7 @@
 	for i := 1; i < len(samples); i++ {
 		a, b := &samples[i-1], &samples[i]
 		name := phaseOf(b.at)
-		if name == OrdinaryPhase { // what a fault began or ended in is its own
+		if name == OrdinaryPhase { // an interval in which a fault began or ended belongs to the fault
 			name = phaseOf(a.at)
 		}
 		p := found[name]
@@ -169,7 +170,7 @@
 	return all
 }
 
-// each is what one of a kind takes in a second.
+// each divides the totals of a kind by the time and by the number of its controllers.
 func (s *Scenario) each(kind string, c Cost, seconds float64) Cost {
 	c.Kind, c.Count = kind, 1
 	switch kind {
@@ -183,7 +184,7 @@
 	return c
 }
 
-// inForce lists staleness in the order of phases.
+// inForce lists the staleness sorted by phase, kind of change and kind of controller.
 func inForce(found map[stalenessKey]*hdrhistogram.Histogram) []InForce {
 	var all []InForce
 	for key, h := range found {
--- a/internal/scale/samples.go
+++ b/internal/scale/samples.go
@@ -9,35 +9,35 @@
 )
 
 const (
-	// sampleEvery is the pace of samples, and socketsEvery how many samples are between two counts of sockets.
+	// sampleEvery is the interval between samples. Every socketsEvery samples, sockets are counted.
 	sampleEvery  = 500 * time.Millisecond
 	socketsEvery = 4
 )
 
-// standIns names the part that stands in for the store, the links to it and the dispatchers in figures.
+// standIns is the kind under which a report shows the processes that replace the store, its network and the dispatchers.
 const standIns = "stand-ins"
 
-// sample is what had been used by some time.
+// sample holds the cumulative usage and counters of a run at a point in time.
 type sample struct {
 	at       time.Time
 	used     map[string]usage // by kind
-	bytes    map[string]int64 // to and from the store, by kind
-	failed   map[string]int64 // dials, by kind
-	accepted int64            // connections, by dispatchers
+	bytes    map[string]int64 // sent to and received from the store, by kind
+	failed   map[string]int64 // failed dials, by kind
+	accepted int64            // connections accepted by dispatchers
 	store    store.Counts
-	up       int // hollow controllers
+	up       int // running hollow controllers
 }
 
-// sampler takes samples until it is stopped, and ends the run if that takes more than is allowed.
+// sampler collects samples of a run and checks its memory limit.
 type sampler struct {
 	w       *world
 	samples []sample
 	sockets map[string]int
-	memory  int64 // the most
+	memory  int64 // peak of all processes together, in bytes
 	applied []Applied
 }
 
-// take takes a sample.
+// take takes the sample with the given count, which decides whether sockets are counted. It fails if the run exceeds its memory limit.
 func (m *sampler) take(count int) error {
 	s := sample{at: time.Now(), used: map[string]usage{}, bytes: map[string]int64{}, failed: map[string]int64{}, store: m.w.store.Counts()}
 	if err := m.processes(&s, count%socketsEvery == 0); err != nil {
@@ -51,7 +51,7 @@
 	return m.within(&s)
 }
 
-// processes sums up what processes have used.
+// processes adds up the usage of the processes of each kind.
 func (m *sampler) processes(s *sample, sockets bool) error {
 	pids := map[string][]int{standIns: {os.Getpid()}}
 	for _, p := range m.w.ends {
@@ -68,7 +68,7 @@
 		for _, pid := range all {
 			u, err := usageOf(pid, sockets && kind != standIns)
 			if err != nil {
-				return fmt.Errorf("%w (a process of kind %s has ended)", err, kind)
+				return fmt.Errorf("%w (a process of kind %s may have ended)", err, kind)
 			}
 			sum.add(u)
 		}
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// traffic sums up the bytes to and from the store.
+// traffic adds up the bytes to and from the store.
 func (m *sampler) traffic(s *sample) {
 	for _, rack := range m.w.s.racks() {
 		forth, back := m.w.net.Passed(rack + ">" + storeName)
@@ -93,7 +93,7 @@
 	}
 }
 
-// replies asks the processes what they have counted and applied.
+// replies collects the counters and the applied changes of all processes.
 func (m *sampler) replies(s *sample) error {
 	if err := m.w.ask(0); err != nil {
 		return err
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// within reports whether the run is within its bounds.
+// within updates the peak memory and returns an error if the run exceeds its memory limit.
 func (m *sampler) within(s *sample) error {
 	memory := int64(0)
 	for _, u := range s.used {
@@ -130,12 +130,12 @@
 
 func withinMemory(memory int64) error {
 	if memory > MostMemory {
-		return fmt.Errorf("scale: the run takes %d MB of memory, %d are allowed: it is ended", memory>>20, MostMemory>>20)
+		return fmt.Errorf("scale: the run was stopped: it uses %d MB of memory, %d MB are allowed", memory>>20, MostMemory>>20)
 	}
 	return nil
 }
 
-// ask has all processes tell their state, and so many controllers of each how many members they know.
+// ask polls the state of all processes. In each process it counts the known members of up to the given number of controllers.
 func (w *world) ask(members int) error {
 	all := append(append([]*process{}, w.workers...), w.ends...)
 	return atOnce(all, func(p *process) error {
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -1,6 +1,7 @@
-// Package scale runs large fleets on one machine: controllers without callers ("hollow"), many in one process, beside a few real ones, over
-// stand-ins of the store and of the dispatchers. It causes the faults of a scenario and measures what each controller costs and how long
-// a change takes to be in force. docs/scale.md is its page.
+// Package scale runs large fleets of controllers on one machine to measure them. Most controllers are hollow: they accept no calls, and many run
+// in one process. A few real controllers are processes of the program and carry calls. The store and the dispatchers are fakes. A scenario
+// injects faults; the report shows the resource usage of each controller and how long a change takes until controllers have applied it.
+// docs/scale.md describes scenarios and results.
 package scale
 
 import (
@@ -13,54 +14,55 @@
 	"cherryrelay/internal/inifile"
 )
 
-// Kind is what an event does.
+// Kind is the kind of an event.
 type Kind string
 
-// The events. Restart and Change are drawn at the scenario's rates as well.
+// The kinds of events. Besides the faults of a scenario, Restart and Change events occur at random at the scenario's rates.
 const (
-	Restart   Kind = "restart"    // a controller ends in order and starts again
-	Change    Kind = "change"     // an entry of the list of dispatchers changes
+	Restart   Kind = "restart"    // a controller shuts down gracefully and starts again
+	Change    Kind = "change"     // an entry in the list of dispatchers changes
 	Release   Kind = "release"    // the controllers of a service restart one after the other
-	Rack      Kind = "rack"       // the controllers of a rack are lost, and started later
-	Zone      Kind = "zone"       // a zone is cut off, and is back later
-	Region    Kind = "region"     // a region is cut off, and is back later
-	StartAll  Kind = "start all"  // every hollow controller is lost, and all start at once
-	StopStore Kind = "stop store" // the store is not there
-	Settings  Kind = "settings"   // every controller is given other settings
+	Rack      Kind = "rack"       // the controllers of a rack crash and start again later
+	Zone      Kind = "zone"       // a zone is cut off for a time
+	Region    Kind = "region"     // a region is cut off for a time
+	StartAll  Kind = "start all"  // all hollow controllers crash, and later start at once
+	StopStore Kind = "stop store" // the store is unavailable for a time
+	Settings  Kind = "settings"   // the settings of every controller change
 )
 
-// targets says what an event of a kind is done to.
+// targets lists the possible targets of each kind of event; nil for kinds without a target.
 var targets = map[Kind]func(*Scenario) []string{
 	Restart: (*Scenario).names, Change: (*Scenario).scopes, Release: (*Scenario).serviceNames, Rack: (*Scenario).racks,
 	Zone: (*Scenario).zoneNames, Region: (*Scenario).regionNames, StartAll: nil, StopStore: nil, Settings: nil,
 }
 
-// Scenario is what a run plays. Rates are those of the whole deployment; a run has the share that its controllers are of it.
+// Scenario describes a run. The rate of restarts is that of a deployment of Fleet controllers; a run has a share of it in proportion to its number
+// of hollow controllers. The rate of changes applies as it is.
 type Scenario struct {
-	Controllers    int // hollow
+	Controllers    int // hollow controllers
 	Real           int
 	Services       int
-	Regions, Zones int // zones of each region
+	Regions, Zones int // Zones is the number in each region
 	RackSize       int // hollow controllers in a rack
 	Dispatchers    int
-	ListByService  bool // a controller follows the dispatchers of its own service alone
+	ListByService  bool // whether a controller gets only the dispatchers of its own service
 	Lease          time.Duration
-	Lasting        time.Duration // without the start
-	Recover        time.Duration // how long after a fault it still counts as its time
-	Fleet          int           // controllers of the whole deployment, which the rates are of
+	Lasting        time.Duration // of the plan, after the start of the fleet
+	Recover        time.Duration // time after a fault that still counts as its phase
+	Fleet          int           // number of controllers in the deployment that RestartsPerDay is about
 	RestartsPerDay int
 	ChangesPerDay  int
-	Compress       int // simulated seconds in a second
-	CallsPerSecond int // at each real controller; 0 for none
+	Compress       int // simulated seconds for each second of the run
+	CallsPerSecond int // pairs of calls at each real controller; 0 for none
 	PerProcess     int // hollow controllers in one process
 	Faults         []Event
 }
 
-// Event is one thing that happens, and what undoes it after a while.
+// Event is an event of a run at a time from its start. Events with a lasting effect are reverted after the duration For.
 type Event struct {
 	At, For time.Duration
 	Do      Kind
-	Who     string // "?" in a scenario: the seed draws it
+	Who     string // name of the target; "?" in a scenario picks one at random
 }
 
 func (e Event) String() string {
@@ -74,7 +76,7 @@
 	return text
 }
 
-// The bounds of a scenario.
+// The limits of a scenario.
 const (
 	maxControllers = 50_000
 	maxReal        = 64
@@ -84,14 +86,14 @@
 	maxFaults      = 1000
 )
 
-// Default is a scenario without faults.
+// Default returns a scenario without faults.
 func Default() *Scenario {
 	return &Scenario{Controllers: 100, Services: 10, Regions: 2, Zones: 3, RackSize: 20, Dispatchers: 20, Lease: 3 * time.Second,
 		Lasting: 20 * time.Second, Recover: 3 * time.Second, Fleet: 37_000, RestartsPerDay: 9_900, ChangesPerDay: 14_000, Compress: 10,
 		CallsPerSecond: 20, PerProcess: 250}
 }
 
-// Read reads a scenario: a section [scale], and a section [fault NAME] for each fault. All that is wrong is told.
+// Read parses a scenario: a section [scale], and a section [fault NAME] for each fault. It returns all errors in the text, not just the first.
 func Read(text []byte) (*Scenario, []inifile.Fault) {
 	f, wrong := inifile.Parse(text)
 	if len(wrong) > 0 {
@@ -115,10 +117,10 @@
 	return r.s, nil
 }
 
-// reader takes a scenario off a file.
+// reader fills a scenario from the sections of a file and collects errors.
 type reader struct {
 	s      *Scenario
-	lines  []int // of the sections of faults
+	lines  []int // line numbers of the fault sections, as in s.Faults
 	faults []inifile.Fault
 }
 
@@ -215,7 +217,7 @@
 	r.s.Faults, r.lines = append(r.s.Faults, e), append(r.lines, section.Line)
 }
 
-// check looks at what only the whole tells.
+// check checks rules that depend on several sections, which may stand in any order.
 func (r *reader) check() {
 	for i, e := range r.s.Faults {
 		if !known(e.Do) {
@@ -227,17 +229,17 @@
 	}
 }
 
-// Check reports whether a scenario can be played, as the command line may have changed it since it was read.
+// Check returns an error if the scenario cannot be run. The command line may have changed it after Read.
 func (s *Scenario) Check() error {
 	switch {
 	case s.Controllers < 0 || s.Controllers > maxControllers:
-		return fmt.Errorf("%d controllers: 0 to %d can be", s.Controllers, maxControllers)
+		return fmt.Errorf("%d controllers are not between 0 and %d", s.Controllers, maxControllers)
 	case s.Real < 0 || s.Real > maxReal:
-		return fmt.Errorf("%d real controllers: 0 to %d can be", s.Real, maxReal)
+		return fmt.Errorf("%d real controllers are not between 0 and %d", s.Real, maxReal)
 	case s.Controllers+s.Real == 0:
-		return fmt.Errorf("there is no controller")
+		return fmt.Errorf("the scenario has no controllers")
 	case s.Services < 1:
-		return fmt.Errorf("%d services: there must be one", s.Services)
+		return fmt.Errorf("%d services, at least one is required", s.Services)
 	}
 	for _, e := range s.Faults {
 		among := targets[e.Do]
@@ -251,9 +253,10 @@
 	return nil
 }
 
+// known reports whether a kind of event exists.
 func known(do Kind) bool { _, is := targets[do]; return is }
 
-// Kinds are the events that there are.
+// Kinds returns the names of all kinds of events.
 func Kinds() []string {
 	var all []string
 	for kind := range targets {
@@ -263,7 +266,7 @@
 	return all
 }
 
-// perSecond is a rate of a run, of one that is so much a day.
+// perSecond converts a daily rate of the deployment to the rate per second of a run.
 func (s *Scenario) perSecond(perDay int) float64 {
 	return float64(perDay) / (24 * time.Hour).Seconds() * float64(cmp.Or(s.Compress, 1))
 }
--- a/internal/scale/scenario_test.go
+++ b/internal/scale/scenario_test.go
@@ -46,26 +46,26 @@
 		t.Errorf("racks %v", s.racks())
 	}
 	if got := len(s.within(Event{Do: Release, Who: "s2"})); got != 30 {
-		t.Errorf("%d controllers of the service", got)
+		t.Errorf("%d controllers in the service", got)
 	}
 	plan := s.Plan(3)
 	if diff := cmp.Diff(plan, s.Plan(3)); diff != "" {
-		t.Errorf("the same seed has two plans:\n%s", diff)
+		t.Errorf("the same seed gave two plans:\n%s", diff)
 	}
 	if cmp.Equal(plan, s.Plan(4)) {
-		t.Error("two seeds have the same plan")
+		t.Error("two seeds gave the same plan")
 	}
 	count := map[Kind]int{}
 	for _, e := range plan {
 		count[e.Do]++
 	}
-	// 20 changes a second for ten seconds, and 2 restarts a second: a hundredth of 200.
+	// 20 changes per second for ten seconds, and 2 restarts per second: one hundredth of the deployment's 200.
 	if count[Change] < 100 || count[Change] > 320 || count[Restart] < 5 || count[Restart] > 50 || count[Zone] != 1 || count[Release] != 1 {
 		t.Errorf("plan %v", count)
 	}
 }
 
-// TestPlans: whatever the scenario, a plan is in order, within the time, and names what there is.
+// TestPlans checks for random scenarios that the events of a plan are in order, lie within the run and have existing targets.
 func TestPlans(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Default()
@@ -89,19 +89,19 @@
 			last = e.At
 			among := targets[e.Do]
 			if (e.Who == "") != (among == nil) {
-				t.Fatalf("%v", e)
+				t.Fatalf("%v: a target is present or missing contrary to the kind", e)
 			}
 			if among == nil || e.Do == Change {
 				continue
 			}
 			if e.Do != Zone && e.Do != Region && e.Do != Release && len(s.within(e)) == 0 {
-				t.Fatalf("%v is done to nobody", e)
+				t.Fatalf("%v affects no controller", e)
 			}
 		}
 	})
 }
 
-// TestBadScenarios: each fault is told with its line, and there is no scenario then.
+// TestBadScenarios checks that Read reports each error with its line and returns no scenario, and that Check rejects an unknown target.
 func TestBadScenarios(t *testing.T) {
 	for text, want := range map[string]string{
 		"[scale]\ncontrollers = many\n":                           "line 2: controllers: \"many\" is no whole number from 0 to 50000",
@@ -124,6 +124,6 @@
 	s := Default()
 	s.Faults = []Event{{Do: Release, Who: "s99"}}
 	if err := s.Check(); err == nil || !strings.Contains(err.Error(), "there is no \"s99\"") {
-		t.Errorf("a fault of a service that is not there: %v", err)
+		t.Errorf("a fault with an unknown service: error %v", err)
 	}
 }
--- a/internal/scale/soak_test.go
+++ b/internal/scale/soak_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestSoakSlopes plays three seeds of each size, for the slopes of docs/scale.md.
+// TestSoakSlopes runs three seeds at each fleet size, for the slopes in docs/scale.md.
 func TestSoakSlopes(t *testing.T) {
 	if os.Getenv("CHERRYRELAY_SOAK") == "" {
 		t.Skip("a long run: make soak")
--- a/internal/scale/staleness.go
+++ b/internal/scale/staleness.go
@@ -14,7 +14,7 @@
 	RealKind   = "real"
 )
 
-// issued is a change that was made.
+// issued records when a change was made.
 type issued struct {
 	kind   Kind
 	scope  string
@@ -23,7 +23,8 @@
 	phase  string
 }
 
-// Staleness is how long changes took to be in force at controllers of a kind, of those that were up from the change on.
+// Staleness is the distribution of the time from a change until a controller has applied it, over the controllers that were running when the
+// change was made.
 type Staleness struct {
 	Count int     `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -31,10 +32,10 @@
 	Last  float64 `json:"last_ms"`
 }
 
-// maxStaleness bounds what a histogram takes, in microseconds.
+// maxStaleness is the largest value of a histogram, in microseconds.
 const maxStaleness = int64(time.Hour / time.Microsecond)
 
-// newHistogram is for microseconds.
+// newHistogram returns a histogram of microseconds.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxStaleness, 3) }
 
 func millis(us int64) float64 { return float64(us) / 1000 }
@@ -43,20 +44,20 @@
 	return Staleness{Count: int(h.TotalCount()), P50: millis(h.ValueAtQuantile(50)), P99: millis(h.ValueAtQuantile(99)), Last: millis(h.Max())}
 }
 
-// stalenessKey is what histograms are kept by.
+// stalenessKey identifies a histogram of staleness.
 type stalenessKey struct {
 	phase, kind string
 	change      Kind
 }
 
-// stream is a sequence of numbered changes: those of the list of one scope, or of the settings.
+// stream identifies a sequence of numbered changes: those of the list of one scope, or those of the settings.
 type stream struct {
 	kind  Kind
 	scope string
 }
 
-// timesToForce compares when changes were made with when controllers had them in force. A controller that has a change has all before it.
-// One that starts after a change finds it in its first list: that is not timed.
+// timesToForce returns histograms of the time from a change until a controller has applied it. A controller that has applied a change counts as
+// having all earlier changes of the stream. Changes in the first list after a start are not timed.
 func timesToForce(made []issued, applied []Applied, kindOf func(controller string) string) map[stalenessKey]*hdrhistogram.Histogram {
 	changes := map[stream][]issued{}
 	for _, c := range made {
@@ -68,13 +69,13 @@
 		controller string
 		stream     stream
 	}
-	has := map[at]int{} // how many changes of a stream a controller has
+	has := map[at]int{} // number of the last change that a controller has applied
 	found := map[stalenessKey]*hdrhistogram.Histogram{}
 	for _, a := range applied {
 		s := stream{a.Kind, a.Scope}
 		who := at{a.Controller, s}
 		number := a.Number
-		if number < 0 { // the log tells the status alone: it is the last change to it that has been made by then
+		if number < 0 { // the log of a real controller contains only the status: take the last change to that status that had been made by then
 			number = lastWithStatus(changes[s], -1-number, a.AtNs)
 		}
 		if a.First {
@@ -89,13 +90,14 @@
 			if found[key] == nil {
 				found[key] = newHistogram()
 			}
-			_ = found[key].RecordValue(max((a.AtNs-c.at.UnixNano())/1000, 1)) // beyond an hour there is none
+			_ = found[key].RecordValue(max((a.AtNs-c.at.UnixNano())/1000, 1)) // fails only for more than maxStaleness, and no run lasts that long
 		}
 		has[who] = max(has[who], number)
 	}
 	return found
 }
 
+// lastWithStatus returns the number of the last change to a status that was made by the given time, or 0.
 func lastWithStatus(changes []issued, status int, atNs int64) int {
 	last := 0
 	for _, c := range changes {
--- a/internal/scale/topology.go
+++ b/internal/scale/topology.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// place is where a controller or dispatcher runs, and what it belongs to.
+// place is the service that a controller or dispatcher belongs to, and the region, zone and rack in which it runs.
 type place struct{ service, region, zone, rack string }
 
-// allServices is the scope of a list that every controller follows.
+// allServices is the scope of a list that all controllers share.
 const allServices = "all"
 
 func (s *Scenario) names() []string        { return numbered("c", s.Controllers) }
@@ -13,6 +13,7 @@
 func (s *Scenario) serviceNames() []string { return numbered("s", s.Services) }
 func (s *Scenario) regionNames() []string  { return numbered("r", s.Regions) }
 
+// numbered returns names that consist of the prefix and a number from 1 to count.
 func numbered(prefix string, count int) []string {
 	names := make([]string, 0, count)
 	for i := range count {
@@ -21,7 +22,7 @@
 	return names
 }
 
-// scopes are the parts that the list falls into: each is followed by itself.
+// scopes returns the parts of the list of dispatchers. Each has its own key prefix, and a controller watches one of them.
 func (s *Scenario) scopes() []string {
 	if s.ListByService {
 		return s.serviceNames()
@@ -29,7 +30,7 @@
 	return []string{allServices}
 }
 
-// scope is the part of the list that a controller of a service follows.
+// scope returns the part of the list that the controllers of a service watch.
 func (s *Scenario) scope(service string) string {
 	if s.ListByService {
 		return service
@@ -45,7 +46,7 @@
 	return names
 }
 
-// place is where number i of the hollow controllers, of the real ones or of the dispatchers is: turn about over services and over zones.
+// place returns the place of hollow controller, real controller or dispatcher number i. They are assigned to services and zones round-robin.
 func (s *Scenario) place(i int) place {
 	zones := s.Regions * s.Zones
 	zone := i % zones
@@ -55,7 +56,7 @@
 	return p
 }
 
-// racks are those that have hollow controllers.
+// racks returns the names of the racks that contain hollow controllers.
 func (s *Scenario) racks() []string {
 	var names []string
 	seen := map[string]bool{}
@@ -68,7 +69,7 @@
 	return names
 }
 
-// within are the hollow controllers whose place an event is done to.
+// within returns the names of the hollow controllers that an event affects.
 func (s *Scenario) within(e Event) []string {
 	var names []string
 	for i, name := range s.names() {
@@ -81,7 +82,7 @@
 	return names
 }
 
-// cut reports whether an event cuts off what is at a place.
+// cut reports whether an event cuts off the given place.
 func (e Event) cut(p place) bool {
 	return e.Do == Zone && p.zone == e.Who || e.Do == Region && p.region == e.Who
 }
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The bounds of a run, over all its processes.
+// The limits of a run over all its processes: memory in bytes, and the number of processes.
 const (
 	MostMemory    = 12 << 30
 	MostProcesses = 200
@@ -17,10 +17,10 @@
 // clockTick is the unit of processor time in /proc: USER_HZ, which is 100 on every Linux that Go runs on.
 const clockTick = 10 * time.Millisecond
 
-// usage is what processes have used.
+// usage is the resource usage of one or more processes.
 type usage struct {
 	Processor time.Duration
-	Memory    int64 // resident, in bytes; pages that processes share count for each
+	Memory    int64 // resident, in bytes; shared pages count for each process
 	Sockets   int
 }
 
@@ -30,7 +30,7 @@
 	u.Sockets += o.Sockets
 }
 
-// usageOf reads /proc for a process. Its sockets are counted only if that is asked for: there may be thousands of descriptors.
+// usageOf reads the usage of a process from /proc. It counts sockets only on request, because a process may have thousands of descriptors.
 func usageOf(pid int, sockets bool) (usage, error) {
 	var u usage
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -56,21 +56,22 @@
 	return u, nil
 }
 
-// The fields of /proc/PID/stat behind the name, as proc(5) numbers them less 3.
+// Indexes of fields in /proc/PID/stat after the name: the numbers in proc(5) minus 3.
 const (
 	userField, systemField, residentField = 14 - 3, 15 - 3, 24 - 3
 )
 
+// parseStat returns the processor time and the resident memory from a line of /proc/PID/stat.
 func parseStat(text string) (processor time.Duration, memory int64, err error) {
 	_, rest, _ := strings.Cut(text[max(strings.LastIndexByte(text, ')'), 0):], " ")
 	fields := strings.Fields(rest)
 	if len(fields) <= residentField {
-		return 0, 0, fmt.Errorf("scale: a stat line of %d fields", len(fields))
+		return 0, 0, fmt.Errorf("scale: /proc/PID/stat has only %d fields", len(fields))
 	}
 	var numbers [3]int64
 	for i, field := range []int{userField, systemField, residentField} {
 		if numbers[i], err = strconv.ParseInt(fields[field], 10, 64); err != nil {
-			return 0, 0, fmt.Errorf("scale: a stat line: %w", err)
+			return 0, 0, fmt.Errorf("scale: parse /proc/PID/stat: %w", err)
 		}
 	}
 	return time.Duration(numbers[0]+numbers[1]) * clockTick, numbers[2] * int64(os.Getpagesize()), nil
--- a/internal/scale/worker.go
+++ b/internal/scale/worker.go
@@ -14,7 +14,7 @@
 	"cherryrelay/internal/peer"
 )
 
-// Action is what a worker process is asked to do.
+// Action is the kind of an Order.
 type Action string
 
 // The actions.
@@ -22,40 +22,40 @@
 	StartControllers Action = "start"
 	StopControllers  Action = "stop"
 	ReloadSettings   Action = "reload"
-	OpenDispatchers  Action = "open"  // with addresses, where they are to listen
-	CloseDispatchers Action = "close" // they reset their connections, and refuse others
-	Look             Action = "look"
+	OpenDispatchers  Action = "open"  // at the addresses in Order.Dispatchers
+	CloseDispatchers Action = "close" // they reset their connections and refuse new ones
+	Look             Action = "look"  // only reports the state
 )
 
-// Order is a line to a worker process.
+// Order is a request to a worker process, one line of JSON.
 type Order struct {
 	Action      Action            `json:"action"`
 	Config      string            `json:"config,omitempty"`
 	Specs       []Spec            `json:"specs,omitempty"`
-	Names       []string          `json:"names,omitempty"`       // of controllers or dispatchers; none for all
-	Lost        bool              `json:"lost,omitempty"`        // StopControllers: without a word to the store
+	Names       []string          `json:"names,omitempty"`       // of controllers or dispatchers
+	Lost        bool              `json:"lost,omitempty"`        // StopControllers: as in a crash, without a notification of the store
 	Dispatchers map[string]string `json:"dispatchers,omitempty"` // addresses by name
-	Members     int               `json:"members,omitempty"`     // Look: of so many controllers the members are counted
+	Members     int               `json:"members,omitempty"`     // Look: number of controllers whose known members are counted
 }
 
-// Reply is the line that answers an Order. What it tells of Look stands in it after every action.
+// Reply is the response to an Order, one line of JSON. Every reply contains the state of the process, whatever the action.
 type Reply struct {
 	Error         string    `json:"error,omitempty"`
 	Controllers   int       `json:"controllers"`
 	Joined        int       `json:"joined"`
-	LeastMembers  int       `json:"least_members"` // that one of those asked for knows
-	Applied       []Applied `json:"applied"`       // since the last reply
-	Failed        int64     `json:"failed"`        // dials that came to nothing, as controllers logged them
-	Connections   int       `json:"connections"`   // at dispatchers
-	Accepted      int64     `json:"accepted"`      // by dispatchers
+	LeastMembers  int       `json:"least_members"` // smallest number of members that a polled controller knows
+	Applied       []Applied `json:"applied"`       // changes applied since the last reply
+	Failed        int64     `json:"failed"`        // failed dials, as logged by controllers
+	Connections   int       `json:"connections"`   // open connections at dispatchers
+	Accepted      int64     `json:"accepted"`      // connections accepted by dispatchers
 	MembersAsked  int       `json:"members_asked"`
 	ReloadsFailed int       `json:"reloads_failed"`
 }
 
-// maxOrder bounds a line.
+// maxOrder limits the length of an order or a reply, in bytes.
 const maxOrder = 64 << 20
 
-// Work serves orders until the input ends. Controllers and dispatchers of the process end with it.
+// Work executes orders until the input ends. It does not stop the controllers and dispatchers; they end with the process.
 func Work(in io.Reader, out io.Writer) error {
 	w := &worker{controllers: map[string]*Hollow{}, dispatchers: map[string]*peer.Dispatcher{}, addresses: map[string]string{}}
 	lines := bufio.NewScanner(in)
@@ -78,19 +78,20 @@
 	return lines.Err() //nolint:wrapcheck // it says what it is
 }
 
-// worker is a process with hollow controllers, dispatchers, or both.
+// worker is the state of a worker process, which runs hollow controllers or dispatchers.
 type worker struct {
 	controllers map[string]*Hollow
 	dispatchers map[string]*peer.Dispatcher
 	addresses   map[string]string
 	failed      atomic.Int64
 	accepted    atomic.Int64
-	reloads     atomic.Int64 // that failed
+	reloads     atomic.Int64 // failed reloads
 
 	mu      sync.Mutex
 	applied []Applied
 }
 
+// do executes an order.
 func (w *worker) do(o *Order) error {
 	switch o.Action {
 	case StartControllers:
@@ -140,7 +141,7 @@
 	w.applied = append(w.applied, a)
 }
 
-// stop ends controllers, all at the same time.
+// stop closes controllers concurrently and returns the first error.
 func (w *worker) stop(o *Order) error {
 	errs := make(chan error, len(o.Names))
 	for _, name := range o.Names {
@@ -163,7 +164,7 @@
 	return first
 }
 
-// reload has every controller read a file, each for itself.
+// reload makes all controllers read and apply a file concurrently. Each reads it on its own, as separate processes would.
 func (w *worker) reload(o *Order) {
 	var reading sync.WaitGroup
 	for _, h := range w.controllers {
@@ -176,10 +177,10 @@
 	reading.Wait()
 }
 
-// report is that of a dispatcher with nothing to do.
+// report is the state that every dispatcher reports: idle, with ample capacity.
 const report = "x0:1000000;x1:1000000"
 
-// open has dispatchers listen and answer every set-up at once.
+// open starts dispatchers that answer every set-up at once.
 func (w *worker) open(o *Order) error {
 	for name, address := range o.Dispatchers {
 		d, err := peer.Dispatch("tcp", address, report)
@@ -189,7 +190,7 @@
 		d.TellLinks()
 		w.dispatchers[name] = d
 		go func() {
-			for range d.Acks { // nobody waits for them
+			for range d.Acks { // unused, but the channel must be drained
 			}
 		}()
 		go w.serve(d)
@@ -197,6 +198,7 @@
 	return nil
 }
 
+// serve counts the connections to a dispatcher and answers its set-ups.
 func (w *worker) serve(d *peer.Dispatcher) {
 	for e := range d.Events {
 		switch e.Kind {
@@ -208,7 +210,7 @@
 	}
 }
 
-// look tells the state of the process.
+// look returns the state of the process, and the changes that were applied since the last reply.
 func (w *worker) look(members int) *Reply {
 	r := &Reply{Controllers: len(w.controllers), Failed: w.failed.Load(), Accepted: w.accepted.Load(), ReloadsFailed: int(w.reloads.Load())}
 	for _, d := range w.dispatchers {
@@ -232,20 +234,20 @@
 	return r
 }
 
-// counting counts the dials that come to nothing, of which controllers log each, before the bound on what is logged.
+// counting is a log handler that counts failed dials. It stands before the handler that limits the rate of log lines, so that it sees each one.
 type counting struct {
 	slog.Handler
 	failed *atomic.Int64
 }
 
-// dialFailed is what the connections to dispatchers log then.
+// dialFailed is the log message for a failed dial to a dispatcher.
 const dialFailed = "no connection"
 
 func (c *counting) Handle(ctx context.Context, r slog.Record) error {
 	if r.Message == dialFailed {
 		c.failed.Add(1)
 	}
-	return c.Handler.Handle(ctx, r) //nolint:wrapcheck // it is another handler
+	return c.Handler.Handle(ctx, r) //nolint:wrapcheck // the error is that of the wrapped handler
 }
 
 func (c *counting) WithAttrs(attrs []slog.Attr) slog.Handler {
--- a/internal/scale/world.go
+++ b/internal/scale/world.go
@@ -18,62 +18,62 @@
 
 const (
 	storeName = "store"
-	// spareDescriptors are kept for what is not counted, in each process.
+	// spareDescriptors is the reserve of file descriptors in each process for uses that are not counted.
 	spareDescriptors = 500
-	// storeDescriptors are those of this process for one controller: both sides of the proxy, and the store's.
+	// storeDescriptors is the number of descriptors that this process needs for each controller: both sides of the proxy, and the store.
 	storeDescriptors = 3
-	// linksEach is how many connections to a dispatcher a controller without calls holds.
+	// linksEach is the number of connections from a hollow controller to a dispatcher; without calls it opens just one.
 	linksEach = 1
-	// linksOfReal is how many a real one may hold.
+	// linksOfReal is the maximum number of connections from a real controller to a dispatcher.
 	linksOfReal = dispatchers.MaxConnections
 )
 
-// Options say with what a scenario is played.
+// Options are the programs and the environment of a run.
 type Options struct {
-	Worker  []string // the command of a worker process: this program, which has to call Work
-	Program []string // the command of a real controller
-	Env     []string // beside that of this process
+	Worker  []string // command of a worker process: it must call Work
+	Program []string // command of a real controller
+	Env     []string // added to the environment of this process
 	Version string
-	Command string // the line that repeats the run
-	// Progress is told what is being done and how much of the run is over; it may be nil.
+	Command string // command line that repeats the run
+	// Progress is called with the current phase and the completed fraction of the run. It may be nil.
 	Progress func(phase string, part float64)
 }
 
-// world is all that runs.
+// world contains all processes of a run, the store and the network between them.
 type world struct {
 	s       *Scenario
 	o       Options
-	files   string // a directory
-	config  string // of the hollow controllers
+	files   string // directory for the files of the run
+	config  string // path of the operator file of the hollow controllers
 	store   *store.Store
-	address string // of the store itself
+	address string // of the store, without the proxies
 	net     *fault.Net
 	workers []*process          // with hollow controllers
 	ends    []*process          // with dispatchers
-	host    map[string]*process // of a hollow controller
+	host    map[string]*process // worker of each hollow controller
 	specs   map[string]Spec
 	real    []*realController
-	// The dispatchers, by name: where they listen, in which process, and what they belong to.
+	// The addresses, processes and places of dispatchers, by name.
 	listen map[string]string
 	at     map[string]*process
 	places map[string]place
 
 	mu     sync.Mutex
 	made   []issued
-	number map[stream]int // of the last change
-	cuts   map[string]int // how many events cut a rack or real controller off
-	closed map[string]int // how many events keep a dispatcher closed
-	down   map[string]int // how many events keep a hollow controller down
+	number map[stream]int // number of the last change
+	cuts   map[string]int // number of events that cut off a rack or real controller
+	closed map[string]int // number of events that keep a dispatcher closed
+	down   map[string]int // number of events that keep a hollow controller down
 }
 
-// processes is how many a scenario takes, and descriptors how many the fullest of them.
+// processes returns the number of processes with hollow controllers, of those with dispatchers, and of all with this one and the real controllers.
 func (s *Scenario) processes() (workers, ends, all int) {
 	workers = (s.Controllers + s.PerProcess - 1) / s.PerProcess
 	ends = s.endProcesses()
 	return workers, ends, 1 + workers + ends + s.Real
 }
 
-// listed are the names of the dispatchers, with those whose changes are timed.
+// listed returns the names of all entries of the list: dispatchers and markers.
 func (s *Scenario) listed() []string {
 	names := numbered("d", s.Dispatchers)
 	for _, scope := range s.scopes() {
@@ -82,7 +82,7 @@
 	return names
 }
 
-// connections is how many a dispatcher is held by, at most.
+// connections returns the maximum number of connections to one dispatcher.
 func (s *Scenario) connections() int {
 	if s.ListByService {
 		return (s.Controllers+s.Services-1)/s.Services + linksOfReal*s.Real
@@ -90,19 +90,20 @@
 	return s.Controllers + linksOfReal*s.Real
 }
 
-// mostConnections is how many one process with dispatchers takes.
+// mostConnections is the maximum number of connections to the dispatchers of one process.
 const mostConnections = 15_000
 
+// endProcesses returns the number of processes needed for the dispatchers.
 func (s *Scenario) endProcesses() int {
 	each := max(mostConnections/max(s.connections(), 1), 1)
 	return (len(s.listed()) + each - 1) / each
 }
 
-// bounds reports whether the machine's limits bear a scenario.
+// bounds returns an error if a scenario needs more processes than MostProcesses or more descriptors than the machine allows.
 func (s *Scenario) bounds() error {
 	_, _, all := s.processes()
 	if all > MostProcesses {
-		return fmt.Errorf("scale: %d processes, %d are allowed: more controllers in a process (per_process), fewer dispatchers or fewer real ones", all, MostProcesses)
+		return fmt.Errorf("scale: the run needs %d processes, %d are allowed: increase per_process, or use fewer dispatchers or real controllers", all, MostProcesses)
 	}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -118,13 +119,13 @@
 		{"a real controller", linksOfReal * s.listedEach()},
 	} {
 		if need := process.descriptors + spareDescriptors; uint64(need) > limit.Max {
-			return fmt.Errorf("scale: %s would need %d descriptors, %d are allowed", process.what, need, limit.Max)
+			return fmt.Errorf("scale: %s needs %d descriptors, %d are allowed", process.what, need, limit.Max)
 		}
 	}
 	return nil
 }
 
-// listedEach is how many dispatchers a controller follows.
+// listedEach returns the number of list entries that a controller watches, with the marker.
 func (s *Scenario) listedEach() int {
 	if s.ListByService {
 		return (s.Dispatchers+s.Services-1)/s.Services + 1
@@ -132,7 +133,7 @@
 	return s.Dispatchers + 1
 }
 
-// open starts all but the hollow controllers.
+// open starts the store, the dispatchers, the workers and the real controllers, but no hollow controllers.
 func open(s *Scenario, o Options, seed uint64, files string) (*world, error) {
 	w := &world{s: s, o: o, files: files, config: filepath.Join(files, "hollow.ini"), store: store.New(seed + 1), net: fault.New(seed),
 		host: map[string]*process{}, specs: map[string]Spec{}, listen: map[string]string{}, at: map[string]*process{}, places: map[string]place{},
@@ -152,7 +153,7 @@
 
 func (w *world) startWorker() (*process, error) { return startProcess(w.o.Worker, w.o.Env) }
 
-// openEnds has the dispatchers listen, spread over processes.
+// openEnds starts the dispatchers, spread over worker processes.
 func (w *world) openEnds() error {
 	_, processes, _ := w.s.processes()
 	names := w.s.listed()
@@ -176,7 +177,7 @@
 	return nil
 }
 
-// list writes the list of dispatchers into the store.
+// list writes the list of dispatchers and the initial markers to the store.
 func (w *world) list() error {
 	for i, name := range numbered("d", w.s.Dispatchers) {
 		p := w.s.place(i)
@@ -194,6 +195,7 @@
 	return nil
 }
 
+// mark writes the marker of a scope to the store as of the change with the given number.
 func (w *world) mark(scope string, number int) error {
 	name, entry := marker(scope, w.listen[markerPrefix+scope], number)
 	return w.put(listPrefix+scope+"/"+name, entry)
@@ -208,7 +210,7 @@
 	return nil
 }
 
-// openWorkers starts the processes of the hollow controllers, and opens a link to the store for each rack.
+// openWorkers starts the workers for hollow controllers, opens a proxy to the store for each rack and assigns the controllers to both.
 func (w *world) openWorkers() error {
 	if err := operatorFile(w.config, "hollow", "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1", allServices, w.s.Lease, w.s.Controllers+w.s.Real, 0); err != nil {
 		return err
@@ -237,6 +239,7 @@
 	return nil
 }
 
+// openReal starts the real controllers, each with a proxy to the store.
 func (w *world) openReal() error {
 	for i, name := range w.s.realNames() {
 		address, err := w.net.Between(name, storeName, w.address)
@@ -259,7 +262,7 @@
 	return nil
 }
 
-// close ends all that was started.
+// close stops all processes, the proxies and the store.
 func (w *world) close() error {
 	for _, r := range w.real {
 		r.end()
@@ -274,7 +277,7 @@
 	return nil
 }
 
-// byHost has an order for some controllers done in each process that has any of them, at the same time.
+// byHost groups controllers by their worker and sends each worker the order for its group, concurrently.
 func (w *world) byHost(names []string, order func(some []string) *Order) error {
 	some := map[*process][]string{}
 	for _, name := range names {
@@ -289,7 +292,7 @@
 	})
 }
 
-// atOnce does something with each process, at the same time.
+// atOnce calls a function for each process concurrently and joins the errors.
 func atOnce(processes []*process, do func(*process) error) error {
 	errs := make([]error, len(processes))
 	var doing sync.WaitGroup
@@ -311,7 +314,7 @@
 	})
 }
 
-// stop ends hollow controllers, in order or as lost.
+// stop stops hollow controllers: gracefully or, if lost is set, as in a crash.
 func (w *world) stop(names []string, lost bool) error {
 	return w.byHost(names, func(some []string) *Order { return &Order{Action: StopControllers, Names: some, Lost: lost} })
 }
