--- a/internal/scale/events.go
+++ b/internal/scale/events.go
@@ -9,96 +9,97 @@
 	"cherryrelay/internal/fault"
 )
 
-// do executes an event. The function that it returns reverts the event; it is nil if there is nothing to revert.
-func (w *world) do(e Event, phase string) (undo func() error, err error) {
+// execute executes an event. The function that it returns reverts the event; it is nil if there is nothing to revert.
+func (c *cluster) execute(e Event, phase string) (revert func() error, err error) {
 	switch e.Do {
 	case Change:
-		return nil, w.change(e.Who, phase)
+		return nil, c.changeMarker(e.Who, phase)
 	case Settings:
-		return nil, w.settings(phase)
+		return nil, c.changeSettings(phase)
 	case Restart:
-		return nil, w.restart([]string{e.Who})
+		return nil, c.restart([]string{e.Who})
 	case Release:
-		return nil, w.release(e)
+		return nil, c.rollingRestart(e)
 	case Rack, StartAll:
-		return w.lose(e)
+		return c.crash(e)
 	case Zone, Region:
-		return w.cut(e)
+		return c.cutOff(e)
 	case StopStore:
-		w.store.Close()
+		c.store.Close()
 		return func() error {
-			_, err := w.store.Listen(w.address)
-			return err //nolint:wrapcheck // it says what it is
+			_, err := c.store.Listen(c.storeAddress)
+			return err //nolint:wrapcheck // the error needs no context
 		}, nil
 	}
 	return nil, fmt.Errorf("scale: event %v has an unknown kind", e)
 }
 
-// next increments and returns the number of the last change of a stream.
-func (w *world) next(s stream) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.number[s]++
-	return w.number[s]
+// nextNumber increments and returns the number of the last change of a stream.
+func (c *cluster) nextNumber(s stream) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastNumbers[s]++
+	return c.lastNumbers[s]
 }
 
-// last returns the number of the last change of a stream.
-func (w *world) last(s stream) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.number[s]
+// lastNumber returns the number of the last change of a stream.
+func (c *cluster) lastNumber(s stream) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.lastNumbers[s]
 }
 
-// change writes a new version of a scope's marker into the list and records when.
-func (w *world) change(scope, phase string) error {
-	number := w.next(stream{Change, scope})
-	w.note(issued{Change, scope, number, time.Now(), phase})
-	return w.mark(scope, number)
+// changeMarker writes a new version of a scope's marker into the list and records when.
+func (c *cluster) changeMarker(scope, phase string) error {
+	number := c.nextNumber(stream{Change, scope})
+	c.recordChange(issuedChange{Change, scope, number, time.Now(), phase})
+	return c.writeMarker(scope, number)
 }
 
-// settings writes new configuration files and makes every controller reload its file. The distribution of files to machines is not simulated.
-func (w *world) settings(phase string) error {
-	number := w.next(stream{kind: Settings})
-	if err := operatorFile(w.config, "hollow", "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1", allServices, w.s.Lease, w.s.Controllers+w.s.Real, number); err != nil {
+// changeSettings writes new configuration files and makes every controller reload its file. The distribution of files to machines is not simulated.
+func (c *cluster) changeSettings(phase string) error {
+	number := c.nextNumber(stream{kind: Settings})
+	if err := writeOperatorFile(c.configPath, "hollow", "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1", allServices, c.scenario.Lease,
+		c.scenario.Controllers+c.scenario.Real, number); err != nil {
 		return err
 	}
-	for _, r := range w.real {
-		if err := r.write(w.s, number); err != nil {
+	for _, r := range c.realControllers {
+		if err := r.writeConfig(c.scenario, number); err != nil {
 			return err
 		}
 	}
-	w.note(issued{Settings, "", number, time.Now(), phase})
-	for _, r := range w.real {
+	c.recordChange(issuedChange{Settings, "", number, time.Now(), phase})
+	for _, r := range c.realControllers {
 		if err := r.reload(number); err != nil {
 			return err
 		}
 	}
-	return atOnce(w.workers, func(p *process) error {
-		_, err := p.ask(&Order{Action: ReloadSettings, Config: w.config})
+	return forEachProcess(c.workers, func(p *process) error {
+		_, err := p.send(&Order{Action: ReloadSettings, Config: c.configPath})
 		return err
 	})
 }
 
-// take counts one more event that keeps each controller down, and returns the controllers that were up before.
-func (w *world) take(names []string) []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// holdDown counts one more event that keeps each controller down, and returns the controllers that were up before.
+func (c *cluster) holdDown(names []string) []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var up []string
 	for _, name := range names {
-		if w.down[name]++; w.down[name] == 1 {
+		if c.downCounts[name]++; c.downCounts[name] == 1 {
 			up = append(up, name)
 		}
 	}
 	return up
 }
 
-// give reverts take for one event, and returns the controllers that no event keeps down any longer.
-func (w *world) give(names []string) []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// endHoldDown reverts holdDown for one event, and returns the controllers that no event keeps down any longer.
+func (c *cluster) endHoldDown(names []string) []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var up []string
 	for _, name := range names {
-		if w.down[name]--; w.down[name] == 0 {
+		if c.downCounts[name]--; c.downCounts[name] == 0 {
 			up = append(up, name)
 		}
 	}
@@ -106,124 +107,124 @@
 }
 
 // restart shuts controllers down gracefully and starts them again. It skips controllers that are already down.
-func (w *world) restart(names []string) error {
-	up := w.take(names)
-	if err := w.stop(up, false); err != nil {
+func (c *cluster) restart(names []string) error {
+	up := c.holdDown(names)
+	if err := c.stopControllers(up, false); err != nil {
 		return err
 	}
-	return w.start(w.give(names))
+	return c.startControllers(c.endHoldDown(names))
 }
 
-// release restarts the controllers of a service one after the other, spread over the duration of the event.
-func (w *world) release(e Event) error {
-	names := w.s.within(e)
-	begun := time.Now()
+// rollingRestart restarts the controllers of a service one after the other, spread over the duration of the event.
+func (c *cluster) rollingRestart(e Event) error {
+	names := c.scenario.affectedControllers(e)
+	start := time.Now()
 	for i, name := range names {
-		time.Sleep(time.Until(begun.Add(e.For * time.Duration(i) / time.Duration(len(names)))))
-		if err := w.restart([]string{name}); err != nil {
+		time.Sleep(time.Until(start.Add(e.For * time.Duration(i) / time.Duration(len(names)))))
+		if err := c.restart([]string{name}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// lose stops controllers as in a crash: they do not notify the store. Its undo function starts them again.
-func (w *world) lose(e Event) (undo func() error, err error) {
-	names := w.s.within(e)
-	if err := w.stop(w.take(names), true); err != nil {
+// crash stops controllers as in a crash: they do not notify the store. The function that it returns starts them again.
+func (c *cluster) crash(e Event) (revert func() error, err error) {
+	names := c.scenario.affectedControllers(e)
+	if err := c.stopControllers(c.holdDown(names), true); err != nil {
 		return nil, err
 	}
-	return func() error { return w.start(w.give(names)) }, nil
+	return func() error { return c.startControllers(c.endHoldDown(names)) }, nil
 }
 
-// cut disconnects the controllers of a zone or region from the store and makes its dispatchers refuse connections. All processes keep running.
-func (w *world) cut(e Event) (undo func() error, err error) {
-	links, ends := w.cutBy(e)
-	for _, link := range w.counted(w.cuts, links, 1) {
+// cutOff disconnects the controllers of a zone or region from the store and makes its dispatchers refuse connections. All processes keep running.
+func (c *cluster) cutOff(e Event) (revert func() error, err error) {
+	proxies, dispatchers := c.affectedByCut(e)
+	for _, proxy := range c.adjustHolds(c.cutCounts, proxies, 1) {
 		hole := fault.Way{Hole: true}
-		w.net.Set(link+">"+storeName, fault.Rule{Forth: hole, Back: hole, Shut: true})
+		c.network.Set(proxy+">"+storeName, fault.Rule{Forth: hole, Back: hole, Shut: true})
 	}
-	closing := w.counted(w.closed, ends, 1)
-	err = atOnce(w.ends, func(p *process) error {
-		_, err := p.ask(&Order{Action: CloseDispatchers, Names: w.of(p, closing)})
+	closing := c.adjustHolds(c.closedCounts, dispatchers, 1)
+	err = forEachProcess(c.dispatcherProcesses, func(p *process) error {
+		_, err := p.send(&Order{Action: CloseDispatchers, Names: c.dispatchersIn(p, closing)})
 		return err
 	})
 	return func() error {
-		for _, link := range w.counted(w.cuts, links, -1) {
-			w.net.Set(link+">"+storeName, fault.Rule{})
+		for _, proxy := range c.adjustHolds(c.cutCounts, proxies, -1) {
+			c.network.Set(proxy+">"+storeName, fault.Rule{})
 		}
-		opening := w.counted(w.closed, ends, -1)
-		return atOnce(w.ends, func(p *process) error {
+		opening := c.adjustHolds(c.closedCounts, dispatchers, -1)
+		return forEachProcess(c.dispatcherProcesses, func(p *process) error {
 			addresses := map[string]string{}
-			for _, name := range w.of(p, opening) {
-				addresses[name] = w.listen[name]
+			for _, name := range c.dispatchersIn(p, opening) {
+				addresses[name] = c.dispatcherAddress[name]
 			}
-			_, err := p.ask(&Order{Action: OpenDispatchers, Dispatchers: addresses})
+			_, err := p.send(&Order{Action: OpenDispatchers, Dispatchers: addresses})
 			return err
 		})
 	}, err
 }
 
-// cutBy returns the connections to the store (links) and the dispatchers (ends) that an event cuts off.
-func (w *world) cutBy(e Event) (links, ends []string) {
-	for i := range w.s.Controllers {
-		if p := w.s.place(i); e.cut(p) && !slices.Contains(links, p.rack) {
-			links = append(links, p.rack)
+// affectedByCut returns the names of the proxies to the store and of the dispatchers that an event cuts off.
+func (c *cluster) affectedByCut(e Event) (proxies, dispatchers []string) {
+	for i := range c.scenario.Controllers {
+		if p := c.scenario.place(i); e.cutsOff(p) && !slices.Contains(proxies, p.rack) {
+			proxies = append(proxies, p.rack)
 		}
 	}
-	for i, r := range w.real {
-		if e.cut(w.s.place(i)) {
-			links = append(links, r.name)
+	for i, r := range c.realControllers {
+		if e.cutsOff(c.scenario.place(i)) {
+			proxies = append(proxies, r.name)
 		}
 	}
-	for name, p := range w.places {
-		if e.cut(p) {
-			ends = append(ends, name)
+	for name, p := range c.dispatcherPlace {
+		if e.cutsOff(p) {
+			dispatchers = append(dispatchers, name)
 		}
 	}
-	return links, ends
+	return proxies, dispatchers
 }
 
-// counted adds by to the number of events that hold each name, and returns the names whose number changed from 0 or to 0.
-func (w *world) counted(holds map[string]int, names []string, by int) []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	var turned []string
+// adjustHolds adds delta to the number of events that hold each name, and returns the names whose number changed from 0 or to 0.
+func (c *cluster) adjustHolds(holds map[string]int, names []string, delta int) []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var changed []string
 	for _, name := range names {
 		before := holds[name]
-		holds[name] += by
+		holds[name] += delta
 		if (before == 0) != (holds[name] == 0) {
-			turned = append(turned, name)
+			changed = append(changed, name)
 		}
 	}
-	return turned
+	return changed
 }
 
-// of returns those of the named dispatchers that run in process p.
-func (w *world) of(p *process, names []string) []string {
-	return slices.DeleteFunc(slices.Clone(names), func(name string) bool { return w.at[name] != p })
+// dispatchersIn returns those of the named dispatchers that run in process p.
+func (c *cluster) dispatchersIn(p *process, names []string) []string {
+	return slices.DeleteFunc(slices.Clone(names), func(name string) bool { return c.dispatcherProcess[name] != p })
 }
 
-// note records a change that is about to be made.
-func (w *world) note(change issued) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.made = append(w.made, change)
+// recordChange records a change that is about to be made.
+func (c *cluster) recordChange(change issuedChange) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.changes = append(c.changes, change)
 }
 
-// runner executes the events of a plan at their times.
-type runner struct {
-	w     *world
-	begun time.Time
-	tasks sync.WaitGroup
+// eventRunner executes the events of a plan at their times.
+type eventRunner struct {
+	cluster *cluster
+	started time.Time
+	tasks   sync.WaitGroup
 
 	mu     sync.Mutex
 	err    error
 	events []string
 }
 
-// failed keeps the first error.
-func (r *runner) failed(err error) {
+// recordError keeps the first error.
+func (r *eventRunner) recordError(err error) {
 	if err == nil {
 		return
 	}
@@ -234,32 +235,32 @@
 	}
 }
 
-// one executes an event and reverts it after its duration.
-func (r *runner) one(e Event, phase string) {
-	undo, err := r.w.do(e, phase)
-	r.failed(err)
-	if undo == nil {
+// runEvent executes an event and reverts it after its duration.
+func (r *eventRunner) runEvent(e Event, phase string) {
+	revert, err := r.cluster.execute(e, phase)
+	r.recordError(err)
+	if revert == nil {
 		return
 	}
-	time.Sleep(time.Until(r.begun.Add(e.At + e.For)))
-	r.failed(undo())
+	time.Sleep(time.Until(r.started.Add(e.At + e.For)))
+	r.recordError(revert())
 }
 
-// run executes the plan and returns when every event is reverted. If over is closed, it returns early and does not wait for the events in progress.
-func (r *runner) run(plan []Event, over <-chan struct{}, phaseOf func(time.Duration) string) {
+// run executes the plan and returns when every event is reverted. If done is closed, it returns early and does not wait for the events in progress.
+func (r *eventRunner) run(plan []Event, done <-chan struct{}, phaseOf func(time.Duration) string) {
 	for _, e := range plan {
 		select {
-		case <-over:
+		case <-done:
 			return
-		case <-time.After(time.Until(r.begun.Add(e.At))):
+		case <-time.After(time.Until(r.started.Add(e.At))):
 		}
 		r.events = append(r.events, e.String())
-		r.tasks.Go(func() { r.one(e, phaseOf(e.At)) })
+		r.tasks.Go(func() { r.runEvent(e, phaseOf(e.At)) })
 	}
 	select {
-	case <-over:
+	case <-done:
 		return
-	case <-time.After(time.Until(r.begun.Add(r.w.s.Lasting))):
+	case <-time.After(time.Until(r.started.Add(r.cluster.scenario.Lasting))):
 	}
 	r.tasks.Wait()
 }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -24,10 +24,10 @@
 )
 
 const (
-	// tellStateEvery is the interval at which a controller reports its state to the fleet, the same as in the program.
-	tellStateEvery = 100 * time.Millisecond
-	// closeConnectionsWithin is the time that a pool needs to close its connections after the list has become empty.
-	closeConnectionsWithin = 4 * time.Second
+	// stateReportInterval is the interval at which a controller reports its state to the fleet, the same as in the program.
+	stateReportInterval = 100 * time.Millisecond
+	// poolCloseTimeout is the time that a pool needs to close its connections after the list has become empty.
+	poolCloseTimeout = 4 * time.Second
 	// markerPrefix starts the names of markers, the list entries whose changes are timed. The group of a marker is markerGroup plus the number
 	// of its last change.
 	markerPrefix = "marker-"
@@ -44,17 +44,17 @@
 // Hollow is a call controller without listening sockets, so that no caller can reach it. Its event loop, list, membership, decision module,
 // connections to dispatchers and timers are those of the program and are wired in the same way.
 type Hollow struct {
-	name    string
-	loop    *call.Loop
-	core    *call.Core
-	pool    *dispatchers.Pool
-	fleet   *membership.Fleet
-	client  *clientv3.Client
-	cancel  context.CancelFunc
-	applied func(Applied)
-	ready   atomic.Bool
-	leaving bool // used by the event loop only
-	known   bool // whether a complete list has been applied; used by the event loop only
+	name        string
+	loop        *call.Loop
+	core        *call.Core
+	pool        *dispatchers.Pool
+	fleet       *membership.Fleet
+	client      *clientv3.Client
+	cancel      context.CancelFunc
+	onApplied   func(Applied)
+	ready       atomic.Bool
+	leaving     bool // used by the event loop only
+	listApplied bool // whether a complete list has been applied; used by the event loop only
 }
 
 // Applied records that a controller has applied a change.
@@ -71,18 +71,19 @@
 // for each change that it applies.
 func StartHollow(c config.Config, s Spec, log slog.Handler, applied func(Applied)) (*Hollow, error) {
 	logger := slog.New(log).With("name", s.Name)
-	h := &Hollow{name: s.Name, loop: call.NewLoop(), applied: applied}
+	h := &Hollow{name: s.Name, loop: call.NewLoop(), onApplied: applied}
 	var err error
 	if h.core, err = call.New(h.loop, logger, c.Settings, uint64(time.Now().UnixNano())); err != nil {
-		return nil, err //nolint:wrapcheck // it says what it is
+		return nil, err //nolint:wrapcheck // the error needs no context
 	}
-	h.pool = dispatchers.New(h.loop, h.core, dispatchers.Options{ConnectTimeout: c.Settings.ConnectTimeout(), ReportFields: c.Settings.Report.Fields, Log: logger})
+	h.pool = dispatchers.New(h.loop, h.core, dispatchers.Options{
+		ConnectTimeout: c.Settings.ConnectTimeout(), ReportFields: c.Settings.Report.Fields, Log: logger})
 	h.core.SetDispatchers(h.pool)
 	h.core.OnFlush(h.pool.Flush)
 	h.loop.AddIdleCheck(h.pool.NoUnreadInput)
 	keeper := lists.New(logger, func(u pool.Update) { h.loop.Post(func() { h.update(u) }) })
 	if h.client, err = etcd.Dial([]string{s.Store}); err != nil {
-		return nil, err //nolint:wrapcheck // it says what it is
+		return nil, err //nolint:wrapcheck // the error needs no context
 	}
 	var ctx context.Context
 	ctx, h.cancel = context.WithCancel(context.Background())
@@ -91,15 +92,15 @@
 	go stream.Run(ctx)
 	h.fleet = membership.Start(h.client, membership.Options{Name: s.Name, Address: "hollow", Prefix: strings.TrimSuffix(c.Fleet.Prefix, "/") + "/",
 		Lease: c.Fleet.Lease()}, logger)
-	h.loop.Post(h.tellState)
+	h.loop.Post(h.reportState)
 	go etcd.Over(h.client, s.Prefix, logger, keeper.Stream(pool.FromEtcd)).Run(ctx)
 	go h.loop.Run()
 	applied(Applied{Controller: s.Name, Kind: Settings, Number: settingsNumber(&c), AtNs: time.Now().UnixNano(), First: true})
 	return h, nil
 }
 
-// tellState reports the state of this controller to the fleet, and schedules the next report.
-func (h *Hollow) tellState() {
+// reportState reports the state of this controller to the fleet, and schedules the next report.
+func (h *Hollow) reportState() {
 	ready := h.core.Ready()
 	h.ready.Store(ready)
 	switch {
@@ -110,7 +111,7 @@
 	default:
 		h.fleet.Say(members.Joining)
 	}
-	h.loop.After(tellStateEvery, h.tellState)
+	h.loop.After(stateReportInterval, h.reportState)
 }
 
 // update applies a change of the list and reports the markers in it.
@@ -118,13 +119,13 @@
 	h.core.Update(u)
 	now := time.Now().UnixNano()
 	for _, entry := range u.Servers {
-		scope, is := strings.CutPrefix(string(entry.ID), markerPrefix)
-		if !is || entry.Status == control.Removed {
+		scope, isMarker := strings.CutPrefix(string(entry.ID), markerPrefix)
+		if !isMarker || entry.Status == control.Removed {
 			continue
 		}
-		h.applied(Applied{Controller: h.name, Kind: Change, Scope: scope, Number: entry.Cell - markerGroup, AtNs: now, First: !h.known})
+		h.onApplied(Applied{Controller: h.name, Kind: Change, Scope: scope, Number: entry.Cell - markerGroup, AtNs: now, First: !h.listApplied})
 	}
-	h.known = h.known || u.Complete
+	h.listApplied = h.listApplied || u.Complete
 }
 
 // Reload reads a file and applies its settings, as the program does at SIGHUP.
@@ -138,7 +139,7 @@
 			return // the check at the end of the run finds controllers without the last settings
 		}
 		h.pool.Reconfigure(fresh.Settings.ConnectTimeout(), fresh.Settings.Report.Fields)
-		h.applied(Applied{Controller: h.name, Kind: Settings, Number: settingsNumber(fresh), AtNs: time.Now().UnixNano()})
+		h.onApplied(Applied{Controller: h.name, Kind: Settings, Number: settingsNumber(fresh), AtNs: time.Now().UnixNano()})
 	})
 	return nil
 }
@@ -151,33 +152,33 @@
 
 // Members returns the number of fleet members that the controller knows, or 0 while its view is not actable.
 func (h *Hollow) Members() int {
-	shown := h.fleet.Show()
-	if !shown.Actable {
+	view := h.fleet.Show()
+	if !view.Actable {
 		return 0
 	}
-	return len(shown.Members) + shown.More
+	return len(view.Members) + view.More
 }
 
-// Close shuts the controller down gracefully or, if lost is set, as in the crash of a machine: without a notification of the store. The
-// connection to the store is closed when Close returns; the connections to dispatchers close within closeConnectionsWithin.
-func (h *Hollow) Close(lost bool) error {
+// Close shuts the controller down gracefully or, if crashed is set, as in the crash of a machine: without a notification of the store. The
+// connection to the store is closed when Close returns; the connections to dispatchers close within poolCloseTimeout.
+func (h *Hollow) Close(crashed bool) error {
 	h.cancel()
-	if lost {
+	if crashed {
 		err := h.client.Close()
 		h.fleet.Close()
-		h.unlist()
-		return err //nolint:wrapcheck // it says what it is
+		h.clearList()
+		return err //nolint:wrapcheck // the error needs no context
 	}
 	h.loop.Post(func() { h.leaving = true })
 	h.fleet.Close()
-	h.unlist()
-	return h.client.Close() //nolint:wrapcheck // it says what it is
+	h.clearList()
+	return h.client.Close() //nolint:wrapcheck // the error needs no context
 }
 
-// unlist applies an empty list, which makes the pool close its connections, and stops the event loop after closeConnectionsWithin.
-func (h *Hollow) unlist() {
+// clearList applies an empty list, which makes the pool close its connections, and stops the event loop after poolCloseTimeout.
+func (h *Hollow) clearList() {
 	h.loop.Post(func() { h.pool.Update(pool.Update{Complete: true}) })
-	time.AfterFunc(closeConnectionsWithin, h.loop.Quit)
+	time.AfterFunc(poolCloseTimeout, h.loop.Quit)
 }
 
 // readConfig reads an operator file in the same way as the program.
@@ -189,26 +190,27 @@
 		return ""
 	})
 	if err != nil {
-		return nil, err //nolint:wrapcheck // it says what it is
+		return nil, err //nolint:wrapcheck // the error needs no context
 	}
 	return c, nil
 }
 
-// marker returns the list entry whose changes are timed for a scope. Every change toggles its status, because the program logs status changes.
-func marker(scope, address string, number int) (name string, entry coordinator.Endpoint) {
+// markerEntry returns the list entry whose changes are timed for a scope. Every change toggles its status, because the program logs status changes.
+func markerEntry(scope, address string, number int) (name string, entry coordinator.Endpoint) {
 	name = markerPrefix + scope
-	return name, coordinator.Endpoint{Name: name, Address: address, Group: markerGroup + number, Status: settings.StatusName(statusOf(number)), SinceMs: longRunning}
+	return name, coordinator.Endpoint{Name: name, Address: address, Group: markerGroup + number, Status: settings.StatusName(markerStatus(number)),
+		SinceMs: dispatcherStartMs}
 }
 
-// longRunning is the start time of all dispatchers in the list, in Unix milliseconds. It lies far enough back that none counts as new.
-var longRunning = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).UnixMilli()
+// dispatcherStartMs is the start time of all dispatchers in the list, in Unix milliseconds. It lies far enough back that none counts as new.
+var dispatcherStartMs = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).UnixMilli()
 
-// statusOf returns the status of a marker after the change with the given number.
-func statusOf(number int) control.ServerStatus {
+// markerStatus returns the status of a marker after the change with the given number.
+func markerStatus(number int) control.ServerStatus {
 	if number%2 == 1 {
 		return control.Draining
 	}
 	return control.Active
 }
 
-var errNoController = fmt.Errorf("scale worker: unknown controller")
+var errUnknownController = fmt.Errorf("scale worker: unknown controller")
--- a/internal/scale/latency.go
+++ b/internal/scale/latency.go
@@ -13,83 +13,83 @@
 	"cherryrelay/internal/sip"
 )
 
-// callWithin is the timeout of a set-up.
-const callWithin = 8 * time.Second
+// callTimeout is the timeout of a set-up.
+const callTimeout = 8 * time.Second
 
 // callers places calls alternately through a real controller and directly at a dispatcher, and records how long each set-up takes. For each
 // controller there is one call at a time.
 type callers struct {
-	mu               sync.Mutex
-	direct, relayed  *hdrhistogram.Histogram
-	refused, unheard int
+	mu                  sync.Mutex
+	direct, relayed     *hdrhistogram.Histogram
+	refused, unanswered int
 }
 
 func newCallers() *callers {
 	return &callers{direct: newHistogram(), relayed: newHistogram()}
 }
 
-// run places perSecond pairs of calls each second until over is closed. The number of the caller makes its call ids unique.
-func (c *callers) run(number int, controller, dispatcher string, perSecond int, over <-chan struct{}) {
-	next := time.NewTicker(time.Second / time.Duration(perSecond))
-	defer next.Stop()
-	var relay *peer.Caller
-	var straight *directCaller
+// run places perSecond pairs of calls each second until done is closed. The number of the caller makes its call ids unique.
+func (c *callers) run(number int, controller, dispatcher string, perSecond int, done <-chan struct{}) {
+	ticker := time.NewTicker(time.Second / time.Duration(perSecond))
+	defer ticker.Stop()
+	var relayed *peer.Caller
+	var direct *directCaller
 	defer func() {
-		if relay != nil {
-			_ = relay.Close()
+		if relayed != nil {
+			_ = relayed.Close()
 		}
-		if straight != nil {
-			_ = straight.Close()
+		if direct != nil {
+			_ = direct.Close()
 		}
 	}()
 	for placed := 0; ; placed++ {
 		select {
-		case <-over:
+		case <-done:
 			return
-		case <-next.C:
+		case <-ticker.C:
 		}
 		var err error
-		if relay == nil {
-			if relay, err = peer.Call("tcp", controller); err != nil {
-				relay = nil
+		if relayed == nil {
+			if relayed, err = peer.Call("tcp", controller); err != nil {
+				relayed = nil
 				continue // the controller does not listen yet
 			}
 		}
-		if straight == nil {
-			if straight, err = dialDirect(dispatcher); err != nil {
-				straight = nil
+		if direct == nil {
+			if direct, err = dialDirect(dispatcher); err != nil {
+				direct = nil
 			}
 		}
 		id := fmt.Sprintf("%08x%08x", number+1, placed)
-		if !c.through(relay, id) {
-			_ = relay.Close()
-			relay = nil
+		if !c.placeRelayed(relayed, id) {
+			_ = relayed.Close()
+			relayed = nil
 		}
-		if straight != nil && !c.straight(straight, "d"+id[1:]) {
-			_ = straight.Close()
-			straight = nil
+		if direct != nil && !c.placeDirect(direct, "d"+id[1:]) {
+			_ = direct.Close()
+			direct = nil
 		}
 	}
 }
 
-// through places a call through a controller and releases it. It reports whether the connection is still usable.
-func (c *callers) through(caller *peer.Caller, id string) bool {
-	begun := time.Now()
-	if caller.SetUp(id, callWithin, 0, "x") != nil {
+// placeRelayed places a call through a controller and releases it. It reports whether the connection is still usable.
+func (c *callers) placeRelayed(caller *peer.Caller, id string) bool {
+	start := time.Now()
+	if caller.SetUp(id, callTimeout, 0, "x") != nil {
 		return false
 	}
 	for {
-		m, err := caller.NextWithin(callWithin + time.Second)
-		took := time.Since(begun)
+		m, err := caller.NextWithin(callTimeout + time.Second)
+		elapsed := time.Since(start)
 		c.mu.Lock()
 		switch {
 		case err != nil:
-			c.unheard++
+			c.unanswered++
 		case m.ID != id: // the end of an earlier call
 			c.mu.Unlock()
 			continue
 		case m.Type == "answer":
-			_ = c.relayed.RecordValue(max(took.Microseconds(), 1))
+			_ = c.relayed.RecordValue(max(elapsed.Microseconds(), 1))
 		default:
 			c.refused++
 		}
@@ -99,15 +99,15 @@
 	}
 }
 
-// straight places a call directly at a dispatcher and ends it. It reports whether the connection is still usable.
-func (c *callers) straight(d *directCaller, id string) bool {
-	begun := time.Now()
+// placeDirect places a call directly at a dispatcher and ends it. It reports whether the connection is still usable.
+func (c *callers) placeDirect(d *directCaller, id string) bool {
+	start := time.Now()
 	if d.call(id) != nil {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_ = c.direct.RecordValue(max(time.Since(begun).Microseconds(), 1))
+	_ = c.direct.RecordValue(max(time.Since(start).Microseconds(), 1))
 	return true
 }
 
@@ -115,7 +115,8 @@
 func (c *callers) latency() *Latency {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return &Latency{Calls: int(c.relayed.TotalCount()), Refused: c.refused, Unanswered: c.unheard, Direct: quantiles(c.direct), Relayed: quantiles(c.relayed)}
+	return &Latency{Calls: int(c.relayed.TotalCount()), Refused: c.refused, Unanswered: c.unanswered,
+		Direct: quantiles(c.direct), Relayed: quantiles(c.relayed)}
 }
 
 // directCaller is a connection to a dispatcher that uses the protocol of a controller.
@@ -126,9 +127,9 @@
 }
 
 func dialDirect(dispatcher string) (*directCaller, error) {
-	c, err := net.DialTimeout("tcp", dispatcher, callWithin)
+	c, err := net.DialTimeout("tcp", dispatcher, callTimeout)
 	if err != nil {
-		return nil, err //nolint:wrapcheck // it says what it is
+		return nil, err //nolint:wrapcheck // the error needs no context
 	}
 	return &directCaller{Conn: c, in: ring.New(sip.MaxMessage)}, nil
 }
@@ -136,16 +137,16 @@
 // call places a call, waits for its final answer and ends the call.
 func (d *directCaller) call(id string) error {
 	const uri = "sip:k@net"
-	if err := d.SetDeadline(time.Now().Add(callWithin)); err != nil {
-		return err //nolint:wrapcheck // it says what it is
+	if err := d.SetDeadline(time.Now().Add(callTimeout)); err != nil {
+		return err //nolint:wrapcheck // the error needs no context
 	}
 	invite := &sip.Message{Method: "INVITE", URI: uri, CallID: id, Seq: 1, SeqOf: "INVITE",
 		Headers: []sip.Header{{Name: "P-Kind", Value: "send-setup"}, {Name: "P-Time-Left", Value: "8000"}}, Body: []byte("x")}
 	if _, err := d.Write(sip.Append(nil, invite)); err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error needs no context
 	}
 	for {
-		m, err := d.next()
+		m, err := d.nextMessage()
 		if err != nil {
 			return err
 		}
@@ -155,19 +156,19 @@
 	}
 	end := sip.Append(nil, &sip.Message{Method: "ACK", URI: uri, CallID: id, Seq: 1, SeqOf: "ACK"})
 	_, err := d.Write(sip.Append(end, &sip.Message{Method: "BYE", URI: uri, CallID: id, Seq: 2, SeqOf: "BYE"}))
-	return err //nolint:wrapcheck // it says what it is
+	return err //nolint:wrapcheck // the error needs no context
 }
 
-// next reads the next message.
-func (d *directCaller) next() (*sip.Message, error) {
+// nextMessage reads the next message.
+func (d *directCaller) nextMessage() (*sip.Message, error) {
 	buf := make([]byte, 4096)
 	for {
 		if m, err := d.decoder.Next(d.in); m != nil || err != nil {
-			return m, err //nolint:wrapcheck // it says what it is
+			return m, err //nolint:wrapcheck // the error needs no context
 		}
 		n, err := d.Read(buf[:min(len(buf), d.in.Free())])
 		if n == 0 && err != nil {
-			return nil, err //nolint:wrapcheck // it says what it is
+			return nil, err //nolint:wrapcheck // the error needs no context
 		}
 		d.in.Write(buf[:n])
 	}
--- a/internal/scale/figures_test.go
+++ b/internal/scale/measure_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// TestTimesToForce checks that a controller with a change counts as having all earlier ones, that the contents of a first list are not timed, and
+// TestActivationTimes checks that a controller with a change counts as having all earlier ones, that the contents of a first list are not timed, and
 // that a log line with only a status stands for the last change to that status.
-func TestTimesToForce(t *testing.T) {
-	begun := time.Unix(1000, 0)
-	at := func(ms int) time.Time { return begun.Add(time.Duration(ms) * time.Millisecond) }
-	var made []issued
+func TestActivationTimes(t *testing.T) {
+	start := time.Unix(1000, 0)
+	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
+	var made []issuedChange
 	for number := 1; number <= 3; number++ {
-		made = append(made, issued{Change, allServices, number, at(100 * number), OrdinaryPhase})
+		made = append(made, issuedChange{Change, allServices, number, at(100 * number), OrdinaryPhase})
 	}
 	tell := func(controller string, number, ms int, first bool) Applied {
 		return Applied{Controller: controller, Kind: Change, Scope: allServices, Number: number, AtNs: at(ms).UnixNano(), First: first}
@@ -22,9 +22,9 @@
 	applied := []Applied{
 		tell("c1", 0, 10, true), tell("c1", 1, 101, false), tell("c1", 3, 310, false), tell("c1", 3, 400, false),
 		tell("c2", 2, 250, true), tell("c2", 3, 305, false),
-		tell("real-1", -1-int(statusOf(1)), 120, false), tell("real-1", -1-int(statusOf(2)), 220, false),
+		tell("real-1", -1-int(markerStatus(1)), 120, false), tell("real-1", -1-int(markerStatus(2)), 220, false),
 	}
-	found := timesToForce(made, applied, func(name string) string {
+	found := activationTimes(made, applied, func(name string) string {
 		if strings.HasPrefix(name, RealKind) {
 			return RealKind
 		}
@@ -42,27 +42,27 @@
 // TestBounds checks that a run beyond the limits on processes or descriptors is rejected before it starts, and that the error for too much memory
 // is a single line with the amount.
 func TestBounds(t *testing.T) {
-	if err := withinMemory(MostMemory); err != nil {
+	if err := checkMemoryLimit(MostMemory); err != nil {
 		t.Error(err)
 	}
-	if err := withinMemory(MostMemory + 1<<20); err == nil || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), "12289 MB") {
+	if err := checkMemoryLimit(MostMemory + 1<<20); err == nil || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), "12289 MB") {
 		t.Errorf("too much memory: %v", err)
 	}
 	s := Default()
 	s.PerProcess, s.Controllers = 1, MostProcesses
-	if err := s.bounds(); err == nil || !strings.Contains(err.Error(), "processes, 200 are allowed") {
+	if err := s.checkLimits(); err == nil || !strings.Contains(err.Error(), "processes, 200 are allowed") {
 		t.Errorf("too many processes: error %v", err)
 	}
 	s = Default()
 	s.Controllers, s.PerProcess, s.Dispatchers = maxControllers, 5000, 1
-	if err := s.bounds(); err == nil || !strings.Contains(err.Error(), "descriptors") {
+	if err := s.checkLimits(); err == nil || !strings.Contains(err.Error(), "descriptors") {
 		t.Errorf("too many descriptors: error %v", err)
 	}
 }
 
 // TestUsage reads the usage of this process, and parses a stat line whose process name contains spaces and parentheses.
 func TestUsage(t *testing.T) {
-	u, err := usageOf(os.Getpid(), true)
+	u, err := readUsage(os.Getpid(), true)
 	if err != nil || u.Memory < 1<<20 {
 		t.Errorf("%+v, %v", u, err)
 	}
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -9,51 +9,51 @@
 // planStream selects a random sequence for the plan that differs from the sequences of other parts with the same seed.
 const planStream = 0x7363616c65
 
-// maxPlanned limits the number of events in a plan.
-const maxPlanned = 100_000
+// maxPlannedEvents limits the number of events in a plan.
+const maxPlannedEvents = 100_000
 
 // Plan returns the events of a run in the order of time. The same seed gives the same plan. The scenario must have passed Check.
 func (s *Scenario) Plan(seed uint64) []Event {
 	rng := rand.New(rand.NewPCG(seed, planStream))
 	var plan []Event
 	for _, e := range s.Faults {
-		switch among := targets[e.Do]; {
-		case among == nil:
+		switch candidates := targets[e.Do]; {
+		case candidates == nil:
 			e.Who = ""
 		case e.Who == "?":
-			e.Who = draw(rng, among(s))
+			e.Who = pickRandom(rng, candidates(s))
 		}
 		if e.Who != "" || targets[e.Do] == nil {
 			plan = append(plan, e)
 		}
 	}
 	share := float64(s.Controllers) / float64(s.Fleet)
-	plan = s.drawn(plan, rng, Restart, share*s.perSecond(s.RestartsPerDay), s.names())
-	plan = s.drawn(plan, rng, Change, s.perSecond(s.ChangesPerDay), s.scopes())
+	plan = s.appendRandom(plan, rng, Restart, share*s.perSecond(s.RestartsPerDay), s.hollowNames())
+	plan = s.appendRandom(plan, rng, Change, s.perSecond(s.ChangesPerDay), s.scopes())
 	slices.SortStableFunc(plan, func(a, b Event) int { return int(a.At - b.At) })
 	return plan
 }
 
-// drawn appends events with exponentially distributed gaps, perSecond of them each second on average, up to maxPlanned.
-func (s *Scenario) drawn(plan []Event, rng *rand.Rand, do Kind, perSecond float64, among []string) []Event {
-	if perSecond <= 0 || len(among) == 0 {
+// appendRandom appends events with exponentially distributed gaps, perSecond of them each second on average, up to maxPlannedEvents.
+func (s *Scenario) appendRandom(plan []Event, rng *rand.Rand, do Kind, perSecond float64, candidates []string) []Event {
+	if perSecond <= 0 || len(candidates) == 0 {
 		return plan
 	}
 	at := time.Duration(0)
-	for len(plan) < maxPlanned {
+	for len(plan) < maxPlannedEvents {
 		at += time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second))
 		if at >= s.Lasting {
 			break
 		}
-		plan = append(plan, Event{At: at.Truncate(time.Millisecond), Do: do, Who: draw(rng, among)})
+		plan = append(plan, Event{At: at.Truncate(time.Millisecond), Do: do, Who: pickRandom(rng, candidates)})
 	}
 	return plan
 }
 
-// draw picks a name at random; it returns "" if there is none.
-func draw(rng *rand.Rand, among []string) string {
-	if len(among) == 0 {
+// pickRandom picks a name at random; it returns "" if there is none.
+func pickRandom(rng *rand.Rand, candidates []string) string {
+	if len(candidates) == 0 {
 		return ""
 	}
-	return among[rng.IntN(len(among))]
+	return candidates[rng.IntN(len(candidates))]
 }
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -12,39 +12,39 @@
 	"time"
 )
 
-// endWithin is the time that a process has to exit before it is killed.
-const endWithin = 20 * time.Second
+// exitTimeout is the time that a process has to exit before it is killed.
+const exitTimeout = 20 * time.Second
 
 // process is a worker process with the pipes to and from it.
 type process struct {
-	cmd    *exec.Cmd
-	orders io.WriteCloser
-	lines  *bufio.Scanner
-	stderr *tail
+	cmd     *exec.Cmd
+	orders  io.WriteCloser
+	replies *bufio.Scanner
+	stderr  *tailBuffer
 
-	mu      sync.Mutex // held during an order, so that there is one at a time
-	applied []Applied  // from replies, not yet collected by take
-	last    Reply
+	mu        sync.Mutex // held during an order, so that there is one at a time
+	applied   []Applied  // from replies, not yet collected by takeApplied
+	lastReply Reply
 }
 
-// tail is a writer that keeps the last tailKeeps bytes.
-type tail struct {
+// tailBuffer is a writer that keeps the last tailBufferSize bytes.
+type tailBuffer struct {
 	mu   sync.Mutex
 	text []byte
 }
 
-// tailKeeps is the capacity of a tail in bytes.
-const tailKeeps = 2000
+// tailBufferSize is the capacity of a tail in bytes.
+const tailBufferSize = 2000
 
-func (t *tail) Write(p []byte) (int, error) {
+func (t *tailBuffer) Write(p []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.text = append(t.text, p...)
-	t.text = t.text[max(0, len(t.text)-tailKeeps):]
+	t.text = t.text[max(0, len(t.text)-tailBufferSize):]
 	return len(p), nil
 }
 
-func (t *tail) String() string {
+func (t *tailBuffer) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return string(t.text)
@@ -52,7 +52,7 @@
 
 // startProcess starts a worker process.
 func startProcess(command, env []string) (*process, error) {
-	p := &process{cmd: exec.Command(command[0], command[1:]...), stderr: &tail{}}
+	p := &process{cmd: exec.Command(command[0], command[1:]...), stderr: &tailBuffer{}}
 	p.cmd.Env, p.cmd.Stderr = append(os.Environ(), env...), p.stderr
 	var err error
 	if p.orders, err = p.cmd.StdinPipe(); err != nil {
@@ -62,16 +62,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("scale: %w", err)
 	}
-	p.lines = bufio.NewScanner(out)
-	p.lines.Buffer(make([]byte, 64<<10), maxOrder)
+	p.replies = bufio.NewScanner(out)
+	p.replies.Buffer(make([]byte, 64<<10), maxOrder)
 	if err := p.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("scale: %w", err)
 	}
 	return p, nil
 }
 
-// ask sends an order to the worker and waits for the reply.
-func (p *process) ask(o *Order) (Reply, error) {
+// send sends an order to the worker and waits for the reply.
+func (p *process) send(o *Order) (Reply, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	text, err := json.Marshal(o)
@@ -81,24 +81,24 @@
 	if err != nil {
 		return Reply{}, fmt.Errorf("scale: send an order to a worker: %w: %s", err, p.stderr)
 	}
-	if !p.lines.Scan() {
-		return Reply{}, fmt.Errorf("scale: worker ended without a reply: %w: %s", errors.Join(p.lines.Err(), io.ErrUnexpectedEOF), p.stderr)
+	if !p.replies.Scan() {
+		return Reply{}, fmt.Errorf("scale: worker ended without a reply: %w: %s", errors.Join(p.replies.Err(), io.ErrUnexpectedEOF), p.stderr)
 	}
 	var r Reply
-	if err := json.Unmarshal(p.lines.Bytes(), &r); err != nil {
+	if err := json.Unmarshal(p.replies.Bytes(), &r); err != nil {
 		return Reply{}, fmt.Errorf("scale: decode the reply of a worker: %w", err)
 	}
 	p.applied = append(p.applied, r.Applied...)
 	r.Applied = nil
-	p.last = r
+	p.lastReply = r
 	if r.Error != "" {
 		return r, fmt.Errorf("scale: worker: %s", r.Error)
 	}
 	return r, nil
 }
 
-// take returns the changes that were reported as applied since the last call.
-func (p *process) take() []Applied {
+// takeApplied returns the changes that were reported as applied since the last call.
+func (p *process) takeApplied() []Applied {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	all := p.applied
@@ -106,10 +106,10 @@
 	return all
 }
 
-// end closes the input of the worker, which makes it exit, and kills it if it has not exited after endWithin.
-func (p *process) end() {
+// stop closes the input of the worker, which makes it exit, and kills it if it has not exited after exitTimeout.
+func (p *process) stop() {
 	_ = p.orders.Close()
-	kill := time.AfterFunc(endWithin, func() { _ = p.cmd.Process.Kill() })
+	kill := time.AfterFunc(exitTimeout, func() { _ = p.cmd.Process.Kill() })
 	defer kill.Stop()
 	_ = p.cmd.Wait() // the exit status does not matter any more
 }
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -23,8 +23,8 @@
 	"cherryrelay/internal/trial"
 )
 
-// realFile is the format of an operator file. Hollow controllers use it, too, and ignore the listening addresses.
-const realFile = `[controller]
+// operatorFileFormat is the format of an operator file. Hollow controllers use it, too, and ignore the listening addresses.
+const operatorFileFormat = `[controller]
 name = %s
 listen = %s
 management = %s
@@ -46,16 +46,17 @@
 // baseHoldOff is the hold-off in trial.Settings, in microseconds. Each change of settings adds its number to it.
 const baseHoldOff = 2_000_000
 
-// operatorFile writes an operator file. The number of the change of settings is encoded in the hold-off.
-func operatorFile(path, name, listen, management, store, scope string, lease time.Duration, controllers, number int) error {
-	text := fmt.Sprintf(realFile, name, listen, management, store, listPrefix+scope+"/", store, memberPrefix, lease.Milliseconds(), max(controllers, 1))
-	before := fmt.Sprintf("maxRetryAfterUs = %d\n", baseHoldOff)
-	if !strings.Contains(text, before) {
+// writeOperatorFile writes an operator file. The number of the change of settings is encoded in the hold-off.
+func writeOperatorFile(path, name, listen, management, store, scope string, lease time.Duration, controllers, number int) error {
+	text := fmt.Sprintf(operatorFileFormat, name, listen, management, store, listPrefix+scope+"/", store, memberPrefix, lease.Milliseconds(),
+		max(controllers, 1))
+	oldLine := fmt.Sprintf("maxRetryAfterUs = %d\n", baseHoldOff)
+	if !strings.Contains(text, oldLine) {
 		return errors.New("scale: trial.Settings lack the expected line of maxRetryAfterUs")
 	}
-	text = strings.Replace(text, before, fmt.Sprintf("maxRetryAfterUs = %d\n", baseHoldOff+number), 1)
-	fresh := path + ".new" // renamed, as controllers may read the file at the same time
-	if err := errors.Join(os.WriteFile(fresh, []byte(text), 0o600), os.Rename(fresh, path)); err != nil {
+	text = strings.Replace(text, oldLine, fmt.Sprintf("maxRetryAfterUs = %d\n", baseHoldOff+number), 1)
+	temporary := path + ".new" // renamed, as controllers may read the file at the same time
+	if err := errors.Join(os.WriteFile(temporary, []byte(text), 0o600), os.Rename(temporary, path)); err != nil {
 		return fmt.Errorf("scale: %w", err)
 	}
 	return nil
@@ -66,24 +67,24 @@
 
 // realController is a process of the program that accepts calls.
 type realController struct {
-	name, scope       string
-	lines, management string
-	path              string // of the operator file
-	store             string
-	cmd               *exec.Cmd
-	ended             chan struct{}
-	log               tail
-
-	mu      sync.Mutex
-	applied []Applied
-	failed  int64
-	number  int // of the last change of settings
+	name, scope                      string
+	callerAddress, managementAddress string
+	configPath                       string // of the operator file
+	storeAddress                     string
+	cmd                              *exec.Cmd
+	exited                           chan struct{}
+	log                              tailBuffer
+
+	mu             sync.Mutex
+	applied        []Applied
+	failedDials    int64
+	settingsNumber int // of the last change of settings
 }
 
 // start starts the process with the operator file that was written last.
 func (r *realController) start(program, env []string, directory string) error {
-	r.cmd, r.ended = exec.Command(program[0], program[1:]...), make(chan struct{})
-	r.cmd.Env = append(append(os.Environ(), env...), "LB_OPERATOR="+r.path, "TMPDIR="+directory)
+	r.cmd, r.exited = exec.Command(program[0], program[1:]...), make(chan struct{})
+	r.cmd.Env = append(append(os.Environ(), env...), "LB_OPERATOR="+r.configPath, "TMPDIR="+directory)
 	stderr, err := r.cmd.StderrPipe()
 	if err != nil {
 		return fmt.Errorf("scale: %w", err)
@@ -92,15 +93,15 @@
 		return fmt.Errorf("scale: %s: %w", r.name, err)
 	}
 	go func() {
-		defer close(r.ended)
-		r.read(stderr)
+		defer close(r.exited)
+		r.parseLog(stderr)
 		_ = r.cmd.Wait()
 	}()
 	return nil
 }
 
-// read parses the log until it ends. Log lines show when a change has been applied and when a dial has failed.
-func (r *realController) read(log io.Reader) {
+// parseLog parses the log until it ends. Log lines show when a change has been applied and when a dial has failed.
+func (r *realController) parseLog(log io.Reader) {
 	lines := bufio.NewScanner(log)
 	for lines.Scan() {
 		now := time.Now().UnixNano()
@@ -109,19 +110,19 @@
 		r.mu.Lock()
 		switch {
 		case strings.Contains(line, `msg="`+dialFailed+`"`):
-			r.failed += 1 + logged(line, "not_logged")
+			r.failedDials += 1 + logField(line, "not_logged")
 		case strings.Contains(line, `msg="configuration reloaded"`):
-			r.applied = append(r.applied, Applied{Controller: r.name, Kind: Settings, Number: r.number, AtNs: now})
+			r.applied = append(r.applied, Applied{Controller: r.name, Kind: Settings, Number: r.settingsNumber, AtNs: now})
 		case strings.Contains(line, "msg=dispatcher ") && strings.Contains(line, "server="+markerPrefix):
-			r.applied = append(r.applied, Applied{Controller: r.name, Kind: Change, Scope: r.scope, Number: -1 - int(logged(line, "status")), AtNs: now})
+			r.applied = append(r.applied, Applied{Controller: r.name, Kind: Change, Scope: r.scope, Number: -1 - int(logField(line, "status")), AtNs: now})
 		}
 		r.mu.Unlock()
 	}
 	_, _ = io.Copy(io.Discard, log) // a line that is too long stops the scanner; the process must not block on a full pipe
 }
 
-// logged returns the number in a field of a log line.
-func logged(line, field string) int64 {
+// logField returns the number in a field of a log line.
+func logField(line, field string) int64 {
 	_, rest, _ := strings.Cut(line, field+"=")
 	text, _, _ := strings.Cut(rest, " ")
 	n, _ := strconv.ParseInt(text, 10, 64) // a missing field counts as 0
@@ -131,45 +132,45 @@
 // reload makes the process read its operator file again.
 func (r *realController) reload(number int) error {
 	r.mu.Lock()
-	r.number = number
+	r.settingsNumber = number
 	r.mu.Unlock()
-	return r.cmd.Process.Signal(syscall.SIGHUP) //nolint:wrapcheck // it says what it is
+	return r.cmd.Process.Signal(syscall.SIGHUP) //nolint:wrapcheck // the error needs no context
 }
 
-// take returns the changes that were applied since the last call, and the total number of failed dials.
-func (r *realController) take() ([]Applied, int64) {
+// takeApplied returns the changes that were applied since the last call, and the total number of failed dials.
+func (r *realController) takeApplied() ([]Applied, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	all := r.applied
 	r.applied = nil
-	return all, r.failed
+	return all, r.failedDials
 }
 
-// askWithin is the timeout of a management request.
-const askWithin = 2 * time.Second
+// queryTimeout is the timeout of a management request.
+const queryTimeout = 2 * time.Second
 
-// ask gets a page from the management address and decodes it into the given value.
-func (r *realController) ask(path string, into any) error {
-	client := http.Client{Timeout: askWithin}
-	resp, err := client.Get("http://" + r.management + path)
+// query gets a page from the management address and decodes it into the given value.
+func (r *realController) query(path string, into any) error {
+	client := http.Client{Timeout: queryTimeout}
+	resp, err := client.Get("http://" + r.managementAddress + path)
 	if err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error needs no context
 	}
 	defer resp.Body.Close()
-	return json.NewDecoder(resp.Body).Decode(into) //nolint:wrapcheck // it says what it is
+	return json.NewDecoder(resp.Body).Decode(into) //nolint:wrapcheck // the error needs no context
 }
 
 // members returns the number of fleet members that the controller knows, or 0 if it does not answer, does not serve or its view is not actable.
 func (r *realController) members() int {
 	var shown membership.Shown
-	if r.ask(membership.Path, &shown) != nil || !shown.Actable || shown.State != "serving" {
+	if r.query(membership.Path, &shown) != nil || !shown.Actable || shown.State != "serving" {
 		return 0
 	}
 	return len(shown.Members) + shown.More
 }
 
-// inForce returns the number of the last change in the controller's list, or -1 if that cannot be determined.
-func (r *realController) inForce() int {
+// activeChange returns the number of the last change in the controller's list, or -1 if that cannot be determined.
+func (r *realController) activeChange() int {
 	name := markerPrefix + r.scope
 	var page struct {
 		Servers []struct {
@@ -177,7 +178,7 @@
 			Group int    `json:"group"`
 		} `json:"servers"`
 	}
-	if r.ask("/api/pool/servers?after="+url.QueryEscape(name[:len(name)-1]), &page) != nil {
+	if r.query("/api/pool/servers?after="+url.QueryEscape(name[:len(name)-1]), &page) != nil {
 		return -1
 	}
 	for _, s := range page.Servers {
@@ -188,25 +189,25 @@
 	return -1
 }
 
-// end kills the process and waits for its exit.
-func (r *realController) end() {
+// kill kills the process and waits for its exit.
+func (r *realController) kill() {
 	_ = r.cmd.Process.Kill()
-	<-r.ended
+	<-r.exited
 }
 
-// newReal reserves addresses for a controller and writes its operator file.
-func newReal(directory, name, scope, store string, s *Scenario) (*realController, error) {
-	r := &realController{name: name, scope: scope, store: store, path: filepath.Join(directory, name+".ini")}
-	for _, at := range []*string{&r.lines, &r.management} {
+// newRealController reserves addresses for a controller and writes its operator file.
+func newRealController(directory, name, scope, store string, s *Scenario) (*realController, error) {
+	r := &realController{name: name, scope: scope, storeAddress: store, configPath: filepath.Join(directory, name+".ini")}
+	for _, address := range []*string{&r.callerAddress, &r.managementAddress} {
 		var err error
-		if *at, err = peer.Free(); err != nil {
-			return nil, err //nolint:wrapcheck // it says what it is
+		if *address, err = peer.Free(); err != nil {
+			return nil, err //nolint:wrapcheck // the error needs no context
 		}
 	}
-	return r, r.write(s, 0)
+	return r, r.writeConfig(s, 0)
 }
 
-// write writes the operator file with the settings of the given number.
-func (r *realController) write(s *Scenario, number int) error {
-	return operatorFile(r.path, r.name, r.lines, r.management, r.store, r.scope, s.Lease, s.Controllers+s.Real, number)
+// writeConfig writes the operator file with the settings of the given number.
+func (r *realController) writeConfig(s *Scenario, number int) error {
+	return writeOperatorFile(r.configPath, r.name, r.callerAddress, r.managementAddress, r.storeAddress, r.scope, s.Lease, s.Controllers+s.Real, number)
 }
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -100,8 +100,8 @@
 	from, to time.Duration
 }
 
-// spans returns the periods of faults, each with its recovery time. They may overlap.
-func (s *Scenario) spans(plan []Event) []span {
+// faultSpans returns the periods of faults, each with its recovery time. They may overlap.
+func (s *Scenario) faultSpans(plan []Event) []span {
 	var all []span
 	for _, e := range plan {
 		if e.Do != Restart && e.Do != Change {
@@ -122,8 +122,8 @@
 	return phase
 }
 
-// phases aggregates the samples by phase.
-func phases(samples []sample, phaseOf func(time.Time) string, s *Scenario) []Phase {
+// summarizePhases aggregates the samples by phase.
+func summarizePhases(samples []sample, phaseOf func(time.Time) string, s *Scenario) []Phase {
 	type sum struct {
 		Phase
 		cost map[string]Cost
@@ -147,13 +147,13 @@
 		p.Notices += float64(b.store.Notices - a.store.Notices)
 		p.Changes += float64(b.store.Events - a.store.Events)
 		p.Accepted += float64(b.accepted - a.accepted)
-		for kind, used := range b.used {
+		for kind, used := range b.usage {
 			c := p.cost[kind]
-			c.ProcessorShare += 100 * (used.Processor - a.used[kind].Processor).Seconds()
+			c.ProcessorShare += 100 * (used.Processor - a.usage[kind].Processor).Seconds()
 			c.MemoryKB += float64(used.Memory) / 1024 * seconds
 			c.Bytes += float64(b.bytes[kind] - a.bytes[kind])
 			c.Sockets += float64(used.Sockets) * seconds
-			c.FailedDials += float64(b.failed[kind] - a.failed[kind])
+			c.FailedDials += float64(b.failedDials[kind] - a.failedDials[kind])
 			p.cost[kind] = c
 		}
 	}
@@ -161,7 +161,7 @@
 	for _, name := range order {
 		p := found[name]
 		for kind, c := range p.cost {
-			p.Kinds = append(p.Kinds, s.each(kind, c, p.Seconds))
+			p.Kinds = append(p.Kinds, s.perController(kind, c, p.Seconds))
 		}
 		slices.SortFunc(p.Kinds, func(a, b Cost) int { return cmp.Compare(a.Kind, b.Kind) })
 		p.Requests, p.Notices, p.Changes, p.Accepted = p.Requests/p.Seconds, p.Notices/p.Seconds, p.Changes/p.Seconds, p.Accepted/p.Seconds
@@ -170,8 +170,8 @@
 	return all
 }
 
-// each divides the totals of a kind by the time and by the number of its controllers.
-func (s *Scenario) each(kind string, c Cost, seconds float64) Cost {
+// perController divides the totals of a kind by the time and by the number of its controllers.
+func (s *Scenario) perController(kind string, c Cost, seconds float64) Cost {
 	c.Kind, c.Count = kind, 1
 	switch kind {
 	case HollowKind:
@@ -184,8 +184,8 @@
 	return c
 }
 
-// inForce lists the staleness sorted by phase, kind of change and kind of controller.
-func inForce(found map[stalenessKey]*hdrhistogram.Histogram) []InForce {
+// stalenessRows lists the staleness sorted by phase, kind of change and kind of controller.
+func stalenessRows(found map[stalenessKey]*hdrhistogram.Histogram) []InForce {
 	var all []InForce
 	for key, h := range found {
 		all = append(all, InForce{key.phase, key.kind, key.change, stalenessOf(h)})
@@ -226,7 +226,7 @@
 			l.Relayed.P99-l.Direct.P99)
 	}
 	if err := table.Flush(); err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error needs no context
 	}
 	for _, f := range r.Faults {
 		fmt.Fprintln(out, "broken:", f)
--- a/internal/scale/play_test.go
+++ b/internal/scale/run_test.go
@@ -10,11 +10,11 @@
 	"testing"
 )
 
-// asWorker is the environment variable that makes this test program run as a worker process.
-const asWorker = "CHERRYRELAY_SCALE_WORKER"
+// workerEnv is the environment variable that makes this test program run as a worker process.
+const workerEnv = "CHERRYRELAY_SCALE_WORKER"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asWorker) != "" {
+	if os.Getenv(workerEnv) != "" {
 		if err := Work(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -24,8 +24,8 @@
 	os.Exit(m.Run())
 }
 
-// program builds the controller and returns its command.
-func program(t *testing.T) []string {
+// buildProgram builds the controller and returns its command.
+func buildProgram(t *testing.T) []string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "cherryrelay")
 	if out, err := exec.Command("go", "build", "-o", path, "cherryrelay/cmd/cherryrelay").CombinedOutput(); err != nil {
@@ -34,8 +34,8 @@
 	return []string{path}
 }
 
-// example reads a scenario from example/scale.
-func example(t *testing.T, name string) *Scenario {
+// readExample reads a scenario from example/scale.
+func readExample(t *testing.T, name string) *Scenario {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "..", "example", "scale", name))
 	if err != nil {
@@ -48,14 +48,14 @@
 	return s
 }
 
-// mustPlay runs a scenario, logs its report, and fails the test at errors and at violations of the rules of a run.
-func mustPlay(t *testing.T, s *Scenario, seed uint64) *Report {
+// mustRun runs a scenario, logs its report, and fails the test at errors and at violations of the rules of a run.
+func mustRun(t *testing.T, s *Scenario, seed uint64) *Report {
 	t.Helper()
 	var programOf []string
 	if s.Real > 0 {
-		programOf = program(t)
+		programOf = buildProgram(t)
 	}
-	r, err := Play(t.Context(), s, seed, Options{Worker: []string{os.Args[0]}, Env: []string{asWorker + "=1"}, Program: programOf})
+	r, err := Play(t.Context(), s, seed, Options{Worker: []string{os.Args[0]}, Env: []string{workerEnv + "=1"}, Program: programOf})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,11 +70,11 @@
 	return r
 }
 
-// TestASmallFleet injects each kind of fault once. Afterwards the fleet must converge, every controller must have the last change, the requests to
+// TestSmallFleet injects each kind of fault once. Afterwards the fleet must converge, every controller must have the last change, the requests to
 // the store must be within their limit, and the executed events must be those that the seed plans.
-func TestASmallFleet(t *testing.T) {
-	s := example(t, "small.ini")
-	r := mustPlay(t, s, 5)
+func TestSmallFleet(t *testing.T) {
+	s := readExample(t, "small.ini")
+	r := mustRun(t, s, 5)
 	var planned []string
 	for _, e := range s.Plan(5) {
 		planned = append(planned, e.String())
--- a/internal/scale/samples.go
+++ b/internal/scale/samples.go
@@ -9,64 +9,64 @@
 )
 
 const (
-	// sampleEvery is the interval between samples. Every socketsEvery samples, sockets are counted.
-	sampleEvery  = 500 * time.Millisecond
-	socketsEvery = 4
+	// sampleInterval is the interval between samples. Every samplesPerSocketCount samples, sockets are counted.
+	sampleInterval        = 500 * time.Millisecond
+	samplesPerSocketCount = 4
 )
 
-// standIns is the kind under which a report shows the processes that replace the store, its network and the dispatchers.
-const standIns = "stand-ins"
+// fakeKind is the kind under which a report shows the processes that replace the store, its network and the dispatchers.
+const fakeKind = "stand-ins"
 
 // sample holds the cumulative usage and counters of a run at a point in time.
 type sample struct {
-	at       time.Time
-	used     map[string]usage // by kind
-	bytes    map[string]int64 // sent to and received from the store, by kind
-	failed   map[string]int64 // failed dials, by kind
-	accepted int64            // connections accepted by dispatchers
-	store    store.Counts
-	up       int // running hollow controllers
+	at          time.Time
+	usage       map[string]usage // by kind
+	bytes       map[string]int64 // sent to and received from the store, by kind
+	failedDials map[string]int64 // failed dials, by kind
+	accepted    int64            // connections accepted by dispatchers
+	store       store.Counts
+	up          int // running hollow controllers
 }
 
 // sampler collects samples of a run and checks its memory limit.
 type sampler struct {
-	w       *world
-	samples []sample
-	sockets map[string]int
-	memory  int64 // peak of all processes together, in bytes
-	applied []Applied
+	cluster    *cluster
+	samples    []sample
+	sockets    map[string]int
+	peakMemory int64 // peak of all processes together, in bytes
+	applied    []Applied
 }
 
-// take takes the sample with the given count, which decides whether sockets are counted. It fails if the run exceeds its memory limit.
-func (m *sampler) take(count int) error {
-	s := sample{at: time.Now(), used: map[string]usage{}, bytes: map[string]int64{}, failed: map[string]int64{}, store: m.w.store.Counts()}
-	if err := m.processes(&s, count%socketsEvery == 0); err != nil {
+// takeSample takes the sample with the given count, which decides whether sockets are counted. It fails if the run exceeds its memory limit.
+func (m *sampler) takeSample(count int) error {
+	s := sample{at: time.Now(), usage: map[string]usage{}, bytes: map[string]int64{}, failedDials: map[string]int64{}, store: m.cluster.store.Counts()}
+	if err := m.addUsage(&s, count%samplesPerSocketCount == 0); err != nil {
 		return err
 	}
-	m.traffic(&s)
-	if err := m.replies(&s); err != nil {
+	m.addTraffic(&s)
+	if err := m.pollCounters(&s); err != nil {
 		return err
 	}
 	m.samples = append(m.samples, s)
-	return m.within(&s)
+	return m.checkMemory(&s)
 }
 
-// processes adds up the usage of the processes of each kind.
-func (m *sampler) processes(s *sample, sockets bool) error {
-	pids := map[string][]int{standIns: {os.Getpid()}}
-	for _, p := range m.w.ends {
-		pids[standIns] = append(pids[standIns], p.cmd.Process.Pid)
+// addUsage adds up the usage of the processes of each kind.
+func (m *sampler) addUsage(s *sample, sockets bool) error {
+	pids := map[string][]int{fakeKind: {os.Getpid()}}
+	for _, p := range m.cluster.dispatcherProcesses {
+		pids[fakeKind] = append(pids[fakeKind], p.cmd.Process.Pid)
 	}
-	for _, p := range m.w.workers {
+	for _, p := range m.cluster.workers {
 		pids[HollowKind] = append(pids[HollowKind], p.cmd.Process.Pid)
 	}
-	for _, r := range m.w.real {
+	for _, r := range m.cluster.realControllers {
 		pids[RealKind] = append(pids[RealKind], r.cmd.Process.Pid)
 	}
 	for kind, all := range pids {
 		var sum usage
 		for _, pid := range all {
-			u, err := usageOf(pid, sockets && kind != standIns)
+			u, err := readUsage(pid, sockets && kind != fakeKind)
 			if err != nil {
 				return fmt.Errorf("%w (a process of kind %s may have ended)", err, kind)
 			}
@@ -76,70 +76,70 @@
 			m.sockets[kind] = sum.Sockets
 		}
 		sum.Sockets = m.sockets[kind]
-		s.used[kind] = sum
+		s.usage[kind] = sum
 	}
 	return nil
 }
 
-// traffic adds up the bytes to and from the store.
-func (m *sampler) traffic(s *sample) {
-	for _, rack := range m.w.s.racks() {
-		forth, back := m.w.net.Passed(rack + ">" + storeName)
+// addTraffic adds up the bytes to and from the store.
+func (m *sampler) addTraffic(s *sample) {
+	for _, rack := range m.cluster.scenario.racks() {
+		forth, back := m.cluster.network.Passed(rack + ">" + storeName)
 		s.bytes[HollowKind] += forth + back
 	}
-	for _, r := range m.w.real {
-		forth, back := m.w.net.Passed(r.name + ">" + storeName)
+	for _, r := range m.cluster.realControllers {
+		forth, back := m.cluster.network.Passed(r.name + ">" + storeName)
 		s.bytes[RealKind] += forth + back
 	}
 }
 
-// replies collects the counters and the applied changes of all processes.
-func (m *sampler) replies(s *sample) error {
-	if err := m.w.ask(0); err != nil {
+// pollCounters collects the counters and the applied changes of all processes.
+func (m *sampler) pollCounters(s *sample) error {
+	if err := m.cluster.pollProcesses(0); err != nil {
 		return err
 	}
-	for _, p := range m.w.workers {
+	for _, p := range m.cluster.workers {
 		p.mu.Lock()
-		s.failed[HollowKind] += p.last.Failed
-		s.up += p.last.Controllers
+		s.failedDials[HollowKind] += p.lastReply.Failed
+		s.up += p.lastReply.Controllers
 		p.mu.Unlock()
-		m.applied = append(m.applied, p.take()...)
+		m.applied = append(m.applied, p.takeApplied()...)
 	}
-	for _, p := range m.w.ends {
+	for _, p := range m.cluster.dispatcherProcesses {
 		p.mu.Lock()
-		s.accepted += p.last.Accepted
+		s.accepted += p.lastReply.Accepted
 		p.mu.Unlock()
 	}
-	for _, r := range m.w.real {
-		applied, failed := r.take()
+	for _, r := range m.cluster.realControllers {
+		applied, failed := r.takeApplied()
 		m.applied = append(m.applied, applied...)
-		s.failed[RealKind] += failed
+		s.failedDials[RealKind] += failed
 	}
 	return nil
 }
 
-// within updates the peak memory and returns an error if the run exceeds its memory limit.
-func (m *sampler) within(s *sample) error {
+// checkMemory updates the peak memory and returns an error if the run exceeds its memory limit.
+func (m *sampler) checkMemory(s *sample) error {
 	memory := int64(0)
-	for _, u := range s.used {
+	for _, u := range s.usage {
 		memory += u.Memory
 	}
-	m.memory = max(m.memory, memory)
-	return withinMemory(memory)
+	m.peakMemory = max(m.peakMemory, memory)
+	return checkMemoryLimit(memory)
 }
 
-func withinMemory(memory int64) error {
+func checkMemoryLimit(memory int64) error {
 	if memory > MostMemory {
 		return fmt.Errorf("scale: the run was stopped: it uses %d MB of memory, %d MB are allowed", memory>>20, MostMemory>>20)
 	}
 	return nil
 }
 
-// ask polls the state of all processes. In each process it counts the known members of up to the given number of controllers.
-func (w *world) ask(members int) error {
-	all := append(append([]*process{}, w.workers...), w.ends...)
-	return atOnce(all, func(p *process) error {
-		_, err := p.ask(&Order{Action: Look, Members: members})
+// pollProcesses polls the state of all processes. In each process it counts the known members of up to the given number of controllers.
+func (c *cluster) pollProcesses(members int) error {
+	all := append(append([]*process{}, c.workers...), c.dispatcherProcesses...)
+	return forEachProcess(all, func(p *process) error {
+		_, err := p.send(&Order{Action: Look, Members: members})
 		return err
 	})
 }
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -32,7 +32,7 @@
 
 // targets lists the possible targets of each kind of event; nil for kinds without a target.
 var targets = map[Kind]func(*Scenario) []string{
-	Restart: (*Scenario).names, Change: (*Scenario).scopes, Release: (*Scenario).serviceNames, Rack: (*Scenario).racks,
+	Restart: (*Scenario).hollowNames, Change: (*Scenario).scopes, Release: (*Scenario).serviceNames, Rack: (*Scenario).racks,
 	Zone: (*Scenario).zoneNames, Region: (*Scenario).regionNames, StartAll: nil, StopStore: nil, Settings: nil,
 }
 
@@ -99,132 +99,132 @@
 	if len(wrong) > 0 {
 		return nil, wrong
 	}
-	r := &reader{s: Default()}
+	r := &scenarioReader{s: Default()}
 	for i := range f.Sections {
 		section := &f.Sections[i]
 		if _, is := section.Named("fault"); is {
-			r.fault(section)
+			r.readFault(section)
 		} else if section.Name == "scale" {
-			r.scale(section)
+			r.readScale(section)
 		} else {
-			r.wrong(section.Line, "unknown section [%.80s]", section.Name)
+			r.addError(section.Line, "unknown section [%.80s]", section.Name)
 		}
 	}
-	r.check()
-	if len(r.faults) > 0 {
-		return nil, r.faults
+	r.checkFaults()
+	if len(r.errors) > 0 {
+		return nil, r.errors
 	}
 	return r.s, nil
 }
 
-// reader fills a scenario from the sections of a file and collects errors.
-type reader struct {
-	s      *Scenario
-	lines  []int // line numbers of the fault sections, as in s.Faults
-	faults []inifile.Fault
+// scenarioReader fills a scenario from the sections of a file and collects errors.
+type scenarioReader struct {
+	s          *Scenario
+	faultLines []int // line numbers of the fault sections, as in s.Faults
+	errors     []inifile.Fault
 }
 
-func (r *reader) wrong(line int, format string, args ...any) {
-	r.faults = append(r.faults, inifile.Fault{Line: line, Text: fmt.Sprintf(format, args...)})
+func (r *scenarioReader) addError(line int, format string, args ...any) {
+	r.errors = append(r.errors, inifile.Fault{Line: line, Text: fmt.Sprintf(format, args...)})
 }
 
-func (r *reader) number(k *inifile.Key, into *int, least, most int) {
+func (r *scenarioReader) readNumber(k *inifile.Key, into *int, least, most int) {
 	n, wrong := k.Number(least, most)
 	if wrong != nil {
-		r.faults = append(r.faults, *wrong)
+		r.errors = append(r.errors, *wrong)
 		return
 	}
 	*into = n
 }
 
-func (r *reader) millis(k *inifile.Key, into *time.Duration, least, most time.Duration) {
+func (r *scenarioReader) readMillis(k *inifile.Key, into *time.Duration, least, most time.Duration) {
 	ms := 0
-	r.number(k, &ms, int(least.Milliseconds()), int(most.Milliseconds()))
+	r.readNumber(k, &ms, int(least.Milliseconds()), int(most.Milliseconds()))
 	*into = time.Duration(ms) * time.Millisecond
 }
 
-func (r *reader) scale(section *inifile.Section) {
+func (r *scenarioReader) readScale(section *inifile.Section) {
 	s := r.s
 	for i := range section.Keys {
 		switch k := &section.Keys[i]; k.Name {
 		case "controllers":
-			r.number(k, &s.Controllers, 0, maxControllers)
+			r.readNumber(k, &s.Controllers, 0, maxControllers)
 		case "real":
-			r.number(k, &s.Real, 0, maxReal)
+			r.readNumber(k, &s.Real, 0, maxReal)
 		case "services":
-			r.number(k, &s.Services, 1, maxControllers)
+			r.readNumber(k, &s.Services, 1, maxControllers)
 		case "regions":
-			r.number(k, &s.Regions, 1, 100)
+			r.readNumber(k, &s.Regions, 1, 100)
 		case "zones":
-			r.number(k, &s.Zones, 1, 100)
+			r.readNumber(k, &s.Zones, 1, 100)
 		case "rack_size":
-			r.number(k, &s.RackSize, 1, maxControllers)
+			r.readNumber(k, &s.RackSize, 1, maxControllers)
 		case "dispatchers":
-			r.number(k, &s.Dispatchers, 1, maxDispatchers)
+			r.readNumber(k, &s.Dispatchers, 1, maxDispatchers)
 		case "list":
 			if s.ListByService = k.Value == "service"; !s.ListByService && k.Value != "all" {
-				r.wrong(k.Line, "list: %.40q is neither all nor service", k.Value)
+				r.addError(k.Line, "list: %.40q is neither all nor service", k.Value)
 			}
 		case "lease_ms":
-			r.millis(k, &s.Lease, time.Second, 30*time.Second)
+			r.readMillis(k, &s.Lease, time.Second, 30*time.Second)
 		case "lasting_ms":
-			r.millis(k, &s.Lasting, time.Second, maxLasting)
+			r.readMillis(k, &s.Lasting, time.Second, maxLasting)
 		case "recover_ms":
-			r.millis(k, &s.Recover, 0, maxLasting)
+			r.readMillis(k, &s.Recover, 0, maxLasting)
 		case "fleet":
-			r.number(k, &s.Fleet, 1, maxPerDay)
+			r.readNumber(k, &s.Fleet, 1, maxPerDay)
 		case "restarts_per_day":
-			r.number(k, &s.RestartsPerDay, 0, maxPerDay)
+			r.readNumber(k, &s.RestartsPerDay, 0, maxPerDay)
 		case "changes_per_day":
-			r.number(k, &s.ChangesPerDay, 0, maxPerDay)
+			r.readNumber(k, &s.ChangesPerDay, 0, maxPerDay)
 		case "compress":
-			r.number(k, &s.Compress, 1, 100_000)
+			r.readNumber(k, &s.Compress, 1, 100_000)
 		case "calls_per_second":
-			r.number(k, &s.CallsPerSecond, 0, 1000)
+			r.readNumber(k, &s.CallsPerSecond, 0, 1000)
 		case "per_process":
-			r.number(k, &s.PerProcess, 1, 5000)
+			r.readNumber(k, &s.PerProcess, 1, 5000)
 		default:
-			r.wrong(k.Line, "unknown key %.40q", k.Name)
+			r.addError(k.Line, "unknown key %.40q", k.Name)
 		}
 	}
 }
 
-func (r *reader) fault(section *inifile.Section) {
+func (r *scenarioReader) readFault(section *inifile.Section) {
 	if len(r.s.Faults) == maxFaults {
-		r.wrong(section.Line, "more than %d faults", maxFaults)
+		r.addError(section.Line, "more than %d faults", maxFaults)
 		return
 	}
 	e := Event{Who: "?"}
 	for i := range section.Keys {
 		switch k := &section.Keys[i]; k.Name {
 		case "at_ms":
-			r.millis(k, &e.At, 0, maxLasting)
+			r.readMillis(k, &e.At, 0, maxLasting)
 		case "for_ms":
-			r.millis(k, &e.For, 0, maxLasting)
+			r.readMillis(k, &e.For, 0, maxLasting)
 		case "do":
-			if e.Do = Kind(k.Value); !known(e.Do) {
-				r.wrong(k.Line, "do: %.40q is none of %s", k.Value, strings.Join(Kinds(), ", "))
+			if e.Do = Kind(k.Value); !isKind(e.Do) {
+				r.addError(k.Line, "do: %.40q is none of %s", k.Value, strings.Join(Kinds(), ", "))
 			}
 		case "who":
 			e.Who = k.Value
 		default:
-			r.wrong(k.Line, "unknown key %.40q", k.Name)
+			r.addError(k.Line, "unknown key %.40q", k.Name)
 		}
 	}
 	if e.Do == "" {
-		r.wrong(section.Line, "[%.80s] lacks the key do", section.Name)
+		r.addError(section.Line, "[%.80s] lacks the key do", section.Name)
 	}
-	r.s.Faults, r.lines = append(r.s.Faults, e), append(r.lines, section.Line)
+	r.s.Faults, r.faultLines = append(r.s.Faults, e), append(r.faultLines, section.Line)
 }
 
-// check checks rules that depend on several sections, which may stand in any order.
-func (r *reader) check() {
+// checkFaults checks rules that depend on several sections, which may stand in any order.
+func (r *scenarioReader) checkFaults() {
 	for i, e := range r.s.Faults {
-		if !known(e.Do) {
+		if !isKind(e.Do) {
 			continue
 		}
 		if e.At+e.For > r.s.Lasting {
-			r.wrong(r.lines[i], "%v: the run lasts %v", e, r.s.Lasting)
+			r.addError(r.faultLines[i], "%v: the run lasts %v", e, r.s.Lasting)
 		}
 	}
 }
@@ -242,28 +242,28 @@
 		return fmt.Errorf("%d services, at least one is required", s.Services)
 	}
 	for _, e := range s.Faults {
-		among := targets[e.Do]
-		if among == nil || e.Who == "?" {
+		candidates := targets[e.Do]
+		if candidates == nil || e.Who == "?" {
 			continue
 		}
-		if !slices.Contains(among(s), e.Who) {
+		if !slices.Contains(candidates(s), e.Who) {
 			return fmt.Errorf("%v: there is no %.40q in a run of %d controllers", e, e.Who, s.Controllers)
 		}
 	}
 	return nil
 }
 
-// known reports whether a kind of event exists.
-func known(do Kind) bool { _, is := targets[do]; return is }
+// isKind reports whether a kind of event exists.
+func isKind(do Kind) bool { _, is := targets[do]; return is }
 
 // Kinds returns the names of all kinds of events.
 func Kinds() []string {
-	var all []string
+	var names []string
 	for kind := range targets {
-		all = append(all, string(kind))
+		names = append(names, string(kind))
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(names)
+	return names
 }
 
 // perSecond converts a daily rate of the deployment to the rate per second of a run.
--- a/internal/scale/scenario_test.go
+++ b/internal/scale/scenario_test.go
@@ -45,7 +45,7 @@
 	if got := len(s.racks()); got != 12 {
 		t.Errorf("racks %v", s.racks())
 	}
-	if got := len(s.within(Event{Do: Release, Who: "s2"})); got != 30 {
+	if got := len(s.affectedControllers(Event{Do: Release, Who: "s2"})); got != 30 {
 		t.Errorf("%d controllers in the service", got)
 	}
 	plan := s.Plan(3)
@@ -94,7 +94,7 @@
 			if among == nil || e.Do == Change {
 				continue
 			}
-			if e.Do != Zone && e.Do != Region && e.Do != Release && len(s.within(e)) == 0 {
+			if e.Do != Zone && e.Do != Region && e.Do != Release && len(s.affectedControllers(e)) == 0 {
 				t.Fatalf("%v affects no controller", e)
 			}
 		}
--- a/internal/scale/soak_test.go
+++ b/internal/scale/soak_test.go
@@ -14,9 +14,9 @@
 	for _, controllers := range []int{100, 300, 1000} {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%d controllers, seed %d", controllers, seed+1), func(t *testing.T) {
-				s := example(t, "slopes.ini")
+				s := readExample(t, "slopes.ini")
 				s.Controllers = controllers
-				mustPlay(t, s, seed+1)
+				mustRun(t, s, seed+1)
 			})
 		}
 	}
--- a/internal/scale/staleness.go
+++ b/internal/scale/staleness.go
@@ -14,8 +14,8 @@
 	RealKind   = "real"
 )
 
-// issued records when a change was made.
-type issued struct {
+// issuedChange records when a change was made.
+type issuedChange struct {
 	kind   Kind
 	scope  string
 	number int
@@ -56,52 +56,52 @@
 	scope string
 }
 
-// timesToForce returns histograms of the time from a change until a controller has applied it. A controller that has applied a change counts as
+// activationTimes returns histograms of the time from a change until a controller has applied it. A controller that has applied a change counts as
 // having all earlier changes of the stream. Changes in the first list after a start are not timed.
-func timesToForce(made []issued, applied []Applied, kindOf func(controller string) string) map[stalenessKey]*hdrhistogram.Histogram {
-	changes := map[stream][]issued{}
+func activationTimes(made []issuedChange, applied []Applied, kindOf func(controller string) string) map[stalenessKey]*hdrhistogram.Histogram {
+	changes := map[stream][]issuedChange{}
 	for _, c := range made {
 		s := stream{c.kind, c.scope}
 		changes[s] = append(changes[s], c)
 	}
 	slices.SortStableFunc(applied, func(a, b Applied) int { return cmp.Compare(a.AtNs, b.AtNs) })
-	type at struct {
+	type controllerStream struct {
 		controller string
 		stream     stream
 	}
-	has := map[at]int{} // number of the last change that a controller has applied
-	found := map[stalenessKey]*hdrhistogram.Histogram{}
+	lastApplied := map[controllerStream]int{} // number of the last change that a controller has applied
+	histograms := map[stalenessKey]*hdrhistogram.Histogram{}
 	for _, a := range applied {
 		s := stream{a.Kind, a.Scope}
-		who := at{a.Controller, s}
+		id := controllerStream{a.Controller, s}
 		number := a.Number
 		if number < 0 { // the log of a real controller contains only the status: take the last change to that status that had been made by then
 			number = lastWithStatus(changes[s], -1-number, a.AtNs)
 		}
 		if a.First {
-			has[who] = max(number, 0)
+			lastApplied[id] = max(number, 0)
 			continue
 		}
 		for _, c := range changes[s] {
-			if c.number <= has[who] || c.number > number {
+			if c.number <= lastApplied[id] || c.number > number {
 				continue
 			}
 			key := stalenessKey{c.phase, kindOf(a.Controller), c.kind}
-			if found[key] == nil {
-				found[key] = newHistogram()
+			if histograms[key] == nil {
+				histograms[key] = newHistogram()
 			}
-			_ = found[key].RecordValue(max((a.AtNs-c.at.UnixNano())/1000, 1)) // fails only for more than maxStaleness, and no run lasts that long
+			_ = histograms[key].RecordValue(max((a.AtNs-c.at.UnixNano())/1000, 1)) // fails only for more than maxStaleness, and no run lasts that long
 		}
-		has[who] = max(has[who], number)
+		lastApplied[id] = max(lastApplied[id], number)
 	}
-	return found
+	return histograms
 }
 
 // lastWithStatus returns the number of the last change to a status that was made by the given time, or 0.
-func lastWithStatus(changes []issued, status int, atNs int64) int {
+func lastWithStatus(changes []issuedChange, status int, atNs int64) int {
 	last := 0
 	for _, c := range changes {
-		if int(statusOf(c.number)) == status && c.at.UnixNano() <= atNs {
+		if int(markerStatus(c.number)) == status && c.at.UnixNano() <= atNs {
 			last = c.number
 		}
 	}
--- a/internal/scale/topology.go
+++ b/internal/scale/topology.go
@@ -8,7 +8,7 @@
 // allServices is the scope of a list that all controllers share.
 const allServices = "all"
 
-func (s *Scenario) names() []string        { return numbered("c", s.Controllers) }
+func (s *Scenario) hollowNames() []string  { return numbered("c", s.Controllers) }
 func (s *Scenario) realNames() []string    { return numbered("real-", s.Real) }
 func (s *Scenario) serviceNames() []string { return numbered("s", s.Services) }
 func (s *Scenario) regionNames() []string  { return numbered("r", s.Regions) }
@@ -59,20 +59,20 @@
 // racks returns the names of the racks that contain hollow controllers.
 func (s *Scenario) racks() []string {
 	var names []string
-	seen := map[string]bool{}
+	listed := map[string]bool{}
 	for i := range s.Controllers {
-		if rack := s.place(i).rack; !seen[rack] {
-			seen[rack] = true
+		if rack := s.place(i).rack; !listed[rack] {
+			listed[rack] = true
 			names = append(names, rack)
 		}
 	}
 	return names
 }
 
-// within returns the names of the hollow controllers that an event affects.
-func (s *Scenario) within(e Event) []string {
+// affectedControllers returns the names of the hollow controllers that an event affects.
+func (s *Scenario) affectedControllers(e Event) []string {
 	var names []string
-	for i, name := range s.names() {
+	for i, name := range s.hollowNames() {
 		p := s.place(i)
 		if e.Do == StartAll || e.Do == Settings || e.Do == Restart && name == e.Who || e.Do == Release && p.service == e.Who || e.Do == Rack && p.rack == e.Who ||
 			e.Do == Zone && p.zone == e.Who || e.Do == Region && p.region == e.Who {
@@ -82,7 +82,7 @@
 	return names
 }
 
-// cut reports whether an event cuts off the given place.
-func (e Event) cut(p place) bool {
+// cutsOff reports whether an event cuts off the given place.
+func (e Event) cutsOff(p place) bool {
 	return e.Do == Zone && p.zone == e.Who || e.Do == Region && p.region == e.Who
 }
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -30,8 +30,8 @@
 	u.Sockets += o.Sockets
 }
 
-// usageOf reads the usage of a process from /proc. It counts sockets only on request, because a process may have thousands of descriptors.
-func usageOf(pid int, sockets bool) (usage, error) {
+// readUsage reads the usage of a process from /proc. It counts sockets only on request, because a process may have thousands of descriptors.
+func readUsage(pid int, sockets bool) (usage, error) {
 	var u usage
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/internal/scale/worker.go
+++ b/internal/scale/worker.go
@@ -65,9 +65,9 @@
 		var o Order
 		err := json.Unmarshal(lines.Bytes(), &o)
 		if err == nil {
-			err = w.do(&o)
+			err = w.execute(&o)
 		}
-		r := w.look(o.Members)
+		r := w.state(o.Members)
 		if err != nil {
 			r.Error = err.Error()
 		}
@@ -75,34 +75,34 @@
 			return fmt.Errorf("scale worker: %w", err)
 		}
 	}
-	return lines.Err() //nolint:wrapcheck // it says what it is
+	return lines.Err() //nolint:wrapcheck // the error needs no context
 }
 
 // worker is the state of a worker process, which runs hollow controllers or dispatchers.
 type worker struct {
-	controllers map[string]*Hollow
-	dispatchers map[string]*peer.Dispatcher
-	addresses   map[string]string
-	failed      atomic.Int64
-	accepted    atomic.Int64
-	reloads     atomic.Int64 // failed reloads
+	controllers   map[string]*Hollow
+	dispatchers   map[string]*peer.Dispatcher
+	addresses     map[string]string
+	failedDials   atomic.Int64
+	accepted      atomic.Int64
+	failedReloads atomic.Int64 // failed reloads
 
 	mu      sync.Mutex
 	applied []Applied
 }
 
-// do executes an order.
-func (w *worker) do(o *Order) error {
+// execute executes an order.
+func (w *worker) execute(o *Order) error {
 	switch o.Action {
 	case StartControllers:
-		return w.start(o)
+		return w.startControllers(o)
 	case StopControllers:
-		return w.stop(o)
+		return w.stopControllers(o)
 	case ReloadSettings:
-		w.reload(o)
+		w.reloadControllers(o)
 		return nil
 	case OpenDispatchers:
-		return w.open(o)
+		return w.openDispatchers(o)
 	case CloseDispatchers:
 		for _, name := range o.Names {
 			if d := w.dispatchers[name]; d != nil {
@@ -117,7 +117,7 @@
 	return fmt.Errorf("scale worker: unknown action %.40q", o.Action)
 }
 
-func (w *worker) start(o *Order) error {
+func (w *worker) startControllers(o *Order) error {
 	c, err := readConfig(o.Config)
 	if err != nil {
 		return err
@@ -126,7 +126,7 @@
 		if w.controllers[s.Name] != nil {
 			continue
 		}
-		h, err := StartHollow(*c, s, &counting{logs.Bound(slog.NewTextHandler(io.Discard, nil)), &w.failed}, w.apply)
+		h, err := StartHollow(*c, s, &dialCounter{logs.Bound(slog.NewTextHandler(io.Discard, nil)), &w.failedDials}, w.recordApplied)
 		if err != nil {
 			return err
 		}
@@ -135,21 +135,21 @@
 	return nil
 }
 
-func (w *worker) apply(a Applied) {
+func (w *worker) recordApplied(a Applied) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.applied = append(w.applied, a)
 }
 
-// stop closes controllers concurrently and returns the first error.
-func (w *worker) stop(o *Order) error {
+// stopControllers closes controllers concurrently and returns the first error.
+func (w *worker) stopControllers(o *Order) error {
 	errs := make(chan error, len(o.Names))
 	for _, name := range o.Names {
 		h := w.controllers[name]
 		delete(w.controllers, name)
 		go func() {
 			if h == nil {
-				errs <- fmt.Errorf("%w: %.40q", errNoController, name)
+				errs <- fmt.Errorf("%w: %.40q", errUnknownController, name)
 				return
 			}
 			errs <- h.Close(o.Lost)
@@ -164,28 +164,28 @@
 	return first
 }
 
-// reload makes all controllers read and apply a file concurrently. Each reads it on its own, as separate processes would.
-func (w *worker) reload(o *Order) {
+// reloadControllers makes all controllers read and apply a file concurrently. Each reads it on its own, as separate processes would.
+func (w *worker) reloadControllers(o *Order) {
 	var reading sync.WaitGroup
 	for _, h := range w.controllers {
 		reading.Go(func() {
 			if h.Reload(o.Config) != nil {
-				w.reloads.Add(1)
+				w.failedReloads.Add(1)
 			}
 		})
 	}
 	reading.Wait()
 }
 
-// report is the state that every dispatcher reports: idle, with ample capacity.
-const report = "x0:1000000;x1:1000000"
+// idleReport is the state that every dispatcher reports: idle, with ample capacity.
+const idleReport = "x0:1000000;x1:1000000"
 
-// open starts dispatchers that answer every set-up at once.
-func (w *worker) open(o *Order) error {
+// openDispatchers starts dispatchers that answer every set-up at once.
+func (w *worker) openDispatchers(o *Order) error {
 	for name, address := range o.Dispatchers {
-		d, err := peer.Dispatch("tcp", address, report)
+		d, err := peer.Dispatch("tcp", address, idleReport)
 		if err != nil {
-			return err //nolint:wrapcheck // it says what it is
+			return err //nolint:wrapcheck // the error needs no context
 		}
 		d.TellLinks()
 		w.dispatchers[name] = d
@@ -193,13 +193,13 @@
 			for range d.Acks { // unused, but the channel must be drained
 			}
 		}()
-		go w.serve(d)
+		go w.serveDispatcher(d)
 	}
 	return nil
 }
 
-// serve counts the connections to a dispatcher and answers its set-ups.
-func (w *worker) serve(d *peer.Dispatcher) {
+// serveDispatcher counts the connections to a dispatcher and answers its set-ups.
+func (w *worker) serveDispatcher(d *peer.Dispatcher) {
 	for e := range d.Events {
 		switch e.Kind {
 		case "opened":
@@ -210,9 +210,9 @@
 	}
 }
 
-// look returns the state of the process, and the changes that were applied since the last reply.
-func (w *worker) look(members int) *Reply {
-	r := &Reply{Controllers: len(w.controllers), Failed: w.failed.Load(), Accepted: w.accepted.Load(), ReloadsFailed: int(w.reloads.Load())}
+// state returns the state of the process, and the changes that were applied since the last reply.
+func (w *worker) state(members int) *Reply {
+	r := &Reply{Controllers: len(w.controllers), Failed: w.failedDials.Load(), Accepted: w.accepted.Load(), ReloadsFailed: int(w.failedReloads.Load())}
 	for _, d := range w.dispatchers {
 		r.Connections += d.Links()
 	}
@@ -234,8 +234,8 @@
 	return r
 }
 
-// counting is a log handler that counts failed dials. It stands before the handler that limits the rate of log lines, so that it sees each one.
-type counting struct {
+// dialCounter is a log handler that counts failed dials. It stands before the handler that limits the rate of log lines, so that it sees each one.
+type dialCounter struct {
 	slog.Handler
 	failed *atomic.Int64
 }
@@ -243,17 +243,17 @@
 // dialFailed is the log message for a failed dial to a dispatcher.
 const dialFailed = "no connection"
 
-func (c *counting) Handle(ctx context.Context, r slog.Record) error {
+func (c *dialCounter) Handle(ctx context.Context, r slog.Record) error {
 	if r.Message == dialFailed {
 		c.failed.Add(1)
 	}
 	return c.Handler.Handle(ctx, r) //nolint:wrapcheck // the error is that of the wrapped handler
 }
 
-func (c *counting) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &counting{c.Handler.WithAttrs(attrs), c.failed}
+func (c *dialCounter) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &dialCounter{c.Handler.WithAttrs(attrs), c.failed}
 }
 
-func (c *counting) WithGroup(name string) slog.Handler {
-	return &counting{c.Handler.WithGroup(name), c.failed}
+func (c *dialCounter) WithGroup(name string) slog.Handler {
+	return &dialCounter{c.Handler.WithGroup(name), c.failed}
 }
