--- a/internal/scale/cluster.go
+++ b/internal/scale/cluster.go
@@ -52,7 +52,7 @@
 	dispatcherProcesses []*process          // with dispatchers
 	workerOf            map[string]*process // worker of each hollow controller
 	specs               map[string]Spec
-	realControllers     []*realController
+	real                []*realController
 	// The addresses, processes and places of dispatchers, by name.
 	dispatcherAddress map[string]string
 	dispatcherProcess map[string]*process
@@ -264,14 +264,14 @@
 		if err := r.start(c.options.Program, c.options.Env, directory); err != nil {
 			return err
 		}
-		c.realControllers = append(c.realControllers, r)
+		c.real = append(c.real, r)
 	}
 	return nil
 }
 
 // close stops all processes, the proxies and the store.
 func (c *cluster) close() error {
-	for _, r := range c.realControllers {
+	for _, r := range c.real {
 		r.kill()
 	}
 	var stopping sync.WaitGroup
--- a/internal/scale/events.go
+++ b/internal/scale/events.go
@@ -63,13 +63,13 @@
 		c.scenario.Controllers+c.scenario.Real, number); err != nil {
 		return err
 	}
-	for _, r := range c.realControllers {
+	for _, r := range c.real {
 		if err := r.writeConfig(c.scenario, number); err != nil {
 			return err
 		}
 	}
 	c.recordChange(issuedChange{Settings, "", number, time.Now(), phase})
-	for _, r := range c.realControllers {
+	for _, r := range c.real {
 		if err := r.reload(number); err != nil {
 			return err
 		}
@@ -172,7 +172,7 @@
 			proxies = append(proxies, p.rack)
 		}
 	}
-	for i, r := range c.realControllers {
+	for i, r := range c.real {
 		if e.cutsOff(c.scenario.place(i)) {
 			proxies = append(proxies, r.name)
 		}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -180,7 +180,7 @@
 	if joined != sr.scenario.Controllers {
 		return false, nil
 	}
-	for _, r := range sr.realControllers {
+	for _, r := range sr.real {
 		if r.members() != all {
 			return false, nil
 		}
@@ -199,7 +199,7 @@
 			text += fmt.Sprintf("worker %d: %d controllers, %d joined, fewest members known %d; ", i+1, r.Controllers, r.Joined, r.LeastMembers)
 		}
 	}
-	for _, r := range sr.realControllers {
+	for _, r := range sr.real {
 		if n := r.members(); n != sr.scenario.Controllers+sr.scenario.Real {
 			text += fmt.Sprintf("%s: %d members known; ", r.name, n)
 		}
@@ -213,8 +213,8 @@
 		return func() {}
 	}
 	done := make(chan struct{})
-	ended := make(chan struct{}, len(sr.realControllers))
-	for i, r := range sr.realControllers {
+	ended := make(chan struct{}, len(sr.real))
+	for i, r := range sr.real {
 		dispatcher := sr.dispatcherAddress[fmt.Sprint("d", i%sr.scenario.Dispatchers+1)]
 		go func() {
 			sr.callers.run(i, r.callerAddress, dispatcher, sr.scenario.CallsPerSecond, done)
@@ -223,7 +223,7 @@
 	}
 	return func() {
 		close(done)
-		for range sr.realControllers {
+		for range sr.real {
 			<-ended
 		}
 	}
@@ -245,7 +245,7 @@
 // staleReal returns the names of the real controllers that do not have the last change of their list.
 func (sr *scenarioRun) staleReal() []string {
 	var names []string
-	for _, r := range sr.realControllers {
+	for _, r := range sr.real {
 		if r.activeChange() != sr.lastNumber(stream{Change, r.scope}) {
 			names = append(names, r.name)
 		}
--- a/internal/scale/samples.go
+++ b/internal/scale/samples.go
@@ -60,7 +60,7 @@
 	for _, p := range m.cluster.workers {
 		pids[HollowKind] = append(pids[HollowKind], p.cmd.Process.Pid)
 	}
-	for _, r := range m.cluster.realControllers {
+	for _, r := range m.cluster.real {
 		pids[RealKind] = append(pids[RealKind], r.cmd.Process.Pid)
 	}
 	for kind, all := range pids {
@@ -87,7 +87,7 @@
 		forth, back := m.cluster.network.Passed(rack + ">" + storeName)
 		s.bytes[HollowKind] += forth + back
 	}
-	for _, r := range m.cluster.realControllers {
+	for _, r := range m.cluster.real {
 		forth, back := m.cluster.network.Passed(r.name + ">" + storeName)
 		s.bytes[RealKind] += forth + back
 	}
@@ -110,7 +110,7 @@
 		s.accepted += p.lastReply.Accepted
 		p.mu.Unlock()
 	}
-	for _, r := range m.cluster.realControllers {
+	for _, r := range m.cluster.real {
 		applied, failed := r.takeApplied()
 		m.applied = append(m.applied, applied...)
 		s.failedDials[RealKind] += failed
