--- a/internal/scale/cluster.go
+++ b/internal/scale/cluster.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	storeName = "store"
+	storeName = "store" // name of the store in the network
 	// reservedDescriptors is the reserve of file descriptors in each process for uses that are not counted.
 	reservedDescriptors = 500
 	// storeDescriptorsPerController is the number of descriptors that this process needs for each controller: both sides of the proxy, and the store.
@@ -207,6 +207,7 @@
 	return c.putEntry(listPrefix+scope+"/"+name, entry)
 }
 
+// putEntry writes a list entry to the store as JSON.
 func (c *cluster) putEntry(key string, entry coordinator.Endpoint) error {
 	text, err := json.Marshal(entry)
 	if err != nil {
@@ -286,20 +287,20 @@
 
 // orderByWorker groups controllers by their worker and sends each worker the order for its group, concurrently.
 func (c *cluster) orderByWorker(names []string, order func(group []string) *Order) error {
-	group := map[*process][]string{}
+	groups := map[*process][]string{}
 	for _, name := range names {
-		group[c.workerOf[name]] = append(group[c.workerOf[name]], name)
+		groups[c.workerOf[name]] = append(groups[c.workerOf[name]], name)
 	}
 	return forEachProcess(c.workers, func(p *process) error {
-		if len(group[p]) == 0 {
+		if len(groups[p]) == 0 {
 			return nil
 		}
-		_, err := p.send(order(group[p]))
+		_, err := p.send(order(groups[p]))
 		return err
 	})
 }
 
-// forEachProcess calls a function for each process concurrently and joins the errors.
+// forEachProcess calls the given function for each process concurrently and joins the errors.
 func forEachProcess(processes []*process, call func(*process) error) error {
 	errs := make([]error, len(processes))
 	var calls sync.WaitGroup
@@ -321,7 +322,7 @@
 	})
 }
 
-// stopControllers stops hollow controllers: gracefully or, if lost is set, as in a crash.
+// stopControllers stops hollow controllers: gracefully or, if crashed is set, as in a crash.
 func (c *cluster) stopControllers(names []string, crashed bool) error {
 	return c.orderByWorker(names, func(group []string) *Order { return &Order{Action: StopControllers, Names: group, Lost: crashed} })
 }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -42,7 +42,7 @@
 }
 
 // Hollow is a call controller without listening sockets, so that no caller can reach it. Its event loop, list, membership, decision module,
-// connections to dispatchers and timers are those of the program and are wired in the same way.
+// connections to dispatchers and timers are those of the program, connected in the same way.
 type Hollow struct {
 	name        string
 	loop        *call.Loop
@@ -81,19 +81,19 @@
 	h.core.SetDispatchers(h.pool)
 	h.core.OnFlush(h.pool.Flush)
 	h.loop.AddIdleCheck(h.pool.NoUnreadInput)
-	keeper := lists.New(logger, func(u pool.Update) { h.loop.Post(func() { h.update(u) }) })
+	list := lists.New(logger, func(u pool.Update) { h.loop.Post(func() { h.update(u) }) })
 	if h.client, err = etcd.Dial([]string{s.Store}); err != nil {
 		return nil, err //nolint:wrapcheck // the error needs no context
 	}
 	var ctx context.Context
 	ctx, h.cancel = context.WithCancel(context.Background())
-	stream := coordinator.New("", 0, logger, keeper.Stream(pool.FromCoordinator))
+	stream := coordinator.New("", 0, logger, list.Stream(pool.FromCoordinator))
 	h.loop.AddIdleCheck(stream.Quiet)
 	go stream.Run(ctx)
 	h.fleet = membership.Start(h.client, membership.Options{Name: s.Name, Address: "hollow", Prefix: strings.TrimSuffix(c.Fleet.Prefix, "/") + "/",
 		Lease: c.Fleet.Lease()}, logger)
 	h.loop.Post(h.reportState)
-	go etcd.Over(h.client, s.Prefix, logger, keeper.Stream(pool.FromEtcd)).Run(ctx)
+	go etcd.Over(h.client, s.Prefix, logger, list.Stream(pool.FromEtcd)).Run(ctx)
 	go h.loop.Run()
 	applied(Applied{Controller: s.Name, Kind: Settings, Number: settingsNumber(&c), AtNs: time.Now().UnixNano(), First: true})
 	return h, nil
@@ -130,16 +130,16 @@
 
 // Reload reads a file and applies its settings, as the program does at SIGHUP.
 func (h *Hollow) Reload(path string) error {
-	fresh, err := readConfig(path)
+	c, err := readConfig(path)
 	if err != nil {
 		return err
 	}
 	h.loop.Post(func() {
-		if err := h.core.Reconfigure(fresh.Settings); err != nil {
+		if err := h.core.Reconfigure(c.Settings); err != nil {
 			return // the check at the end of the run finds controllers without the last settings
 		}
-		h.pool.Reconfigure(fresh.Settings.ConnectTimeout(), fresh.Settings.Report.Fields)
-		h.onApplied(Applied{Controller: h.name, Kind: Settings, Number: settingsNumber(fresh), AtNs: time.Now().UnixNano()})
+		h.pool.Reconfigure(c.Settings.ConnectTimeout(), c.Settings.Report.Fields)
+		h.onApplied(Applied{Controller: h.name, Kind: Settings, Number: settingsNumber(c), AtNs: time.Now().UnixNano()})
 	})
 	return nil
 }
--- a/internal/scale/measure_test.go
+++ b/internal/scale/measure_test.go
@@ -12,36 +12,36 @@
 func TestActivationTimes(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	var made []issuedChange
+	var issued []issuedChange
 	for number := 1; number <= 3; number++ {
-		made = append(made, issuedChange{Change, allServices, number, at(100 * number), OrdinaryPhase})
+		issued = append(issued, issuedChange{Change, allServices, number, at(100 * number), OrdinaryPhase})
 	}
-	tell := func(controller string, number, ms int, first bool) Applied {
+	applyAt := func(controller string, number, ms int, first bool) Applied {
 		return Applied{Controller: controller, Kind: Change, Scope: allServices, Number: number, AtNs: at(ms).UnixNano(), First: first}
 	}
 	applied := []Applied{
-		tell("c1", 0, 10, true), tell("c1", 1, 101, false), tell("c1", 3, 310, false), tell("c1", 3, 400, false),
-		tell("c2", 2, 250, true), tell("c2", 3, 305, false),
-		tell("real-1", -1-int(markerStatus(1)), 120, false), tell("real-1", -1-int(markerStatus(2)), 220, false),
+		applyAt("c1", 0, 10, true), applyAt("c1", 1, 101, false), applyAt("c1", 3, 310, false), applyAt("c1", 3, 400, false),
+		applyAt("c2", 2, 250, true), applyAt("c2", 3, 305, false),
+		applyAt("real-1", -1-int(markerStatus(1)), 120, false), applyAt("real-1", -1-int(markerStatus(2)), 220, false),
 	}
-	found := activationTimes(made, applied, func(name string) string {
+	histograms := activationTimes(issued, applied, func(name string) string {
 		if strings.HasPrefix(name, RealKind) {
 			return RealKind
 		}
 		return HollowKind
 	})
-	hollow := stalenessOf(found[stalenessKey{OrdinaryPhase, HollowKind, Change}])
+	hollow := stalenessOf(histograms[stalenessKey{OrdinaryPhase, HollowKind, Change}])
 	if hollow.Count != 4 || hollow.P50 < 4 || hollow.P50 > 11 || hollow.Last < 109 || hollow.Last > 111 {
 		t.Errorf("hollow: %+v, want the staleness of 1, 110, 10 and 5 ms", hollow)
 	}
-	if real := stalenessOf(found[stalenessKey{OrdinaryPhase, RealKind, Change}]); real.Count != 2 || real.Last < 19 || real.Last > 21 {
+	if real := stalenessOf(histograms[stalenessKey{OrdinaryPhase, RealKind, Change}]); real.Count != 2 || real.Last < 19 || real.Last > 21 {
 		t.Errorf("real: %+v, want the staleness of 20 and 20 ms", real)
 	}
 }
 
-// TestBounds checks that a run beyond the limits on processes or descriptors is rejected before it starts, and that the error for too much memory
+// TestLimits checks that a run beyond the limits on processes or descriptors is rejected before it starts, and that the error for too much memory
 // is a single line with the amount.
-func TestBounds(t *testing.T) {
+func TestLimits(t *testing.T) {
 	if err := checkMemoryLimit(MostMemory); err != nil {
 		t.Error(err)
 	}
@@ -64,12 +64,12 @@
 func TestUsage(t *testing.T) {
 	u, err := readUsage(os.Getpid(), true)
 	if err != nil || u.Memory < 1<<20 {
-		t.Errorf("%+v, %v", u, err)
+		t.Errorf("usage of this process: %+v, error %v", u, err)
 	}
 	line := "7 (a ) b) S 1 2 3 4 5 6 7 8 9 10 150 50 0 0 20 0 1 0 99 4096 25 0"
 	processor, memory, err := parseStat(line)
 	if err != nil || processor != 2*time.Second || memory != 25*int64(os.Getpagesize()) {
-		t.Errorf("%v, %d, %v", processor, memory, err)
+		t.Errorf("parseStat: %v, %d, error %v", processor, memory, err)
 	}
 	if _, _, err := parseStat("7 (a) S 1"); err == nil {
 		t.Error("parseStat accepted a line that is too short")
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -22,7 +22,7 @@
 	replies *bufio.Scanner
 	stderr  *tailBuffer
 
-	mu        sync.Mutex // held during an order, so that there is one at a time
+	mu        sync.Mutex // held during an order, so that only one is in progress
 	applied   []Applied  // from replies, not yet collected by takeApplied
 	lastReply Reply
 }
@@ -33,7 +33,7 @@
 	text []byte
 }
 
-// tailBufferSize is the capacity of a tail in bytes.
+// tailBufferSize is the capacity of a tailBuffer in bytes.
 const tailBufferSize = 2000
 
 func (t *tailBuffer) Write(p []byte) (int, error) {
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -150,23 +150,23 @@
 const queryTimeout = 2 * time.Second
 
 // query gets a page from the management address and decodes it into the given value.
-func (r *realController) query(path string, into any) error {
+func (r *realController) query(path string, result any) error {
 	client := http.Client{Timeout: queryTimeout}
 	resp, err := client.Get("http://" + r.managementAddress + path)
 	if err != nil {
 		return err //nolint:wrapcheck // the error needs no context
 	}
 	defer resp.Body.Close()
-	return json.NewDecoder(resp.Body).Decode(into) //nolint:wrapcheck // the error needs no context
+	return json.NewDecoder(resp.Body).Decode(result) //nolint:wrapcheck // the error needs no context
 }
 
 // members returns the number of fleet members that the controller knows, or 0 if it does not answer, does not serve or its view is not actable.
 func (r *realController) members() int {
-	var shown membership.Shown
-	if r.query(membership.Path, &shown) != nil || !shown.Actable || shown.State != "serving" {
+	var view membership.Shown
+	if r.query(membership.Path, &view) != nil || !view.Actable || view.State != "serving" {
 		return 0
 	}
-	return len(shown.Members) + shown.More
+	return len(view.Members) + view.More
 }
 
 // activeChange returns the number of the last change in the controller's list, or -1 if that cannot be determined.
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -179,8 +179,9 @@
 	case RealKind:
 		c.Count = s.Real
 	}
-	by := seconds * float64(max(c.Count, 1))
-	c.ProcessorShare, c.MemoryKB, c.Bytes, c.Sockets, c.FailedDials = c.ProcessorShare/by, c.MemoryKB/by, c.Bytes/by, c.Sockets/by, c.FailedDials/by
+	divisor := seconds * float64(max(c.Count, 1))
+	c.ProcessorShare, c.MemoryKB, c.Bytes, c.Sockets, c.FailedDials = c.ProcessorShare/divisor, c.MemoryKB/divisor,
+		c.Bytes/divisor, c.Sockets/divisor, c.FailedDials/divisor
 	return c
 }
 
@@ -198,21 +199,22 @@
 
 // Print writes the report as tables.
 func (r *Report) Print(out io.Writer) error {
-	fmt.Fprintf(out, "%d hollow and %d real controllers in %d services, %d dispatchers, lease %v, %d events, seed %d, %s, version %s\n", r.Controllers, r.Real,
-		r.Services, r.Dispatchers, time.Duration(r.LeaseMs)*time.Millisecond, len(r.Events), r.Seed, r.Took.Round(time.Second), r.Version)
+	fmt.Fprintf(out, "%d hollow and %d real controllers in %d services, %d dispatchers, lease %v, %d events, seed %d, %s, version %s\n",
+		r.Controllers, r.Real, r.Services, r.Dispatchers, time.Duration(r.LeaseMs)*time.Millisecond, len(r.Events), r.Seed, r.Took.Round(time.Second), r.Version)
 	fmt.Fprintf(out, "%d processes, at most %d MB of memory together\n", r.Processes, r.MemoryMB)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "phase\ts\tkind\tcount\tcore %\tKB\tstore B/s\tsockets\tfailed dials/s")
 	for _, p := range r.Phases {
 		for _, c := range p.Kinds {
-			fmt.Fprintf(table, "%s\t%.1f\t%s\t%d\t%.3f\t%.0f\t%.0f\t%.1f\t%.3f\n", p.Name, p.Seconds, c.Kind, c.Count, c.ProcessorShare, c.MemoryKB, c.Bytes, c.Sockets,
-				c.FailedDials)
+			fmt.Fprintf(table, "%s\t%.1f\t%s\t%d\t%.3f\t%.0f\t%.0f\t%.1f\t%.3f\n", p.Name, p.Seconds, c.Kind, c.Count, c.ProcessorShare, c.MemoryKB, c.Bytes,
+				c.Sockets, c.FailedDials)
 		}
 	}
 	fmt.Fprintln(table, "\nphase\tstore requests/s\ta controller\twatch messages/s\tchanges in them/s\tmessages/s a controller\tdials taken/s")
 	all := float64(max(r.Controllers+r.Real, 1))
 	for _, p := range r.Phases {
-		fmt.Fprintf(table, "%s\t%.0f\t%.2f\t%.0f\t%.0f\t%.2f\t%.1f\n", p.Name, p.Requests, p.Requests/all, p.Notices, p.Changes, (2*p.Requests+p.Notices)/all, p.Accepted)
+		fmt.Fprintf(table, "%s\t%.0f\t%.2f\t%.0f\t%.0f\t%.2f\t%.1f\n", p.Name, p.Requests, p.Requests/all, p.Notices, p.Changes,
+			(2*p.Requests+p.Notices)/all, p.Accepted)
 	}
 	fmt.Fprintln(table, "\nin force after, made in\tchange\tkind\tcount\tp50 ms\tp99 ms\tlast ms")
 	for _, f := range r.Staleness {
@@ -222,8 +224,8 @@
 		fmt.Fprintln(table, "\nset-up to answer\tcalls\tp50 us\tp90 us\tp99 us\tmax us")
 		fmt.Fprintf(table, "direct\t%d\t%d\t%d\t%d\t%d\n", l.Calls, l.Direct.P50, l.Direct.P90, l.Direct.P99, l.Direct.Max)
 		fmt.Fprintf(table, "through a real controller\t%d\t%d\t%d\t%d\t%d\n", l.Calls, l.Relayed.P50, l.Relayed.P90, l.Relayed.P99, l.Relayed.Max)
-		fmt.Fprintf(table, "added\t%d refused, %d unanswered\t%d\t%d\t%d\n", l.Refused, l.Unanswered, l.Relayed.P50-l.Direct.P50, l.Relayed.P90-l.Direct.P90,
-			l.Relayed.P99-l.Direct.P99)
+		fmt.Fprintf(table, "added\t%d refused, %d unanswered\t%d\t%d\t%d\n", l.Refused, l.Unanswered, l.Relayed.P50-l.Direct.P50,
+			l.Relayed.P90-l.Direct.P90, l.Relayed.P99-l.Direct.P99)
 	}
 	if err := table.Flush(); err != nil {
 		return err //nolint:wrapcheck // the error needs no context
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -16,8 +16,8 @@
 	pollInterval = 250 * time.Millisecond
 	// polledPerProcess is the number of controllers in each process whose known members are counted during the run. At the end all are counted.
 	polledPerProcess = 3
-	// requestsPerLease limits the requests of a controller to the store for each lease. Three renewals and two polls make 4.5; if they fail, they
-	// are retried twelve times in a lease, each time with a read of the list.
+	// requestsPerLease limits the requests of a controller to the store for each lease. Three renewals and one and a half
+	// verifications of the view make 4.5; failed requests are retried twelve times in a lease, each time with a read of the list.
 	requestsPerLease = 24
 	// requestsPerStart limits the requests to the store for each start of a controller.
 	requestsPerStart = 24
@@ -52,7 +52,7 @@
 	return r, nil
 }
 
-// scenarioRun is one run of a scenario.
+// scenarioRun is the state of one run of a scenario.
 type scenarioRun struct {
 	*cluster
 	plan        []Event
@@ -67,6 +67,7 @@
 	violations  []string
 }
 
+// reportProgress calls Options.Progress, if it is set.
 func (sr *scenarioRun) reportProgress(phase string, part float64) {
 	if sr.options.Progress != nil {
 		sr.options.Progress(phase, part)
@@ -161,19 +162,19 @@
 	}
 }
 
-// converged reports whether all controllers serve and hold their leases, and whether the polled ones know all members. It polls up to polled hollow
-// controllers in each process, and all real ones.
+// converged reports whether all controllers serve and hold their leases, and the polled ones know all members. The parameter
+// polled limits the number of hollow controllers polled in each process; all real ones are polled.
 func (sr *scenarioRun) converged(polled int) (bool, error) {
 	if err := sr.pollProcesses(polled); err != nil {
 		return false, err
 	}
-	all := sr.scenario.Controllers + sr.scenario.Real
+	total := sr.scenario.Controllers + sr.scenario.Real
 	joined := 0
 	for _, worker := range sr.workers {
 		worker.mu.Lock()
 		r := worker.lastReply
 		worker.mu.Unlock()
-		if joined += r.Joined; r.MembersAsked > 0 && r.LeastMembers != all {
+		if joined += r.Joined; r.MembersAsked > 0 && r.LeastMembers != total {
 			return false, nil
 		}
 	}
@@ -181,14 +182,14 @@
 		return false, nil
 	}
 	for _, r := range sr.real {
-		if r.members() != all {
+		if r.members() != total {
 			return false, nil
 		}
 	}
 	return true, nil
 }
 
-// describeUnconverged describes the processes and controllers that keep the fleet from being converged.
+// describeUnconverged describes the processes and controllers that have not converged.
 func (sr *scenarioRun) describeUnconverged() string {
 	text := ""
 	for i, worker := range sr.workers {
@@ -306,19 +307,19 @@
 
 // staleHollow returns the names of the hollow controllers that lack the last change of their list or of the settings.
 func (sr *scenarioRun) staleHollow() []string {
-	has := map[string]map[stream]int{}
+	applied := map[string]map[stream]int{}
 	slices.SortStableFunc(sr.sampler.applied, func(a, b Applied) int { return int(a.AtNs - b.AtNs) })
 	for _, a := range sr.sampler.applied {
-		if has[a.Controller] == nil {
-			has[a.Controller] = map[stream]int{}
+		if applied[a.Controller] == nil {
+			applied[a.Controller] = map[stream]int{}
 		}
-		has[a.Controller][stream{a.Kind, a.Scope}] = a.Number
+		applied[a.Controller][stream{a.Kind, a.Scope}] = a.Number
 	}
 	var stale []string
 	for i, name := range sr.scenario.hollowNames() {
 		list := stream{Change, sr.scenario.scope(sr.scenario.place(i).service)}
 		settings := stream{kind: Settings}
-		if has[name][list] != sr.lastNumber(list) || has[name][settings] != sr.lastNumber(settings) {
+		if applied[name][list] != sr.lastNumber(list) || applied[name][settings] != sr.lastNumber(settings) {
 			stale = append(stale, name)
 		}
 	}
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -51,11 +51,11 @@
 // mustRun runs a scenario, logs its report, and fails the test at errors and at violations of the rules of a run.
 func mustRun(t *testing.T, s *Scenario, seed uint64) *Report {
 	t.Helper()
-	var programOf []string
+	var program []string
 	if s.Real > 0 {
-		programOf = buildProgram(t)
+		program = buildProgram(t)
 	}
-	r, err := Play(t.Context(), s, seed, Options{Worker: []string{os.Args[0]}, Env: []string{workerEnv + "=1"}, Program: programOf})
+	r, err := Play(t.Context(), s, seed, Options{Worker: []string{os.Args[0]}, Env: []string{workerEnv + "=1"}, Program: program})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/samples.go
+++ b/internal/scale/samples.go
@@ -22,7 +22,7 @@
 	at          time.Time
 	usage       map[string]usage // by kind
 	bytes       map[string]int64 // sent to and received from the store, by kind
-	failedDials map[string]int64 // failed dials, by kind
+	failedDials map[string]int64 // by kind
 	accepted    int64            // connections accepted by dispatchers
 	store       store.Counts
 	up          int // running hollow controllers
@@ -33,7 +33,7 @@
 	cluster    *cluster
 	samples    []sample
 	sockets    map[string]int
-	peakMemory int64 // peak of all processes together, in bytes
+	peakMemory int64 // over all processes, in bytes
 	applied    []Applied
 }
 
@@ -84,12 +84,12 @@
 // addTraffic adds up the bytes to and from the store.
 func (m *sampler) addTraffic(s *sample) {
 	for _, rack := range m.cluster.scenario.racks() {
-		forth, back := m.cluster.network.Passed(rack + ">" + storeName)
-		s.bytes[HollowKind] += forth + back
+		forward, backward := m.cluster.network.Passed(rack + ">" + storeName)
+		s.bytes[HollowKind] += forward + backward
 	}
 	for _, r := range m.cluster.real {
-		forth, back := m.cluster.network.Passed(r.name + ">" + storeName)
-		s.bytes[RealKind] += forth + back
+		forward, backward := m.cluster.network.Passed(r.name + ">" + storeName)
+		s.bytes[RealKind] += forward + backward
 	}
 }
 
@@ -128,6 +128,7 @@
 	return checkMemoryLimit(memory)
 }
 
+// checkMemoryLimit returns an error if a run uses more memory than MostMemory.
 func checkMemoryLimit(memory int64) error {
 	if memory > MostMemory {
 		return fmt.Errorf("scale: the run was stopped: it uses %d MB of memory, %d MB are allowed", memory>>20, MostMemory>>20)
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -36,8 +36,8 @@
 	Zone: (*Scenario).zoneNames, Region: (*Scenario).regionNames, StartAll: nil, StopStore: nil, Settings: nil,
 }
 
-// Scenario describes a run. The rate of restarts is that of a deployment of Fleet controllers; a run has a share of it in proportion to its number
-// of hollow controllers. The rate of changes applies as it is.
+// Scenario describes a run. The rate of restarts is that of the whole deployment; a run has a share of it in proportion to its number of hollow
+// controllers. The rate of changes applies as it is.
 type Scenario struct {
 	Controllers    int // hollow controllers
 	Real           int
@@ -49,7 +49,7 @@
 	Lease          time.Duration
 	Lasting        time.Duration // of the plan, after the start of the fleet
 	Recover        time.Duration // time after a fault that still counts as its phase
-	Fleet          int           // number of controllers in the deployment that RestartsPerDay is about
+	Fleet          int           // number of controllers in the whole deployment
 	RestartsPerDay int
 	ChangesPerDay  int
 	Compress       int // simulated seconds for each second of the run
@@ -58,7 +58,7 @@
 	Faults         []Event
 }
 
-// Event is an event of a run at a time from its start. Events with a lasting effect are reverted after the duration For.
+// Event is an event of a run at a time from its start. Events with a lasting effect are reverted after their duration.
 type Event struct {
 	At, For time.Duration
 	Do      Kind
@@ -95,14 +95,14 @@
 
 // Read parses a scenario: a section [scale], and a section [fault NAME] for each fault. It returns all errors in the text, not just the first.
 func Read(text []byte) (*Scenario, []inifile.Fault) {
-	f, wrong := inifile.Parse(text)
-	if len(wrong) > 0 {
-		return nil, wrong
+	f, faults := inifile.Parse(text)
+	if len(faults) > 0 {
+		return nil, faults
 	}
 	r := &scenarioReader{s: Default()}
 	for i := range f.Sections {
 		section := &f.Sections[i]
-		if _, is := section.Named("fault"); is {
+		if _, isFault := section.Named("fault"); isFault {
 			r.readFault(section)
 		} else if section.Name == "scale" {
 			r.readScale(section)
@@ -120,7 +120,7 @@
 // scenarioReader fills a scenario from the sections of a file and collects errors.
 type scenarioReader struct {
 	s          *Scenario
-	faultLines []int // line numbers of the fault sections, as in s.Faults
+	faultLines []int // line numbers of the sections of s.Faults
 	errors     []inifile.Fault
 }
 
@@ -128,19 +128,19 @@
 	r.errors = append(r.errors, inifile.Fault{Line: line, Text: fmt.Sprintf(format, args...)})
 }
 
-func (r *scenarioReader) readNumber(k *inifile.Key, into *int, least, most int) {
-	n, wrong := k.Number(least, most)
-	if wrong != nil {
-		r.errors = append(r.errors, *wrong)
+func (r *scenarioReader) readNumber(k *inifile.Key, result *int, lowest, highest int) {
+	n, fault := k.Number(lowest, highest)
+	if fault != nil {
+		r.errors = append(r.errors, *fault)
 		return
 	}
-	*into = n
+	*result = n
 }
 
-func (r *scenarioReader) readMillis(k *inifile.Key, into *time.Duration, least, most time.Duration) {
+func (r *scenarioReader) readMillis(k *inifile.Key, result *time.Duration, lowest, highest time.Duration) {
 	ms := 0
-	r.readNumber(k, &ms, int(least.Milliseconds()), int(most.Milliseconds()))
-	*into = time.Duration(ms) * time.Millisecond
+	r.readNumber(k, &ms, int(lowest.Milliseconds()), int(highest.Milliseconds()))
+	*result = time.Duration(ms) * time.Millisecond
 }
 
 func (r *scenarioReader) readScale(section *inifile.Section) {
@@ -217,7 +217,7 @@
 	r.s.Faults, r.faultLines = append(r.s.Faults, e), append(r.faultLines, section.Line)
 }
 
-// checkFaults checks rules that depend on several sections, which may stand in any order.
+// checkFaults checks the faults against the duration of the run. It runs last, because sections may be in any order.
 func (r *scenarioReader) checkFaults() {
 	for i, e := range r.s.Faults {
 		if !isKind(e.Do) {
@@ -253,8 +253,8 @@
 	return nil
 }
 
-// isKind reports whether a kind of event exists.
-func isKind(do Kind) bool { _, is := targets[do]; return is }
+// isKind reports whether the given kind of event exists.
+func isKind(kind Kind) bool { _, ok := targets[kind]; return ok }
 
 // Kinds returns the names of all kinds of events.
 func Kinds() []string {
--- a/internal/scale/scenario_test.go
+++ b/internal/scale/scenario_test.go
@@ -40,13 +40,13 @@
 		t.Fatal(err)
 	}
 	if got := len(s.zoneNames()); got != 6 {
-		t.Errorf("%d zones", got)
+		t.Errorf("%d zones, want 6", got)
 	}
 	if got := len(s.racks()); got != 12 {
-		t.Errorf("racks %v", s.racks())
+		t.Errorf("racks %v, want 12", s.racks())
 	}
 	if got := len(s.affectedControllers(Event{Do: Release, Who: "s2"})); got != 30 {
-		t.Errorf("%d controllers in the service", got)
+		t.Errorf("%d controllers in the service, want 30", got)
 	}
 	plan := s.Plan(3)
 	if diff := cmp.Diff(plan, s.Plan(3)); diff != "" {
@@ -61,7 +61,7 @@
 	}
 	// 20 changes per second for ten seconds, and 2 restarts per second: one hundredth of the deployment's 200.
 	if count[Change] < 100 || count[Change] > 320 || count[Restart] < 5 || count[Restart] > 50 || count[Zone] != 1 || count[Release] != 1 {
-		t.Errorf("plan %v", count)
+		t.Errorf("the numbers of events by kind are out of range: %v", count)
 	}
 }
 
@@ -87,11 +87,11 @@
 				t.Fatalf("%v after %v", e, last)
 			}
 			last = e.At
-			among := targets[e.Do]
-			if (e.Who == "") != (among == nil) {
+			candidates := targets[e.Do]
+			if (e.Who == "") != (candidates == nil) {
 				t.Fatalf("%v: a target is present or missing contrary to the kind", e)
 			}
-			if among == nil || e.Do == Change {
+			if candidates == nil || e.Do == Change {
 				continue
 			}
 			if e.Do != Zone && e.Do != Region && e.Do != Release && len(s.affectedControllers(e)) == 0 {
--- a/internal/scale/staleness.go
+++ b/internal/scale/staleness.go
@@ -38,8 +38,10 @@
 // newHistogram returns a histogram of microseconds.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxStaleness, 3) }
 
+// millis converts microseconds to milliseconds.
 func millis(us int64) float64 { return float64(us) / 1000 }
 
+// stalenessOf returns the staleness that a histogram contains.
 func stalenessOf(h *hdrhistogram.Histogram) Staleness {
 	return Staleness{Count: int(h.TotalCount()), P50: millis(h.ValueAtQuantile(50)), P99: millis(h.ValueAtQuantile(99)), Last: millis(h.Max())}
 }
@@ -58,9 +60,9 @@
 
 // activationTimes returns histograms of the time from a change until a controller has applied it. A controller that has applied a change counts as
 // having all earlier changes of the stream. Changes in the first list after a start are not timed.
-func activationTimes(made []issuedChange, applied []Applied, kindOf func(controller string) string) map[stalenessKey]*hdrhistogram.Histogram {
+func activationTimes(issued []issuedChange, applied []Applied, kindOf func(controller string) string) map[stalenessKey]*hdrhistogram.Histogram {
 	changes := map[stream][]issuedChange{}
-	for _, c := range made {
+	for _, c := range issued {
 		s := stream{c.kind, c.scope}
 		changes[s] = append(changes[s], c)
 	}
--- a/internal/scale/topology.go
+++ b/internal/scale/topology.go
@@ -46,7 +46,7 @@
 	return names
 }
 
-// place returns the place of hollow controller, real controller or dispatcher number i. They are assigned to services and zones round-robin.
+// place returns the place of the hollow controller, real controller or dispatcher with index i. Services and zones are assigned round-robin.
 func (s *Scenario) place(i int) place {
 	zones := s.Regions * s.Zones
 	zone := i % zones
@@ -74,8 +74,8 @@
 	var names []string
 	for i, name := range s.hollowNames() {
 		p := s.place(i)
-		if e.Do == StartAll || e.Do == Settings || e.Do == Restart && name == e.Who || e.Do == Release && p.service == e.Who || e.Do == Rack &&
-			p.rack == e.Who || e.Do == Zone && p.zone == e.Who || e.Do == Region && p.region == e.Who {
+		if e.Do == StartAll || e.Do == Settings || e.Do == Restart && name == e.Who || e.Do == Release && p.service == e.Who ||
+			e.Do == Rack && p.rack == e.Who || e.Do == Zone && p.zone == e.Who || e.Do == Region && p.region == e.Who {
 			names = append(names, name)
 		}
 	}
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -24,6 +24,7 @@
 	Sockets   int
 }
 
+// add adds the usage of other processes.
 func (u *usage) add(o usage) {
 	u.Processor += o.Processor
 	u.Memory += o.Memory
--- a/internal/scale/worker.go
+++ b/internal/scale/worker.go
@@ -58,12 +58,12 @@
 // Work executes orders until the input ends. It does not stop the controllers and dispatchers; they end with the process.
 func Work(in io.Reader, out io.Writer) error {
 	w := &worker{controllers: map[string]*Hollow{}, dispatchers: map[string]*peer.Dispatcher{}, addresses: map[string]string{}}
-	lines := bufio.NewScanner(in)
-	lines.Buffer(make([]byte, 64<<10), maxOrder)
+	orders := bufio.NewScanner(in)
+	orders.Buffer(make([]byte, 64<<10), maxOrder)
 	replies := json.NewEncoder(out)
-	for lines.Scan() {
+	for orders.Scan() {
 		var o Order
-		err := json.Unmarshal(lines.Bytes(), &o)
+		err := json.Unmarshal(orders.Bytes(), &o)
 		if err == nil {
 			err = w.execute(&o)
 		}
@@ -75,7 +75,7 @@
 			return fmt.Errorf("scale worker: %w", err)
 		}
 	}
-	return lines.Err() //nolint:wrapcheck // the error needs no context
+	return orders.Err() //nolint:wrapcheck // the error needs no context
 }
 
 // worker is the state of a worker process, which runs hollow controllers or dispatchers.
@@ -85,7 +85,7 @@
 	addresses     map[string]string
 	failedDials   atomic.Int64
 	accepted      atomic.Int64
-	failedReloads atomic.Int64 // failed reloads
+	failedReloads atomic.Int64
 
 	mu      sync.Mutex
 	applied []Applied
@@ -166,15 +166,15 @@
 
 // reloadControllers makes all controllers read and apply a file concurrently. Each reads it on its own, as separate processes would.
 func (w *worker) reloadControllers(o *Order) {
-	var reading sync.WaitGroup
+	var reloads sync.WaitGroup
 	for _, h := range w.controllers {
-		reading.Go(func() {
+		reloads.Go(func() {
 			if h.Reload(o.Config) != nil {
 				w.failedReloads.Add(1)
 			}
 		})
 	}
-	reading.Wait()
+	reloads.Wait()
 }
 
 // idleReport is the state that every dispatcher reports: idle, with ample capacity.
