--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -200,7 +200,8 @@
 // Print writes the report as tables.
 func (r *Report) Print(out io.Writer) error {
 	fmt.Fprintf(out, "%d hollow and %d real controllers in %d services, %d dispatchers, lease %v, %d events, seed %d, %s, version %s\n",
-		r.Controllers, r.Real, r.Services, r.Dispatchers, time.Duration(r.LeaseMs)*time.Millisecond, len(r.Events), r.Seed, r.Took.Round(time.Second), r.Version)
+		r.Controllers, r.Real, r.Services, r.Dispatchers,
+		time.Duration(r.LeaseMs)*time.Millisecond, len(r.Events), r.Seed, r.Took.Round(time.Second), r.Version)
 	fmt.Fprintf(out, "%d processes, at most %d MB of memory together\n", r.Processes, r.MemoryMB)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "phase\ts\tkind\tcount\tcore %\tKB\tstore B/s\tsockets\tfailed dials/s")
--- a/internal/scale/worker.go
+++ b/internal/scale/worker.go
@@ -33,9 +33,9 @@
 	Config      string            `json:"config,omitempty"`
 	Specs       []Spec            `json:"specs,omitempty"`
 	Names       []string          `json:"names,omitempty"`       // of controllers or dispatchers
-	Lost        bool              `json:"lost,omitempty"`        // StopControllers: as in a crash, without a notification of the store
+	Lost        bool              `json:"lost,omitempty"`        // whether StopControllers stops as in a crash, without a notification of the store
 	Dispatchers map[string]string `json:"dispatchers,omitempty"` // addresses by name
-	Members     int               `json:"members,omitempty"`     // Look: number of controllers whose known members are counted
+	Members     int               `json:"members,omitempty"`     // number of controllers whose known members are counted
 }
 
 // Reply is the response to an Order, one line of JSON. Every reply contains the state of the process, whatever the action.
