--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -24,80 +24,83 @@
 )
 
 const (
-	// tellStateEvery is the pace at which the fleet is told whether a controller serves, as in the program.
-	tellStateEvery = 100 * time.Millisecond
-	// closeConnectionsWithin is how long a pool takes to close its connections once no dispatcher is listed any more.
-	closeConnectionsWithin = 4 * time.Second
-	// markerPrefix begins the names of the entries whose changes are timed. Their group is markerGroup and the number of the change.
+	// stateReportInterval is the interval at which a controller reports its state to the fleet, the same as in the program.
+	stateReportInterval = 100 * time.Millisecond
+	// poolCloseTimeout is the time that a pool needs to close its connections after the list has become empty.
+	poolCloseTimeout = 4 * time.Second
+	// markerPrefix starts the names of markers, the list entries whose changes are timed. The group of a marker is markerGroup plus the number
+	// of its last change.
 	markerPrefix = "marker-"
 	markerGroup  = 1_000_000
 )
 
-// Spec is a hollow controller that is to be started.
+// Spec describes a hollow controller to start.
 type Spec struct {
 	Name   string `json:"name"`
-	Store  string `json:"store"`  // its address
-	Prefix string `json:"prefix"` // of its list
+	Store  string `json:"store"`  // address of the store
+	Prefix string `json:"prefix"` // key prefix of its list
 }
 
-// Hollow is a call controller that no caller can reach: the loop, list, membership, decisions and connections to dispatchers of the program,
-// with their timers, wired as the program wires them. It has no listening sockets.
+// Hollow is a call controller without listening sockets, so that no caller can reach it. Its event loop, list, membership, decision module,
+// connections to dispatchers and timers are those of the program, connected in the same way.
 type Hollow struct {
-	name    string
-	loop    *call.Loop
-	core    *call.Core
-	pool    *dispatchers.Pool
-	fleet   *membership.Fleet
-	client  *clientv3.Client
-	cancel  context.CancelFunc
-	applied func(Applied)
-	ready   atomic.Bool
-	leaving bool // belongs to the loop
-	known   bool // whether a list has been in force; belongs to the loop
+	name        string
+	loop        *call.Loop
+	core        *call.Core
+	pool        *dispatchers.Pool
+	fleet       *membership.Fleet
+	client      *clientv3.Client
+	cancel      context.CancelFunc
+	onApplied   func(Applied)
+	ready       atomic.Bool
+	leaving     bool // used by the event loop only
+	listApplied bool // whether a complete list has been applied; used by the event loop only
 }
 
-// Applied tells that a change is in force at a controller.
+// Applied records that a controller has applied a change.
 type Applied struct {
 	Controller string `json:"controller"`
 	Kind       Kind   `json:"kind"`  // Change or Settings
-	Scope      string `json:"scope"` // of a Change
+	Scope      string `json:"scope"` // scope of the list, if Kind is Change
 	Number     int    `json:"number"`
-	AtNs       int64  `json:"at_ns"` // Unix time
-	First      bool   `json:"first"` // it was in the first list after a start: there is no change to time
+	AtNs       int64  `json:"at_ns"` // Unix time in nanoseconds
+	First      bool   `json:"first"` // part of the first list or configuration after a start, which is not timed
 }
 
-// StartHollow starts a controller with a configuration of the program's form, of which it takes all but the listening addresses.
+// StartHollow starts a controller with a configuration of the program. The listening addresses in it are ignored. The controller calls applied
+// for each change that it applies.
 func StartHollow(c config.Config, s Spec, log slog.Handler, applied func(Applied)) (*Hollow, error) {
 	logger := slog.New(log).With("name", s.Name)
-	h := &Hollow{name: s.Name, loop: call.NewLoop(), applied: applied}
+	h := &Hollow{name: s.Name, loop: call.NewLoop(), onApplied: applied}
 	var err error
 	if h.core, err = call.New(h.loop, logger, c.Settings, uint64(time.Now().UnixNano())); err != nil {
-		return nil, err //nolint:wrapcheck // it says what it is
+		return nil, err //nolint:wrapcheck // the error needs no context
 	}
-	h.pool = dispatchers.New(h.loop, h.core, dispatchers.Options{ConnectTimeout: c.Settings.ConnectTimeout(), ReportFields: c.Settings.Report.Fields, Log: logger})
+	h.pool = dispatchers.New(h.loop, h.core, dispatchers.Options{
+		ConnectTimeout: c.Settings.ConnectTimeout(), ReportFields: c.Settings.Report.Fields, Log: logger})
 	h.core.SetDispatchers(h.pool)
 	h.core.OnFlush(h.pool.Flush)
 	h.loop.AddIdleCheck(h.pool.NoUnreadInput)
-	keeper := lists.New(logger, func(u pool.Update) { h.loop.Post(func() { h.update(u) }) })
+	list := lists.New(logger, func(u pool.Update) { h.loop.Post(func() { h.update(u) }) })
 	if h.client, err = etcd.Dial([]string{s.Store}); err != nil {
-		return nil, err //nolint:wrapcheck // it says what it is
+		return nil, err //nolint:wrapcheck // the error needs no context
 	}
 	var ctx context.Context
 	ctx, h.cancel = context.WithCancel(context.Background())
-	stream := coordinator.New("", 0, logger, keeper.Stream(pool.FromCoordinator))
+	stream := coordinator.New("", 0, logger, list.Stream(pool.FromCoordinator))
 	h.loop.AddIdleCheck(stream.Quiet)
 	go stream.Run(ctx)
 	h.fleet = membership.Start(h.client, membership.Options{Name: s.Name, Address: "hollow", Prefix: strings.TrimSuffix(c.Fleet.Prefix, "/") + "/",
 		Lease: c.Fleet.Lease()}, logger)
-	h.loop.Post(h.tellState)
-	go etcd.Over(h.client, s.Prefix, logger, keeper.Stream(pool.FromEtcd)).Run(ctx)
+	h.loop.Post(h.reportState)
+	go etcd.Over(h.client, s.Prefix, logger, list.Stream(pool.FromEtcd)).Run(ctx)
 	go h.loop.Run()
 	applied(Applied{Controller: s.Name, Kind: Settings, Number: settingsNumber(&c), AtNs: time.Now().UnixNano(), First: true})
 	return h, nil
 }
 
-// tellState tells the fleet whether this controller serves.
-func (h *Hollow) tellState() {
+// reportState reports the state of this controller to the fleet, and schedules the next report.
+func (h *Hollow) reportState() {
 	ready := h.core.Ready()
 	h.ready.Store(ready)
 	switch {
@@ -108,77 +111,77 @@
 	default:
 		h.fleet.Say(members.Joining)
 	}
-	h.loop.After(tellStateEvery, h.tellState)
+	h.loop.After(stateReportInterval, h.reportState)
 }
 
-// update puts a change of the list in force.
+// update applies a change of the list and reports the markers in it.
 func (h *Hollow) update(u pool.Update) {
 	h.core.Update(u)
 	now := time.Now().UnixNano()
 	for _, entry := range u.Servers {
-		scope, is := strings.CutPrefix(string(entry.ID), markerPrefix)
-		if !is || entry.Status == control.Removed {
+		scope, isMarker := strings.CutPrefix(string(entry.ID), markerPrefix)
+		if !isMarker || entry.Status == control.Removed {
 			continue
 		}
-		h.applied(Applied{Controller: h.name, Kind: Change, Scope: scope, Number: entry.Cell - markerGroup, AtNs: now, First: !h.known})
+		h.onApplied(Applied{Controller: h.name, Kind: Change, Scope: scope, Number: entry.Cell - markerGroup, AtNs: now, First: !h.listApplied})
 	}
-	h.known = h.known || u.Complete
+	h.listApplied = h.listApplied || u.Complete
 }
 
-// Reload takes the settings of a file, as the program does at SIGHUP.
+// Reload reads a file and applies its settings, as the program does at SIGHUP.
 func (h *Hollow) Reload(path string) error {
-	fresh, err := readConfig(path)
+	c, err := readConfig(path)
 	if err != nil {
 		return err
 	}
 	h.loop.Post(func() {
-		if err := h.core.Reconfigure(fresh.Settings); err != nil {
-			return // the end of the run finds that it has not the last settings
+		if err := h.core.Reconfigure(c.Settings); err != nil {
+			return // the check at the end of the run finds controllers without the last settings
 		}
-		h.pool.Reconfigure(fresh.Settings.ConnectTimeout(), fresh.Settings.Report.Fields)
-		h.applied(Applied{Controller: h.name, Kind: Settings, Number: settingsNumber(fresh), AtNs: time.Now().UnixNano()})
+		h.pool.Reconfigure(c.Settings.ConnectTimeout(), c.Settings.Report.Fields)
+		h.onApplied(Applied{Controller: h.name, Kind: Settings, Number: settingsNumber(c), AtNs: time.Now().UnixNano()})
 	})
 	return nil
 }
 
-// Joined reports whether the controller serves and is certain of its name.
+// Joined reports whether the controller is ready and holds its lease.
 func (h *Hollow) Joined() bool {
 	_, _, certain := h.fleet.Certain()
 	return certain && h.ready.Load()
 }
 
-// Members is how many members of the fleet the controller knows; 0 while its view may not be acted on.
+// Members returns the number of fleet members that the controller knows, or 0 while its view is not actable.
 func (h *Hollow) Members() int {
-	shown := h.fleet.Show()
-	if !shown.Actable {
+	view := h.fleet.Show()
+	if !view.Actable {
 		return 0
 	}
-	return len(shown.Members) + shown.More
+	return len(view.Members) + view.More
 }
 
-// Close ends the controller: in order, or as a machine that is lost, without a word to the store. The store and the dispatchers are let go
-// when it returns; the connections to dispatchers close a little later.
-func (h *Hollow) Close(lost bool) error {
+// Close shuts the controller down gracefully or, if crashed is set, as in the crash of a machine: without a notification of the store. The
+// connection to the store is closed when Close returns; the connections to dispatchers close within poolCloseTimeout.
+func (h *Hollow) Close(crashed bool) error {
 	h.cancel()
-	if lost {
+	if crashed {
 		err := h.client.Close()
 		h.fleet.Close()
-		h.unlist()
-		return err //nolint:wrapcheck // it says what it is
+		h.clearList()
+		return err //nolint:wrapcheck // the error needs no context
 	}
 	h.loop.Post(func() { h.leaving = true })
 	h.fleet.Close()
-	h.unlist()
-	return h.client.Close() //nolint:wrapcheck // it says what it is
+	h.clearList()
+	return h.client.Close() //nolint:wrapcheck // the error needs no context
 }
 
-// unlist has the pool close its connections, and ends the loop after that.
-func (h *Hollow) unlist() {
+// clearList applies an empty list, which makes the pool close its connections, and stops the event loop after poolCloseTimeout.
+func (h *Hollow) clearList() {
 	h.loop.Post(func() { h.pool.Update(pool.Update{Complete: true}) })
-	time.AfterFunc(closeConnectionsWithin, h.loop.Quit)
+	time.AfterFunc(poolCloseTimeout, h.loop.Quit)
 }
 
-// readConfig reads an operator's file as the program does.
+// readConfig reads an operator file in the same way as the program.
 func readConfig(path string) (*config.Config, error) {
 	c, err := config.Read(func(name string) string {
 		if name == "LB_OPERATOR" {
@@ -187,26 +190,27 @@
 		return ""
 	})
 	if err != nil {
-		return nil, err //nolint:wrapcheck // it says what it is
+		return nil, err //nolint:wrapcheck // the error needs no context
 	}
 	return c, nil
 }
 
-// marker is the entry of a scope whose changes are timed: every change turns its status round, which the program logs.
-func marker(scope, address string, number int) (name string, entry coordinator.Endpoint) {
+// markerEntry returns the list entry whose changes are timed for a scope. Every change toggles its status, because the program logs status changes.
+func markerEntry(scope, address string, number int) (name string, entry coordinator.Endpoint) {
 	name = markerPrefix + scope
-	return name, coordinator.Endpoint{Name: name, Address: address, Group: markerGroup + number, Status: settings.StatusName(statusOf(number)), SinceMs: longRunning}
+	return name, coordinator.Endpoint{Name: name, Address: address, Group: markerGroup + number, Status: settings.StatusName(markerStatus(number)),
+		SinceMs: dispatcherStartMs}
 }
 
-// longRunning is the start of the dispatchers, as the list has it, in Unix milliseconds: long ago.
-var longRunning = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).UnixMilli()
+// dispatcherStartMs is the start time of all dispatchers in the list, in Unix milliseconds. It lies far enough back that none counts as new.
+var dispatcherStartMs = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).UnixMilli()
 
-// statusOf is the status of a marker, as the program logs it.
-func statusOf(number int) control.ServerStatus {
+// markerStatus returns the status of a marker after the change with the given number.
+func markerStatus(number int) control.ServerStatus {
 	if number%2 == 1 {
 		return control.Draining
 	}
 	return control.Active
 }
 
-var errNoController = fmt.Errorf("scale: there is no such controller")
+var errUnknownController = fmt.Errorf("scale worker: unknown controller")
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -11,9 +11,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is what a run came to. It is kept as JSON.
+// Report is the result of a run. It is stored as JSON.
 type Report struct {
-	Command     string        `json:"command"` // plays it again
+	Command     string        `json:"command"` // command line that repeats the run
 	Version     string        `json:"version"`
 	Seed        uint64        `json:"seed"`
 	Controllers int           `json:"controllers"`
@@ -26,39 +26,39 @@
 	Phases      []Phase       `json:"phases"`
 	Staleness   []InForce     `json:"staleness"`
 	Latency     *Latency      `json:"latency"` // nil without real controllers
-	Faults      []string      `json:"faults"`  // rules broken
+	Faults      []string      `json:"faults"`  // violations of the rules of a run
 	MemoryMB    int64         `json:"memory_mb"`
 	Processes   int           `json:"processes"`
 	Took        time.Duration `json:"took_ns"`
 }
 
-// Passed reports whether no rule was broken.
+// Passed reports whether the run violated no rule.
 func (r *Report) Passed() bool { return len(r.Faults) == 0 }
 
-// Phase is a part of the run: the start, ordinary time, or the time of a kind of fault.
+// Phase summarizes a part of the run: the start, the time without faults, the time of a kind of fault, or the settling at the end.
 type Phase struct {
 	Name    string  `json:"name"`
 	Seconds float64 `json:"seconds"`
 	Kinds   []Cost  `json:"kinds"`
-	// Of the store, all controllers together.
+	// Rates over all controllers: of requests to the store, of watch messages and of connections that dispatchers accepted.
 	Requests float64 `json:"requests_per_second"`
-	Notices  float64 `json:"notices_per_second"` // messages to watches
+	Notices  float64 `json:"notices_per_second"` // messages that the store sent to watches
 	Changes  float64 `json:"changes_per_second"` // in those messages
 	Accepted float64 `json:"accepted_per_second"`
 }
 
-// Cost is what controllers of a kind take, each.
+// Cost is the average resource usage of one controller of a kind.
 type Cost struct {
 	Kind           string  `json:"kind"`
 	Count          int     `json:"count"`
-	ProcessorShare float64 `json:"processor_percent"` // of a core
+	ProcessorShare float64 `json:"processor_percent"` // percent of a core
 	MemoryKB       float64 `json:"memory_kb"`         // resident
 	Bytes          float64 `json:"bytes_per_second"`  // to and from the store
 	Sockets        float64 `json:"sockets"`
 	FailedDials    float64 `json:"failed_dials_per_second"`
 }
 
-// InForce is the staleness of changes that were made in a phase.
+// InForce is the staleness of the changes of one kind that were made in a phase, at one kind of controllers.
 type InForce struct {
 	Phase  string `json:"phase"`
 	Kind   string `json:"kind"`
@@ -66,7 +66,7 @@
 	Staleness
 }
 
-// Latency is that of set-ups, from request to answer, in microseconds.
+// Latency is the distribution of the time from a set-up to its answer, in microseconds, directly at a dispatcher and through a real controller.
 type Latency struct {
 	Calls      int       `json:"calls"`
 	Refused    int       `json:"refused"`
@@ -75,7 +75,7 @@
 	Relayed    Quantiles `json:"relayed_us"`
 }
 
-// Quantiles are those of a histogram.
+// Quantiles are the quantiles of a histogram.
 type Quantiles struct {
 	P50 int64 `json:"p50"`
 	P90 int64 `json:"p90"`
@@ -87,21 +87,21 @@
 	return Quantiles{h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.ValueAtQuantile(99), h.Max()}
 }
 
-// The phases beside those that bear the name of a fault.
+// The phases that are not named after a kind of fault.
 const (
 	startPhase    = "start"
 	OrdinaryPhase = "ordinary"
-	settlePhase   = "settling" // after the last event, until every controller has all
+	settlePhase   = "settling" // after the plan, until every controller has every change
 )
 
-// span is a time that belongs to a phase.
+// span is a period of the run that belongs to a phase.
 type span struct {
 	phase    string
 	from, to time.Duration
 }
 
-// spans are the times of faults; the rest is ordinary. Where they overlap, the one that began last has its start.
-func (s *Scenario) spans(plan []Event) []span {
+// faultSpans returns the periods of faults, each with its recovery time. They may overlap.
+func (s *Scenario) faultSpans(plan []Event) []span {
 	var all []span
 	for _, e := range plan {
 		if e.Do != Restart && e.Do != Change {
@@ -111,6 +111,7 @@
 	return all
 }
 
+// phaseAt returns the phase of a point in time. Where periods of faults overlap, the fault that began last determines the phase.
 func phaseAt(spans []span, at time.Duration) string {
 	phase := OrdinaryPhase
 	for _, s := range spans {
@@ -121,8 +122,8 @@
 	return phase
 }
 
-// phases sums up the samples by phase.
-func phases(samples []sample, phaseOf func(time.Time) string, s *Scenario) []Phase {
+// summarizePhases aggregates the samples by phase.
+func summarizePhases(samples []sample, phaseOf func(time.Time) string, s *Scenario) []Phase {
 	type sum struct {
 		Phase
 		cost map[string]Cost
@@ -132,7 +133,7 @@
 	for i := 1; i < len(samples); i++ {
 		a, b := &samples[i-1], &samples[i]
 		name := phaseOf(b.at)
-		if name == OrdinaryPhase { // what a fault began or ended in is its own
+		if name == OrdinaryPhase { // an interval in which a fault began or ended belongs to the fault
 			name = phaseOf(a.at)
 		}
 		p := found[name]
@@ -146,13 +147,13 @@
 		p.Notices += float64(b.store.Notices - a.store.Notices)
 		p.Changes += float64(b.store.Events - a.store.Events)
 		p.Accepted += float64(b.accepted - a.accepted)
-		for kind, used := range b.used {
+		for kind, used := range b.usage {
 			c := p.cost[kind]
-			c.ProcessorShare += 100 * (used.Processor - a.used[kind].Processor).Seconds()
+			c.ProcessorShare += 100 * (used.Processor - a.usage[kind].Processor).Seconds()
 			c.MemoryKB += float64(used.Memory) / 1024 * seconds
 			c.Bytes += float64(b.bytes[kind] - a.bytes[kind])
 			c.Sockets += float64(used.Sockets) * seconds
-			c.FailedDials += float64(b.failed[kind] - a.failed[kind])
+			c.FailedDials += float64(b.failedDials[kind] - a.failedDials[kind])
 			p.cost[kind] = c
 		}
 	}
@@ -160,7 +161,7 @@
 	for _, name := range order {
 		p := found[name]
 		for kind, c := range p.cost {
-			p.Kinds = append(p.Kinds, s.each(kind, c, p.Seconds))
+			p.Kinds = append(p.Kinds, s.perController(kind, c, p.Seconds))
 		}
 		slices.SortFunc(p.Kinds, func(a, b Cost) int { return cmp.Compare(a.Kind, b.Kind) })
 		p.Requests, p.Notices, p.Changes, p.Accepted = p.Requests/p.Seconds, p.Notices/p.Seconds, p.Changes/p.Seconds, p.Accepted/p.Seconds
@@ -169,8 +170,8 @@
 	return all
 }
 
-// each is what one of a kind takes in a second.
-func (s *Scenario) each(kind string, c Cost, seconds float64) Cost {
+// perController divides the totals of a kind by the time and by the number of its controllers.
+func (s *Scenario) perController(kind string, c Cost, seconds float64) Cost {
 	c.Kind, c.Count = kind, 1
 	switch kind {
 	case HollowKind:
@@ -178,13 +179,14 @@
 	case RealKind:
 		c.Count = s.Real
 	}
-	by := seconds * float64(max(c.Count, 1))
-	c.ProcessorShare, c.MemoryKB, c.Bytes, c.Sockets, c.FailedDials = c.ProcessorShare/by, c.MemoryKB/by, c.Bytes/by, c.Sockets/by, c.FailedDials/by
+	divisor := seconds * float64(max(c.Count, 1))
+	c.ProcessorShare, c.MemoryKB, c.Bytes, c.Sockets, c.FailedDials = c.ProcessorShare/divisor, c.MemoryKB/divisor,
+		c.Bytes/divisor, c.Sockets/divisor, c.FailedDials/divisor
 	return c
 }
 
-// inForce lists staleness in the order of phases.
-func inForce(found map[stalenessKey]*hdrhistogram.Histogram) []InForce {
+// stalenessRows lists the staleness sorted by phase, kind of change and kind of controller.
+func stalenessRows(found map[stalenessKey]*hdrhistogram.Histogram) []InForce {
 	var all []InForce
 	for key, h := range found {
 		all = append(all, InForce{key.phase, key.kind, key.change, stalenessOf(h)})
@@ -197,21 +199,23 @@
 
 // Print writes the report as tables.
 func (r *Report) Print(out io.Writer) error {
-	fmt.Fprintf(out, "%d hollow and %d real controllers in %d services, %d dispatchers, lease %v, %d events, seed %d, %s, version %s\n", r.Controllers, r.Real,
-		r.Services, r.Dispatchers, time.Duration(r.LeaseMs)*time.Millisecond, len(r.Events), r.Seed, r.Took.Round(time.Second), r.Version)
+	fmt.Fprintf(out, "%d hollow and %d real controllers in %d services, %d dispatchers, lease %v, %d events, seed %d, %s, version %s\n",
+		r.Controllers, r.Real, r.Services, r.Dispatchers,
+		time.Duration(r.LeaseMs)*time.Millisecond, len(r.Events), r.Seed, r.Took.Round(time.Second), r.Version)
 	fmt.Fprintf(out, "%d processes, at most %d MB of memory together\n", r.Processes, r.MemoryMB)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "phase\ts\tkind\tcount\tcore %\tKB\tstore B/s\tsockets\tfailed dials/s")
 	for _, p := range r.Phases {
 		for _, c := range p.Kinds {
-			fmt.Fprintf(table, "%s\t%.1f\t%s\t%d\t%.3f\t%.0f\t%.0f\t%.1f\t%.3f\n", p.Name, p.Seconds, c.Kind, c.Count, c.ProcessorShare, c.MemoryKB, c.Bytes, c.Sockets,
-				c.FailedDials)
+			fmt.Fprintf(table, "%s\t%.1f\t%s\t%d\t%.3f\t%.0f\t%.0f\t%.1f\t%.3f\n", p.Name, p.Seconds, c.Kind, c.Count, c.ProcessorShare, c.MemoryKB, c.Bytes,
+				c.Sockets, c.FailedDials)
 		}
 	}
 	fmt.Fprintln(table, "\nphase\tstore requests/s\ta controller\twatch messages/s\tchanges in them/s\tmessages/s a controller\tdials taken/s")
 	all := float64(max(r.Controllers+r.Real, 1))
 	for _, p := range r.Phases {
-		fmt.Fprintf(table, "%s\t%.0f\t%.2f\t%.0f\t%.0f\t%.2f\t%.1f\n", p.Name, p.Requests, p.Requests/all, p.Notices, p.Changes, (2*p.Requests+p.Notices)/all, p.Accepted)
+		fmt.Fprintf(table, "%s\t%.0f\t%.2f\t%.0f\t%.0f\t%.2f\t%.1f\n", p.Name, p.Requests, p.Requests/all, p.Notices, p.Changes,
+			(2*p.Requests+p.Notices)/all, p.Accepted)
 	}
 	fmt.Fprintln(table, "\nin force after, made in\tchange\tkind\tcount\tp50 ms\tp99 ms\tlast ms")
 	for _, f := range r.Staleness {
@@ -221,11 +225,11 @@
 		fmt.Fprintln(table, "\nset-up to answer\tcalls\tp50 us\tp90 us\tp99 us\tmax us")
 		fmt.Fprintf(table, "direct\t%d\t%d\t%d\t%d\t%d\n", l.Calls, l.Direct.P50, l.Direct.P90, l.Direct.P99, l.Direct.Max)
 		fmt.Fprintf(table, "through a real controller\t%d\t%d\t%d\t%d\t%d\n", l.Calls, l.Relayed.P50, l.Relayed.P90, l.Relayed.P99, l.Relayed.Max)
-		fmt.Fprintf(table, "added\t%d refused, %d unanswered\t%d\t%d\t%d\n", l.Refused, l.Unanswered, l.Relayed.P50-l.Direct.P50, l.Relayed.P90-l.Direct.P90,
-			l.Relayed.P99-l.Direct.P99)
+		fmt.Fprintf(table, "added\t%d refused, %d unanswered\t%d\t%d\t%d\n", l.Refused, l.Unanswered, l.Relayed.P50-l.Direct.P50,
+			l.Relayed.P90-l.Direct.P90, l.Relayed.P99-l.Direct.P99)
 	}
 	if err := table.Flush(); err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error needs no context
 	}
 	for _, f := range r.Faults {
 		fmt.Fprintln(out, "broken:", f)
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -1,6 +1,7 @@
-// Package scale runs large fleets on one machine: controllers without callers ("hollow"), many in one process, beside a few real ones, over
-// stand-ins of the store and of the dispatchers. It causes the faults of a scenario and measures what each controller costs and how long
-// a change takes to be in force. docs/scale.md is its page.
+// Package scale runs large fleets of controllers on one machine to measure them. Most controllers are hollow: they accept no calls, and many run
+// in one process. A few real controllers are processes of the program and carry calls. The store and the dispatchers are fakes. A scenario
+// injects faults; the report shows the resource usage of each controller and how long a change takes until controllers have applied it.
+// docs/scale.md describes scenarios and results.
 package scale
 
 import (
@@ -13,54 +14,55 @@
 	"cherryrelay/internal/inifile"
 )
 
-// Kind is what an event does.
+// Kind is the kind of an event.
 type Kind string
 
-// The events. Restart and Change are drawn at the scenario's rates as well.
+// The kinds of events. Besides the faults of a scenario, Restart and Change events occur at random at the scenario's rates.
 const (
-	Restart   Kind = "restart"    // a controller ends in order and starts again
-	Change    Kind = "change"     // an entry of the list of dispatchers changes
+	Restart   Kind = "restart"    // a controller shuts down gracefully and starts again
+	Change    Kind = "change"     // an entry in the list of dispatchers changes
 	Release   Kind = "release"    // the controllers of a service restart one after the other
-	Rack      Kind = "rack"       // the controllers of a rack are lost, and started later
-	Zone      Kind = "zone"       // a zone is cut off, and is back later
-	Region    Kind = "region"     // a region is cut off, and is back later
-	StartAll  Kind = "start all"  // every hollow controller is lost, and all start at once
-	StopStore Kind = "stop store" // the store is not there
-	Settings  Kind = "settings"   // every controller is given other settings
+	Rack      Kind = "rack"       // the controllers of a rack crash and start again later
+	Zone      Kind = "zone"       // a zone is cut off for a time
+	Region    Kind = "region"     // a region is cut off for a time
+	StartAll  Kind = "start all"  // all hollow controllers crash, and later start at once
+	StopStore Kind = "stop store" // the store is unavailable for a time
+	Settings  Kind = "settings"   // the settings of every controller change
 )
 
-// targets says what an event of a kind is done to.
+// targets lists the possible targets of each kind of event; nil for kinds without a target.
 var targets = map[Kind]func(*Scenario) []string{
-	Restart: (*Scenario).names, Change: (*Scenario).scopes, Release: (*Scenario).serviceNames, Rack: (*Scenario).racks,
+	Restart: (*Scenario).hollowNames, Change: (*Scenario).scopes, Release: (*Scenario).serviceNames, Rack: (*Scenario).racks,
 	Zone: (*Scenario).zoneNames, Region: (*Scenario).regionNames, StartAll: nil, StopStore: nil, Settings: nil,
 }
 
-// Scenario is what a run plays. Rates are those of the whole deployment; a run has the share that its controllers are of it.
+// Scenario describes a run. The rate of restarts is that of the whole deployment; a run has a share of it in proportion to its number of hollow
+// controllers. The rate of changes applies as it is.
 type Scenario struct {
-	Controllers    int // hollow
+	Controllers    int // hollow controllers
 	Real           int
 	Services       int
-	Regions, Zones int // zones of each region
+	Regions, Zones int // Zones is the number in each region
 	RackSize       int // hollow controllers in a rack
 	Dispatchers    int
-	ListByService  bool // a controller follows the dispatchers of its own service alone
+	ListByService  bool // whether a controller gets only the dispatchers of its own service
 	Lease          time.Duration
-	Lasting        time.Duration // without the start
-	Recover        time.Duration // how long after a fault it still counts as its time
-	Fleet          int           // controllers of the whole deployment, which the rates are of
+	Lasting        time.Duration // of the plan, after the start of the fleet
+	Recover        time.Duration // time after a fault that still counts as its phase
+	Fleet          int           // number of controllers in the whole deployment
 	RestartsPerDay int
 	ChangesPerDay  int
-	Compress       int // simulated seconds in a second
-	CallsPerSecond int // at each real controller; 0 for none
+	Compress       int // simulated seconds for each second of the run
+	CallsPerSecond int // pairs of calls at each real controller; 0 for none
 	PerProcess     int // hollow controllers in one process
 	Faults         []Event
 }
 
-// Event is one thing that happens, and what undoes it after a while.
+// Event is an event of a run at a time from its start. Events with a lasting effect are reverted after their duration.
 type Event struct {
 	At, For time.Duration
 	Do      Kind
-	Who     string // "?" in a scenario: the seed draws it
+	Who     string // name of the target; "?" in a scenario picks one at random
 }
 
 func (e Event) String() string {
@@ -74,7 +76,7 @@
 	return text
 }
 
-// The bounds of a scenario.
+// The limits of a scenario.
 const (
 	maxControllers = 50_000
 	maxReal        = 64
@@ -84,186 +86,187 @@
 	maxFaults      = 1000
 )
 
-// Default is a scenario without faults.
+// Default returns a scenario without faults.
 func Default() *Scenario {
 	return &Scenario{Controllers: 100, Services: 10, Regions: 2, Zones: 3, RackSize: 20, Dispatchers: 20, Lease: 3 * time.Second,
 		Lasting: 20 * time.Second, Recover: 3 * time.Second, Fleet: 37_000, RestartsPerDay: 9_900, ChangesPerDay: 14_000, Compress: 10,
 		CallsPerSecond: 20, PerProcess: 250}
 }
 
-// Read reads a scenario: a section [scale], and a section [fault NAME] for each fault. All that is wrong is told.
+// Read parses a scenario: a section [scale], and a section [fault NAME] for each fault. It returns all errors in the text, not just the first.
 func Read(text []byte) (*Scenario, []inifile.Fault) {
-	f, wrong := inifile.Parse(text)
-	if len(wrong) > 0 {
-		return nil, wrong
+	f, faults := inifile.Parse(text)
+	if len(faults) > 0 {
+		return nil, faults
 	}
-	r := &reader{s: Default()}
+	r := &scenarioReader{s: Default()}
 	for i := range f.Sections {
 		section := &f.Sections[i]
-		if _, is := section.Named("fault"); is {
-			r.fault(section)
+		if _, isFault := section.Named("fault"); isFault {
+			r.readFault(section)
 		} else if section.Name == "scale" {
-			r.scale(section)
+			r.readScale(section)
 		} else {
-			r.wrong(section.Line, "unknown section [%.80s]", section.Name)
+			r.addError(section.Line, "unknown section [%.80s]", section.Name)
 		}
 	}
-	r.check()
-	if len(r.faults) > 0 {
-		return nil, r.faults
+	r.checkFaults()
+	if len(r.errors) > 0 {
+		return nil, r.errors
 	}
 	return r.s, nil
 }
 
-// reader takes a scenario off a file.
-type reader struct {
-	s      *Scenario
-	lines  []int // of the sections of faults
-	faults []inifile.Fault
+// scenarioReader fills a scenario from the sections of a file and collects errors.
+type scenarioReader struct {
+	s          *Scenario
+	faultLines []int // line numbers of the sections of s.Faults
+	errors     []inifile.Fault
 }
 
-func (r *reader) wrong(line int, format string, args ...any) {
-	r.faults = append(r.faults, inifile.Fault{Line: line, Text: fmt.Sprintf(format, args...)})
+func (r *scenarioReader) addError(line int, format string, args ...any) {
+	r.errors = append(r.errors, inifile.Fault{Line: line, Text: fmt.Sprintf(format, args...)})
 }
 
-func (r *reader) number(k *inifile.Key, into *int, least, most int) {
-	n, wrong := k.Number(least, most)
-	if wrong != nil {
-		r.faults = append(r.faults, *wrong)
+func (r *scenarioReader) readNumber(k *inifile.Key, result *int, lowest, highest int) {
+	n, fault := k.Number(lowest, highest)
+	if fault != nil {
+		r.errors = append(r.errors, *fault)
 		return
 	}
-	*into = n
+	*result = n
 }
 
-func (r *reader) millis(k *inifile.Key, into *time.Duration, least, most time.Duration) {
+func (r *scenarioReader) readMillis(k *inifile.Key, result *time.Duration, lowest, highest time.Duration) {
 	ms := 0
-	r.number(k, &ms, int(least.Milliseconds()), int(most.Milliseconds()))
-	*into = time.Duration(ms) * time.Millisecond
+	r.readNumber(k, &ms, int(lowest.Milliseconds()), int(highest.Milliseconds()))
+	*result = time.Duration(ms) * time.Millisecond
 }
 
-func (r *reader) scale(section *inifile.Section) {
+func (r *scenarioReader) readScale(section *inifile.Section) {
 	s := r.s
 	for i := range section.Keys {
 		switch k := &section.Keys[i]; k.Name {
 		case "controllers":
-			r.number(k, &s.Controllers, 0, maxControllers)
+			r.readNumber(k, &s.Controllers, 0, maxControllers)
 		case "real":
-			r.number(k, &s.Real, 0, maxReal)
+			r.readNumber(k, &s.Real, 0, maxReal)
 		case "services":
-			r.number(k, &s.Services, 1, maxControllers)
+			r.readNumber(k, &s.Services, 1, maxControllers)
 		case "regions":
-			r.number(k, &s.Regions, 1, 100)
+			r.readNumber(k, &s.Regions, 1, 100)
 		case "zones":
-			r.number(k, &s.Zones, 1, 100)
+			r.readNumber(k, &s.Zones, 1, 100)
 		case "rack_size":
-			r.number(k, &s.RackSize, 1, maxControllers)
+			r.readNumber(k, &s.RackSize, 1, maxControllers)
 		case "dispatchers":
-			r.number(k, &s.Dispatchers, 1, maxDispatchers)
+			r.readNumber(k, &s.Dispatchers, 1, maxDispatchers)
 		case "list":
 			if s.ListByService = k.Value == "service"; !s.ListByService && k.Value != "all" {
-				r.wrong(k.Line, "list: %.40q is neither all nor service", k.Value)
+				r.addError(k.Line, "list: %.40q is neither all nor service", k.Value)
 			}
 		case "lease_ms":
-			r.millis(k, &s.Lease, time.Second, 30*time.Second)
+			r.readMillis(k, &s.Lease, time.Second, 30*time.Second)
 		case "lasting_ms":
-			r.millis(k, &s.Lasting, time.Second, maxLasting)
+			r.readMillis(k, &s.Lasting, time.Second, maxLasting)
 		case "recover_ms":
-			r.millis(k, &s.Recover, 0, maxLasting)
+			r.readMillis(k, &s.Recover, 0, maxLasting)
 		case "fleet":
-			r.number(k, &s.Fleet, 1, maxPerDay)
+			r.readNumber(k, &s.Fleet, 1, maxPerDay)
 		case "restarts_per_day":
-			r.number(k, &s.RestartsPerDay, 0, maxPerDay)
+			r.readNumber(k, &s.RestartsPerDay, 0, maxPerDay)
 		case "changes_per_day":
-			r.number(k, &s.ChangesPerDay, 0, maxPerDay)
+			r.readNumber(k, &s.ChangesPerDay, 0, maxPerDay)
 		case "compress":
-			r.number(k, &s.Compress, 1, 100_000)
+			r.readNumber(k, &s.Compress, 1, 100_000)
 		case "calls_per_second":
-			r.number(k, &s.CallsPerSecond, 0, 1000)
+			r.readNumber(k, &s.CallsPerSecond, 0, 1000)
 		case "per_process":
-			r.number(k, &s.PerProcess, 1, 5000)
+			r.readNumber(k, &s.PerProcess, 1, 5000)
 		default:
-			r.wrong(k.Line, "unknown key %.40q", k.Name)
+			r.addError(k.Line, "unknown key %.40q", k.Name)
 		}
 	}
 }
 
-func (r *reader) fault(section *inifile.Section) {
+func (r *scenarioReader) readFault(section *inifile.Section) {
 	if len(r.s.Faults) == maxFaults {
-		r.wrong(section.Line, "more than %d faults", maxFaults)
+		r.addError(section.Line, "more than %d faults", maxFaults)
 		return
 	}
 	e := Event{Who: "?"}
 	for i := range section.Keys {
 		switch k := &section.Keys[i]; k.Name {
 		case "at_ms":
-			r.millis(k, &e.At, 0, maxLasting)
+			r.readMillis(k, &e.At, 0, maxLasting)
 		case "for_ms":
-			r.millis(k, &e.For, 0, maxLasting)
+			r.readMillis(k, &e.For, 0, maxLasting)
 		case "do":
-			if e.Do = Kind(k.Value); !known(e.Do) {
-				r.wrong(k.Line, "do: %.40q is none of %s", k.Value, strings.Join(Kinds(), ", "))
+			if e.Do = Kind(k.Value); !isKind(e.Do) {
+				r.addError(k.Line, "do: %.40q is none of %s", k.Value, strings.Join(Kinds(), ", "))
 			}
 		case "who":
 			e.Who = k.Value
 		default:
-			r.wrong(k.Line, "unknown key %.40q", k.Name)
+			r.addError(k.Line, "unknown key %.40q", k.Name)
 		}
 	}
 	if e.Do == "" {
-		r.wrong(section.Line, "[%.80s] lacks the key do", section.Name)
+		r.addError(section.Line, "[%.80s] lacks the key do", section.Name)
 	}
-	r.s.Faults, r.lines = append(r.s.Faults, e), append(r.lines, section.Line)
+	r.s.Faults, r.faultLines = append(r.s.Faults, e), append(r.faultLines, section.Line)
 }
 
-// check looks at what only the whole tells.
-func (r *reader) check() {
+// checkFaults checks the faults against the duration of the run. It runs last, because sections may be in any order.
+func (r *scenarioReader) checkFaults() {
 	for i, e := range r.s.Faults {
-		if !known(e.Do) {
+		if !isKind(e.Do) {
 			continue
 		}
 		if e.At+e.For > r.s.Lasting {
-			r.wrong(r.lines[i], "%v: the run lasts %v", e, r.s.Lasting)
+			r.addError(r.faultLines[i], "%v: the run lasts %v", e, r.s.Lasting)
 		}
 	}
 }
 
-// Check reports whether a scenario can be played, as the command line may have changed it since it was read.
+// Check returns an error if the scenario cannot be run. The command line may have changed it after Read.
 func (s *Scenario) Check() error {
 	switch {
 	case s.Controllers < 0 || s.Controllers > maxControllers:
-		return fmt.Errorf("%d controllers: 0 to %d can be", s.Controllers, maxControllers)
+		return fmt.Errorf("%d controllers are not between 0 and %d", s.Controllers, maxControllers)
 	case s.Real < 0 || s.Real > maxReal:
-		return fmt.Errorf("%d real controllers: 0 to %d can be", s.Real, maxReal)
+		return fmt.Errorf("%d real controllers are not between 0 and %d", s.Real, maxReal)
 	case s.Controllers+s.Real == 0:
-		return fmt.Errorf("there is no controller")
+		return fmt.Errorf("the scenario has no controllers")
 	case s.Services < 1:
-		return fmt.Errorf("%d services: there must be one", s.Services)
+		return fmt.Errorf("%d services, at least one is required", s.Services)
 	}
 	for _, e := range s.Faults {
-		among := targets[e.Do]
-		if among == nil || e.Who == "?" {
+		candidates := targets[e.Do]
+		if candidates == nil || e.Who == "?" {
 			continue
 		}
-		if !slices.Contains(among(s), e.Who) {
+		if !slices.Contains(candidates(s), e.Who) {
 			return fmt.Errorf("%v: there is no %.40q in a run of %d controllers", e, e.Who, s.Controllers)
 		}
 	}
 	return nil
 }
 
-func known(do Kind) bool { _, is := targets[do]; return is }
+// isKind reports whether the given kind of event exists.
+func isKind(kind Kind) bool { _, ok := targets[kind]; return ok }
 
-// Kinds are the events that there are.
+// Kinds returns the names of all kinds of events.
 func Kinds() []string {
-	var all []string
+	var names []string
 	for kind := range targets {
-		all = append(all, string(kind))
+		names = append(names, string(kind))
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(names)
+	return names
 }
 
-// perSecond is a rate of a run, of one that is so much a day.
+// perSecond converts a daily rate of the deployment to the rate per second of a run.
 func (s *Scenario) perSecond(perDay int) float64 {
 	return float64(perDay) / (24 * time.Hour).Seconds() * float64(cmp.Or(s.Compress, 1))
 }
--- a/internal/scale/worker.go
+++ b/internal/scale/worker.go
@@ -14,7 +14,7 @@
 	"cherryrelay/internal/peer"
 )
 
-// Action is what a worker process is asked to do.
+// Action is the kind of an Order.
 type Action string
 
 // The actions.
@@ -22,52 +22,52 @@
 	StartControllers Action = "start"
 	StopControllers  Action = "stop"
 	ReloadSettings   Action = "reload"
-	OpenDispatchers  Action = "open"  // with addresses, where they are to listen
-	CloseDispatchers Action = "close" // they reset their connections, and refuse others
-	Look             Action = "look"
+	OpenDispatchers  Action = "open"  // at the addresses in Order.Dispatchers
+	CloseDispatchers Action = "close" // they reset their connections and refuse new ones
+	Look             Action = "look"  // only reports the state
 )
 
-// Order is a line to a worker process.
+// Order is a request to a worker process, one line of JSON.
 type Order struct {
 	Action      Action            `json:"action"`
 	Config      string            `json:"config,omitempty"`
 	Specs       []Spec            `json:"specs,omitempty"`
-	Names       []string          `json:"names,omitempty"`       // of controllers or dispatchers; none for all
-	Lost        bool              `json:"lost,omitempty"`        // StopControllers: without a word to the store
+	Names       []string          `json:"names,omitempty"`       // of controllers or dispatchers
+	Lost        bool              `json:"lost,omitempty"`        // whether StopControllers stops as in a crash, without a notification of the store
 	Dispatchers map[string]string `json:"dispatchers,omitempty"` // addresses by name
-	Members     int               `json:"members,omitempty"`     // Look: of so many controllers the members are counted
+	Members     int               `json:"members,omitempty"`     // number of controllers whose known members are counted
 }
 
-// Reply is the line that answers an Order. What it tells of Look stands in it after every action.
+// Reply is the response to an Order, one line of JSON. Every reply contains the state of the process, whatever the action.
 type Reply struct {
 	Error         string    `json:"error,omitempty"`
 	Controllers   int       `json:"controllers"`
 	Joined        int       `json:"joined"`
-	LeastMembers  int       `json:"least_members"` // that one of those asked for knows
-	Applied       []Applied `json:"applied"`       // since the last reply
-	Failed        int64     `json:"failed"`        // dials that came to nothing, as controllers logged them
-	Connections   int       `json:"connections"`   // at dispatchers
-	Accepted      int64     `json:"accepted"`      // by dispatchers
+	LeastMembers  int       `json:"least_members"` // smallest number of members that a polled controller knows
+	Applied       []Applied `json:"applied"`       // changes applied since the last reply
+	Failed        int64     `json:"failed"`        // failed dials, as logged by controllers
+	Connections   int       `json:"connections"`   // open connections at dispatchers
+	Accepted      int64     `json:"accepted"`      // connections accepted by dispatchers
 	MembersAsked  int       `json:"members_asked"`
 	ReloadsFailed int       `json:"reloads_failed"`
 }
 
-// maxOrder bounds a line.
+// maxOrder limits the length of an order or a reply, in bytes.
 const maxOrder = 64 << 20
 
-// Work serves orders until the input ends. Controllers and dispatchers of the process end with it.
+// Work executes orders until the input ends. It does not stop the controllers and dispatchers; they end with the process.
 func Work(in io.Reader, out io.Writer) error {
 	w := &worker{controllers: map[string]*Hollow{}, dispatchers: map[string]*peer.Dispatcher{}, addresses: map[string]string{}}
-	lines := bufio.NewScanner(in)
-	lines.Buffer(make([]byte, 64<<10), maxOrder)
+	orders := bufio.NewScanner(in)
+	orders.Buffer(make([]byte, 64<<10), maxOrder)
 	replies := json.NewEncoder(out)
-	for lines.Scan() {
+	for orders.Scan() {
 		var o Order
-		err := json.Unmarshal(lines.Bytes(), &o)
+		err := json.Unmarshal(orders.Bytes(), &o)
 		if err == nil {
-			err = w.do(&o)
+			err = w.execute(&o)
 		}
-		r := w.look(o.Members)
+		r := w.state(o.Members)
 		if err != nil {
 			r.Error = err.Error()
 		}
@@ -75,33 +75,34 @@
 			return fmt.Errorf("scale worker: %w", err)
 		}
 	}
-	return lines.Err() //nolint:wrapcheck // it says what it is
+	return orders.Err() //nolint:wrapcheck // the error needs no context
 }
 
-// worker is a process with hollow controllers, dispatchers, or both.
+// worker is the state of a worker process, which runs hollow controllers or dispatchers.
 type worker struct {
-	controllers map[string]*Hollow
-	dispatchers map[string]*peer.Dispatcher
-	addresses   map[string]string
-	failed      atomic.Int64
-	accepted    atomic.Int64
-	reloads     atomic.Int64 // that failed
+	controllers   map[string]*Hollow
+	dispatchers   map[string]*peer.Dispatcher
+	addresses     map[string]string
+	failedDials   atomic.Int64
+	accepted      atomic.Int64
+	failedReloads atomic.Int64
 
 	mu      sync.Mutex
 	applied []Applied
 }
 
-func (w *worker) do(o *Order) error {
+// execute executes an order.
+func (w *worker) execute(o *Order) error {
 	switch o.Action {
 	case StartControllers:
-		return w.start(o)
+		return w.startControllers(o)
 	case StopControllers:
-		return w.stop(o)
+		return w.stopControllers(o)
 	case ReloadSettings:
-		w.reload(o)
+		w.reloadControllers(o)
 		return nil
 	case OpenDispatchers:
-		return w.open(o)
+		return w.openDispatchers(o)
 	case CloseDispatchers:
 		for _, name := range o.Names {
 			if d := w.dispatchers[name]; d != nil {
@@ -116,7 +117,7 @@
 	return fmt.Errorf("scale worker: unknown action %.40q", o.Action)
 }
 
-func (w *worker) start(o *Order) error {
+func (w *worker) startControllers(o *Order) error {
 	c, err := readConfig(o.Config)
 	if err != nil {
 		return err
@@ -125,7 +126,7 @@
 		if w.controllers[s.Name] != nil {
 			continue
 		}
-		h, err := StartHollow(*c, s, &counting{logs.Bound(slog.NewTextHandler(io.Discard, nil)), &w.failed}, w.apply)
+		h, err := StartHollow(*c, s, &dialCounter{logs.Bound(slog.NewTextHandler(io.Discard, nil)), &w.failedDials}, w.recordApplied)
 		if err != nil {
 			return err
 		}
@@ -134,21 +135,21 @@
 	return nil
 }
 
-func (w *worker) apply(a Applied) {
+func (w *worker) recordApplied(a Applied) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.applied = append(w.applied, a)
 }
 
-// stop ends controllers, all at the same time.
-func (w *worker) stop(o *Order) error {
+// stopControllers closes controllers concurrently and returns the first error.
+func (w *worker) stopControllers(o *Order) error {
 	errs := make(chan error, len(o.Names))
 	for _, name := range o.Names {
 		h := w.controllers[name]
 		delete(w.controllers, name)
 		go func() {
 			if h == nil {
-				errs <- fmt.Errorf("%w: %.40q", errNoController, name)
+				errs <- fmt.Errorf("%w: %.40q", errUnknownController, name)
 				return
 			}
 			errs <- h.Close(o.Lost)
@@ -163,41 +164,42 @@
 	return first
 }
 
-// reload has every controller read a file, each for itself.
-func (w *worker) reload(o *Order) {
-	var reading sync.WaitGroup
+// reloadControllers makes all controllers read and apply a file concurrently. Each reads it on its own, as separate processes would.
+func (w *worker) reloadControllers(o *Order) {
+	var reloads sync.WaitGroup
 	for _, h := range w.controllers {
-		reading.Go(func() {
+		reloads.Go(func() {
 			if h.Reload(o.Config) != nil {
-				w.reloads.Add(1)
+				w.failedReloads.Add(1)
 			}
 		})
 	}
-	reading.Wait()
+	reloads.Wait()
 }
 
-// report is that of a dispatcher with nothing to do.
-const report = "x0:1000000;x1:1000000"
+// idleReport is the state that every dispatcher reports: idle, with ample capacity.
+const idleReport = "x0:1000000;x1:1000000"
 
-// open has dispatchers listen and answer every set-up at once.
-func (w *worker) open(o *Order) error {
+// openDispatchers starts dispatchers that answer every set-up at once.
+func (w *worker) openDispatchers(o *Order) error {
 	for name, address := range o.Dispatchers {
-		d, err := peer.Dispatch("tcp", address, report)
+		d, err := peer.Dispatch("tcp", address, idleReport)
 		if err != nil {
-			return err //nolint:wrapcheck // it says what it is
+			return err //nolint:wrapcheck // the error needs no context
 		}
 		d.TellLinks()
 		w.dispatchers[name] = d
 		go func() {
-			for range d.Acks { // nobody waits for them
+			for range d.Acks { // unused, but the channel must be drained
 			}
 		}()
-		go w.serve(d)
+		go w.serveDispatcher(d)
 	}
 	return nil
 }
 
-func (w *worker) serve(d *peer.Dispatcher) {
+// serveDispatcher counts the connections to a dispatcher and answers its set-ups.
+func (w *worker) serveDispatcher(d *peer.Dispatcher) {
 	for e := range d.Events {
 		switch e.Kind {
 		case "opened":
@@ -208,9 +210,9 @@
 	}
 }
 
-// look tells the state of the process.
-func (w *worker) look(members int) *Reply {
-	r := &Reply{Controllers: len(w.controllers), Failed: w.failed.Load(), Accepted: w.accepted.Load(), ReloadsFailed: int(w.reloads.Load())}
+// state returns the state of the process, and the changes that were applied since the last reply.
+func (w *worker) state(members int) *Reply {
+	r := &Reply{Controllers: len(w.controllers), Failed: w.failedDials.Load(), Accepted: w.accepted.Load(), ReloadsFailed: int(w.failedReloads.Load())}
 	for _, d := range w.dispatchers {
 		r.Connections += d.Links()
 	}
@@ -232,26 +234,26 @@
 	return r
 }
 
-// counting counts the dials that come to nothing, of which controllers log each, before the bound on what is logged.
-type counting struct {
+// dialCounter is a log handler that counts failed dials. It stands before the handler that limits the rate of log lines, so that it sees each one.
+type dialCounter struct {
 	slog.Handler
 	failed *atomic.Int64
 }
 
-// dialFailed is what the connections to dispatchers log then.
+// dialFailed is the log message for a failed dial to a dispatcher.
 const dialFailed = "no connection"
 
-func (c *counting) Handle(ctx context.Context, r slog.Record) error {
+func (c *dialCounter) Handle(ctx context.Context, r slog.Record) error {
 	if r.Message == dialFailed {
 		c.failed.Add(1)
 	}
-	return c.Handler.Handle(ctx, r) //nolint:wrapcheck // it is another handler
+	return c.Handler.Handle(ctx, r) //nolint:wrapcheck // the error is that of the wrapped handler
 }
 
-func (c *counting) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &counting{c.Handler.WithAttrs(attrs), c.failed}
+func (c *dialCounter) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &dialCounter{c.Handler.WithAttrs(attrs), c.failed}
 }
 
-func (c *counting) WithGroup(name string) slog.Handler {
-	return &counting{c.Handler.WithGroup(name), c.failed}
+func (c *dialCounter) WithGroup(name string) slog.Handler {
+	return &dialCounter{c.Handler.WithGroup(name), c.failed}
 }
