--- a/cmd/cherryrelay/durable.go
+++ b/cmd/cherryrelay/durable.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// beginWithin bounds the first snapshot: 100,000 calls take well below a second.
-	beginWithin = 10 * time.Second
-	// ownedAgain and ownedFor are the pace and the time in which a ledger is asked for again that another process has still.
-	ownedAgain, ownedFor = 20 * time.Millisecond, 5 * time.Second
+	// firstSnapshotTimeout limits the time for the first snapshot: 100,000 calls take well below a second.
+	firstSnapshotTimeout = 10 * time.Second
+	// lockRetryInterval and lockRetryTimeout are the interval and the timeout for retries while another process still has the ledger locked.
+	lockRetryInterval, lockRetryTimeout = 20 * time.Millisecond, 5 * time.Second
 )
 
-// kept is what the calls of an earlier process are read from.
-type kept struct {
+// openedLedger is an open ledger together with the calls of the previous process that were read from it.
+type openedLedger struct {
 	ledger *ledger.Ledger
-	book   *recovery.CallTable
+	calls  *recovery.CallTable
 	damage []string
 	key    []byte
-	still  func() error // whether the directory is this process's still
+	verify func() error // returns an error if the directory no longer belongs to this process
 }
 
-// openLedger reads a ledger and begins with what is left of it. It does not run on the loop.
-func openLedger(l *config.Ledger, name string, log *slog.Logger) (*kept, error) {
+// openLedger reads a ledger, replays its records and opens it for writing. It does not run on the loop.
+func openLedger(l *config.Ledger, name string, log *slog.Logger) (*openedLedger, error) {
 	var key []byte
 	var err error
 	if l.KeyFile != "" {
@@ -38,7 +38,7 @@
 			return nil, fmt.Errorf("ledger: key: %w", err)
 		}
 	}
-	d, err := directoryOf(l.Directory, log)
+	d, err := openLedgerDirectory(l.Directory, log)
 	if err != nil {
 		return nil, err
 	}
@@ -46,16 +46,16 @@
 	if err != nil {
 		return nil, errors.Join(err, d.Close())
 	}
-	k := &kept{damage: found.Damage, key: key, still: watchLedger(d)}
+	k := &openedLedger{damage: found.Damage, key: key, verify: ledgerVerifier(d)}
 	var bad error
-	if k.book, bad = recovery.Replay(found.Records, found.Gaps); bad != nil {
+	if k.calls, bad = recovery.Replay(found.Records, found.Gaps); bad != nil {
 		k.damage = append(k.damage, bad.Error())
 	}
 	now := time.Duration(time.Now().UnixNano())
-	k.book.Prune(now)
+	k.calls.Prune(now)
 	k.ledger = ledger.New(d, ledger.Options{
 		Name: name, Key: key, Sync: config.Syncs[l.Sync], SegmentSize: l.SegmentMB << 20, MaxSize: l.MostMB << 20,
-		AfterWrite: k.still,
+		AfterWrite: k.verify,
 		Compact: func(records [][]byte, gaps map[int]bool) ([][]byte, error) {
 			return recovery.Compact(records, gaps, time.Duration(time.Now().UnixNano()))
 		},
@@ -63,19 +63,20 @@
 	return k, nil
 }
 
-// takeLedger takes up the calls of an earlier process, and keeps those of this one. It runs on the loop, or before it.
-func (n *node) takeLedger(k *kept, wait time.Duration) {
+// useLedger recovers the calls of the previous process and records the calls of this one. It runs on the loop, or before the loop starts.
+func (n *node) useLedger(k *openedLedger, wait time.Duration) {
 	l := n.config.Ledger
 	n.ledger = k.ledger
-	n.core.Recover(k.book, k.damage)
+	n.core.Recover(k.calls, k.damage)
 	n.core.UseLedger(k.ledger, l.OnFailure == "refuse")
 	n.core.BeginLedger(wait)
-	n.kept = k
-	n.seek()
+	n.opened = k
+	n.startTakeovers()
 	n.core.LedgerAvailable()
 }
 
-// startLedger opens the ledger at a start. While a predecessor serves it is that one's, and this process's once it has ended.
+// startLedger opens the ledger when the process starts. While a predecessor serves, the predecessor keeps the ledger, and this process
+// opens it after the predecessor has ended.
 func (n *node) startLedger() error {
 	l := n.config.Ledger
 	n.core.AddMetrics(n.core.RecoveryMetrics)
@@ -87,33 +88,33 @@
 	if err != nil {
 		return err
 	}
-	n.takeLedger(k, beginWithin)
+	n.useLedger(k, firstSnapshotTimeout)
 	return nil
 }
 
-// inheritLedger takes the ledger that a predecessor had. If it can't be had, calls are served without.
+// inheritLedger opens the ledger of the ended predecessor. If that fails, calls are served without a ledger.
 func (n *node) inheritLedger() {
 	if n.config.Ledger == nil || n.ledger != nil {
 		return
 	}
 	go func() {
-		var k *kept
+		var k *openedLedger
 		var err error
-		for until := time.Now().Add(ownedFor); ; time.Sleep(ownedAgain) {
+		for until := time.Now().Add(lockRetryTimeout); ; time.Sleep(lockRetryInterval) {
 			if k, err = openLedger(n.config.Ledger, n.config.Name, n.log); !errors.Is(err, ledger.ErrLocked) || time.Now().After(until) {
 				break
 			}
 		}
 		n.loop.Post(func() {
 			if err != nil {
-				n.log.Error("THE STATE OF CALLS IS NOT KEPT: the ledger of the predecessor cannot be had", "err", err)
+				n.log.Error("THE STATE OF CALLS IS NOT KEPT: the ledger of the predecessor cannot be opened", "err", err)
 				n.core.LedgerAvailable()
 				return
 			}
-			n.takeLedger(k, 0)
+			n.useLedger(k, 0)
 		})
 	}()
 }
 
-// recoveryPage is what operators are shown.
+// recoveryPage returns the state of the recovery for operators.
 func (n *node) recoveryPage(url.Values) (any, error) { return n.core.RecoveryStatus(), nil }
--- a/cmd/cherryrelay/fleet.go
+++ b/cmd/cherryrelay/fleet.go
@@ -15,14 +15,14 @@
 	"cherryrelay/internal/membership"
 )
 
-// tellStateEvery is the pace at which the fleet is told whether this controller serves.
-const tellStateEvery = 100 * time.Millisecond
+// stateReportInterval is the interval at which this controller reports to the fleet whether it serves.
+const stateReportInterval = 100 * time.Millisecond
 
-// fleet is this controller's place among those of its site.
+// fleet is this controller's membership in the fleet.
 type fleet struct {
 	*membership.Fleet
-	client *clientv3.Client
-	left   bool
+	client  *clientv3.Client
+	leaving bool // reported as leaving
 }
 
 func (f *fleet) close() error {
@@ -33,7 +33,8 @@
 	return nil
 }
 
-// followStore joins the fleet and follows the list, each if etcd has it, over one client where they are in one place.
+// followStore joins the fleet and follows the list of dispatchers in etcd, each if it is configured. Both use one client if they have the
+// same endpoints.
 func (n *node) followStore(ctx context.Context) error {
 	c := n.config
 	if c.Fleet != nil {
@@ -50,7 +51,7 @@
 				n.manage.Show(path, page)
 			}
 		}
-		n.loop.Post(n.tellState)
+		n.loop.Post(n.reportState)
 	}
 	if c.Etcd == nil {
 		return nil
@@ -62,35 +63,35 @@
 	}
 	list, err := etcd.New(*c.Etcd, n.log, take)
 	if err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error names its source
 	}
 	go list.Run(ctx)
 	return nil
 }
 
-// tellState tells the fleet whether this controller serves.
-func (n *node) tellState() {
+// reportState reports to the fleet whether this controller serves, and schedules the next report.
+func (n *node) reportState() {
 	switch {
-	case n.fleet.left:
+	case n.fleet.leaving:
 	case n.core.Ready():
 		n.fleet.Say(members.Serving)
 	default:
 		n.fleet.Say(members.Joining)
 	}
-	n.loop.After(tellStateEvery, n.tellState)
+	n.loop.After(stateReportInterval, n.reportState)
 }
 
-// stay takes back that this controller leaves: its successor is no more.
-func (n *node) stay() {
+// cancelLeave cancels leave after the successor has ended.
+func (n *node) cancelLeave() {
 	if n.fleet != nil {
-		n.fleet.left = false
+		n.fleet.leaving = false
 	}
 }
 
-// leave tells the fleet that this controller serves out what it has.
+// leave reports to the fleet that this controller only completes the calls it has.
 func (n *node) leave() {
 	if n.fleet != nil {
-		n.fleet.left = true
+		n.fleet.leaving = true
 		n.fleet.Say(members.Leaving)
 	}
 }
--- a/cmd/cherryrelay/main.go
+++ b/cmd/cherryrelay/main.go
@@ -1,6 +1,6 @@
-// Command cherryrelay is a call controller on sockets. Without a sub-command it serves: it takes its configuration from LB_CONFIG, LB_NAME,
-// LB_LISTEN and LB_OPERATOR, logs to standard error (with LB_LOG=debug all that the decision module is told and says), and serves
-// out what it has taken when it gets SIGTERM. SIGHUP has it read its configuration again.
+// Command cherryrelay is a call controller on sockets. Without a sub-command it serves calls: it reads its configuration from LB_CONFIG,
+// LB_NAME, LB_LISTEN and LB_OPERATOR and logs to standard error (with LB_LOG=debug also every input and output of the decision module).
+// On SIGTERM it completes the set-ups that it has accepted and ends. On SIGHUP it reloads its configuration.
 package main
 
 import (
@@ -22,20 +22,20 @@
 }
 
 func serve(o commands.Options) error {
-	signals := make(chan os.Signal, 8) // from the first moment: an early SIGTERM is served out as well
+	signals := make(chan os.Signal, 8) // registered first, so that an early SIGTERM drains as well
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
 	c, err := config.Read(os.Getenv)
 	if err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error names its source
 	}
 	limitMemory(c.Limits.MemoryMB << 20)
 	debugging := ""
-	if os.Getenv("LB_LOG") == "debug" { // nothing else that it may hold has ever counted
+	if os.Getenv("LB_LOG") == "debug" { // other values of LB_LOG have no effect
 		debugging = "debug"
 	}
 	handler, err := logs.Handler(os.Stderr, cmp.Or(o.LogFormat, c.Log.Format), cmp.Or(o.LogLevel, debugging, c.Log.Level))
 	if err != nil {
-		return err //nolint:wrapcheck // it says what it is
+		return err //nolint:wrapcheck // the error names its source
 	}
 	log := slog.New(logs.Bound(handler, endlog.Messages()...)).With("name", c.Name)
 	slog.SetDefault(log)
@@ -55,7 +55,7 @@
 	return n.run()
 }
 
-// limitMemory has the collector work harder well before the limit.
+// limitMemory sets the garbage collector's soft limit to half of the memory limit; 0 sets none.
 func limitMemory(bytes int64) {
 	if bytes > 0 {
 		debug.SetMemoryLimit(bytes / 2)
--- a/cmd/cherryrelay/node.go
+++ b/cmd/cherryrelay/node.go
@@ -26,52 +26,52 @@
 	"cherryrelay/internal/takeover"
 )
 
-// node is one call controller, wired up.
+// node holds the connected components of one call controller.
 type node struct {
-	config  *config.Config
-	core    *call.Core
-	pool    *dispatchers.Pool
-	upgrade *upgrade
-	loop    *call.Loop
-	log     *slog.Logger
-	lines   *callers.Front     // the platform's front
-	api     *callers.Front     // the call-control API; nil if it is off
-	manage  *management.Server // nil without an address
-	list    *coordinator.Stream
-	lists   *lists.Keeper
-	files   *files.Watcher // nil without a pool file
-	store   *stored.Store  // nil without a state directory
-	kept    *kept          // what the ledger was opened with; nil without one
-	ledger  *ledger.Ledger // nil without one, or while a predecessor has it
-	fleet   *fleet         // nil without a fleet
-	room    *takeover.Room // nil without other controllers' ledgers
-	cancel  context.CancelFunc
-	bounds  callers.Bounds
-	terms   *callers.Terms
-	divided divided
+	config    *config.Config
+	core      *call.Core
+	pool      *dispatchers.Pool
+	upgrade   *upgrade
+	loop      *call.Loop
+	log       *slog.Logger
+	lines     *callers.Front     // the platform's front
+	api       *callers.Front     // the call-control API; nil if it is off
+	manage    *management.Server // nil without an address
+	list      *coordinator.Stream
+	lists     *lists.Keeper
+	files     *files.Watcher // nil without a pool file
+	store     *stored.Store  // nil without a state directory
+	opened    *openedLedger  // the ledger as it was opened; nil without one
+	ledger    *ledger.Ledger // nil without one, or while the predecessor has it
+	fleet     *fleet         // nil without a fleet
+	takeovers *takeover.Room // nil if calls are not transferred between controllers
+	cancel    context.CancelFunc
+	bounds    callers.Bounds
+	terms     *callers.Terms
+	division  socketDivision
 }
 
-// start wires a call controller and opens its fronts. It serves once run is called.
+// start connects the components of a call controller and opens its fronts. The controller serves once run is called.
 func start(c *config.Config, log *slog.Logger) (*node, error) {
-	return startWithin(c, log, bounds(c))
+	return startWithBounds(c, log, callerBounds(c))
 }
 
-// bounds of what callers take: they share what is left beside the connections of operators.
-func bounds(c *config.Config) callers.Bounds {
+// callerBounds returns the limits of a front for callers. The fronts share the sockets that the connections of operators leave.
+func callerBounds(c *config.Config) callers.Bounds {
 	sockets := c.Limits.Sockets
 	if c.Management != "" && sockets > 0 {
 		sockets = max(sockets-management.Descriptors, 2)
 	}
 	b := callers.Within(sockets)
-	if c.WebSocket != nil { // each front has its half
+	if c.WebSocket != nil { // each front gets half
 		b.Connections = (b.Connections + 1) / 2
 	}
 	return b
 }
 
-func startWithin(c *config.Config, log *slog.Logger, bounds callers.Bounds) (n *node, err error) {
+func startWithBounds(c *config.Config, log *slog.Logger, bounds callers.Bounds) (n *node, err error) {
 	u := &upgrade{path: handover.Path(c.Listen)}
-	u.ask(log)
+	u.requestListeners(log)
 	seed, err := c.SeedNumber()
 	if err != nil {
 		return nil, err
@@ -113,7 +113,7 @@
 		}
 	}()
 	if c.Pool != nil {
-		if err := n.poolFile(ctx); err != nil {
+		if err := n.startPoolFile(ctx); err != nil {
 			return nil, err
 		}
 	}
@@ -124,12 +124,12 @@
 		}
 	}
 	lines := func() callers.Format { return new(callers.Lines) }
-	if n.lines, err = n.front(c.Listen, lines); err != nil {
+	if n.lines, err = n.openFront(c.Listen, lines); err != nil {
 		return nil, err
 	}
 	if w := c.WebSocket; w != nil {
 		api := func() callers.Format { return callers.NewWebSocket(w.Path) }
-		if n.api, err = n.front(w.Listen, api); err != nil {
+		if n.api, err = n.openFront(w.Listen, api); err != nil {
 			return nil, err
 		}
 	}
@@ -151,19 +151,19 @@
 	if err := n.followStore(ctx); err != nil {
 		return nil, err
 	}
-	n.seek()
-	n.share()
-	core.OnFlush(n.divide)
+	n.startTakeovers()
+	n.applyLimits()
+	core.OnFlush(n.divideSockets)
 	u.run()
 	return n, nil
 }
 
-// poolFile puts the pool file in force, or the last good set if the file is broken, and follows it.
-func (n *node) poolFile(ctx context.Context) error {
+// startPoolFile activates the pool file, or the last valid set if the file is invalid, and follows the file.
+func (n *node) startPoolFile(ctx context.Context) error {
 	o := *n.config.Pool
 	n.files = files.New(o, n.log, func(c decide.Candidate) { n.lists.Take(c) })
 	if s := n.config.State; s != nil {
-		// Also before a good file: who is a newcomer to it starts cold.
+		// The stored set is restored before a valid file, too: only the servers that the file adds to it get a cold start.
 		switch m, err := stored.Load(s.Directory, o.File); {
 		case err == nil:
 			if v := n.lists.Recall(m); !v.Accepted {
@@ -184,15 +184,15 @@
 		}
 		return fmt.Errorf("pool %s: %v%s", o.File, v.Faults[0], more)
 	case !v.Accepted:
-		n.log.Error("the pool file is broken: serving with the set that was stored", "file", o.File, "fault", v.Faults[0].String())
+		n.log.Error("the pool file is invalid: serving with the stored set", "file", o.File, "fault", v.Faults[0].String())
 	}
 	n.core.AddMetrics(n.lists.Figures)
 	go n.files.Run(ctx)
 	return nil
 }
 
-func (n *node) front(address string, format func() callers.Format) (*callers.Front, error) {
-	tcp, err := n.upgrade.socket(address)
+func (n *node) openFront(address string, format func() callers.Format) (*callers.Front, error) {
+	tcp, err := n.upgrade.listener(address)
 	if err != nil {
 		return nil, fmt.Errorf("callers: %w", err)
 	}
@@ -204,16 +204,16 @@
 	return f, nil
 }
 
-// mostShares is how many dispatchers a page shows: it has to stay below what is written to a slow reader.
-const mostShares = 250
+// maxShownShares limits the dispatchers on a page: the page has to stay below the bytes that are buffered for a slow reader.
+const maxShownShares = 250
 
-// sharesPage shows what this controller gets of each dispatcher: of the one that the query names, or of the first ones.
+// sharesPage returns this controller's share of the dispatcher that the query names, or of the first maxShownShares dispatchers.
 func (n *node) sharesPage(query url.Values) (any, error) {
 	shares := n.core.Shares()
 	if name := query.Get("dispatcher"); name != "" {
 		shares = slices.DeleteFunc(shares, func(s call.DispatcherShare) bool { return string(s.ID) != name })
 	}
-	return shares[:min(len(shares), mostShares)], nil
+	return shares[:min(len(shares), maxShownShares)], nil
 }
 
 // run serves until the node has drained.
@@ -228,8 +228,8 @@
 		n.store.Close()
 	}
 	var err error
-	if n.room != nil {
-		err = n.room.Close()
+	if n.takeovers != nil {
+		err = n.takeovers.Close()
 	}
 	if n.ledger != nil { // before a successor is told that this one has ended
 		err = errors.Join(err, n.ledger.Close())
@@ -237,11 +237,11 @@
 	if n.fleet != nil {
 		err = errors.Join(err, n.fleet.close())
 	}
-	err = errors.Join(err, n.upgrade.end())
+	err = errors.Join(err, n.upgrade.finish())
 	return errors.Join(err, n.closeListeners())
 }
 
-// closeListeners ends them side by side, as each gives its peers a moment to read what was sent last.
+// closeListeners closes all listeners concurrently, as each waits a moment for its peers to read the last messages.
 func (n *node) closeListeners() error {
 	var closers []func() error
 	for _, f := range []*callers.Front{n.lines, n.api} {
@@ -261,7 +261,7 @@
 	return errors.Join(errs...)
 }
 
-// drain begins a planned end.
+// drain starts a planned shutdown.
 func (n *node) drain() {
 	n.loop.Post(func() {
 		n.leave()
@@ -269,9 +269,9 @@
 	})
 }
 
-// reload takes from a configuration what can change while calls are served, in one turn of the loop or not at all:
-// settings, coordinator and limits. All else, the known list among it, holds from the start: the numbers of the list go
-// on. A configuration that could not be read comes as an error.
+// reload applies the parts of a configuration that can change while calls are served (settings, coordinator and limits), all in one
+// iteration of the event loop or none of them. The other parts keep their values from the start. The known list is one of them, as the
+// numbers of the list continue. err is the error of reading the configuration.
 func (n *node) reload(c *config.Config, err error) {
 	n.loop.Post(func() {
 		if err == nil {
@@ -291,10 +291,10 @@
 		}
 		n.pool.Reconfigure(c.Settings.ConnectTimeout(), c.Settings.Report.Fields)
 		n.list.Move(c.Coordinator)
-		c.Listen, c.Management, c.Operator = n.config.Listen, n.config.Management, n.config.Operator // they hold from the start
+		c.Listen, c.Management, c.Operator = n.config.Listen, n.config.Management, n.config.Operator // only a restart changes them
 		n.config = c
-		n.bounds.Connections = bounds(c).Connections
-		n.share()
+		n.bounds.Connections = callerBounds(c).Connections
+		n.applyLimits()
 		if n.files != nil {
 			n.files.Nudge()
 		}
--- a/cmd/cherryrelay/poolfile_test.go
+++ b/cmd/cherryrelay/poolfile_test.go
@@ -158,7 +158,7 @@
 
 // try starts the controller.
 func (s *site) try() error {
-	n, err := startWithin(s.config, slog.New(s.log), callers.Bounds{Silent: long, Idle: long})
+	n, err := startWithBounds(s.config, slog.New(s.log), callers.Bounds{Silent: long, Idle: long})
 	if err != nil {
 		return err
 	}
@@ -397,7 +397,7 @@
 	s.put([]byte("[pool]\n"))
 	s.serve()
 	s.refused(pool.Unfinished)
-	if v := s.shows(); v.Version.Source != pool.FromSnapshot || v.Version.Label != "good" || v.Servers != 2 || !s.log.has("serving with the set that was stored") {
+	if v := s.shows(); v.Version.Source != pool.FromSnapshot || v.Version.Label != "good" || v.Servers != 2 || !s.log.has("serving with the stored set") {
 		t.Errorf("serves with %+v", v.Version)
 	}
 	if got := s.calls(0x100, 40); got[0] != 10 || got[1] != 30 {
--- a/cmd/cherryrelay/standing_test.go
+++ b/cmd/cherryrelay/standing_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	c := new(config.Config)
 	c.Listen, c.Seed, c.Coordinator, c.Settings = "127.0.0.1:0", "1", coordinator, testSettings(t)
-	n, err := startWithin(c, slog.New(slog.DiscardHandler), callers.Bounds{Silent: long, Idle: long})
+	n, err := startWithBounds(c, slog.New(slog.DiscardHandler), callers.Bounds{Silent: long, Idle: long})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/cherryrelay/stories_test.go
+++ b/cmd/cherryrelay/stories_test.go
@@ -82,7 +82,7 @@
 	c.Listen, c.Management, c.Seed = lines, "127.0.0.1:0", "1"
 	c.WebSocket = &config.WebSocket{Listen: api, Path: peer.Path}
 	c.Settings = s
-	n, err := startWithin(c, log, bounds)
+	n, err := startWithBounds(c, log, bounds)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/cherryrelay/takeover.go
+++ b/cmd/cherryrelay/takeover.go
@@ -14,10 +14,10 @@
 	"cherryrelay/internal/takeover"
 )
 
-// seek has the calls of lost controllers found, once this process has its ledger; without [fleet] ledgers it does nothing.
-func (n *node) seek() {
-	f, k := n.config.Fleet, n.kept
-	if f == nil || f.Ledgers == "" || n.room != nil || k == nil || n.fleet == nil {
+// startTakeovers starts the takeover of calls of terminated controllers once this process has its ledger. Without [fleet] ledgers it does nothing.
+func (n *node) startTakeovers() {
+	f, k := n.config.Fleet, n.opened
+	if f == nil || f.Ledgers == "" || n.takeovers != nil || k == nil || n.fleet == nil {
 		return
 	}
 	certain := func() (decide.IncarnationID, bool) {
@@ -25,15 +25,15 @@
 		return decide.IncarnationID{Store: store, Number: incarnation}, ok
 	}
 	room, err := takeover.Open(n.core, takeover.Options{
-		Ledgers: f.Ledgers, Name: n.config.Name, Key: k.key, Lease: f.Lease(), Post: n.loop.Post, Still: k.still, Taken: n.beginAnew,
+		Ledgers: f.Ledgers, Name: n.config.Name, Key: k.key, Lease: f.Lease(), Post: n.loop.Post, Still: k.verify, Taken: n.restart,
 		Certain: certain, Fleet: n,
 	}, n.log)
 	if err != nil {
-		n.log.Error("calls are not passed between controllers", "err", err)
+		n.log.Error("calls are not transferred between controllers", "err", err)
 		return
 	}
-	n.room = room
-	n.core.UseFinder(room, func() bool { _, ok := certain(); return ok }, n.beginAnew)
+	n.takeovers = room
+	n.core.UseFinder(room, func() bool { _, ok := certain(); return ok }, n.restart)
 	n.core.AddMetrics(room.Figures)
 	n.loop.Post(func() {
 		if n.manage != nil {
@@ -44,18 +44,18 @@
 	})
 }
 
-// HasEnded reports whether an incarnation of a controller has certainly ended, with nobody in its place.
+// HasEnded reports whether it is certain that an incarnation of a controller has ended and no other has replaced it.
 func (n *node) HasEnded(name string, l decide.IncarnationID) bool {
 	return n.fleet.HasEnded(l.Store, name, l.Number)
 }
 
-// beginAnew ends all that this process does, at once, and starts the program again in its place: its calls may be another's by now, so no
-// word of them may leave it any more. Its connections close, and its callers come back, here or elsewhere.
-func (n *node) beginAnew(why error) {
-	n.log.Error("THE CALLS OF THIS CONTROLLER ARE ANOTHER'S: it begins anew without them", "err", why)
+// restart stops this process at once and starts the program again in its place. Another controller may have taken over its calls, so
+// this process must not send any further message about them. Its connections close, and its callers reconnect here or elsewhere.
+func (n *node) restart(why error) {
+	n.log.Error("THE CALLS OF THIS CONTROLLER WERE TAKEN OVER: it restarts without them", "err", why)
 	own, err := os.Executable()
 	if err == nil {
-		err = closeAtExec()
+		err = setCloseOnExec()
 	}
 	if err == nil {
 		err = syscall.Exec(own, os.Args, os.Environ())
@@ -64,9 +64,9 @@
 	os.Exit(1)
 }
 
-// closeAtExec has every descriptor beyond the standard ones close as the program is started again: netpoll's sockets would stay open, with
-// callers and dispatchers at their other ends that wait for a word.
-func closeAtExec() error {
+// setCloseOnExec marks every descriptor except the standard ones as close-on-exec. Otherwise the sockets of netpoll would stay open across
+// the restart, and callers and dispatchers would wait for messages on them.
+func setCloseOnExec() error {
 	const dir, standard = "/proc/self/fd", 2
 	open, err := os.ReadDir(dir)
 	if err != nil {
@@ -80,20 +80,21 @@
 	return nil
 }
 
-// watchLedger has each commit of a ledger look whether it is this process's still.
-func watchLedger(d ledger.Disk) func() error { return func() error { return ledger.VerifyPath(d) } }
+// ledgerVerifier returns the check, done after each commit, that the ledger still belongs to this process.
+func ledgerVerifier(d ledger.Disk) func() error { return func() error { return ledger.VerifyPath(d) } }
 
-// directoryOf opens a ledger's directory; in a fleet, that of one which was taken in the same moment is made anew.
-func directoryOf(path string, log *slog.Logger) (ledger.Disk, error) {
+// openLedgerDirectory opens the directory of a ledger. If another controller of the fleet takes it over at the same moment, the directory is
+// created anew.
+func openLedgerDirectory(path string, log *slog.Logger) (ledger.Disk, error) {
 	d, err := ledger.OpenDirectory(path)
 	if errors.Is(err, ledger.ErrSealed) {
-		log.Warn("the ledger was taken while it was opened", "directory", path)
+		log.Warn("the ledger was taken over while it was opened", "directory", path)
 		d, err = ledger.OpenDirectory(path)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("opening the ledger: %w", err)
 	}
-	// Whoever owned it before was a member as which this process is none: its end is not this one's.
+	// The file names the incarnation that owned the ledger before. The end of that incarnation is not the end of this process.
 	if err := d.Remove(takeover.OwnerName); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, errors.Join(fmt.Errorf("opening the ledger: %w", err), d.Close())
 	}
--- a/cmd/cherryrelay/upgrade.go
+++ b/cmd/cherryrelay/upgrade.go
@@ -20,32 +20,32 @@
 )
 
 const (
-	// askAgain and askFor are the pace and the time in which a process is asked again that is busy with another successor.
-	askAgain, askFor = 100 * time.Millisecond, 3 * time.Second
-	// tellEvery is the pace at which a process tells its successor how many connections it holds.
-	tellEvery = 50 * time.Millisecond
-	// sharers is by how much memory and links are divided while two processes run.
-	sharers = 2
+	// handoverRetryInterval and handoverTimeout are the interval and the timeout for retries while the predecessor is busy with another successor.
+	handoverRetryInterval, handoverTimeout = 100 * time.Millisecond, 3 * time.Second
+	// connectionReportInterval is the interval at which a process reports its number of connections to its successor.
+	connectionReportInterval = 50 * time.Millisecond
+	// upgradeProcesses is the number of processes that share memory, connections and sockets during an upgrade.
+	upgradeProcesses = 2
 )
 
-// upgrade is what one process knows of the one before and the one after it. Its methods run on the loop.
+// upgrade holds the state of the handover from the predecessor and to the successor of this process. Its methods run on the loop.
 type upgrade struct {
-	node        *node
-	path        string // empty where nothing can be handed over
-	predecessor *handover.Peer
-	held        int // callers' connections of the predecessor
-	inherited   map[string]*net.TCPListener
-	server      *handover.Server
-	successor   *handover.Peer
-	ready       bool // the successor serves
+	node                *node
+	path                string // of the handover socket; empty if no handover is possible
+	predecessor         *handover.Peer
+	reportedConnections int // callers' connections that the predecessor has, as reported last
+	inherited           map[string]*net.TCPListener
+	server              *handover.Server
+	successor           *handover.Peer
+	successorReady      bool // whether the successor serves
 }
 
-// ask takes over what the process that serves at the address hands over, if there is one.
-func (u *upgrade) ask(log *slog.Logger) {
+// requestListeners requests the listeners of the process that serves at the address, if there is one.
+func (u *upgrade) requestListeners(log *slog.Logger) {
 	if u.path == "" {
 		return
 	}
-	for until := time.Now().Add(askFor); ; time.Sleep(askAgain) {
+	for until := time.Now().Add(handoverTimeout); ; time.Sleep(handoverRetryInterval) {
 		peer, listeners, err := handover.Ask(u.path)
 		switch {
 		case err == nil:
@@ -56,7 +56,7 @@
 		case errors.Is(err, fs.ErrNotExist):
 			return
 		case errors.Is(err, syscall.ECONNREFUSED):
-			log.Info("a process that served here has ended", "path", u.path)
+			log.Info("the process that served here has ended", "path", u.path)
 			return
 		default:
 			log.Warn("no sockets are handed over: connections may be shared with another process", "err", err)
@@ -65,20 +65,20 @@
 	}
 }
 
-// socket is the inherited one for the address, or a new one.
-func (u *upgrade) socket(address string) (*net.TCPListener, error) {
+// listener returns the inherited listener for the address, or a new one.
+func (u *upgrade) listener(address string) (*net.TCPListener, error) {
 	if tcp := u.inherited[address]; tcp != nil {
 		delete(u.inherited, address)
 		return tcp, nil
 	}
-	return conn.BindShared(address) //nolint:wrapcheck // it says what it is
+	return conn.BindShared(address) //nolint:wrapcheck // the error names its source
 }
 
-// run begins to serve, or waits until calls can be placed if a predecessor serves.
+// run starts to serve. If a predecessor serves, run waits until calls can be placed.
 func (u *upgrade) run() {
 	n := u.node
 	for address, tcp := range u.inherited {
-		n.log.Warn("a socket that no front has is given up", "address", address)
+		n.log.Warn("an inherited socket that no front uses is closed", "address", address)
 		_ = tcp.Close()
 	}
 	if u.predecessor == nil {
@@ -86,18 +86,18 @@
 		return
 	}
 	n.core.AwaitPredecessor()
-	n.share()
+	n.applyLimits()
 	n.core.OnFlush(func() {
 		if n.core.AwaitsPredecessor() && n.core.CanPlaceCalls() {
 			u.serve()
 		}
 	})
 	u.predecessor.Run(
-		func(m handover.Message) { n.loop.Post(func() { u.told(m) }) },
-		func() { n.loop.Post(u.alone) })
+		func(m handover.Message) { n.loop.Post(func() { u.handleMessage(m) }) },
+		func() { n.loop.Post(u.predecessorEnded) })
 }
 
-// serve accepts callers, and has the predecessor stop.
+// serve accepts callers and notifies the predecessor to stop accepting them.
 func (u *upgrade) serve() {
 	n := u.node
 	n.core.StartServing()
@@ -111,28 +111,28 @@
 	if u.predecessor != nil {
 		u.predecessor.Send(handover.Message{Ready: true})
 	}
-	u.offer()
+	u.acceptSuccessors()
 }
 
-// offer has successors ask here.
-func (u *upgrade) offer() {
+// acceptSuccessors accepts handover requests of successors.
+func (u *upgrade) acceptSuccessors() {
 	n := u.node
 	if u.path == "" {
 		return
 	}
 	var err error
-	if u.server, err = handover.Serve(u.path, n.log, u.begin); err != nil {
+	if u.server, err = handover.Serve(u.path, n.log, u.handOver); err != nil {
 		n.log.Warn("no successor will be able to take over the sockets", "err", err)
 	}
 }
 
-// told is what a predecessor says.
-func (u *upgrade) told(m handover.Message) {
+// handleMessage handles a message of the predecessor.
+func (u *upgrade) handleMessage(m handover.Message) {
 	n := u.node
 	switch {
 	case m.Open != nil:
-		u.held = *m.Open
-		n.share()
+		u.reportedConnections = *m.Open
+		n.applyLimits()
 	case m.Over != "":
 		n.core.Released("", m.Over, -1, m.Cause, nil)
 	case m.Stands != "":
@@ -140,20 +140,20 @@
 	}
 }
 
-// alone tells that the predecessor has ended.
-func (u *upgrade) alone() {
+// predecessorEnded handles the end of the predecessor.
+func (u *upgrade) predecessorEnded() {
 	n := u.node
 	n.log.Info("the predecessor has ended")
-	u.predecessor, u.held = nil, 0
-	n.share()
+	u.predecessor, u.reportedConnections = nil, 0
+	n.applyLimits()
 	n.inheritLedger()
 	if n.core.AwaitsPredecessor() {
 		u.serve()
 	}
 }
 
-// begin hands the sockets to a successor. It does not run on the loop.
-func (u *upgrade) begin(p *handover.Peer) []handover.Socket {
+// handOver returns the sockets to hand over to a successor, or nil to refuse it. It does not run on the loop.
+func (u *upgrade) handOver(p *handover.Peer) []handover.Socket {
 	n := u.node
 	answer := make(chan []handover.Socket, 1)
 	n.loop.Post(func() {
@@ -168,33 +168,33 @@
 				n.log.Error("a socket is not handed over", "err", err)
 				continue
 			}
-			sockets = append(sockets, handover.Socket{Address: n.configured(f), File: file})
+			sockets = append(sockets, handover.Socket{Address: n.configuredAddress(f), File: file})
 		}
 		n.log.Info("a successor starts", "sockets", len(sockets))
 		u.successor = p
-		n.share()
+		n.applyLimits()
 		p.Run(func(m handover.Message) {
 			if m.Ready {
 				n.loop.Post(u.supersede)
 			}
-		}, func() { n.loop.Post(func() { u.resume(p) }) })
+		}, func() { n.loop.Post(func() { u.successorEnded(p) }) })
 		answer <- sockets
 	})
 	select {
 	case sockets := <-answer:
 		return sockets
-	case <-time.After(askFor): // the loop has ended
+	case <-time.After(handoverTimeout): // the loop has ended
 		return nil
 	}
 }
 
-// supersede leaves the callers to the successor.
+// supersede stops accepting callers, as the successor accepts them.
 func (u *upgrade) supersede() {
 	n := u.node
-	if u.successor == nil || u.ready {
+	if u.successor == nil || u.successorReady {
 		return
 	}
-	u.ready = true
+	u.successorReady = true
 	n.leave()
 	for _, f := range n.fronts() {
 		f.Listener().Stop()
@@ -202,51 +202,51 @@
 	n.core.Supersede(func(id string, end call.End) bool {
 		return u.successor != nil && u.successor.Send(handover.Message{Over: id, Cause: end.Cause})
 	})
-	u.count()
+	u.reportConnections()
 }
 
-// count tells the successor how many connections are left of those that both may have together.
-func (u *upgrade) count() {
-	if u.successor == nil || !u.ready {
+// reportConnections reports the number of callers' connections of this process to the successor: the limit is for both processes together.
+func (u *upgrade) reportConnections() {
+	if u.successor == nil || !u.successorReady {
 		return
 	}
 	open := 0
 	for _, f := range u.node.fronts() {
 		open += f.Connections()
 	}
-	if open != u.held {
-		u.held = open
+	if open != u.reportedConnections {
+		u.reportedConnections = open
 		u.successor.Send(handover.Message{Open: &open})
 	}
-	u.node.loop.After(tellEvery, u.count)
+	u.node.loop.After(connectionReportInterval, u.reportConnections)
 }
 
-// resume tells that the successor is no more.
-func (u *upgrade) resume(p *handover.Peer) {
+// successorEnded serves callers again after the end of the successor.
+func (u *upgrade) successorEnded(p *handover.Peer) {
 	n := u.node
 	if u.successor != p {
 		return
 	}
-	served := u.ready
-	u.successor, u.ready, u.held = nil, false, 0
+	served := u.successorReady
+	u.successor, u.successorReady, u.reportedConnections = nil, false, 0
 	if old := u.server; served && old != nil { // the path was the successor's
-		u.offer()
+		u.acceptSuccessors()
 		_ = old.Close()
 	}
 	n.core.SuccessorEnded()
-	n.stay()
+	n.cancelLeave()
 	for _, f := range n.fronts() {
 		if err := f.Listener().Start(); err != nil {
 			n.log.Error("callers cannot be accepted", "err", err)
 		}
 	}
-	n.share()
+	n.applyLimits()
 }
 
-// end tells the successor which calls stand, once the loop has ended.
-func (u *upgrade) end() error {
+// finish reports the established calls to the successor after the loop has ended, and closes the handover.
+func (u *upgrade) finish() error {
 	if u.successor != nil {
-		if u.ready {
+		if u.successorReady {
 			u.node.core.EachEstablishedCall(func(id string, server control.ServerID) {
 				u.successor.Last(handover.Message{Stands: id, Server: string(server)})
 			})
@@ -257,35 +257,35 @@
 		u.predecessor.Finish()
 	}
 	if u.server != nil {
-		return u.server.Close() //nolint:wrapcheck // it says what it is
+		return u.server.Close() //nolint:wrapcheck // the error names its source
 	}
 	return nil
 }
 
-// divided is how the descriptors are divided, and by what.
-type divided struct {
+// socketDivision is the division of the socket descriptors between callers and dispatchers, and the connections that it was computed for.
+type socketDivision struct {
 	links.SocketQuota
-	connected, held int
+	callers, dispatchers int
 }
 
-// programDescriptors are kept for what a process opens besides callers', operators' and dispatchers' sockets: its standard files, pollers,
-// listeners, the list's and the store's connections, the handover, and files of its state.
+// programDescriptors are reserved for the other descriptors of a process, besides the sockets of callers, operators and dispatchers: its
+// standard files, pollers, listeners, the connections of the list and the store, the handover, and the files of its state.
 const programDescriptors = 24
 
 const (
-	// callersKeep is the part of the limit that callers hold by themselves.
-	callersKeep = 3
-	// callersAhead is the part, and leastAhead the least number, that is kept beyond the callers that there are.
-	callersAhead, leastAhead = 16, 8
+	// callersReserveDivisor is the divisor of the limit that gives the sockets reserved for callers.
+	callersReserveDivisor = 3
+	// callersHeadroomDivisor is the divisor of the limit that gives the sockets kept free for new callers; minCallersHeadroom is their minimum.
+	callersHeadroomDivisor, minCallersHeadroom = 16, 8
 )
 
-// keptForRefusals is how many descriptors are kept for connections on which set-ups are refused.
-const keptForRefusals = 2
+// refusalSockets is the number of descriptors that are reserved for connections on which set-ups are refused.
+const refusalSockets = 2
 
-// shares is what the descriptors that callers and dispatchers have between them come to, while so many processes share the limit. Of two,
-// each has half of what is left beside the callers of both; the callers themselves are divided by the processes (upgrade.held).
-func shares(c *config.Config, processes int) links.SocketQuota {
-	limit, most := c.Limits.Sockets, bounds(c).Most()
+// socketQuota returns the sockets that callers and dispatchers have together while the given number of processes share the limit. Each of two
+// processes gets half of the sockets that the callers of both leave. The processes divide the callers by their reports (upgrade.reportedConnections).
+func socketQuota(c *config.Config, processes int) links.SocketQuota {
+	limit, most := c.Limits.Sockets, callerBounds(c).Most()
 	if c.WebSocket != nil {
 		most *= 2
 	}
@@ -293,16 +293,16 @@
 	if c.Management != "" {
 		own += management.Descriptors
 	}
-	least := dispatchers.MaxConnections // dispatchers are connected to however small the limit is
+	least := dispatchers.MaxConnections // dispatchers get connections even if the limit is small
 	if processes == 1 {
 		sockets := max(limit-own, most+least)
-		return links.SocketQuota{Sockets: sockets, MaxCallers: most, Reserved: min(limit/callersKeep, most), Headroom: max(limit/callersAhead, leastAhead)}
+		return links.SocketQuota{Sockets: sockets, MaxCallers: most, Reserved: min(limit/callersReserveDivisor, most), Headroom: max(limit/callersHeadroomDivisor, minCallersHeadroom)}
 	}
 	return links.SocketQuota{Sockets: most + max((limit-most)/processes-own, least), MaxCallers: most, Reserved: most}
 }
 
-// divide has callers and dispatchers keep to their parts of the descriptors, by the callers that there are.
-func (n *node) divide() {
+// divideSockets sets the socket limits of callers and dispatchers by the number of connected callers.
+func (n *node) divideSockets() {
 	if n.config.Limits.Sockets == 0 {
 		n.pool.SetSocketBudget(0)
 		return
@@ -312,47 +312,47 @@
 		connected += f.Connections()
 	}
 	held := n.pool.SocketCount()
-	if connected == n.divided.connected && held == n.divided.held {
+	if connected == n.division.callers && held == n.division.dispatchers {
 		return
 	}
-	n.divided.connected, n.divided.held = connected, held
-	_, sockets := n.divided.Divide(connected)
+	n.division.callers, n.division.dispatchers = connected, held
+	_, sockets := n.division.Divide(connected)
 	n.pool.SetSocketBudget(sockets)
-	free := n.divided.CallerLimit(connected, held) - connected
+	free := n.division.CallerLimit(connected, held) - connected
 	for _, f := range n.fronts() {
-		if free < n.divided.Headroom/2 { // dispatchers have nothing to give up
+		if free < n.division.Headroom/2 { // dispatchers cannot free enough sockets
 			f.Squeeze()
 		}
-		f.Scarce(free <= keptForRefusals)
+		f.Scarce(free <= refusalSockets)
 		f.Accept(max(f.Connections()+free/len(n.fronts()), 1))
 	}
 }
 
-// share takes no more than this process's part while two run: together they have what one may.
-func (n *node) share() {
+// applyLimits sets the limits of this process. While two processes run, both together keep to the limits of one.
+func (n *node) applyLimits() {
 	c, u := n.config, n.upgrade
 	two := u.predecessor != nil || u.successor != nil
 	memory, each := c.Limits.MemoryMB<<20, dispatchers.MaxConnections
 	if two {
-		memory, each = memory/sharers, each/sharers
+		memory, each = memory/upgradeProcesses, each/upgradeProcesses
 	}
 	limitMemory(memory)
 	n.core.LimitMemory(memory)
 	n.pool.SetMaxConnections(each)
 	processes := 1
 	if two {
-		processes = sharers
+		processes = upgradeProcesses
 	}
-	n.divided = divided{SocketQuota: shares(c, processes), connected: -1}
+	n.division = socketDivision{SocketQuota: socketQuota(c, processes), callers: -1}
 	most := n.bounds.Connections
 	if u.predecessor != nil && most > 0 {
-		most = max(most-u.held, 1)
+		most = max(most-u.reportedConnections, 1)
 	}
 	for _, f := range n.fronts() {
 		f.Limit(most)
 		f.Listener().Shared(two)
 	}
-	n.divide()
+	n.divideSockets()
 }
 
 func (n *node) fronts() []*callers.Front {
@@ -362,8 +362,8 @@
 	return []*callers.Front{n.lines, n.api}
 }
 
-// configured is the address that the configuration has for a front: what a successor's names it by.
-func (n *node) configured(f *callers.Front) string {
+// configuredAddress returns the configured address of a front, by which the successor identifies the socket.
+func (n *node) configuredAddress(f *callers.Front) string {
 	if f == n.api {
 		return n.config.WebSocket.Listen
 	}
--- a/cmd/cherryrelay/upgrade_test.go
+++ b/cmd/cherryrelay/upgrade_test.go
@@ -33,7 +33,7 @@
 func (w *world) another() *world {
 	w.Helper()
 	c := *w.node.config
-	n, err := startWithin(&c, slog.New(slog.DiscardHandler), w.node.bounds)
+	n, err := startWithBounds(&c, slog.New(slog.DiscardHandler), w.node.bounds)
 	w.must(err)
 	next := &world{T: w.T, node: n, transport: w.transport, dispatchers: w.dispatchers, done: make(chan error, 1), list: w.list}
 	go func() { next.done <- n.run() }()
@@ -256,15 +256,15 @@
 		for _, second := range []*config.WebSocket{nil, {}} {
 			c := &config.Config{Management: "x", Operator: config.Operator{WebSocket: second}}
 			c.Limits.Sockets = sockets
-			connections := bounds(c).Most()
+			connections := callerBounds(c).Most()
 			if second != nil {
 				connections *= 2
 			}
 			if all := connections + 2*(own+management.Descriptors) + dispatcher*fleet; all > sockets {
 				t.Errorf("of %d, %d may be taken (second front: %v)", sockets, all, second != nil)
 			}
-			for processes := 1; processes <= sharers; processes++ {
-				share := shares(c, processes)
+			for processes := 1; processes <= upgradeProcesses; processes++ {
+				share := socketQuota(c, processes)
 				for connected := range share.MaxCallers + 1 {
 					callers, each := share.Divide(connected)
 					if all := callers + processes*(own+management.Descriptors+each); all > sockets || each < dispatcher*fleet/4 {
