--- a/cmd/cherryrelay/stories_test.go
+++ b/cmd/cherryrelay/calls_test.go
@@ -22,46 +22,46 @@
 	"cherryrelay/internal/websocket"
 )
 
-// world is a node between two scripted dispatchers and callers, over one pair of transports.
-type world struct {
+// fixture is a node between two scripted dispatchers and callers, over one pair of transports.
+type fixture struct {
 	*testing.T
 	node        *node
 	transport   string // of callers
 	dispatchers [2]*peer.Dispatcher
 	done        chan error
 	list        call.Update
-	said        []string // what the peers saw, in order
+	observed    []string // what the peers saw, in order
 }
 
 // transports has every mix of a caller's and a dispatcher's.
 var transports = [][2]string{{"tcp", "tcp"}, {"ws", "ws"}, {"ws", "tcp"}, {"tcp", "ws"}}
 
-// story plays a script over each mix of transports; what the peers see must be the same on all of them.
-func story(t *testing.T, want []string, script func(w *world)) {
+// runScenario plays a script over each mix of transports; what the peers see must be the same on all of them.
+func runScenario(t *testing.T, want []string, script func(w *fixture)) {
 	t.Helper()
-	storyWithin(t, callers.Bounds{Silent: long, Idle: long}, want, script)
+	runScenarioWithBounds(t, callers.Bounds{Silent: longTimeout, Idle: longTimeout}, want, script)
 }
 
-// storyWithin is a story for which connections of callers are bounded.
-func storyWithin(t *testing.T, bounds callers.Bounds, want []string, script func(w *world)) {
+// runScenarioWithBounds is a story for which connections of callers are bounded.
+func runScenarioWithBounds(t *testing.T, bounds callers.Bounds, want []string, script func(w *fixture)) {
 	t.Helper()
 	for _, mix := range transports {
 		t.Run(mix[0]+" to "+mix[1], func(t *testing.T) {
 			t.Parallel()
-			w := newWorldWithin(t, mix[0], mix[1], bounds)
+			w := newFixture(t, mix[0], mix[1], bounds)
 			script(w)
-			if diff := cmp.Diff(want, w.said); diff != "" {
+			if diff := cmp.Diff(want, w.observed); diff != "" {
 				t.Errorf("what the peers saw (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-func newWorldWithin(t *testing.T, transport, dispatchers string, bounds callers.Bounds) *world {
-	return newWorldAt(t, "127.0.0.1:0", "127.0.0.1:0", transport, dispatchers, bounds)
+func newFixture(t *testing.T, transport, dispatchers string, bounds callers.Bounds) *fixture {
+	return newFixtureAt(t, "127.0.0.1:0", "127.0.0.1:0", transport, dispatchers, bounds)
 }
 
-func newWorldAt(t *testing.T, lines, api, transport, dispatchers string, bounds callers.Bounds) *world {
+func newFixtureAt(t *testing.T, lines, api, transport, dispatchers string, bounds callers.Bounds) *fixture {
 	t.Helper()
 	var d [2]*peer.Dispatcher
 	for i := range d {
@@ -70,14 +70,14 @@
 			t.Fatal(err)
 		}
 	}
-	return newWorldOf(t, lines, api, transport, d, bounds, testSettings(t))
+	return newFixtureWith(t, lines, api, transport, d, bounds, testSettings(t))
 }
 
-func newWorldOf(t *testing.T, lines, api, transport string, dispatchers [2]*peer.Dispatcher, bounds callers.Bounds, s *settings.Settings) *world {
-	return newLoggedWorld(t, lines, api, transport, dispatchers, bounds, s, slog.New(slog.DiscardHandler))
+func newFixtureWith(t *testing.T, lines, api, transport string, dispatchers [2]*peer.Dispatcher, bounds callers.Bounds, s *settings.Settings) *fixture {
+	return newLoggedFixture(t, lines, api, transport, dispatchers, bounds, s, slog.New(slog.DiscardHandler))
 }
 
-func newLoggedWorld(t *testing.T, lines, api, transport string, dispatchers [2]*peer.Dispatcher, bounds callers.Bounds, s *settings.Settings, log *slog.Logger) *world {
+func newLoggedFixture(t *testing.T, lines, api, transport string, dispatchers [2]*peer.Dispatcher, bounds callers.Bounds, s *settings.Settings, log *slog.Logger) *fixture {
 	c := new(config.Config)
 	c.Listen, c.Management, c.Seed = lines, "127.0.0.1:0", "1"
 	c.WebSocket = &config.WebSocket{Listen: api, Path: peer.Path}
@@ -86,7 +86,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{T: t, node: n, transport: transport, done: make(chan error, 1), dispatchers: dispatchers}
+	w := &fixture{T: t, node: n, transport: transport, done: make(chan error, 1), dispatchers: dispatchers}
 	go func() { w.done <- n.run() }()
 	var u call.Update
 	for i, d := range w.dispatchers {
@@ -95,7 +95,7 @@
 	}
 	u.Complete = true
 	w.list = u
-	w.knows()
+	w.sendList()
 	t.Cleanup(func() {
 		n.loop.Quit()
 		for _, d := range w.dispatchers {
@@ -105,19 +105,19 @@
 	return w
 }
 
-func (w *world) must(err error) {
+func (w *fixture) must(err error) {
 	w.Helper()
 	if err != nil {
 		w.Fatal(err)
 	}
 }
 
-func (w *world) say(format string, args ...any) {
-	w.said = append(w.said, fmt.Sprintf(format, args...))
+func (w *fixture) record(format string, args ...any) {
+	w.observed = append(w.observed, fmt.Sprintf(format, args...))
 }
 
-// caller connects; it has passed the test before it calls.
-func (w *world) caller() *peer.Caller {
+// newCaller connects; it has passed the test before it calls.
+func (w *fixture) newCaller() *peer.Caller {
 	w.Helper()
 	c := w.connect()
 	for passed := 0; passed == 0; {
@@ -130,7 +130,7 @@
 }
 
 // connect connects and says nothing.
-func (w *world) connect() *peer.Caller {
+func (w *fixture) connect() *peer.Caller {
 	w.Helper()
 	address := w.node.lines.Address()
 	if w.transport == "ws" {
@@ -142,8 +142,8 @@
 	return c
 }
 
-// hears notes the next thing that a caller is told.
-func (w *world) hears(c *peer.Caller) {
+// recordMessage notes the next thing that a caller is told.
+func (w *fixture) recordMessage(c *peer.Caller) {
 	w.Helper()
 	m, err := c.Next()
 	w.must(err)
@@ -154,11 +154,11 @@
 	if m.Fields["wait"] != "" {
 		text += " wait " + string(m.Fields["wait"])
 	}
-	w.say("caller: %s %s %s", m.Type, strings.TrimLeft(m.ID, "0"), text)
+	w.record("caller: %s %s %s", m.Type, strings.TrimLeft(m.ID, "0"), text)
 }
 
-// gets notes the next thing that a dispatcher is told.
-func (w *world) gets(d int) peer.Event {
+// recordEvent notes the next thing that a dispatcher is told.
+func (w *fixture) recordEvent(d int) peer.Event {
 	w.Helper()
 	e, err := w.dispatchers[d].Next()
 	w.must(err)
@@ -166,12 +166,12 @@
 	if e.Kind == "release" {
 		text = fmt.Sprint(e.Cause)
 	}
-	w.say("d%d: %s %s %s", d, e.Kind, strings.TrimLeft(e.ID, "0"), text)
+	w.record("d%d: %s %s %s", d, e.Kind, strings.TrimLeft(e.ID, "0"), text)
 	return e
 }
 
-// acked waits for the ACK of a final answer, where the transport has that.
-func (w *world) acked(d int) {
+// waitAck waits for the ACK of a final answer, where the transport has that.
+func (w *fixture) waitAck(d int) {
 	w.Helper()
 	if !strings.HasPrefix(w.dispatchers[d].Address(), "ws") {
 		select {
@@ -185,98 +185,98 @@
 // id is the n-th id.
 func id(n int) string { return fmt.Sprintf("%016x", n) }
 
-const long = 60 * time.Second
+const longTimeout = 60 * time.Second
 
-func TestACallStandsAndEnds(t *testing.T) {
+func TestACallIsEstablishedAndEnds(t *testing.T) {
 	sdp := "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9 \"ü\" <&>\r\n"
-	story(t, []string{
+	runScenario(t, []string{
 		"d1: setup 1 " + sdp, "caller: answer 1 " + sdp, "caller: release 1 16",
 		"d0: setup 2 x", "caller: answer 2 y", "d0: release 2 31",
 		"d0: setup 3 x", "caller: answer 3 y", "caller: release 3 41",
-	}, func(w *world) {
-		c := w.caller()
-		w.must(c.SetUp(id(1), long, 1, sdp))
-		e := w.gets(1)
-		if e.Class != "send-setup" || e.Key != "k"+id(1) || e.Left <= 0 || e.Left > long {
+	}, func(w *fixture) {
+		c := w.newCaller()
+		w.must(c.SetUp(id(1), longTimeout, 1, sdp))
+		e := w.recordEvent(1)
+		if e.Class != "send-setup" || e.Key != "k"+id(1) || e.Left <= 0 || e.Left > longTimeout {
 			t.Errorf("set-up arrived as %+v", e)
 		}
 		w.must(e.Answer(sdp))
-		w.hears(c)
-		w.acked(1)
+		w.recordMessage(c)
+		w.waitAck(1)
 		w.must(w.dispatchers[1].Release(id(1), 16))
-		w.hears(c)
+		w.recordMessage(c)
 		// The caller ends this one.
-		w.must(c.SetUp(id(2), long, 0, "x"))
-		w.must(w.gets(0).Answer("y"))
-		w.hears(c)
+		w.must(c.SetUp(id(2), longTimeout, 0, "x"))
+		w.must(w.recordEvent(0).Answer("y"))
+		w.recordMessage(c)
 		w.must(c.Release(id(2), 31))
-		w.gets(0)
+		w.recordEvent(0)
 		// This one is cut.
-		w.must(c.SetUp(id(3), long, 0, "x"))
-		w.must(w.gets(0).Answer("y"))
-		w.hears(c)
+		w.must(c.SetUp(id(3), longTimeout, 0, "x"))
+		w.must(w.recordEvent(0).Answer("y"))
+		w.recordMessage(c)
 		w.must(w.dispatchers[0].Release(id(3), 41))
-		w.hears(c)
+		w.recordMessage(c)
 	})
 }
 
 func TestARefusedAttemptGoesElsewhere(t *testing.T) {
 	// Dispatchers number every answer 1. Taken for the first attempt's, the answer to a second one was thrown away and
 	// its dispatcher doubted: a calm day lost a fifth of its calls.
-	story(t, []string{"d0: setup 1 x", "d1: setup 1 x", "caller: answer 1 y", "caller: release 1 16"}, func(w *world) {
-		c := w.caller()
-		w.must(c.SetUp(id(1), long, 0, "x"))
-		w.must(w.gets(0).Refuse(peer.NoLine))
-		w.acked(0)
-		w.must(w.gets(1).Answer("y"))
-		w.hears(c)
-		w.acked(1)
+	runScenario(t, []string{"d0: setup 1 x", "d1: setup 1 x", "caller: answer 1 y", "caller: release 1 16"}, func(w *fixture) {
+		c := w.newCaller()
+		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		w.must(w.recordEvent(0).Refuse(peer.NoLine))
+		w.waitAck(0)
+		w.must(w.recordEvent(1).Answer("y"))
+		w.recordMessage(c)
+		w.waitAck(1)
 		w.must(w.dispatchers[1].Release(id(1), 16))
-		w.hears(c)
+		w.recordMessage(c)
 	})
 }
 
-func TestASilentDispatcherIsWithdrawnFromAtTheDeadline(t *testing.T) {
-	story(t, []string{"d0: setup 1 x", "d0: release 1 16", "caller: release", "d0: release 1 16"}, func(w *world) {
-		c := w.caller()
+func TestAnAttemptIsCancelledAtTheDeadline(t *testing.T) {
+	runScenario(t, []string{"d0: setup 1 x", "d0: release 1 16", "caller: release", "d0: release 1 16"}, func(w *fixture) {
+		c := w.newCaller()
 		w.must(c.SetUp(id(1), 400*time.Millisecond, 0, "x"))
-		e := w.gets(0)
-		w.gets(0)
+		e := w.recordEvent(0)
+		w.recordEvent(0)
 		m, err := c.Next()
 		w.must(err)
-		w.say("caller: %s", m.Type) // refused or failed, as the time left at the withdrawal has it
-		w.must(e.Answer("y"))       // too late: the dispatcher's call is released
-		w.acked(0)
-		w.gets(0)
+		w.record("caller: %s", m.Type) // refused or failed, as the time left at the withdrawal has it
+		w.must(e.Answer("y"))          // too late: the dispatcher's call is released
+		w.waitAck(0)
+		w.recordEvent(0)
 	})
 }
 
-func TestAnAnswerAfterTheCallerHasLeftIsReleased(t *testing.T) {
-	story(t, []string{"d0: setup 1 x", "d0: release 1 16", "d0: release 1 16", "caller: pong  1"}, func(w *world) {
-		c := w.caller()
-		w.must(c.SetUp(id(1), long, 0, "x"))
-		e := w.gets(0)
+func TestAnAnswerAfterACancellationIsReleased(t *testing.T) {
+	runScenario(t, []string{"d0: setup 1 x", "d0: release 1 16", "d0: release 1 16", "caller: pong  1"}, func(w *fixture) {
+		c := w.newCaller()
+		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		e := w.recordEvent(0)
 		w.must(c.Release(id(1), 16))
-		w.gets(0)
+		w.recordEvent(0)
 		w.must(e.Answer("y")) // it crosses the withdrawal
-		w.gets(0)
+		w.recordEvent(0)
 		w.must(c.Send(jsonl.Message{Type: "ping", ID: id(0)}))
-		w.hears(c) // and nothing else comes for the call
+		w.recordMessage(c) // and nothing else comes for the call
 	})
 }
 
 func TestAConnectionThatClosesInsideAMessage(t *testing.T) {
-	story(t, []string{"d0: setup 1 x", "d0: release 1 16", "d1: setup 2 x", "caller: answer 2 y"}, func(w *world) {
-		other, c := w.caller(), w.caller()
-		w.must(c.SetUp(id(1), long, 0, "x"))
-		w.gets(0)
+	runScenario(t, []string{"d0: setup 1 x", "d0: release 1 16", "d1: setup 2 x", "caller: answer 2 y"}, func(w *fixture) {
+		other, c := w.newCaller(), w.newCaller()
+		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		w.recordEvent(0)
 		whole := c.Frame([]byte(`{"type":"setup","id":"` + id(3) + `"}`))
 		w.must(c.SendRaw(whole[:len(whole)/2]))
 		w.must(c.Close())
-		w.gets(0)
-		w.must(other.SetUp(id(2), long, 1, "x"))
-		w.must(w.gets(1).Answer("y"))
-		w.hears(other)
+		w.recordEvent(0)
+		w.must(other.SetUp(id(2), longTimeout, 1, "x"))
+		w.must(w.recordEvent(1).Answer("y"))
+		w.recordMessage(other)
 	})
 }
 
@@ -285,13 +285,13 @@
 		"unreadable": `{"type":"setup",`, "oversized": strings.Repeat("x", jsonl.MaxMessage+1),
 	} {
 		t.Run(name, func(t *testing.T) {
-			story(t, []string{"d0: setup 1 x", "caller: release 1 41", "d0: release 1 16", "d1: setup 2 x", "caller: answer 2 y"},
-				func(w *world) {
-					other, c := w.caller(), w.caller()
-					w.must(c.SetUp(id(1), long, 0, "x"))
-					w.gets(0)
+			runScenario(t, []string{"d0: setup 1 x", "caller: release 1 41", "d0: release 1 16", "d1: setup 2 x", "caller: answer 2 y"},
+				func(w *fixture) {
+					other, c := w.newCaller(), w.newCaller()
+					w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+					w.recordEvent(0)
 					w.must(c.SendRaw(c.Frame([]byte(text))))
-					w.hears(c)
+					w.recordMessage(c)
 					_, err := c.Next()
 					var closed *websocket.Error
 					if errors.As(err, &closed) && closed.Code != websocket.BadData && closed.Code != websocket.TooBig {
@@ -300,10 +300,10 @@
 					if err == nil {
 						t.Error("the connection stays open")
 					}
-					w.gets(0)
-					w.must(other.SetUp(id(2), long, 1, "x"))
-					w.must(w.gets(1).Answer("y"))
-					w.hears(other)
+					w.recordEvent(0)
+					w.must(other.SetUp(id(2), longTimeout, 1, "x"))
+					w.must(w.recordEvent(1).Answer("y"))
+					w.recordMessage(other)
 				})
 		})
 	}
@@ -324,68 +324,68 @@
 		want = append(want, fmt.Sprintf("caller: release %x 100", i+1))
 	}
 	want = append(want, "caller: release fd 41", "d0: setup ff x", "caller: answer ff y")
-	story(t, want, func(w *world) {
+	runScenario(t, want, func(w *fixture) {
 		send := func(c *peer.Caller, n int, fields string) {
 			w.must(c.SendRaw(c.Frame([]byte(`{"type":"setup","id":"` + id(n) + `","fields":{` + fields + `}`))))
 		}
-		c := w.caller()
+		c := w.newCaller()
 		for i, change := range bad {
 			if i%4 == 0 {
-				c = w.caller() // who sends many of them loses the connection
+				c = w.newCaller() // who sends many of them loses the connection
 			}
 			fields := strings.Replace(good, change[0], change[1], 1)
 			if fields == good {
 				t.Fatalf("%s is not in the set-up", change[0])
 			}
 			send(c, i+1, fields)
-			w.hears(c)
+			w.recordMessage(c)
 		}
-		c = w.caller()
+		c = w.newCaller()
 		send(c, 0xfd, strings.Replace(good, "900", "0", 1)) // not wrong, but too late
-		w.hears(c)
-		w.must(c.SetUp(id(0xff), long, 0, "x"))
-		w.must(w.gets(0).Answer("y"))
-		w.hears(c)
+		w.recordMessage(c)
+		w.must(c.SetUp(id(0xff), longTimeout, 0, "x"))
+		w.must(w.recordEvent(0).Answer("y"))
+		w.recordMessage(c)
 	})
 }
 
-func TestWhoSendsOnlyBadSetUpsIsClosed(t *testing.T) {
-	story(t, nil, func(w *world) {
-		c := w.caller()
+func TestAConnectionWithOnlyBadSetUpsIsClosed(t *testing.T) {
+	runScenario(t, nil, func(w *fixture) {
+		c := w.newCaller()
 		for i := range 100 {
 			if c.SendRaw(c.Frame([]byte(`{"type":"setup","id":"`+id(i+1)+`","fields":{"class":"none"}}`))) != nil {
 				break
 			}
 		}
-		w.ends(c)
+		w.waitClosed(c)
 	})
 }
 
 func TestAnIdIsUsedOnce(t *testing.T) {
 	// Under the id of an open set-up, another on the same connection has no answer of its own; one from elsewhere is no
 	// business of the first.
-	story(t, []string{"d0: setup 1 x", "caller: release 1 100", "caller: answer 1 y", "d0: setup 2 x", "caller: release 2 41",
-		"d0: release 2 16"}, func(w *world) {
-		c, other := w.caller(), w.caller()
-		w.must(c.SetUp(id(1), long, 0, "x"))
-		e := w.gets(0)
-		w.must(other.SetUp(id(1), long, 1, "z"))
-		w.hears(other)
+	runScenario(t, []string{"d0: setup 1 x", "caller: release 1 100", "caller: answer 1 y", "d0: setup 2 x", "caller: release 2 41",
+		"d0: release 2 16"}, func(w *fixture) {
+		c, other := w.newCaller(), w.newCaller()
+		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		e := w.recordEvent(0)
+		w.must(other.SetUp(id(1), longTimeout, 1, "z"))
+		w.recordMessage(other)
 		_ = other.Release(id(1), 16) // nor can it go on to end that
-		w.ends(other)
+		w.waitClosed(other)
 		w.must(e.Answer("y"))
-		w.hears(c)
-		w.must(c.SetUp(id(2), long, 0, "x"))
-		w.gets(0)
-		w.must(c.SetUp(id(2), long, 0, "z"))
-		w.hears(c)
-		w.ends(c)
-		w.gets(0)
+		w.recordMessage(c)
+		w.must(c.SetUp(id(2), longTimeout, 0, "x"))
+		w.recordEvent(0)
+		w.must(c.SetUp(id(2), longTimeout, 0, "z"))
+		w.recordMessage(c)
+		w.waitClosed(c)
+		w.recordEvent(0)
 	})
 }
 
-// linked waits until a dispatcher has that many connections.
-func (w *world) linked(d, links int) {
+// waitConnections waits until a dispatcher has that many connections.
+func (w *fixture) waitConnections(d, links int) {
 	w.Helper()
 	for begin := time.Now(); w.dispatchers[d].Links() < links; time.Sleep(5 * time.Millisecond) {
 		if time.Since(begin) > peer.Patience {
@@ -394,7 +394,7 @@
 	}
 }
 
-func TestASpoiltAnswerIsNoAnswer(t *testing.T) {
+func TestAnInvalidAnswerIsNoAnswer(t *testing.T) {
 	// It ends its connection: what it may have established is released, the set-up goes out again after the guard, and others are not touched.
 	for name, answer := range map[string]func(e peer.Event) error{
 		"noise":     func(e peer.Event) error { return e.Answer("\x01\x02\x03") },
@@ -403,12 +403,12 @@
 		"cut short": func(e peer.Event) error { return e.AnswerHalf() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			story(t, []string{"d1: setup 2 x", "d0: setup 1 x", "again", "caller: answer 2 y"}, func(w *world) {
-				c := w.caller()
-				w.must(c.SetUp(id(2), long, 1, "x"))
-				f := w.gets(1)
-				w.must(c.SetUp(id(1), long, 0, "x"))
-				w.must(answer(w.gets(0)))
+			runScenario(t, []string{"d1: setup 2 x", "d0: setup 1 x", "again", "caller: answer 2 y"}, func(w *fixture) {
+				c := w.newCaller()
+				w.must(c.SetUp(id(2), longTimeout, 1, "x"))
+				f := w.recordEvent(1)
+				w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+				w.must(answer(w.recordEvent(0)))
 				wanted := []string{"release", "setup"}
 				if name == "too long" && !strings.HasPrefix(w.dispatchers[0].Address(), "ws") {
 					wanted = []string{"release"} // it could be read, but no message to a caller holds it: it has failed
@@ -418,9 +418,9 @@
 						t.Errorf("got %v, %v, want a %s", e, err, want)
 					}
 				}
-				w.say("again")
+				w.record("again")
 				w.must(f.Answer("y"))
-				w.hears(c)
+				w.recordMessage(c)
 			})
 		})
 	}
@@ -428,88 +428,88 @@
 
 func TestStrayAnswersAreDropped(t *testing.T) {
 	// An answer ahead under another id, and a second copy: neither is answered, released, or taken for another call.
-	story(t, []string{"d0: setup 1 x", "caller: answer 1 y", "d0: setup 2 x", "caller: answer 2 z"}, func(w *world) {
-		c := w.caller()
-		w.must(c.SetUp(id(1), long, 0, "x"))
-		e := w.gets(0)
+	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "d0: setup 2 x", "caller: answer 2 z"}, func(w *fixture) {
+		c := w.newCaller()
+		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		e := w.recordEvent(0)
 		stray := e
 		stray.ID = id(0x99)
 		w.must(stray.Answer("stray"))
 		w.must(stray.Answer("\x01\x02")) // no matter what it holds: the connection is sound
 		w.must(e.Answer("y"))
 		w.must(e.Answer("y"))
-		w.hears(c)
-		w.must(c.SetUp(id(2), long, 0, "x"))
-		w.must(w.gets(0).Answer("z"))
-		w.hears(c)
+		w.recordMessage(c)
+		w.must(c.SetUp(id(2), longTimeout, 0, "x"))
+		w.must(w.recordEvent(0).Answer("z"))
+		w.recordMessage(c)
 	})
 }
 
-func TestALinkThatIsOpenButDeadIsLeft(t *testing.T) {
+func TestAnUnresponsiveConnectionIsAvoided(t *testing.T) {
 	// A later set-up to the same dispatcher has its answer on another connection; the earlier one held until its limit.
-	story(t, []string{"d0: setup 1 x", "d0: setup 2 x", "caller: answer 2 y", "d0: setup 1 x", "caller: answer 1 z"},
-		func(w *world) {
-			w.linked(0, 1)
-			c := w.caller()
-			w.must(c.SetUp(id(1), long, 0, "x"))
-			w.gets(0)
-			w.linked(0, 2)                     // one without a word has another connection opened
+	runScenario(t, []string{"d0: setup 1 x", "d0: setup 2 x", "caller: answer 2 y", "d0: setup 1 x", "caller: answer 1 z"},
+		func(w *fixture) {
+			w.waitConnections(0, 1)
+			c := w.newCaller()
+			w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+			w.recordEvent(0)
+			w.waitConnections(0, 2)            // one without a word has another connection opened
 			time.Sleep(400 * time.Millisecond) // more than they may differ by; a slow machine makes it longer
-			w.must(c.SetUp(id(2), long, 0, "x"))
-			w.must(w.gets(0).Answer("y"))
-			w.hears(c)
-			w.must(w.gets(0).Answer("z"))
-			w.hears(c)
+			w.must(c.SetUp(id(2), longTimeout, 0, "x"))
+			w.must(w.recordEvent(0).Answer("y"))
+			w.recordMessage(c)
+			w.must(w.recordEvent(0).Answer("z"))
+			w.recordMessage(c)
 		})
 }
 
 func TestCallsOfADispatcherThatDiesAreReleased(t *testing.T) {
-	story(t, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 41"}, func(w *world) {
-		c := w.caller()
-		w.must(c.SetUp(id(1), long, 0, "x"))
-		w.must(w.gets(0).Answer("y"))
-		w.hears(c)
+	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 41"}, func(w *fixture) {
+		c := w.newCaller()
+		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		w.must(w.recordEvent(0).Answer("y"))
+		w.recordMessage(c)
 		w.dispatchers[0].Die()
-		w.hears(c)
+		w.recordMessage(c)
 	})
 }
 
-func TestCallsOfADispatcherThatStopsWithoutAWordAreReleased(t *testing.T) {
+func TestCallsOfADispatcherThatStopsSilentlyAreReleased(t *testing.T) {
 	// At the end of a drain a dispatcher left its connections open and said nothing more; new ones were refused. Its
 	// calls were released only when the register told that it was gone, 12 s later.
-	story(t, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 41"}, func(w *world) {
-		c := w.caller()
-		w.must(c.SetUp(id(1), long, 0, "x"))
-		w.must(w.gets(0).Answer("y"))
-		w.hears(c)
+	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 41"}, func(w *fixture) {
+		c := w.newCaller()
+		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		w.must(w.recordEvent(0).Answer("y"))
+		w.recordMessage(c)
 		w.dispatchers[0].Stop()
-		w.hears(c)
+		w.recordMessage(c)
 	})
 }
 
 func TestACallOutlivesItsConnections(t *testing.T) {
 	// No connection owns a call that stands: its end comes in on a new one and goes out on a new one. That holds for a
 	// call from before a restart, too.
-	story(t, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 16", "caller: release 77 41"}, func(w *world) {
-		c := w.caller()
-		w.must(c.SetUp(id(1), long, 0, "x"))
-		w.must(w.gets(0).Answer("y"))
-		w.hears(c)
+	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 16", "caller: release 77 41"}, func(w *fixture) {
+		c := w.newCaller()
+		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		w.must(w.recordEvent(0).Answer("y"))
+		w.recordMessage(c)
 		w.must(c.Close())
 		w.dispatchers[0].Cut()
 		for w.dispatchers[0].Release(id(1), 16) != nil {
 			time.Sleep(10 * time.Millisecond) // until the node has connected again
 		}
 		c = w.connect()
-		w.hears(c)
+		w.recordMessage(c)
 		w.must(w.dispatchers[0].Release(id(0x77), 41))
-		w.hears(c)
+		w.recordMessage(c)
 		w.must(w.dispatchers[0].Release(id(0x77), 41)) // said twice, passed on once
 	})
 }
 
-// ends waits for the controller to close the connection.
-func (w *world) ends(c *peer.Caller) {
+// waitClosed waits for the controller to close the connection.
+func (w *fixture) waitClosed(c *peer.Caller) {
 	w.Helper()
 	for {
 		_, err := c.Next()
@@ -524,132 +524,132 @@
 	}
 }
 
-func TestASetUpAvoidsALinkThatNeverAnswered(t *testing.T) {
+func TestASetUpAvoidsAConnectionThatNeverAnswered(t *testing.T) {
 	// Trial calls to a dispatcher went out one at a time, and all on the one connection that was dead: it was taken for a
 	// dispatcher that does not answer, for the rest of the day.
-	story(t, []string{"d0: setup 1 x", "d0: release 1 16", "d0: setup 2 x", "caller: answer 2 y"}, func(w *world) {
-		w.linked(0, 1)
-		c := w.caller()
-		w.must(c.SetUp(id(1), long, 0, "x"))
-		e := w.gets(0)
+	runScenario(t, []string{"d0: setup 1 x", "d0: release 1 16", "d0: setup 2 x", "caller: answer 2 y"}, func(w *fixture) {
+		w.waitConnections(0, 1)
+		c := w.newCaller()
+		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		e := w.recordEvent(0)
 		w.must(c.Release(id(1), 16))
-		w.gets(0)
-		w.must(c.SetUp(id(2), long, 0, "x"))
-		f := w.gets(0)
+		w.recordEvent(0)
+		w.must(c.SetUp(id(2), longTimeout, 0, "x"))
+		f := w.recordEvent(0)
 		if f.Beside(e) {
 			t.Error("the next set-up went out on the connection on which the last had no answer")
 		}
 		w.must(f.Answer("y"))
-		w.hears(c)
+		w.recordMessage(c)
 	})
 }
 
-func TestASetUpAvoidsALinkThatWasSilentForLong(t *testing.T) {
+func TestASetUpAvoidsAConnectionThatWasIdleForLong(t *testing.T) {
 	// Sent on the connection to a dispatcher that was cut off, a set-up and its withdrawal were stuck and arrived together as
 	// the cut ended, when the call was on its way elsewhere already: sooner than the guard allows.
-	story(t, []string{"d0: setup 1 x", "caller: answer 1 y", "d0: setup 2 x", "caller: answer 2 z"}, func(w *world) {
-		w.linked(0, 1)
-		c := w.caller()
-		w.must(c.SetUp(id(1), long, 0, "x"))
-		e := w.gets(0)
+	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "d0: setup 2 x", "caller: answer 2 z"}, func(w *fixture) {
+		w.waitConnections(0, 1)
+		c := w.newCaller()
+		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		e := w.recordEvent(0)
 		w.must(e.Answer("y"))
-		w.hears(c)
+		w.recordMessage(c)
 		time.Sleep(2600 * time.Millisecond) // a slow machine makes it longer
-		w.must(c.SetUp(id(2), long, 0, "x"))
-		f := w.gets(0)
+		w.must(c.SetUp(id(2), longTimeout, 0, "x"))
+		f := w.recordEvent(0)
 		if f.Beside(e) {
 			t.Error("the set-up went out on a connection that had been silent for 2.6 s")
 		}
 		w.must(f.Answer("z"))
-		w.hears(c)
+		w.recordMessage(c)
 	})
 }
 
-func TestConnectionsThatStayOnMakeRoom(t *testing.T) {
+func TestIdleConnectionsAreEvicted(t *testing.T) {
 	// Callers that asked once and kept their connection used up the descriptors: dispatchers could not be connected to,
 	// and new callers were not accepted. A connection with a set-up open is never closed to make room.
-	storyWithin(t, callers.Bounds{Connections: 2, Silent: long, Idle: long}, []string{"d0: setup 1 x", "d1: setup 2 x",
-		"caller: answer 1 y", "caller: answer 2 y", "caller: release 1 16"}, func(w *world) {
-		c, kept := w.caller(), w.caller()
-		w.must(c.SetUp(id(1), long, 0, "x"))
-		e := w.gets(0)
-		other := w.caller()
-		w.ends(kept)
-		w.must(other.SetUp(id(2), long, 1, "x"))
-		f := w.gets(1)
+	runScenarioWithBounds(t, callers.Bounds{Connections: 2, Silent: longTimeout, Idle: longTimeout}, []string{"d0: setup 1 x", "d1: setup 2 x",
+		"caller: answer 1 y", "caller: answer 2 y", "caller: release 1 16"}, func(w *fixture) {
+		c, kept := w.newCaller(), w.newCaller()
+		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		e := w.recordEvent(0)
+		other := w.newCaller()
+		w.waitClosed(kept)
+		w.must(other.SetUp(id(2), longTimeout, 1, "x"))
+		f := w.recordEvent(1)
 		w.must(e.Answer("y"))
-		w.hears(c)
+		w.recordMessage(c)
 		w.must(f.Answer("y"))
-		w.hears(other)
-		_ = w.caller()
-		w.ends(c) // idle for longer than the other
+		w.recordMessage(other)
+		_ = w.newCaller()
+		w.waitClosed(c) // idle for longer than the other
 		w.must(w.dispatchers[0].Release(id(1), 16))
-		w.hears(other) // its call's end comes on one that is open
+		w.recordMessage(other) // its call's end comes on one that is open
 	})
 }
 
 func TestAConnectionIsKeptWhileItsCallStands(t *testing.T) {
 	// Its caller keeps it for as long, and may send a set-up on it at any moment: that crossed the close, and was lost.
 	idle := 2 * time.Second
-	storyWithin(t, callers.Bounds{Silent: long, Idle: idle}, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 16"},
-		func(w *world) {
-			c := w.caller()
-			w.must(c.SetUp(id(1), long, 0, "x"))
-			w.must(w.gets(0).Answer("y"))
-			w.hears(c)
+	runScenarioWithBounds(t, callers.Bounds{Silent: longTimeout, Idle: idle}, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 16"},
+		func(w *fixture) {
+			c := w.newCaller()
+			w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+			w.must(w.recordEvent(0).Answer("y"))
+			w.recordMessage(c)
 			time.Sleep(idle + idle/2)
 			w.must(c.Send(jsonl.Message{Type: "ping", ID: id(0)}))
 			if m, err := c.Next(); err != nil || m.Type != "pong" {
 				t.Errorf("got %v, %v", m, err)
 			}
 			w.must(w.dispatchers[0].Release(id(1), 16))
-			w.hears(c)
-			w.ends(c)
+			w.recordMessage(c)
+			w.waitClosed(c)
 		})
 }
 
-func TestConnectionsOfNoUseAreClosed(t *testing.T) {
+func TestUnusedConnectionsAreClosed(t *testing.T) {
 	// Hundreds connect and say nothing, send half a message, or stay on after their call.
 	soon := 50 * time.Millisecond
 	for name, test := range map[string]struct {
 		bounds callers.Bounds
-		say    func(w *world, c *peer.Caller)
+		say    func(w *fixture, c *peer.Caller)
 	}{
-		"silent": {callers.Bounds{Silent: soon, Idle: long}, func(*world, *peer.Caller) {}},
-		"half a message": {callers.Bounds{Silent: soon, Idle: long}, func(w *world, c *peer.Caller) {
+		"silent": {callers.Bounds{Silent: soon, Idle: longTimeout}, func(*fixture, *peer.Caller) {}},
+		"half a message": {callers.Bounds{Silent: soon, Idle: longTimeout}, func(w *fixture, c *peer.Caller) {
 			whole := c.Frame([]byte(`{"type":"ping","id":"` + id(3) + `"}`))
 			w.must(c.SendRaw(whole[:len(whole)/2]))
 		}},
-		"taken back": {callers.Bounds{Silent: soon, Idle: long}, func(w *world, c *peer.Caller) {
-			w.must(c.SetUp(id(1), long, 0, "x"))
+		"taken back": {callers.Bounds{Silent: soon, Idle: longTimeout}, func(w *fixture, c *peer.Caller) {
+			w.must(c.SetUp(id(1), longTimeout, 0, "x"))
 			w.must(c.Release(id(1), 16))
 		}},
-		"idle": {callers.Bounds{Silent: long, Idle: soon}, func(w *world, c *peer.Caller) {
+		"idle": {callers.Bounds{Silent: longTimeout, Idle: soon}, func(w *fixture, c *peer.Caller) {
 			w.must(c.Send(jsonl.Message{Type: "ping", ID: id(0)}))
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			storyWithin(t, test.bounds, nil, func(w *world) {
+			runScenarioWithBounds(t, test.bounds, nil, func(w *fixture) {
 				c := w.connect()
 				test.say(w, c)
-				w.ends(c)
+				w.waitClosed(c)
 			})
 		})
 	}
 }
 
-func TestAPlannedRestartIsServedOut(t *testing.T) {
-	story(t, []string{"d0: setup 1 x", "d1: setup 2 x", "caller: answer 1 y", "caller: answer 2 y"}, func(w *world) {
-		c := w.caller()
-		w.must(c.SetUp(id(1), long, 0, "x"))
-		e := w.gets(0)
+func TestAPlannedRestartCompletesOpenSetUps(t *testing.T) {
+	runScenario(t, []string{"d0: setup 1 x", "d1: setup 2 x", "caller: answer 1 y", "caller: answer 2 y"}, func(w *fixture) {
+		c := w.newCaller()
+		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		e := w.recordEvent(0)
 		w.node.drain()
-		w.must(c.SetUp(id(2), long, 1, "x")) // still on its way when the signal came
-		f := w.gets(1)
+		w.must(c.SetUp(id(2), longTimeout, 1, "x")) // still on its way when the signal came
+		f := w.recordEvent(1)
 		w.must(e.Answer("y"))
-		w.hears(c)
+		w.recordMessage(c)
 		w.must(f.Answer("y"))
-		w.hears(c)
+		w.recordMessage(c)
 		select {
 		case err := <-w.done:
 			w.must(err)
@@ -662,23 +662,23 @@
 	})
 }
 
-// TestAnEndOnAConnectionThatWasGivenUp: a dispatcher stands still, and a connection to it is given up as dead. As it goes on, it tells the
+// TestAnEndOnAnAbandonedConnection: a dispatcher stands still, and a connection to it is given up as dead. As it goes on, it tells the
 // end of a call there, before it sees that the connection has closed; a new one is open already, so it is told nowhere else.
-func TestAnEndOnAConnectionThatWasGivenUp(t *testing.T) {
-	story(t, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 2 42 wait 2000", "caller: release 1 16"}, func(w *world) {
-		c := w.caller()
-		w.must(c.SetUp(id(1), long, 0, "x"))
-		stands := w.gets(0)
+func TestAnEndOnAnAbandonedConnection(t *testing.T) {
+	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 2 42 wait 2000", "caller: release 1 16"}, func(w *fixture) {
+		c := w.newCaller()
+		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		stands := w.recordEvent(0)
 		w.must(stands.Answer("y"))
-		w.hears(c)
+		w.recordMessage(c)
 		d := w.dispatchers[0]
 		d.Rest()
 		w.dispatchers[1].Die()
 		w.must(c.SetUp(id(2), 300*time.Millisecond, 0, "x"))
-		w.hears(c)
+		w.recordMessage(c)
 		time.Sleep(time.Second) // longer than what was sent before takes to arrive
 		w.must(stands.ReleaseHere(id(1), 16))
-		w.hears(c)
+		w.recordMessage(c)
 		d.Wake()
 	})
 }
--- a/cmd/cherryrelay/terms_leaving_test.go
+++ b/cmd/cherryrelay/cancel_test.go
@@ -11,7 +11,7 @@
 	"cherryrelay/internal/peer"
 )
 
-// The term: a client that closed or cancelled has gone, and no attempt, first or further, begins more than leftAfter later. The client
+// The term: a client that closed or cancelled has gone, and no attempt, first or further, begins more than maxSendDelay later. The client
 // leaves just over that long before what its set-up waits for comes, so that any set-up that is sent breaks the term, on a slow machine too.
 
 // schedulerMeter records how long the process was kept from running.
@@ -28,10 +28,10 @@
 const (
 	// meterPeriod is the sleep whose overrun is measured.
 	meterPeriod = time.Millisecond
-	// usualOverrun of a sleep is no sign of a busy machine.
-	usualOverrun = 2 * time.Millisecond
-	// meterKeeps is the age up to which delays are kept.
-	meterKeeps = time.Minute
+	// normalOverrun of a sleep is no sign of a busy machine.
+	normalOverrun = 2 * time.Millisecond
+	// meterRetention is the age up to which delays are kept.
+	meterRetention = time.Minute
 )
 
 var startMeter = sync.OnceValue(func() *schedulerMeter {
@@ -46,7 +46,7 @@
 		time.Sleep(meterPeriod)
 		end := time.Now()
 		lost := end.Sub(begin) - meterPeriod
-		if lost <= usualOverrun {
+		if lost <= normalOverrun {
 			continue
 		}
 		m.add(schedulerDelay{end, lost})
@@ -57,13 +57,13 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.delays = append(m.delays, d)
-	for d.end.Sub(m.delays[0].end) > meterKeeps {
+	for d.end.Sub(m.delays[0].end) > meterRetention {
 		m.delays = m.delays[1:]
 	}
 }
 
-// between is the time between two instants that was lost to scheduling: that in which any delay lasted.
-func (m *schedulerMeter) between(from, to time.Time) time.Duration {
+// delayBetween is the time between two instants that was lost to scheduling: that in which any delay lasted.
+func (m *schedulerMeter) delayBetween(from, to time.Time) time.Duration {
 	time.Sleep(2 * meterPeriod) // for a delay that spans the last instant to be recorded
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -84,115 +84,115 @@
 	return lost
 }
 
-// leaving is a state in which a set-up waits. hold leaves the set-up with the number n in it, and returns the earliest time at which it may
+// pendingState is a state in which a set-up waits. hold leaves the set-up with the number n in it, and returns the earliest time at which it may
 // be sent on by itself, zero if it needs next, which then brings what it waits for.
-type leaving struct {
+type pendingState struct {
 	late   bool // connections to the first dispatcher come up only once it is opened
 	drains bool
-	hold   func(w *world, c *peer.Caller, n int) (sendable time.Time, next func())
+	hold   func(w *fixture, c *peer.Caller, n int) (sendable time.Time, next func())
 }
 
-// margin is how much more than leftAfter before the end of its wait a client leaves.
-const margin = 50 * time.Millisecond
+// cancelMargin is how much more than maxSendDelay before the end of its wait a client leaves.
+const cancelMargin = 50 * time.Millisecond
 
-func nothing() {}
+func noop() {}
 
-var leavings = map[string]leaving{
-	"held for credit": {hold: func(w *world, c *peer.Caller, n int) (time.Time, func()) {
-		other := w.asks()
-		w.full(other, 0x500)
+var pendingStates = map[string]pendingState{
+	"held for credit": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
+		other := w.newConfiguredCaller()
+		w.exhaustLines(other, 0x500)
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		w.taken(1)
+		w.waitInFlight(1)
 		return time.Time{}, func() {
 			for _, d := range w.dispatchers {
 				_ = d.Report("x0:40;x1:40") // on those of its connections that are open still
 			}
 		}
 	}},
-	"in the guard after a reset": {hold: func(w *world, c *peer.Caller, n int) (time.Time, func()) {
+	"in the guard after a reset": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		e := w.gets(0)
+		e := w.recordEvent(0)
 		reset := time.Now()
 		w.must(e.Reset())
-		return reset.Add(w.guard()), nothing
+		return reset.Add(w.guard()), noop
 	}},
-	"in the guard after an answer that tells a break": {hold: func(w *world, c *peer.Caller, n int) (time.Time, func()) {
+	"in the guard after an answer that tells a break": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		e := w.gets(0)
+		e := w.recordEvent(0)
 		broke := time.Now()
 		w.must(e.Refuse(peer.Broken))
-		return broke.Add(w.guard()), nothing
+		return broke.Add(w.guard()), noop
 	}},
-	"in the guard, draining": {drains: true, hold: func(w *world, c *peer.Caller, n int) (time.Time, func()) {
+	"in the guard, draining": {drains: true, hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		e := w.gets(0)
+		e := w.recordEvent(0)
 		w.node.drain()
 		reset := time.Now()
 		w.must(e.Reset())
-		return reset.Add(w.guard()), nothing
+		return reset.Add(w.guard()), noop
 	}},
-	"out, and refused later": {hold: func(w *world, c *peer.Caller, n int) (time.Time, func()) {
+	"out, and refused later": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		e := w.gets(0)
+		e := w.recordEvent(0)
 		return time.Time{}, func() { _ = e.Refuse(peer.NoLine) } // the connection may be closed by then, which ends the attempt as well
 	}},
-	"out, and its connection is reset later": {hold: func(w *world, c *peer.Caller, n int) (time.Time, func()) {
+	"out, and its connection is reset later": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		e := w.gets(0)
+		e := w.recordEvent(0)
 		return time.Time{}, func() { _ = e.Reset() } // as above
 	}},
-	"waits for a connection": {late: true, hold: func(w *world, c *peer.Caller, n int) (time.Time, func()) {
+	"waits for a connection": {late: true, hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		w.taken(1)
+		w.waitInFlight(1)
 		return time.Time{}, w.dispatchers[0].Open
 	}},
-	"lies before a busy loop": {hold: func(w *world, c *peer.Caller, n int) (time.Time, func()) {
-		w.linked(0, 1)
-		free := w.holds()
+	"lies before a busy loop": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
+		w.waitConnections(0, 1)
+		free := w.pauseLoop()
 		before := w.node.loop.Pending()
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		w.queued(before + 1)
+		w.waitQueued(before + 1)
 		return time.Time{}, func() {
 			other := w.node.loop.Pending()
 			behind, err := peer.Call("tcp", w.node.lines.Address())
 			w.must(err)
 			defer behind.Close()
 			w.must(behind.Send(jsonl.Message{Type: "ping", ID: id(0)})) // it is read behind the leaving
-			w.queued(other + 1)
+			w.waitQueued(other + 1)
 			free()
 		}
 	}},
 }
 
-func (w *world) guard() time.Duration {
+func (w *fixture) guard() time.Duration {
 	return time.Duration(w.node.config.Settings.FamilyInfo.GuardUs) * time.Microsecond
 }
 
-// leaves has a client leave in a state, leftAfter before it is over, and reports whether that was in time.
-func (w *world) leaves(state leaving, leave func(w *world, c *peer.Caller, n int) error) (inTime bool) {
+// cancelWhilePending has a client leave in a state, maxSendDelay before it is over, and reports whether that was in time.
+func (w *fixture) cancelWhilePending(state pendingState, leave func(w *fixture, c *peer.Caller, n int) error) (inTime bool) {
 	w.Helper()
 	const number = 1
-	c := w.asks()
+	c := w.newConfiguredCaller()
 	sendable, next := state.hold(w, c, number)
 	if !sendable.IsZero() {
-		time.Sleep(time.Until(sendable.Add(-leftAfter - margin)))
+		time.Sleep(time.Until(sendable.Add(-maxSendDelay - cancelMargin)))
 	}
 	w.must(leave(w, c, number))
 	left := time.Now()
-	if inTime = sendable.IsZero() || left.Before(sendable.Add(-leftAfter)); !inTime {
+	if inTime = sendable.IsZero() || left.Before(sendable.Add(-maxSendDelay)); !inTime {
 		return false
 	}
 	if sendable.IsZero() {
-		time.Sleep(leftAfter)
+		time.Sleep(maxSendDelay)
 	}
 	next()
 	if !state.drains { // one that drains may have ended by now
-		w.taken(0)
+		w.waitInFlight(0)
 	}
 	if state.late {
-		w.linked(0, 1) // a second later
+		w.waitConnections(0, 1) // a second later
 	}
-	time.Sleep(w.guard() + leftAfter) // longer than any wait of its own
+	time.Sleep(w.guard() + maxSendDelay) // longer than any wait of its own
 	for i, d := range w.dispatchers {
 		for len(d.Events) > 0 {
 			if e := <-d.Events; e.Kind == "setup" && e.ID == id(number) {
@@ -203,13 +203,13 @@
 	return true
 }
 
-// TestNothingIsSentATenthAfterItsClientLeft: every way of leaving in every state, over both fronts, with unlike settings in turn.
-func TestNothingIsSentATenthAfterItsClientLeft(t *testing.T) {
-	customers := unlike(t)
+// TestNothingIsSentAfterACancellation: every way of leaving in every state, over both fronts, with unlike settings in turn.
+func TestNothingIsSentAfterACancellation(t *testing.T) {
+	customers := differingSettings(t)
 	names := []string{"one class", "two classes", "three classes"}
 	turn := 0
-	for name, state := range leavings {
-		for way, leave := range ways {
+	for name, state := range pendingStates {
+		for way, leave := range cancellations {
 			for _, transport := range []string{"tcp", "ws"} {
 				turn++
 				customer := names[turn%len(names)]
@@ -217,7 +217,7 @@
 					t.Parallel()
 					for inTime := false; !inTime; { // a machine that is too slow for the order tries again
 						s := *customers[customer]
-						inTime = crossing(t, transport, "tcp", state.late, &s).leaves(state, leave)
+						inTime = newFixtureWithSettings(t, transport, "tcp", state.late, &s).cancelWhilePending(state, leave)
 					}
 				})
 			}
--- a/cmd/cherryrelay/closes_test.go
+++ b/cmd/cherryrelay/closes_test.go
@@ -10,8 +10,8 @@
 	"cherryrelay/internal/peer"
 )
 
-// answersOf reads the final answers to the set-ups of the given numbers, in any order, and then the end of the connection.
-func (w *world) answersOf(c *peer.Caller, numbers ...int) map[int]*jsonl.Message {
+// finalAnswers reads the final answers to the set-ups of the given numbers, in any order, and then the end of the connection.
+func (w *fixture) finalAnswers(c *peer.Caller, numbers ...int) map[int]*jsonl.Message {
 	w.Helper()
 	answers := map[int]*jsonl.Message{}
 	for {
@@ -35,26 +35,26 @@
 	return answers
 }
 
-// frames are set-ups in one segment.
-func (w *world) frames(c *peer.Caller, numbers ...int) []byte {
+// encodeSetUps are set-ups in one segment.
+func (w *fixture) encodeSetUps(c *peer.Caller, numbers ...int) []byte {
 	w.Helper()
 	var text []byte
 	for _, n := range numbers {
-		text = append(text, w.frame(c, n)...)
+		text = append(text, w.encodeSetUp(c, n)...)
 	}
 	return text
 }
 
-// TestEverySetUpOnAConnectionWithoutRoomIsRefused guards against set-ups that are lost behind the first refusal.
-func TestEverySetUpOnAConnectionWithoutRoomIsRefused(t *testing.T) {
+// TestEverySetUpBeyondTheConnectionLimitIsRefused guards against set-ups that are lost behind the first refusal.
+func TestEverySetUpBeyondTheConnectionLimitIsRefused(t *testing.T) {
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
-			w := newWorldWithin(t, transport, "tcp", callers.Bounds{Connections: 2, Silent: long, Idle: long})
+			w := newFixture(t, transport, "tcp", callers.Bounds{Connections: 2, Silent: longTimeout, Idle: longTimeout})
 			w.fillConnections(2)
 			c := w.connect()
-			w.must(c.SendRaw(w.frames(c, 1, 2, 3)))
-			for n, m := range w.answersOf(c, 1, 2, 3) {
+			w.must(c.SendRaw(w.encodeSetUps(c, 1, 2, 3)))
+			for n, m := range w.finalAnswers(c, 1, 2, 3) {
 				if m.CauseOr(0) != call.CauseCongestion || m.Fields["wait"] == "" {
 					t.Errorf("set-up %d is told %+v: want a refusal with a time to come back", n, m)
 				}
@@ -68,10 +68,10 @@
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
-			w := newWorldWithin(t, transport, "tcp", callers.Bounds{Silent: long, Idle: long})
+			w := newFixture(t, transport, "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
 			c := w.connect()
-			w.must(c.SendRaw(w.frames(c, 1, 1, 2, 3))) // the second 1 can't be told from the first
-			w.answersOf(c, 1, 2, 3)
+			w.must(c.SendRaw(w.encodeSetUps(c, 1, 1, 2, 3))) // the second 1 can't be told from the first
+			w.finalAnswers(c, 1, 2, 3)
 		})
 	}
 }
@@ -79,12 +79,12 @@
 // TestASetUpAheadOfAFloodOverTheAPI is the story of the flood for the other front.
 func TestASetUpAheadOfAFloodOverTheAPI(t *testing.T) {
 	t.Parallel()
-	w := newWorldWithin(t, "ws", "tcp", callers.Bounds{Silent: long, Idle: long})
+	w := newFixture(t, "ws", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
 	c := w.connect()
-	free := w.holds()
+	free := w.pauseLoop()
 	before := w.node.loop.Pending()
-	w.must(c.SendRaw(w.frame(c, 1)))
-	w.queued(before + 1)
+	w.must(c.SendRaw(w.encodeSetUp(c, 1)))
+	w.waitQueued(before + 1)
 	text := c.Frame([]byte(`{"type":"progress","id":"` + id(2) + `","fields":{}}`))
 	var flood []byte
 	for len(flood) < 1<<20 {
@@ -93,35 +93,35 @@
 	w.must(c.SetWriteDeadline(time.Now().Add(time.Second)))
 	_ = c.SendRaw(flood)
 	free()
-	w.answersOf(c, 1)
+	w.finalAnswers(c, 1)
 }
 
-// TestARestThatComesAsItsTimeIsUp guards against a set-up that is lost as its last part comes in the moment in which its time is up.
-func TestARestThatComesAsItsTimeIsUp(t *testing.T) {
+// TestASetUpCompletedAsItsTimeoutExpires guards against a set-up that is lost as its last part comes in the moment in which its time is up.
+func TestASetUpCompletedAsItsTimeoutExpires(t *testing.T) {
 	const silent = 200 * time.Millisecond
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
-			w := newWorldWithin(t, transport, "tcp", callers.Bounds{Silent: silent, Idle: long})
+			w := newFixture(t, transport, "tcp", callers.Bounds{Silent: silent, Idle: longTimeout})
 			c := w.connect()
-			text := w.frame(c, 1)
+			text := w.encodeSetUp(c, 1)
 			w.must(c.SendRaw(text[:len(text)/2]))
 			time.Sleep(silent / 2) // it is taken in
-			free := w.holds()
+			free := w.pauseLoop()
 			before := w.node.loop.Pending()
 			w.must(c.SendRaw(text[len(text)/2:]))
-			w.queued(before + 1)
+			w.waitQueued(before + 1)
 			time.Sleep(silent) // its time is up by now
 			free()
-			w.must(w.gets(0).Answer("y"))
-			if m := w.answersOfOne(c); m.Type != "answer" {
+			w.must(w.recordEvent(0).Answer("y"))
+			if m := w.nextMessage(c); m.Type != "answer" {
 				t.Errorf("%+v: want the answer", m)
 			}
 		})
 	}
 }
 
-func (w *world) answersOfOne(c *peer.Caller) *jsonl.Message {
+func (w *fixture) nextMessage(c *peer.Caller) *jsonl.Message {
 	w.Helper()
 	m, err := c.Next()
 	w.must(err)
@@ -133,23 +133,23 @@
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
-			w := newWorldWithin(t, transport, "tcp", callers.Bounds{Silent: long, Idle: long})
-			other, stood := w.caller(), w.caller()
+			w := newFixture(t, transport, "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+			other, stood := w.newCaller(), w.newCaller()
 			for n, c := range []*peer.Caller{other, stood} {
-				w.must(c.SetUp(id(n+1), long, 0, "x"))
-				w.must(w.gets(0).Answer("y"))
-				w.hears(c)
+				w.must(c.SetUp(id(n+1), longTimeout, 0, "x"))
+				w.must(w.recordEvent(0).Answer("y"))
+				w.recordMessage(c)
 			}
-			free := w.holds()
+			free := w.pauseLoop()
 			before := w.node.loop.Pending()
 			w.must(w.dispatchers[0].Release(id(2), call.CauseNormal))
-			w.queued(before + 1)
+			w.waitQueued(before + 1)
 			w.node.loop.Post(func() { // in the same turn, behind the end
 				_ = stood.Close()
 				time.Sleep(400 * time.Millisecond)
 			})
 			free()
-			if m := w.answersOfOne(other); m.Type != "release" || m.ID != id(2) {
+			if m := w.nextMessage(other); m.Type != "release" || m.ID != id(2) {
 				t.Errorf("%+v: want the end of the other call", m)
 			}
 		})
--- a/cmd/cherryrelay/crossings_test.go
+++ b/cmd/cherryrelay/crossings_test.go
@@ -19,8 +19,8 @@
 
 // What ends things crosses what begins them: docs/crossings.md has the table. Here each order is forced.
 
-// unlike are three customers' settings that have nothing in common but what the rules are made of.
-func unlike(t *testing.T) map[string]*settings.Settings {
+// differingSettings are three customers' settings that have nothing in common but what the rules are made of.
+func differingSettings(t *testing.T) map[string]*settings.Settings {
 	t.Helper()
 	two, three := testSettings(t), testSettings(t)
 	class := func(s *settings.Settings, name string, aim, deadline time.Duration) {
@@ -45,8 +45,8 @@
 	return all
 }
 
-// crossing is a world of unlike settings; with late, no connection to its first dispatcher comes up before that is opened.
-func crossing(t *testing.T, transport, dispatchers string, late bool, s *settings.Settings) *world {
+// newFixtureWithSettings is a world of unlike settings; with late, no connection to its first dispatcher comes up before that is opened.
+func newFixtureWithSettings(t *testing.T, transport, dispatchers string, late bool, s *settings.Settings) *fixture {
 	t.Helper()
 	var d [2]*peer.Dispatcher
 	for i := range d {
@@ -60,13 +60,13 @@
 			t.Fatal(err)
 		}
 	}
-	return newWorldOf(t, "127.0.0.1:0", "127.0.0.1:0", transport, d, callers.Bounds{Silent: long, Idle: long}, s)
+	return newFixtureWith(t, "127.0.0.1:0", "127.0.0.1:0", transport, d, callers.Bounds{Silent: longTimeout, Idle: longTimeout}, s)
 }
 
-// asks is a caller that names the last class and the first tenant of the settings.
-func (w *world) asks() *peer.Caller {
+// newConfiguredCaller is a caller that names the last class and the first tenant of the settings.
+func (w *fixture) newConfiguredCaller() *peer.Caller {
 	w.Helper()
-	c := w.caller()
+	c := w.newCaller()
 	s := w.node.config.Settings
 	c.Class, c.Tenant = s.RequestClasses[len(s.RequestClasses)-1].Name, ""
 	if len(s.Tenants) > 0 {
@@ -75,8 +75,8 @@
 	return c
 }
 
-// told has the node take in changes of its list, and returns once it has.
-func (w *world) told(d int, status control.ServerStatus) {
+// updateStatus has the node take in changes of its list, and returns once it has.
+func (w *fixture) updateStatus(d int, status control.ServerStatus) {
 	w.Helper()
 	s := w.list.Servers[d]
 	s.Status = status
@@ -85,16 +85,16 @@
 	<-taken
 }
 
-// holds stops the loop and returns what lets it go on.
-func (w *world) holds() (free func()) {
+// pauseLoop stops the loop and returns what lets it go on.
+func (w *fixture) pauseLoop() (free func()) {
 	held, freed := make(chan struct{}), make(chan struct{})
 	w.node.loop.Post(func() { close(held); <-freed })
 	<-held
 	return func() { close(freed) }
 }
 
-// queued waits until so many things lie before the loop.
-func (w *world) queued(n int) {
+// waitQueued waits until so many things lie before the loop.
+func (w *fixture) waitQueued(n int) {
 	w.Helper()
 	for until := time.Now().Add(peer.Patience); w.node.loop.Pending() < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
@@ -103,14 +103,14 @@
 	}
 }
 
-// full has a dispatcher without a free line, and waits until the node knows: what follows on the same connection has come through.
-func (w *world) full(c *peer.Caller, mark int) {
+// exhaustLines has a dispatcher without a free line, and waits until the node knows: what follows on the same connection has come through.
+func (w *fixture) exhaustLines(c *peer.Caller, mark int) {
 	w.Helper()
 	w.must(c.SetUp(id(mark+0x10), 20*time.Second, 0, "stands, so that its caller is told ends"))
-	w.must(w.gets(0).Answer("y"))
-	w.hears(c)
+	w.must(w.recordEvent(0).Answer("y"))
+	w.recordMessage(c)
 	for i, d := range w.dispatchers {
-		w.linked(i, 1)
+		w.waitConnections(i, 1)
 		w.must(d.Report("x0:0;x1:40"))
 		w.must(d.Release(id(mark+i), 16))
 		if m, err := c.Next(); err != nil || m.ID != id(mark+i) {
@@ -118,17 +118,17 @@
 		}
 	}
 	w.must(c.Release(id(mark+0x10), 31))
-	w.gets(0)
-	w.taken(0)
+	w.recordEvent(0)
+	w.waitInFlight(0)
 }
 
-// ways are those in which a caller leaves a set-up.
-var ways = map[string]func(w *world, c *peer.Caller, n int) error{
-	"release":    func(_ *world, c *peer.Caller, n int) error { return c.Release(id(n), call.CauseNormal) },
-	"FIN":        func(_ *world, c *peer.Caller, _ int) error { return c.Close() },
-	"RST":        func(_ *world, c *peer.Caller, _ int) error { return c.Reset() },
-	"half-close": func(_ *world, c *peer.Caller, _ int) error { return c.CloseWrite() },
-	"close frame": func(w *world, c *peer.Caller, _ int) error {
+// cancellations are those in which a caller leaves a set-up.
+var cancellations = map[string]func(w *fixture, c *peer.Caller, n int) error{
+	"release":    func(_ *fixture, c *peer.Caller, n int) error { return c.Release(id(n), call.CauseNormal) },
+	"FIN":        func(_ *fixture, c *peer.Caller, _ int) error { return c.Close() },
+	"RST":        func(_ *fixture, c *peer.Caller, _ int) error { return c.Reset() },
+	"half-close": func(_ *fixture, c *peer.Caller, _ int) error { return c.CloseWrite() },
+	"close frame": func(w *fixture, c *peer.Caller, _ int) error {
 		if w.transport != "ws" {
 			return c.Close()
 		}
@@ -136,43 +136,43 @@
 	},
 }
 
-// waits are the states in which a set-up waits. Each leaves the set-up n waiting; then has what it waits for come.
-var waits = map[string]struct {
+// waitingStates are the states in which a set-up waits. Each leaves the set-up n waiting; then has what it waits for come.
+var waitingStates = map[string]struct {
 	late bool
-	hold func(w *world, c *peer.Caller, n int) (then func())
+	hold func(w *fixture, c *peer.Caller, n int) (then func())
 }{
-	"credit": {false, func(w *world, c *peer.Caller, n int) func() {
-		other := w.asks()
-		w.full(other, 0x500)
+	"credit": {false, func(w *fixture, c *peer.Caller, n int) func() {
+		other := w.newConfiguredCaller()
+		w.exhaustLines(other, 0x500)
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		w.taken(1)
+		w.waitInFlight(1)
 		return func() {
 			for _, d := range w.dispatchers {
 				w.must(d.Report("x0:40;x1:40"))
 			}
 		}
 	}},
-	"guard": {false, func(w *world, c *peer.Caller, n int) func() {
+	"guard": {false, func(w *fixture, c *peer.Caller, n int) func() {
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		w.must(w.gets(0).Reset())
+		w.must(w.recordEvent(0).Reset())
 		return func() {}
 	}},
-	"guard, draining": {false, func(w *world, c *peer.Caller, n int) func() {
+	"guard, draining": {false, func(w *fixture, c *peer.Caller, n int) func() {
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		e := w.gets(0)
+		e := w.recordEvent(0)
 		w.node.drain()
 		w.must(e.Reset())
 		return func() {}
 	}},
-	"a connection that comes up late": {true, func(w *world, c *peer.Caller, n int) func() {
+	"a connection that comes up late": {true, func(w *fixture, c *peer.Caller, n int) func() {
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		w.taken(1)
+		w.waitInFlight(1)
 		return w.dispatchers[0].Open
 	}},
 }
 
-// taken waits until the node has so many open set-ups.
-func (w *world) taken(n int) {
+// waitInFlight waits until the node has so many open set-ups.
+func (w *fixture) waitInFlight(n int) {
 	w.Helper()
 	for until := time.Now().Add(peer.Patience); ; time.Sleep(time.Millisecond) {
 		text := make(chan string)
@@ -189,36 +189,36 @@
 	}
 }
 
-// leftAfter is how long after a caller has left a set-up of it may still go out, less what scheduling took meanwhile.
-const leftAfter = 100 * time.Millisecond
+// maxSendDelay is how long after a caller has left a set-up of it may still go out, less what scheduling took meanwhile.
+const maxSendDelay = 100 * time.Millisecond
 
-// TestWhoHasLeftIsNotSentOn: over both fronts, every way of leaving in every state of waiting, with unlike settings. What the set-up
+// TestACancelledSetUpIsNotSent: over both fronts, every way of leaving in every state of waiting, with unlike settings. What the set-up
 // waited for comes as its caller has left.
-func TestWhoHasLeftIsNotSentOn(t *testing.T) {
-	customers := unlike(t)
-	for name, wait := range waits {
+func TestACancelledSetUpIsNotSent(t *testing.T) {
+	customers := differingSettings(t)
+	for name, wait := range waitingStates {
 		for customer := range customers {
-			for way, leave := range ways {
+			for way, leave := range cancellations {
 				for _, transport := range []string{"tcp", "ws"} {
 					t.Run(strings.Join([]string{name, customer, way, transport}, ", "), func(t *testing.T) {
 						t.Parallel()
 						s := *customers[customer]
-						w := crossing(t, transport, "tcp", wait.late, &s)
-						c := w.asks()
+						w := newFixtureWithSettings(t, transport, "tcp", wait.late, &s)
+						c := w.newConfiguredCaller()
 						meter := startMeter()
 						then := wait.hold(w, c, 1)
 						left := time.Now()
 						w.must(leave(w, c, 1))
 						then()
-						w.taken(0)
+						w.waitInFlight(0)
 						if wait.late {
-							w.linked(0, 1) // a second later
+							w.waitConnections(0, 1) // a second later
 						}
 						time.Sleep(time.Duration(s.FamilyInfo.GuardUs)*time.Microsecond + 100*time.Millisecond) // longer than any wait of its own
 						for last, d := range w.dispatchers {
 							for len(d.Events) > 0 {
 								e := <-d.Events
-								if e.Kind == "setup" && e.ID == id(1) && e.At.Sub(left)-meter.between(left, e.At) > leftAfter {
+								if e.Kind == "setup" && e.ID == id(1) && e.At.Sub(left)-meter.delayBetween(left, e.At) > maxSendDelay {
 									t.Errorf("d%d was sent the set-up %v after its caller had left", last, e.At.Sub(left))
 								}
 							}
@@ -230,32 +230,32 @@
 	}
 }
 
-// TestLeftBehindASetUp: a set-up comes with its caller's end, in one segment or behind more than a connection takes in at once, while
+// TestACancellationRightBehindASetUp: a set-up comes with its caller's end, in one segment or behind more than a connection takes in at once, while
 // the loop is busy. Nothing is sent, and nothing is owed.
-func TestLeftBehindASetUp(t *testing.T) {
+func TestACancellationRightBehindASetUp(t *testing.T) {
 	for name, more := range map[string]int{"one segment": 0, "more than is read at once": 600} {
 		for _, transport := range []string{"tcp", "ws"} {
 			t.Run(name+", "+transport, func(t *testing.T) {
 				t.Parallel()
-				w := crossing(t, transport, "tcp", false, testSettings(t))
-				c := w.caller()
-				w.linked(0, 1)
-				text, err := jsonl.Append(nil, c.Asks(id(1), long, 0, "x"))
+				w := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
+				c := w.newCaller()
+				w.waitConnections(0, 1)
+				text, err := jsonl.Append(nil, c.Asks(id(1), longTimeout, 0, "x"))
 				w.must(err)
 				bytes := c.Frame(text)
 				for range more {
 					bytes = append(bytes, c.Frame([]byte(`{"type":"progress","id":"`+id(2)+`","fields":{}}`))...)
 				}
-				free := w.holds()
+				free := w.pauseLoop()
 				w.must(c.SendRaw(bytes))
 				w.must(c.Close())
-				w.queued(1)
+				w.waitQueued(1)
 				time.Sleep(50 * time.Millisecond) // for the end to come as well; later, it is seen as the set-up is about to go out
 				free()
-				w.taken(0)
-				other := w.caller()
-				w.must(other.SetUp(id(3), long, 0, "y"))
-				if e := w.gets(0); e.ID != id(3) {
+				w.waitInFlight(0)
+				other := w.newCaller()
+				w.must(other.SetUp(id(3), longTimeout, 0, "y"))
+				if e := w.recordEvent(0); e.ID != id(3) {
 					t.Errorf("a %s for %s went out: its caller had left before", e.Kind, e.ID)
 				}
 			})
@@ -266,32 +266,32 @@
 // TestADrainWhileAConnectionComesUp: a set-up waits for the connection to a dispatcher, which is told to be leaving before that comes
 // up. It was sent a second later, beyond any customer's grace; it goes elsewhere at once.
 func TestADrainWhileAConnectionComesUp(t *testing.T) {
-	for customer, s := range unlike(t) {
+	for customer, s := range differingSettings(t) {
 		for _, status := range []control.ServerStatus{control.Draining, control.Removed} {
 			t.Run(fmt.Sprint(customer, ", ", status), func(t *testing.T) {
 				t.Parallel()
 				s := *s
-				w := crossing(t, "tcp", "tcp", true, &s)
-				c := w.asks()
+				w := newFixtureWithSettings(t, "tcp", "tcp", true, &s)
+				c := w.newConfiguredCaller()
 				w.must(c.SetUp(id(1), 20*time.Second, 0, "x"))
-				w.taken(1)
-				w.told(0, status)
+				w.waitInFlight(1)
+				w.updateStatus(0, status)
 				w.dispatchers[0].Open()
-				w.must(w.gets(1).Answer("y"))
-				w.hears(c)
+				w.must(w.recordEvent(1).Answer("y"))
+				w.recordMessage(c)
 				if status == control.Draining {
-					w.linked(0, 1)
+					w.waitConnections(0, 1)
 				} else {
 					time.Sleep(1200 * time.Millisecond) // when it would come up
 				}
 				w.must(c.SetUp(id(2), 20*time.Second, 0, "x"))
-				w.must(w.gets(1).Answer("y"))
-				w.hears(c)
+				w.must(w.recordEvent(1).Answer("y"))
+				w.recordMessage(c)
 				if len(w.dispatchers[0].Events) > 0 {
 					t.Errorf("a dispatcher that is leaving was sent %+v", <-w.dispatchers[0].Events)
 				}
 				want := []string{"d1: setup 1 x", "caller: answer 1 y", "d1: setup 2 x", "caller: answer 2 y"}
-				if diff := cmp.Diff(want, w.said); diff != "" {
+				if diff := cmp.Diff(want, w.observed); diff != "" {
 					t.Errorf("what the peers saw (-want +got):\n%s", diff)
 				}
 			})
@@ -315,14 +315,14 @@
 		for _, transport := range []string{"tcp", "ws"} {
 			t.Run(name+", "+transport, func(t *testing.T) {
 				t.Parallel()
-				w := crossing(t, transport, "tcp", false, testSettings(t))
-				w.linked(0, 1)
-				c := w.caller()
-				w.must(c.SetUp(id(1), long, 0, "x"))
-				e := w.gets(0)
-				w.linked(0, 2) // one without a word for long has another connection opened
+				w := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
+				w.waitConnections(0, 1)
+				c := w.newCaller()
+				w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+				e := w.recordEvent(0)
+				w.waitConnections(0, 2) // one without a word for long has another connection opened
 				w.must(e.Answer("y"))
-				w.hears(c)
+				w.recordMessage(c)
 				d := w.dispatchers[0]
 				d.TellLinks()
 				w.must(breaks(e))
@@ -335,12 +335,12 @@
 						break
 					}
 				}
-				w.hears(c)
+				w.recordMessage(c)
 				if took := time.Since(broke); took > time.Second {
 					t.Errorf("told after %v", took)
 				}
 				want := []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 16"}
-				if diff := cmp.Diff(want, w.said); diff != "" {
+				if diff := cmp.Diff(want, w.observed); diff != "" {
 					t.Errorf("what the peers saw (-want +got):\n%s", diff)
 				}
 			})
@@ -351,25 +351,25 @@
 // TestAnAnswerThatCrossesItsCallersEnd: the caller has gone, and the answer is taken in before that is. The call stood on, with nobody
 // who knew of it, until its dispatcher's line ended it.
 func TestAnAnswerThatCrossesItsCallersEnd(t *testing.T) {
-	for way, leave := range ways {
+	for way, leave := range cancellations {
 		if way == "release" {
 			continue // it lies behind the answer, and ends the call that stands then
 		}
 		for _, transport := range []string{"tcp", "ws"} {
 			t.Run(way+", "+transport, func(t *testing.T) {
 				t.Parallel()
-				w := crossing(t, transport, "tcp", false, testSettings(t))
-				c := w.caller()
-				w.must(c.SetUp(id(1), long, 0, "x"))
-				e := w.gets(0)
-				free := w.holds()
+				w := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
+				c := w.newCaller()
+				w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+				e := w.recordEvent(0)
+				free := w.pauseLoop()
 				before := w.node.loop.Pending()
 				w.must(e.Answer("y"))
-				w.queued(before + 1) // the answer comes first
+				w.waitQueued(before + 1) // the answer comes first
 				w.must(leave(w, c, 1))
-				w.queued(before + 2)
+				w.waitQueued(before + 2)
 				free()
-				if o := w.gets(0); o.Kind != "release" || o.ID != id(1) {
+				if o := w.recordEvent(0); o.Kind != "release" || o.ID != id(1) {
 					t.Errorf("got %+v, want the release of a call that nobody has", o)
 				}
 			})
@@ -380,7 +380,7 @@
 // TestACustomersSettingsForAnothers: the settings of one customer are swapped for those of an unlike one while calls wait, are out and
 // stand. Their classes and tenants are gone, and they come to their end all the same; what comes then keeps to the new ones alone.
 func TestACustomersSettingsForAnothers(t *testing.T) {
-	customers := unlike(t)
+	customers := differingSettings(t)
 	for from := range customers {
 		for to := range customers {
 			if from == to {
@@ -390,48 +390,48 @@
 				t.Run(from+" for "+to+", "+transport, func(t *testing.T) {
 					t.Parallel()
 					before, after := *customers[from], *customers[to]
-					w := crossing(t, transport, "tcp", false, &before)
-					c := w.asks()
+					w := newFixtureWithSettings(t, transport, "tcp", false, &before)
+					c := w.newConfiguredCaller()
 					w.must(c.SetUp(id(1), 20*time.Second, 0, "stands"))
-					stands := w.gets(0)
+					stands := w.recordEvent(0)
 					w.must(stands.Answer("y"))
-					w.hears(c)
+					w.recordMessage(c)
 					w.must(c.SetUp(id(2), 20*time.Second, 1, "in the guard"))
-					broke := w.gets(1)
+					broke := w.recordEvent(1)
 					w.must(broke.Refuse(peer.Broken))
-					w.acked(1) // taken in: the guard is that of before
+					w.waitAck(1) // taken in: the guard is that of before
 					w.must(c.SetUp(id(3), 20*time.Second, 1, "out"))
-					out := w.gets(1)
+					out := w.recordEvent(1)
 					old := c.Class
 					config := *w.node.config
 					config.Settings = &after
 					w.node.reload(&config, nil)
-					again := w.comes() // after the guard, under the class that it came with
+					again := w.nextSetUp() // after the guard, under the class that it came with
 					if again.ID != id(2) || again.Class != old || again.At.Sub(broke.At) < time.Duration(before.FamilyInfo.GuardUs)*time.Microsecond {
 						t.Errorf("%s of class %s after %v: want the call in the guard, of class %s", again.ID, again.Class, again.At.Sub(broke.At), old)
 					}
 					w.must(out.Answer("z")) // before the later one: a connection that is overtaken for long is given up
-					w.hears(c)
+					w.recordMessage(c)
 					w.must(again.Answer("z"))
-					w.hears(c)
+					w.recordMessage(c)
 					w.must(stands.ReleaseHere(id(1), call.CauseNormal))
-					w.hears(c)
+					w.recordMessage(c)
 					w.must(c.SetUp(id(4), 20*time.Second, 0, "of a class that is gone"))
-					w.hears(c)
-					next := w.asks()
+					w.recordMessage(c)
+					next := w.newConfiguredCaller()
 					if next.Class == old {
 						t.Fatalf("%s names %q as well: they are not unlike", to, old)
 					}
 					w.must(next.SetUp(id(5), 20*time.Second, 0, "new"))
-					e := w.comes()
+					e := w.nextSetUp()
 					w.must(e.Answer("z"))
-					w.hears(next)
+					w.recordMessage(next)
 					if e.Class != next.Class {
 						t.Errorf("sent as %q, want %q", e.Class, next.Class)
 					}
 					want := []string{"d0: setup 1 stands", "caller: answer 1 y", "d1: setup 2 in the guard", "d1: setup 3 out",
 						"caller: answer 3 z", "caller: answer 2 z", "caller: release 1 16", "caller: release 4 100", "caller: answer 5 z"}
-					if diff := cmp.Diff(want, w.said); diff != "" {
+					if diff := cmp.Diff(want, w.observed); diff != "" {
 						t.Errorf("what the peers saw (-want +got):\n%s", diff)
 					}
 				})
@@ -440,17 +440,17 @@
 	}
 }
 
-// comes waits for a set-up at either dispatcher.
-func (w *world) comes() peer.Event { w.Helper(); return comes(w.T, w.dispatchers) }
+// nextSetUp waits for a set-up at either dispatcher.
+func (w *fixture) nextSetUp() peer.Event { w.Helper(); return nextSetUp(w.T, w.dispatchers) }
 
-// TestHalfASetUpWhenItWouldEnd: a controller that drains has had the beginning of a set-up when it could end. It hears the rest, and
+// TestASetUpThatArrivesInHalvesAtTheEndOfADrain: a controller that drains has had the beginning of a set-up when it could end. It hears the rest, and
 // answers it.
-func TestHalfASetUpWhenItWouldEnd(t *testing.T) {
+func TestASetUpThatArrivesInHalvesAtTheEndOfADrain(t *testing.T) {
 	t.Parallel()
 	for _, transport := range []string{"tcp", "ws"} {
 		for inOrder := false; !inOrder; { // a machine that is too slow for the order tries again
-			w := crossing(t, transport, "tcp", false, testSettings(t))
-			c := w.caller()
+			w := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
+			c := w.newCaller()
 			text, err := jsonl.Append(nil, c.Asks(id(1), 20*time.Second, 0, "x"))
 			w.must(err)
 			whole := c.Frame(text)
@@ -474,52 +474,52 @@
 	}
 }
 
-// TestAConnectionThatIsLateIsLetGo: a connection would come up after its time-out. The set-up goes elsewhere when that is over, and
+// TestAConnectionAfterItsTimeoutIsNotUsed: a connection would come up after its time-out. The set-up goes elsewhere when that is over, and
 // the late connection brings it nowhere a second time.
-func TestAConnectionThatIsLateIsLetGo(t *testing.T) {
+func TestAConnectionAfterItsTimeoutIsNotUsed(t *testing.T) {
 	t.Parallel()
 	s := testSettings(t)
 	s.Caps.ConnectTimeoutUs = 300_000
-	w := crossing(t, "tcp", "tcp", true, s)
-	c := w.caller()
+	w := newFixtureWithSettings(t, "tcp", "tcp", true, s)
+	c := w.newCaller()
 	w.must(c.SetUp(id(1), 20*time.Second, 0, "x"))
-	e := w.gets(1)
+	e := w.recordEvent(1)
 	w.dispatchers[0].Open()
 	w.must(e.Answer("y"))
-	w.hears(c)
-	w.linked(0, 1)
+	w.recordMessage(c)
+	w.waitConnections(0, 1)
 	w.must(c.SetUp(id(2), 20*time.Second, 1, "x"))
-	w.must(w.gets(1).Answer("y"))
-	w.hears(c)
+	w.must(w.recordEvent(1).Answer("y"))
+	w.recordMessage(c)
 	if len(w.dispatchers[0].Events) > 0 {
 		t.Errorf("sent where it had waited in vain: %+v", <-w.dispatchers[0].Events)
 	}
 }
 
-// TestWhoLeavesDuringAnUpgradeIsNotSentOn: a set-up is in the guard as a successor begins to serve, and its caller leaves the old process.
-func TestWhoLeavesDuringAnUpgradeIsNotSentOn(t *testing.T) {
-	for way, leave := range ways {
+// TestASetUpCancelledDuringAnUpgradeIsNotSent: a set-up is in the guard as a successor begins to serve, and its caller leaves the old process.
+func TestASetUpCancelledDuringAnUpgradeIsNotSent(t *testing.T) {
+	for way, leave := range cancellations {
 		t.Run(way, func(t *testing.T) {
-			upgrades(t, []string{"d0: setup 1 x", "d1: setup 2 x", "caller: answer 2 y", "caller: release 2 16"}, func(old *world) {
-				idle, c := old.caller(), old.caller()
-				old.must(c.SetUp(id(1), long, 0, "x"))
-				first := old.gets(0)
-				next := old.another()
-				next.knows()
-				next.ready()
-				old.isClosed(idle) // it accepts no more
+			runUpgrade(t, []string{"d0: setup 1 x", "d1: setup 2 x", "caller: answer 2 y", "caller: release 2 16"}, func(old *fixture) {
+				idle, c := old.newCaller(), old.newCaller()
+				old.must(c.SetUp(id(1), longTimeout, 0, "x"))
+				first := old.recordEvent(0)
+				next := old.startSuccessor()
+				next.sendList()
+				next.waitReady()
+				old.expectClosed(idle) // it accepts no more
 				old.must(first.Refuse(peer.Broken))
-				old.acked(0) // it is in the guard now
+				old.waitAck(0) // it is in the guard now
 				old.must(leave(old, c, 1))
-				old.taken(0)
-				other := next.caller()
-				old.must(other.SetUp(id(2), long, 1, "x"))
-				e := old.gets(1)
+				old.waitInFlight(0)
+				other := next.newCaller()
+				old.must(other.SetUp(id(2), longTimeout, 1, "x"))
+				e := old.recordEvent(1)
 				old.must(e.Answer("y"))
-				old.hears(other)
+				old.recordMessage(other)
 				time.Sleep(guard + 100*time.Millisecond)
 				old.must(e.ReleaseHere(id(2), call.CauseNormal))
-				old.hears(other)
+				old.recordMessage(other)
 				for i, d := range old.dispatchers {
 					for len(d.Events) > 0 {
 						if e := <-d.Events; e.Kind == "setup" {
@@ -532,30 +532,30 @@
 	}
 }
 
-// TestWhoLeavesAsAConnectionComesUp: the connection that a set-up waits for is up, and behind that lies the end of its caller.
-func TestWhoLeavesAsAConnectionComesUp(t *testing.T) {
-	for way, leave := range ways {
+// TestASetUpCancelledAsItsConnectionOpensIsNotSent: the connection that a set-up waits for is up, and behind that lies the end of its caller.
+func TestASetUpCancelledAsItsConnectionOpensIsNotSent(t *testing.T) {
+	for way, leave := range cancellations {
 		t.Run(way, func(t *testing.T) {
 			t.Parallel()
 			s := testSettings(t)
 			s.Caps.ConnectTimeoutUs = 5_000_000
-			w := crossing(t, "tcp", "tcp", true, s)
-			c := w.caller()
+			w := newFixtureWithSettings(t, "tcp", "tcp", true, s)
+			c := w.newCaller()
 			w.must(c.SetUp(id(1), 20*time.Second, 0, "x"))
-			w.taken(1)
-			free := w.holds()
+			w.waitInFlight(1)
+			free := w.pauseLoop()
 			before := w.node.loop.Pending()
 			w.dispatchers[0].Open()
-			w.queued(before + 2) // a second later: the connection, and what its dispatcher says first
-			w.linked(0, 1)
+			w.waitQueued(before + 2) // a second later: the connection, and what its dispatcher says first
+			w.waitConnections(0, 1)
 			now := w.node.loop.Pending()
 			w.must(leave(w, c, 1))
-			w.queued(now + 1)
+			w.waitQueued(now + 1)
 			free()
-			w.taken(0)
-			other := w.caller()
-			w.must(other.SetUp(id(2), long, 0, "y"))
-			if e := w.gets(0); e.ID != id(2) {
+			w.waitInFlight(0)
+			other := w.newCaller()
+			w.must(other.SetUp(id(2), longTimeout, 0, "y"))
+			if e := w.recordEvent(0); e.ID != id(2) {
 				t.Errorf("a %s for %s came: its caller had left", e.Kind, e.ID)
 			}
 		})
@@ -568,20 +568,20 @@
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
-			w := crossing(t, transport, "tcp", false, testSettings(t))
-			w.linked(0, 1)
+			w := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
+			w.waitConnections(0, 1)
 			tester := w.connect()
 			w.must(w.dispatchers[0].Release(id(0x77), 41))
-			w.hears(tester) // it has said nothing, and nobody else is there
+			w.recordMessage(tester) // it has said nothing, and nobody else is there
 			w.must(tester.Send(jsonl.Message{Type: "ping", ID: id(0)}))
-			w.hears(tester)
-			c := w.caller()
-			w.must(c.SetUp(id(1), long, 0, "x"))
-			w.hears(c)
-			w.must(w.gets(0).Answer("y"))
-			w.hears(c)
+			w.recordMessage(tester)
+			c := w.newCaller()
+			w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+			w.recordMessage(c)
+			w.must(w.recordEvent(0).Answer("y"))
+			w.recordMessage(c)
 			want := []string{"caller: release 77 41", "caller: pong  1", "caller: release 77 41", "d0: setup 1 x", "caller: answer 1 y"}
-			if diff := cmp.Diff(want, w.said); diff != "" {
+			if diff := cmp.Diff(want, w.observed); diff != "" {
 				t.Errorf("what the peers saw (-want +got):\n%s", diff)
 			}
 		})
--- a/cmd/cherryrelay/crowd_test.go
+++ b/cmd/cherryrelay/crowd_test.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	// crowdLeft is what callers say that they wait for their answer, and crowdLimit what they do: the difference is this machine's, which
+	// crowdTimeLeft is what callers say that they wait for their answer, and crowdTimeout what they do: the difference is this machine's, which
 	// plays thousands of callers beside the program.
-	crowdLeft, crowdLimit = 2500 * time.Millisecond, 3 * time.Second
-	// crossesWithin is within what a set-up that crosses the close of its connection is sent once more, by the protocol.
-	crossesWithin = 50 * time.Millisecond
+	crowdTimeLeft, crowdTimeout = 2500 * time.Millisecond, 3 * time.Second
+	// crossingPeriod is within what a set-up that crosses the close of its connection is sent once more, by the protocol.
+	crossingPeriod = 50 * time.Millisecond
 	// crowdTries is how often a set-up is sent again that crosses the close of its connection.
 	crowdTries = 3
 )
@@ -41,13 +41,13 @@
 	}
 }
 
-// errCrossed is the end of a try whose connection was closed before its set-up was written, or within crossesWithin after it.
+// errCrossed is the end of a try whose connection was closed before its set-up was written, or within crossingPeriod after it.
 var errCrossed = errors.New("closed as the set-up came")
 
 // crowdCall is one try. Its system calls follow one another at once: where Go's scheduler lies between them, on a busy machine the
 // set-up comes long after the connection.
 func crowdCall(address netip.AddrPort, number int, silent bool) (end string, err error) {
-	text, err := jsonl.Append(nil, (&peer.Caller{Class: "send-setup", Tenant: "acme"}).Asks(id(number), crowdLeft, 0, "x"))
+	text, err := jsonl.Append(nil, (&peer.Caller{Class: "send-setup", Tenant: "acme"}).Asks(id(number), crowdTimeLeft, 0, "x"))
 	if err != nil {
 		return "", err
 	}
@@ -76,18 +76,18 @@
 		return "", err
 	}
 	defer c.Close()
-	if err := errors.Join(file.Close(), c.SetReadDeadline(begun.Add(2*crowdLimit))); err != nil {
+	if err := errors.Join(file.Close(), c.SetReadDeadline(begun.Add(2*crowdTimeout))); err != nil {
 		return "", err
 	}
 	line, err := bufio.NewReader(c).ReadBytes('\n')
 	switch took := time.Since(wrote); {
 	case silent:
 		return "silent", nil
-	case err != nil && (took < crossesWithin || wrote.Sub(begun) > crossesWithin/5): // then it is not known when the set-up was written
+	case err != nil && (took < crossingPeriod || wrote.Sub(begun) > crossingPeriod/5): // then it is not known when the set-up was written
 		return "", errCrossed
 	case err != nil:
 		return "", fmt.Errorf("closed without an answer: %w", err)
-	case took > crowdLimit:
+	case took > crowdTimeout:
 		return "answered late", nil
 	}
 	m, err := jsonl.Parse(line)
@@ -114,10 +114,10 @@
 		"2560, of whom half are silent": {10 * sockets, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := answers(t)
-			coordinator := fixed(t)
-			s := startScarce(t, sockets, coordinator, listed("d0", d.Address(), "active", 0))
-			s.coordinate(coordinator)
+			d := startPromptDispatcher(t)
+			coordinator := freeAddress(t)
+			s := startLimited(t, sockets, coordinator, listEntry("d0", d.Address(), "active", 0))
+			s.startCoordinator(coordinator)
 			var mu sync.Mutex
 			ends := map[string]int{}
 			var all sync.WaitGroup
@@ -130,9 +130,9 @@
 					mu.Unlock()
 				})
 			}
-			newest := answers(t) // the list is followed meanwhile
-			s.tell(2, listed("newest", newest.Address(), "active", 1))
-			s.inForce(2, time.Second)
+			newest := startPromptDispatcher(t) // the list is followed meanwhile
+			s.sendChange(2, listEntry("newest", newest.Address(), "active", 1))
+			s.waitServers(2, time.Second)
 			all.Wait()
 			t.Logf("%v", ends)
 			for end, n := range ends {
@@ -143,7 +143,7 @@
 			if ends["answer"] == 0 {
 				t.Error("nobody was served")
 			}
-			s.inBounds()
+			s.checkDescriptors()
 			if t.Failed() {
 				t.Log(s.log.String())
 			}
--- a/cmd/cherryrelay/descriptors_test.go
+++ b/cmd/cherryrelay/descriptors_test.go
@@ -21,18 +21,18 @@
 	"cherryrelay/internal/peer"
 )
 
-// scarce is the program as a process that may hold few descriptors, by its configuration and by the system's limit.
-type scarce struct {
+// limitedProcess is the program as a process that may hold few descriptors, by its configuration and by the system's limit.
+type limitedProcess struct {
 	*process
-	sockets int
-	most    atomic.Int64  // descriptors that were seen at once
-	events  chan string   // for the coordinator's stream
-	over    chan struct{} // closed when the story ends
-	watched sync.WaitGroup
+	sockets  int
+	maxOpen  atomic.Int64  // descriptors that were seen at once
+	events   chan string   // for the coordinator's stream
+	done     chan struct{} // closed when the story ends
+	monitors sync.WaitGroup
 }
 
-// listed is one dispatcher of a list.
-func listed(name, address, status string, group int) map[string]any {
+// listEntry is one dispatcher of a list.
+func listEntry(name, address, status string, group int) map[string]any {
 	return map[string]any{"name": name, "address": address, "status": status, "group": group, "zone": "east", "since_ms": 0}
 }
 
@@ -41,14 +41,14 @@
 	return map[string]any{"index": index, "endpoints": map[string]any{"index": index, "snapshot": whole, "endpoints": entries}}
 }
 
-// startScarce starts the program with the example's settings and a list that is known from the start.
-func startScarce(t *testing.T, sockets int, coordinator string, known ...map[string]any) *scarce {
+// startLimited starts the program with the example's settings and a list that is known from the start.
+func startLimited(t *testing.T, sockets int, coordinator string, known ...map[string]any) *limitedProcess {
 	t.Helper()
 	if _, err := os.Stat("/proc/self/fd"); err != nil {
 		t.Fatal("descriptors cannot be counted here: ", err)
 	}
-	s := &scarce{process: &process{T: t, directory: t.TempDir(), lines: fixed(t), management: fixed(t)}, sockets: sockets}
-	s.events, s.over = make(chan string, 1), make(chan struct{})
+	s := &limitedProcess{process: &process{T: t, directory: t.TempDir(), lines: freeAddress(t), management: freeAddress(t)}, sockets: sockets}
+	s.events, s.done = make(chan string, 1), make(chan struct{})
 	text, err := os.ReadFile("../../example/config.json")
 	s.must(err)
 	var c map[string]any
@@ -65,7 +65,7 @@
 	s.must(err)
 	path := filepath.Join(s.directory, "config.json")
 	s.must(os.WriteFile(path, text, 0o600))
-	s.log, s.ended = new(diary), make(chan error, 1)
+	s.log, s.ended = new(logBuffer), make(chan error, 1)
 	s.cmd = exec.Command("sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, sockets), os.Args[0])
 	s.cmd.Env = append(os.Environ(), asProgram+"=1", "LB_CONFIG="+path, "TMPDIR="+s.directory)
 	s.cmd.Stderr = s.log
@@ -73,33 +73,33 @@
 	cmd, ended := s.cmd, s.ended
 	go func() { ended <- cmd.Wait() }()
 	t.Cleanup(func() {
-		close(s.over)
-		s.watched.Wait()
+		close(s.done)
+		s.monitors.Wait()
 		if s.cmd != nil {
 			s.kill()
 		}
 	})
 	s.waitReady()
-	s.watch(s.cmd.Process.Pid)
+	s.monitor(s.cmd.Process.Pid)
 	return s
 }
 
-func (s *scarce) must(err error) {
+func (s *limitedProcess) must(err error) {
 	s.Helper()
 	if err != nil {
 		s.Fatal(err)
 	}
 }
 
-// always runs a step again and again until the story ends.
-func (s *scarce) always(pause time.Duration, step func()) {
-	s.watched.Add(1)
+// repeat runs a step again and again until the story ends.
+func (s *limitedProcess) repeat(pause time.Duration, step func()) {
+	s.monitors.Add(1)
 	go func() {
-		defer s.watched.Done()
+		defer s.monitors.Done()
 		for {
 			step()
 			select {
-			case <-s.over:
+			case <-s.done:
 				return
 			case <-time.After(pause):
 			}
@@ -107,28 +107,28 @@
 	}()
 }
 
-// watch counts the process's descriptors and asks at the address for operators, until the story ends.
-func (s *scarce) watch(pid int) {
-	s.always(time.Millisecond, func() {
+// monitor counts the process's descriptors and asks at the address for operators, until the story ends.
+func (s *limitedProcess) monitor(pid int) {
+	s.repeat(time.Millisecond, func() {
 		open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
-		if err == nil && int64(len(open)) > s.most.Load() {
-			s.most.Store(int64(len(open)))
+		if err == nil && int64(len(open)) > s.maxOpen.Load() {
+			s.maxOpen.Store(int64(len(open)))
 		}
 	})
-	s.always(50*time.Millisecond, func() {
+	s.repeat(50*time.Millisecond, func() {
 		for _, path := range []string{"/api/ready", "/api/telemetry"} {
-			if status, _ := ask(s.management, path); status != http.StatusOK {
+			if status, _ := httpGet(s.management, path); status != http.StatusOK {
 				s.Errorf("%s answers %d", path, status)
 			}
 		}
 	})
 }
 
-// inBounds judges what was seen of the descriptors.
-func (s *scarce) inBounds() {
+// checkDescriptors judges what was seen of the descriptors.
+func (s *limitedProcess) checkDescriptors() {
 	s.Helper()
-	s.Logf("%d descriptors of %d", s.most.Load(), s.sockets)
-	if most := s.most.Load(); most >= int64(s.sockets) {
+	s.Logf("%d descriptors of %d", s.maxOpen.Load(), s.sockets)
+	if most := s.maxOpen.Load(); most >= int64(s.sockets) {
 		s.Errorf("%d descriptors of %d: none is left", most, s.sockets)
 	}
 	for _, text := range []string{"too many open files", "no file descriptor"} {
@@ -138,8 +138,8 @@
 	}
 }
 
-// coordinate serves a stream at the address that tells what comes in s.events.
-func (s *scarce) coordinate(address string) {
+// startCoordinator serves a stream at the address that tells what comes in s.events.
+func (s *limitedProcess) startCoordinator(address string) {
 	s.Helper()
 	ln, err := net.Listen("tcp", address)
 	s.must(err)
@@ -163,21 +163,21 @@
 	s.Cleanup(server.CloseClientConnections)
 }
 
-// tell has the coordinator tell a change.
-func (s *scarce) tell(index int, entries ...map[string]any) {
+// sendChange has the coordinator tell a change.
+func (s *limitedProcess) sendChange(index int, entries ...map[string]any) {
 	s.Helper()
 	text, err := jsoniter.MarshalToString(listEvent(index, false, entries...))
 	s.must(err)
 	s.events <- fmt.Sprintf("id: %d\ndata: %s\n\n", index, text)
 }
 
-// inForce waits until the list has so many dispatchers.
-func (s *scarce) inForce(servers int, within time.Duration) {
+// waitServers waits until the list has so many dispatchers.
+func (s *limitedProcess) waitServers(servers int, within time.Duration) {
 	s.Helper()
 	since := time.Now()
 	for {
 		var state lists.State
-		if _, body := ask(s.management, lists.StatePath); jsoniter.UnmarshalFromString(body, &state) == nil && state.Servers == servers {
+		if _, body := httpGet(s.management, lists.StatePath); jsoniter.UnmarshalFromString(body, &state) == nil && state.Servers == servers {
 			break
 		}
 		if time.Since(since) > peer.Patience {
@@ -190,20 +190,20 @@
 	}
 }
 
-// prompt is a dispatcher that answers every set-up at once.
-type prompt struct {
+// promptDispatcher is a dispatcher that answers every set-up at once.
+type promptDispatcher struct {
 	*peer.Dispatcher
 	calls sync.Map // the ids of those that it answered
 }
 
-func answers(t *testing.T) *prompt {
+func startPromptDispatcher(t *testing.T) *promptDispatcher {
 	t.Helper()
 	p, err := peer.Dispatch("tcp", "127.0.0.1:0", "x0:40;x1:40")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.Die)
-	d := &prompt{Dispatcher: p}
+	d := &promptDispatcher{Dispatcher: p}
 	go func() {
 		for e := range d.Events {
 			if e.Kind == "setup" {
@@ -219,8 +219,8 @@
 	return d
 }
 
-// saysNothing is where connections come up, and nothing is said on them.
-func saysNothing(t *testing.T) (address string) {
+// listenSilently is where connections come up, and nothing is said on them.
+func listenSilently(t *testing.T) (address string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -230,8 +230,8 @@
 	return ln.Addr().String()
 }
 
-// places a call, wants its final answer in its time, and reports whether the call stands.
-func (s *scarce) places(c *peer.Caller, number, first int) (stands bool) {
+// placeCall a call, wants its final answer in its time, and reports whether the call stands.
+func (s *limitedProcess) placeCall(c *peer.Caller, number, first int) (stands bool) {
 	s.Helper()
 	const left = 8 * time.Second
 	if err := c.SetUp(id(number), left, first, "x"); err != nil {
@@ -255,26 +255,26 @@
 func TestManyMoreDispatchersThanDescriptors(t *testing.T) {
 	const live, drain, refuse, silent, sockets = 40, 60, 120, 80, 192
 	var known []map[string]any
-	var dispatchers []*prompt
+	var dispatchers []*promptDispatcher
 	add := func(address, status string) {
-		known = append(known, listed(fmt.Sprint("d", len(known)), address, status, len(known)))
+		known = append(known, listEntry(fmt.Sprint("d", len(known)), address, status, len(known)))
 	}
 	for range live {
-		dispatchers = append(dispatchers, answers(t))
+		dispatchers = append(dispatchers, startPromptDispatcher(t))
 		add(dispatchers[len(dispatchers)-1].Address(), "active")
 	}
 	for range drain {
-		add(saysNothing(t), "leaving")
+		add(listenSilently(t), "leaving")
 	}
 	for i := range refuse {
 		add(fmt.Sprintf("127.0.9.%d:1", i+1), "active")
 	}
 	for range silent {
-		add(saysNothing(t), "active")
+		add(listenSilently(t), "active")
 	}
-	coordinator := fixed(t)
-	s := startScarce(t, sockets, coordinator, known...)
-	s.coordinate(coordinator)
+	coordinator := freeAddress(t)
+	s := startLimited(t, sockets, coordinator, known...)
+	s.startCoordinator(coordinator)
 
 	// A third of the descriptors is what callers hold by themselves.
 	const callers, calls = sockets / 3, 5
@@ -292,7 +292,7 @@
 		go func() {
 			defer all.Done()
 			for n := range calls {
-				if s.places(c, 1+i*calls+n, (i+n)%live) {
+				if s.placeCall(c, 1+i*calls+n, (i+n)%live) {
 					stand.Add(1)
 				}
 			}
@@ -303,10 +303,10 @@
 		t.Errorf("of %d calls %d stand, want %d", callers*calls, stand.Load(), least)
 	}
 
-	newest := answers(t)
-	s.tell(2, listed("newest", newest.Address(), "active", len(known)), listed("d0", dispatchers[0].Address(), "leaving", 0))
-	s.inForce(len(known)+1, time.Second)
-	if !s.places(standing[0], 1000, len(known)) {
+	newest := startPromptDispatcher(t)
+	s.sendChange(2, listEntry("newest", newest.Address(), "active", len(known)), listEntry("d0", dispatchers[0].Address(), "leaving", 0))
+	s.waitServers(len(known)+1, time.Second)
+	if !s.placeCall(standing[0], 1000, len(known)) {
 		t.Error("the call for the newest does not stand")
 	}
 
@@ -320,7 +320,7 @@
 			if i == 0 {
 				first = len(known)
 			}
-			if !s.places(c, 2000+i, first) {
+			if !s.placeCall(c, 2000+i, first) {
 				standing[i] = nil
 			}
 		}()
@@ -328,7 +328,7 @@
 	all.Wait()
 	since := time.Now()
 	for _, d := range dispatchers {
-		s.always(20*time.Millisecond, func() {
+		s.repeat(20*time.Millisecond, func() {
 			d.calls.Range(func(id, _ any) bool { return d.Release(fmt.Sprint(id), call.CauseNormal) == nil })
 		})
 	}
@@ -348,31 +348,31 @@
 	if took > 8*time.Second {
 		t.Errorf("the last end is told after %v", took)
 	}
-	s.inBounds()
+	s.checkDescriptors()
 }
 
 // TestIdleClientsWhileDiscoveryIsDown: idle clients take what they can get and come again as they are closed, and no coordinator answers.
 // Most dispatchers on the list say nothing. The others are connected to anew, operators are answered, and as the coordinator returns its list is in force within a second.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	const sockets, clients = 160, 300
-	coordinator := fixed(t)
+	coordinator := freeAddress(t)
 	var known []map[string]any
-	var dispatchers []*prompt
+	var dispatchers []*promptDispatcher
 	for i := range 8 {
-		dispatchers = append(dispatchers, answers(t))
-		known = append(known, listed(fmt.Sprint("d", i), dispatchers[i].Address(), "active", i))
+		dispatchers = append(dispatchers, startPromptDispatcher(t))
+		known = append(known, listEntry(fmt.Sprint("d", i), dispatchers[i].Address(), "active", i))
 	}
 	for i := range 60 {
-		known = append(known, listed(fmt.Sprint("silent", i), saysNothing(t), "active", len(known)))
+		known = append(known, listEntry(fmt.Sprint("silent", i), listenSilently(t), "active", len(known)))
 	}
-	s := startScarce(t, sockets, coordinator, known...)
+	s := startLimited(t, sockets, coordinator, known...)
 	c, err := peer.Call("tcp", s.lines)
 	s.must(err)
 	defer c.Close()
-	s.places(c, 1, 0)
+	s.placeCall(c, 1, 0)
 	var refused atomic.Int64
 	for range clients {
-		s.always(time.Millisecond, func() {
+		s.repeat(time.Millisecond, func() {
 			idle, err := net.Dial("tcp", s.lines)
 			if err != nil {
 				return
@@ -386,7 +386,7 @@
 			select {
 			case <-ended:
 				refused.Add(1)
-			case <-s.over:
+			case <-s.done:
 			}
 		})
 	}
@@ -397,19 +397,19 @@
 	}
 	for i, d := range dispatchers {
 		d.Cut()
-		if !s.places(c, 10+i, i) {
+		if !s.placeCall(c, 10+i, i) {
 			t.Errorf("the call for dispatcher %d does not stand", i)
 		}
 	}
-	s.coordinate(coordinator)
-	newest := answers(t)
-	s.tell(2, listed("newest", newest.Address(), "active", len(known)))
-	s.inForce(len(known)+1, time.Second)
-	if !s.places(c, 100, len(known)) {
+	s.startCoordinator(coordinator)
+	newest := startPromptDispatcher(t)
+	s.sendChange(2, listEntry("newest", newest.Address(), "active", len(known)))
+	s.waitServers(len(known)+1, time.Second)
+	if !s.placeCall(c, 100, len(known)) {
 		t.Error("the call for the newest does not stand")
 	}
-	if most := s.most.Load(); most < sockets/2 {
+	if most := s.maxOpen.Load(); most < sockets/2 {
 		t.Errorf("%d descriptors of %d: the clients do not fill them", most, sockets)
 	}
-	s.inBounds()
+	s.checkDescriptors()
 }
--- a/cmd/cherryrelay/end_steps_test.go
+++ b/cmd/cherryrelay/end_steps_test.go
@@ -20,8 +20,8 @@
 // attribute is one of a log line.
 var attribute = regexp.MustCompile(`(\w+)=("[^"]*"|\S+)`)
 
-// steps are the logged steps with the message and the attribute, each as the attributes of its line.
-func (d *diary) steps(message, key, value string) []map[string]string {
+// endSteps are the logged steps with the message and the attribute, each as the attributes of its line.
+func (d *logBuffer) endSteps(message, key, value string) []map[string]string {
 	var steps []map[string]string
 	for line := range strings.Lines(d.String()) {
 		found := map[string]string{}
@@ -40,31 +40,31 @@
 	for _, mix := range transports {
 		t.Run(mix[0]+" to "+mix[1], func(t *testing.T) {
 			t.Parallel()
-			log := new(diary)
+			log := new(logBuffer)
 			handler := logs.Bound(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug}), endlog.Messages()...)
-			w := newLoggedWorldOf(t, mix, slog.New(handler))
-			caller := w.caller()
-			w.must(caller.SetUp(id(1), long, 0, "x"))
-			attempt := w.gets(0)
+			w := newLoggedFixtureOver(t, mix, slog.New(handler))
+			caller := w.newCaller()
+			w.must(caller.SetUp(id(1), longTimeout, 0, "x"))
+			attempt := w.recordEvent(0)
 			w.must(attempt.Answer("y"))
-			w.hears(caller)
+			w.recordMessage(caller)
 			w.must(caller.Close())
-			w.logs(log, 1, endlog.CallersMessage, endlog.StepKey, string(endlog.CallersEnded))
+			w.waitLogged(log, 1, endlog.CallersMessage, endlog.StepKey, string(endlog.CallersEnded))
 			w.must(attempt.ReleaseHere(id(1), call.CauseNormal))
-			w.logs(log, 1, endlog.CallMessage, endlog.StepKey, string(endlog.EndWaits))
+			w.waitLogged(log, 1, endlog.CallMessage, endlog.StepKey, string(endlog.EndWaits))
 			silent := w.connect() // it says nothing, so that nobody may have read what is told there
-			w.hears(silent)
-			w.logs(log, 1, endlog.CallMessage, endlog.StepKey, string(endlog.EndWithKernel))
+			w.recordMessage(silent)
+			w.waitLogged(log, 1, endlog.CallMessage, endlog.StepKey, string(endlog.EndWithKernel))
 			w.must(silent.Close())
-			w.logs(log, 2, endlog.CallMessage, endlog.StepKey, string(endlog.EndWaits))
-			other := w.caller()
-			w.must(other.SetUp(id(2), long, 1, "x"))
-			w.hears(other)
-			w.logs(log, 2, endlog.CallMessage, endlog.StepKey, string(endlog.EndWithKernel))
+			w.waitLogged(log, 2, endlog.CallMessage, endlog.StepKey, string(endlog.EndWaits))
+			other := w.newCaller()
+			w.must(other.SetUp(id(2), longTimeout, 1, "x"))
+			w.recordMessage(other)
+			w.waitLogged(log, 2, endlog.CallMessage, endlog.StepKey, string(endlog.EndWithKernel))
 
 			var got []endlog.Step
 			connections := map[endlog.Step][]string{}
-			for _, s := range log.steps(endlog.CallMessage, endlog.IDKey, id(1)) {
+			for _, s := range log.endSteps(endlog.CallMessage, endlog.IDKey, id(1)) {
 				step := endlog.Step(s[endlog.StepKey])
 				got = append(got, step)
 				connections[step] = append(connections[step], s[endlog.ConnectionKey])
@@ -83,20 +83,20 @@
 			if len(queued) != 2 || queued[0] == queued[1] || !slices.Equal(queued[:1], connections[endlog.EndUnread]) {
 				t.Errorf("queued on connections %v, unread on %v", queued, connections[endlog.EndUnread])
 			}
-			read := w.firstOf(log, endlog.ReleaseRead)
-			opened := log.steps(endlog.DispatcherMessage, endlog.StepKey, string(endlog.LinkOpened))
-			if !opens(opened, read) || read[endlog.StateKey] != "open" {
+			read := w.firstStep(log, endlog.ReleaseRead)
+			opened := log.endSteps(endlog.DispatcherMessage, endlog.StepKey, string(endlog.LinkOpened))
+			if !containsConnection(opened, read) || read[endlog.StateKey] != "open" {
 				t.Errorf("the release was read as %v; the connections opened are %v", read, opened)
 			}
-			if r := w.firstOf(log, endlog.EndReceived); r[endlog.ResultKey] != "ended" {
+			if r := w.firstStep(log, endlog.EndReceived); r[endlog.ResultKey] != "ended" {
 				t.Errorf("the end was received as %v", r)
 			}
 		})
 	}
 }
 
-// opens reports whether one of the connections to dispatchers that were opened is that of a step.
-func opens(opened []map[string]string, step map[string]string) bool {
+// containsConnection reports whether one of the connections to dispatchers that were opened is that of a step.
+func containsConnection(opened []map[string]string, step map[string]string) bool {
 	for _, o := range opened {
 		if o[endlog.ServerKey] == step[endlog.ServerKey] && o[endlog.ConnectionKey] == step[endlog.ConnectionKey] {
 			return true
@@ -105,8 +105,8 @@
 	return false
 }
 
-// newLoggedWorldOf is a world over a pair of transports that logs.
-func newLoggedWorldOf(t *testing.T, transports [2]string, log *slog.Logger) *world {
+// newLoggedFixtureOver is a world over a pair of transports that logs.
+func newLoggedFixtureOver(t *testing.T, transports [2]string, log *slog.Logger) *fixture {
 	t.Helper()
 	var d [2]*peer.Dispatcher
 	for i := range d {
@@ -115,24 +115,24 @@
 			t.Fatal(err)
 		}
 	}
-	bounds := callers.Bounds{Silent: long, Idle: long}
-	return newLoggedWorld(t, "127.0.0.1:0", "127.0.0.1:0", transports[0], d, bounds, testSettings(t), log)
+	bounds := callers.Bounds{Silent: longTimeout, Idle: longTimeout}
+	return newLoggedFixture(t, "127.0.0.1:0", "127.0.0.1:0", transports[0], d, bounds, testSettings(t), log)
 }
 
-// firstOf is the first step of a call of that name.
-func (w *world) firstOf(log *diary, step endlog.Step) map[string]string {
+// firstStep is the first step of a call of that name.
+func (w *fixture) firstStep(log *logBuffer, step endlog.Step) map[string]string {
 	w.Helper()
-	steps := log.steps(endlog.CallMessage, endlog.StepKey, string(step))
+	steps := log.endSteps(endlog.CallMessage, endlog.StepKey, string(step))
 	if len(steps) == 0 {
 		w.Fatalf("%q is never logged", step)
 	}
 	return steps[0]
 }
 
-// logs waits until so many steps are logged.
-func (w *world) logs(log *diary, number int, message, key, value string) {
+// waitLogged waits until so many steps are logged.
+func (w *fixture) waitLogged(log *logBuffer, number int, message, key, value string) {
 	w.Helper()
-	for until := time.Now().Add(peer.Patience); len(log.steps(message, key, value)) < number; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(peer.Patience); len(log.endSteps(message, key, value)) < number; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			w.Fatalf("%q is never logged as often as %d times:\n%s", value, number, log)
 		}
--- a/cmd/cherryrelay/endings_test.go
+++ b/cmd/cherryrelay/endings_test.go
@@ -22,8 +22,8 @@
 
 // Ends whose way is blocked, dead or about to close as they are told: docs/crossings.md has the table.
 
-// without8s is how long after the end of a call its caller is told where no release could be sent; see the protocol page.
-const without8s = 8 * time.Second
+// endDeliveryTimeout is how long after the end of a call its caller is told where no release could be sent; see the protocol page.
+const endDeliveryTimeout = 8 * time.Second
 
 // TestEndsOnADeadConnection: one of two connections to a dispatcher is dead, and the dispatcher does not know: it goes on to tell the ends
 // of its calls there, and never closes it. Each is told again on the next connection that is opened; nothing but such an end has one opened.
@@ -32,17 +32,17 @@
 		for name, givenUp := range map[string]bool{"nothing to do there": false, "a set-up was given up there": true} {
 			t.Run(name+", "+mix[0]+" to "+mix[1], func(t *testing.T) {
 				t.Parallel()
-				w := crossing(t, mix[0], mix[1], false, testSettings(t))
-				w.linked(0, 1)
-				c := w.caller()
-				w.must(c.SetUp(id(1), long, 0, "x"))
-				live := w.gets(0)
-				w.linked(0, 2) // one without a word for long has another connection opened
+				w := newFixtureWithSettings(t, mix[0], mix[1], false, testSettings(t))
+				w.waitConnections(0, 1)
+				c := w.newCaller()
+				w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+				live := w.recordEvent(0)
+				w.waitConnections(0, 2) // one without a word for long has another connection opened
 				w.must(w.dispatchers[0].Release(id(0x66), call.CauseNormal))
-				w.hears(c) // on that: the node has it
+				w.recordMessage(c) // on that: the node has it
 				place := func(n int) peer.Event {
-					w.must(c.SetUp(id(n), long, 0, "x"))
-					e := w.gets(0)
+					w.must(c.SetUp(id(n), longTimeout, 0, "x"))
+					e := w.recordEvent(0)
 					if e.Beside(live) {
 						t.Fatalf("the set-up %d came beside the first, which is open still", n)
 					}
@@ -52,19 +52,19 @@
 				for n := 2; n <= 3; n++ {
 					dead = place(n)
 					w.must(dead.Answer("y"))
-					w.hears(c)
+					w.recordMessage(c)
 				}
 				if givenUp {
 					place(4)
 					w.must(dead.ReleaseHere(id(0x77), call.CauseNormal))
-					w.hears(c) // so that something was heard since it was sent
+					w.recordMessage(c) // so that something was heard since it was sent
 				}
 				dead.Deafen()
 				if givenUp {
 					w.must(c.Release(id(4), call.CauseNormal))
 				}
 				w.must(live.Answer("y"))
-				w.hears(c)
+				w.recordMessage(c)
 				d := w.dispatchers[0]
 				d.TellLinks()
 				heard := 0
@@ -92,7 +92,7 @@
 							t.Fatalf("the end of call %d is never told", n)
 						}
 					}
-					if took := time.Since(ended); took > without8s {
+					if took := time.Since(ended); took > endDeliveryTimeout {
 						t.Errorf("the end of call %d was told after %v", n, took)
 					}
 				}
@@ -104,7 +104,7 @@
 // TestAnEndAsTheLastConnectionCloses: the end of a call and the close of the only connection of callers lie before the loop, in both
 // orders. The end is told on the next.
 func TestAnEndAsTheLastConnectionCloses(t *testing.T) {
-	for way, leave := range ways {
+	for way, leave := range cancellations {
 		if way == "release" {
 			continue
 		}
@@ -112,14 +112,14 @@
 			for _, endFirst := range []bool{true, false} {
 				t.Run(fmt.Sprint(way, ", ", transport, ", the end first: ", endFirst), func(t *testing.T) {
 					t.Parallel()
-					w := crossing(t, transport, "tcp", false, testSettings(t))
-					c := w.caller()
-					w.must(c.SetUp(id(1), long, 0, "x"))
-					e := w.gets(0)
+					w := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
+					c := w.newCaller()
+					w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+					e := w.recordEvent(0)
 					w.must(e.Answer("y"))
-					w.hears(c)
-					w.acked(0)
-					free := w.holds()
+					w.recordMessage(c)
+					w.waitAck(0)
+					free := w.pauseLoop()
 					before := w.node.loop.Pending()
 					acts := []func() error{
 						func() error { return e.ReleaseHere(id(1), call.CauseNormal) }, func() error { return leave(w, c, 1) },
@@ -129,16 +129,16 @@
 					}
 					for i, act := range acts {
 						w.must(act())
-						w.queued(before + i + 1)
+						w.waitQueued(before + i + 1)
 					}
 					free()
-					other := w.caller()
-					w.must(other.SetUp(id(2), long, 0, "x"))
-					w.hears(other)
-					w.must(w.gets(0).Answer("y"))
-					w.hears(other)
+					other := w.newCaller()
+					w.must(other.SetUp(id(2), longTimeout, 0, "x"))
+					w.recordMessage(other)
+					w.must(w.recordEvent(0).Answer("y"))
+					w.recordMessage(other)
 					want := []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 16", "d0: setup 2 x", "caller: answer 2 y"}
-					if diff := cmp.Diff(want, w.said); diff != "" {
+					if diff := cmp.Diff(want, w.observed); diff != "" {
 						t.Errorf("what the peers saw (-want +got):\n%s", diff)
 					}
 				})
@@ -147,14 +147,14 @@
 	}
 }
 
-// stuck has words for a caller wait in the node: it asks for much and does not read, until the socket takes no more. It returns how many
+// blockSocket has words for a caller wait in the node: it asks for much and does not read, until the socket takes no more. It returns how many
 // answers are on their way.
-func (w *world) stuck(c *peer.Caller) (asked int) {
+func (w *fixture) blockSocket(c *peer.Caller) (asked int) {
 	w.Helper()
 	for {
 		w.must(c.Send(jsonl.Message{Type: "ping", ID: strings.Repeat("0", 12<<10)})) // its answer has the id
 		asked++
-		for since := time.Now(); !w.quiet(); time.Sleep(time.Millisecond) {
+		for since := time.Now(); !w.frontsIdle(); time.Sleep(time.Millisecond) {
 			if time.Since(since) > 300*time.Millisecond { // far longer than it takes to read one
 				return asked
 			}
@@ -165,8 +165,8 @@
 	}
 }
 
-// quiet reports whether the fronts have nothing unread, nor unsent.
-func (w *world) quiet() bool {
+// frontsIdle reports whether the fronts have nothing unread, nor unsent.
+func (w *fixture) frontsIdle() bool {
 	quiet := make(chan bool)
 	w.node.loop.Post(func() { quiet <- w.node.lines.Idle() && w.node.api.Idle() })
 	return <-quiet
@@ -177,13 +177,13 @@
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
-			w := crossing(t, transport, "tcp", false, testSettings(t))
-			c := w.caller()
-			w.must(c.SetUp(id(1), long, 0, "x"))
-			e := w.gets(0)
-			asked := w.stuck(c)
+			w := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
+			c := w.newCaller()
+			w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+			e := w.recordEvent(0)
+			asked := w.blockSocket(c)
 			w.must(e.Refuse(peer.Busy))
-			w.acked(0)
+			w.waitAck(0)
 			w.node.drain()
 			time.Sleep(900 * time.Millisecond) // beyond the time after which it would end
 			select {
@@ -208,28 +208,28 @@
 	}
 }
 
-// TestASlowReaderGoesAlone: a caller reads nothing, and asks for more than may wait for it. Its connection is closed and its set-up taken
+// TestASlowReaderDoesNotAffectOthers: a caller reads nothing, and asks for more than may wait for it. Its connection is closed and its set-up taken
 // back; nobody else is touched.
-func TestASlowReaderGoesAlone(t *testing.T) {
+func TestASlowReaderDoesNotAffectOthers(t *testing.T) {
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
-			w := crossing(t, transport, "tcp", false, testSettings(t))
-			c, other := w.caller(), w.caller()
-			w.must(c.SetUp(id(1), long, 0, "x"))
-			w.gets(0)
-			w.must(other.SetUp(id(2), long, 1, "x"))
-			e := w.gets(1)
-			w.stuck(c)
+			w := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
+			c, other := w.newCaller(), w.newCaller()
+			w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+			w.recordEvent(0)
+			w.must(other.SetUp(id(2), longTimeout, 1, "x"))
+			e := w.recordEvent(1)
+			w.blockSocket(c)
 			go func() { // until its connection is closed
 				for c.Send(jsonl.Message{Type: "ping", ID: strings.Repeat("0", 12<<10)}) == nil {
 				}
 			}()
-			w.gets(0)
+			w.recordEvent(0)
 			w.must(e.Answer("y"))
-			w.hears(other)
+			w.recordMessage(other)
 			want := []string{"d0: setup 1 x", "d1: setup 2 x", "d0: release 1 16", "caller: answer 2 y"}
-			if diff := cmp.Diff(want, w.said); diff != "" {
+			if diff := cmp.Diff(want, w.observed); diff != "" {
 				t.Errorf("what the peers saw (-want +got):\n%s", diff)
 			}
 		})
@@ -269,7 +269,7 @@
 		t.Cleanup(d[i].Die)
 		text = strings.Replace(text, fmt.Sprintf("127.0.0.1:700%d", i+1), d[i].Address(), 1)
 	}
-	p := &process{T: t, directory: t.TempDir(), lines: fixed(t), management: fixed(t), log: new(diary), ended: make(chan error, 1)}
+	p := &process{T: t, directory: t.TempDir(), lines: freeAddress(t), management: freeAddress(t), log: new(logBuffer), ended: make(chan error, 1)}
 	path := filepath.Join(p.directory, "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -298,7 +298,7 @@
 		events <- strings.TrimSuffix(e, ",") + "]}}\n\n"
 	}
 	for n := 1; n <= 6; n++ {
-		c, other, e := inGuard(t, p, d, n)
+		c, other, e := setUpInGuard(t, p, d, n)
 		p.signal(syscall.SIGSTOP)
 		tells("leaving")
 		time.Sleep(guard + 100*time.Millisecond) // the grace is no longer than the guard
@@ -343,23 +343,23 @@
 	}
 }
 
-// nowhere finds no call, and goes on looking.
-type nowhere struct{ call.Finder }
+// pendingFinder finds no call, and goes on looking.
+type pendingFinder struct{ call.Finder }
 
-func (nowhere) Lookup(string, []byte) bool { return true }
+func (pendingFinder) Lookup(string, []byte) bool { return true }
 
-// TestACallThatIsLookedForIsAnsweredInTime: callers come back for calls that other controllers may have. Each is told by when it gives
+// TestALookupIsAnsweredInTime: callers come back for calls that other controllers may have. Each is told by when it gives
 // its call up, the one that says nothing of that only once all have looked.
-func TestACallThatIsLookedForIsAnsweredInTime(t *testing.T) {
+func TestALookupIsAnsweredInTime(t *testing.T) {
 	t.Parallel()
-	w := crossing(t, "ws", "tcp", false, testSettings(t))
+	w := newFixtureWithSettings(t, "ws", "tcp", false, testSettings(t))
 	set := make(chan struct{})
 	w.node.loop.Post(func() {
-		w.node.core.UseFinder(nowhere{}, func() bool { return true }, func(err error) { t.Error(err) })
+		w.node.core.UseFinder(pendingFinder{}, func() bool { return true }, func(err error) { t.Error(err) })
 		close(set)
 	})
 	<-set
-	c := w.caller()
+	c := w.newCaller()
 	begun := time.Now()
 	for n, left := range []string{"1200", "600", "900", ""} {
 		fields := map[string]jsonl.Value{"token": "a token of some caller"}
--- a/cmd/cherryrelay/failure_report_test.go
+++ b/cmd/cherryrelay/failure_report_test.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// maxFaultsShown is how many faults of a play are shown.
-	maxFaultsShown = 12
+	// maxViolationsShown is how many faults of a play are shown.
+	maxViolationsShown = 12
 	// maxLogShown bounds the bytes of the log of a process that are shown: its end, and logBeginningShown of its beginning.
 	maxLogShown, logBeginningShown = 16 << 10, 4 << 10
 	// maxCallLinesShown bounds the lines of the log that name calls of the faults.
@@ -22,7 +22,7 @@
 
 // failureReport tells the faults of a play and how it is played again, and after them what the log of its process has.
 func failureReport(again string, faults []string, log string) string {
-	shown := strings.Join(faults[:min(len(faults), maxFaultsShown)], "\n")
+	shown := strings.Join(faults[:min(len(faults), maxViolationsShown)], "\n")
 	return fmt.Sprintf("%d faults; %s\n%s\nof these calls the log has:\n%sthe log of the process:\n%s", len(faults), again,
 		shown, linesOfCalls(log, callID.FindAllString(shown, -1)), shortenLog(log))
 }
@@ -53,9 +53,9 @@
 	return fmt.Sprintf("%s... %d bytes are left out ...\n%s", beginning, leftOut, end)
 }
 
-// TestAFailureTellsItsFaultsFirst guards against a failed play of which nobody can say what failed: its faults were printed behind a log of any
+// TestAFailureReportStartsWithTheViolations guards against a failed play of which nobody can say what failed: its faults were printed behind a log of any
 // length, and the output was cut off before them.
-func TestAFailureTellsItsFaultsFirst(t *testing.T) {
+func TestAFailureReportStartsWithTheViolations(t *testing.T) {
 	t.Parallel()
 	const firstFault, firstLine, lastLine = "0000000000000001: no answer", "the first line\n", "the last line\n"
 	const lineOfCall = "call without an answer at its deadline id=0000000000000001\n"
--- a/cmd/cherryrelay/terms_fleet_test.go
+++ b/cmd/cherryrelay/fleet_load_test.go
@@ -58,10 +58,10 @@
 // platformConfig is the name of the configuration in a process's directory.
 const platformConfig = "config.json"
 
-// onPlatform prepares a process of the program with a platform's configuration.
-func onPlatform(t *testing.T, text []byte) *process {
+// newPlatformProcess prepares a process of the program with a platform's configuration.
+func newPlatformProcess(t *testing.T, text []byte) *process {
 	t.Helper()
-	p := &process{T: t, directory: t.TempDir(), lines: fixed(t), management: fixed(t)}
+	p := &process{T: t, directory: t.TempDir(), lines: freeAddress(t), management: freeAddress(t)}
 	if err := os.WriteFile(filepath.Join(p.directory, platformConfig), text, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -96,10 +96,10 @@
 		t.Cleanup(d.Die)
 		known = append(known, endpoint(fmt.Sprint("d", i), i, d.Address(), time.Time{}))
 	}
-	text := platformFile(t, processes, 15*time.Second, fixed(t), known) // nobody listens there
+	text := platformFile(t, processes, 15*time.Second, freeAddress(t), known) // nobody listens there
 	var controllers []*process
 	for range processes {
-		controllers = append(controllers, onPlatform(t, text))
+		controllers = append(controllers, newPlatformProcess(t, text))
 	}
 	busy := make(chan struct{})
 	defer close(busy)
@@ -130,7 +130,7 @@
 		p.launchOnPlatform()
 		all.Go(func() {
 			for took[i] = 2 * peer.Patience; time.Since(begin) < 2*peer.Patience; time.Sleep(20 * time.Millisecond) {
-				if status, _ := ask(p.management, "/api/ready"); status == http.StatusOK {
+				if status, _ := httpGet(p.management, "/api/ready"); status == http.StatusOK {
 					took[i] = time.Since(begin)
 					return
 				}
@@ -145,15 +145,15 @@
 	}
 }
 
-// announcer is a coordinator that tells all who ask one event once it is announced.
-type announcer struct {
+// changeCoordinator is a coordinator that tells all who ask one event once it is announced.
+type changeCoordinator struct {
 	address string
 	event   chan struct{}
 	text    string
 }
 
-func announces(t *testing.T) *announcer {
-	a := &announcer{event: make(chan struct{})}
+func startChangeCoordinator(t *testing.T) *changeCoordinator {
+	a := &changeCoordinator{event: make(chan struct{})}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		flush := http.NewResponseController(w).Flush
 		event := a.event
@@ -177,7 +177,7 @@
 }
 
 // announce tells all who ask, and will ask, of changes.
-func (a *announcer) announce(t *testing.T, changes ...map[string]any) {
+func (a *changeCoordinator) announce(t *testing.T, changes ...map[string]any) {
 	t.Helper()
 	event, err := json.Marshal(map[string]any{"index": 2, "endpoints": map[string]any{"index": 2, "snapshot": false, "endpoints": changes}})
 	if err != nil {
@@ -187,21 +187,21 @@
 	close(a.event)
 }
 
-// counted is a dispatcher that has every call stand and end at once, and keeps when each came.
-type counted struct {
+// recordingDispatcher is a dispatcher that has every call stand and end at once, and keeps when each came.
+type recordingDispatcher struct {
 	*peer.Dispatcher
 	mu    sync.Mutex
 	times []time.Time
 }
 
-func counts(t *testing.T) *counted {
+func startRecordingDispatcher(t *testing.T) *recordingDispatcher {
 	t.Helper()
 	d, err := peer.Dispatch("tcp", "127.0.0.1:0", "x0:100000;x1:100000")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(d.Die)
-	c := &counted{Dispatcher: d}
+	c := &recordingDispatcher{Dispatcher: d}
 	go func() {
 		for range d.Acks { // nobody waits for them
 		}
@@ -233,11 +233,11 @@
 		window      = time.Second
 	)
 	meter := startMeter()
-	discovery := announces(t)
+	discovery := startChangeCoordinator(t)
 	var known, late []map[string]any
-	var dispatchers []*counted
+	var dispatchers []*recordingDispatcher
 	for i := range 4 {
-		dispatchers = append(dispatchers, counts(t))
+		dispatchers = append(dispatchers, startRecordingDispatcher(t))
 		if i < 2 {
 			known = append(known, endpoint(fmt.Sprint("d", i), i, dispatchers[i].Address(), time.Time{}))
 		}
@@ -245,7 +245,7 @@
 	text := platformFile(t, processes, coldFor, discovery.address, known)
 	var all []*process
 	for range processes {
-		p := onPlatform(t, text)
+		p := newPlatformProcess(t, text)
 		p.launchOnPlatform()
 		all = append(all, p)
 	}
@@ -305,7 +305,7 @@
 				n++
 			}
 			share := startShare + (1-startShare)*min(1, to.Sub(since).Seconds()/coldFor.Seconds())
-			budget := warm * share * tipMultiple * (window + meter.between(from, to)).Seconds()
+			budget := warm * share * tipMultiple * (window + meter.delayBetween(from, to)).Seconds()
 			budget += 2*math.Sqrt(budget) + 2
 			if float64(n)/budget > worst {
 				worst, most = float64(n)/budget, n
--- a/cmd/cherryrelay/fleet_test.go
+++ b/cmd/cherryrelay/fleet_test.go
@@ -23,40 +23,40 @@
 // fleetLease is the lease of the stories: the shortest that there may be.
 const fleetLease = time.Second
 
-// fleetSite is a ground with a judge of what its processes believe.
-type fleetSite struct {
+// fleetFixture is a ground with a judge of what its processes believe.
+type fleetFixture struct {
 	*testing.T
 	*trial.Ground
-	beliefs trial.Beliefs
-	offence bool // faults are wanted
+	checker         trial.Beliefs
+	expectViolation bool // faults are wanted
 }
 
-func newFleetSite(t *testing.T, controllers int) *fleetSite {
+func newFleetFixture(t *testing.T, controllers int) *fleetFixture {
 	t.Helper()
 	t.Parallel()
-	return fleetSiteWith(t, trial.Options{Controllers: controllers,
-		Dispatchers: map[string]string{"d1": act(t, "tcp", "d1", newJudge()).Address()}})
+	return newFleetFixtureWith(t, trial.Options{Controllers: controllers,
+		Dispatchers: map[string]string{"d1": startDispatcher(t, "tcp", "d1", newChecker()).Address()}})
 }
 
-func fleetSiteWith(t *testing.T, o trial.Options) *fleetSite {
+func newFleetFixtureWith(t *testing.T, o trial.Options) *fleetFixture {
 	t.Helper()
 	o.Directory, o.Program, o.Env, o.Lease = t.TempDir(), []string{os.Args[0]}, []string{asProgram + "=1"}, fleetLease
 	g, err := trial.Open(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &fleetSite{T: t, Ground: g}
+	s := &fleetFixture{T: t, Ground: g}
 	for _, c := range g.Controllers {
 		s.must(c.Start())
 	}
 	stop := make(chan struct{})
-	watching := g.Watch(&s.beliefs, stop)
+	watching := g.Watch(&s.checker, stop)
 	t.Cleanup(func() {
 		close(stop)
 		watching.Wait()
 		s.must(g.Close())
-		faults, samples := s.beliefs.Faults()
-		if s.offence != (len(faults) > 0) || samples < 10 {
+		faults, samples := s.checker.Faults()
+		if s.expectViolation != (len(faults) > 0) || samples < 10 {
 			t.Errorf("%d faults in %d samples: %s", len(faults), samples, strings.Join(faults, "\n"))
 		}
 		if t.Failed() {
@@ -65,31 +65,31 @@
 			}
 		}
 	})
-	s.all(g.Controllers...)
+	s.waitAllServing(g.Controllers...)
 	return s
 }
 
-func (s *fleetSite) must(err error) {
+func (s *fleetFixture) must(err error) {
 	s.Helper()
 	if err != nil {
 		s.Error(err)
 	}
 }
 
-// until waits for what must come, for as long as a busy machine may take.
-func (s *fleetSite) until(what string, holds func() bool) {
+// waitUntil waits for what must come, for as long as a busy machine may take.
+func (s *fleetFixture) waitUntil(what string, holds func() bool) {
 	s.Helper()
 	if !trial.Until(peer.Patience, holds) {
 		s.Fatalf("it never came that %s", what)
 	}
 }
 
-// all waits until these controllers serve, are certain, and each sees just these as serving.
-func (s *fleetSite) all(those ...*trial.Controller) {
+// waitAllServing waits until these controllers serve, are certain, and each sees just these as serving.
+func (s *fleetFixture) waitAllServing(those ...*trial.Controller) {
 	s.Helper()
 	for _, c := range those {
 		var seen membership.Shown
-		s.until(c.Name+" sees all members serve", func() bool {
+		s.waitUntil(c.Name+" sees all members serve", func() bool {
 			seen = c.Fleet()
 			serving := 0
 			for _, m := range seen.Members {
@@ -102,33 +102,33 @@
 	}
 }
 
-// ended reports whether a controller has told that a life is over.
-func ended(s membership.Shown, name string, incarnation int64) bool {
+// listedAsGone reports whether a controller has told that a life is over.
+func listedAsGone(s membership.Shown, name string, incarnation int64) bool {
 	return slices.ContainsFunc(s.Gone, func(m membership.ShownMember) bool { return m.Name == name && m.Incarnation == incarnation })
 }
 
-// away waits until all others have told the end of a life.
-func (s *fleetSite) away(c *trial.Controller, incarnation int64) {
+// waitGone waits until all others have told the end of a life.
+func (s *fleetFixture) waitGone(c *trial.Controller, incarnation int64) {
 	s.Helper()
 	for _, o := range s.Controllers {
 		if o != c {
-			s.until(o.Name+" is told of the end of "+c.Name, func() bool { return ended(o.Fleet(), c.Name, incarnation) })
+			s.waitUntil(o.Name+" is told of the end of "+c.Name, func() bool { return listedAsGone(o.Fleet(), c.Name, incarnation) })
 		}
 	}
 }
 
-// anew waits until a controller is certain as another incarnation than before, and a later one.
-func (s *fleetSite) anew(c *trial.Controller, before int64) {
+// waitNewIncarnation waits until a controller is certain as another incarnation than before, and a later one.
+func (s *fleetFixture) waitNewIncarnation(c *trial.Controller, before int64) {
 	s.Helper()
 	var now membership.Shown
-	s.until(c.Name+" is certain anew", func() bool { now = c.Fleet(); return now.Certain && now.Incarnation != before })
+	s.waitUntil(c.Name+" is certain anew", func() bool { now = c.Fleet(); return now.Certain && now.Incarnation != before })
 	if now.Incarnation < before {
 		s.Errorf("%s has incarnation %d after %d", c.Name, now.Incarnation, before)
 	}
 }
 
 func TestFleetKilledAndRestarted(t *testing.T) {
-	s := newFleetSite(t, 3)
+	s := newFleetFixture(t, 3)
 	n1 := s.Controllers[0]
 	first := n1.Fleet().Incarnation
 	for _, page := range []string{"show", "history"} { // what operators ask for
@@ -141,24 +141,24 @@
 	killed := time.Now()
 	s.must(n1.Kill())
 	s.must(n1.Start()) // within the lease: the name is still that of the one before
-	s.away(n1, first)
+	s.waitGone(n1, first)
 	if took := time.Since(killed); took < fleetLease/2 {
 		t.Errorf("the end of a killed process was told after %v, before its lease can have ended", took)
 	}
-	s.anew(n1, first)
-	s.all(s.Controllers...)
+	s.waitNewIncarnation(n1, first)
+	s.waitAllServing(s.Controllers...)
 	if !strings.Contains(n1.Log(), "the name is in use") {
 		t.Error("the successor did not say that its name was in use")
 	}
 	second := n1.Fleet().Incarnation
 	s.must(n1.Kill())
-	s.away(n1, second)
+	s.waitGone(n1, second)
 	s.must(n1.Start())
-	s.anew(n1, second)
+	s.waitNewIncarnation(n1, second)
 	third := n1.Fleet().Incarnation
 	left := time.Now()
 	s.must(n1.Stop()) // planned: the others are told at once
-	s.away(n1, third)
+	s.waitGone(n1, third)
 	t.Logf("a planned end was told after %v", time.Since(left))
 	for _, c := range s.Controllers { // all at once
 		s.must(c.Kill())
@@ -166,59 +166,59 @@
 	for _, c := range s.Controllers {
 		s.must(c.Start())
 	}
-	s.all(s.Controllers...)
+	s.waitAllServing(s.Controllers...)
 }
 
 func TestFleetPausedPastItsLease(t *testing.T) {
-	s := newFleetSite(t, 3)
+	s := newFleetFixture(t, 3)
 	n1 := s.Controllers[0]
 	before := n1.Fleet().Incarnation
 	n1.Pause()
-	s.away(n1, before)
+	s.waitGone(n1, before)
 	n1.Resume()
 	if now := n1.Fleet(); now.Certain && now.Incarnation == before {
 		t.Errorf("a process that was paused past its lease is certain of incarnation %d still", before)
 	}
-	s.anew(n1, before)
-	s.all(s.Controllers...)
+	s.waitNewIncarnation(n1, before)
+	s.waitAllServing(s.Controllers...)
 }
 
 func TestFleetCutFromItsStore(t *testing.T) {
-	s := newFleetSite(t, 3)
+	s := newFleetFixture(t, 3)
 	n1 := s.Controllers[0]
 	before := n1.Fleet().Incarnation
 	s.Net.Part([]string{n1.Name}, []string{trial.StoreName})
-	s.until("n1 is not certain", func() bool { return !n1.Fleet().Certain })
-	s.away(n1, before)
+	s.waitUntil("n1 is not certain", func() bool { return !n1.Fleet().Certain })
+	s.waitGone(n1, before)
 	if f := n1.Fleet(); len(f.Gone) > 0 || len(f.Members) != 3 {
 		t.Errorf("cut off, n1 holds %v to be gone", f.Gone)
 	}
 	if status, err := n1.Ask("/api/ready", nil); status != 200 {
 		t.Errorf("cut off from the store, n1 does not serve: %d, %v", status, err)
 	}
-	s.until("the view is too old", func() bool { f := n1.Fleet(); return !f.Actable && f.AgeMs > 2*fleetLease.Milliseconds() })
+	s.waitUntil("the view is too old", func() bool { f := n1.Fleet(); return !f.Actable && f.AgeMs > 2*fleetLease.Milliseconds() })
 	s.Net.Heal()
-	s.anew(n1, before)
-	s.all(s.Controllers...)
+	s.waitNewIncarnation(n1, before)
+	s.waitAllServing(s.Controllers...)
 }
 
-// TestFleetHearsNoAnswers: renewals arrive and answers do not, so the store keeps the key while its owner cannot know.
-func TestFleetHearsNoAnswers(t *testing.T) {
-	s := newFleetSite(t, 3)
+// TestFleetWithoutStoreAnswers: renewals arrive and answers do not, so the store keeps the key while its owner cannot know.
+func TestFleetWithoutStoreAnswers(t *testing.T) {
+	s := newFleetFixture(t, 3)
 	n1, n2 := s.Controllers[0], s.Controllers[1]
 	before := n1.Fleet().Incarnation
 	s.Store.Fault(store.Faults{Late: 2 * fleetLease})
 	for _, c := range s.Controllers {
-		s.until(c.Name+" is not certain", func() bool { return !c.Fleet().Certain })
+		s.waitUntil(c.Name+" is not certain", func() bool { return !c.Fleet().Certain })
 	}
 	s.Store.Fault(store.Faults{})
-	s.all(s.Controllers...)
+	s.waitAllServing(s.Controllers...)
 	s.Net.Set("n1>store", fault.Rule{Back: fault.Way{Hole: true}})
-	s.until("n1 is not certain", func() bool { return !n1.Fleet().Certain })
+	s.waitUntil("n1 is not certain", func() bool { return !n1.Fleet().Certain })
 	s.Net.Heal()
-	s.all(s.Controllers...)
+	s.waitAllServing(s.Controllers...)
 	for _, at := range []*trial.Controller{n1, n2} {
-		if now := at.Fleet(); ended(now, n1.Name, before) && n1.Fleet().Incarnation == before {
+		if now := at.Fleet(); listedAsGone(now, n1.Name, before) && n1.Fleet().Incarnation == before {
 			t.Errorf("%s holds an incarnation to have ended that lives", at.Name)
 		}
 	}
@@ -226,7 +226,7 @@
 
 // TestFleetWithoutItsStore: a lost store is not a dead fleet.
 func TestFleetWithoutItsStore(t *testing.T) {
-	s := newFleetSite(t, 3)
+	s := newFleetFixture(t, 3)
 	before := map[string]int64{}
 	for _, c := range s.Controllers {
 		before[c.Name] = c.Fleet().Incarnation
@@ -234,13 +234,13 @@
 	backup := s.Store.Backup()
 	s.StopStore()
 	for _, c := range s.Controllers {
-		s.until("nothing is certain", func() bool { return !c.Fleet().Certain && !c.Fleet().Actable })
+		s.waitUntil("nothing is certain", func() bool { return !c.Fleet().Certain && !c.Fleet().Actable })
 		if status, _ := c.Ask("/api/ready", nil); status != 200 {
 			t.Errorf("%s does not serve without the store", c.Name)
 		}
 	}
 	s.must(s.StartStore())
-	s.all(s.Controllers...)
+	s.waitAllServing(s.Controllers...)
 	for _, c := range s.Controllers {
 		if f := c.Fleet(); len(f.Gone) > 0 || f.Incarnation != before[c.Name] {
 			t.Errorf("%s: after a store that was away, %v are gone, and incarnation %d is %d", c.Name, f.Gone, before[c.Name], f.Incarnation)
@@ -248,12 +248,12 @@
 	}
 	// Back from a backup, and then another one that is empty: nobody has ended by what is missing there.
 	s.Store.Put("/other", "1")
-	s.until("all have seen the later revision", func() bool { return s.Controllers[0].Fleet().Actable })
+	s.waitUntil("all have seen the later revision", func() bool { return s.Controllers[0].Fleet().Actable })
 	for i, to := range []any{backup, nil} {
 		s.StopStore()
 		s.Store.Restore(to, uint64(100+i))
 		s.must(s.StartStore())
-		s.all(s.Controllers...)
+		s.waitAllServing(s.Controllers...)
 		for _, c := range s.Controllers {
 			if f := c.Fleet(); len(f.Gone) > 0 {
 				t.Errorf("%s: with a store that was put back, %v are held to be gone", c.Name, f.Gone)
@@ -264,12 +264,12 @@
 
 // TestFleetNameIsTakenOnce: a second process under a name in use waits, serves, and has it once the first has ended.
 func TestFleetNameIsTakenOnce(t *testing.T) {
-	s := newFleetSite(t, 2)
+	s := newFleetFixture(t, 2)
 	n1, n2 := s.Controllers[0], s.Controllers[1]
 	before := n1.Fleet().Incarnation
 	s.must(n2.Kill())
 	s.must(n2.Start("LB_NAME=n1"))
-	s.until("the second is kept out", func() bool { return strings.HasPrefix(n2.Fleet().Holder, "incarnation") })
+	s.waitUntil("the second is kept out", func() bool { return strings.HasPrefix(n2.Fleet().Holder, "incarnation") })
 	time.Sleep(3 * fleetLease / 2) // it goes on being kept out
 	if f := n2.Fleet(); f.Certain || f.Incarnation != 0 {
 		t.Errorf("the second process has the name as %d, certain %v", f.Incarnation, f.Certain)
@@ -278,64 +278,67 @@
 		t.Errorf("the first process lost its name")
 	}
 	s.must(n1.Kill())
-	s.until("the second has the name", func() bool { f := n2.Fleet(); return f.Certain && f.Incarnation > before })
+	s.waitUntil("the second has the name", func() bool { f := n2.Fleet(); return f.Certain && f.Incarnation > before })
 }
 
 // TestFleetWatchFromBeforeACompaction: what changes while a process is cut off and the store is compacted, and a hundred changes at once.
 func TestFleetWatchFromBeforeACompaction(t *testing.T) {
-	s := newFleetSite(t, 3)
+	s := newFleetFixture(t, 3)
 	n1, n2, n3 := s.Controllers[0], s.Controllers[1], s.Controllers[2]
 	two, three := n2.Fleet().Incarnation, n3.Fleet().Incarnation
 	s.Net.Part([]string{n1.Name}, []string{trial.StoreName})
 	s.must(n2.Kill())
 	s.must(n3.Stop())
 	s.must(n3.Start())
-	s.anew(n3, three)
-	s.until("the store has no key of n2", func() bool { return len(s.Store.Keys(trial.Prefix)) == 1 })
+	s.waitNewIncarnation(n3, three)
+	s.waitUntil("the store has no key of n2", func() bool { return len(s.Store.Keys(trial.Prefix)) == 1 })
 	s.Store.Compact()
 	s.Net.Heal()
-	s.until("n1 sees it all", func() bool { f := n1.Fleet(); return ended(f, "n2", two) && ended(f, "n3", three) && f.Actable })
+	s.waitUntil("n1 sees it all", func() bool {
+		f := n1.Fleet()
+		return listedAsGone(f, "n2", two) && listedAsGone(f, "n3", three) && f.Actable
+	})
 	s.must(n2.Start())
-	s.all(s.Controllers...)
+	s.waitAllServing(s.Controllers...)
 	s.Store.Fault(store.Faults{Deaf: true})
 	for range 50 {
 		s.Store.Put(trial.Prefix+"x", `{"state":"serving","address":"a"}`)
 		s.Store.Put(trial.Prefix+"x", "")
 	}
 	s.Store.Put(trial.Prefix+"y", `{"state":"serving","address":"b"}`)
-	s.until("n1 finds the watch silent and reads anew", func() bool {
+	s.waitUntil("n1 finds the watch silent and reads anew", func() bool {
 		return slices.ContainsFunc(n1.Fleet().Members, func(m membership.ShownMember) bool { return m.Name == "y" })
 	})
 	s.Store.Fault(store.Faults{})
 	s.Store.Put(trial.Prefix+"y", "")
-	s.all(s.Controllers...)
+	s.waitAllServing(s.Controllers...)
 }
 
-// TestFleetBeliefsAreJudged: a store that ends a lease early leaves its owner certain for a moment after others were told of its end.
+// TestFleetViolationsAreDetected: a store that ends a lease early leaves its owner certain for a moment after others were told of its end.
 // That is where the argument ends (docs/fleet-members.md), and it is the offence that shows that the judge looks.
-func TestFleetBeliefsAreJudged(t *testing.T) {
-	s := newFleetSite(t, 3)
-	s.offence = true
+func TestFleetViolationsAreDetected(t *testing.T) {
+	s := newFleetFixture(t, 3)
+	s.expectViolation = true
 	n1 := s.Controllers[0]
 	for range 5 {
 		before := n1.Fleet().Incarnation
 		s.Store.LoseLeases(trial.Prefix + n1.Name)
-		s.away(n1, before)
-		s.anew(n1, before)
+		s.waitGone(n1, before)
+		s.waitNewIncarnation(n1, before)
 	}
 }
 
-// TestCallsWhileTheFleetIsHurt has callers at each of three controllers, each of which keeps its calls, while processes are killed, paused
+// TestCallsDuringFleetFaults has callers at each of three controllers, each of which keeps its calls, while processes are killed, paused
 // and cut off and the store stalls. Callers come back to where they were, and see every call to its one answer. The end of a call whose
 // controller was killed may be told to another one, which does not hold it: that is still to come, with takeover.
-func TestCallsWhileTheFleetIsHurt(t *testing.T) {
+func TestCallsDuringFleetFaults(t *testing.T) {
 	t.Parallel()
-	j := newJudge()
+	j := newChecker()
 	dispatchers := map[string]string{}
 	for _, name := range []string{"d1", "d2", "d3"} {
-		dispatchers[name] = act(t, "tcp", name, j).Address()
+		dispatchers[name] = startDispatcher(t, "tcp", name, j).Address()
 	}
-	s := fleetSiteWith(t, trial.Options{Controllers: 3, Seed: 3, Dispatchers: dispatchers, Ledgers: true})
+	s := newFleetFixtureWith(t, trial.Options{Controllers: 3, Seed: 3, Dispatchers: dispatchers, Ledgers: true})
 	done := make(chan struct{})
 	var calling sync.WaitGroup
 	for i, c := range s.Controllers {
@@ -366,13 +369,13 @@
 	}
 	close(done)
 	calling.Wait()
-	answered(t, j)
+	checkAllAnswered(t, j)
 	_, setUps, finals := j.Verdict()
 	_, untold := j.Unsettled()
 	if finals["answer"] < 50 {
 		t.Errorf("only %d calls were answered", finals["answer"])
 	}
-	s.all(s.Controllers...)
+	s.waitAllServing(s.Controllers...)
 	t.Logf("%d set-ups at dispatchers; callers had %v; the ends of %d were told to a controller that did not hold them", setUps, finals, len(untold))
 }
 
@@ -401,7 +404,7 @@
 
 // TestFleetThroughAnUpgrade: the old process leaves once its successor serves, and stays if that dies; the name is one process's at a time.
 func TestFleetThroughAnUpgrade(t *testing.T) {
-	s := newFleetSite(t, 2)
+	s := newFleetFixture(t, 2)
 	n1, n2 := s.Controllers[0], s.Controllers[1]
 	seen := func(state members.State, incarnation int64) func() bool {
 		return func() bool {
@@ -412,16 +415,16 @@
 	}
 	before := n1.Fleet().Incarnation
 	for _, dies := range []bool{true, false} {
-		next, operators := n1.Beside(), fixed(t)
+		next, operators := n1.Beside(), freeAddress(t)
 		s.must(next.Start("LB_MANAGEMENT=" + operators))
-		s.until("the old process leaves", seen(members.Leaving, before))
+		s.waitUntil("the old process leaves", seen(members.Leaving, before))
 		if dies {
 			s.must(next.Kill())
-			s.until("the old process serves again", seen(members.Serving, before))
+			s.waitUntil("the old process serves again", seen(members.Serving, before))
 			continue
 		}
 		t.Cleanup(func() { s.must(next.Kill()) })
-		s.until("the old process has ended", func() bool { return !n1.Runs() })
-		s.until("the name is the successor's", func() bool { return seen(members.Serving, 0)() && !seen(members.Serving, before)() })
+		s.waitUntil("the old process has ended", func() bool { return !n1.Runs() })
+		s.waitUntil("the name is the successor's", func() bool { return seen(members.Serving, 0)() && !seen(members.Serving, before)() })
 	}
 }
--- a/cmd/cherryrelay/quiet_time_test.go
+++ b/cmd/cherryrelay/idle_faults_test.go
@@ -8,12 +8,12 @@
 	"cherryrelay/internal/peer"
 )
 
-// quietTime is longer than a connection to a dispatcher may be silent before it is doubted.
-const quietTime = 3 * time.Second
+// idleTime is longer than a connection to a dispatcher may be silent before it is doubted.
+const idleTime = 3 * time.Second
 
-// TestTroubleAfterAQuietTime: nothing was said for long, and then a dispatcher's connections are reset, dead, or gone with it in the moment in
+// TestFaultsAfterAnIdleTime: nothing was said for long, and then a dispatcher's connections are reset, dead, or gone with it in the moment in
 // which calls come again. Each call has one final answer in its time, and those that another dispatcher can take stand.
-func TestTroubleAfterAQuietTime(t *testing.T) {
+func TestFaultsAfterAnIdleTime(t *testing.T) {
 	const calls, left = 8, 8 * time.Second
 	for name, trouble := range map[string]func(d *peer.Dispatcher, e peer.Event){
 		"reset":              func(d *peer.Dispatcher, _ peer.Event) { d.Cut() },
@@ -25,14 +25,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorldWithin(t, "tcp", "tcp", callers.Bounds{Silent: long, Idle: long})
-			c := w.caller()
-			w.must(c.SetUp(id(1), long, 0, "x"))
-			first := w.gets(0)
+			w := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+			c := w.newCaller()
+			w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+			first := w.recordEvent(0)
 			w.must(first.Answer("y"))
-			w.hears(c)
+			w.recordMessage(c)
 			w.must(c.Release(id(1), 16))
-			time.Sleep(quietTime)
+			time.Sleep(idleTime)
 			over := make(chan struct{})
 			defer close(over)
 			for _, d := range w.dispatchers {
--- a/cmd/cherryrelay/kill_test.go
+++ b/cmd/cherryrelay/kill_test.go
@@ -21,8 +21,8 @@
 	"cherryrelay/internal/trial"
 )
 
-// operatorFile is a controller of its own: with a ledger, both fronts, and a pool file.
-var operatorFile = `[controller]
+// operatorConfig is a controller of its own: with a ledger, both fronts, and a pool file.
+var operatorConfig = `[controller]
 name = n1
 listen = %s
 management = %s
@@ -48,22 +48,22 @@
 	extra                  string // keys of the ledger's section
 	cmd                    *exec.Cmd
 	ended                  chan error
-	log                    *diary
+	log                    *logBuffer
 }
 
-// diary is a log that may be read while it is written.
-type diary struct {
+// logBuffer is a log that may be read while it is written.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (d *diary) Write(p []byte) (int, error) {
+func (d *logBuffer) Write(p []byte) (int, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.text.Write(p)
 }
 
-func (d *diary) String() string {
+func (d *logBuffer) String() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.text.String()
@@ -71,8 +71,8 @@
 
 func newProcess(t *testing.T, extra string) *process {
 	t.Helper()
-	p := &process{T: t, directory: t.TempDir(), lines: fixed(t), api: fixed(t), management: fixed(t), extra: extra}
-	text := fmt.Sprintf(operatorFile, p.lines, p.management, p.api, extra)
+	p := &process{T: t, directory: t.TempDir(), lines: freeAddress(t), api: freeAddress(t), management: freeAddress(t), extra: extra}
+	text := fmt.Sprintf(operatorConfig, p.lines, p.management, p.api, extra)
 	if extra == "off" { // without a ledger
 		before, after, _ := strings.Cut(text, "[ledger]")
 		_, after, _ = strings.Cut(after, "[settings]")
@@ -109,7 +109,7 @@
 func (p *process) waitReady() {
 	p.Helper()
 	for until := time.Now().Add(peer.Patience); ; time.Sleep(2 * time.Millisecond) {
-		if status, _ := ask(p.management, "/api/ready"); status == 200 {
+		if status, _ := httpGet(p.management, "/api/ready"); status == 200 {
 			return
 		}
 		select {
@@ -142,7 +142,7 @@
 func (p *process) run(cmd *exec.Cmd) {
 	p.Helper()
 	ended := make(chan error, 1)
-	p.cmd, p.log, p.ended = cmd, new(diary), ended
+	p.cmd, p.log, p.ended = cmd, new(logBuffer), ended
 	cmd.Stderr = p.log
 	if err := cmd.Start(); err != nil {
 		p.Fatal(err)
@@ -157,14 +157,14 @@
 	p.cmd = nil
 }
 
-// ask makes a call at a management address; status 0 says that nobody answers.
-func ask(address, path string) (status int, body string) {
-	w := &world{}
-	return w.askAt(address, path)
+// httpGet makes a call at a management address; status 0 says that nobody answers.
+func httpGet(address, path string) (status int, body string) {
+	w := &fixture{}
+	return w.get(address, path)
 }
 
-// act opens a dispatcher whose acts go by the id of the call alone.
-func act(t *testing.T, transport, name string, j *trial.Judge) *trial.Dispatcher {
+// startDispatcher opens a dispatcher whose acts go by the id of the call alone.
+func startDispatcher(t *testing.T, transport, name string, j *trial.Judge) *trial.Dispatcher {
 	t.Helper()
 	d, err := trial.Stand(transport, name, j)
 	if err != nil {
@@ -174,21 +174,21 @@
 	return d
 }
 
-func newJudge() *trial.Judge { return trial.NewJudge(guard, 9*time.Second) }
+func newChecker() *trial.Judge { return trial.NewJudge(guard, 9*time.Second) }
 
 func token(id string) string { return trial.Token(id) }
 
-// clean reports what a judge has found, and what callers are owed still.
-func clean(t *testing.T, j *trial.Judge) {
+// checkAllSettled reports what a judge has found, and what callers are owed still.
+func checkAllSettled(t *testing.T, j *trial.Judge) {
 	t.Helper()
 	if _, untold := j.Unsettled(); len(untold) > 0 {
 		t.Errorf("the end of %d calls is never told: %v", len(untold), untold[:min(len(untold), 20)])
 	}
-	answered(t, j)
+	checkAllAnswered(t, j)
 }
 
-// answered reports what a judge has found, and the calls without an answer.
-func answered(t *testing.T, j *trial.Judge) {
+// checkAllAnswered reports what a judge has found, and the calls without an answer.
+func checkAllAnswered(t *testing.T, j *trial.Judge) {
 	t.Helper()
 	faults, _, _ := j.Verdict()
 	unanswered, _ := j.Unsettled()
@@ -203,21 +203,21 @@
 // TestKilledAgainAndAgain kills the program under load and starts it again, over both fronts. All calls of all callers are
 // followed to their end, and dispatchers see to the rules.
 func TestKilledAgainAndAgain(t *testing.T) {
-	kills(t, 30, nil)
+	runKills(t, 30, nil)
 }
 
-// kills plays that with so many kills; meanwhile is what happens to the state before each return.
-func kills(t *testing.T, times int, meanwhile func(*process, *rand.Rand)) {
+// runKills plays that with so many kills; meanwhile is what happens to the state before each return.
+func runKills(t *testing.T, times int, meanwhile func(*process, *rand.Rand)) {
 	for i, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
 			p := newProcess(t, "segment_mb = 1\n")
-			j := newJudge()
+			j := newChecker()
 			var members []pool.Member
 			for i := range 3 {
-				a := act(t, transport, fmt.Sprint("s", i), j)
+				a := startDispatcher(t, transport, fmt.Sprint("s", i), j)
 				members = append(members, pool.Member{Address: a.Address(), ServerEntry: control.ServerEntry{
-					ID: control.ServerID(a.Name), Cell: i, Weight: 1, StartedAt: longRunning}})
+					ID: control.ServerID(a.Name), Cell: i, Weight: 1, StartedAt: startedLongAgo}})
 			}
 			if err := os.WriteFile(filepath.Join(p.directory, "pool.ini"), poolfile.Write("v", members), 0o600); err != nil {
 				t.Fatal(err)
@@ -249,7 +249,7 @@
 					p.kill()
 				}
 				p.start()
-				count(t, p.management, recovered)
+				addRecovered(t, p.management, recovered)
 			}
 			close(done)
 			running.Wait()
@@ -264,16 +264,16 @@
 					t.Errorf("%d calls that stood were cut, and no dispatcher has ended them: %s", n, what)
 				}
 			}
-			clean(t, j)
+			checkAllSettled(t, j)
 			t.Logf("%d kills, %d calls, %d set-ups at dispatchers, %d resumes; callers had %v; recovered %v", times, calls, setUps, resumes, finals, recovered)
 		})
 	}
 }
 
-// count adds up what was done with the calls of earlier processes.
-func count(t *testing.T, management string, into map[string]int) {
+// addRecovered adds up what was done with the calls of earlier processes.
+func addRecovered(t *testing.T, management string, into map[string]int) {
 	t.Helper()
-	_, text := ask(management, "/api/telemetry")
+	_, text := httpGet(management, "/api/telemetry")
 	for line := range strings.Lines(text) {
 		if rest, ok := strings.CutPrefix(line, `edge_lb_recovered_total{act="`); ok {
 			act, n, _ := strings.Cut(strings.TrimSpace(rest), `"} `)
--- a/cmd/cherryrelay/operators_test.go
+++ b/cmd/cherryrelay/operators_test.go
@@ -21,8 +21,8 @@
 	"cherryrelay/internal/peer"
 )
 
-// operator makes a call at the management address.
-func (w *world) operator(method, path string) (status int, body string) {
+// request makes a call at the management address.
+func (w *fixture) request(method, path string) (status int, body string) {
 	w.Helper()
 	r, err := http.NewRequest(method, "http://"+w.node.manage.Address()+path, nil)
 	w.must(err)
@@ -35,8 +35,8 @@
 	return resp.StatusCode, string(text)
 }
 
-// askAt makes a GET call at some management address; status 0 says that nobody answers.
-func (w *world) askAt(address, path string) (status int, body string) {
+// get makes a GET call at some management address; status 0 says that nobody answers.
+func (w *fixture) get(address, path string) (status int, body string) {
 	client := &http.Client{Timeout: peer.Patience, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + address + path)
 	if err != nil {
@@ -50,14 +50,14 @@
 	return resp.StatusCode, string(text)
 }
 
-// operates notes what an operator is told.
-func (w *world) operates(method, path string) {
+// recordStatus notes what an operator is told.
+func (w *fixture) recordStatus(method, path string) {
 	w.Helper()
-	status, _ := w.operator(method, path)
-	w.say("operator: %s %d", path, status)
+	status, _ := w.request(method, path)
+	w.record("operator: %s %d", path, status)
 }
 
-func (w *world) isClosed(c *peer.Caller) {
+func (w *fixture) expectClosed(c *peer.Caller) {
 	w.Helper()
 	if m, err := c.Next(); err == nil {
 		w.Fatalf("caller hears %+v, want a close", m)
@@ -66,56 +66,56 @@
 
 // TestEvacuation: a controller that was to drain said on that it takes work, and kept its callers.
 func TestEvacuation(t *testing.T) {
-	story(t, []string{
+	runScenario(t, []string{
 		"operator: /api/ready 200", "d0: setup 1 x", "caller: answer 1 y", "d1: setup 2 x",
 		"operator: /api/evacuate 200", "operator: /api/ready 503", "caller: pong  0", "operator: /api/evacuate 200",
 		"caller: release 3 42 wait 100", "caller: answer 2 y", "caller: release 1 16",
 		"operator: /api/rejoin 200", "operator: /api/ready 200", "caller: pong  1", "caller: release 2 16",
 		"d1: setup 4 x", "operator: /api/evacuate 200", "operator: /api/rejoin 200", "caller: answer 4 y", "caller: pong  1",
 		"operator: /api/evacuate 200",
-	}, func(w *world) {
-		idle, stood, busy := w.caller(), w.caller(), w.caller()
-		w.operates("GET", "/api/ready")
-		w.must(stood.SetUp(id(1), long, 0, "x"))
-		w.must(w.gets(0).Answer("y"))
-		w.hears(stood)
-		w.must(busy.SetUp(id(2), long, 1, "x"))
-		open := w.gets(1)
-		w.operates("POST", "/api/evacuate")
-		w.operates("GET", "/api/ready")
+	}, func(w *fixture) {
+		idle, stood, busy := w.newCaller(), w.newCaller(), w.newCaller()
+		w.recordStatus("GET", "/api/ready")
+		w.must(stood.SetUp(id(1), longTimeout, 0, "x"))
+		w.must(w.recordEvent(0).Answer("y"))
+		w.recordMessage(stood)
+		w.must(busy.SetUp(id(2), longTimeout, 1, "x"))
+		open := w.recordEvent(1)
+		w.recordStatus("POST", "/api/evacuate")
+		w.recordStatus("GET", "/api/ready")
 		w.must(busy.Send(jsonl.Message{Type: "ping", ID: id(0)}))
-		w.hears(busy)
-		w.operates("POST", "/api/evacuate") // once more changes nothing
-		w.isClosed(idle)
+		w.recordMessage(busy)
+		w.recordStatus("POST", "/api/evacuate") // once more changes nothing
+		w.expectClosed(idle)
 		time.Sleep(1300 * time.Millisecond) // by then newcomers are refused; later is as good
-		w.must(busy.SetUp(id(3), long, 1, "x"))
-		w.hears(busy)
+		w.must(busy.SetUp(id(3), longTimeout, 1, "x"))
+		w.recordMessage(busy)
 		w.must(open.Answer("y"))
-		w.hears(busy)
+		w.recordMessage(busy)
 		w.must(w.dispatchers[0].Release(id(1), 16))
-		w.hears(stood) // what stood ends where its caller hears it
-		w.isClosed(stood)
+		w.recordMessage(stood) // what stood ends where its caller hears it
+		w.expectClosed(stood)
 		w.must(busy.Close())
-		w.acked(1)
+		w.waitAck(1)
 		w.must(w.dispatchers[1].Release(id(2), 16)) // with nobody there to hear it
-		w.operates("POST", "/api/rejoin")
-		w.operates("GET", "/api/ready")
+		w.recordStatus("POST", "/api/rejoin")
+		w.recordStatus("GET", "/api/ready")
 		tester := w.connect() // who tests takes the next message for the result: callers stayed away
 		w.must(tester.Send(jsonl.Message{Type: "ping", ID: id(0)}))
-		w.hears(tester)
+		w.recordMessage(tester)
 		c := w.connect()
-		w.hears(c)
+		w.recordMessage(c)
 		// Midway it is called off: nothing is closed, and what was under way goes on.
-		w.must(c.SetUp(id(4), long, 1, "x"))
-		open = w.gets(1)
-		w.operates("POST", "/api/evacuate")
-		w.operates("POST", "/api/rejoin")
+		w.must(c.SetUp(id(4), longTimeout, 1, "x"))
+		open = w.recordEvent(1)
+		w.recordStatus("POST", "/api/evacuate")
+		w.recordStatus("POST", "/api/rejoin")
 		w.must(open.Answer("y"))
-		w.hears(c)
+		w.recordMessage(c)
 		w.must(c.Send(jsonl.Message{Type: "ping", ID: id(0)}))
-		w.hears(c)
+		w.recordMessage(c)
 		// And it can be ended on the way.
-		w.operates("POST", "/api/evacuate")
+		w.recordStatus("POST", "/api/evacuate")
 		w.node.drain()
 		w.must(<-w.done)
 	})
@@ -123,8 +123,8 @@
 
 // TestManagementAddress: what operators may send, and that those who send nothing keep nobody out.
 func TestManagementAddress(t *testing.T) {
-	w := newWorldWithin(t, "tcp", "tcp", callers.Bounds{Silent: long, Idle: long})
-	w.caller()
+	w := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+	w.newCaller()
 	const idle = 40 // far more than are kept
 	shut := make(chan struct{}, idle)
 	for range idle {
@@ -182,23 +182,23 @@
 	}
 }
 
-// reads notes the figures that an operator is shown.
-func (w *world) reads() {
+// recordMetrics notes the figures that an operator is shown.
+func (w *fixture) recordMetrics() {
 	w.Helper()
-	status, text := w.operator("GET", "/api/telemetry")
+	status, text := w.request("GET", "/api/telemetry")
 	if status != http.StatusOK {
 		w.Fatalf("telemetry is answered with %d", status)
 	}
 	for line := range strings.Lines(text) {
 		if !strings.HasPrefix(line, "#") {
-			w.say("%s", strings.TrimPrefix(strings.TrimSpace(line), "edge_lb_"))
+			w.record("%s", strings.TrimPrefix(strings.TrimSpace(line), "edge_lb_"))
 		}
 	}
 }
 
-// awaitsFigure waits until the figures have a line. The decisions are told of a list at the end of the round of the loop in which it came: figures that are read
+// waitMetric waits until the figures have a line. The decisions are told of a list at the end of the round of the loop in which it came: figures that are read
 // in that round are those of before.
-func (w *world) awaitsFigure(line string) {
+func (w *fixture) waitMetric(line string) {
 	w.Helper()
 	shown := make(chan bool)
 	for begun := time.Now(); time.Since(begun) < peer.Patience; time.Sleep(time.Millisecond) {
@@ -213,8 +213,8 @@
 	w.Errorf("the figures never have %q", line)
 }
 
-// endFigures are the figures of ends of calls, where one has ended, or none.
-func endFigures(ended int) []string {
+// endMetrics are the figures of ends of calls, where one has ended, or none.
+func endMetrics(ended int) []string {
 	var lines []string
 	for _, result := range []string{"already_over", "ambiguous", "awaits_answer", "earlier_attempt", "ended", "not_established",
 		"other_controller", "other_dispatcher", "repeated", "unknown_call", "without_answer"} {
@@ -229,47 +229,47 @@
 
 // TestTelemetry: the figures say what callers and dispatchers saw.
 func TestTelemetry(t *testing.T) {
-	story(t, slices.Concat([]string{
+	runScenario(t, slices.Concat([]string{
 		`requests_total{class="send-setup",outcome="served"} 0`, `requests_total{class="send-setup",outcome="refused"} 0`,
 		`requests_total{class="send-setup",outcome="failed"} 0`, "attempts_total 0", "in_flight 0", "dispatchers_known 2",
 		"dispatchers_excluded 0", "reloads_ok_total 0", "reloads_failed_total 0",
-	}, endFigures(0), []string{
+	}, endMetrics(0), []string{
 		"d0: setup 1 x", "caller: answer 1 y", "d0: setup 6 x", "caller: answer 6 y", "caller: release 6 16", "d0: setup 2 x", "d1: setup 2 x", "caller: release 3 100", "caller: release 4 100",
 		"caller: release 5 41",
 		`requests_total{class="send-setup",outcome="served"} 2`, `requests_total{class="send-setup",outcome="refused"} 0`,
 		`requests_total{class="send-setup",outcome="failed"} 2`, "attempts_total 4", "in_flight 2", "dispatchers_known 2",
 		"dispatchers_excluded 1", "reloads_ok_total 0", "reloads_failed_total 0",
-	}, endFigures(1)), func(w *world) {
-		c := w.caller()
-		w.reads()
-		w.must(c.SetUp(id(1), long, 0, "x"))
-		w.must(w.gets(0).Answer("y"))
-		w.hears(c)
-		w.must(c.SetUp(id(6), long, 0, "x"))
-		ending := w.gets(0)
+	}, endMetrics(1)), func(w *fixture) {
+		c := w.newCaller()
+		w.recordMetrics()
+		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		w.must(w.recordEvent(0).Answer("y"))
+		w.recordMessage(c)
+		w.must(c.SetUp(id(6), longTimeout, 0, "x"))
+		ending := w.recordEvent(0)
 		w.must(ending.Answer("y"))
-		w.hears(c)
+		w.recordMessage(c)
 		w.must(ending.ReleaseHere(id(6), call.CauseNormal))
-		w.hears(c)
-		w.must(c.SetUp(id(2), long, 0, "x"))
-		w.must(w.gets(0).Refuse(peer.NoLine))
-		w.gets(1)                                                                             // and there it stays open
-		w.must(c.Send(jsonl.Message{Type: "setup", ID: id(3), Fields: fields("strange", 1)})) // no class of ours: no label of ours
-		w.hears(c)
-		w.must(c.Send(jsonl.Message{Type: "setup", ID: id(4), Fields: fields("send-setup", -1)}))
-		w.hears(c)
+		w.recordMessage(c)
+		w.must(c.SetUp(id(2), longTimeout, 0, "x"))
+		w.must(w.recordEvent(0).Refuse(peer.NoLine))
+		w.recordEvent(1)                                                                           // and there it stays open
+		w.must(c.Send(jsonl.Message{Type: "setup", ID: id(3), Fields: setUpFields("strange", 1)})) // no class of ours: no label of ours
+		w.recordMessage(c)
+		w.must(c.Send(jsonl.Message{Type: "setup", ID: id(4), Fields: setUpFields("send-setup", -1)}))
+		w.recordMessage(c)
 		w.must(c.SetUp(id(5), 0, 0, "x"))
-		w.hears(c)
+		w.recordMessage(c)
 		leaving := w.list
 		leaving.Servers = slices.Clone(w.list.Servers)
 		leaving.Servers[0].Status = control.Draining
 		time.Sleep(500 * time.Millisecond) // by then it does not rest any more: that it drains is what counts
 		w.node.loop.Post(func() { w.node.core.Update(leaving) })
-		w.awaitsFigure("dispatchers_excluded 1")
-		w.reads()
+		w.waitMetric("dispatchers_excluded 1")
+		w.recordMetrics()
 	})
 }
 
-func fields(class string, left int) map[string]jsonl.Value {
+func setUpFields(class string, left int) map[string]jsonl.Value {
 	return map[string]jsonl.Value{"class": jsonl.Value(class), "tenant": "acme", "key": "k", "left": jsonl.Value(strconv.Itoa(left))}
 }
--- a/cmd/cherryrelay/paused_test.go
+++ b/cmd/cherryrelay/paused_test.go
@@ -14,8 +14,8 @@
 
 // A process is stopped and goes on. What is overdue then and what has come meanwhile wait in the same instant: the order decides.
 
-// paused is the program beside two scripted dispatchers, without a ledger.
-func paused(t *testing.T) (*process, [2]*peer.Dispatcher) {
+// startWithDispatchers is the program beside two scripted dispatchers, without a ledger.
+func startWithDispatchers(t *testing.T) (*process, [2]*peer.Dispatcher) {
 	t.Helper()
 	p := newProcess(t, "off")
 	var d [2]*peer.Dispatcher
@@ -42,8 +42,8 @@
 	}
 }
 
-// comes waits for a set-up at either dispatcher.
-func comes(t *testing.T, d [2]*peer.Dispatcher) peer.Event {
+// nextSetUp waits for a set-up at either dispatcher.
+func nextSetUp(t *testing.T, d [2]*peer.Dispatcher) peer.Event {
 	t.Helper()
 	for patience := time.After(peer.Patience); ; {
 		var e peer.Event
@@ -59,8 +59,8 @@
 	}
 }
 
-// inGuard leaves a set-up of a caller in the guard, and one of another out.
-func inGuard(t *testing.T, p *process, d [2]*peer.Dispatcher, n int) (c, other *peer.Caller, out peer.Event) {
+// setUpInGuard leaves a set-up of a caller in the guard, and one of another out.
+func setUpInGuard(t *testing.T, p *process, d [2]*peer.Dispatcher, n int) (c, other *peer.Caller, out peer.Event) {
 	t.Helper()
 	must := func(err error) {
 		t.Helper()
@@ -74,18 +74,18 @@
 	other, err = peer.Call("tcp", p.lines)
 	must(err)
 	must(c.SetUp(id(n), 8*time.Second, n%2, "x"))
-	must(comes(t, d).Refuse(peer.Broken)) // from here the guard counts
+	must(nextSetUp(t, d).Refuse(peer.Broken)) // from here the guard counts
 	must(other.SetUp(id(0x100+n), 8*time.Second, (n+1)%2, "x"))
-	return c, other, comes(t, d) // the refusal came before: the guard's timer runs
+	return c, other, nextSetUp(t, d) // the refusal came before: the guard's timer runs
 }
 
-// TestWhoLeavesDuringAPauseIsNotSentOn: the guard of a call ends while the process stands still, and its caller leaves meanwhile. It was
+// TestASetUpCancelledDuringAPauseIsNotSent: the guard of a call ends while the process stands still, and its caller leaves meanwhile. It was
 // sent on, as the timer and the word of the caller's end were ready at once.
-func TestWhoLeavesDuringAPauseIsNotSentOn(t *testing.T) {
+func TestASetUpCancelledDuringAPauseIsNotSent(t *testing.T) {
 	t.Parallel()
-	p, d := paused(t)
+	p, d := startWithDispatchers(t)
 	for n := 1; n <= 12; n++ {
-		c, other, e := inGuard(t, p, d, n)
+		c, other, e := setUpInGuard(t, p, d, n)
 		p.signal(syscall.SIGSTOP)
 		leave := []func() error{c.Reset, func() error { return c.Release(id(n), call.CauseNormal) }, c.Close}[n%3]
 		if err := leave(); err != nil {
@@ -103,7 +103,7 @@
 			t.Fatal(err)
 		}
 		for {
-			e := comes(t, d)
+			e := nextSetUp(t, d)
 			if e.ID == id(0x200+n) {
 				break
 			}
@@ -113,12 +113,12 @@
 	}
 }
 
-// TestWhatComesDuringAPauseBeforeTheEnd: SIGTERM; the process stands still while a set-up comes in time, and goes on when nothing more
+// TestASetUpDuringAPauseBeforeTheEndOfADrain: SIGTERM; the process stands still while a set-up comes in time, and goes on when nothing more
 // would. It ended with the set-up unread.
-func TestWhatComesDuringAPauseBeforeTheEnd(t *testing.T) {
+func TestASetUpDuringAPauseBeforeTheEndOfADrain(t *testing.T) {
 	t.Parallel()
 	for round := 0; round < 4; {
-		p, _ := paused(t)
+		p, _ := startWithDispatchers(t)
 		c, err := peer.Call("tcp", p.lines)
 		if err != nil {
 			t.Fatal(err)
@@ -161,7 +161,7 @@
 	for _, signals := range [][]syscall.Signal{
 		{syscall.SIGTERM, syscall.SIGTERM}, {syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM}, {syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP},
 	} {
-		p, d := paused(t)
+		p, d := startWithDispatchers(t)
 		c, err := peer.Call("tcp", p.lines)
 		if err != nil {
 			t.Fatal(err)
@@ -170,7 +170,7 @@
 		if err := c.SetUp(id(1), 9*time.Second, 0, "x"); err != nil {
 			t.Fatal(err)
 		}
-		e := comes(t, d)
+		e := nextSetUp(t, d)
 		for _, s := range signals {
 			p.signal(s)
 		}
@@ -178,7 +178,7 @@
 		if err := c.SetUp(id(2), 9*time.Second, 1, "x"); err != nil {
 			t.Fatal(err)
 		}
-		for _, e := range []peer.Event{e, comes(t, d)} {
+		for _, e := range []peer.Event{e, nextSetUp(t, d)} {
 			if err := e.Answer("y"); err != nil {
 				t.Fatal(err)
 			}
--- a/cmd/cherryrelay/poolfile_test.go
+++ b/cmd/cherryrelay/poolfile_test.go
@@ -31,22 +31,22 @@
 	"cherryrelay/internal/peer"
 )
 
-// site is a controller that follows a pool file, and dispatchers that answer every call at once.
-type site struct {
-	*world
-	dispatchers []*answering
+// poolFixture is a controller that follows a pool file, and dispatchers that answer every call at once.
+type poolFixture struct {
+	*fixture
+	dispatchers []*answeringDispatcher
 	path, state string
 	config      *config.Config
-	log         *notes
+	log         *logRecorder
 }
 
-// answering is a dispatcher that answers and keeps what it was sent, and when.
-type answering struct {
+// answeringDispatcher is a dispatcher that answers and keeps what it was sent, and when.
+type answeringDispatcher struct {
 	*peer.Dispatcher
-	mu    sync.Mutex
-	got   []arrival
-	hold  time.Duration // how long its calls stand; 0 for until the caller ends them
-	ended chan struct{}
+	mu       sync.Mutex
+	received []arrival
+	hold     time.Duration // how long its calls stand; 0 for until the caller ends them
+	ended    chan struct{}
 }
 
 type arrival struct {
@@ -54,7 +54,7 @@
 	at time.Time
 }
 
-func (d *answering) serve() {
+func (d *answeringDispatcher) serve() {
 	defer close(d.ended)
 	go func() {
 		for range d.Acks { // nobody waits for them
@@ -65,7 +65,7 @@
 			continue
 		}
 		d.mu.Lock()
-		d.got = append(d.got, arrival{e.ID, e.At})
+		d.received = append(d.received, arrival{e.ID, e.At})
 		hold := d.hold
 		d.mu.Unlock()
 		_ = e.Answer("y")
@@ -75,45 +75,45 @@
 	}
 }
 
-func (d *answering) arrivals() []arrival {
+func (d *answeringDispatcher) arrivals() []arrival {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]arrival(nil), d.got...)
+	return append([]arrival(nil), d.received...)
 }
 
-// notes keeps what is logged.
-type notes struct {
+// logRecorder keeps what is logged.
+type logRecorder struct {
 	slog.Handler
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func newNotes() *notes {
-	n := &notes{}
+func newLogRecorder() *logRecorder {
+	n := &logRecorder{}
 	n.Handler = slog.NewTextHandler(n, nil)
 	return n
 }
 
-func (n *notes) Write(p []byte) (int, error) {
+func (n *logRecorder) Write(p []byte) (int, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.text.Write(p)
 }
 
-func (n *notes) has(text string) bool {
+func (n *logRecorder) contains(text string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return strings.Contains(n.text.String(), text)
 }
 
-// newSite starts n dispatchers; the controller starts with serve.
-func newSite(t *testing.T, transport string, n int) *site {
+// newPoolFixture starts n dispatchers; the controller starts with serve.
+func newPoolFixture(t *testing.T, transport string, n int) *poolFixture {
 	t.Helper()
-	s := &site{world: &world{T: t, transport: transport}, path: filepath.Join(t.TempDir(), "pool.ini"), state: t.TempDir(), log: newNotes()}
+	s := &poolFixture{fixture: &fixture{T: t, transport: transport}, path: filepath.Join(t.TempDir(), "pool.ini"), state: t.TempDir(), log: newLogRecorder()}
 	for range n {
 		d, err := peer.Dispatch(transport, "127.0.0.1:0", "x0:1000000;x1:1000000")
 		s.must(err)
-		a := &answering{Dispatcher: d, ended: make(chan struct{})}
+		a := &answeringDispatcher{Dispatcher: d, ended: make(chan struct{})}
 		go a.serve()
 		t.Cleanup(d.Die)
 		s.dispatchers = append(s.dispatchers, a)
@@ -128,65 +128,65 @@
 }
 
 // long running is what the dispatchers of most sets are; nothing of them starts cold.
-var longRunning = time.Duration(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).UnixNano())
+var startedLongAgo = time.Duration(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).UnixNano())
 
 // member is the i-th dispatcher, of a weight.
-func (s *site) member(i, weight int) pool.Member {
+func (s *poolFixture) member(i, weight int) pool.Member {
 	if weight == 0 {
 		weight = pool.NoNewCalls
 	}
 	return pool.Member{Address: s.dispatchers[i].Address(), ServerEntry: control.ServerEntry{
-		ID: control.ServerID(fmt.Sprint("s", i)), Cell: i, Weight: weight, StartedAt: longRunning}}
+		ID: control.ServerID(fmt.Sprint("s", i)), Cell: i, Weight: weight, StartedAt: startedLongAgo}}
 }
 
-// put replaces the file by one rename.
-func (s *site) put(text []byte) {
+// replaceFile replaces the file by one rename.
+func (s *poolFixture) replaceFile(text []byte) {
 	s.Helper()
 	s.must(os.WriteFile(s.path+".new", text, 0o600))
 	s.must(os.Rename(s.path+".new", s.path))
 }
 
-// weights puts a set with the weights of the first dispatchers.
-func (s *site) weights(label string, weights ...int) {
+// writeWeights puts a set with the weights of the first dispatchers.
+func (s *poolFixture) writeWeights(label string, weights ...int) {
 	s.Helper()
 	var members []pool.Member
 	for i, w := range weights {
 		members = append(members, s.member(i, w))
 	}
-	s.put(poolfile.Write(label, members))
+	s.replaceFile(poolfile.Write(label, members))
 }
 
-// try starts the controller.
-func (s *site) try() error {
-	n, err := startWithBounds(s.config, slog.New(s.log), callers.Bounds{Silent: long, Idle: long})
+// startController starts the controller.
+func (s *poolFixture) startController() error {
+	n, err := startWithBounds(s.config, slog.New(s.log), callers.Bounds{Silent: longTimeout, Idle: longTimeout})
 	if err != nil {
 		return err
 	}
 	s.node, s.done = n, make(chan error, 1)
-	s.Cleanup(s.dump)
+	s.Cleanup(s.logOnFailure)
 	done := s.done
 	go func() { done <- n.run() }()
 	s.Cleanup(n.loop.Quit)
 	return nil
 }
 
-func (s *site) serve() {
+func (s *poolFixture) serve() {
 	s.Helper()
-	s.must(s.try())
-	s.ready()
+	s.must(s.startController())
+	s.waitReady()
 }
 
 // stop ends the controller.
-func (s *site) stop() {
+func (s *poolFixture) stop() {
 	s.Helper()
 	s.node.loop.Quit()
 	s.must(<-s.done)
 }
 
-// shows is what the controller says of its set.
-func (w *world) shows() lists.State {
+// poolState is what the controller says of its set.
+func (w *fixture) poolState() lists.State {
 	w.Helper()
-	status, text := w.operator("GET", lists.StatePath)
+	status, text := w.request("GET", lists.StatePath)
 	var s lists.State
 	if err := jsoniter.UnmarshalFromString(text, &s); err != nil || status != 200 {
 		w.Fatalf("%d %s: %v", status, text, err)
@@ -194,13 +194,13 @@
 	return s
 }
 
-// inForce waits until a version is in force, and the event loop knows.
-func (w *world) inForce(label string) {
+// waitActive waits until a version is in force, and the event loop knows.
+func (w *fixture) waitActive(label string) {
 	w.Helper()
 	for until := time.Now().Add(peer.Patience); ; time.Sleep(time.Millisecond) {
-		s := w.shows()
+		s := w.poolState()
 		if s.Version != nil && s.Version.Label == label {
-			w.shows() // a round of the loop later, what was posted with the version has been done
+			w.poolState() // a round of the loop later, what was posted with the version has been done
 			return
 		}
 		if time.Now().After(until) {
@@ -209,11 +209,11 @@
 	}
 }
 
-// refused waits until the last candidate is refused for a reason.
-func (w *world) refused(reason pool.Reason) {
+// waitRefused waits until the last candidate is refused for a reason.
+func (w *fixture) waitRefused(reason pool.Reason) {
 	w.Helper()
 	for until := time.Now().Add(peer.Patience); ; time.Sleep(time.Millisecond) {
-		if t := w.shows().Trouble; t != nil && t.Faults[0].Reason == reason {
+		if t := w.poolState().Trouble; t != nil && t.Faults[0].Reason == reason {
 			return
 		} else if time.Now().After(until) {
 			w.Fatalf("not refused for %s, but %+v", reason, t)
@@ -221,23 +221,23 @@
 	}
 }
 
-// anywhere is a set-up without a first choice.
-func anywhere(c *peer.Caller, id string) error {
+// sendSetUp is a set-up without a first choice.
+func sendSetUp(c *peer.Caller, id string) error {
 	x := "x"
 	return c.Send(jsonl.Message{Type: "setup", ID: id, SDP: &x, Fields: map[string]jsonl.Value{
-		"class": "send-setup", "tenant": "acme", "key": jsonl.Value("k" + id), "left": jsonl.Value(strconv.Itoa(int(long.Milliseconds())))}})
+		"class": "send-setup", "tenant": "acme", "key": jsonl.Value("k" + id), "left": jsonl.Value(strconv.Itoa(int(longTimeout.Milliseconds())))}})
 }
 
-// calls places calls one after the other, each ended by the caller, and tells how many each dispatcher got.
-func (s *site) calls(from, n int) []int {
+// placeCalls places calls one after the other, each ended by the caller, and tells how many each dispatcher got.
+func (s *poolFixture) placeCalls(from, n int) []int {
 	s.Helper()
 	before := make([]int, len(s.dispatchers))
 	for i, d := range s.dispatchers {
 		before[i] = len(d.arrivals())
 	}
-	c := s.caller()
+	c := s.newCaller()
 	for i := range n {
-		s.must(anywhere(c, id(from+i)))
+		s.must(sendSetUp(c, id(from+i)))
 		m, err := c.Next()
 		for err == nil && m.Type == "release" && m.ID != id(from+i) {
 			m, err = c.Next() // an earlier call's end by its dispatcher, which crossed that of the caller
@@ -256,10 +256,10 @@
 
 func TestCallsGoByTheWeightsOfTheFile(t *testing.T) {
 	const n = 2000
-	s := newSite(t, "tcp", 2)
-	s.weights("even", 100, 100)
+	s := newPoolFixture(t, "tcp", 2)
+	s.writeWeights("even", 100, 100)
 	s.serve()
-	s.inForce("even")
+	s.waitActive("even")
 	for i, test := range []struct {
 		label   string
 		weights []int
@@ -270,9 +270,9 @@
 		{"none-to-one", []int{0, 1}, []int{0, n}},
 		{"even-again", []int{5, 5}, []int{n / 2, n / 2}},
 	} {
-		s.weights(test.label, test.weights...)
-		s.inForce(test.label)
-		got := s.calls(0x10000*(i+1), n)
+		s.writeWeights(test.label, test.weights...)
+		s.waitActive(test.label)
+		got := s.placeCalls(0x10000*(i+1), n)
 		for j, want := range test.want {
 			if diff := got[j] - want; diff < -n/20 || diff > n/20 || want == 0 && got[j] > 0 {
 				t.Errorf("%s: %v, want %v", test.label, got, test.want)
@@ -282,68 +282,68 @@
 	}
 }
 
-// TestADispatcherThatIsNotNamedAnyMore gets nothing new; the call that stands there goes on. The same with weight 0.
-func TestADispatcherThatIsNotNamedAnyMore(t *testing.T) {
+// TestARemovedDispatcherGetsNoNewCalls gets nothing new; the call that stands there goes on. The same with weight 0.
+func TestARemovedDispatcherGetsNoNewCalls(t *testing.T) {
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
-			s := newSite(t, transport, 2)
-			s.weights("both", 1, 1)
+			s := newPoolFixture(t, transport, 2)
+			s.writeWeights("both", 1, 1)
 			s.serve()
-			c := s.caller()
-			for i, gone := range []func(){func() { s.weights("idle", 0, 1) }, func() { s.put(poolfile.Write("left", []pool.Member{s.member(1, 1)})) }} {
-				s.weights("both", 1, 1)
-				s.inForce("both")
+			c := s.newCaller()
+			for i, gone := range []func(){func() { s.writeWeights("idle", 0, 1) }, func() { s.replaceFile(poolfile.Write("left", []pool.Member{s.member(1, 1)})) }} {
+				s.writeWeights("both", 1, 1)
+				s.waitActive("both")
 				stands := id(0x100 * (i + 1))
-				s.must(c.SetUp(stands, long, 0, "x"))
-				s.hears(c)
+				s.must(c.SetUp(stands, longTimeout, 0, "x"))
+				s.recordMessage(c)
 				gone()
-				s.inForce([]string{"idle", "left"}[i])
-				if got := s.calls(0x1000*(i+1), 20); got[0] != 0 || got[1] != 20 {
+				s.waitActive([]string{"idle", "left"}[i])
+				if got := s.placeCalls(0x1000*(i+1), 20); got[0] != 0 || got[1] != 20 {
 					t.Errorf("calls went to %v", got)
 				}
 				s.must(s.dispatchers[0].Release(stands, 16))
-				s.hears(c)
+				s.recordMessage(c)
 			}
-			if diff := cmp.Diff([]string{"caller: answer 100 y", "caller: release 100 16", "caller: answer 200 y", "caller: release 200 16"}, s.said); diff != "" {
+			if diff := cmp.Diff([]string{"caller: answer 100 y", "caller: release 100 16", "caller: answer 200 y", "caller: release 200 16"}, s.observed); diff != "" {
 				t.Errorf("(-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// TestALeftOutDispatchersCallsGoOn, for longer than one that has left is waited for; and they are cut when it dies.
-func TestALeftOutDispatchersCallsGoOn(t *testing.T) {
+// TestCallsOfARemovedDispatcherContinue, for longer than one that has left is waited for; and they are cut when it dies.
+func TestCallsOfARemovedDispatcherContinue(t *testing.T) {
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t, transport, 2)
-			s.weights("both", 1, 1)
+			s := newPoolFixture(t, transport, 2)
+			s.writeWeights("both", 1, 1)
 			s.serve()
-			c := s.caller()
+			c := s.newCaller()
 			for _, n := range []int{1, 2} {
-				s.must(c.SetUp(id(n), long, 0, "x"))
-				s.hears(c)
+				s.must(c.SetUp(id(n), longTimeout, 0, "x"))
+				s.recordMessage(c)
 			}
-			s.put(poolfile.Write("left", []pool.Member{s.member(1, 1)}))
-			s.inForce("left")
+			s.replaceFile(poolfile.Write("left", []pool.Member{s.member(1, 1)}))
+			s.waitActive("left")
 			time.Sleep(3 * time.Second)
 			s.must(s.dispatchers[0].Release(id(1), 16))
-			s.hears(c)
+			s.recordMessage(c)
 			s.dispatchers[0].Die()
-			s.hears(c)
-			if diff := cmp.Diff([]string{"caller: answer 1 y", "caller: answer 2 y", "caller: release 1 16", "caller: release 2 41"}, s.said); diff != "" {
+			s.recordMessage(c)
+			if diff := cmp.Diff([]string{"caller: answer 1 y", "caller: answer 2 y", "caller: release 1 16", "caller: release 2 41"}, s.observed); diff != "" {
 				t.Errorf("(-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// TestABrokenFileLeavesTheSetInForce, and the operator sees why.
-func TestABrokenFileLeavesTheSetInForce(t *testing.T) {
-	s := newSite(t, "tcp", 2)
-	s.weights("good", 1, 1)
+// TestAnInvalidFileLeavesTheSetActive, and the operator sees why.
+func TestAnInvalidFileLeavesTheSetActive(t *testing.T) {
+	s := newPoolFixture(t, "tcp", 2)
+	s.writeWeights("good", 1, 1)
 	s.serve()
-	s.inForce("good")
+	s.waitActive("good")
 	whole := poolfile.Write("next", []pool.Member{s.member(0, 1), s.member(1, 9)})
 	for _, broken := range []struct {
 		text   []byte
@@ -355,52 +355,52 @@
 		{bytes.Replace(whole, []byte("servers = 2"), []byte("servers = 3"), 1), pool.BadCount},
 		{nil, pool.Unfinished},
 	} {
-		s.put(broken.text)
-		s.refused(broken.reason)
-		s.inForce("good")
+		s.replaceFile(broken.text)
+		s.waitRefused(broken.reason)
+		s.waitActive("good")
 	}
 	s.must(os.Remove(s.path))
-	s.refused(pool.Missing)
-	if got := s.calls(0x100, 20); got[0] != 10 || got[1] != 10 {
+	s.waitRefused(pool.Missing)
+	if got := s.placeCalls(0x100, 20); got[0] != 10 || got[1] != 10 {
 		t.Errorf("calls went to %v", got)
 	}
-	_, figures := s.operator("GET", "/api/telemetry")
+	_, figures := s.request("GET", "/api/telemetry")
 	for _, want := range []string{`edge_lb_pool_versions_taken_total 1`, `edge_lb_pool_versions_refused_total{reason="twice"} 1`,
 		`edge_lb_pool_refused 1`, `edge_lb_pool_servers 2`, `edge_lb_pool_weight 2`} {
 		if !strings.Contains(figures, want+"\n") {
 			t.Errorf("no %q in the figures", want)
 		}
 	}
-	s.put(whole)
-	s.inForce("next")
-	if s.shows().Trouble != nil {
+	s.replaceFile(whole)
+	s.waitActive("next")
+	if s.poolState().Trouble != nil {
 		t.Error("the trouble is over, and still told")
 	}
 }
 
-// TestStartsWithABrokenFile: with a stored set it serves and says so; without, or with a torn one, it ends with one line.
-func TestStartsWithABrokenFile(t *testing.T) {
-	s := newSite(t, "tcp", 2)
+// TestStartsWithAnInvalidFile: with a stored set it serves and says so; without, or with a torn one, it ends with one line.
+func TestStartsWithAnInvalidFile(t *testing.T) {
+	s := newPoolFixture(t, "tcp", 2)
 	s.config.State = &config.State{Directory: s.state}
-	s.put([]byte("[pool]\n"))
+	s.replaceFile([]byte("[pool]\n"))
 	fails := func() {
 		t.Helper()
-		if err := s.try(); err == nil || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), s.path) {
+		if err := s.startController(); err == nil || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), s.path) {
 			t.Errorf("the start gives %v", err)
 		}
 	}
 	fails()
-	s.weights("good", 1, 3)
+	s.writeWeights("good", 1, 3)
 	s.serve()
-	s.inForce("good")
+	s.waitActive("good")
 	s.stop()
-	s.put([]byte("[pool]\n"))
+	s.replaceFile([]byte("[pool]\n"))
 	s.serve()
-	s.refused(pool.Unfinished)
-	if v := s.shows(); v.Version.Source != pool.FromSnapshot || v.Version.Label != "good" || v.Servers != 2 || !s.log.has("serving with the stored set") {
+	s.waitRefused(pool.Unfinished)
+	if v := s.poolState(); v.Version.Source != pool.FromSnapshot || v.Version.Label != "good" || v.Servers != 2 || !s.log.contains("serving with the stored set") {
 		t.Errorf("serves with %+v", v.Version)
 	}
-	if got := s.calls(0x100, 40); got[0] != 10 || got[1] != 30 {
+	if got := s.placeCalls(0x100, 40); got[0] != 10 || got[1] != 30 {
 		t.Errorf("calls went to %v", got)
 	}
 	s.stop()
@@ -409,38 +409,38 @@
 	s.must(err)
 	s.must(os.WriteFile(path, text[:len(text)-1], 0o600))
 	fails()
-	s.weights("later", 1, 1) // with a good file, a torn set does no harm
+	s.writeWeights("later", 1, 1) // with a good file, a torn set does no harm
 	s.serve()
-	s.inForce("later")
-	if !s.log.has("the stored set is corrupted") {
+	s.waitActive("later")
+	if !s.log.contains("the stored set is corrupted") {
 		t.Error("nothing is said of the torn set")
 	}
 }
 
-// TestWhoTakesAPlaceStartsCold: under another name at the same address, and under the same name with a later start. What
+// TestAReplacementStartsCold: under another name at the same address, and under the same name with a later start. What
 // stood at the old one is cut, and its caller hears of it.
-func TestWhoTakesAPlaceStartsCold(t *testing.T) {
+func TestAReplacementStartsCold(t *testing.T) {
 	for name, change := range map[string]func(*pool.Member){
 		"another name": func(m *pool.Member) { m.ID, m.StartedAt = "new", 0 },
 		"later start":  func(m *pool.Member) { m.StartedAt = time.Duration(time.Now().UnixNano()) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t, "tcp", 2)
-			s.weights("old", 1, 1)
+			s := newPoolFixture(t, "tcp", 2)
+			s.writeWeights("old", 1, 1)
 			s.serve()
-			c := s.caller()
-			s.must(c.SetUp(id(1), long, 0, "x"))
-			s.hears(c)
+			c := s.newCaller()
+			s.must(c.SetUp(id(1), longTimeout, 0, "x"))
+			s.recordMessage(c)
 			s.dispatchers[0].Cut() // the old process goes
 			m := s.member(0, 1)
 			change(&m)
-			s.put(poolfile.Write("new", []pool.Member{m, s.member(1, 1)}))
-			s.inForce("new")
-			s.hears(c)
-			if diff := cmp.Diff([]string{"caller: answer 1 y", "caller: release 1 41"}, s.said); diff != "" {
+			s.replaceFile(poolfile.Write("new", []pool.Member{m, s.member(1, 1)}))
+			s.waitActive("new")
+			s.recordMessage(c)
+			if diff := cmp.Diff([]string{"caller: answer 1 y", "caller: release 1 41"}, s.observed); diff != "" {
 				t.Errorf("(-want +got):\n%s", diff)
 			}
-			if !s.log.has("server " + string(m.ID) + " starts cold") {
+			if !s.log.contains("server " + string(m.ID) + " starts cold") {
 				t.Error("it does not start cold")
 			}
 		})
@@ -450,50 +450,50 @@
 // TestASuccessorHasTheSameSet: an upgrade in the middle of a change, and while the file is broken.
 func TestASuccessorHasTheSameSet(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	s := newSite(t, "tcp", 2)
-	s.config.Listen, s.config.WebSocket.Listen = fixed(t), fixed(t)
+	s := newPoolFixture(t, "tcp", 2)
+	s.config.Listen, s.config.WebSocket.Listen = freeAddress(t), freeAddress(t)
 	s.config.State = &config.State{Directory: s.state}
-	s.weights("one", 1, 1)
+	s.writeWeights("one", 1, 1)
 	s.serve()
-	s.weights("two", 1, 3)
-	old := s.world
-	s.world = &world{T: t, transport: "tcp"}
+	s.writeWeights("two", 1, 3)
+	old := s.fixture
+	s.fixture = &fixture{T: t, transport: "tcp"}
 	s.serve() // the successor
-	s.inForce("two")
+	s.waitActive("two")
 	s.must(<-old.done)
-	if got := s.calls(0x100, 40); got[0] != 10 || got[1] != 30 {
+	if got := s.placeCalls(0x100, 40); got[0] != 10 || got[1] != 30 {
 		t.Errorf("calls went to %v", got)
 	}
-	s.put([]byte("["))
-	s.refused(pool.Unfinished)
-	old = s.world
-	s.world = &world{T: t, transport: "tcp"}
+	s.replaceFile([]byte("["))
+	s.waitRefused(pool.Unfinished)
+	old = s.fixture
+	s.fixture = &fixture{T: t, transport: "tcp"}
 	s.serve()
-	s.inForce("two")
+	s.waitActive("two")
 	s.must(<-old.done)
-	if got := s.calls(0x1000, 40); got[0] != 10 || got[1] != 30 {
+	if got := s.placeCalls(0x1000, 40); got[0] != 10 || got[1] != 30 {
 		t.Errorf("calls went to %v", got)
 	}
 }
 
-// TestReloadLooksAtTheFile: SIGHUP in the middle of a change takes the file that is there by then.
-func TestReloadLooksAtTheFile(t *testing.T) {
-	s := newSite(t, "tcp", 2)
-	s.weights("one", 1, 1)
+// TestReloadReadsTheFile: SIGHUP in the middle of a change takes the file that is there by then.
+func TestReloadReadsTheFile(t *testing.T) {
+	s := newPoolFixture(t, "tcp", 2)
+	s.writeWeights("one", 1, 1)
 	s.serve()
-	s.weights("two", 1, 3)
+	s.writeWeights("two", 1, 3)
 	again := *s.config
 	s.node.reload(&again, nil)
-	s.weights("three", 3, 1)
+	s.writeWeights("three", 3, 1)
 	s.node.reload(nil, errors.New("cannot be read"))
-	s.inForce("three")
-	if got := s.calls(0x100, 40); got[0] != 30 || got[1] != 10 {
+	s.waitActive("three")
+	if got := s.placeCalls(0x100, 40); got[0] != 30 || got[1] != 10 {
 		t.Errorf("calls went to %v", got)
 	}
 }
 
-// command runs a sub-command.
-func command(args ...string) (status int, out, faults string) {
+// runCommand runs a sub-command.
+func runCommand(args ...string) (status int, out, faults string) {
 	var o, f bytes.Buffer
 	status = commands.Run(args, func(string) string { return "" }, &o, &f, func(commands.Options) error { return errors.New("not here") })
 	return status, o.String(), f.String()
@@ -501,54 +501,54 @@
 
 // TestPoolCommands asks a controller that runs, with more servers than a page holds.
 func TestPoolCommands(t *testing.T) {
-	s := newSite(t, "tcp", 1)
+	s := newPoolFixture(t, "tcp", 1)
 	members := []pool.Member{s.member(0, 7)}
 	for i := range 999 {
 		members = append(members, pool.Member{Address: fmt.Sprintf("127.1.%d.%d:1", i/250, i%250+1), ServerEntry: control.ServerEntry{
 			ID: control.ServerID(fmt.Sprintf("t%03d", i)), Zone: "tartu", Status: control.Draining, Weight: pool.NoNewCalls}})
 	}
-	s.put(poolfile.Write("many", members))
+	s.replaceFile(poolfile.Write("many", members))
 	s.serve()
-	s.put([]byte("[end]\n"))
-	s.refused(pool.BadFormat)
+	s.replaceFile([]byte("[end]\n"))
+	s.waitRefused(pool.BadFormat)
 	at := "--management=" + s.node.manage.Address()
-	status, out, faults := command("pool", "show", at)
+	status, out, faults := runCommand("pool", "show", at)
 	if lines := strings.Count(out, "\n"); status != 0 || faults != "" || lines != 1000+6 || !strings.Contains(out, "version many") || !strings.Contains(out, "the first section must be [pool]") {
 		t.Errorf("status %d, %d lines, faults %q: %.500s", status, lines, faults, out)
 	}
-	status, out, _ = command("pool", "show", "--json", at)
+	status, out, _ = runCommand("pool", "show", "--json", at)
 	var set struct{ Members []lists.ServerState }
 	if err := jsoniter.UnmarshalFromString(out, &set); err != nil || status != 0 || len(set.Members) != 1000 || set.Members[0].Weight != 7 {
 		t.Errorf("status %d, %d members, %v", status, len(set.Members), err)
 	}
-	status, out, _ = command("pool", "history", at)
+	status, out, _ = runCommand("pool", "history", at)
 	if status != 0 || !strings.Contains(out, "refused from file") || !strings.Contains(out, "taken from file, version many") {
 		t.Errorf("status %d: %s", status, out)
 	}
-	if status, _, faults = command("pool", "show", "--management=127.0.0.1:1"); status != 1 || strings.Count(faults, "\n") != 1 {
+	if status, _, faults = runCommand("pool", "show", "--management=127.0.0.1:1"); status != 1 || strings.Count(faults, "\n") != 1 {
 		t.Errorf("nobody there: status %d, %q", status, faults)
 	}
 }
 
-// rewriter writes the versions of a test, good and bad ones.
-type rewriter struct {
-	*site
+// fileRewriter writes the versions of a test, good and bad ones.
+type fileRewriter struct {
+	*poolFixture
 	rng      *rand.Rand
-	versions []rewritten // the valid ones
+	versions []writtenVersion // the valid ones
 }
 
-type rewritten struct {
+type writtenVersion struct {
 	label   string
 	at      time.Time
 	allowed map[int]bool // who may get calls
 }
 
 // decoy is the dispatcher that only invalid versions name with a weight.
-func (r *rewriter) decoy() int { return len(r.dispatchers) - 1 }
+func (r *fileRewriter) decoy() int { return len(r.dispatchers) - 1 }
 
 // next draws a version and writes it in one of several ways. It reports whether it is valid.
-func (r *rewriter) next(n int) bool {
-	v := rewritten{label: fmt.Sprint("v", n), allowed: map[int]bool{}}
+func (r *fileRewriter) next(n int) bool {
+	v := writtenVersion{label: fmt.Sprint("v", n), allowed: map[int]bool{}}
 	var members []pool.Member
 	for i := range r.decoy() {
 		if r.rng.IntN(3) > 0 || i == n%r.decoy() {
@@ -588,9 +588,9 @@
 	return true
 }
 
-func (r *rewriter) write(text []byte) {
+func (r *fileRewriter) write(text []byte) {
 	if r.rng.IntN(2) == 0 {
-		r.put(text)
+		r.replaceFile(text)
 		return
 	}
 	f, err := os.Create(r.path) // in place, and in two halves
@@ -603,17 +603,17 @@
 	r.must(errors.Join(err, f.Close()))
 }
 
-// load places calls on one connection until it is told to stop, and counts what became of them.
-type load struct {
+// loadResult places calls on one connection until it is told to stop, and counts what became of them.
+type loadResult struct {
 	placed, answered, refused, twice int
 	err                              error
 }
 
-func (s *site) load(ctx context.Context, c *peer.Caller, from int) *load {
-	l := &load{}
+func (s *poolFixture) runLoad(ctx context.Context, c *peer.Caller, from int) *loadResult {
+	l := &loadResult{}
 	answers := map[string]int{}
 	for i := from; ctx.Err() == nil; i++ {
-		if l.err = anywhere(c, id(i)); l.err != nil {
+		if l.err = sendSetUp(c, id(i)); l.err != nil {
 			return l
 		}
 		l.placed++
@@ -640,23 +640,23 @@
 	return l
 }
 
-// rewrite has a file swapped under load, a third of the versions invalid. At each rest the version in force is the last valid
+// runRewrites has a file swapped under load, a third of the versions invalid. At each rest the version in force is the last valid
 // one, and calls go to those alone that it names; nobody gets any that no valid version names. If late is above 0, no call
 // comes to a dispatcher so long after a version that does not name it.
-func rewrite(t *testing.T, transport string, versions int, late time.Duration) {
-	s := newSite(t, transport, 6)
+func runRewrites(t *testing.T, transport string, versions int, late time.Duration) {
+	s := newPoolFixture(t, transport, 6)
 	for _, d := range s.dispatchers {
 		d.hold = 20 * time.Millisecond
 	}
-	r := &rewriter{site: s, rng: rand.New(rand.NewPCG(11, 7))}
+	r := &fileRewriter{poolFixture: s, rng: rand.New(rand.NewPCG(11, 7))}
 	r.next(0)
 	s.serve()
 	for block := range versions / 30 {
 		ctx, cancel := context.WithCancel(t.Context())
-		loads := make(chan *load, 3)
+		loads := make(chan *loadResult, 3)
 		for i := range cap(loads) {
-			c := s.caller()
-			go func() { loads <- s.load(ctx, c, (block+1)<<24|i<<20) }()
+			c := s.newCaller()
+			go func() { loads <- s.runLoad(ctx, c, (block+1)<<24|i<<20) }()
 		}
 		for n := range 30 {
 			r.next(block*30 + n + 1)
@@ -670,8 +670,8 @@
 			}
 		}
 		last := r.versions[len(r.versions)-1]
-		s.inForce(last.label)
-		for i, n := range s.calls((block+1)<<24|0xf<<20, 30) {
+		s.waitActive(last.label)
+		for i, n := range s.placeCalls((block+1)<<24|0xf<<20, 30) {
 			if n > 0 && !last.allowed[i] {
 				t.Errorf("block %d: %d calls at s%d, which %s does not allow", block, n, i, last.label)
 			}
@@ -684,7 +684,7 @@
 	for i, d := range s.dispatchers {
 		for _, a := range d.arrivals() {
 			total++
-			worst = max(worst, r.overdue(i, a.at))
+			worst = max(worst, r.sinceForbidden(i, a.at))
 		}
 	}
 	t.Logf("%s: %d versions, %d valid, %d calls; a call came at most %v after the version that forbids it", transport, versions, len(r.versions), total, worst)
@@ -693,8 +693,8 @@
 	}
 }
 
-// overdue is how long before a time the last version that allows a dispatcher was replaced by one that does not.
-func (r *rewriter) overdue(i int, at time.Time) time.Duration {
+// sinceForbidden is how long before a time the last version that allows a dispatcher was replaced by one that does not.
+func (r *fileRewriter) sinceForbidden(i int, at time.Time) time.Duration {
 	var since time.Time // of the versions that forbid it, the first after the last that allows it
 	for _, v := range r.versions {
 		if v.at.After(at) {
@@ -717,24 +717,24 @@
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
-			rewrite(t, transport, 210, 0)
+			runRewrites(t, transport, 210, 0)
 		})
 	}
 }
 
-// many puts a set of so many servers, the first two of which are there.
-func (s *site) many(label string, servers int) {
+// writeLargeSet puts a set of so many servers, the first two of which are there.
+func (s *poolFixture) writeLargeSet(label string, servers int) {
 	s.Helper()
 	members := []pool.Member{s.member(0, 1), s.member(1, 1)}
 	for i := 2; i < servers; i++ {
 		members = append(members, pool.Member{Address: fmt.Sprintf("127.1.%d.%d:1", i/250, i%250+1), ServerEntry: control.ServerEntry{
-			ID: control.ServerID(fmt.Sprintf("t%05d", i)), Status: control.Draining, Weight: 1, StartedAt: longRunning}})
+			ID: control.ServerID(fmt.Sprintf("t%05d", i)), Status: control.Draining, Weight: 1, StartedAt: startedLongAgo}})
 	}
-	s.put(poolfile.Write(label, members))
+	s.replaceFile(poolfile.Write(label, members))
 }
 
-// dump shows the log when a test has failed.
-func (s *site) dump() {
+// logOnFailure shows the log when a test has failed.
+func (s *poolFixture) logOnFailure() {
 	if s.Failed() {
 		s.log.mu.Lock()
 		defer s.log.mu.Unlock()
--- a/cmd/cherryrelay/retune_test.go
+++ b/cmd/cherryrelay/reconfigure_test.go
@@ -10,10 +10,10 @@
 	"cherryrelay/internal/settings"
 )
 
-// TestRetuning: set-ups of a class that a new configuration names were failed. Now it binds at once and whole, what is open
+// TestReconfiguration: set-ups of a class that a new configuration names were failed. Now it binds at once and whole, what is open
 // keeps the class that it came with, and a configuration that makes no sense changes nothing.
-func TestRetuning(t *testing.T) {
-	story(t, slices.Concat([]string{
+func TestReconfiguration(t *testing.T) {
+	runScenario(t, slices.Concat([]string{
 		"d0: setup 1 x", "caller: release 2 100",
 		"d0: setup 1 x", "d0: setup 3 x", "caller: release 3 41", "d1: setup 4 x", "caller: answer 4 y",
 		"d1: setup 5 x", "caller: answer 5 y", "caller: release 6 100", "caller: answer 1 y",
@@ -21,44 +21,44 @@
 		`requests_total{class="send-setup",outcome="failed"} 1`, `requests_total{class="urgent",outcome="served"} 2`,
 		`requests_total{class="urgent",outcome="refused"} 0`, `requests_total{class="urgent",outcome="failed"} 1`,
 		"attempts_total 5", "in_flight 3", "dispatchers_known 2", "dispatchers_excluded 0", "reloads_ok_total 2", "reloads_failed_total 1",
-	}, endFigures(0)), func(w *world) {
+	}, endMetrics(0)), func(w *fixture) {
 		reload := func(change func(s *settings.Settings)) {
 			c := &config.Config{Settings: testSettings(t)}
 			change(c.Settings)
 			w.node.reload(c, nil)
 		}
-		c := w.caller()
+		c := w.newCaller()
 		setUp := func(n, first int, class string) {
-			m := jsonl.Message{Type: "setup", ID: id(n), SDP: new("x"), Fields: fields(class, 60000)}
+			m := jsonl.Message{Type: "setup", ID: id(n), SDP: new("x"), Fields: setUpFields(class, 60000)}
 			m.Fields["extras"] = jsonl.Value("dest:" + string(rune('0'+first)))
 			w.must(c.Send(m))
 		}
-		w.must(c.SetUp(id(1), long, 0, "x"))
-		open := w.gets(0)
+		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		open := w.recordEvent(0)
 		setUp(2, 1, "urgent")
-		w.hears(c)
+		w.recordMessage(c)
 		reload(func(s *settings.Settings) {
 			s.RequestClasses = append(s.RequestClasses, s.RequestClasses[0])
 			s.RequestClasses[0].Semantics, s.RequestClasses[1].Name = "non_idempotent", "urgent"
 			s.FamilyInfo.AllowedPools, s.FamilyInfo.ClassWidth = [][]int{{0}, {1}}, []int{1, 1}
 		})
 		w.must(open.Refuse(peer.Busy)) // it may have run; as a call of the old class it may be repeated
-		open = w.gets(0)
+		open = w.recordEvent(0)
 		setUp(3, 0, "send-setup")
-		w.must(w.gets(0).Refuse(peer.Busy)) // of the new one it may not
-		w.hears(c)
+		w.must(w.recordEvent(0).Refuse(peer.Busy)) // of the new one it may not
+		w.recordMessage(c)
 		setUp(4, 1, "urgent")
-		w.must(w.gets(1).Answer("y"))
-		w.hears(c)
+		w.must(w.recordEvent(1).Answer("y"))
+		w.recordMessage(c)
 		reload(func(s *settings.Settings) { s.RequestClasses[0].DeadlineUs = -5 })
 		setUp(5, 1, "urgent")
-		w.must(w.gets(1).Answer("y"))
-		w.hears(c)
+		w.must(w.recordEvent(1).Answer("y"))
+		w.recordMessage(c)
 		reload(func(*settings.Settings) {})
 		setUp(6, 1, "urgent")
-		w.hears(c)
+		w.recordMessage(c)
 		w.must(open.Answer("y"))
-		w.hears(c)
-		w.reads()
+		w.recordMessage(c)
+		w.recordMetrics()
 	})
 }
--- a/cmd/cherryrelay/reload_test.go
+++ b/cmd/cherryrelay/reload_test.go
@@ -21,8 +21,8 @@
 // asProgram has the test binary be the program itself, for what only a process can show.
 const asProgram = "CHERRYRELAY_TEST_AS_PROGRAM"
 
-// lister is a coordinator that tells what it is asked for, and then one event.
-func lister(t *testing.T, event string) (address string, asked chan string) {
+// startListServer is a coordinator that tells what it is asked for, and then one event.
+func startListServer(t *testing.T, event string) (address string, asked chan string) {
 	asked = make(chan string, 16)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprint(w, event)
@@ -35,7 +35,7 @@
 	return strings.TrimPrefix(server.URL, "http://"), asked
 }
 
-func hears(t *testing.T, asked chan string, want string) {
+func waitRequested(t *testing.T, asked chan string, want string) {
 	t.Helper()
 	patience := time.After(peer.Patience)
 	for {
@@ -50,12 +50,12 @@
 	}
 }
 
-// awaitServers waits until a list with so many dispatchers is in force.
-func awaitServers(t *testing.T, management string, servers int) {
+// waitServers waits until a list with so many dispatchers is in force.
+func waitServers(t *testing.T, management string, servers int) {
 	t.Helper()
 	for begun := time.Now(); ; time.Sleep(time.Millisecond) {
 		var state lists.State
-		if _, body := ask(management, lists.StatePath); jsoniter.UnmarshalFromString(body, &state) == nil && state.Servers == servers {
+		if _, body := httpGet(management, lists.StatePath); jsoniter.UnmarshalFromString(body, &state) == nil && state.Servers == servers {
 			return
 		}
 		if time.Since(begun) > peer.Patience {
@@ -69,9 +69,9 @@
 func TestReload(t *testing.T) {
 	event := "id: %d\ndata: {\"index\":%[1]d,\"endpoints\":{\"snapshot\":true,\"endpoints\":[%s]}}\n\n"
 	entry := `{"name":"d9","address":"127.0.0.1:1","status":"active","group":0,"zone":"east","since_ms":0}`
-	first, askedFirst := lister(t, fmt.Sprintf(event, 4, ""))
-	second, askedSecond := lister(t, fmt.Sprintf(event, 9, entry))
-	third, askedThird := lister(t, "")
+	first, askedFirst := startListServer(t, fmt.Sprintf(event, 4, ""))
+	second, askedSecond := startListServer(t, fmt.Sprintf(event, 9, entry))
+	third, askedThird := startListServer(t, "")
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
 		t.Helper()
@@ -90,7 +90,7 @@
 		return strings.Replace(string(whole), `"coordinator": ""`, `"coordinator":"`+address+`"`, 1)
 	}
 	write(file(first))
-	management := fixed(t)
+	management := freeAddress(t)
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), asProgram+"=1", "LB_CONFIG="+path, "LB_LISTEN=127.0.0.1:0", "LB_MANAGEMENT="+management)
 	if err := cmd.Start(); err != nil {
@@ -105,17 +105,17 @@
 			t.Fatal(err)
 		}
 	}
-	hears(t, askedFirst, "1")
-	awaitServers(t, management, 0) // what the first one tells is taken in before the move
+	waitRequested(t, askedFirst, "1")
+	waitServers(t, management, 0) // what the first one tells is taken in before the move
 	write(file(second))
 	hup()
-	hears(t, askedSecond, "4")
-	awaitServers(t, management, 1) // what the second one tells is taken in before the next move
+	waitRequested(t, askedSecond, "4")
+	waitServers(t, management, 1) // what the second one tells is taken in before the next move
 	write("{")
 	hup()
 	write(file(third))
 	hup()
-	hears(t, askedThird, "9")
+	waitRequested(t, askedThird, "9")
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
