--- a/cmd/cherryrelay/replacement_callers_soak_test.go
+++ b/cmd/cherryrelay/replacement_callers_soak_test.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// callerConnections is how many connections callers hold at most.
-	callerConnections = 24
-	// hangUps is the part of calls that stand which their callers end themselves.
-	hangUps = 0.15
-	// leastLeft and mostLeft bound how long callers wait for an answer.
-	leastLeft, mostLeft = 300 * time.Millisecond, 6 * time.Second
+	// maxCallerConnections is how many connections callers hold at most.
+	maxCallerConnections = 24
+	// hangUpShare is the part of calls that stand which their callers end themselves.
+	hangUpShare = 0.15
+	// minTimeLeft and maxTimeLeft bound how long callers wait for an answer.
+	minTimeLeft, maxTimeLeft = 300 * time.Millisecond, 6 * time.Second
 )
 
 // replacementCallers are the callers of a play: they use some connections for their calls, whose ends may come on any, and close those that have
 // had none for a while.
 type replacementCallers struct {
-	play    *replacementPlay
+	run     *replacementRun
 	meter   *schedulerMeter
 	running sync.WaitGroup
 
@@ -36,31 +36,31 @@
 // replacementCaller is one connection.
 type replacementCaller struct {
 	*peer.Caller
-	open   int // calls of it that are owed something
-	usedAt time.Time
+	openCalls int // calls of it that are owed something
+	usedAt    time.Time
 }
 
 // replacementCall is one call at its caller's end.
 type replacementCall struct {
-	on       *replacementCaller
-	counted  bool // it keeps its connection open
-	answered bool
-	left     bool // its caller has given it up, or ended it
-	over     bool
+	connection *replacementCaller
+	keepsOpen  bool // it keeps its connection open
+	answered   bool
+	cancelled  bool // its caller has given it up, or ended it
+	terminated bool
 }
 
-func newReplacementCallers(p *replacementPlay) *replacementCallers {
-	return &replacementCallers{play: p, meter: startMeter(), calls: map[string]*replacementCall{}, rng: rand.New(rand.NewPCG(p.seed, 4))}
+func newReplacementCallers(p *replacementRun) *replacementCallers {
+	return &replacementCallers{run: p, meter: startMeter(), calls: map[string]*replacementCall{}, rng: rand.New(rand.NewPCG(p.seed, 4))}
 }
 
-// run places calls until no more are to come.
-func (c *replacementCallers) run(rng *rand.Rand) {
-	p := c.play
-	perSecond := p.load * float64(p.each*p.work.Lines) / (p.work.Holds / 2).Seconds()
+// placeCalls places calls until no more are to come.
+func (c *replacementCallers) placeCalls(rng *rand.Rand) {
+	p := c.run
+	perSecond := p.load * float64(p.dispatcherCount*p.work.Lines) / (p.work.Holds / 2).Seconds()
 	for {
 		pause := time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second))
 		select {
-		case <-p.over:
+		case <-p.callsDone:
 			return
 		case <-time.After(pause):
 		}
@@ -72,21 +72,21 @@
 // connection is the one for the next call: often one that is open, else another.
 func (c *replacementCallers) connection(rng *rand.Rand) *replacementCaller {
 	c.mu.Lock()
-	if n := len(c.all); n > 0 && (n >= callerConnections || rng.Float64() < 0.8) {
+	if n := len(c.all); n > 0 && (n >= maxCallerConnections || rng.Float64() < 0.8) {
 		defer c.mu.Unlock()
 		return c.all[rng.IntN(n)]
 	}
 	c.mu.Unlock()
-	connection, err := peer.Call("tcp", c.play.front)
+	connection, err := peer.Call("tcp", c.run.front)
 	if err != nil {
-		c.play.Error(err)
+		c.run.Error(err)
 		return nil
 	}
 	one := &replacementCaller{Caller: connection, usedAt: time.Now()}
 	c.mu.Lock()
 	c.all = append(c.all, one)
 	c.mu.Unlock()
-	go c.hear(one)
+	go c.read(one)
 	return one
 }
 
@@ -95,83 +95,83 @@
 	if on == nil {
 		return
 	}
-	left := leastLeft + time.Duration(rng.Int64N(int64(mostLeft-leastLeft)))
+	left := minTimeLeft + time.Duration(rng.Int64N(int64(maxTimeLeft-minTimeLeft)))
 	c.mu.Lock()
 	c.placed++
-	id := fmt.Sprintf("%04x%012x", c.play.seed&0xffff, c.placed)
-	k := &replacementCall{on: on, counted: true}
+	id := fmt.Sprintf("%04x%012x", c.run.seed&0xffff, c.placed)
+	k := &replacementCall{connection: on, keepsOpen: true}
 	c.calls[id] = k
-	on.open++
+	on.openCalls++
 	on.usedAt = time.Now()
 	c.mu.Unlock()
-	c.play.judge.Placed(id, time.Now())
-	if err := on.SetUp(id, left, rng.IntN(c.play.each), "x"); err != nil {
-		c.play.Errorf("a set-up on an open connection: %v", err)
+	c.run.checker.Placed(id, time.Now())
+	if err := on.SetUp(id, left, rng.IntN(c.run.dispatcherCount), "x"); err != nil {
+		c.run.Errorf("a set-up on an open connection: %v", err)
 	}
-	time.AfterFunc(left, func() { c.leave(id, false) })
+	time.AfterFunc(left, func() { c.cancel(id, false) })
 }
 
-// leave gives a call up that has no answer, or ends one that stands.
-func (c *replacementCallers) leave(id string, answered bool) {
+// cancel gives a call up that has no answer, or ends one that stands.
+func (c *replacementCallers) cancel(id string, answered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k := c.calls[id]
-	if k.over || k.left || k.answered != answered {
+	if k.terminated || k.cancelled || k.answered != answered {
 		return
 	}
-	k.left = true
-	k.uncount()
-	c.play.judge.CallerLeft(id, time.Now())
-	_ = k.on.Release(id, 16)
+	k.cancelled = true
+	k.releaseConnection()
+	c.run.checker.CallerLeft(id, time.Now())
+	_ = k.connection.Release(id, 16)
 }
 
-// hear takes in what a connection is told until it ends.
-func (c *replacementCallers) hear(on *replacementCaller) {
+// read takes in what a connection is told until it ends.
+func (c *replacementCallers) read(on *replacementCaller) {
 	for {
 		m, err := on.NextWithin(time.Hour)
 		if err != nil {
-			c.ended(on)
+			c.connectionEnded(on)
 			return
 		}
-		c.told(on, m.ID, m.Type, m.Description(), m.CauseOr(0))
+		c.handleMessage(on, m.ID, m.Type, m.Description(), m.CauseOr(0))
 	}
 }
 
-func (c *replacementCallers) told(on *replacementCaller, id, kind, text string, cause int) {
+func (c *replacementCallers) handleMessage(on *replacementCaller, id, kind, text string, cause int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	on.usedAt = time.Now()
 	k := c.calls[id]
 	if k == nil {
-		c.play.Errorf("%s of %s, which nobody placed", kind, id)
+		c.run.Errorf("%s of %s, which nobody placed", kind, id)
 		return
 	}
-	if k.left {
+	if k.cancelled {
 		if kind == "answer" {
 			c.crossed++
 		}
 		return
 	}
-	if c.play.judge.Heard(id, kind, text, cause, time.Now()) {
+	if c.run.checker.Heard(id, kind, text, cause, time.Now()) {
 		k.answered = true
-		if !c.play.bound {
-			k.uncount()
+		if !c.run.keepsConnections {
+			k.releaseConnection()
 		}
-		if c.rng.Float64() < hangUps {
-			time.AfterFunc(time.Duration(c.rng.Int64N(int64(c.play.work.Holds))), func() { c.leave(id, true) })
+		if c.rng.Float64() < hangUpShare {
+			time.AfterFunc(time.Duration(c.rng.Int64N(int64(c.run.work.Holds))), func() { c.cancel(id, true) })
 		}
 		return
 	}
-	k.over = true
-	k.uncount()
+	k.terminated = true
+	k.releaseConnection()
 }
 
-// uncount has the call keep its connection open no longer.
-func (k *replacementCall) uncount() {
-	if k.counted {
-		k.counted = false
-		k.on.open--
-		k.on.usedAt = time.Now()
+// releaseConnection has the call keep its connection open no longer.
+func (k *replacementCall) releaseConnection() {
+	if k.keepsOpen {
+		k.keepsOpen = false
+		k.connection.openCalls--
+		k.connection.usedAt = time.Now()
 	}
 }
 
@@ -180,7 +180,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := 0; i < len(c.all) && len(c.all) > 1; i++ {
-		if one := c.all[i]; one.open == 0 && time.Since(one.usedAt) > c.play.callerIdle {
+		if one := c.all[i]; one.openCalls == 0 && time.Since(one.usedAt) > c.run.callerIdle {
 			c.all = append(c.all[:i:i], c.all[i+1:]...)
 			_ = one.Close()
 			i--
@@ -188,8 +188,8 @@
 	}
 }
 
-// ended takes in the end of a connection.
-func (c *replacementCallers) ended(on *replacementCaller) {
+// connectionEnded takes in the end of a connection.
+func (c *replacementCallers) connectionEnded(on *replacementCaller) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i, one := range c.all {
@@ -200,12 +200,12 @@
 	_ = on.Close()
 }
 
-// owed is the number of calls that have no answer yet.
-func (c *replacementCallers) owed() (n int) {
+// pendingCalls is the number of calls that have no answer yet.
+func (c *replacementCallers) pendingCalls() (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, k := range c.calls {
-		if !k.answered && !k.left && !k.over {
+		if !k.answered && !k.cancelled && !k.terminated {
 			n++
 		}
 	}
--- a/cmd/cherryrelay/replacement_soak_test.go
+++ b/cmd/cherryrelay/replacement_soak_test.go
@@ -22,14 +22,14 @@
 // its dispatchers drains, refuses connections, and ends. Every end of a call that stood is held against the bounds of the protocol page.
 
 const (
-	// replacementSeeds are played by make test, and replacementsAtOnce of the long run side by side.
-	replacementSeeds, replacementsAtOnce = 6, 12
-	// replacedMost is how many dispatchers there are at most before, and after.
-	replacedMost = 3
+	// replacementSeeds are played by make test, and concurrentReplacements of the long run side by side.
+	replacementSeeds, concurrentReplacements = 6, 12
+	// maxReplaced is how many dispatchers there are at most before, and after.
+	maxReplaced = 3
 	// linkDelay and linkJitter are how late what passes between the controller and a dispatcher or a caller is.
 	linkDelay, linkJitter = 3 * time.Millisecond, 22 * time.Millisecond
-	// tellLinesEvery is the pace at which dispatchers tell of their free lines.
-	tellLinesEvery = 200 * time.Millisecond
+	// lineReportInterval is the pace at which dispatchers tell of their free lines.
+	lineReportInterval = 200 * time.Millisecond
 	// stepPause is the longest pause between two steps of a replacement, and replacementPause between the beginnings of two.
 	stepPause, replacementPause = 300 * time.Millisecond, 1500 * time.Millisecond
 )
@@ -39,19 +39,19 @@
 
 // replacementScenario is what a seed draws.
 type replacementScenario struct {
-	seed       uint64
-	each       int // dispatchers, before and after
-	work       trial.Work
-	aim        time.Duration // of the calls' class: an attempt that takes longer may be withdrawn
-	slowest    time.Duration // the longest that an answer takes in the overload
-	load       float64       // set-ups, as a part of what the lines can take: with few, connections have little to do, and more of them are overtaken
-	callerIdle time.Duration // after which callers close a connection
-	bound      bool          // callers keep a connection open while calls of it stand
-	closes     bool          // dispatchers close connections in order
-	reports    bool          // they tell of their lines unasked
-	deaf       bool          // they refuse connections as they drain
-	atOnce     bool          // all are replaced at the same time
-	drainFor   time.Duration
+	seed              uint64
+	dispatcherCount   int // dispatchers, before and after
+	work              trial.Work
+	aim               time.Duration // of the calls' class: an attempt that takes longer may be withdrawn
+	slowest           time.Duration // the longest that an answer takes in the overload
+	load              float64       // set-ups, as a part of what the lines can take: with few, connections have little to do, and more of them are overtaken
+	callerIdle        time.Duration // after which callers close a connection
+	keepsConnections  bool          // callers keep a connection open while calls of it stand
+	closesConnections bool          // dispatchers close connections in order
+	reports           bool          // they tell of their lines unasked
+	refuses           bool          // they refuse connections as they drain
+	simultaneous      bool          // all are replaced at the same time
+	drainFor          time.Duration
 }
 
 func drawReplacement(seed uint64) replacementScenario {
@@ -59,11 +59,11 @@
 	ms := func(least, most int) time.Duration {
 		return time.Duration(least+rng.IntN(most-least)) * time.Millisecond
 	}
-	s := replacementScenario{seed: seed, each: 1 + rng.IntN(replacedMost), load: 0.1 + 1.3*rng.Float64(), aim: ms(150, 1500), slowest: ms(300, 1500), callerIdle: ms(300, 4000),
-		bound: rng.IntN(2) == 0, closes: rng.IntN(2) == 0, reports: rng.IntN(2) == 0, deaf: rng.IntN(4) > 0, atOnce: rng.IntN(3) == 0, drainFor: ms(1500, 4600)}
+	s := replacementScenario{seed: seed, dispatcherCount: 1 + rng.IntN(maxReplaced), load: 0.1 + 1.3*rng.Float64(), aim: ms(150, 1500), slowest: ms(300, 1500), callerIdle: ms(300, 4000),
+		keepsConnections: rng.IntN(2) == 0, closesConnections: rng.IntN(2) == 0, reports: rng.IntN(2) == 0, refuses: rng.IntN(4) > 0, simultaneous: rng.IntN(3) == 0, drainFor: ms(1500, 4600)}
 	s.work = trial.Work{Lines: 8 + rng.IntN(16), Answers: 60 * time.Millisecond, Holds: ms(300, 2500), Broken: 0.1 * rng.Float64(),
 		Unanswered: 0.3 * rng.Float64(), Brief: 0.1, Seed: seed}
-	if s.closes {
+	if s.closesConnections {
 		s.work.Closes = 0.5
 	}
 	return s
@@ -71,30 +71,30 @@
 
 func (s *replacementScenario) String() string {
 	return fmt.Sprintf("%d dispatchers of %d lines, %.2f of set-ups unanswered, load %.2f, aim %v, answers in %v, calls of %v, drains of %v, callers' connections closed after %v, kept for calls that stand %v; dispatchers close %v, report %v, refuse as they drain %v, all at once %v",
-		s.each, s.work.Lines, s.work.Unanswered, s.load, s.aim, s.slowest, s.work.Holds, s.drainFor, s.callerIdle, s.bound, s.closes, s.reports, s.deaf, s.atOnce)
+		s.dispatcherCount, s.work.Lines, s.work.Unanswered, s.load, s.aim, s.slowest, s.work.Holds, s.drainFor, s.callerIdle, s.keepsConnections, s.closesConnections, s.reports, s.refuses, s.simultaneous)
 }
 
 // replacementResult is what a play came to.
 type replacementResult struct {
-	faults  []string
-	log     string
-	ends    int // calls that stood, of which the end was judged
-	again   int // of these, calls that were tried more than once at one dispatcher
-	crossed int // answers that came after their callers had given up
-	counts  map[string]int
+	violations []string
+	log        string
+	ends       int // calls that stood, of which the end was judged
+	repeated   int // of these, calls that were tried more than once at one dispatcher
+	crossed    int // answers that came after their callers had given up
+	counts     map[string]int
 }
 
-// eventList is a coordinator that tells all its events in order, from any on.
-type eventList struct {
+// eventServer is a coordinator that tells all its events in order, from any on.
+type eventServer struct {
 	address string
 	mu      sync.Mutex
 	events  []string
-	more    chan struct{} // closed when there is another event
+	changed chan struct{} // closed when there is another event
 }
 
-func newEventList(t *testing.T) *eventList {
+func newEventServer(t *testing.T) *eventServer {
 	t.Helper()
-	l := &eventList{more: make(chan struct{})}
+	l := &eventServer{changed: make(chan struct{})}
 	server := httptest.NewServer(http.HandlerFunc(l.serve))
 	t.Cleanup(server.Close)
 	t.Cleanup(server.CloseClientConnections)
@@ -102,11 +102,11 @@
 	return l
 }
 
-func (l *eventList) serve(w http.ResponseWriter, r *http.Request) {
+func (l *eventServer) serve(w http.ResponseWriter, r *http.Request) {
 	told := 0
 	for {
 		l.mu.Lock()
-		events, more := l.events[told:], l.more
+		events, more := l.events[told:], l.changed
 		l.mu.Unlock()
 		for _, e := range events {
 			fmt.Fprint(w, e)
@@ -125,8 +125,8 @@
 	}
 }
 
-// tell adds an event; the list of the start is number 1.
-func (l *eventList) tell(t *testing.T, changes ...map[string]any) {
+// publish adds an event; the list of the start is number 1.
+func (l *eventServer) publish(t *testing.T, changes ...map[string]any) {
 	t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -137,18 +137,18 @@
 		return
 	}
 	l.events = append(l.events, fmt.Sprintf("id: %d\ndata: %s\n\n", index, event))
-	close(l.more)
-	l.more = make(chan struct{})
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
-// replaceable is a dispatcher behind a link, as the list has it.
-type replaceable struct {
+// listedDispatcher is a dispatcher behind a link, as the list has it.
+type listedDispatcher struct {
 	*trial.Replaced
 	entry map[string]any
 	link  string
 }
 
-func (d *replaceable) is(status string) map[string]any {
+func (d *listedDispatcher) entryWithStatus(status string) map[string]any {
 	entry := map[string]any{}
 	for k, v := range d.entry {
 		entry[k] = v
@@ -157,31 +157,31 @@
 	return entry
 }
 
-// replacementPlay is one play under way.
-type replacementPlay struct {
+// replacementRun is one play under way.
+type replacementRun struct {
 	*testing.T
 	replacementScenario
 	*process
-	net   *fault.Net
-	front string // where callers connect
-	list  *eventList
-	judge *trial.Judge
-	rng   *rand.Rand
-	over  chan struct{} // closed when no more calls come
-	ended chan struct{} // closed when the play ends
-	busy  sync.WaitGroup
-
-	mu    sync.Mutex
-	stand []*replaceable
+	net       *fault.Net
+	front     string // where callers connect
+	list      *eventServer
+	checker   *trial.Judge
+	rng       *rand.Rand
+	callsDone chan struct{} // closed when no more calls come
+	ended     chan struct{} // closed when the play ends
+	busy      sync.WaitGroup
+
+	mu      sync.Mutex
+	started []*listedDispatcher
 }
 
-// stands opens a dispatcher behind a link of its own.
-func (p *replacementPlay) stands(n int, since time.Time) *replaceable {
+// startListed opens a dispatcher behind a link of its own.
+func (p *replacementRun) startListed(n int, since time.Time) *listedDispatcher {
 	p.Helper()
 	name := fmt.Sprint("s", n)
 	work := p.work
 	work.Seed = p.seed<<8 + uint64(n)
-	r, err := trial.StandToBeReplaced("tcp", name, report(work.Lines, work.Lines), p.judge, work)
+	r, err := trial.StandToBeReplaced("tcp", name, formatReport(work.Lines, work.Lines), p.checker, work)
 	if err != nil {
 		p.Fatal(err)
 	}
@@ -190,29 +190,29 @@
 	if err != nil {
 		p.Fatal(err)
 	}
-	d := &replaceable{Replaced: r, link: "c>" + name, entry: endpoint(name, n%p.each, address, since)}
+	d := &listedDispatcher{Replaced: r, link: "c>" + name, entry: endpoint(name, n%p.dispatcherCount, address, since)}
 	p.net.Set(d.link, latency)
 	p.mu.Lock()
-	p.stand = append(p.stand, d)
+	p.started = append(p.started, d)
 	p.mu.Unlock()
-	p.busy.Go(func() { p.lives(d, rand.New(rand.NewPCG(work.Seed, 2))) })
+	p.busy.Go(func() { p.runDispatcher(d, rand.New(rand.NewPCG(work.Seed, 2))) })
 	return d
 }
 
-func report(free, lines int) string { return fmt.Sprintf("x0:%d;x1:%d", free, lines) }
+func formatReport(free, lines int) string { return fmt.Sprintf("x0:%d;x1:%d", free, lines) }
 
-// lives has a dispatcher report and close connections, as the seed has it, until the play ends.
-func (p *replacementPlay) lives(d *replaceable, rng *rand.Rand) {
+// runDispatcher has a dispatcher report and close connections, as the seed has it, until the play ends.
+func (p *replacementRun) runDispatcher(d *listedDispatcher, rng *rand.Rand) {
 	for {
 		select {
 		case <-p.ended:
 			return
-		case <-time.After(tellLinesEvery):
+		case <-time.After(lineReportInterval):
 		}
 		if p.reports {
-			_ = d.Report(report(d.Free(), p.work.Lines))
+			_ = d.Report(formatReport(d.Free(), p.work.Lines))
 		}
-		if p.closes {
+		if p.closesConnections {
 			d.CloseOne()
 		}
 	}
@@ -221,11 +221,11 @@
 // replacementProgram is the variable that names another build's program to be played, in place of this one.
 const replacementProgram = "CHERRYRELAY_PROGRAM"
 
-func (p *replacementPlay) launchProgram() {
+func (p *replacementRun) launchProgram() {
 	p.Helper()
 	program := os.Getenv(replacementProgram)
 	if program == "" {
-		p.launchWith(append(p.platformEnvironment(), exitAtOnce)...)
+		p.launchWith(append(p.platformEnvironment(), exitWithoutDelay)...)
 		return
 	}
 	cmd := exec.Command(program)
@@ -234,11 +234,11 @@
 }
 
 // begin opens the dispatchers and starts the process.
-func (p *replacementPlay) begin() (old []*replaceable) {
+func (p *replacementRun) begin() (old []*listedDispatcher) {
 	p.Helper()
 	var known []map[string]any
-	for n := range p.each {
-		d := p.stands(n, time.Time{})
+	for n := range p.dispatcherCount {
+		d := p.startListed(n, time.Time{})
 		old, known = append(old, d), append(known, d.entry)
 	}
 	var c map[string]any
@@ -252,7 +252,7 @@
 	if err != nil {
 		p.Fatal(err)
 	}
-	p.process = onPlatform(p.T, text)
+	p.process = newPlatformProcess(p.T, text)
 	if p.front, err = p.net.Between("callers", "c", p.lines); err != nil {
 		p.Fatal(err)
 	}
@@ -262,48 +262,48 @@
 	return old
 }
 
-// pause waits for a time that is drawn, in milliseconds.
-func pause(rng *rand.Rand, most time.Duration) {
+// sleepRandomly waits for a time that is drawn, in milliseconds.
+func sleepRandomly(rng *rand.Rand, most time.Duration) {
 	time.Sleep(time.Duration(rng.IntN(int(most/time.Millisecond))) * time.Millisecond)
 }
 
 // replace has one dispatcher take the place of another, which drains and ends.
-func (p *replacementPlay) replace(d *replaceable, n int, rng *rand.Rand) {
-	pause(rng, stepPause)
-	next := p.stands(n, time.Now())
-	p.list.tell(p.T, next.entry)
+func (p *replacementRun) replace(d *listedDispatcher, n int, rng *rand.Rand) {
+	sleepRandomly(rng, stepPause)
+	next := p.startListed(n, time.Now())
+	p.list.publish(p.T, next.entry)
 	next.Answer(p.slowest)
-	pause(rng, 2*stepPause)
-	p.list.tell(p.T, d.is("leaving"))
-	if p.deaf {
-		pause(rng, stepPause)
+	sleepRandomly(rng, 2*stepPause)
+	p.list.publish(p.T, d.entryWithStatus("leaving"))
+	if p.refuses {
+		sleepRandomly(rng, stepPause)
 		p.net.Refuse(d.link)
 		d.Stop()
 	}
 	time.Sleep(time.Duration(rng.Int64N(int64(p.drainFor))))
 	if rng.IntN(2) == 0 {
-		p.list.tell(p.T, d.is("left"))
-		pause(rng, stepPause)
+		p.list.publish(p.T, d.entryWithStatus("left"))
+		sleepRandomly(rng, stepPause)
 		d.Die()
 	} else {
 		d.Die()
-		pause(rng, stepPause)
-		p.list.tell(p.T, d.is("left"))
+		sleepRandomly(rng, stepPause)
+		p.list.publish(p.T, d.entryWithStatus("left"))
 	}
 	p.net.Refuse(d.link)
 }
 
-// playReplacement plays a seed. The guard between attempts is not judged: on a busy machine dispatchers see the end of an attempt late, which the
+// runReplacement plays a seed. The guard between attempts is not judged: on a busy machine dispatchers see the end of an attempt late, which the
 // soak of shutdowns measures.
-func playReplacement(t *testing.T, seed uint64) replacementResult {
+func runReplacement(t *testing.T, seed uint64) replacementResult {
 	t.Helper()
-	p := &replacementPlay{T: t, replacementScenario: drawReplacement(seed), net: fault.New(seed), list: newEventList(t),
-		judge: trial.NewJudge(0, 9*time.Second), rng: rand.New(rand.NewPCG(seed, 1)), over: make(chan struct{}), ended: make(chan struct{})}
+	p := &replacementRun{T: t, replacementScenario: drawReplacement(seed), net: fault.New(seed), list: newEventServer(t),
+		checker: trial.NewJudge(0, 9*time.Second), rng: rand.New(rand.NewPCG(seed, 1)), callsDone: make(chan struct{}), ended: make(chan struct{})}
 	t.Cleanup(p.net.Close)
 	old := p.begin()
 	late := measureRunDelays(p.cmd.Process.Pid)
 	c := newReplacementCallers(p)
-	c.running.Go(func() { c.run(rand.New(rand.NewPCG(seed, 3))) })
+	c.running.Go(func() { c.placeCalls(rand.New(rand.NewPCG(seed, 3))) })
 	time.Sleep(time.Second)
 	for _, d := range old {
 		d.Answer(p.slowest)
@@ -311,16 +311,16 @@
 	var replacing sync.WaitGroup
 	for i, d := range old {
 		rng := rand.New(rand.NewPCG(seed, uint64(10+i)))
-		replacing.Go(func() { p.replace(d, p.each+i, rng) })
-		if !p.atOnce {
-			pause(p.rng, replacementPause)
+		replacing.Go(func() { p.replace(d, p.dispatcherCount+i, rng) })
+		if !p.simultaneous {
+			sleepRandomly(p.rng, replacementPause)
 		}
 	}
 	replacing.Wait()
 	time.Sleep(500 * time.Millisecond)
-	close(p.over)
+	close(p.callsDone)
 	c.running.Wait()
-	r := p.verdict(c, late)
+	r := p.check(c, late)
 	close(p.ended)
 	p.busy.Wait()
 	c.closeAll()
@@ -328,26 +328,26 @@
 	return r
 }
 
-// verdict ends what stands, waits for what callers are owed, and holds all against the rules.
-func (p *replacementPlay) verdict(c *replacementCallers, late *schedulerMeter) replacementResult {
+// check ends what stands, waits for what callers are owed, and holds all against the rules.
+func (p *replacementRun) check(c *replacementCallers, late *schedulerMeter) replacementResult {
 	p.Helper()
-	trial.Until(mostLeft+time.Second, func() bool { return c.owed() == 0 }) // callers give up what has no answer
+	trial.Until(maxTimeLeft+time.Second, func() bool { return c.pendingCalls() == 0 }) // callers give up what has no answer
 	p.mu.Lock()
-	for _, d := range p.stand {
+	for _, d := range p.started {
 		d.EndAll()
 	}
 	p.mu.Unlock()
 	trial.Until(trial.ToldAfterEnd+time.Second, func() bool {
-		_, untold := p.judge.Unsettled()
+		_, untold := p.checker.Unsettled()
 		return len(untold) == 0
 	})
-	faults, _, counts := p.judge.Verdict()
+	faults, _, counts := p.checker.Verdict()
 	now := time.Now()
-	r := replacementResult{faults: faults, crossed: c.crossings(), counts: counts}
-	for _, e := range p.judge.Ends() {
+	r := replacementResult{violations: faults, crossed: c.crossings(), counts: counts}
+	for _, e := range p.checker.Ends() {
 		r.ends++
 		if triedAgain(e.Trail) {
-			r.again++
+			r.repeated++
 		}
 		until := e.ToldAt
 		if until.IsZero() {
@@ -356,9 +356,9 @@
 		by := e.Late(now)
 		switch {
 		case e.ToldAt.IsZero():
-			r.faults = append(r.faults, fmt.Sprintf("the end of %s is never told; %s", e.ID, e.Trail))
-		case by > 0 && by > late.between(e.OverAt, until) && by > c.meter.between(e.OverAt, until):
-			r.faults = append(r.faults, fmt.Sprintf("the end of %s is told %v too late; %s", e.ID, by, e.Trail))
+			r.violations = append(r.violations, fmt.Sprintf("the end of %s is never told; %s", e.ID, e.Trail))
+		case by > 0 && by > late.delayBetween(e.OverAt, until) && by > c.meter.delayBetween(e.OverAt, until):
+			r.violations = append(r.violations, fmt.Sprintf("the end of %s is told %v too late; %s", e.ID, by, e.Trail))
 		}
 	}
 	return r
@@ -381,16 +381,16 @@
 // TestReplacements guards against ends of calls that are told to nobody while dispatchers are replaced under overload.
 func TestReplacements(t *testing.T) {
 	t.Parallel()
-	replacements(t, 1, replacementSeeds, replacementSeeds)
+	runReplacements(t, 1, replacementSeeds, replacementSeeds)
 }
 
 // TestSoakReplacements plays the long run: CHERRYRELAY_SEEDS plays from the seed CHERRYRELAY_FIRST on.
 func TestSoakReplacements(t *testing.T) {
-	soaks(t)
-	replacements(t, environment(t, "CHERRYRELAY_FIRST", 1), environment(t, "CHERRYRELAY_SEEDS", 50), replacementsAtOnce)
+	skipUnlessSoak(t)
+	runReplacements(t, environmentNumber(t, "CHERRYRELAY_FIRST", 1), environmentNumber(t, "CHERRYRELAY_SEEDS", 50), concurrentReplacements)
 }
 
-func replacements(t *testing.T, first, seeds, atOnce uint64) {
+func runReplacements(t *testing.T, first, seeds, atOnce uint64) {
 	t.Helper()
 	turns := make(chan struct{}, atOnce)
 	var ends atomic.Int64
@@ -400,7 +400,7 @@
 				t.Parallel()
 				turns <- struct{}{}
 				defer func() { <-turns }()
-				ends.Add(int64(playAndReport(t, seed)))
+				ends.Add(int64(runAndReport(t, seed)))
 			})
 		}
 	})
@@ -409,16 +409,16 @@
 	}
 }
 
-// playAndReport plays a seed, reports what it came to, and tells how many ends were judged.
-func playAndReport(t *testing.T, seed uint64) (ends int) {
+// runAndReport plays a seed, reports what it came to, and tells how many ends were judged.
+func runAndReport(t *testing.T, seed uint64) (ends int) {
 	t.Helper()
 	begun, s := time.Now(), drawReplacement(seed)
-	r := playReplacement(t, seed)
+	r := runReplacement(t, seed)
 	t.Logf("seed %d: %d ends judged, %d of calls tried again at their dispatcher, %d answers crossed a give-up, %d connections given up as dead, %v in all; %v; %v",
-		seed, r.ends, r.again, r.crossed, strings.Count(r.log, "open but unresponsive"), time.Since(begun).Round(time.Millisecond), r.counts, &s)
-	if len(r.faults) > 0 {
+		seed, r.ends, r.repeated, r.crossed, strings.Count(r.log, "open but unresponsive"), time.Since(begun).Round(time.Millisecond), r.counts, &s)
+	if len(r.violations) > 0 {
 		again := fmt.Sprintf("again with `make soak SOAK=SoakReplacements SEEDS=1 FIRST=%d`", seed)
-		t.Error(failureReport(again, r.faults, r.log))
+		t.Error(failureReport(again, r.violations, r.log))
 	}
 	return r.ends
 }
--- a/cmd/cherryrelay/resume_test.go
+++ b/cmd/cherryrelay/resume_test.go
@@ -17,33 +17,33 @@
 	"cherryrelay/internal/trial"
 )
 
-// desk is the program, in a process of its own, between dispatchers that act by themselves and callers of a story.
-type desk struct {
+// resumeFixture is the program, in a process of its own, between dispatchers that act by themselves and callers of a story.
+type resumeFixture struct {
 	*process
-	transport string
-	judge     *trial.Judge
-	acting    []*trial.Dispatcher
+	transport   string
+	checker     *trial.Judge
+	dispatchers []*trial.Dispatcher
 }
 
-// begins starts the program with n dispatchers, which answer at once.
-func begins(t *testing.T, transport, extra string, n int) *desk {
+// newResumeFixture starts the program with n dispatchers, which answer at once.
+func newResumeFixture(t *testing.T, transport, extra string, n int) *resumeFixture {
 	t.Helper()
-	d := &desk{process: newProcess(t, extra), transport: transport, judge: newJudge()}
+	d := &resumeFixture{process: newProcess(t, extra), transport: transport, checker: newChecker()}
 	for i := range n {
-		a := act(t, transport, fmt.Sprint("s", i), d.judge)
+		a := startDispatcher(t, transport, fmt.Sprint("s", i), d.checker)
 		a.Act(true, false)
-		d.acting = append(d.acting, a)
+		d.dispatchers = append(d.dispatchers, a)
 	}
-	d.list(longRunning)
+	d.writePool(startedLongAgo)
 	d.start()
 	return d
 }
 
-// list writes the pool file; its dispatchers have run since then.
-func (d *desk) list(since time.Duration) {
+// writePool writes the pool file; its dispatchers have run since then.
+func (d *resumeFixture) writePool(since time.Duration) {
 	d.Helper()
 	var members []pool.Member
-	for i, a := range d.acting {
+	for i, a := range d.dispatchers {
 		members = append(members, pool.Member{Address: a.Address(), ServerEntry: control.ServerEntry{
 			ID: control.ServerID(a.Name), Cell: i, Weight: 1, StartedAt: since}})
 	}
@@ -52,15 +52,15 @@
 	d.must(os.Rename(path+".new", path))
 }
 
-func (d *desk) must(err error) {
+func (d *resumeFixture) must(err error) {
 	d.Helper()
 	if err != nil {
 		d.Fatal(err)
 	}
 }
 
-// call connects; an empty transport is that of the desk.
-func (d *desk) call() *peer.Caller {
+// connect connects; an empty transport is that of the desk.
+func (d *resumeFixture) connect() *peer.Caller {
 	d.Helper()
 	address := d.lines
 	if d.transport == "ws" {
@@ -72,15 +72,15 @@
 	return c
 }
 
-// sets sends a set-up that can be resumed.
-func (d *desk) sets(c *peer.Caller, id string) {
+// setUp sends a set-up that can be resumed.
+func (d *resumeFixture) setUp(c *peer.Caller, id string) {
 	d.Helper()
 	x := "x"
 	d.must(c.Send(jsonl.Message{Type: "setup", ID: id, SDP: &x, Fields: map[string]jsonl.Value{
 		"class": "send-setup", "tenant": "acme", "key": jsonl.Value("k" + id), "left": "9000", "token": jsonl.Value(token(id))}}))
 }
 
-func (d *desk) resumes(c *peer.Caller, id, token string, answered bool) {
+func (d *resumeFixture) resume(c *peer.Caller, id, token string, answered bool) {
 	d.Helper()
 	fields := map[string]jsonl.Value{"token": jsonl.Value(token)}
 	if answered {
@@ -89,8 +89,8 @@
 	d.must(c.Send(jsonl.Message{Type: "resume", ID: id, Fields: fields}))
 }
 
-// gets wants the next message to a caller.
-func (d *desk) gets(c *peer.Caller, want string) {
+// expect wants the next message to a caller.
+func (d *resumeFixture) expect(c *peer.Caller, want string) {
 	d.Helper()
 	m, err := c.Next()
 	d.must(err)
@@ -103,21 +103,21 @@
 	}
 }
 
-// nothing more comes to a caller: the next is the answer to a test.
-func (d *desk) nothing(c *peer.Caller) {
+// expectNothing more comes to a caller: the next is the answer to a test.
+func (d *resumeFixture) expectNothing(c *peer.Caller) {
 	d.Helper()
 	d.must(c.Send(jsonl.Message{Type: "ping", ID: id(0)}))
-	d.gets(c, "pong ")
+	d.expect(c, "pong ")
 }
 
-func (d *desk) clean() {
+func (d *resumeFixture) checkSettled() {
 	d.Helper()
-	clean(d.T, d.judge)
+	checkAllSettled(d.T, d.checker)
 }
 
-// slow has the dispatchers leave set-ups open.
-func (d *desk) slow(slow bool) {
-	for _, a := range d.acting {
+// setUnresponsive has the dispatchers leave set-ups open.
+func (d *resumeFixture) setUnresponsive(slow bool) {
+	for _, a := range d.dispatchers {
 		a.Act(!slow, slow)
 	}
 }
@@ -135,63 +135,63 @@
 // TestOnlyTheOwnerResumes, while the program lives and after a kill.
 func TestOnlyTheOwnerResumes(t *testing.T) {
 	bothFronts(t, func(t *testing.T, transport string) {
-		d := begins(t, transport, "", 2)
-		c := d.call()
-		d.sets(c, id(1))
-		d.gets(c, "answer 1")
-		d.slow(true)
-		d.sets(c, id(2))
-		d.waitOut(id(2))
+		d := newResumeFixture(t, transport, "", 2)
+		c := d.connect()
+		d.setUp(c, id(1))
+		d.expect(c, "answer 1")
+		d.setUnresponsive(true)
+		d.setUp(c, id(2))
+		d.waitAttempt(id(2))
 		d.must(c.Close()) // the open one is kept for its caller
-		stranger := d.call()
-		d.resumes(stranger, id(1), "not the token of it", false)
-		d.gets(stranger, "release 1 41")
-		d.resumes(stranger, id(2), token(id(1)), false)
-		d.gets(stranger, "release 2 41")
-		d.resumes(stranger, id(3), token(id(3)), false) // nobody's
-		d.gets(stranger, "release 3 41")
-		c = d.call()
-		d.resumes(c, id(1), token(id(1)), true)
-		d.resumes(c, id(2), token(id(2)), false)
-		d.nothing(c)
+		stranger := d.connect()
+		d.resume(stranger, id(1), "not the token of it", false)
+		d.expect(stranger, "release 1 41")
+		d.resume(stranger, id(2), token(id(1)), false)
+		d.expect(stranger, "release 2 41")
+		d.resume(stranger, id(3), token(id(3)), false) // nobody's
+		d.expect(stranger, "release 3 41")
+		c = d.connect()
+		d.resume(c, id(1), token(id(1)), true)
+		d.resume(c, id(2), token(id(2)), false)
+		d.expectNothing(c)
 		d.kill()
-		d.slow(false)
+		d.setUnresponsive(false)
 		d.start()
-		stranger = d.call()
-		d.resumes(stranger, id(1), "not the token of it", false)
-		d.gets(stranger, "release 1 41")
+		stranger = d.connect()
+		d.resume(stranger, id(1), "not the token of it", false)
+		d.expect(stranger, "release 1 41")
 		// The same caller on two connections: the later one has it, and nothing is answered twice on one.
-		first, second := d.call(), d.call()
-		d.resumes(first, id(1), token(id(1)), false)
-		d.gets(first, "answer 1")
-		d.resumes(first, id(1), token(id(1)), false)
-		d.nothing(first)
-		d.resumes(second, id(1), token(id(1)), true)
-		d.resumes(first, id(2), token(id(2)), false)
-		d.gets(first, "answer 2")
-		d.endsAll(id(1))
-		d.gets(second, "release 1 16")
-		d.endsAll(id(2))
-		d.gets(first, "release 2 16")
-		d.nothing(stranger)
-		d.clean()
+		first, second := d.connect(), d.connect()
+		d.resume(first, id(1), token(id(1)), false)
+		d.expect(first, "answer 1")
+		d.resume(first, id(1), token(id(1)), false)
+		d.expectNothing(first)
+		d.resume(second, id(1), token(id(1)), true)
+		d.resume(first, id(2), token(id(2)), false)
+		d.expect(first, "answer 2")
+		d.endCall(id(1))
+		d.expect(second, "release 1 16")
+		d.endCall(id(2))
+		d.expect(first, "release 2 16")
+		d.expectNothing(stranger)
+		d.checkSettled()
 	})
 }
 
-// waitOut waits until an attempt of a call is out at some dispatcher.
-func (d *desk) waitOut(id string) {
+// waitAttempt waits until an attempt of a call is out at some dispatcher.
+func (d *resumeFixture) waitAttempt(id string) {
 	d.Helper()
 	for until := time.Now().Add(peer.Patience); time.Now().Before(until); time.Sleep(time.Millisecond) {
-		if d.judge.Out(id) != "" {
+		if d.checker.Out(id) != "" {
 			return
 		}
 	}
 	d.Fatalf("no attempt of %s comes out", id)
 }
 
-// endsAll has whichever dispatcher has a call end it.
-func (d *desk) endsAll(id string) {
-	for _, a := range d.acting {
+// endCall has whichever dispatcher has a call end it.
+func (d *resumeFixture) endCall(id string) {
+	for _, a := range d.dispatchers {
 		a.End(id)
 	}
 }
@@ -199,65 +199,65 @@
 // TestKilledInTheWaitBeforeAResend: the call goes out again no sooner than the guard after the return, and is answered once.
 func TestKilledInTheWaitBeforeAResend(t *testing.T) {
 	bothFronts(t, func(t *testing.T, transport string) {
-		d := begins(t, transport, "", 1)
+		d := newResumeFixture(t, transport, "", 1)
 		for n := range 5 {
 			d.breakNext()
-			c := d.call()
-			d.sets(c, id(n+1))
+			c := d.connect()
+			d.setUp(c, id(n+1))
 			d.waitBroken(id(n + 1))
 			time.Sleep(time.Duration(n*100) * time.Millisecond)
 			d.kill()
 			d.start()
-			c = d.call()
-			d.resumes(c, id(n+1), token(id(n+1)), false)
-			d.gets(c, "answer "+fmt.Sprint(n+1))
-			d.endsAll(id(n + 1))
-			d.gets(c, "release "+fmt.Sprint(n+1)+" 16")
+			c = d.connect()
+			d.resume(c, id(n+1), token(id(n+1)), false)
+			d.expect(c, "answer "+fmt.Sprint(n+1))
+			d.endCall(id(n + 1))
+			d.expect(c, "release "+fmt.Sprint(n+1)+" 16")
 		}
-		d.clean()
+		d.checkSettled()
 	})
 }
 
 // breakNext has the next set-up break on its way.
-func (d *desk) breakNext() {
-	d.acting[0].Break(1)
+func (d *resumeFixture) breakNext() {
+	d.dispatchers[0].Break(1)
 }
 
-func (d *desk) waitBroken(id string) {
+func (d *resumeFixture) waitBroken(id string) {
 	d.Helper()
 	for until := time.Now().Add(peer.Patience); time.Now().Before(until); time.Sleep(time.Millisecond) {
-		if !d.judge.Guarded(id).IsZero() {
+		if !d.checker.Guarded(id).IsZero() {
 			return
 		}
 	}
 	d.Fatalf("%s never broke", id)
 }
 
-// TestWhatHappensToCallsMeanwhile: one ends, one is lost with its dispatcher, and one's dispatcher is replaced cold.
-func TestWhatHappensToCallsMeanwhile(t *testing.T) {
+// TestCallsThatEndWhileTheProcessIsDown: one ends, one is lost with its dispatcher, and one's dispatcher is replaced cold.
+func TestCallsThatEndWhileTheProcessIsDown(t *testing.T) {
 	bothFronts(t, func(t *testing.T, transport string) {
-		d := begins(t, transport, "", 2)
-		c := d.call()
+		d := newResumeFixture(t, transport, "", 2)
+		c := d.connect()
 		for n := range 3 {
-			d.sets(c, id(n+1))
-			d.gets(c, fmt.Sprint("answer ", n+1))
+			d.setUp(c, id(n+1))
+			d.expect(c, fmt.Sprint("answer ", n+1))
 		}
 		d.kill()
-		d.endsAll(id(1))
+		d.endCall(id(1))
 		d.start()
-		c = d.call()
+		c = d.connect()
 		for n := range 3 {
-			d.resumes(c, id(n+1), token(id(n+1)), true)
+			d.resume(c, id(n+1), token(id(n+1)), true)
 		}
-		d.gets(c, "release 1 16")
-		d.nothing(c) // the others stand
+		d.expect(c, "release 1 16")
+		d.expectNothing(c) // the others stand
 		d.kill()
-		d.list(time.Duration(time.Now().UnixNano())) // other processes at the same addresses
+		d.writePool(time.Duration(time.Now().UnixNano())) // other processes at the same addresses
 		d.start()
-		c = d.call()
+		c = d.connect()
 		got := map[string]bool{}
 		for n := range 2 {
-			d.resumes(c, id(n+2), token(id(n+2)), true)
+			d.resume(c, id(n+2), token(id(n+2)), true)
 			m, err := c.Next()
 			d.must(err)
 			if m.CauseOr(0) != 41 {
@@ -271,9 +271,9 @@
 	})
 }
 
-// TestTheStateIsSpoiltWhileDown: cut, flipped, and with a segment gone, again and again under load. Who comes back gets one
+// TestTheLedgerIsDamagedWhileDown: cut, flipped, and with a segment gone, again and again under load. Who comes back gets one
 // final answer for each call, and dispatchers see no rule broken.
-func TestTheStateIsSpoiltWhileDown(t *testing.T) {
+func TestTheLedgerIsDamagedWhileDown(t *testing.T) {
 	spoil := func(p *process, rng *rand.Rand) {
 		names, err := filepath.Glob(filepath.Join(p.directory, "ledger", "*.segment"))
 		if err != nil || len(names) == 0 {
@@ -299,12 +299,12 @@
 			p.Fatal(err)
 		}
 	}
-	kills(t, 12, spoil)
+	runKills(t, 12, spoil)
 }
 
-// TestTwoOnOneDirectory: the second one ends with one plain line, and the first serves on.
-func TestTwoOnOneDirectory(t *testing.T) {
-	d := begins(t, "ws", "", 1)
+// TestTwoProcessesOnOneLedgerDirectory: the second one ends with one plain line, and the first serves on.
+func TestTwoProcessesOnOneLedgerDirectory(t *testing.T) {
+	d := newResumeFixture(t, "ws", "", 1)
 	other := newProcess(t, "")
 	text, err := os.ReadFile(filepath.Join(other.directory, "operator.ini"))
 	d.must(err)
@@ -320,9 +320,9 @@
 	if err == nil || !strings.Contains(lines[len(lines)-1], "another process holds the directory") {
 		t.Errorf("it ended with %v:\n%s", err, other.log)
 	}
-	c := d.call()
-	d.sets(c, id(1))
-	d.gets(c, "answer 1")
+	c := d.connect()
+	d.setUp(c, id(1))
+	d.expect(c, "answer 1")
 }
 
 // TestUpgradesAndTheLedger: a successor takes the ledger over; and if the old process is killed outright in the middle, the
@@ -330,72 +330,72 @@
 func TestUpgradesAndTheLedger(t *testing.T) {
 	bothFronts(t, func(t *testing.T, transport string) {
 		for _, outright := range []bool{false, true} {
-			d := begins(t, transport, "", 1)
-			c := d.call()
-			d.sets(c, id(1))
-			d.gets(c, "answer 1")
-			d.slow(true)
-			d.sets(c, id(2))
-			d.waitOut(id(2))
+			d := newResumeFixture(t, transport, "", 1)
+			c := d.connect()
+			d.setUp(c, id(1))
+			d.expect(c, "answer 1")
+			d.setUnresponsive(true)
+			d.setUp(c, id(2))
+			d.waitAttempt(id(2))
 			old := *d.process
-			d.management = fixed(t)
+			d.management = freeAddress(t)
 			d.launchWith("LB_MANAGEMENT=" + d.management)
 			if outright {
 				d.waitLog("a predecessor serves")
 				old.kill()
 			}
 			d.waitReady()
-			d.slow(false)
+			d.setUnresponsive(false)
 			if !outright {
 				d.answerAll() // where it came in
-				d.gets(c, "answer 2")
+				d.expect(c, "answer 2")
 				if err := <-old.ended; err != nil {
 					d.Errorf("the old process ended with %v", err)
 				}
 				d.waitLog("the predecessor has ended")
 			}
-			c = d.call()
-			d.resumes(c, id(1), token(id(1)), true)
-			d.resumes(c, id(2), token(id(2)), !outright)
+			c = d.connect()
+			d.resume(c, id(1), token(id(1)), true)
+			d.resume(c, id(2), token(id(2)), !outright)
 			if outright {
-				d.gets(c, "answer 2")
+				d.expect(c, "answer 2")
 			}
-			d.nothing(c)
+			d.expectNothing(c)
 			// The successor keeps them now: it is killed in its turn.
 			d.kill()
 			d.launchWith("LB_MANAGEMENT=" + d.management)
 			d.waitReady()
-			c = d.call()
-			d.resumes(c, id(1), token(id(1)), true)
-			d.resumes(c, id(2), token(id(2)), true)
-			d.nothing(c)
-			d.endsAll(id(1))
-			d.gets(c, "release 1 16")
-			d.endsAll(id(2))
-			d.gets(c, "release 2 16")
-			d.clean()
+			c = d.connect()
+			d.resume(c, id(1), token(id(1)), true)
+			d.resume(c, id(2), token(id(2)), true)
+			d.expectNothing(c)
+			d.endCall(id(1))
+			d.expect(c, "release 1 16")
+			d.endCall(id(2))
+			d.expect(c, "release 2 16")
+			d.checkSettled()
 			d.kill()
 		}
 	})
 }
 
 // answerAll has the dispatchers answer what they have left open.
-func (d *desk) answerAll() {
-	for _, a := range d.acting {
+func (d *resumeFixture) answerAll() {
+	for _, a := range d.dispatchers {
 		a.AnswerAll()
 	}
 }
 
 // TestManyResumeAtOnce: all callers of a large gateway come back on one connection.
-func TestManyResumeAtOnce(t *testing.T) { manyResume(t, 2000) }
+func TestManyResumeAtOnce(t *testing.T) { resumeMany(t, 2000) }
 
-func manyResume(t *testing.T, calls int) {
-	d := begins(t, "ws", "", 2)
-	c := d.call()
+func resumeMany(t *testing.T, calls int) {
+	d := newResumeFixture(t, "ws", "", 2)
+	c := d.connect()
 	const window = 100
 	for n := 0; n < calls; n += window {
 		for i := n; i < n+window; i++ {
-			d.sets(c, id(i+1))
+			d.setUp(c, id(i+1))
 		}
 		for range window {
 			m, err := c.Next()
@@ -409,14 +409,14 @@
 	from := time.Now()
 	d.start()
 	ready := time.Since(from)
-	c = d.call()
+	c = d.connect()
 	got := map[string]int{}
 	from = time.Now()
 	// A test after some is answered once they are taken: whoever writes faster than is read is dropped, and may come again.
 	const atOnce = 250
 	for n := 0; n < calls; n += atOnce {
 		for i := n; i < n+atOnce; i++ {
-			d.resumes(c, id(i+1), token(id(i+1)), false)
+			d.resume(c, id(i+1), token(id(i+1)), false)
 		}
 		d.must(c.Send(jsonl.Message{Type: "ping", ID: id(0)}))
 		for {
@@ -435,7 +435,7 @@
 	if len(got) != calls {
 		d.Errorf("%d of %d calls were answered", len(got), calls)
 	}
-	d.nothing(c)
-	d.clean()
+	d.expectNothing(c)
+	d.checkSettled()
 	t.Logf("%d calls that stood: ready %v after the start, all resumed after another %v", calls, ready, took)
 }
--- a/cmd/cherryrelay/run_delay_test.go
+++ b/cmd/cherryrelay/run_delay_test.go
@@ -75,12 +75,12 @@
 	const blocked = 600 * time.Millisecond
 	pid := startProcess(t, "sleep", "60")
 	time.Sleep(blocked / 4) // its start is not in question
-	j := newShutdownJudge()
+	j := newShutdownChecker()
 	j.meter, j.process = &schedulerMeter{}, measureRunDelays(pid)
 	begun := time.Now()
 	time.Sleep(blocked)
-	if end := time.Now(); !j.exceeds(blocked, lateMost, begun, end) {
-		t.Errorf("excused for %v of %v", j.process.between(begun, end), blocked)
+	if end := time.Now(); !j.exceeds(blocked, maxAnswerDelay, begun, end) {
+		t.Errorf("excused for %v of %v", j.process.delayBetween(begun, end), blocked)
 	}
 }
 
@@ -94,7 +94,7 @@
 	}
 	m, begun := measureRunDelays(pid), time.Now()
 	time.Sleep(measured)
-	if waited := m.between(begun, time.Now()); waited < measured/10 || waited > 2*measured {
+	if waited := m.delayBetween(begun, time.Now()); waited < measured/10 || waited > 2*measured {
 		t.Errorf("it waited for a core for %v of %v", waited, measured)
 	}
 }
--- a/cmd/cherryrelay/terms_share_test.go
+++ b/cmd/cherryrelay/share_load_test.go
@@ -13,29 +13,29 @@
 
 // The term: no process serves nobody while others are asked to wait.
 
-// lined is a dispatcher with few lines, each of which a call holds for a while; beyond them it has none.
-type lined struct {
+// limitedDispatcher is a dispatcher with few lines, each of which a call holds for a while; beyond them it has none.
+type limitedDispatcher struct {
 	*peer.Dispatcher
 	free atomic.Int32
 }
 
 const (
-	linesEach = 6
-	callTime  = 250 * time.Millisecond
+	linesPerDispatcher = 6
+	callDuration       = 250 * time.Millisecond
 )
 
-func linesAt(t *testing.T) *lined {
+func startLimitedDispatcher(t *testing.T) *limitedDispatcher {
 	t.Helper()
-	d, err := peer.Dispatch("tcp", "127.0.0.1:0", fmt.Sprintf("x0:%d;x1:%[1]d", linesEach))
+	d, err := peer.Dispatch("tcp", "127.0.0.1:0", fmt.Sprintf("x0:%d;x1:%[1]d", linesPerDispatcher))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(d.Die)
-	l := &lined{Dispatcher: d}
-	l.free.Store(linesEach)
+	l := &limitedDispatcher{Dispatcher: d}
+	l.free.Store(linesPerDispatcher)
 	ended := make(chan struct{})
 	t.Cleanup(func() { close(ended) })
-	go l.reports(ended)
+	go l.sendReports(ended)
 	go func() {
 		for range d.Acks { // nobody waits for them
 		}
@@ -43,45 +43,45 @@
 	go func() {
 		for e := range d.Events {
 			if e.Kind == "setup" {
-				l.take(e)
+				l.handleSetUp(e)
 			}
 		}
 	}()
 	return l
 }
 
-// reportEvery is the pace at which a dispatcher tells how many lines are free.
-const reportEvery = 100 * time.Millisecond
+// reportInterval is the pace at which a dispatcher tells how many lines are free.
+const reportInterval = 100 * time.Millisecond
 
-func (l *lined) reports(ended <-chan struct{}) {
+func (l *limitedDispatcher) sendReports(ended <-chan struct{}) {
 	for {
 		select {
 		case <-ended:
 			return
-		case <-time.After(reportEvery):
-			_ = l.Report(fmt.Sprintf("x0:%d;x1:%d", max(l.free.Load(), 0), linesEach))
+		case <-time.After(reportInterval):
+			_ = l.Report(fmt.Sprintf("x0:%d;x1:%d", max(l.free.Load(), 0), linesPerDispatcher))
 		}
 	}
 }
 
-func (l *lined) take(e peer.Event) {
+func (l *limitedDispatcher) handleSetUp(e peer.Event) {
 	if l.free.Add(-1) < 0 {
 		l.free.Add(1)
 		_ = e.Refuse(peer.NoLine)
 		return
 	}
 	_ = e.Answer("y")
-	time.AfterFunc(callTime, func() {
+	time.AfterFunc(callDuration, func() {
 		l.free.Add(1)
 		_ = e.ReleaseHere(e.ID, call.CauseNormal)
 	})
 }
 
-// tally is what the callers of one process were told.
-type tally struct{ served, refused atomic.Int32 }
+// outcomeCount is what the callers of one process were told.
+type outcomeCount struct{ served, refused atomic.Int32 }
 
-// asksFor has a caller ask a process so often a second until it is stopped; with a closed connection, it connects again.
-func (n *tally) asksFor(p *process, rate float64, base int, first func(n int) int, stop <-chan struct{}) {
+// placeCalls has a caller ask a process so often a second until it is stopped; with a closed connection, it connects again.
+func (n *outcomeCount) placeCalls(p *process, rate float64, base int, first func(n int) int, stop <-chan struct{}) {
 	var c *peer.Caller
 	defer func() {
 		if c != nil {
@@ -101,7 +101,7 @@
 			}
 			c = next
 			c.Tenant = ""
-			go n.hears(c)
+			go n.countOutcomes(c)
 		}
 		if c.SetUp(id(base+i), 1500*time.Millisecond, first(i), "x") != nil {
 			_ = c.Close()
@@ -110,7 +110,7 @@
 	}
 }
 
-func (n *tally) hears(c *peer.Caller) {
+func (n *outcomeCount) countOutcomes(c *peer.Caller) {
 	for {
 		m, err := c.NextWithin(time.Minute)
 		switch {
@@ -124,10 +124,10 @@
 	}
 }
 
-// TestNoProcessServesNobody: six processes ask more of four dispatchers than these have lines for. The callers of one name as their first
+// TestEveryProcessServesCalls: six processes ask more of four dispatchers than these have lines for. The callers of one name as their first
 // choice none but a dispatcher that drains; another process is killed and starts again. Neither
 // is left with nothing while others are asked to wait.
-func TestNoProcessServesNobody(t *testing.T) {
+func TestEveryProcessServesCalls(t *testing.T) {
 	const (
 		processes = 6
 		rate      = 24.0 // set-ups a second of each: half as much again as there are lines for
@@ -136,22 +136,22 @@
 		measured  = 8 * time.Second
 		least     = 0.1 // of the mean of the others
 	)
-	discovery := announces(t)
+	discovery := startChangeCoordinator(t)
 	var known []map[string]any
 	for i := range 4 {
-		known = append(known, endpoint(fmt.Sprint("d", i), i, linesAt(t).Address(), time.Time{}))
+		known = append(known, endpoint(fmt.Sprint("d", i), i, startLimitedDispatcher(t).Address(), time.Time{}))
 	}
 	text := platformFile(t, processes, 15*time.Second, discovery.address, known)
 	var all []*process
 	for range processes {
-		p := onPlatform(t, text)
+		p := newPlatformProcess(t, text)
 		p.launchOnPlatform()
 		all = append(all, p)
 	}
 	for _, p := range all {
 		p.waitReady()
 	}
-	tallies := make([]tally, processes)
+	tallies := make([]outcomeCount, processes)
 	stop := make(chan struct{})
 	var load sync.WaitGroup
 	defer load.Wait()
@@ -161,7 +161,7 @@
 		if i == drained {
 			first = func(int) int { return 0 }
 		}
-		load.Go(func() { tallies[i].asksFor(p, rate, i<<16, first, stop) })
+		load.Go(func() { tallies[i].placeCalls(p, rate, i<<16, first, stop) })
 	}
 	time.Sleep(3 * time.Second)
 	leaving := known[0]
--- a/cmd/cherryrelay/shares_test.go
+++ b/cmd/cherryrelay/shares_test.go
@@ -15,15 +15,15 @@
 // TestOperatorsSeeTheSharesOfDispatchers: how often each was asked, and how often in vain for want of a line.
 func TestOperatorsSeeTheSharesOfDispatchers(t *testing.T) {
 	t.Parallel()
-	w := newWorldWithin(t, "tcp", "tcp", callers.Bounds{Silent: long, Idle: long})
-	c := w.caller()
-	w.must(c.SetUp(id(1), long, 0, "x"))
-	w.must(w.gets(0).Refuse(peer.NoLine))
-	w.must(w.gets(1).Answer("y"))
-	w.hears(c)
+	w := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+	c := w.newCaller()
+	w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+	w.must(w.recordEvent(0).Refuse(peer.NoLine))
+	w.must(w.recordEvent(1).Answer("y"))
+	w.recordMessage(c)
 	var shares []call.DispatcherShare
 	for until := time.Now().Add(peer.Patience); ; time.Sleep(time.Millisecond) {
-		status, body := w.operator(http.MethodGet, "/api/shares")
+		status, body := w.request(http.MethodGet, "/api/shares")
 		if status != http.StatusOK || jsoniter.UnmarshalFromString(body, &shares) != nil || len(shares) != 2 {
 			t.Fatalf("%d %s", status, body)
 		}
@@ -42,13 +42,13 @@
 // TestTheSharesOfOneDispatcher: the query names it.
 func TestTheSharesOfOneDispatcher(t *testing.T) {
 	t.Parallel()
-	w := newWorldWithin(t, "tcp", "tcp", callers.Bounds{Silent: long, Idle: long})
+	w := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
 	var all, one []call.DispatcherShare
-	_, body := w.operator(http.MethodGet, "/api/shares")
+	_, body := w.request(http.MethodGet, "/api/shares")
 	if err := jsoniter.UnmarshalFromString(body, &all); err != nil || len(all) != 2 {
 		t.Fatal(err, body)
 	}
-	_, body = w.operator(http.MethodGet, "/api/shares?dispatcher="+string(all[1].ID))
+	_, body = w.request(http.MethodGet, "/api/shares?dispatcher="+string(all[1].ID))
 	if err := jsoniter.UnmarshalFromString(body, &one); err != nil || len(one) != 1 || one[0].ID != all[1].ID {
 		t.Errorf("%v, %s: want %s alone", err, body, all[1].ID)
 	}
--- a/cmd/cherryrelay/little_time_test.go
+++ b/cmd/cherryrelay/short_deadlines_test.go
@@ -13,9 +13,9 @@
 	for _, mix := range [][2]string{{"tcp", "tcp"}, {"ws", "ws"}} {
 		t.Run(mix[0], func(t *testing.T) {
 			t.Parallel()
-			w := newWorldWithin(t, mix[0], mix[1], callers.Bounds{Silent: long, Idle: long})
+			w := newFixture(t, mix[0], mix[1], callers.Bounds{Silent: longTimeout, Idle: longTimeout})
 			meter := startMeter()
-			c := w.caller()
+			c := w.newCaller()
 			for n := range 20 {
 				left := time.Duration(20+3*n) * time.Millisecond
 				begun := time.Now()
@@ -25,17 +25,17 @@
 				if m.ID != id(10+n) || m.Type != "release" {
 					t.Fatalf("%+v: want the final answer to call %d", m, 10+n)
 				}
-				if late := time.Since(begun) - left; late > lateMost && late-meter.between(begun, time.Now()) > lateMost {
+				if late := time.Since(begun) - left; late > maxAnswerDelay && late-meter.delayBetween(begun, time.Now()) > maxAnswerDelay {
 					t.Errorf("call %d is answered %v after its time", 10+n, late)
 				}
 			}
-			w.must(c.SetUp(id(1), long, 0, "x"))
-			e := w.comes()
+			w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+			e := w.nextSetUp()
 			for e.ID != id(1) {
-				e = w.comes()
+				e = w.nextSetUp()
 			}
 			w.must(e.Answer("y"))
-			if m := w.answersOfOne(c); m.ID != id(1) || m.Type != "answer" {
+			if m := w.nextMessage(c); m.ID != id(1) || m.Type != "answer" {
 				t.Errorf("%+v: want the answer to the call with time left", m)
 			}
 		})
--- a/cmd/cherryrelay/shutdown_callers_test.go
+++ b/cmd/cherryrelay/shutdown_callers_test.go
@@ -19,22 +19,22 @@
 
 // shutdownCallers are all callers of one play.
 type shutdownCallers struct {
-	judge     *shutdownJudge
+	checker   *shutdownChecker
 	transport string
 	address   string
 	dialUntil atomic.Int64  // Unix nanoseconds until which new connections are opened; 0 for no end
-	over      chan struct{} // closed once the process has ended
+	done      chan struct{} // closed once the process has ended
 	next      atomic.Uint64
 	running   sync.WaitGroup
 
-	mu   sync.Mutex
-	took *hdrhistogram.Histogram // microseconds to the final answer
+	mu          sync.Mutex
+	answerTimes *hdrhistogram.Histogram // microseconds to the final answer
 }
 
 // shutdownConnection is one connection of a caller.
 type shutdownConnection struct {
 	*peer.Caller
-	of       *shutdownCallers
+	callers  *shutdownCallers
 	from     time.Time
 	excluded bool // its caller does not read, so that its set-ups are not judged
 	late     bool // what is read was told earlier
@@ -58,12 +58,12 @@
 	if err != nil {
 		return nil
 	}
-	return &shutdownConnection{Caller: p, of: c, from: time.Now()}
+	return &shutdownConnection{Caller: p, callers: c, from: time.Now()}
 }
 
 func (c *shutdownCallers) ended() bool {
 	select {
-	case <-c.over:
+	case <-c.done:
 		return true
 	default:
 		return false
@@ -81,7 +81,7 @@
 		}
 		reading := make(chan struct{})
 		go func() { defer close(reading); s.read() }()
-		for !c.ended() && s.act(rng) {
+		for !c.ended() && s.performAction(rng) {
 			select {
 			case <-reading: // closed by the other side
 			case <-time.After(time.Duration(rng.Int64N(int64(maxCallerPause)))):
@@ -93,44 +93,44 @@
 			_ = s.SetReadDeadline(time.Now().Add(time.Second))
 		}
 		<-reading
-		s.of.judge.afterTheEnd(s.ids)
+		s.callers.checker.markCrossed(s.ids)
 		_ = s.Close()
 	}
 }
 
-// setUps are so many set-ups in one piece, with the time that they are answered in.
-func (s *shutdownConnection) setUps(rng *rand.Rand, n int) (text []byte, ids []string) {
+// encodeSetUps are so many set-ups in one piece, with the time that they are answered in.
+func (s *shutdownConnection) encodeSetUps(rng *rand.Rand, n int) (text []byte, ids []string) {
 	left := 50*time.Millisecond + time.Duration(rng.Int64N(int64(3*time.Second-50*time.Millisecond)))
 	for range n {
-		number := int(s.of.next.Add(1))
+		number := int(s.callers.next.Add(1))
 		m, err := jsonl.Append(nil, s.Asks(id(number), left, rng.IntN(3), "x"))
 		if err != nil {
 			panic(err)
 		}
 		text, ids = append(text, s.Frame(m)...), append(ids, id(number))
 	}
-	s.note(ids, left)
+	s.register(ids, left)
 	return text, ids
 }
 
 // send writes the last or only part of set-ups.
 func (s *shutdownConnection) send(text []byte, ids []string) {
 	if s.SendRaw(text) == nil {
-		s.of.judge.wholly(ids, time.Now())
+		s.callers.checker.markSent(ids, time.Now())
 	}
 }
 
-// note has the judge know of set-ups that are about to be written.
-func (s *shutdownConnection) note(ids []string, left time.Duration) {
+// register has the judge know of set-ups that are about to be written.
+func (s *shutdownConnection) register(ids []string, left time.Duration) {
 	for _, id := range ids {
-		s.of.judge.written(id, time.Now(), left, s.excluded)
+		s.callers.checker.markWritten(id, time.Now(), left, s.excluded)
 	}
 	s.mu.Lock()
 	s.ids = append(s.ids, ids...)
 	s.mu.Unlock()
 }
 
-func (s *shutdownConnection) releases(id string) []byte {
+func (s *shutdownConnection) encodeRelease(id string) []byte {
 	cause := 16
 	text, err := jsonl.Append(nil, jsonl.Message{Type: "release", ID: id, Cause: &cause})
 	if err != nil {
@@ -139,31 +139,31 @@
 	return s.Frame(text)
 }
 
-// act does one thing, and reports whether the connection is to be used further.
-func (s *shutdownConnection) act(rng *rand.Rand) bool {
+// performAction does one thing, and reports whether the connection is to be used further.
+func (s *shutdownConnection) performAction(rng *rand.Rand) bool {
 	s.writing.Lock()
 	defer s.writing.Unlock()
 	switch rng.IntN(20) {
 	case 0: // cancelled in the same segment
-		text, ids := s.setUps(rng, 1)
-		s.send(append(text, s.releases(ids[0])...), ids)
-		s.of.judge.gaveUp(ids[0], time.Now(), true)
+		text, ids := s.encodeSetUps(rng, 1)
+		s.send(append(text, s.encodeRelease(ids[0])...), ids)
+		s.callers.checker.markCancelled(ids[0], time.Now(), true)
 	case 1: // cancelled a little later
-		text, ids := s.setUps(rng, 1)
+		text, ids := s.encodeSetUps(rng, 1)
 		s.send(text, ids)
 		time.AfterFunc(time.Duration(rng.IntN(200))*time.Millisecond, func() {
 			s.writing.Lock() // not between the pieces of a set-up
 			defer s.writing.Unlock()
-			_ = s.SendRaw(s.releases(ids[0]))
-			s.of.judge.gaveUp(ids[0], time.Now(), true)
+			_ = s.SendRaw(s.encodeRelease(ids[0]))
+			s.callers.checker.markCancelled(ids[0], time.Now(), true)
 		})
 	case 2: // cancelled and closed in one segment
-		text, ids := s.setUps(rng, 1)
-		s.send(append(text, s.releases(ids[0])...), ids)
-		s.leave()
+		text, ids := s.encodeSetUps(rng, 1)
+		s.send(append(text, s.encodeRelease(ids[0])...), ids)
+		s.disconnect()
 		return false
 	case 3: // in pieces
-		text, ids := s.setUps(rng, 1)
+		text, ids := s.encodeSetUps(rng, 1)
 		for n := min(len(text), 1+rng.IntN(100)); n < len(text); n = min(len(text), 1+rng.IntN(100)) {
 			_ = s.SendRaw(text[:n])
 			text = text[n:]
@@ -171,20 +171,20 @@
 		}
 		s.send(text, ids)
 	case 4: // several at once
-		s.send(s.setUps(rng, 2+rng.IntN(6)))
+		s.send(s.encodeSetUps(rng, 2+rng.IntN(6)))
 	default:
-		s.send(s.setUps(rng, 1))
+		s.send(s.encodeSetUps(rng, 1))
 	}
 	return true
 }
 
-// leave closes the connection: its caller waits for nothing any more.
-func (s *shutdownConnection) leave() {
+// disconnect closes the connection: its caller waits for nothing any more.
+func (s *shutdownConnection) disconnect() {
 	s.mu.Lock()
 	ids := s.ids
 	s.mu.Unlock()
 	for _, id := range ids {
-		s.of.judge.gaveUp(id, time.Now(), false)
+		s.callers.checker.markCancelled(id, time.Now(), false)
 	}
 	_ = s.CloseWrite()
 }
@@ -194,7 +194,7 @@
 	for {
 		m, err := s.NextWithin(time.Minute)
 		if err != nil {
-			s.endedWith(err)
+			s.reportEnd(err)
 			return
 		}
 		if m.Type != "answer" && m.Type != "release" {
@@ -204,30 +204,30 @@
 		if s.late {
 			at = s.from // it came at some time since then
 		}
-		s.of.judge.heardOf(m.ID, m.Type, m.Description(), at)
-		s.of.tookTo(m.ID)
+		s.callers.checker.markReceived(m.ID, m.Type, m.Description(), at)
+		s.callers.recordAnswerTime(m.ID)
 	}
 }
 
-// tookTo notes the time to a final answer.
-func (c *shutdownCallers) tookTo(id string) {
-	c.judge.mu.Lock()
-	call := c.judge.calls[id]
+// recordAnswerTime notes the time to a final answer.
+func (c *shutdownCallers) recordAnswerTime(id string) {
+	c.checker.mu.Lock()
+	call := c.checker.calls[id]
 	took := time.Duration(0)
-	if call != nil && call.finals == 1 && !call.told {
+	if call != nil && call.finals == 1 && !call.endReported {
 		took = call.finalAt.Sub(call.written)
 	}
-	c.judge.mu.Unlock()
+	c.checker.mu.Unlock()
 	if took > 0 {
 		c.mu.Lock()
-		_ = c.took.RecordValue(took.Microseconds())
+		_ = c.answerTimes.RecordValue(took.Microseconds())
 		c.mu.Unlock()
 	}
 }
 
-// endedWith tells the judge of the end. The kernel knows when the last segment of the other side came: the end, or what acknowledged the
+// reportEnd tells the judge of the end. The kernel knows when the last segment of the other side came: the end, or what acknowledged the
 // last words of this side, if they came later.
-func (s *shutdownConnection) endedWith(err error) {
+func (s *shutdownConnection) reportEnd(err error) {
 	seen := time.Now()
 	kernel := seen
 	if tcp, ok := s.Conn.(*net.TCPConn); ok && !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -242,11 +242,11 @@
 	s.mu.Lock()
 	ids := s.ids
 	s.mu.Unlock()
-	s.of.judge.ended(ids, s.from, kernel, seen, err)
+	s.callers.checker.markConnectionEnded(ids, s.from, kernel, seen, err)
 }
 
-// crowd has many more callers come at once, each of its kind.
-func (c *shutdownCallers) crowd(rng *rand.Rand, n int) {
+// startCrowd has many more callers come at once, each of its kind.
+func (c *shutdownCallers) startCrowd(rng *rand.Rand, n int) {
 	for i := range n {
 		kind, seed := rng.IntN(6), rng.Uint64()
 		c.running.Go(func() {
@@ -262,11 +262,11 @@
 			case 1: // does not read
 				for range 10 {
 					_ = s.SetWriteDeadline(time.Now().Add(time.Second))
-					s.send(s.setUps(rng, 4))
+					s.send(s.encodeSetUps(rng, 4))
 				}
 				select {
 				case <-time.After(slowReaderPause): // before the process may be killed: what is unread then is lost with the reset
-				case <-c.over:
+				case <-c.done:
 				}
 				s.late = true
 			case 2: // half a request
@@ -274,18 +274,18 @@
 				text := s.Frame(m)
 				_ = s.SendRaw(text[:len(text)/2])
 			case 3: // a flood behind a set-up
-				s.send(s.setUps(rng, 1))
+				s.send(s.encodeSetUps(rng, 1))
 				noise := s.Frame([]byte(`{"type":"progress","id":"` + id(1) + `","fields":{}}`))
 				_ = s.SetWriteDeadline(time.Now().Add(time.Second))
 				_ = s.SendRaw([]byte(strings.Repeat(string(noise), 1<<18/len(noise))))
 			default:
-				s.send(s.setUps(rng, 1))
+				s.send(s.encodeSetUps(rng, 1))
 			}
 			reading := make(chan struct{})
 			go func() { defer close(reading); s.read() }()
 			select {
 			case <-reading:
-			case <-c.over:
+			case <-c.done:
 				_ = s.SetReadDeadline(time.Now().Add(time.Second))
 				<-reading
 			}
--- /dev/null
+++ b/cmd/cherryrelay/shutdown_checker_test.go
@@ -0,0 +1,316 @@
+package main
+
+import (
+	"fmt"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"cherryrelay/internal/trial"
+)
+
+// What a soak of shutdowns holds against the rules at the callers' end. Its figures are those of the protocol page.
+const (
+	// maxAnswerDelay is how late a final answer may come: until then it only earns nothing.
+	maxAnswerDelay = 500 * time.Millisecond
+	// maxCrossingTime is how long before the end of its connection a set-up may have been written and still count as crossing it.
+	maxCrossingTime = 20 * time.Millisecond
+	// endDeliveryLimit is within what the end of a call that stood is told, and protocolSlack what is allowed for beyond each limit.
+	endDeliveryLimit, protocolSlack = time.Second, 50 * time.Millisecond
+	// maxAttemptDelay is how long after its caller has left an attempt may begin.
+	maxAttemptDelay = 100 * time.Millisecond
+)
+
+// shutdownCall is one set-up at its caller's end.
+type shutdownCall struct {
+	written     time.Time
+	sent        time.Time // when its last byte was with the kernel; zero if it never was
+	left        time.Duration
+	finals      int
+	finalAt     time.Time
+	established bool
+	endReported bool      // the end of the call that stood
+	cancelledAt time.Time // when its caller gave it up
+	released    bool      // by a word of its own, which ends the call as well if that stands by then
+	crossed     bool      // its connection ended as it was written
+	lost        bool      // its connection ended, and it has no answer
+	excluded    bool      // of a caller that does not read
+}
+
+// shutdownChecker collects what callers see. Its methods may be called from any goroutine.
+type shutdownChecker struct {
+	meter   *schedulerMeter
+	process *schedulerMeter // what the process under test is excused for; nil for nothing
+
+	mu         sync.Mutex
+	calls      map[string]*shutdownCall
+	violations []string
+	endReports map[string]time.Time // ends, by id, on whatever connection
+	connected  []interval           // when callers could be told
+}
+
+// interval is a time in which a connection was open.
+type interval struct{ from, to time.Time }
+
+func newShutdownChecker() *shutdownChecker {
+	return &shutdownChecker{meter: startMeter(), calls: map[string]*shutdownCall{}, endReports: map[string]time.Time{}}
+}
+
+func (j *shutdownChecker) addViolation(format string, args ...any) {
+	j.violations = append(j.violations, fmt.Sprintf(format, args...))
+}
+
+func (j *shutdownChecker) markWritten(id string, at time.Time, left time.Duration, excluded bool) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	j.calls[id] = &shutdownCall{written: at, left: left, excluded: excluded}
+}
+
+// markSent notes that set-ups are with the kernel.
+func (j *shutdownChecker) markSent(ids []string, at time.Time) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	for _, id := range ids {
+		j.calls[id].sent = at
+	}
+}
+
+// markCancelled notes that a caller has cancelled a set-up or closed its connection, unless it had its answer.
+func (j *shutdownChecker) markCancelled(id string, at time.Time, released bool) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if c := j.calls[id]; c != nil {
+		c.released = c.released || released
+	}
+	if c := j.calls[id]; c != nil && c.finals == 0 && c.cancelledAt.IsZero() {
+		c.cancelledAt = at
+	}
+}
+
+// markReceived takes in a message: an answer, or a release, which is a final answer or the end of a call that stood.
+func (j *shutdownChecker) markReceived(id, kind, description string, at time.Time) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	c := j.calls[id]
+	switch {
+	case c == nil:
+		j.addViolation("%s: a %s for a set-up that nobody sent", id, kind)
+		return
+	case kind == "release" && c.established, kind == "release" && c.finals == 0 && !c.cancelledAt.IsZero():
+		c.endReported = true
+		if _, before := j.endReports[id]; !before {
+			j.endReports[id] = at
+		}
+		return
+	}
+	if c.finals++; c.finals > 1 {
+		j.addViolation("%s: a second final answer: %s", id, kind)
+		return
+	}
+	c.finalAt = at
+	if kind == "answer" {
+		c.established = true
+		if description != trial.Description(id) {
+			j.addViolation("%s: an answer that no dispatcher gave: %.40q", id, description)
+		}
+	}
+}
+
+// markConnectionEnded notes that a connection has ended, at a time on the kernel's clock, with the set-ups that came on it.
+func (j *shutdownChecker) markConnectionEnded(ids []string, from, kernel, seen time.Time, reason error) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	j.connected = append(j.connected, interval{from, kernel})
+	for _, id := range ids {
+		c := j.calls[id]
+		if c.finals > 0 || !c.cancelledAt.IsZero() || c.excluded {
+			continue
+		}
+		before := kernel.Sub(c.sent)
+		if c.lost = !c.sent.IsZero() && j.exceeds(before, maxCrossingTime, c.sent, seen); c.lost {
+			j.addViolation("%s: its connection ended %v after it was written, without an answer: %v", id, before, reason)
+		}
+		c.crossed = !c.lost
+	}
+}
+
+// markCrossed notes set-ups of a connection that ended before its caller knew: those that were not there at its end crossed it.
+func (j *shutdownChecker) markCrossed(ids []string) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	for _, id := range ids {
+		if c := j.calls[id]; c.finals == 0 && c.cancelledAt.IsZero() && !c.lost {
+			c.crossed = true
+		}
+	}
+}
+
+// check holds all against the rules, with what dispatchers saw. The process lived until a time.
+func (j *shutdownChecker) check(dispatchers *trial.Judge, arrivals map[string][]time.Time, livedUntil time.Time) []string {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	faults, _, _ := dispatchers.Verdict()
+	faults = append(faults, j.violations...)
+	for id, c := range j.calls {
+		if late := c.finalAt.Sub(c.written) - c.left; c.finals > 0 && c.cancelledAt.IsZero() && j.exceeds(late, maxAnswerDelay, c.written, c.finalAt) {
+			faults = append(faults, fmt.Sprintf("%s: answered %v after its time of %v", id, late, c.left))
+		}
+		if c.finals == 0 && c.cancelledAt.IsZero() && !c.crossed && !c.lost && !c.excluded {
+			faults = append(faults, fmt.Sprintf("%s: no answer, written %v before the end", id, livedUntil.Sub(c.written)))
+		}
+		for _, at := range arrivals[id] {
+			if late := at.Sub(c.cancelledAt); !c.cancelledAt.IsZero() && j.exceeds(late, maxAttemptDelay+protocolSlack, c.cancelledAt, at) {
+				faults = append(faults, fmt.Sprintf("%s: an attempt began %v after its caller had left", id, late))
+			}
+			if late := at.Sub(c.finalAt); c.finals > 0 && !c.excluded && j.exceeds(late, maxAttemptDelay+protocolSlack, c.finalAt, at) {
+				faults = append(faults, fmt.Sprintf("%s: an attempt began %v after its final answer", id, late))
+			}
+		}
+		over := dispatchers.OverAt(id)
+		const within = endDeliveryLimit + protocolSlack
+		due := over.Add(within)
+		if !c.established || c.released || over.IsZero() || due.After(livedUntil) || !j.reachable(over, due) {
+			continue
+		}
+		if at, told := j.endReports[id]; !told || j.exceeds(at.Sub(over), within, over, at) {
+			faults = append(faults, fmt.Sprintf("%s: its end is told %v, at %v after it; it ended %v before the process, %v after its answer, left %v", id, told, at.Sub(over), livedUntil.Sub(over),
+				over.Sub(c.finalAt), !c.cancelledAt.IsZero()))
+		}
+	}
+	slices.Sort(faults)
+	return faults
+}
+
+// exceeds reports whether a time between two instants is over its bound by more than this machine was late between them.
+func (j *shutdownChecker) exceeds(took, most time.Duration, from, to time.Time) bool {
+	if took <= most || took-j.meter.delayBetween(from, to) <= most {
+		return false
+	}
+	return j.process == nil || took-j.process.delayBetween(from, to) > most
+}
+
+// reachable reports whether one connection was open all that time.
+func (j *shutdownChecker) reachable(from, to time.Time) bool {
+	return slices.ContainsFunc(j.connected, func(i interval) bool { return i.from.Before(from) && i.to.After(to) })
+}
+
+// countCrossed is how many set-ups crossed the end of their connection.
+func (j *shutdownChecker) countCrossed() (n int) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	for _, c := range j.calls {
+		if c.crossed {
+			n++
+		}
+	}
+	return n
+}
+
+// TestTheShutdownCheckerDetectsViolations: with an answer held back, doubled, late or made up, a close before the answer, an attempt for who has left, and an
+// end that is not told.
+func TestTheShutdownCheckerDetectsViolations(t *testing.T) {
+	t.Parallel()
+	const call = "1"
+	begun := time.Now().Add(-time.Hour) // no meter has seen that
+	at := func(ms int) time.Time { return begun.Add(time.Duration(ms) * time.Millisecond) }
+	for name, test := range map[string]struct {
+		play func(j *shutdownChecker, d *trial.Judge) (arrivals []time.Time)
+		ok   bool
+	}{
+		"sound": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
+			j.markReceived(call, "answer", trial.Description(call), at(500))
+			return []time.Time{at(10)}
+		}, true},
+		"refused": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
+			j.markReceived(call, "release", "", at(500))
+			return nil
+		}, true},
+		"held back": {func(*shutdownChecker, *trial.Judge) []time.Time { return nil }, false},
+		"doubled": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
+			j.markReceived(call, "answer", trial.Description(call), at(500))
+			j.markReceived(call, "answer", trial.Description(call), at(501))
+			return nil
+		}, false},
+		"late": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
+			j.markReceived(call, "release", "", at(1501))
+			return nil
+		}, false},
+		"made up": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
+			j.markReceived(call, "answer", "something", at(500))
+			return nil
+		}, false},
+		"closed before the answer": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
+			j.markConnectionEnded([]string{call}, at(-100), at(21), at(21), nil)
+			return nil
+		}, false},
+		"crossed the close": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
+			j.markConnectionEnded([]string{call}, at(-100), at(20), at(20), nil)
+			return nil
+		}, true},
+		"sent after its caller left": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
+			j.markCancelled(call, at(100), true)
+			return []time.Time{at(251)}
+		}, false},
+		"sent after its answer": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
+			j.markReceived(call, "release", "", at(100))
+			return []time.Time{at(251)}
+		}, false},
+		"two attempts out": {func(j *shutdownChecker, d *trial.Judge) []time.Time {
+			d.SetUp(call, "d1", at(10))
+			d.SetUp(call, "d2", at(20))
+			j.markReceived(call, "release", "", at(500))
+			return nil
+		}, false},
+		"inside the guard": {func(j *shutdownChecker, d *trial.Judge) []time.Time {
+			d.SetUp(call, "d1", at(10))
+			d.GivenUp(call, "d1", at(20))
+			d.SetUp(call, "d2", at(400))
+			j.markReceived(call, "release", "", at(500))
+			return nil
+		}, false},
+		"an end that is not told": {func(j *shutdownChecker, d *trial.Judge) []time.Time {
+			d.SetUp(call, "d1", at(10))
+			d.Answered(call, "d1")
+			j.markReceived(call, "answer", trial.Description(call), at(500))
+			d.Over(call, "d1", 16)
+			j.markConnectionEnded(nil, at(-100), time.Now().Add(time.Hour), at(0), nil)
+			return nil
+		}, false},
+	} {
+		j, d := newShutdownChecker(), trial.NewJudge(guard, time.Hour)
+		j.markWritten(call, at(0), time.Second, false)
+		j.markSent([]string{call}, at(0))
+		arrivals := test.play(j, d)
+		faults := j.check(d, map[string][]time.Time{call: arrivals}, time.Now().Add(time.Hour))
+		if (len(faults) == 0) != test.ok {
+			t.Errorf("%s: %q, want it to pass: %v", name, faults, test.ok)
+		}
+	}
+}
+
+// TestADelayRecordedAfterTheAnswerCounts guards against a judge that holds a process to a delay that it is excused for: the delay is recorded
+// once it has ended, which may be after the answer that it made late. One that is recorded for another time excuses nothing.
+func TestADelayRecordedAfterTheAnswerCounts(t *testing.T) {
+	t.Parallel()
+	const call, left, late, delay = "1", time.Second, 700 * time.Millisecond, 400 * time.Millisecond
+	begun := time.Now().Add(-time.Hour) // no meter has seen that
+	answered := begun.Add(left + late)
+	for name, test := range map[string]struct {
+		delayEnded time.Time
+		ok         bool
+	}{
+		"it lasted as the answer came": {answered.Add(delay / 10), true},
+		"it began after the answer":    {answered.Add(2 * delay), false},
+	} {
+		j := newShutdownChecker()
+		j.process = &schedulerMeter{}
+		j.markWritten(call, begun, left, false)
+		j.markReceived(call, "release", "", answered)
+		j.process.add(schedulerDelay{end: test.delayEnded, lost: delay})
+		faults := j.check(trial.NewJudge(guard, time.Hour), nil, time.Now())
+		if (len(faults) == 0) != test.ok {
+			t.Errorf("%s: %q, want it to pass: %v", name, faults, test.ok)
+		}
+	}
+}
--- a/cmd/cherryrelay/shutdown_soak_test.go
+++ b/cmd/cherryrelay/shutdown_soak_test.go
@@ -30,48 +30,48 @@
 // that they have. One seed is one play.
 
 const (
-	// shortSeeds are played by make test, and shortAtOnce of them side by side.
-	shortSeeds, shortAtOnce = 48, 4
-	// killedAfter is the earliest at which the platform kills after SIGTERM: the longest deadline, which counts as 3 s where it is longer,
+	// shortSeeds are played by make test, and concurrentShutdowns of them side by side.
+	shortSeeds, concurrentShutdowns = 48, 4
+	// killTimeout is the earliest at which the platform kills after SIGTERM: the longest deadline, which counts as 3 s where it is longer,
 	// and 0.7 s.
-	killedAfter = 3*time.Second + 700*time.Millisecond
-	// answerOnItsWay is how long before a reset an answer may have been written that is lost with it.
-	answerOnItsWay = 100 * time.Millisecond
-	// shutdownCallersEach is how many callers there are; a crowd has ten times as many.
-	shutdownCallersEach, crowdTimes = 12, 10
+	killTimeout = 3*time.Second + 700*time.Millisecond
+	// answerTransitTime is how long before a reset an answer may have been written that is lost with it.
+	answerTransitTime = 100 * time.Millisecond
+	// shutdownCallerCount is how many callers there are; a crowd has ten times as many.
+	shutdownCallerCount, crowdFactor = 12, 10
 )
 
 // shutdownScenario is what a seed draws.
 type shutdownScenario struct {
-	seed       uint64
-	transport  string // of callers
-	to         string // of dispatchers
-	ledger     bool
-	crowd      bool
-	sockets    int
-	troubles   []string      // of dispatchers, from a moment on
-	signals    []string      // beside SIGTERM, in order
-	dialsFor   time.Duration // after SIGTERM
-	killFirst  bool          // it is killed right after an accept, and back under its name, before the shutdown
-	successor  bool          // another start at the same address follows SIGTERM
-	serveFirst time.Duration
+	seed                uint64
+	transport           string // of callers
+	dispatcherTransport string // of dispatchers
+	ledger              bool
+	crowd               bool
+	sockets             int
+	faults              []string      // of dispatchers, from a moment on
+	signals             []string      // beside SIGTERM, in order
+	dialPeriod          time.Duration // after SIGTERM
+	killFirst           bool          // it is killed right after an accept, and back under its name, before the shutdown
+	successor           bool          // another start at the same address follows SIGTERM
+	serveFirst          time.Duration
 }
 
 // The troubles of dispatchers, and the signals beside SIGTERM.
 var (
-	shutdownTroubles = []string{"hangs", "resets", "breaks", "dies", "drains"}
-	shutdownSignals  = []string{"hangup before", "hangup with", "hangup after", "again", "stop and go on", "broken file"}
+	shutdownFaults  = []string{"hangs", "resets", "breaks", "dies", "drains"}
+	shutdownSignals = []string{"hangup before", "hangup with", "hangup after", "again", "stop and go on", "broken file"}
 )
 
 func drawShutdown(seed uint64) shutdownScenario {
 	rng := rand.New(rand.NewPCG(seed, 0x73746f70))
 	pick := func(of ...string) string { return of[rng.IntN(len(of))] }
-	s := shutdownScenario{seed: seed, transport: pick("tcp", "ws"), to: pick("tcp", "ws"), ledger: rng.IntN(2) == 0, crowd: seed%3 == 0,
-		sockets: 128 << rng.IntN(3), dialsFor: 200*time.Millisecond + time.Duration(rng.Int64N(int64(200*time.Millisecond))),
+	s := shutdownScenario{seed: seed, transport: pick("tcp", "ws"), dispatcherTransport: pick("tcp", "ws"), ledger: rng.IntN(2) == 0, crowd: seed%3 == 0,
+		sockets: 128 << rng.IntN(3), dialPeriod: 200*time.Millisecond + time.Duration(rng.Int64N(int64(200*time.Millisecond))),
 		killFirst: rng.IntN(5) == 0, successor: rng.IntN(6) == 0, serveFirst: time.Duration(300+rng.IntN(500)) * time.Millisecond}
-	for _, trouble := range shutdownTroubles {
+	for _, trouble := range shutdownFaults {
 		if rng.IntN(3) == 0 {
-			s.troubles = append(s.troubles, trouble)
+			s.faults = append(s.faults, trouble)
 		}
 	}
 	for _, signal := range shutdownSignals {
@@ -84,7 +84,7 @@
 
 // kinds are the troubles of a play, for the summary.
 func (s *shutdownScenario) kinds() []string {
-	kinds := append([]string{"callers over " + s.transport, "dispatchers over " + s.to}, slices.Concat(s.troubles, s.signals)...)
+	kinds := append([]string{"callers over " + s.transport, "dispatchers over " + s.dispatcherTransport}, slices.Concat(s.faults, s.signals)...)
 	for name, is := range map[string]bool{"ledger": s.ledger, "crowd": s.crowd, "killed and back": s.killFirst, "successor": s.successor} {
 		if is {
 			kinds = append(kinds, name)
@@ -95,36 +95,36 @@
 
 // shutdownResult is what a play came to.
 type shutdownResult struct {
-	faults         []string
+	violations     []string
 	calls, crossed int
 	killed         bool
 	log            string
 	exit           time.Duration
-	took           *hdrhistogram.Histogram
+	answerTimes    *hdrhistogram.Histogram
 	readyAgain     time.Duration // after a kill; 0 without one
 }
 
-// shutdownPlay is one play under way.
-type shutdownPlay struct {
+// shutdownRun is one play under way.
+type shutdownRun struct {
 	*testing.T
 	shutdownScenario
 	*process
 	rng         *rand.Rand
 	dispatchers []*trial.Dispatcher
-	judge       *trial.Judge
+	checker     *trial.Judge
 	callers     *shutdownCallers
 	members     []pool.Member
-	undo        sync.WaitGroup
+	running     sync.WaitGroup
 	stops       *schedulerMeter // takes down for how long the process was stopped
 }
 
-// arrivalsKept keeps when attempts came.
-type arrivalsKept struct {
+// arrivalTimes keeps when attempts came.
+type arrivalTimes struct {
 	mu sync.Mutex
 	at map[string][]time.Time
 }
 
-func (p *shutdownPlay) writePool() {
+func (p *shutdownRun) writePool() {
 	path := filepath.Join(p.directory, "pool.ini")
 	if err := os.WriteFile(path+".new", poolfile.Write("v", p.members), 0o600); err != nil {
 		p.Error(err)
@@ -135,7 +135,7 @@
 }
 
 // prepare writes the files and opens the dispatchers.
-func (p *shutdownPlay) prepare(arrivals *arrivalsKept) {
+func (p *shutdownRun) prepare(arrivals *arrivalTimes) {
 	extra := "off"
 	if p.ledger {
 		extra = "segment_mb = 1\n"
@@ -150,55 +150,55 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		p.Fatal(err)
 	}
-	p.judge = trial.NewJudge(guard, time.Hour) // the callers' own judge holds deadlines
-	p.judge.OnSetUp(func(id string, at time.Time) {
+	p.checker = trial.NewJudge(guard, time.Hour) // the callers' own judge holds deadlines
+	p.checker.OnSetUp(func(id string, at time.Time) {
 		arrivals.mu.Lock()
 		defer arrivals.mu.Unlock()
 		arrivals.at[id] = append(arrivals.at[id], at)
 	})
 	for i := range 3 {
-		a := act(p.T, p.to, fmt.Sprint("s", i), p.judge)
+		a := startDispatcher(p.T, p.dispatcherTransport, fmt.Sprint("s", i), p.checker)
 		p.dispatchers = append(p.dispatchers, a)
 		p.members = append(p.members, pool.Member{Address: a.Address(), ServerEntry: control.ServerEntry{
-			ID: control.ServerID(a.Name), Cell: i, Weight: 1, StartedAt: longRunning}})
+			ID: control.ServerID(a.Name), Cell: i, Weight: 1, StartedAt: startedLongAgo}})
 	}
 	p.writePool()
 }
 
-// loses has a dispatcher reset its connections: the answers that no controller can have read are lost, those among them that it sent while it
+// resetConnections has a dispatcher reset its connections: the answers that no controller can have read are lost, those among them that it sent while it
 // did so.
-func (p *shutdownPlay) loses(d *trial.Dispatcher, reset func()) {
+func (p *shutdownRun) resetConnections(d *trial.Dispatcher, reset func()) {
 	begun := time.Now()
 	reset()
-	p.judge.AnswersLost(d.Name, begun.Add(-answerOnItsWay), begun)
+	p.checker.AnswersLost(d.Name, begun.Add(-answerTransitTime), begun)
 }
 
-// trouble has something go wrong at a dispatcher.
-func (p *shutdownPlay) trouble(what string) {
+// injectFault has something go wrong at a dispatcher.
+func (p *shutdownRun) injectFault(what string) {
 	i := p.rng.IntN(len(p.dispatchers))
 	d := p.dispatchers[i]
 	switch what {
 	case "hangs":
 		d.Act(false, true)
 	case "resets":
-		p.undo.Go(func() {
+		p.running.Go(func() {
 			for range 5 {
 				time.Sleep(150 * time.Millisecond)
-				p.loses(d, d.Cut)
+				p.resetConnections(d, d.Cut)
 			}
 		})
 	case "breaks":
 		d.Break(10)
 	case "dies":
-		p.loses(d, d.Die)
+		p.resetConnections(d, d.Die)
 	case "drains":
 		p.members[i].Status = control.Draining
 		p.writePool()
 	}
 }
 
-// signalled does what one of shutdownSignals says, at its time relative to SIGTERM.
-func (p *shutdownPlay) signalled(when string) {
+// sendSignals does what one of shutdownSignals says, at its time relative to SIGTERM.
+func (p *shutdownRun) sendSignals(when string) {
 	for _, s := range p.signals {
 		switch {
 		case s == "hangup "+when:
@@ -221,15 +221,15 @@
 	}
 }
 
-// playShutdown plays a seed. What the process is late by counts for nothing as far as excuses measures it.
-func playShutdown(t *testing.T, seed uint64, excuses func(*shutdownPlay) *schedulerMeter) shutdownResult {
+// runShutdown plays a seed. What the process is late by counts for nothing as far as excuses measures it.
+func runShutdown(t *testing.T, seed uint64, excuses func(*shutdownRun) *schedulerMeter) shutdownResult {
 	t.Helper()
-	p := &shutdownPlay{T: t, shutdownScenario: drawShutdown(seed), rng: rand.New(rand.NewPCG(seed, 1))}
-	arrivals := &arrivalsKept{at: map[string][]time.Time{}}
+	p := &shutdownRun{T: t, shutdownScenario: drawShutdown(seed), rng: rand.New(rand.NewPCG(seed, 1))}
+	arrivals := &arrivalTimes{at: map[string][]time.Time{}}
 	p.prepare(arrivals)
-	r := shutdownResult{took: hdrhistogram.New(1, 60_000_000, 3)}
+	r := shutdownResult{answerTimes: hdrhistogram.New(1, 60_000_000, 3)}
 	if p.killFirst {
-		r.readyAgain = p.killedAndBack()
+		r.readyAgain = p.restartAfterKill()
 	} else {
 		p.begin()
 	}
@@ -237,92 +237,92 @@
 	if p.transport == "ws" {
 		address = p.api
 	}
-	j := newShutdownJudge()
+	j := newShutdownChecker()
 	j.process = excuses(p)
 	p.stops = j.process
-	c := &shutdownCallers{judge: j, transport: p.transport, address: address, over: make(chan struct{}), took: r.took}
+	c := &shutdownCallers{checker: j, transport: p.transport, address: address, done: make(chan struct{}), answerTimes: r.answerTimes}
 	p.callers = c
-	for range shutdownCallersEach {
+	for range shutdownCallerCount {
 		seed := p.rng.Uint64()
 		c.running.Go(func() { c.run(seed) })
 	}
 	time.Sleep(p.serveFirst)
-	for _, what := range p.troubles {
-		p.trouble(what)
+	for _, what := range p.faults {
+		p.injectFault(what)
 	}
-	p.signalled("before")
+	p.sendSignals("before")
 	if p.crowd {
-		c.crowd(p.rng, crowdTimes*shutdownCallersEach)
+		c.startCrowd(p.rng, crowdFactor*shutdownCallerCount)
 		time.Sleep(time.Duration(p.rng.IntN(50)) * time.Millisecond)
 	}
 	p.signal(syscall.SIGTERM)
 	asked := time.Now()
-	c.dialUntil.Store(asked.Add(p.dialsFor).UnixNano())
-	p.signalled("with")
+	c.dialUntil.Store(asked.Add(p.dialPeriod).UnixNano())
+	p.sendSignals("with")
 	if p.successor {
 		next := *p.process
-		next.launchWith(exitAtOnce)
+		next.launchWith(exitWithoutDelay)
 		t.Cleanup(next.kill)
 	}
 	time.Sleep(time.Duration(p.rng.IntN(300)) * time.Millisecond)
-	p.signalled("after")
+	p.sendSignals("after")
 	select {
 	case err := <-p.ended:
 		r.exit = time.Since(asked)
 		if err != nil {
-			r.faults = append(r.faults, fmt.Sprintf("the process ended with %v", err))
+			r.violations = append(r.violations, fmt.Sprintf("the process ended with %v", err))
 		}
 		p.cmd = nil
-	case <-time.After(time.Until(asked.Add(killedAfter))):
+	case <-time.After(time.Until(asked.Add(killTimeout))):
 		r.killed, r.exit = true, time.Since(asked)
 		p.kill()
 	}
 	livedUntil := time.Now()
-	close(c.over)
+	close(c.done)
 	c.running.Wait()
-	p.undo.Wait()
+	p.running.Wait()
 	arrivals.mu.Lock()
 	defer arrivals.mu.Unlock()
-	r.faults = append(r.faults, j.verdict(p.judge, arrivals.at, livedUntil)...)
-	r.calls, r.crossed = len(j.calls), j.crossings()
+	r.violations = append(r.violations, j.check(p.checker, arrivals.at, livedUntil)...)
+	r.calls, r.crossed = len(j.calls), j.countCrossed()
 	r.log = p.log.String()
 	return r
 }
 
-// usualTurn is what a call at the management address takes on a machine that is not busy.
-const usualTurn = 10 * time.Millisecond
+// normalResponseTime is what a call at the management address takes on a machine that is not busy.
+const normalResponseTime = 10 * time.Millisecond
 
-// lateness measures how late the process is, as long as it lives: its loop answers each call at the management address. A process that was
+// measureResponseDelay measures how late the process is, as long as it lives: its loop answers each call at the management address. A process that was
 // stopped, or that has no core, is late by no fault of its own; one that is slow by itself is not told from it.
-func (p *shutdownPlay) lateness() *schedulerMeter {
+func (p *shutdownRun) measureResponseDelay() *schedulerMeter {
 	m := &schedulerMeter{}
 	management := p.management
 	go func() {
-		for status := http.StatusOK; status > 0; time.Sleep(usualTurn) {
+		for status := http.StatusOK; status > 0; time.Sleep(normalResponseTime) {
 			begin := time.Now()
-			status, _ = ask(management, "/api/ready")
-			if end := time.Now(); end.Sub(begin) > usualTurn {
-				m.add(schedulerDelay{end, end.Sub(begin) - usualTurn})
+			status, _ = httpGet(management, "/api/ready")
+			if end := time.Now(); end.Sub(begin) > normalResponseTime {
+				m.add(schedulerDelay{end, end.Sub(begin) - normalResponseTime})
 			}
 		}
 	}()
 	return m
 }
 
-// coreless measures how long the process waited for a core. What it is slow by itself counts against it.
-func (p *shutdownPlay) coreless() *schedulerMeter { return measureRunDelays(p.cmd.Process.Pid) }
+// measureCoreDelay measures how long the process waited for a core. What it is slow by itself counts against it.
+func (p *shutdownRun) measureCoreDelay() *schedulerMeter { return measureRunDelays(p.cmd.Process.Pid) }
 
-// exitAtOnce has a process that was built with the race detector exit without the second that it sleeps by default.
-const exitAtOnce = "GORACE=atexit_sleep_ms=0"
+// exitWithoutDelay has a process that was built with the race detector exit without the second that it sleeps by default.
+const exitWithoutDelay = "GORACE=atexit_sleep_ms=0"
 
 // begin starts the process and waits until it is ready.
-func (p *shutdownPlay) begin() {
-	p.launchWith(exitAtOnce)
+func (p *shutdownRun) begin() {
+	p.launchWith(exitWithoutDelay)
 	p.waitReady()
 }
 
-// killedAndBack has the process killed right after it has accepted callers, and started again; it tells after how long it was ready.
-func (p *shutdownPlay) killedAndBack() time.Duration {
+// restartAfterKill has the process killed right after it has accepted callers, and started again; it tells after how long it was ready.
+func (p *shutdownRun) restartAfterKill() time.Duration {
 	p.begin()
 	c, err := peer.Call("tcp", p.lines)
 	if err == nil {
@@ -362,21 +362,21 @@
 
 // shutdownSummary adds up plays.
 type shutdownSummary struct {
-	mu                     sync.Mutex
-	plays, failed, crossed int
-	calls, killed          int
-	kinds                  map[string][2]int // plays, and of them those that failed
-	took, exits            *hdrhistogram.Histogram
+	mu                    sync.Mutex
+	runs, failed, crossed int
+	calls, killed         int
+	kinds                 map[string][2]int // plays, and of them those that failed
+	answerTimes, exits    *hdrhistogram.Histogram
 }
 
 func (s *shutdownSummary) add(kinds []string, r shutdownResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.plays++
+	s.runs++
 	s.calls += r.calls
 	s.crossed += r.crossed
 	failed := 0
-	if len(r.faults) > 0 {
+	if len(r.violations) > 0 {
 		failed = 1
 	}
 	if r.killed {
@@ -387,17 +387,17 @@
 		n := s.kinds[kind]
 		s.kinds[kind] = [2]int{n[0] + 1, n[1] + failed}
 	}
-	s.took.Merge(r.took)
+	s.answerTimes.Merge(r.answerTimes)
 	_ = s.exits.RecordValue(r.exit.Microseconds())
 }
 
 func (s *shutdownSummary) log(t *testing.T) {
 	t.Helper()
-	t.Logf("%d plays, %d failed; %d set-ups, %d crossed the end of their connection; %d processes had to be killed", s.plays, s.failed, s.calls, s.crossed, s.killed)
+	t.Logf("%d plays, %d failed; %d set-ups, %d crossed the end of their connection; %d processes had to be killed", s.runs, s.failed, s.calls, s.crossed, s.killed)
 	for _, kind := range slices.Sorted(maps.Keys(s.kinds)) {
 		t.Logf("  %-28s %3d plays, %d failed", kind, s.kinds[kind][0], s.kinds[kind][1])
 	}
-	for name, h := range map[string]*hdrhistogram.Histogram{"to the final answer": s.took, "from SIGTERM to the exit": s.exits} {
+	for name, h := range map[string]*hdrhistogram.Histogram{"to the final answer": s.answerTimes, "from SIGTERM to the exit": s.exits} {
 		t.Logf("  %s, ms: p50 %.1f, p90 %.1f, p99 %.1f, most %.1f", name, float64(h.ValueAtQuantile(50))/1000,
 			float64(h.ValueAtQuantile(90))/1000, float64(h.ValueAtQuantile(99))/1000, float64(h.Max())/1000)
 	}
@@ -405,21 +405,21 @@
 
 // TestSoakShutdowns plays the long run: CHERRYRELAY_SEEDS plays from the seed CHERRYRELAY_FIRST on. TestShutdowns is the short one.
 func TestSoakShutdowns(t *testing.T) {
-	soaks(t)
-	shutdowns(t, environment(t, "CHERRYRELAY_FIRST", 1), environment(t, "CHERRYRELAY_SEEDS", 50), nil, (*shutdownPlay).coreless)
+	skipUnlessSoak(t)
+	runShutdowns(t, environmentNumber(t, "CHERRYRELAY_FIRST", 1), environmentNumber(t, "CHERRYRELAY_SEEDS", 50), nil, (*shutdownRun).measureCoreDelay)
 }
 
 // TestShutdowns plays fixed seeds, but for those that KNOWN-RED.txt names.
 func TestShutdowns(t *testing.T) {
-	shutdowns(t, 1, shortSeeds, knownRedSeeds(t), (*shutdownPlay).lateness)
+	runShutdowns(t, 1, shortSeeds, knownRedSeeds(t), (*shutdownRun).measureResponseDelay)
 }
 
 // TestShutdownsOfASlowController plays them with a judge that does not excuse a controller for being slow by itself.
 func TestShutdownsOfASlowController(t *testing.T) {
-	shutdowns(t, 1, shortSeeds, knownRedSeeds(t), (*shutdownPlay).coreless)
+	runShutdowns(t, 1, shortSeeds, knownRedSeeds(t), (*shutdownRun).measureCoreDelay)
 }
 
-func environment(t *testing.T, name string, otherwise uint64) uint64 {
+func environmentNumber(t *testing.T, name string, otherwise uint64) uint64 {
 	t.Helper()
 	text := os.Getenv(name)
 	if text == "" {
@@ -432,10 +432,10 @@
 	return n
 }
 
-func shutdowns(t *testing.T, first, seeds uint64, leftOut map[uint64]bool, excuses func(*shutdownPlay) *schedulerMeter) {
+func runShutdowns(t *testing.T, first, seeds uint64, leftOut map[uint64]bool, excuses func(*shutdownRun) *schedulerMeter) {
 	t.Helper()
-	s := &shutdownSummary{kinds: map[string][2]int{}, took: hdrhistogram.New(1, 60_000_000, 3), exits: hdrhistogram.New(1, 60_000_000, 3)}
-	turns := make(chan struct{}, shortAtOnce)
+	s := &shutdownSummary{kinds: map[string][2]int{}, answerTimes: hdrhistogram.New(1, 60_000_000, 3), exits: hdrhistogram.New(1, 60_000_000, 3)}
+	turns := make(chan struct{}, concurrentShutdowns)
 	t.Run("plays", func(t *testing.T) {
 		for seed := first; seed < first+seeds; seed++ {
 			if leftOut[seed] {
@@ -446,17 +446,17 @@
 				t.Parallel()
 				turns <- struct{}{}
 				defer func() { <-turns }()
-				r := playShutdown(t, seed, excuses)
+				r := runShutdown(t, seed, excuses)
 				scenario := drawShutdown(seed)
 				s.add(scenario.kinds(), r)
 				fmt.Fprintf(os.Stderr, "seed %d: %d set-ups, %d crossed, exit after %v, %d faults; %v\n", seed, r.calls, r.crossed,
-					r.exit.Round(time.Millisecond), len(r.faults), scenario.kinds())
+					r.exit.Round(time.Millisecond), len(r.violations), scenario.kinds())
 				if r.readyAgain > 10*time.Second {
 					t.Errorf("ready %v after a kill", r.readyAgain)
 				}
-				if len(r.faults) > 0 {
+				if len(r.violations) > 0 {
 					again := fmt.Sprintf("again with `make soak SEEDS=1 FIRST=%d`; %v", seed, scenario.kinds())
-					t.Error(failureReport(again, r.faults, r.log))
+					t.Error(failureReport(again, r.violations, r.log))
 				}
 			})
 		}
--- a/cmd/cherryrelay/soak_ledger_test.go
+++ b/cmd/cherryrelay/soak_ledger_test.go
@@ -20,35 +20,35 @@
 
 // TestSoakKilledAgainAndAgain is the long run of TestKilledAgainAndAgain.
 func TestSoakKilledAgainAndAgain(t *testing.T) {
-	soaks(t)
-	kills(t, 300, nil)
+	skipUnlessSoak(t)
+	runKills(t, 300, nil)
 }
 
 // TestSoakManyResumeAtOnce is the large run of TestManyResumeAtOnce.
 func TestSoakManyResumeAtOnce(t *testing.T) {
-	soaks(t)
-	manyResume(t, 10_000)
+	skipUnlessSoak(t)
+	resumeMany(t, 10_000)
 }
 
 // TestSoakCostOfTheLedger measures what the ledger adds on the way of a call, and to the processor.
 func TestSoakCostOfTheLedger(t *testing.T) {
-	soaks(t)
+	skipUnlessSoak(t)
 	const callers, window, lasting = 4, 8, 8 * time.Second
 	for _, mode := range []string{"off", "none", "interval", "always"} {
 		extra := "sync = " + mode + "\n"
 		if mode == "off" {
 			extra = "off"
 		}
-		d := begins(t, "ws", extra, 2)
+		d := newResumeFixture(t, "ws", extra, 2)
 		pid := d.cmd.Process.Pid
 		var mu sync.Mutex
 		h := hdrhistogram.New(1, 60_000_000, 3)
-		before := cpu(t, pid)
+		before := cpuTime(t, pid)
 		from := time.Now()
 		var running sync.WaitGroup
 		calls := 0
 		for n := range callers {
-			c := d.call()
+			c := d.connect()
 			running.Go(func() {
 				next := (n + 1) << 32
 				sent := map[string]time.Time{}
@@ -56,7 +56,7 @@
 					for len(sent) < window && time.Since(from) < lasting {
 						next++
 						sent[id(next)] = time.Now()
-						d.sets(c, id(next))
+						d.setUp(c, id(next))
 					}
 					m, err := c.Next()
 					if err != nil {
@@ -79,8 +79,8 @@
 		}
 		running.Wait()
 		took := time.Since(from)
-		used := cpu(t, pid) - before
-		_, text := ask(d.management, "/api/telemetry")
+		used := cpuTime(t, pid) - before
+		_, text := httpGet(d.management, "/api/telemetry")
 		bytes := 0.0
 		for line := range strings.Lines(text) {
 			if rest, ok := strings.CutPrefix(line, "edge_lb_ledger_bytes_total "); ok {
@@ -93,8 +93,8 @@
 	}
 }
 
-// cpu is the processor time that a process has used.
-func cpu(t *testing.T, pid int) time.Duration {
+// cpuTime is the processor time that a process has used.
+func cpuTime(t *testing.T, pid int) time.Duration {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -108,10 +108,10 @@
 
 // TestSoakTimeToRecover measures the return with many calls that stand and are open.
 func TestSoakTimeToRecover(t *testing.T) {
-	soaks(t)
+	skipUnlessSoak(t)
 	for _, calls := range []int{1000, 10_000, 100_000} {
-		d := begins(t, "ws", "", 2)
-		address := d.acting[0].Address()
+		d := newResumeFixture(t, "ws", "", 2)
+		address := d.dispatchers[0].Address()
 		d.kill()
 		path := filepath.Join(d.directory, "ledger")
 		d.must(os.RemoveAll(path))
@@ -142,9 +142,9 @@
 		from := time.Now()
 		d.start()
 		ready := time.Since(from)
-		c := d.call()
+		c := d.connect()
 		d.must(c.Send(jsonl.Message{Type: "resume", ID: id(2), Fields: map[string]jsonl.Value{"token": jsonl.Value(token(id(2))), "answered": "0"}}))
-		d.gets(c, "answer 2")
+		d.expect(c, "answer 2")
 		first := time.Since(from)
 		status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", d.cmd.Process.Pid))
 		d.must(err)
@@ -154,7 +154,7 @@
 				peak = strings.TrimSpace(rest)
 			}
 		}
-		_, text := ask(d.management, "/api/recovery")
+		_, text := httpGet(d.management, "/api/recovery")
 		t.Logf("%d calls, %d bytes: ready after %v, first resumed call answered after %v, peak memory %s; %.120s", calls, size, ready.Round(time.Millisecond), first.Round(time.Millisecond), peak, text)
 		d.must(d.cmd.Process.Signal(syscall.SIGKILL))
 		<-d.ended
--- a/cmd/cherryrelay/soak_subset_test.go
+++ b/cmd/cherryrelay/soak_subset_test.go
@@ -18,7 +18,7 @@
 // TestSoakSubsetIdle measures what a controller that nobody calls costs with 3,000 live dispatchers listed, without [subset] and with it, and
 // with it where 34,000 more are listed that drain, turn about.
 func TestSoakSubsetIdle(t *testing.T) {
-	soaks(t)
+	skipUnlessSoak(t)
 	const live, listed, plays, settles, measured = 3000, 37_000, 3, 10 * time.Second, 12 * time.Second
 	var members []pool.Member
 	for i := range live {
@@ -28,11 +28,11 @@
 		}
 		defer d.Die()
 		members = append(members, pool.Member{Address: d.Address(), ServerEntry: control.ServerEntry{
-			ID: control.ServerID(fmt.Sprint("s", i)), Cell: i, Weight: 1, StartedAt: longRunning}})
+			ID: control.ServerID(fmt.Sprint("s", i)), Cell: i, Weight: 1, StartedAt: startedLongAgo}})
 	}
 	for i := live; i < listed; i++ {
 		members = append(members, pool.Member{Address: fmt.Sprintf("127.1.%d.%d:1", i>>8, i&255), ServerEntry: control.ServerEntry{
-			ID: control.ServerID(fmt.Sprint("s", i)), Cell: i, Weight: 1, StartedAt: longRunning, Status: control.Draining}})
+			ID: control.ServerID(fmt.Sprint("s", i)), Cell: i, Weight: 1, StartedAt: startedLongAgo, Status: control.Draining}})
 	}
 	for play := range plays {
 		for _, variant := range []struct {
@@ -57,7 +57,7 @@
 			}
 			on := variant.extra != ""
 			t.Logf("play %d, %d listed, [subset] %v: %.2f%% of a core idle, %d descriptors, %.1f MB resident, ready after %.2f s and %.2f s of processor time in all",
-				play+1, variant.listed, on, share, len(links), resident(t, pid), ready.Seconds(), started.Seconds())
+				play+1, variant.listed, on, share, len(links), residentMB(t, pid), ready.Seconds(), started.Seconds())
 			if on && share > 1.1 {
 				t.Errorf("%.2f%% of a core with nobody calling, 1.1%% are allowed", share)
 			}
@@ -85,8 +85,8 @@
 	return time.Duration(ticks) * 10 * time.Millisecond
 }
 
-// resident is the memory of a process, in MB.
-func resident(t *testing.T, pid int) float64 {
+// residentMB is the memory of a process, in MB.
+func residentMB(t *testing.T, pid int) float64 {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/cmd/cherryrelay/soak_test.go
+++ b/cmd/cherryrelay/soak_test.go
@@ -9,8 +9,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// soaks skips a test that is too long for every landing, or whose verdict is about speed: make soak runs them.
-func soaks(t *testing.T) {
+// skipUnlessSoak skips a test that is too long for every landing, or whose verdict is about speed: make soak runs them.
+func skipUnlessSoak(t *testing.T) {
 	t.Helper()
 	if os.Getenv("CHERRYRELAY_SOAK") == "" {
 		t.Skip("a long run: make soak")
@@ -20,19 +20,19 @@
 // TestSoakAFileRewrittenUnderLoad swaps the file for minutes, and holds every call against the half second that a change may
 // take.
 func TestSoakAFileRewrittenUnderLoad(t *testing.T) {
-	soaks(t)
+	skipUnlessSoak(t)
 	for _, transport := range []string{"tcp", "ws"} {
-		t.Run(transport, func(t *testing.T) { rewrite(t, transport, 3000, 500*time.Millisecond) })
+		t.Run(transport, func(t *testing.T) { runRewrites(t, transport, 3000, 500*time.Millisecond) })
 	}
 }
 
-// TestSoakTimeToForce measures the time from a rename to the version in force, as the management address tells it.
-func TestSoakTimeToForce(t *testing.T) {
-	soaks(t)
+// TestSoakTimeToActivation measures the time from a rename to the version in force, as the management address tells it.
+func TestSoakTimeToActivation(t *testing.T) {
+	skipUnlessSoak(t)
 	for _, servers := range []int{2, 1000} {
 		t.Run(fmt.Sprint(servers), func(t *testing.T) {
-			s := newSite(t, "tcp", 2)
-			s.many("start", servers)
+			s := newPoolFixture(t, "tcp", 2)
+			s.writeLargeSet("start", servers)
 			s.serve()
 			h := hdrhistogram.New(1, 60_000_000, 3)
 			const rounds = 200
@@ -40,8 +40,8 @@
 				label := fmt.Sprint("v", i)
 				time.Sleep(time.Duration(i%37) * time.Millisecond) // at any point of what the watcher does
 				from := time.Now()
-				s.many(label, servers)
-				s.inForce(label)
+				s.writeLargeSet(label, servers)
+				s.waitActive(label)
 				if err := h.RecordValue(time.Since(from).Microseconds()); err != nil {
 					t.Fatal(err)
 				}
--- a/cmd/cherryrelay/standing_test.go
+++ b/cmd/cherryrelay/startup_drain_test.go
@@ -14,23 +14,23 @@
 	"cherryrelay/internal/peer"
 )
 
-// newBare is a node that no list has reached, and whose coordinator, if it has one, is at the address.
-func newBare(t *testing.T, coordinator string) *world {
+// newFixtureWithoutList is a node that no list has reached, and whose coordinator, if it has one, is at the address.
+func newFixtureWithoutList(t *testing.T, coordinator string) *fixture {
 	t.Helper()
 	c := new(config.Config)
 	c.Listen, c.Seed, c.Coordinator, c.Settings = "127.0.0.1:0", "1", coordinator, testSettings(t)
-	n, err := startWithBounds(c, slog.New(slog.DiscardHandler), callers.Bounds{Silent: long, Idle: long})
+	n, err := startWithBounds(c, slog.New(slog.DiscardHandler), callers.Bounds{Silent: longTimeout, Idle: longTimeout})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{T: t, node: n, transport: "tcp", done: make(chan error, 1)}
+	w := &fixture{T: t, node: n, transport: "tcp", done: make(chan error, 1)}
 	go func() { w.done <- n.run() }()
 	t.Cleanup(n.loop.Quit)
 	return w
 }
 
-// lists has the node told of so many dispatchers.
-func (w *world) lists(n int, address func(i int) string) {
+// setList has the node told of so many dispatchers.
+func (w *fixture) setList(n int, address func(i int) string) {
 	u := call.Update{Complete: true}
 	for i := range n {
 		u.Servers = append(u.Servers, call.Server{ServerEntry: control.ServerEntry{ID: control.ServerID(fmt.Sprint("d", i)), Cell: i}, Address: address(i)})
@@ -40,8 +40,8 @@
 	<-told
 }
 
-// drains waits for a node that drains.
-func (w *world) drains(since time.Time) {
+// waitDrained waits for a node that drains.
+func (w *fixture) waitDrained(since time.Time) {
 	w.Helper()
 	select {
 	case err := <-w.done:
@@ -62,30 +62,30 @@
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	nobody := fixed(t)
-	for name, before := range map[string]func(w *world){
-		"no list":         func(*world) {},
-		"an empty list":   func(w *world) { w.lists(0, nil) },
-		"300 that refuse": func(w *world) { w.lists(300, func(int) string { return nobody }) },
-		"300 that are silent": func(w *world) {
-			w.lists(300, func(int) string { return silent.Addr().String() })
-			w.lists(300, func(int) string { return nobody })
+	nobody := freeAddress(t)
+	for name, before := range map[string]func(w *fixture){
+		"no list":         func(*fixture) {},
+		"an empty list":   func(w *fixture) { w.setList(0, nil) },
+		"300 that refuse": func(w *fixture) { w.setList(300, func(int) string { return nobody }) },
+		"300 that are silent": func(w *fixture) {
+			w.setList(300, func(int) string { return silent.Addr().String() })
+			w.setList(300, func(int) string { return nobody })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newBare(t, nobody)
+			w := newFixtureWithoutList(t, nobody)
 			before(w)
 			since := time.Now()
 			w.node.drain()
-			w.drains(since)
+			w.waitDrained(since)
 		})
 	}
 	for name, order := range map[string][2]bool{"reload, then drain": {true, false}, "drain, then reload": {false, true}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			other, asked := lister(t, "")
-			w := newBare(t, nobody)
+			other, asked := startListServer(t, "")
+			w := newFixtureWithoutList(t, nobody)
 			since := time.Now()
 			for _, reload := range order {
 				if reload {
@@ -96,8 +96,8 @@
 					w.node.drain()
 				}
 			}
-			hears(t, asked, "0")
-			w.drains(since)
+			waitRequested(t, asked, "0")
+			w.waitDrained(since)
 		})
 	}
 }
@@ -106,7 +106,7 @@
 // the list has come is set up.
 func TestAListThatComesLate(t *testing.T) {
 	t.Parallel()
-	w := newBare(t, "")
+	w := newFixtureWithoutList(t, "")
 	c, err := peer.Call("tcp", w.node.lines.Address())
 	w.must(err)
 	defer c.Close()
@@ -114,7 +114,7 @@
 	if m, err := c.Next(); err != nil || m.ID != id(1) || m.Type != "release" {
 		t.Fatalf("%+v, %v: want a final answer", m, err)
 	}
-	w.lists(0, nil)
+	w.setList(0, nil)
 	w.must(c.SetUp(id(2), 600*time.Millisecond, 0, "still early"))
 	if m, err := c.Next(); err != nil || m.ID != id(2) || m.Type != "release" {
 		t.Fatalf("%+v, %v: want a final answer", m, err)
@@ -122,7 +122,7 @@
 	d, err := peer.Dispatch("tcp", "127.0.0.1:0", "x0:40;x1:40")
 	w.must(err)
 	defer d.Die()
-	w.lists(1, func(int) string { return d.Address() })
+	w.setList(1, func(int) string { return d.Address() })
 	w.must(c.SetUp(id(3), peer.Patience, 0, "late"))
 	e, err := d.Next()
 	w.must(err)
@@ -141,7 +141,7 @@
 		t.Fatal(err)
 	}
 	defer d.Die()
-	stand := func(w *world, number int) (*peer.Caller, peer.Event) {
+	stand := func(w *fixture, number int) (*peer.Caller, peer.Event) {
 		c, err := peer.Call("tcp", w.node.lines.Address())
 		w.must(err)
 		w.Cleanup(func() { _ = c.Close() })
@@ -153,15 +153,15 @@
 		w.must(err)
 		return c, e
 	}
-	dead := newBare(t, "")
-	dead.lists(1, func(int) string { return d.Address() })
+	dead := newFixtureWithoutList(t, "")
+	dead.setList(1, func(int) string { return d.Address() })
 	stand(dead, 1)
 	hold, free := make(chan struct{}), make(chan struct{})
 	dead.node.loop.Post(func() { close(hold); <-free }) // its loop stands still from here on: its connections stay open and it says nothing
 	<-hold
 	defer close(free)
-	next := newBare(t, "")
-	next.lists(1, func(int) string { return d.Address() })
+	next := newFixtureWithoutList(t, "")
+	next.setList(1, func(int) string { return d.Address() })
 	c, e := stand(next, 2)
 	next.must(e.ReleaseHere(id(2), call.CauseNormal))
 	if m, err := c.NextWithin(time.Second); err != nil || m.ID != id(2) || m.CauseOr(0) != call.CauseNormal {
--- a/cmd/cherryrelay/upgrade_test.go
+++ b/cmd/cherryrelay/upgrade_test.go
@@ -19,8 +19,8 @@
 	"cherryrelay/internal/peer"
 )
 
-// fixed is a local address whose port is free.
-func fixed(t *testing.T) string {
+// freeAddress is a local address whose port is free.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	address, err := peer.Free()
 	if err != nil {
@@ -29,38 +29,38 @@
 	return address
 }
 
-// another starts a second process at the same addresses. It knows no dispatchers yet.
-func (w *world) another() *world {
+// startSuccessor starts a second process at the same addresses. It knows no dispatchers yet.
+func (w *fixture) startSuccessor() *fixture {
 	w.Helper()
 	c := *w.node.config
 	n, err := startWithBounds(&c, slog.New(slog.DiscardHandler), w.node.bounds)
 	w.must(err)
-	next := &world{T: w.T, node: n, transport: w.transport, dispatchers: w.dispatchers, done: make(chan error, 1), list: w.list}
+	next := &fixture{T: w.T, node: n, transport: w.transport, dispatchers: w.dispatchers, done: make(chan error, 1), list: w.list}
 	go func() { next.done <- n.run() }()
 	w.Cleanup(n.loop.Quit)
 	return next
 }
 
-// knows tells a node of the dispatchers.
-func (w *world) knows() { w.node.loop.Post(func() { w.node.core.Update(w.list) }) }
+// sendList tells a node of the dispatchers.
+func (w *fixture) sendList() { w.node.loop.Post(func() { w.node.core.Update(w.list) }) }
 
-// ready waits for a node's yes.
-func (w *world) ready() {
+// waitReady waits for a node's yes.
+func (w *fixture) waitReady() {
 	w.Helper()
 	for status := 0; status != 200; time.Sleep(time.Millisecond) {
-		status, _ = w.operator("GET", "/api/ready")
+		status, _ = w.request("GET", "/api/ready")
 	}
 }
 
-// upgrades plays a script over both fronts, with a node at fixed addresses.
-func upgrades(t *testing.T, want []string, script func(w *world)) {
+// runUpgrade plays a script over both fronts, with a node at fixed addresses.
+func runUpgrade(t *testing.T, want []string, script func(w *fixture)) {
 	t.Setenv("TMPDIR", t.TempDir())
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
-			w := newWorldAt(t, fixed(t), fixed(t), transport, transport, callers.Bounds{Silent: long, Idle: long})
-			w.ready()
+			w := newFixtureAt(t, freeAddress(t), freeAddress(t), transport, transport, callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+			w.waitReady()
 			script(w)
-			if diff := cmp.Diff(want, w.said); diff != "" {
+			if diff := cmp.Diff(want, w.observed); diff != "" {
 				t.Errorf("what the peers saw (-want +got):\n%s", diff)
 			}
 		})
@@ -70,57 +70,57 @@
 // TestUpgrade: a second start at the same addresses ended with an error. Now it takes over; set-ups that are open are
 // answered where they came in, and each end of a call is told once, by the new process.
 func TestUpgrade(t *testing.T) {
-	upgrades(t, []string{
+	runUpgrade(t, []string{
 		"d0: setup 1 x", "caller: answer 1 y", "d1: setup 2 x", "operator: /api/ready 503", "operator: /api/ready 200",
 		"operator: /api/ready 503", "d1: setup 3 x", "caller: answer 3 y", "caller: answer 2 y",
 		"caller: release 1 16", "caller: release 2 41", "d0: release 4 31", "caller: release 3 16",
-	}, func(old *world) {
-		idle, stood, busy := old.caller(), old.caller(), old.caller()
-		old.must(stood.SetUp(id(1), long, 0, "x"))
-		first := old.gets(0)
+	}, func(old *fixture) {
+		idle, stood, busy := old.newCaller(), old.newCaller(), old.newCaller()
+		old.must(stood.SetUp(id(1), longTimeout, 0, "x"))
+		first := old.recordEvent(0)
 		old.must(first.Answer("y"))
-		old.hears(stood)
-		old.must(busy.SetUp(id(2), long, 1, "x"))
-		open := old.gets(1)
-		next := old.another()
-		status, _ := next.operator("GET", "/api/ready")
-		old.say("operator: /api/ready %d", status)
-		old.operates("GET", "/api/ready")
-		next.knows()
-		next.ready()
-		old.isClosed(idle)
-		old.isClosed(stood)
-		old.operates("GET", "/api/ready")
-		c := next.caller()
-		old.must(c.SetUp(id(3), long, 1, "x"))
-		later := old.gets(1)
+		old.recordMessage(stood)
+		old.must(busy.SetUp(id(2), longTimeout, 1, "x"))
+		open := old.recordEvent(1)
+		next := old.startSuccessor()
+		status, _ := next.request("GET", "/api/ready")
+		old.record("operator: /api/ready %d", status)
+		old.recordStatus("GET", "/api/ready")
+		next.sendList()
+		next.waitReady()
+		old.expectClosed(idle)
+		old.expectClosed(stood)
+		old.recordStatus("GET", "/api/ready")
+		c := next.newCaller()
+		old.must(c.SetUp(id(3), longTimeout, 1, "x"))
+		later := old.recordEvent(1)
 		old.must(later.Answer("y"))
-		old.hears(c)
+		old.recordMessage(c)
 		old.must(open.Answer("y"))
-		old.hears(busy)
-		old.isClosed(busy)
-		old.acked(1)
+		old.recordMessage(busy)
+		old.expectClosed(busy)
+		old.waitAck(1)
 		// Ends are told on connections of a known process: the old one's stay open here, as its end is not that of a process.
 		old.must(first.ReleaseHere(id(1), 16)) // to the old one, whose caller has gone
-		old.hears(c)
+		old.recordMessage(c)
 		old.must(<-old.done) // it has ended by itself
 		old.must(later.ReleaseHere(id(2), 41))
-		old.hears(c)
+		old.recordMessage(c)
 		// A call that only the old process can have known, ended by its caller.
 		old.must(c.Release(id(4), 31))
-		old.gets(0)
+		old.recordEvent(0)
 		old.must(later.ReleaseHere(id(3), 16))
-		old.hears(c) // and nothing else came for the others
+		old.recordMessage(c) // and nothing else came for the others
 	})
 }
 
-// endWaits waits until the end of a call waits for a caller to connect.
-func (w *world) endWaits() {
+// waitEndQueued waits until the end of a call waits for a caller to connect.
+func (w *fixture) waitEndQueued() {
 	w.Helper()
 	const waited = "edge_lb_ends_waited_total 1"
 	text := ""
 	for until := time.Now().Add(peer.Patience); !strings.Contains(text, waited); time.Sleep(time.Millisecond) {
-		_, text = w.operator("GET", "/api/telemetry")
+		_, text = w.request("GET", "/api/telemetry")
 		if time.Now().After(until) {
 			w.Fatalf("no %q", waited)
 		}
@@ -130,50 +130,50 @@
 // TestEndsThatWaitGoToTheSuccessor guards against the end of a call that is told to nobody: it waits at the old process for a caller to
 // connect, and callers connect to the new one.
 func TestEndsThatWaitGoToTheSuccessor(t *testing.T) {
-	upgrades(t, []string{
+	runUpgrade(t, []string{
 		"d0: setup 1 x", "caller: answer 1 y", "d0: setup 2 x", "caller: release 1 16", "caller: answer 2 y",
-	}, func(old *world) {
-		gone := old.caller()
-		old.must(gone.SetUp(id(1), long, 0, "x"))
-		ends := old.gets(0)
+	}, func(old *fixture) {
+		gone := old.newCaller()
+		old.must(gone.SetUp(id(1), longTimeout, 0, "x"))
+		ends := old.recordEvent(0)
 		old.must(ends.Answer("y"))
-		old.hears(gone)
-		old.acked(0)
+		old.recordMessage(gone)
+		old.waitAck(0)
 		old.must(gone.Close())
 		old.must(ends.ReleaseHere(id(1), 16))
-		old.endWaits()
-		next := old.another()
-		next.knows()
-		next.ready()
-		c := next.caller()
-		old.must(c.SetUp(id(2), long, 0, "x"))
-		e := old.gets(0)
-		old.hears(c)
+		old.waitEndQueued()
+		next := old.startSuccessor()
+		next.sendList()
+		next.waitReady()
+		c := next.newCaller()
+		old.must(c.SetUp(id(2), longTimeout, 0, "x"))
+		e := old.recordEvent(0)
+		old.recordMessage(c)
 		old.must(e.Answer("y"))
-		old.hears(c)
+		old.recordMessage(c)
 		old.must(<-old.done)
 	})
 }
 
 // TestASuccessorThatDies leaves the old process in service, before it was ready and after; another one may follow.
 func TestASuccessorThatDies(t *testing.T) {
-	upgrades(t, []string{
+	runUpgrade(t, []string{
 		"d0: setup 1 x", "caller: answer 1 y", "d0: setup 2 x", "caller: answer 2 y", "d0: setup 3 x", "caller: answer 3 y",
-	}, func(old *world) {
-		serves := func(w *world, n int) {
+	}, func(old *fixture) {
+		serves := func(w *fixture, n int) {
 			t.Helper()
-			c := w.caller()
-			w.must(c.SetUp(id(n), long, 0, "x"))
-			w.must(old.gets(0).Answer("y"))
-			old.hears(c)
+			c := w.newCaller()
+			w.must(c.SetUp(id(n), longTimeout, 0, "x"))
+			w.must(old.recordEvent(0).Answer("y"))
+			old.recordMessage(c)
 		}
-		first := old.another()
+		first := old.startSuccessor()
 		serves(old, 1)
 		first.node.loop.Quit()
 		old.must(<-first.done)
-		second := old.another()
-		second.knows()
-		second.ready()
+		second := old.startSuccessor()
+		second.sendList()
+		second.waitReady()
 		second.node.loop.Quit()
 		old.must(<-second.done)
 		for path := handover.Path(old.node.config.Listen); ; time.Sleep(time.Millisecond) {
@@ -181,19 +181,19 @@
 				break // the path went with the second, and is the old one's again
 			}
 		}
-		old.ready()
+		old.waitReady()
 		serves(old, 2)
-		third := old.another()
-		third.knows()
-		third.ready()
+		third := old.startSuccessor()
+		third.sendList()
+		third.waitReady()
 		old.must(<-old.done)
 		serves(third, 3)
 	})
 }
 
-// TestWhatLiesInTheWay: a file that is no socket of ours, one that a dead process left, and one whose owner does not answer
+// TestForeignFilesAtTheHandoverPath: a file that is no socket of ours, one that a dead process left, and one whose owner does not answer
 // keep nobody from starting.
-func TestWhatLiesInTheWay(t *testing.T) {
+func TestForeignFilesAtTheHandoverPath(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
 	listens := func(path string) *net.UnixListener {
@@ -224,13 +224,13 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			listen := fixed(t)
+			listen := freeAddress(t)
 			path := handover.Path(listen)
 			if err := lay(path); err != nil {
 				t.Fatal(err)
 			}
-			w := newWorldAt(t, listen, "127.0.0.1:0", "tcp", "tcp", callers.Bounds{Silent: long, Idle: long})
-			w.ready()
+			w := newFixtureAt(t, listen, "127.0.0.1:0", "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+			w.waitReady()
 			info, err := os.Lstat(path)
 			w.must(err)
 			if foreign := name == "file"; foreign != info.Mode().IsRegular() || !foreign && info.Mode().Perm() != 0o600 {
