--- a/cmd/cherryrelay/calls_test.go
+++ b/cmd/cherryrelay/calls_test.go
@@ -22,27 +22,27 @@
 	"cherryrelay/internal/websocket"
 )
 
-// fixture is a node between two scripted dispatchers and callers, over one pair of transports.
+// fixture is a node between two scripted dispatchers and callers. It uses one transport for callers and one for dispatchers.
 type fixture struct {
 	*testing.T
 	node        *node
-	transport   string // of callers
+	transport   string // of the callers
 	dispatchers [2]*peer.Dispatcher
 	done        chan error
 	list        call.Update
-	observed    []string // what the peers saw, in order
+	observed    []string // messages that the peers received, in order
 }
 
-// transports has every mix of a caller's and a dispatcher's.
+// transports are all combinations of a caller's and a dispatcher's transport.
 var transports = [][2]string{{"tcp", "tcp"}, {"ws", "ws"}, {"ws", "tcp"}, {"tcp", "ws"}}
 
-// runScenario plays a script over each mix of transports; what the peers see must be the same on all of them.
+// runScenario runs a script over each combination of transports. The peers must receive the same messages on all of them.
 func runScenario(t *testing.T, want []string, script func(w *fixture)) {
 	t.Helper()
 	runScenarioWithBounds(t, callers.Bounds{Silent: longTimeout, Idle: longTimeout}, want, script)
 }
 
-// runScenarioWithBounds is a story for which connections of callers are bounded.
+// runScenarioWithBounds is runScenario with limits for the connections of callers.
 func runScenarioWithBounds(t *testing.T, bounds callers.Bounds, want []string, script func(w *fixture)) {
 	t.Helper()
 	for _, mix := range transports {
@@ -116,7 +116,7 @@
 	w.observed = append(w.observed, fmt.Sprintf(format, args...))
 }
 
-// newCaller connects; it has passed the test before it calls.
+// newCaller connects a caller and pings the node until it answers that it accepts calls.
 func (w *fixture) newCaller() *peer.Caller {
 	w.Helper()
 	c := w.connect()
@@ -129,7 +129,7 @@
 	return c
 }
 
-// connect connects and says nothing.
+// connect connects a caller without sending anything.
 func (w *fixture) connect() *peer.Caller {
 	w.Helper()
 	address := w.node.lines.Address()
@@ -142,7 +142,7 @@
 	return c
 }
 
-// recordMessage notes the next thing that a caller is told.
+// recordMessage records the next message to a caller.
 func (w *fixture) recordMessage(c *peer.Caller) {
 	w.Helper()
 	m, err := c.Next()
@@ -157,7 +157,7 @@
 	w.record("caller: %s %s %s", m.Type, strings.TrimLeft(m.ID, "0"), text)
 }
 
-// recordEvent notes the next thing that a dispatcher is told.
+// recordEvent records the next event at a dispatcher.
 func (w *fixture) recordEvent(d int) peer.Event {
 	w.Helper()
 	e, err := w.dispatchers[d].Next()
@@ -170,7 +170,7 @@
 	return e
 }
 
-// waitAck waits for the ACK of a final answer, where the transport has that.
+// waitAck waits for the ACK of a final answer if the transport has one.
 func (w *fixture) waitAck(d int) {
 	w.Helper()
 	if !strings.HasPrefix(w.dispatchers[d].Address(), "ws") {
@@ -182,7 +182,7 @@
 	}
 }
 
-// id is the n-th id.
+// id returns the n-th call ID.
 func id(n int) string { return fmt.Sprintf("%016x", n) }
 
 const longTimeout = 60 * time.Second
@@ -205,13 +205,13 @@
 		w.waitAck(1)
 		w.must(w.dispatchers[1].Release(id(1), 16))
 		w.recordMessage(c)
-		// The caller ends this one.
+		// The caller ends the second call.
 		w.must(c.SetUp(id(2), longTimeout, 0, "x"))
 		w.must(w.recordEvent(0).Answer("y"))
 		w.recordMessage(c)
 		w.must(c.Release(id(2), 31))
 		w.recordEvent(0)
-		// This one is cut.
+		// The dispatcher ends the third call with cause 41.
 		w.must(c.SetUp(id(3), longTimeout, 0, "x"))
 		w.must(w.recordEvent(0).Answer("y"))
 		w.recordMessage(c)
@@ -221,8 +221,8 @@
 }
 
 func TestARefusedAttemptGoesElsewhere(t *testing.T) {
-	// Dispatchers number every answer 1. Taken for the first attempt's, the answer to a second one was thrown away and
-	// its dispatcher doubted: a calm day lost a fifth of its calls.
+	// Dispatchers number every answer 1. When the answer to a second attempt was taken for the first attempt's, it was discarded and its
+	// dispatcher became suspect: a fifth of the calls of a quiet day was lost.
 	runScenario(t, []string{"d0: setup 1 x", "d1: setup 1 x", "caller: answer 1 y", "caller: release 1 16"}, func(w *fixture) {
 		c := w.newCaller()
 		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
@@ -244,7 +244,7 @@
 		w.recordEvent(0)
 		m, err := c.Next()
 		w.must(err)
-		w.record("caller: %s", m.Type) // refused or failed, as the time left at the withdrawal has it
+		w.record("caller: %s", m.Type) // refused or failed, depending on the time left at the cancellation
 		w.must(e.Answer("y"))          // too late: the dispatcher's call is released
 		w.waitAck(0)
 		w.recordEvent(0)
@@ -258,10 +258,10 @@
 		e := w.recordEvent(0)
 		w.must(c.Release(id(1), 16))
 		w.recordEvent(0)
-		w.must(e.Answer("y")) // it crosses the withdrawal
+		w.must(e.Answer("y")) // crosses the cancellation
 		w.recordEvent(0)
 		w.must(c.Send(jsonl.Message{Type: "ping", ID: id(0)}))
-		w.recordMessage(c) // and nothing else comes for the call
+		w.recordMessage(c) // no other message comes for the call
 	})
 }
 
@@ -310,7 +310,7 @@
 }
 
 func TestBadFieldsFailTheirSetUpAlone(t *testing.T) {
-	// None of these may reach a dispatcher, which closes a shared connection on what it cannot read.
+	// None of these may reach a dispatcher: it closes a shared connection on a message that it cannot parse.
 	good := `"class":"send-setup","tenant":"acme","left":900,"key":"k1","extras":"dest:0;width:1;via:-1"},"sdp":"x"`
 	bad := [][2]string{
 		{`900`, `"soon"`}, {`900`, `-5`}, {`900`, `90001`}, {`900`, `99999999999999999999999`}, {`900`, `"NaN"`}, {`900`, `null`},
@@ -331,7 +331,7 @@
 		c := w.newCaller()
 		for i, change := range bad {
 			if i%4 == 0 {
-				c = w.newCaller() // who sends many of them loses the connection
+				c = w.newCaller() // many bad set-ups close the connection
 			}
 			fields := strings.Replace(good, change[0], change[1], 1)
 			if fields == good {
@@ -341,7 +341,7 @@
 			w.recordMessage(c)
 		}
 		c = w.newCaller()
-		send(c, 0xfd, strings.Replace(good, "900", "0", 1)) // not wrong, but too late
+		send(c, 0xfd, strings.Replace(good, "900", "0", 1)) // valid, but its deadline has passed
 		w.recordMessage(c)
 		w.must(c.SetUp(id(0xff), longTimeout, 0, "x"))
 		w.must(w.recordEvent(0).Answer("y"))
@@ -362,8 +362,8 @@
 }
 
 func TestAnIdIsUsedOnce(t *testing.T) {
-	// Under the id of an open set-up, another on the same connection has no answer of its own; one from elsewhere is no
-	// business of the first.
+	// A second set-up with the ID of a pending one gets no answer of its own on the same connection. One on another connection does not
+	// affect the first.
 	runScenario(t, []string{"d0: setup 1 x", "caller: release 1 100", "caller: answer 1 y", "d0: setup 2 x", "caller: release 2 41",
 		"d0: release 2 16"}, func(w *fixture) {
 		c, other := w.newCaller(), w.newCaller()
@@ -371,7 +371,7 @@
 		e := w.recordEvent(0)
 		w.must(other.SetUp(id(1), longTimeout, 1, "z"))
 		w.recordMessage(other)
-		_ = other.Release(id(1), 16) // nor can it go on to end that
+		_ = other.Release(id(1), 16) // must not end the other connection's call
 		w.waitClosed(other)
 		w.must(e.Answer("y"))
 		w.recordMessage(c)
@@ -384,7 +384,7 @@
 	})
 }
 
-// waitConnections waits until a dispatcher has that many connections.
+// waitConnections waits until a dispatcher has the given number of connections.
 func (w *fixture) waitConnections(d, links int) {
 	w.Helper()
 	for begin := time.Now(); w.dispatchers[d].Links() < links; time.Sleep(5 * time.Millisecond) {
@@ -395,7 +395,8 @@
 }
 
 func TestAnInvalidAnswerIsNoAnswer(t *testing.T) {
-	// It ends its connection: what it may have established is released, the set-up goes out again after the guard, and others are not touched.
+	// An invalid answer closes its connection: a call that it may have established is released, the set-up is sent again after the guard,
+	// and other calls are not affected.
 	for name, answer := range map[string]func(e peer.Event) error{
 		"noise":     func(e peer.Event) error { return e.Answer("\x01\x02\x03") },
 		"nothing":   func(e peer.Event) error { return e.Answer("") },
@@ -411,7 +412,7 @@
 				w.must(answer(w.recordEvent(0)))
 				wanted := []string{"release", "setup"}
 				if name == "too long" && !strings.HasPrefix(w.dispatchers[0].Address(), "ws") {
-					wanted = []string{"release"} // it could be read, but no message to a caller holds it: it has failed
+					wanted = []string{"release"} // it is readable, but no message to a caller can hold it: the call has failed
 				}
 				for _, want := range wanted {
 					if e, err := w.dispatchers[0].Next(); err != nil || e.Kind != want || e.ID != id(1) {
@@ -427,7 +428,7 @@
 }
 
 func TestStrayAnswersAreDropped(t *testing.T) {
-	// An answer ahead under another id, and a second copy: neither is answered, released, or taken for another call.
+	// An early answer with another ID and a duplicate answer are neither answered nor released, and are not taken for another call's.
 	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "d0: setup 2 x", "caller: answer 2 z"}, func(w *fixture) {
 		c := w.newCaller()
 		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
@@ -435,7 +436,7 @@
 		stray := e
 		stray.ID = id(0x99)
 		w.must(stray.Answer("stray"))
-		w.must(stray.Answer("\x01\x02")) // no matter what it holds: the connection is sound
+		w.must(stray.Answer("\x01\x02")) // the content does not matter: the connection stays usable
 		w.must(e.Answer("y"))
 		w.must(e.Answer("y"))
 		w.recordMessage(c)
@@ -446,15 +447,15 @@
 }
 
 func TestAnUnresponsiveConnectionIsAvoided(t *testing.T) {
-	// A later set-up to the same dispatcher has its answer on another connection; the earlier one held until its limit.
+	// A later set-up to the same dispatcher is answered on another connection. The earlier set-up used to wait until its deadline.
 	runScenario(t, []string{"d0: setup 1 x", "d0: setup 2 x", "caller: answer 2 y", "d0: setup 1 x", "caller: answer 1 z"},
 		func(w *fixture) {
 			w.waitConnections(0, 1)
 			c := w.newCaller()
 			w.must(c.SetUp(id(1), longTimeout, 0, "x"))
 			w.recordEvent(0)
-			w.waitConnections(0, 2)            // one without a word has another connection opened
-			time.Sleep(400 * time.Millisecond) // more than they may differ by; a slow machine makes it longer
+			w.waitConnections(0, 2)            // a connection without any message makes the pool open another
+			time.Sleep(400 * time.Millisecond) // more than the answers may be apart; a slow machine makes it longer
 			w.must(c.SetUp(id(2), longTimeout, 0, "x"))
 			w.must(w.recordEvent(0).Answer("y"))
 			w.recordMessage(c)
@@ -475,8 +476,8 @@
 }
 
 func TestCallsOfADispatcherThatStopsSilentlyAreReleased(t *testing.T) {
-	// At the end of a drain a dispatcher left its connections open and said nothing more; new ones were refused. Its
-	// calls were released only when the register told that it was gone, 12 s later.
+	// At the end of a drain a dispatcher left its connections open without sending anything, and refused new ones. Its calls were released
+	// only when the list reported its removal, 12 s later.
 	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 41"}, func(w *fixture) {
 		c := w.newCaller()
 		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
@@ -488,8 +489,8 @@
 }
 
 func TestACallOutlivesItsConnections(t *testing.T) {
-	// No connection owns a call that stands: its end comes in on a new one and goes out on a new one. That holds for a
-	// call from before a restart, too.
+	// An established call does not belong to a connection: its end may arrive and be delivered on new connections. The same holds for a
+	// call of the previous process.
 	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 16", "caller: release 77 41"}, func(w *fixture) {
 		c := w.newCaller()
 		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
@@ -504,17 +505,17 @@
 		w.recordMessage(c)
 		w.must(w.dispatchers[0].Release(id(0x77), 41))
 		w.recordMessage(c)
-		w.must(w.dispatchers[0].Release(id(0x77), 41)) // said twice, passed on once
+		w.must(w.dispatchers[0].Release(id(0x77), 41)) // sent twice, delivered once
 	})
 }
 
-// waitClosed waits for the controller to close the connection.
+// waitClosed waits until the controller closes the connection.
 func (w *fixture) waitClosed(c *peer.Caller) {
 	w.Helper()
 	for {
 		_, err := c.Next()
 		if err == nil {
-			continue // a release on the way
+			continue // a release that was sent before the close
 		}
 		var late net.Error
 		if errors.As(err, &late) && late.Timeout() {
@@ -525,8 +526,8 @@
 }
 
 func TestASetUpAvoidsAConnectionThatNeverAnswered(t *testing.T) {
-	// Trial calls to a dispatcher went out one at a time, and all on the one connection that was dead: it was taken for a
-	// dispatcher that does not answer, for the rest of the day.
+	// Trial calls to a dispatcher were sent one at a time, all on the same unresponsive connection. The dispatcher was considered
+	// unresponsive for the rest of the day.
 	runScenario(t, []string{"d0: setup 1 x", "d0: release 1 16", "d0: setup 2 x", "caller: answer 2 y"}, func(w *fixture) {
 		w.waitConnections(0, 1)
 		c := w.newCaller()
@@ -537,7 +538,7 @@
 		w.must(c.SetUp(id(2), longTimeout, 0, "x"))
 		f := w.recordEvent(0)
 		if f.Beside(e) {
-			t.Error("the next set-up went out on the connection on which the last had no answer")
+			t.Error("the next set-up went out on the connection on which the previous one had no answer")
 		}
 		w.must(f.Answer("y"))
 		w.recordMessage(c)
@@ -545,8 +546,8 @@
 }
 
 func TestASetUpAvoidsAConnectionThatWasIdleForLong(t *testing.T) {
-	// Sent on the connection to a dispatcher that was cut off, a set-up and its withdrawal were stuck and arrived together as
-	// the cut ended, when the call was on its way elsewhere already: sooner than the guard allows.
+	// A set-up and its cancellation were sent on the connection to a dispatcher that was cut off. They arrived together when the connection
+	// recovered, while the call was already being sent elsewhere: sooner than the guard allows.
 	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "d0: setup 2 x", "caller: answer 2 z"}, func(w *fixture) {
 		w.waitConnections(0, 1)
 		c := w.newCaller()
@@ -558,7 +559,7 @@
 		w.must(c.SetUp(id(2), longTimeout, 0, "x"))
 		f := w.recordEvent(0)
 		if f.Beside(e) {
-			t.Error("the set-up went out on a connection that had been silent for 2.6 s")
+			t.Error("the set-up went out on a connection that had been idle for 2.6 s")
 		}
 		w.must(f.Answer("z"))
 		w.recordMessage(c)
@@ -566,8 +567,8 @@
 }
 
 func TestIdleConnectionsAreEvicted(t *testing.T) {
-	// Callers that asked once and kept their connection used up the descriptors: dispatchers could not be connected to,
-	// and new callers were not accepted. A connection with a set-up open is never closed to make room.
+	// Callers that placed one call and kept their connection used up the descriptors: no dispatcher could be connected to, and no new
+	// caller was accepted. A connection with a pending set-up is never evicted.
 	runScenarioWithBounds(t, callers.Bounds{Connections: 2, Silent: longTimeout, Idle: longTimeout}, []string{"d0: setup 1 x", "d1: setup 2 x",
 		"caller: answer 1 y", "caller: answer 2 y", "caller: release 1 16"}, func(w *fixture) {
 		c, kept := w.newCaller(), w.newCaller()
@@ -584,12 +585,13 @@
 		_ = w.newCaller()
 		w.waitClosed(c) // idle for longer than the other
 		w.must(w.dispatchers[0].Release(id(1), 16))
-		w.recordMessage(other) // its call's end comes on one that is open
+		w.recordMessage(other) // the end of its call is delivered on an open connection
 	})
 }
 
 func TestAConnectionIsKeptWhileItsCallStands(t *testing.T) {
-	// Its caller keeps it for as long, and may send a set-up on it at any moment: that crossed the close, and was lost.
+	// A caller keeps its connection for the duration of its call and may send a set-up on it at any moment. That set-up crossed the close
+	// and was lost.
 	idle := 2 * time.Second
 	runScenarioWithBounds(t, callers.Bounds{Silent: longTimeout, Idle: idle}, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 16"},
 		func(w *fixture) {
@@ -609,7 +611,7 @@
 }
 
 func TestUnusedConnectionsAreClosed(t *testing.T) {
-	// Hundreds connect and say nothing, send half a message, or stay on after their call.
+	// Hundreds of clients connect and send nothing, send half a message, or stay connected after their call.
 	soon := 50 * time.Millisecond
 	for name, test := range map[string]struct {
 		bounds callers.Bounds
@@ -644,7 +646,7 @@
 		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
 		e := w.recordEvent(0)
 		w.node.drain()
-		w.must(c.SetUp(id(2), longTimeout, 1, "x")) // still on its way when the signal came
+		w.must(c.SetUp(id(2), longTimeout, 1, "x")) // still in transit when the signal came
 		f := w.recordEvent(1)
 		w.must(e.Answer("y"))
 		w.recordMessage(c)
@@ -662,8 +664,9 @@
 	})
 }
 
-// TestAnEndOnAnAbandonedConnection: a dispatcher stands still, and a connection to it is given up as dead. As it goes on, it tells the
-// end of a call there, before it sees that the connection has closed; a new one is open already, so it is told nowhere else.
+// TestAnEndOnAnAbandonedConnection: a dispatcher pauses, and a connection to it is abandoned as unresponsive. When the dispatcher
+// continues, it sends the end of a call there before it notices the close. As a new connection is already open, it sends the end nowhere
+// else.
 func TestAnEndOnAnAbandonedConnection(t *testing.T) {
 	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 2 42 wait 2000", "caller: release 1 16"}, func(w *fixture) {
 		c := w.newCaller()
@@ -676,7 +679,7 @@
 		w.dispatchers[1].Die()
 		w.must(c.SetUp(id(2), 300*time.Millisecond, 0, "x"))
 		w.recordMessage(c)
-		time.Sleep(time.Second) // longer than what was sent before takes to arrive
+		time.Sleep(time.Second) // longer than the messages sent before take to arrive
 		w.must(stands.ReleaseHere(id(1), 16))
 		w.recordMessage(c)
 		d.Wake()
--- a/cmd/cherryrelay/cancel_test.go
+++ b/cmd/cherryrelay/cancel_test.go
@@ -11,10 +11,10 @@
 	"cherryrelay/internal/peer"
 )
 
-// The term: a client that closed or cancelled has gone, and no attempt, first or further, begins more than maxSendDelay later. The client
-// leaves just over that long before what its set-up waits for comes, so that any set-up that is sent breaks the term, on a slow machine too.
+// A cancelled set-up must not be sent later than maxSendDelay after the cancellation, neither as a first nor as a further attempt. The
+// tests cancel just over maxSendDelay before the awaited event, so that any set-up that is sent is an error, also on a slow machine.
 
-// schedulerMeter records how long the process was kept from running.
+// schedulerMeter records the delays by which a process was kept from running.
 type schedulerMeter struct {
 	mu     sync.Mutex
 	delays []schedulerDelay
@@ -28,7 +28,7 @@
 const (
 	// meterPeriod is the sleep whose overrun is measured.
 	meterPeriod = time.Millisecond
-	// normalOverrun of a sleep is no sign of a busy machine.
+	// normalOverrun is the overrun of a sleep up to which a machine is not considered busy.
 	normalOverrun = 2 * time.Millisecond
 	// meterRetention is the age up to which delays are kept.
 	meterRetention = time.Minute
@@ -62,13 +62,13 @@
 	}
 }
 
-// delayBetween is the time between two instants that was lost to scheduling: that in which any delay lasted.
+// delayBetween returns the time between two instants that was lost to scheduling, counting overlapping delays once.
 func (m *schedulerMeter) delayBetween(from, to time.Time) time.Duration {
-	time.Sleep(2 * meterPeriod) // for a delay that spans the last instant to be recorded
+	time.Sleep(2 * meterPeriod) // until a delay that spans the last instant is recorded
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	lost := time.Duration(0)
-	for _, d := range slices.Backward(m.delays) { // in the order of their ends, so that each counts up to where the one after it began
+	for _, d := range slices.Backward(m.delays) { // latest first, so that each counts up to where the next one began
 		begin := d.end.Add(-d.lost)
 		if begin.Before(from) {
 			begin = from
@@ -84,15 +84,15 @@
 	return lost
 }
 
-// pendingState is a state in which a set-up waits. hold leaves the set-up with the number n in it, and returns the earliest time at which it may
-// be sent on by itself, zero if it needs next, which then brings what it waits for.
+// pendingState is a state in which a set-up waits. hold puts the set-up with the number n into it. It returns the earliest time at which
+// the set-up may be sent without another event, or zero if next must be called to cause that event.
 type pendingState struct {
-	late   bool // connections to the first dispatcher come up only once it is opened
+	late   bool // connections to the first dispatcher open only after Open is called
 	drains bool
 	hold   func(w *fixture, c *peer.Caller, n int) (sendable time.Time, next func())
 }
 
-// cancelMargin is how much more than maxSendDelay before the end of its wait a client leaves.
+// cancelMargin is added to maxSendDelay for the time between the cancellation and the end of the wait.
 const cancelMargin = 50 * time.Millisecond
 
 func noop() {}
@@ -105,7 +105,7 @@
 		w.waitInFlight(1)
 		return time.Time{}, func() {
 			for _, d := range w.dispatchers {
-				_ = d.Report("x0:40;x1:40") // on those of its connections that are open still
+				_ = d.Report("x0:40;x1:40") // on the connections that are still open
 			}
 		}
 	}},
@@ -134,7 +134,7 @@
 	"out, and refused later": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
 		e := w.recordEvent(0)
-		return time.Time{}, func() { _ = e.Refuse(peer.NoLine) } // the connection may be closed by then, which ends the attempt as well
+		return time.Time{}, func() { _ = e.Refuse(peer.NoLine) } // the connection may be closed by then, which also ends the attempt
 	}},
 	"out, and its connection is reset later": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
@@ -157,7 +157,7 @@
 			behind, err := peer.Call("tcp", w.node.lines.Address())
 			w.must(err)
 			defer behind.Close()
-			w.must(behind.Send(jsonl.Message{Type: "ping", ID: id(0)})) // it is read behind the leaving
+			w.must(behind.Send(jsonl.Message{Type: "ping", ID: id(0)})) // it is read behind the cancellation
 			w.waitQueued(other + 1)
 			free()
 		}
@@ -168,7 +168,7 @@
 	return time.Duration(w.node.config.Settings.FamilyInfo.GuardUs) * time.Microsecond
 }
 
-// cancelWhilePending has a client leave in a state, maxSendDelay before it is over, and reports whether that was in time.
+// cancelWhilePending cancels a set-up in a state, maxSendDelay before the awaited event, and reports whether it did so in time.
 func (w *fixture) cancelWhilePending(state pendingState, leave func(w *fixture, c *peer.Caller, n int) error) (inTime bool) {
 	w.Helper()
 	const number = 1
@@ -186,24 +186,24 @@
 		time.Sleep(maxSendDelay)
 	}
 	next()
-	if !state.drains { // one that drains may have ended by now
+	if !state.drains { // a draining node may have exited by now
 		w.waitInFlight(0)
 	}
 	if state.late {
 		w.waitConnections(0, 1) // a second later
 	}
-	time.Sleep(w.guard() + maxSendDelay) // longer than any wait of its own
+	time.Sleep(w.guard() + maxSendDelay) // longer than any wait of the set-up
 	for i, d := range w.dispatchers {
 		for len(d.Events) > 0 {
 			if e := <-d.Events; e.Kind == "setup" && e.ID == id(number) {
-				w.Errorf("d%d was sent the set-up %v after its client had left", i, e.At.Sub(left))
+				w.Errorf("d%d was sent the set-up %v after its client had cancelled", i, e.At.Sub(left))
 			}
 		}
 	}
 	return true
 }
 
-// TestNothingIsSentAfterACancellation: every way of leaving in every state, over both fronts, with unlike settings in turn.
+// TestNothingIsSentAfterACancellation tests every way of cancelling in every state, over both fronts, with differing settings in turn.
 func TestNothingIsSentAfterACancellation(t *testing.T) {
 	customers := differingSettings(t)
 	names := []string{"one class", "two classes", "three classes"}
@@ -215,7 +215,7 @@
 				customer := names[turn%len(names)]
 				t.Run(strings.Join([]string{name, way, transport, customer}, ", "), func(t *testing.T) {
 					t.Parallel()
-					for inTime := false; !inTime; { // a machine that is too slow for the order tries again
+					for inTime := false; !inTime; { // repeat if the machine is too slow to keep the order
 						s := *customers[customer]
 						inTime = newFixtureWithSettings(t, transport, "tcp", state.late, &s).cancelWhilePending(state, leave)
 					}
--- a/cmd/cherryrelay/capacity_test.go
+++ b/cmd/cherryrelay/capacity_test.go
@@ -39,7 +39,7 @@
 	return r
 }
 
-// slope is that of a figure.
+// slope returns the fitted slope of a measured figure.
 func slope(t *testing.T, r capacity.Report, figure string) float64 {
 	t.Helper()
 	for _, f := range r.Fits {
@@ -51,24 +51,24 @@
 	return 0
 }
 
-// TestCapacityOfAShortList: a list of few dispatchers costs a connection and a descriptor each, and its entries have the size that
-// docs/CAPACITY.md counts on. An event that changes one of them does not grow with the list.
+// TestCapacityOfAShortList: in a short list each dispatcher costs one connection and one descriptor, and an entry has the size that
+// docs/CAPACITY.md assumes. The size of an event that changes one dispatcher does not grow with the list.
 func TestCapacityOfAShortList(t *testing.T) {
 	r := measure(t, "idle-live --sizes 20,50 --lasting 200ms")
 	for _, figure := range []string{"connections", "descriptors"} {
 		if got := slope(t, r, figure); got < 0.99 || got > 1.01 {
-			t.Errorf("%s: %v a dispatcher", figure, got)
+			t.Errorf("%s: %v per dispatcher", figure, got)
 		}
 	}
 	if got := slope(t, r, "new connections"); got != 0 {
-		t.Errorf("%v new connections a second and dispatcher at rest", got)
+		t.Errorf("%v new connections per second and idle dispatcher", got)
 	}
 	r = measure(t, "whole-list --sizes 20,50 --lasting 200ms")
 	if got := slope(t, r, "bytes"); got < 100 || got > 200 {
-		t.Errorf("%v bytes an entry", got)
+		t.Errorf("%v bytes per entry", got)
 	}
 	r = measure(t, "one-change --sizes 20,50 --lasting 200ms")
 	if got := slope(t, r, "bytes an event"); got < -1 || got > 1 {
-		t.Errorf("an event grows by %v bytes an entry of the list", got)
+		t.Errorf("an event grows by %v bytes per entry of the list", got)
 	}
 }
--- a/cmd/cherryrelay/closes_test.go
+++ b/cmd/cherryrelay/closes_test.go
@@ -10,7 +10,7 @@
 	"cherryrelay/internal/peer"
 )
 
-// finalAnswers reads the final answers to the set-ups of the given numbers, in any order, and then the end of the connection.
+// finalAnswers reads messages until the connection ends and returns the final answers to the set-ups with the given numbers.
 func (w *fixture) finalAnswers(c *peer.Caller, numbers ...int) map[int]*jsonl.Message {
 	w.Helper()
 	answers := map[int]*jsonl.Message{}
@@ -35,7 +35,7 @@
 	return answers
 }
 
-// encodeSetUps are set-ups in one segment.
+// encodeSetUps returns the frames of several set-ups, to be sent in one segment.
 func (w *fixture) encodeSetUps(c *peer.Caller, numbers ...int) []byte {
 	w.Helper()
 	var text []byte
@@ -56,27 +56,27 @@
 			w.must(c.SendRaw(w.encodeSetUps(c, 1, 2, 3)))
 			for n, m := range w.finalAnswers(c, 1, 2, 3) {
 				if m.CauseOr(0) != call.CauseCongestion || m.Fields["wait"] == "" {
-					t.Errorf("set-up %d is told %+v: want a refusal with a time to come back", n, m)
+					t.Errorf("set-up %d got %+v: want a refusal with a retry time", n, m)
 				}
 			}
 		})
 	}
 }
 
-// TestSetUpsBehindAFaultAreAnswered guards against set-ups that are lost behind a message that ends the connection.
+// TestSetUpsBehindAFaultAreAnswered guards against set-ups that are lost behind a message that closes the connection.
 func TestSetUpsBehindAFaultAreAnswered(t *testing.T) {
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
 			w := newFixture(t, transport, "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
 			c := w.connect()
-			w.must(c.SendRaw(w.encodeSetUps(c, 1, 1, 2, 3))) // the second 1 can't be told from the first
+			w.must(c.SendRaw(w.encodeSetUps(c, 1, 1, 2, 3))) // the second set-up 1 cannot be distinguished from the first
 			w.finalAnswers(c, 1, 2, 3)
 		})
 	}
 }
 
-// TestASetUpAheadOfAFloodOverTheAPI is the story of the flood for the other front.
+// TestASetUpAheadOfAFloodOverTheAPI is TestASetUpAheadOfAFloodIsAnswered for the call-control API.
 func TestASetUpAheadOfAFloodOverTheAPI(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t, "ws", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
@@ -96,7 +96,7 @@
 	w.finalAnswers(c, 1)
 }
 
-// TestASetUpCompletedAsItsTimeoutExpires guards against a set-up that is lost as its last part comes in the moment in which its time is up.
+// TestASetUpCompletedAsItsTimeoutExpires guards against a set-up that is lost because its last part arrives at the moment of its timeout.
 func TestASetUpCompletedAsItsTimeoutExpires(t *testing.T) {
 	const silent = 200 * time.Millisecond
 	for _, transport := range []string{"tcp", "ws"} {
@@ -106,12 +106,12 @@
 			c := w.connect()
 			text := w.encodeSetUp(c, 1)
 			w.must(c.SendRaw(text[:len(text)/2]))
-			time.Sleep(silent / 2) // it is taken in
+			time.Sleep(silent / 2) // until the first half has been read
 			free := w.pauseLoop()
 			before := w.node.loop.Pending()
 			w.must(c.SendRaw(text[len(text)/2:]))
 			w.waitQueued(before + 1)
-			time.Sleep(silent) // its time is up by now
+			time.Sleep(silent) // until the timeout has expired
 			free()
 			w.must(w.recordEvent(0).Answer("y"))
 			if m := w.nextMessage(c); m.Type != "answer" {
@@ -128,7 +128,8 @@
 	return m
 }
 
-// TestAnEndThatHasNotLeftAsItsConnectionEnds guards against the end of a call that is queued on a connection as its caller closes it.
+// TestAnEndThatHasNotLeftAsItsConnectionEnds guards against losing the end of a call that is queued on a connection while its caller closes
+// it.
 func TestAnEndThatHasNotLeftAsItsConnectionEnds(t *testing.T) {
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
@@ -144,7 +145,7 @@
 			before := w.node.loop.Pending()
 			w.must(w.dispatchers[0].Release(id(2), call.CauseNormal))
 			w.waitQueued(before + 1)
-			w.node.loop.Post(func() { // in the same turn, behind the end
+			w.node.loop.Post(func() { // in the same event loop iteration, after the end
 				_ = stood.Close()
 				time.Sleep(400 * time.Millisecond)
 			})
--- a/cmd/cherryrelay/crossings_test.go
+++ b/cmd/cherryrelay/crossings_test.go
@@ -17,9 +17,9 @@
 	"cherryrelay/internal/websocket"
 )
 
-// What ends things crosses what begins them: docs/crossings.md has the table. Here each order is forced.
+// These tests force each order of a message and a cancellation, close or drain that cross each other; docs/crossings.md has the table.
 
-// differingSettings are three customers' settings that have nothing in common but what the rules are made of.
+// differingSettings returns the settings of three customers that share nothing but the kinds of rules.
 func differingSettings(t *testing.T) map[string]*settings.Settings {
 	t.Helper()
 	two, three := testSettings(t), testSettings(t)
@@ -40,12 +40,13 @@
 	three.FamilyInfo.GuardUs, three.Tenants[0].Name = 900_000, "north"
 	all := map[string]*settings.Settings{"one class": testSettings(t), "two classes": two, "three classes": three}
 	for _, s := range all {
-		s.Caps.ConnectTimeoutUs = 5_000_000 // longer than a connection that comes up late takes
+		s.Caps.ConnectTimeoutUs = 5_000_000 // longer than a late connection takes to open
 	}
 	return all
 }
 
-// newFixtureWithSettings is a world of unlike settings; with late, no connection to its first dispatcher comes up before that is opened.
+// newFixtureWithSettings returns a fixture with the given settings. With late, no connection to its first dispatcher opens before Open is
+// called.
 func newFixtureWithSettings(t *testing.T, transport, dispatchers string, late bool, s *settings.Settings) *fixture {
 	t.Helper()
 	var d [2]*peer.Dispatcher
@@ -63,7 +64,7 @@
 	return newFixtureWith(t, "127.0.0.1:0", "127.0.0.1:0", transport, d, callers.Bounds{Silent: longTimeout, Idle: longTimeout}, s)
 }
 
-// newConfiguredCaller is a caller that names the last class and the first tenant of the settings.
+// newConfiguredCaller returns a caller that uses the last class and the first tenant of the settings.
 func (w *fixture) newConfiguredCaller() *peer.Caller {
 	w.Helper()
 	c := w.newCaller()
@@ -75,7 +76,7 @@
 	return c
 }
 
-// updateStatus has the node take in changes of its list, and returns once it has.
+// updateStatus changes the status of a dispatcher in the node's list and waits until the change is applied.
 func (w *fixture) updateStatus(d int, status control.ServerStatus) {
 	w.Helper()
 	s := w.list.Servers[d]
@@ -85,7 +86,7 @@
 	<-taken
 }
 
-// pauseLoop stops the loop and returns what lets it go on.
+// pauseLoop blocks the event loop and returns the function that unblocks it.
 func (w *fixture) pauseLoop() (free func()) {
 	held, freed := make(chan struct{}), make(chan struct{})
 	w.node.loop.Post(func() { close(held); <-freed })
@@ -93,17 +94,18 @@
 	return func() { close(freed) }
 }
 
-// waitQueued waits until so many things lie before the loop.
+// waitQueued waits until the given number of events is queued for the loop.
 func (w *fixture) waitQueued(n int) {
 	w.Helper()
 	for until := time.Now().Add(peer.Patience); w.node.loop.Pending() < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			w.Fatalf("%d things lie before the loop, want %d", w.node.loop.Pending(), n)
+			w.Fatalf("%d events are queued for the loop, want %d", w.node.loop.Pending(), n)
 		}
 	}
 }
 
-// exhaustLines has a dispatcher without a free line, and waits until the node knows: what follows on the same connection has come through.
+// exhaustLines makes all dispatchers report that no line is free, and waits until the node has read the reports: a later message on the
+// same connection has arrived.
 func (w *fixture) exhaustLines(c *peer.Caller, mark int) {
 	w.Helper()
 	w.must(c.SetUp(id(mark+0x10), 20*time.Second, 0, "stands, so that its caller is told ends"))
@@ -114,7 +116,7 @@
 		w.must(d.Report("x0:0;x1:40"))
 		w.must(d.Release(id(mark+i), 16))
 		if m, err := c.Next(); err != nil || m.ID != id(mark+i) {
-			w.Fatalf("%+v, %v: want the end of a call of before", m, err)
+			w.Fatalf("%+v, %v: want the end of a call of the previous process", m, err)
 		}
 	}
 	w.must(c.Release(id(mark+0x10), 31))
@@ -122,7 +124,7 @@
 	w.waitInFlight(0)
 }
 
-// cancellations are those in which a caller leaves a set-up.
+// cancellations are the ways in which a caller cancels a set-up or disconnects.
 var cancellations = map[string]func(w *fixture, c *peer.Caller, n int) error{
 	"release":    func(_ *fixture, c *peer.Caller, n int) error { return c.Release(id(n), call.CauseNormal) },
 	"FIN":        func(_ *fixture, c *peer.Caller, _ int) error { return c.Close() },
@@ -136,7 +138,7 @@
 	},
 }
 
-// waitingStates are the states in which a set-up waits. Each leaves the set-up n waiting; then has what it waits for come.
+// waitingStates are the states in which a set-up waits. hold puts the set-up n into the state; then makes the awaited event happen.
 var waitingStates = map[string]struct {
 	late bool
 	hold func(w *fixture, c *peer.Caller, n int) (then func())
@@ -171,7 +173,7 @@
 	}},
 }
 
-// waitInFlight waits until the node has so many open set-ups.
+// waitInFlight waits until the node has the given number of pending set-ups.
 func (w *fixture) waitInFlight(n int) {
 	w.Helper()
 	for until := time.Now().Add(peer.Patience); ; time.Sleep(time.Millisecond) {
@@ -184,16 +186,16 @@
 			return
 		}
 		if time.Now().After(until) {
-			w.Fatalf("never %d set-ups open", n)
+			w.Fatalf("there are never %d pending set-ups", n)
 		}
 	}
 }
 
-// maxSendDelay is how long after a caller has left a set-up of it may still go out, less what scheduling took meanwhile.
+// maxSendDelay is the longest time after its caller's cancellation in which a set-up may still be sent, without scheduling delays.
 const maxSendDelay = 100 * time.Millisecond
 
-// TestACancelledSetUpIsNotSent: over both fronts, every way of leaving in every state of waiting, with unlike settings. What the set-up
-// waited for comes as its caller has left.
+// TestACancelledSetUpIsNotSent cancels a set-up in every way and in every waiting state, over both fronts and with differing settings. The
+// event that the set-up waits for comes right after the cancellation.
 func TestACancelledSetUpIsNotSent(t *testing.T) {
 	customers := differingSettings(t)
 	for name, wait := range waitingStates {
@@ -214,12 +216,12 @@
 						if wait.late {
 							w.waitConnections(0, 1) // a second later
 						}
-						time.Sleep(time.Duration(s.FamilyInfo.GuardUs)*time.Microsecond + 100*time.Millisecond) // longer than any wait of its own
+						time.Sleep(time.Duration(s.FamilyInfo.GuardUs)*time.Microsecond + 100*time.Millisecond) // longer than any wait of the set-up
 						for last, d := range w.dispatchers {
 							for len(d.Events) > 0 {
 								e := <-d.Events
 								if e.Kind == "setup" && e.ID == id(1) && e.At.Sub(left)-meter.delayBetween(left, e.At) > maxSendDelay {
-									t.Errorf("d%d was sent the set-up %v after its caller had left", last, e.At.Sub(left))
+									t.Errorf("d%d was sent the set-up %v after its caller had cancelled", last, e.At.Sub(left))
 								}
 							}
 						}
@@ -230,8 +232,8 @@
 	}
 }
 
-// TestACancellationRightBehindASetUp: a set-up comes with its caller's end, in one segment or behind more than a connection takes in at once, while
-// the loop is busy. Nothing is sent, and nothing is owed.
+// TestACancellationRightBehindASetUp: a set-up arrives together with its cancellation while the loop is busy, in one segment or behind more
+// bytes than a connection reads at once. Nothing is sent, and no answer is pending.
 func TestACancellationRightBehindASetUp(t *testing.T) {
 	for name, more := range map[string]int{"one segment": 0, "more than is read at once": 600} {
 		for _, transport := range []string{"tcp", "ws"} {
@@ -250,21 +252,21 @@
 				w.must(c.SendRaw(bytes))
 				w.must(c.Close())
 				w.waitQueued(1)
-				time.Sleep(50 * time.Millisecond) // for the end to come as well; later, it is seen as the set-up is about to go out
+				time.Sleep(50 * time.Millisecond) // until the close has arrived, too; if it arrives later, the node sees it before it sends the set-up
 				free()
 				w.waitInFlight(0)
 				other := w.newCaller()
 				w.must(other.SetUp(id(3), longTimeout, 0, "y"))
 				if e := w.recordEvent(0); e.ID != id(3) {
-					t.Errorf("a %s for %s went out: its caller had left before", e.Kind, e.ID)
+					t.Errorf("a %s for %s was sent after its caller had cancelled", e.Kind, e.ID)
 				}
 			})
 		}
 	}
 }
 
-// TestADrainWhileAConnectionComesUp: a set-up waits for the connection to a dispatcher, which is told to be leaving before that comes
-// up. It was sent a second later, beyond any customer's grace; it goes elsewhere at once.
+// TestADrainWhileAConnectionComesUp: a set-up waits for the connection to a dispatcher whose status changes to leaving before the
+// connection opens. The set-up was sent a second later, beyond the grace period of any customer. It must go to another dispatcher at once.
 func TestADrainWhileAConnectionComesUp(t *testing.T) {
 	for customer, s := range differingSettings(t) {
 		for _, status := range []control.ServerStatus{control.Draining, control.Removed} {
@@ -282,7 +284,7 @@
 				if status == control.Draining {
 					w.waitConnections(0, 1)
 				} else {
-					time.Sleep(1200 * time.Millisecond) // when it would come up
+					time.Sleep(1200 * time.Millisecond) // when the connection would have opened
 				}
 				w.must(c.SetUp(id(2), 20*time.Second, 0, "x"))
 				w.must(w.recordEvent(1).Answer("y"))
@@ -299,8 +301,8 @@
 	}
 }
 
-// TestAnEndOnAConnectionThatBreaks: a dispatcher tells the end of a call as the connection breaks, and once more on the next that is
-// opened. There was none: another connection was open, and one was enough.
+// TestAnEndOnAConnectionThatBreaks: a dispatcher sends the end of a call while the connection breaks, and again on the next connection that
+// is opened. No connection was opened, as another one was open and one was enough.
 func TestAnEndOnAConnectionThatBreaks(t *testing.T) {
 	for name, breaks := range map[string]func(e peer.Event) error{
 		"spoilt ahead of it": func(e peer.Event) error {
@@ -320,7 +322,7 @@
 				c := w.newCaller()
 				w.must(c.SetUp(id(1), longTimeout, 0, "x"))
 				e := w.recordEvent(0)
-				w.waitConnections(0, 2) // one without a word for long has another connection opened
+				w.waitConnections(0, 2) // a connection without any message makes the pool open another
 				w.must(e.Answer("y"))
 				w.recordMessage(c)
 				d := w.dispatchers[0]
@@ -337,7 +339,7 @@
 				}
 				w.recordMessage(c)
 				if took := time.Since(broke); took > time.Second {
-					t.Errorf("told after %v", took)
+					t.Errorf("delivered after %v", took)
 				}
 				want := []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 16"}
 				if diff := cmp.Diff(want, w.observed); diff != "" {
@@ -348,12 +350,12 @@
 	}
 }
 
-// TestAnAnswerThatCrossesItsCallersEnd: the caller has gone, and the answer is taken in before that is. The call stood on, with nobody
-// who knew of it, until its dispatcher's line ended it.
+// TestAnAnswerThatCrossesItsCallersEnd: the caller has disconnected, but the answer is processed first. The call stayed established without
+// a caller until its dispatcher ended it.
 func TestAnAnswerThatCrossesItsCallersEnd(t *testing.T) {
 	for way, leave := range cancellations {
 		if way == "release" {
-			continue // it lies behind the answer, and ends the call that stands then
+			continue // the release is queued behind the answer and ends the established call
 		}
 		for _, transport := range []string{"tcp", "ws"} {
 			t.Run(way+", "+transport, func(t *testing.T) {
@@ -370,15 +372,15 @@
 				w.waitQueued(before + 2)
 				free()
 				if o := w.recordEvent(0); o.Kind != "release" || o.ID != id(1) {
-					t.Errorf("got %+v, want the release of a call that nobody has", o)
+					t.Errorf("got %+v, want the release of a call without a caller", o)
 				}
 			})
 		}
 	}
 }
 
-// TestACustomersSettingsForAnothers: the settings of one customer are swapped for those of an unlike one while calls wait, are out and
-// stand. Their classes and tenants are gone, and they come to their end all the same; what comes then keeps to the new ones alone.
+// TestACustomersSettingsForAnothers replaces the settings of one customer by differing ones while calls wait, are being attempted and are
+// established. Their classes and tenants no longer exist, and they still complete. New calls follow the new settings only.
 func TestACustomersSettingsForAnothers(t *testing.T) {
 	customers := differingSettings(t)
 	for from := range customers {
@@ -399,18 +401,18 @@
 					w.must(c.SetUp(id(2), 20*time.Second, 1, "in the guard"))
 					broke := w.recordEvent(1)
 					w.must(broke.Refuse(peer.Broken))
-					w.waitAck(1) // taken in: the guard is that of before
+					w.waitAck(1) // processed: the guard of the old settings applies
 					w.must(c.SetUp(id(3), 20*time.Second, 1, "out"))
 					out := w.recordEvent(1)
 					old := c.Class
 					config := *w.node.config
 					config.Settings = &after
 					w.node.reload(&config, nil)
-					again := w.nextSetUp() // after the guard, under the class that it came with
+					again := w.nextSetUp() // after the guard, under the class of its set-up
 					if again.ID != id(2) || again.Class != old || again.At.Sub(broke.At) < time.Duration(before.FamilyInfo.GuardUs)*time.Microsecond {
 						t.Errorf("%s of class %s after %v: want the call in the guard, of class %s", again.ID, again.Class, again.At.Sub(broke.At), old)
 					}
-					w.must(out.Answer("z")) // before the later one: a connection that is overtaken for long is given up
+					w.must(out.Answer("z")) // before the later one: a connection that is overtaken for long is abandoned
 					w.recordMessage(c)
 					w.must(again.Answer("z"))
 					w.recordMessage(c)
@@ -420,7 +422,7 @@
 					w.recordMessage(c)
 					next := w.newConfiguredCaller()
 					if next.Class == old {
-						t.Fatalf("%s names %q as well: they are not unlike", to, old)
+						t.Fatalf("%s names %q as well: the settings do not differ", to, old)
 					}
 					w.must(next.SetUp(id(5), 20*time.Second, 0, "new"))
 					e := w.nextSetUp()
@@ -443,12 +445,12 @@
 // nextSetUp waits for a set-up at either dispatcher.
 func (w *fixture) nextSetUp() peer.Event { w.Helper(); return nextSetUp(w.T, w.dispatchers) }
 
-// TestASetUpThatArrivesInHalvesAtTheEndOfADrain: a controller that drains has had the beginning of a set-up when it could end. It hears the rest, and
-// answers it.
+// TestASetUpThatArrivesInHalvesAtTheEndOfADrain: a draining controller has received half of a set-up when it could exit. It waits for the
+// rest and answers it.
 func TestASetUpThatArrivesInHalvesAtTheEndOfADrain(t *testing.T) {
 	t.Parallel()
 	for _, transport := range []string{"tcp", "ws"} {
-		for inOrder := false; !inOrder; { // a machine that is too slow for the order tries again
+		for inOrder := false; !inOrder; { // repeat if the machine is too slow to keep the order
 			w := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
 			c := w.newCaller()
 			text, err := jsonl.Append(nil, c.Asks(id(1), 20*time.Second, 0, "x"))
@@ -460,22 +462,22 @@
 			half := time.Now()
 			w.must(c.SendRaw(whole[:len(whole)/2]))
 			begun := time.Since(drained) < 680*time.Millisecond
-			time.Sleep(300 * time.Millisecond) // beyond the time after which it would end
+			time.Sleep(300 * time.Millisecond) // beyond the time after which it would exit
 			err = c.SendRaw(whole[len(whole)/2:])
 			if inOrder = begun && time.Since(half) < 450*time.Millisecond; !inOrder {
 				continue
 			}
 			w.must(err)
 			if m, err := c.Next(); err != nil || m.ID != id(1) || m.Type != "release" || m.Fields["wait"] == "" {
-				t.Errorf("%s: %+v, %v: want a refusal with a time to come back", transport, m, err)
+				t.Errorf("%s: %+v, %v: want a refusal with a retry time", transport, m, err)
 			}
 			w.must(<-w.done)
 		}
 	}
 }
 
-// TestAConnectionAfterItsTimeoutIsNotUsed: a connection would come up after its time-out. The set-up goes elsewhere when that is over, and
-// the late connection brings it nowhere a second time.
+// TestAConnectionAfterItsTimeoutIsNotUsed: a connection opens after its timeout. The set-up goes to another dispatcher at the timeout, and
+// is not sent again on the late connection.
 func TestAConnectionAfterItsTimeoutIsNotUsed(t *testing.T) {
 	t.Parallel()
 	s := testSettings(t)
@@ -492,11 +494,12 @@
 	w.must(w.recordEvent(1).Answer("y"))
 	w.recordMessage(c)
 	if len(w.dispatchers[0].Events) > 0 {
-		t.Errorf("sent where it had waited in vain: %+v", <-w.dispatchers[0].Events)
+		t.Errorf("sent on the connection that timed out: %+v", <-w.dispatchers[0].Events)
 	}
 }
 
-// TestASetUpCancelledDuringAnUpgradeIsNotSent: a set-up is in the guard as a successor begins to serve, and its caller leaves the old process.
+// TestASetUpCancelledDuringAnUpgradeIsNotSent: a set-up is in the guard when a successor starts to serve, and its caller disconnects from
+// the old process.
 func TestASetUpCancelledDuringAnUpgradeIsNotSent(t *testing.T) {
 	for way, leave := range cancellations {
 		t.Run(way, func(t *testing.T) {
@@ -507,9 +510,9 @@
 				next := old.startSuccessor()
 				next.sendList()
 				next.waitReady()
-				old.expectClosed(idle) // it accepts no more
+				old.expectClosed(idle) // it accepts no more callers
 				old.must(first.Refuse(peer.Broken))
-				old.waitAck(0) // it is in the guard now
+				old.waitAck(0) // the set-up is in the guard now
 				old.must(leave(old, c, 1))
 				old.waitInFlight(0)
 				other := next.newCaller()
@@ -523,7 +526,7 @@
 				for i, d := range old.dispatchers {
 					for len(d.Events) > 0 {
 						if e := <-d.Events; e.Kind == "setup" {
-							t.Errorf("d%d was sent %s, whose caller had left", i, e.ID)
+							t.Errorf("d%d was sent %s after its caller had cancelled", i, e.ID)
 						}
 					}
 				}
@@ -532,7 +535,8 @@
 	}
 }
 
-// TestASetUpCancelledAsItsConnectionOpensIsNotSent: the connection that a set-up waits for is up, and behind that lies the end of its caller.
+// TestASetUpCancelledAsItsConnectionOpensIsNotSent: the connection that a set-up waits for is open, and the cancellation is queued behind
+// that event.
 func TestASetUpCancelledAsItsConnectionOpensIsNotSent(t *testing.T) {
 	for way, leave := range cancellations {
 		t.Run(way, func(t *testing.T) {
@@ -546,7 +550,7 @@
 			free := w.pauseLoop()
 			before := w.node.loop.Pending()
 			w.dispatchers[0].Open()
-			w.waitQueued(before + 2) // a second later: the connection, and what its dispatcher says first
+			w.waitQueued(before + 2) // a second later: the connection and the first message of its dispatcher
 			w.waitConnections(0, 1)
 			now := w.node.loop.Pending()
 			w.must(leave(w, c, 1))
@@ -556,14 +560,14 @@
 			other := w.newCaller()
 			w.must(other.SetUp(id(2), longTimeout, 0, "y"))
 			if e := w.recordEvent(0); e.ID != id(2) {
-				t.Errorf("a %s for %s came: its caller had left", e.Kind, e.ID)
+				t.Errorf("a %s for %s was sent after its caller had cancelled", e.Kind, e.ID)
 			}
 		})
 	}
 }
 
-// TestAnEndIsNotATestsResult: an end that no connection is known for goes to one that has been silent for a while. That turns out to be
-// for tests, where nobody minds it: it is told once more, to a caller.
+// TestAnEndIsNotATestsResult: an end without a known connection is sent on a connection that has been idle for a while. That connection
+// turns out to be a health check, which ignores the end. The end must be sent again, to a caller.
 func TestAnEndIsNotATestsResult(t *testing.T) {
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
@@ -572,7 +576,7 @@
 			w.waitConnections(0, 1)
 			tester := w.connect()
 			w.must(w.dispatchers[0].Release(id(0x77), 41))
-			w.recordMessage(tester) // it has said nothing, and nobody else is there
+			w.recordMessage(tester) // it has sent nothing, and no other caller is connected
 			w.must(tester.Send(jsonl.Message{Type: "ping", ID: id(0)}))
 			w.recordMessage(tester)
 			c := w.newCaller()
--- a/cmd/cherryrelay/crowd_test.go
+++ b/cmd/cherryrelay/crowd_test.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	// crowdTimeLeft is what callers say that they wait for their answer, and crowdTimeout what they do: the difference is this machine's, which
-	// plays thousands of callers beside the program.
+	// crowdTimeLeft is the time left that callers state, and crowdTimeout is the time that they wait. The difference allows for the delays
+	// of this machine, which runs thousands of callers beside the program.
 	crowdTimeLeft, crowdTimeout = 2500 * time.Millisecond, 3 * time.Second
-	// crossingPeriod is within what a set-up that crosses the close of its connection is sent once more, by the protocol.
+	// crossingPeriod is the time in which the protocol lets a caller send a set-up again that crossed the close of its connection.
 	crossingPeriod = 50 * time.Millisecond
-	// crowdTries is how often a set-up is sent again that crosses the close of its connection.
+	// crowdTries is the number of retries of a set-up that crosses the close of its connection.
 	crowdTries = 3
 )
 
-// crowdCaller connects, and sends a set-up in its first segment unless it is silent. It tells how its set-up ended: "answer", "refused",
-// or what went wrong. One that crosses the close of its connection is sent again.
+// crowdCaller connects and, unless it is silent, sends a set-up in its first segment. It returns how the set-up ended: "answer", "refused"
+// or an error text. It retries a set-up that crossed the close of its connection.
 func crowdCaller(address netip.AddrPort, number int, silent bool) string {
 	for try := 0; ; try++ {
 		end, err := crowdCall(address, number|try<<20, silent)
@@ -41,11 +41,11 @@
 	}
 }
 
-// errCrossed is the end of a try whose connection was closed before its set-up was written, or within crossingPeriod after it.
-var errCrossed = errors.New("closed as the set-up came")
+// errCrossed is the error of a try whose connection was closed before its set-up was written, or within crossingPeriod after that.
+var errCrossed = errors.New("closed as the set-up arrived")
 
-// crowdCall is one try. Its system calls follow one another at once: where Go's scheduler lies between them, on a busy machine the
-// set-up comes long after the connection.
+// crowdCall is one try. It makes its system calls directly: with Go's scheduler between them, a set-up on a busy machine would come long
+// after the connection.
 func crowdCall(address netip.AddrPort, number int, silent bool) (end string, err error) {
 	text, err := jsonl.Append(nil, (&peer.Caller{Class: "send-setup", Tenant: "acme"}).Asks(id(number), crowdTimeLeft, 0, "x"))
 	if err != nil {
@@ -83,7 +83,7 @@
 	switch took := time.Since(wrote); {
 	case silent:
 		return "silent", nil
-	case err != nil && (took < crossingPeriod || wrote.Sub(begun) > crossingPeriod/5): // then it is not known when the set-up was written
+	case err != nil && (took < crossingPeriod || wrote.Sub(begun) > crossingPeriod/5): // it is unknown when the set-up was written
 		return "", errCrossed
 	case err != nil:
 		return "", fmt.Errorf("closed without an answer: %w", err)
@@ -99,15 +99,15 @@
 	case m.Type == "release" && m.CauseOr(0) == call.CauseCongestion && m.Fields["wait"] != "":
 		return "refused", nil
 	}
-	return fmt.Sprintf("told %s", line), nil
+	return fmt.Sprintf("unexpected message %s", line), nil
 }
 
-// TestACrowdOfCallersIsAnswered guards against callers beyond the bound of connections that are closed without an answer.
+// TestACrowdOfCallersIsAnswered guards against connections beyond the limit that are closed without an answer.
 func TestACrowdOfCallersIsAnswered(t *testing.T) {
 	const sockets = 256
 	for name, crowd := range map[string]struct {
 		callers     int
-		everySilent int // one in so many says nothing; 0 for none
+		everySilent int // one in this many callers sends nothing; 0 for none
 	}{
 		"600 with a set-up each":        {600, 0},
 		"2000 with a set-up each":       {2000, 0},
@@ -130,7 +130,7 @@
 					mu.Unlock()
 				})
 			}
-			newest := startPromptDispatcher(t) // the list is followed meanwhile
+			newest := startPromptDispatcher(t) // the list is still followed
 			s.sendChange(2, listEntry("newest", newest.Address(), "active", 1))
 			s.waitServers(2, time.Second)
 			all.Wait()
@@ -141,7 +141,7 @@
 				}
 			}
 			if ends["answer"] == 0 {
-				t.Error("nobody was served")
+				t.Error("no call was answered")
 			}
 			s.checkDescriptors()
 			if t.Failed() {
--- a/cmd/cherryrelay/descriptors_test.go
+++ b/cmd/cherryrelay/descriptors_test.go
@@ -21,27 +21,27 @@
 	"cherryrelay/internal/peer"
 )
 
-// limitedProcess is the program as a process that may hold few descriptors, by its configuration and by the system's limit.
+// limitedProcess is the program in a process with few descriptors, by its configuration and by the limit of the system.
 type limitedProcess struct {
 	*process
 	sockets  int
-	maxOpen  atomic.Int64  // descriptors that were seen at once
-	events   chan string   // for the coordinator's stream
-	done     chan struct{} // closed when the story ends
+	maxOpen  atomic.Int64  // most descriptors that were open at once
+	events   chan string   // of the coordinator's stream
+	done     chan struct{} // closed when the test ends
 	monitors sync.WaitGroup
 }
 
-// listEntry is one dispatcher of a list.
+// listEntry returns the entry of a dispatcher in a list.
 func listEntry(name, address, status string, group int) map[string]any {
 	return map[string]any{"name": name, "address": address, "status": status, "group": group, "zone": "east", "since_ms": 0}
 }
 
-// listEvent is an event of the list.
+// listEvent returns an event of the list.
 func listEvent(index int, whole bool, entries ...map[string]any) map[string]any {
 	return map[string]any{"index": index, "endpoints": map[string]any{"index": index, "snapshot": whole, "endpoints": entries}}
 }
 
-// startLimited starts the program with the example's settings and a list that is known from the start.
+// startLimited starts the program with the example's settings and an initial list.
 func startLimited(t *testing.T, sockets int, coordinator string, known ...map[string]any) *limitedProcess {
 	t.Helper()
 	if _, err := os.Stat("/proc/self/fd"); err != nil {
@@ -91,7 +91,7 @@
 	}
 }
 
-// repeat runs a step again and again until the story ends.
+// repeat runs a step repeatedly until the test ends.
 func (s *limitedProcess) repeat(pause time.Duration, step func()) {
 	s.monitors.Add(1)
 	go func() {
@@ -107,7 +107,7 @@
 	}()
 }
 
-// monitor counts the process's descriptors and asks at the address for operators, until the story ends.
+// monitor counts the descriptors of the process and polls its management address until the test ends.
 func (s *limitedProcess) monitor(pid int) {
 	s.repeat(time.Millisecond, func() {
 		open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
@@ -124,21 +124,21 @@
 	})
 }
 
-// checkDescriptors judges what was seen of the descriptors.
+// checkDescriptors reports an error if the process used up its descriptors.
 func (s *limitedProcess) checkDescriptors() {
 	s.Helper()
 	s.Logf("%d descriptors of %d", s.maxOpen.Load(), s.sockets)
 	if most := s.maxOpen.Load(); most >= int64(s.sockets) {
-		s.Errorf("%d descriptors of %d: none is left", most, s.sockets)
+		s.Errorf("%d descriptors of %d are open: none is left", most, s.sockets)
 	}
 	for _, text := range []string{"too many open files", "no file descriptor"} {
 		if strings.Contains(s.log.String(), text) {
-			s.Errorf("the log says %q", text)
+			s.Errorf("the log contains %q", text)
 		}
 	}
 }
 
-// startCoordinator serves a stream at the address that tells what comes in s.events.
+// startCoordinator serves a stream at the address with the events of s.events.
 func (s *limitedProcess) startCoordinator(address string) {
 	s.Helper()
 	ln, err := net.Listen("tcp", address)
@@ -163,7 +163,7 @@
 	s.Cleanup(server.CloseClientConnections)
 }
 
-// sendChange has the coordinator tell a change.
+// sendChange sends a change of the list to the process.
 func (s *limitedProcess) sendChange(index int, entries ...map[string]any) {
 	s.Helper()
 	text, err := jsoniter.MarshalToString(listEvent(index, false, entries...))
@@ -171,7 +171,7 @@
 	s.events <- fmt.Sprintf("id: %d\ndata: %s\n\n", index, text)
 }
 
-// waitServers waits until the list has so many dispatchers.
+// waitServers waits until the active list has the given number of dispatchers.
 func (s *limitedProcess) waitServers(servers int, within time.Duration) {
 	s.Helper()
 	since := time.Now()
@@ -181,19 +181,19 @@
 			break
 		}
 		if time.Since(since) > peer.Patience {
-			s.Fatalf("there are %d dispatchers in force, want %d", state.Servers, servers)
+			s.Fatalf("the active list has %d dispatchers, want %d", state.Servers, servers)
 		}
 		time.Sleep(time.Millisecond)
 	}
 	if took := time.Since(since); took > within {
-		s.Errorf("the list came into force after %v, want %v", took, within)
+		s.Errorf("the list became active after %v, want %v", took, within)
 	}
 }
 
 // promptDispatcher is a dispatcher that answers every set-up at once.
 type promptDispatcher struct {
 	*peer.Dispatcher
-	calls sync.Map // the ids of those that it answered
+	calls sync.Map // the IDs of the answered set-ups
 }
 
 func startPromptDispatcher(t *testing.T) *promptDispatcher {
@@ -219,7 +219,7 @@
 	return d
 }
 
-// listenSilently is where connections come up, and nothing is said on them.
+// listenSilently listens at an address where connections open and nothing is sent on them.
 func listenSilently(t *testing.T) (address string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -230,7 +230,7 @@
 	return ln.Addr().String()
 }
 
-// placeCall a call, wants its final answer in its time, and reports whether the call stands.
+// placeCall places a call, requires its final answer in time, and reports whether the call is established.
 func (s *limitedProcess) placeCall(c *peer.Caller, number, first int) (stands bool) {
 	s.Helper()
 	const left = 8 * time.Second
@@ -244,14 +244,15 @@
 			s.Errorf("call %d has no final answer: %v", number, err)
 			return false
 		}
-		if m.ID == id(number) { // else it is the end of another one
+		if m.ID == id(number) { // otherwise it is the end of another call
 			return m.Type == "answer"
 		}
 	}
 }
 
-// TestManyMoreDispatchersThanDescriptors: the list names 300 dispatchers, most of which drain, refuse, or accept and say nothing, to a
-// program that may hold 192 descriptors. Connections to them took every one, and callers were not accepted for seconds.
+// TestManyMoreDispatchersThanDescriptors: the list has 300 dispatchers, most of which drain, refuse connections, or accept them without
+// sending anything. The program may hold 192 descriptors. Connections to dispatchers used up all of them, and callers were not accepted for
+// seconds.
 func TestManyMoreDispatchersThanDescriptors(t *testing.T) {
 	const live, drain, refuse, silent, sockets = 40, 60, 120, 80, 192
 	var known []map[string]any
@@ -276,7 +277,7 @@
 	s := startLimited(t, sockets, coordinator, known...)
 	s.startCoordinator(coordinator)
 
-	// A third of the descriptors is what callers hold by themselves.
+	// A third of the descriptors is reserved for callers.
 	const callers, calls = sockets / 3, 5
 	var all sync.WaitGroup
 	var standing [live]*peer.Caller
@@ -300,17 +301,18 @@
 	}
 	all.Wait()
 	if least := int64(callers * calls * 9 / 10); stand.Load() < least {
-		t.Errorf("of %d calls %d stand, want %d", callers*calls, stand.Load(), least)
+		t.Errorf("of %d calls %d are established, want %d", callers*calls, stand.Load(), least)
 	}
 
 	newest := startPromptDispatcher(t)
 	s.sendChange(2, listEntry("newest", newest.Address(), "active", len(known)), listEntry("d0", dispatchers[0].Address(), "leaving", 0))
 	s.waitServers(len(known)+1, time.Second)
 	if !s.placeCall(standing[0], 1000, len(known)) {
-		t.Error("the call for the newest does not stand")
+		t.Error("the call to the newest dispatcher is not established")
 	}
 
-	// A call stands at each of the live ones, and ends there: that is told on a connection that is open, and on those that open later.
+	// A call is established at each of the live dispatchers, which then end it. They report the end on an open connection, and on those
+	// that open later.
 	dispatchers = append(dispatchers, newest)
 	for i, c := range standing {
 		all.Add(1)
@@ -336,7 +338,7 @@
 		for c != nil {
 			m, err := c.NextWithin(8 * time.Second)
 			if err != nil {
-				t.Fatalf("the end of call %d is not told: %v", 2000+i, err)
+				t.Fatalf("the end of call %d is not delivered: %v", 2000+i, err)
 			}
 			if m.Type == "release" && m.ID == id(2000+i) {
 				break
@@ -344,15 +346,16 @@
 		}
 	}
 	took := time.Since(since)
-	t.Logf("%d of %d calls stood; the last end was told after %v", stand.Load(), callers*calls, took)
+	t.Logf("%d of %d calls were established; the last end was delivered after %v", stand.Load(), callers*calls, took)
 	if took > 8*time.Second {
-		t.Errorf("the last end is told after %v", took)
+		t.Errorf("the last end was delivered after %v", took)
 	}
 	s.checkDescriptors()
 }
 
-// TestIdleClientsWhileDiscoveryIsDown: idle clients take what they can get and come again as they are closed, and no coordinator answers.
-// Most dispatchers on the list say nothing. The others are connected to anew, operators are answered, and as the coordinator returns its list is in force within a second.
+// TestIdleClientsWhileDiscoveryIsDown: idle clients take every connection they can get and reconnect when they are closed, while no
+// coordinator answers and most dispatchers of the list send nothing. The controller still reconnects to the other dispatchers and answers
+// operators. When the coordinator returns, its list becomes active within a second.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	const sockets, clients = 160, 300
 	coordinator := freeAddress(t)
@@ -392,13 +395,13 @@
 	}
 	for until := time.Now().Add(peer.Patience); refused.Load() < clients; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("idle clients are never too many")
+			t.Fatal("the idle clients never exceed the limit")
 		}
 	}
 	for i, d := range dispatchers {
 		d.Cut()
 		if !s.placeCall(c, 10+i, i) {
-			t.Errorf("the call for dispatcher %d does not stand", i)
+			t.Errorf("the call to dispatcher %d is not established", i)
 		}
 	}
 	s.startCoordinator(coordinator)
@@ -406,10 +409,10 @@
 	s.sendChange(2, listEntry("newest", newest.Address(), "active", len(known)))
 	s.waitServers(len(known)+1, time.Second)
 	if !s.placeCall(c, 100, len(known)) {
-		t.Error("the call for the newest does not stand")
+		t.Error("the call to the newest dispatcher is not established")
 	}
 	if most := s.maxOpen.Load(); most < sockets/2 {
-		t.Errorf("%d descriptors of %d: the clients do not fill them", most, sockets)
+		t.Errorf("%d descriptors of %d: the clients do not use them up", most, sockets)
 	}
 	s.checkDescriptors()
 }
--- a/cmd/cherryrelay/end_steps_test.go
+++ b/cmd/cherryrelay/end_steps_test.go
@@ -17,10 +17,10 @@
 	"cherryrelay/internal/peer"
 )
 
-// attribute is one of a log line.
+// attribute matches an attribute of a log line.
 var attribute = regexp.MustCompile(`(\w+)=("[^"]*"|\S+)`)
 
-// endSteps are the logged steps with the message and the attribute, each as the attributes of its line.
+// endSteps returns the attributes of the logged lines with the message and the attribute.
 func (d *logBuffer) endSteps(message, key, value string) []map[string]string {
 	var steps []map[string]string
 	for line := range strings.Lines(d.String()) {
@@ -35,7 +35,7 @@
 	return steps
 }
 
-// TestTheStepsOfAnEndAreLogged guards against ends of calls of which a controller's log does not say how far they came.
+// TestTheStepsOfAnEndAreLogged guards against a log that does not show how far the end of a call got.
 func TestTheStepsOfAnEndAreLogged(t *testing.T) {
 	for _, mix := range transports {
 		t.Run(mix[0]+" to "+mix[1], func(t *testing.T) {
@@ -52,7 +52,7 @@
 			w.waitLogged(log, 1, endlog.CallersMessage, endlog.StepKey, string(endlog.CallersEnded))
 			w.must(attempt.ReleaseHere(id(1), call.CauseNormal))
 			w.waitLogged(log, 1, endlog.CallMessage, endlog.StepKey, string(endlog.EndWaits))
-			silent := w.connect() // it says nothing, so that nobody may have read what is told there
+			silent := w.connect() // it sends nothing, so that the end may be unread
 			w.recordMessage(silent)
 			w.waitLogged(log, 1, endlog.CallMessage, endlog.StepKey, string(endlog.EndWithKernel))
 			w.must(silent.Close())
@@ -78,7 +78,7 @@
 			}
 			queued := connections[endlog.EndQueued]
 			if diff := cmp.Diff(queued, connections[endlog.EndWithKernel]); diff != "" {
-				t.Errorf("connections on which the end was queued, and left (-want +got):\n%s", diff)
+				t.Errorf("connections on which the end was queued and sent (-want +got):\n%s", diff)
 			}
 			if len(queued) != 2 || queued[0] == queued[1] || !slices.Equal(queued[:1], connections[endlog.EndUnread]) {
 				t.Errorf("queued on connections %v, unread on %v", queued, connections[endlog.EndUnread])
@@ -95,7 +95,7 @@
 	}
 }
 
-// containsConnection reports whether one of the connections to dispatchers that were opened is that of a step.
+// containsConnection reports whether the step belongs to one of the opened connections to dispatchers.
 func containsConnection(opened []map[string]string, step map[string]string) bool {
 	for _, o := range opened {
 		if o[endlog.ServerKey] == step[endlog.ServerKey] && o[endlog.ConnectionKey] == step[endlog.ConnectionKey] {
@@ -105,7 +105,7 @@
 	return false
 }
 
-// newLoggedFixtureOver is a world over a pair of transports that logs.
+// newLoggedFixtureOver returns a fixture with a log over a pair of transports.
 func newLoggedFixtureOver(t *testing.T, transports [2]string, log *slog.Logger) *fixture {
 	t.Helper()
 	var d [2]*peer.Dispatcher
@@ -119,7 +119,7 @@
 	return newLoggedFixture(t, "127.0.0.1:0", "127.0.0.1:0", transports[0], d, bounds, testSettings(t), log)
 }
 
-// firstStep is the first step of a call of that name.
+// firstStep returns the first logged step of that name.
 func (w *fixture) firstStep(log *logBuffer, step endlog.Step) map[string]string {
 	w.Helper()
 	steps := log.endSteps(endlog.CallMessage, endlog.StepKey, string(step))
@@ -129,12 +129,12 @@
 	return steps[0]
 }
 
-// waitLogged waits until so many steps are logged.
+// waitLogged waits until the given number of steps is logged.
 func (w *fixture) waitLogged(log *logBuffer, number int, message, key, value string) {
 	w.Helper()
 	for until := time.Now().Add(peer.Patience); len(log.endSteps(message, key, value)) < number; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			w.Fatalf("%q is never logged as often as %d times:\n%s", value, number, log)
+			w.Fatalf("%q is never logged %d times:\n%s", value, number, log)
 		}
 	}
 }
--- a/cmd/cherryrelay/endings_test.go
+++ b/cmd/cherryrelay/endings_test.go
@@ -20,13 +20,14 @@
 	"cherryrelay/internal/peer"
 )
 
-// Ends whose way is blocked, dead or about to close as they are told: docs/crossings.md has the table.
+// These tests send ends of calls on connections that are blocked, unresponsive or about to close; docs/crossings.md has the table.
 
-// endDeliveryTimeout is how long after the end of a call its caller is told where no release could be sent; see the protocol page.
+// endDeliveryTimeout is the longest time to the delivery of an end where the dispatcher could not send a release (see the protocol page).
 const endDeliveryTimeout = 8 * time.Second
 
-// TestEndsOnADeadConnection: one of two connections to a dispatcher is dead, and the dispatcher does not know: it goes on to tell the ends
-// of its calls there, and never closes it. Each is told again on the next connection that is opened; nothing but such an end has one opened.
+// TestEndsOnADeadConnection: one of two connections to a dispatcher is unresponsive, which the dispatcher does not notice. It sends the
+// ends of its calls there and never closes it. Each end is sent again on the next connection that is opened, and only such an end makes the
+// node open one.
 func TestEndsOnADeadConnection(t *testing.T) {
 	for _, mix := range [][2]string{{"tcp", "tcp"}, {"ws", "ws"}} {
 		for name, givenUp := range map[string]bool{"nothing to do there": false, "a set-up was given up there": true} {
@@ -37,14 +38,14 @@
 				c := w.newCaller()
 				w.must(c.SetUp(id(1), longTimeout, 0, "x"))
 				live := w.recordEvent(0)
-				w.waitConnections(0, 2) // one without a word for long has another connection opened
+				w.waitConnections(0, 2) // a connection without any message makes the pool open another
 				w.must(w.dispatchers[0].Release(id(0x66), call.CauseNormal))
-				w.recordMessage(c) // on that: the node has it
+				w.recordMessage(c) // on the second connection: the node has opened it
 				place := func(n int) peer.Event {
 					w.must(c.SetUp(id(n), longTimeout, 0, "x"))
 					e := w.recordEvent(0)
 					if e.Beside(live) {
-						t.Fatalf("the set-up %d came beside the first, which is open still", n)
+						t.Fatalf("the set-up %d was sent on the connection of the first, which is pending", n)
 					}
 					return e
 				}
@@ -57,7 +58,7 @@
 				if givenUp {
 					place(4)
 					w.must(dead.ReleaseHere(id(0x77), call.CauseNormal))
-					w.recordMessage(c) // so that something was heard since it was sent
+					w.recordMessage(c) // so that a message has arrived since the set-up was sent
 				}
 				dead.Deafen()
 				if givenUp {
@@ -69,14 +70,14 @@
 				d.TellLinks()
 				heard := 0
 				for n := 2; n <= 3; n++ {
-					ended := time.Now() // the dispatcher tells it where nothing arrives
+					ended := time.Now() // the dispatcher sends the end on the unresponsive connection
 					for told := false; !told; time.Sleep(50 * time.Millisecond) {
 						select {
 						case e := <-d.Events:
 							if e.Kind == "opened" {
 								w.must(e.ReleaseHere(id(n), call.CauseNormal))
 							}
-						default: // others bring something
+						default: // other calls keep the connections busy
 							heard++
 							w.must(live.ReleaseHere(id(0x1000+heard), call.CauseNormal))
 						}
@@ -89,11 +90,11 @@
 							told, ours = m.ID == id(n), m.ID == id(0x1000+heard)
 						}
 						if time.Since(ended) > peer.Patience {
-							t.Fatalf("the end of call %d is never told", n)
+							t.Fatalf("the end of call %d is never delivered", n)
 						}
 					}
 					if took := time.Since(ended); took > endDeliveryTimeout {
-						t.Errorf("the end of call %d was told after %v", n, took)
+						t.Errorf("the end of call %d was delivered after %v", n, took)
 					}
 				}
 			})
@@ -101,8 +102,8 @@
 	}
 }
 
-// TestAnEndAsTheLastConnectionCloses: the end of a call and the close of the only connection of callers lie before the loop, in both
-// orders. The end is told on the next.
+// TestAnEndAsTheLastConnectionCloses: the end of a call and the close of the only caller's connection are queued for the loop, in both
+// orders. The end must be delivered on the next connection.
 func TestAnEndAsTheLastConnectionCloses(t *testing.T) {
 	for way, leave := range cancellations {
 		if way == "release" {
@@ -147,32 +148,32 @@
 	}
 }
 
-// blockSocket has words for a caller wait in the node: it asks for much and does not read, until the socket takes no more. It returns how many
-// answers are on their way.
+// blockSocket fills the socket of a caller: the caller sends many pings and reads no answer until the node can write no more. It returns
+// the number of unread answers.
 func (w *fixture) blockSocket(c *peer.Caller) (asked int) {
 	w.Helper()
 	for {
-		w.must(c.Send(jsonl.Message{Type: "ping", ID: strings.Repeat("0", 12<<10)})) // its answer has the id
+		w.must(c.Send(jsonl.Message{Type: "ping", ID: strings.Repeat("0", 12<<10)})) // its answer repeats the ID
 		asked++
 		for since := time.Now(); !w.frontsIdle(); time.Sleep(time.Millisecond) {
-			if time.Since(since) > 300*time.Millisecond { // far longer than it takes to read one
+			if time.Since(since) > 300*time.Millisecond { // far longer than reading one takes
 				return asked
 			}
 		}
 		if asked > 10_000 {
-			w.Fatal("the socket takes all there is")
+			w.Fatal("the socket never blocks")
 		}
 	}
 }
 
-// frontsIdle reports whether the fronts have nothing unread, nor unsent.
+// frontsIdle reports whether the fronts have no unread input and no buffered output.
 func (w *fixture) frontsIdle() bool {
 	quiet := make(chan bool)
 	w.node.loop.Post(func() { quiet <- w.node.lines.Idle() && w.node.api.Idle() })
 	return <-quiet
 }
 
-// TestLastAnswersWaitForTheSocket: a controller that drains could end, and a caller has not read its answer yet.
+// TestLastAnswersWaitForTheSocket: a draining controller could exit while a caller has not read its answer.
 func TestLastAnswersWaitForTheSocket(t *testing.T) {
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
@@ -185,16 +186,16 @@
 			w.must(e.Refuse(peer.Busy))
 			w.waitAck(0)
 			w.node.drain()
-			time.Sleep(900 * time.Millisecond) // beyond the time after which it would end
+			time.Sleep(900 * time.Millisecond) // beyond the time after which it would exit
 			select {
 			case <-w.done:
-				t.Error("it has ended with an answer in hand")
+				t.Error("it exited with an undelivered answer")
 			default:
 			}
 			for pongs := 0; ; pongs++ {
 				m, err := c.Next()
 				if err != nil {
-					t.Fatalf("%v after %d of %d answers to tests: want the final answer", err, pongs, asked)
+					t.Fatalf("%v after %d of %d pongs: want the final answer", err, pongs, asked)
 				}
 				if m.Type != "pong" {
 					if m.ID != id(1) || m.Type != "release" {
@@ -208,8 +209,8 @@
 	}
 }
 
-// TestASlowReaderDoesNotAffectOthers: a caller reads nothing, and asks for more than may wait for it. Its connection is closed and its set-up taken
-// back; nobody else is touched.
+// TestASlowReaderDoesNotAffectOthers: a caller reads nothing and sends more pings than answers may be buffered. Its connection is closed
+// and its set-up cancelled, and no other caller is affected.
 func TestASlowReaderDoesNotAffectOthers(t *testing.T) {
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
@@ -236,8 +237,8 @@
 	}
 }
 
-// TestADrainDuringAPauseIsSeenFirst: the guard of a call ends while the process stands still, and both dispatchers are told to be leaving
-// meanwhile, longer ago than the grace. Nothing goes to either as it goes on.
+// TestADrainDuringAPauseIsSeenFirst: while the process is stopped, the guard of a call ends and both dispatchers get the status leaving,
+// longer ago than the grace period. When the process continues, no set-up is sent to either.
 func TestADrainDuringAPauseIsSeenFirst(t *testing.T) {
 	t.Parallel()
 	events := make(chan string)
@@ -301,7 +302,7 @@
 		c, other, e := setUpInGuard(t, p, d, n)
 		p.signal(syscall.SIGSTOP)
 		tells("leaving")
-		time.Sleep(guard + 100*time.Millisecond) // the grace is no longer than the guard
+		time.Sleep(guard + 100*time.Millisecond) // the grace period is no longer than the guard
 		p.signal(syscall.SIGCONT)
 		if err := e.Answer("y"); err != nil {
 			t.Fatal(err)
@@ -315,12 +316,12 @@
 		for i, d := range d {
 			for len(d.Events) > 0 {
 				if e := <-d.Events; e.Kind == "setup" {
-					t.Errorf("round %d: dispatcher %d was sent %s, %v after it was told to be leaving", n, i, e.ID, guard)
+					t.Errorf("round %d: dispatcher %d was sent %s, %v after its status became leaving", n, i, e.ID, guard)
 				}
 			}
 		}
 		tells("active")
-		for again := 1; ; again++ { // until it knows
+		for again := 1; ; again++ { // until the node has applied the change
 			if err := other.SetUp(id(0x1000*n+again), 8*time.Second, 0, "x"); err != nil {
 				t.Fatal(err)
 			}
@@ -343,13 +344,13 @@
 	}
 }
 
-// pendingFinder finds no call, and goes on looking.
+// pendingFinder finds no call and never finishes its lookup.
 type pendingFinder struct{ call.Finder }
 
 func (pendingFinder) Lookup(string, []byte) bool { return true }
 
-// TestALookupIsAnsweredInTime: callers come back for calls that other controllers may have. Each is told by when it gives
-// its call up, the one that says nothing of that only once all have looked.
+// TestALookupIsAnsweredInTime: callers resume calls that other controllers may have. A resume request with a time left is answered by that
+// time, and one without only when the lookup has finished.
 func TestALookupIsAnsweredInTime(t *testing.T) {
 	t.Parallel()
 	w := newFixtureWithSettings(t, "ws", "tcp", false, testSettings(t))
@@ -380,6 +381,6 @@
 	}
 	w.node.loop.Post(func() { w.node.core.CallNotFound(id(3), false) })
 	if m, err := c.Next(); err != nil || m.ID != id(3) || m.Fields["error"] != "unknown" {
-		t.Errorf("%+v, %v: want the answer to the last", m, err)
+		t.Errorf("%+v, %v: want the answer to the last request", m, err)
 	}
 }
--- a/cmd/cherryrelay/failure_report_test.go
+++ b/cmd/cherryrelay/failure_report_test.go
@@ -9,25 +9,26 @@
 )
 
 const (
-	// maxViolationsShown is how many faults of a play are shown.
+	// maxViolationsShown limits the violations of a run that are shown.
 	maxViolationsShown = 12
-	// maxLogShown bounds the bytes of the log of a process that are shown: its end, and logBeginningShown of its beginning.
+	// maxLogShown limits the bytes of a process's log that are shown; logBeginningShown of them are from its beginning, the others from its
+	// end.
 	maxLogShown, logBeginningShown = 16 << 10, 4 << 10
-	// maxCallLinesShown bounds the lines of the log that name calls of the faults.
+	// maxCallLinesShown limits the log lines that name the calls of the violations.
 	maxCallLinesShown = 40
 )
 
-// callID is an id as faults and logs have it.
+// callID matches a call ID in violations and logs.
 var callID = regexp.MustCompile(`\b[0-9a-f]{16}\b`)
 
-// failureReport tells the faults of a play and how it is played again, and after them what the log of its process has.
+// failureReport returns the violations of a run, the command that repeats it, and the log of its process, in this order.
 func failureReport(again string, faults []string, log string) string {
 	shown := strings.Join(faults[:min(len(faults), maxViolationsShown)], "\n")
-	return fmt.Sprintf("%d faults; %s\n%s\nof these calls the log has:\n%sthe log of the process:\n%s", len(faults), again,
+	return fmt.Sprintf("%d violations; %s\n%s\nof these calls the log has:\n%sthe log of the process:\n%s", len(faults), again,
 		shown, linesOfCalls(log, callID.FindAllString(shown, -1)), shortenLog(log))
 }
 
-// linesOfCalls are the first lines of a log that name one of the calls.
+// linesOfCalls returns the first lines of a log that name one of the calls.
 func linesOfCalls(log string, ids []string) string {
 	var lines strings.Builder
 	left := maxCallLinesShown
@@ -40,7 +41,7 @@
 	return lines.String()
 }
 
-// shortenLog takes whole lines out of the middle of a log that is longer than maxLogShown.
+// shortenLog removes whole lines from the middle of a log that is longer than maxLogShown.
 func shortenLog(log string) string {
 	if len(log) <= maxLogShown {
 		return log
@@ -50,33 +51,33 @@
 	end := log[len(log)-(maxLogShown-logBeginningShown):]
 	_, end, _ = strings.Cut(end, "\n")
 	leftOut := len(log) - len(beginning) - len(end)
-	return fmt.Sprintf("%s... %d bytes are left out ...\n%s", beginning, leftOut, end)
+	return fmt.Sprintf("%s... %d bytes omitted ...\n%s", beginning, leftOut, end)
 }
 
-// TestAFailureReportStartsWithTheViolations guards against a failed play of which nobody can say what failed: its faults were printed behind a log of any
-// length, and the output was cut off before them.
+// TestAFailureReportStartsWithTheViolations guards against violations that are printed behind a log of any length and are lost when the
+// output is truncated.
 func TestAFailureReportStartsWithTheViolations(t *testing.T) {
 	t.Parallel()
 	const firstFault, firstLine, lastLine = "0000000000000001: no answer", "the first line\n", "the last line\n"
 	const lineOfCall = "call without an answer at its deadline id=0000000000000001\n"
 	noise := strings.Repeat("limit of connections reached\n", 1<<16)
 	report := failureReport("again with this", []string{firstFault, "another"}, firstLine+noise+lineOfCall+noise+lastLine)
-	const headMost = 256 // bytes, ahead of the log
+	const headMost = 256 // bytes before the log
 	if at := strings.Index(report, firstFault); at < 0 || at > headMost || at > strings.Index(report, firstLine) {
-		t.Errorf("the first fault is at %d: %.300q", at, report)
+		t.Errorf("the first violation is at %d: %.300q", at, report)
 	}
 	if most := maxLogShown + 2*headMost; len(report) > most {
-		t.Errorf("it has %d bytes, %d allowed", len(report), most)
+		t.Errorf("the report has %d bytes, at most %d are allowed", len(report), most)
 	}
 	for _, part := range []string{"again with this", lineOfCall, firstLine} {
 		if !strings.Contains(report, part) {
-			t.Errorf("%q is not in it: %.300q", part, report)
+			t.Errorf("%q is not in the report: %.300q", part, report)
 		}
 	}
 	if !strings.HasSuffix(report, lastLine) {
-		t.Errorf("it does not end as the log does: %.300q", report)
+		t.Errorf("the report does not end like the log: %.300q", report)
 	}
 	if short := failureReport("", []string{firstFault}, firstLine); !strings.HasSuffix(short, firstLine) {
-		t.Errorf("a short log is not shown as it is: %q", short)
+		t.Errorf("a short log is not shown unchanged: %q", short)
 	}
 }
--- a/cmd/cherryrelay/fleet_load_test.go
+++ b/cmd/cherryrelay/fleet_load_test.go
@@ -20,9 +20,9 @@
 	"cherryrelay/internal/peer"
 )
 
-// Terms that only many processes can show: a cold dispatcher under the sum of what all send, and starts at once.
+// These tests need many processes: the combined load on a cold dispatcher, and many simultaneous starts.
 
-// platformFile is the configuration of a process on the platform, without its name and addresses.
+// platformFile returns the configuration of a process on the platform, without its name and addresses.
 func platformFile(t *testing.T, peers int, coldFor time.Duration, coordinator string, known []map[string]any) []byte {
 	t.Helper()
 	whole, err := os.ReadFile("../../example/config.json")
@@ -46,7 +46,7 @@
 	return text
 }
 
-// endpoint is a dispatcher in a list; a since of zero is a late start of none.
+// endpoint returns the entry of a dispatcher in a list. A zero since means that the dispatcher has not started lately.
 func endpoint(name string, group int, address string, since time.Time) map[string]any {
 	ms := int64(0)
 	if !since.IsZero() {
@@ -55,10 +55,10 @@
 	return map[string]any{"name": name, "address": address, "zone": "z", "group": group, "status": "active", "since_ms": ms}
 }
 
-// platformConfig is the name of the configuration in a process's directory.
+// platformConfig is the name of the configuration file in the directory of a process.
 const platformConfig = "config.json"
 
-// newPlatformProcess prepares a process of the program with a platform's configuration.
+// newPlatformProcess prepares a process of the program with a platform configuration.
 func newPlatformProcess(t *testing.T, text []byte) *process {
 	t.Helper()
 	p := &process{T: t, directory: t.TempDir(), lines: freeAddress(t), management: freeAddress(t)}
@@ -73,18 +73,19 @@
 	return p
 }
 
-// launchOnPlatform starts the process and does not wait until it is ready.
+// launchOnPlatform starts the process without waiting until it is ready.
 func (p *process) launchOnPlatform() {
 	p.Helper()
 	p.launchWith(p.platformEnvironment()...)
 }
 
-// platformEnvironment has the program use the platform's configuration and the process's addresses.
+// platformEnvironment returns the environment with the platform configuration and the addresses of the process.
 func (p *process) platformEnvironment() []string {
 	return []string{"LB_OPERATOR=", "LB_CONFIG=" + filepath.Join(p.directory, platformConfig), "LB_LISTEN=" + p.lines, "LB_MANAGEMENT=" + p.management}
 }
 
-// TestThirtyStartAtOnce: thirty processes are killed and start again at once, while the coordinator is down and every core is busy. Nine in ten are ready within ten seconds.
+// TestThirtyStartAtOnce: thirty processes are killed and start again at once, while the coordinator is down and every core is busy. Nine in
+// ten are ready within ten seconds.
 func TestThirtyStartAtOnce(t *testing.T) {
 	const processes, within = 30, 10 * time.Second
 	var known []map[string]any
@@ -96,20 +97,20 @@
 		t.Cleanup(d.Die)
 		known = append(known, endpoint(fmt.Sprint("d", i), i, d.Address(), time.Time{}))
 	}
-	text := platformFile(t, processes, 15*time.Second, freeAddress(t), known) // nobody listens there
+	text := platformFile(t, processes, 15*time.Second, freeAddress(t), known) // no coordinator listens there
 	var controllers []*process
 	for range processes {
 		controllers = append(controllers, newPlatformProcess(t, text))
 	}
 	busy := make(chan struct{})
 	defer close(busy)
-	for range runtime.GOMAXPROCS(0) { // other work for every core
+	for range runtime.GOMAXPROCS(0) { // load on every core
 		go func() {
 			for spin := true; spin; {
 				select {
 				case <-busy:
 					spin = false
-				default: // go on working
+				default: // keep working
 				}
 			}
 		}()
@@ -145,7 +146,7 @@
 	}
 }
 
-// changeCoordinator is a coordinator that tells all who ask one event once it is announced.
+// changeCoordinator is a coordinator that sends one event to all clients once it is announced.
 type changeCoordinator struct {
 	address string
 	event   chan struct{}
@@ -176,7 +177,7 @@
 	return a
 }
 
-// announce tells all who ask, and will ask, of changes.
+// announce sends changes to all connected and future clients.
 func (a *changeCoordinator) announce(t *testing.T, changes ...map[string]any) {
 	t.Helper()
 	event, err := json.Marshal(map[string]any{"index": 2, "endpoints": map[string]any{"index": 2, "snapshot": false, "endpoints": changes}})
@@ -187,7 +188,7 @@
 	close(a.event)
 }
 
-// recordingDispatcher is a dispatcher that has every call stand and end at once, and keeps when each came.
+// recordingDispatcher is a dispatcher that establishes and soon ends every call, and records the time of each set-up.
 type recordingDispatcher struct {
 	*peer.Dispatcher
 	mu    sync.Mutex
@@ -203,7 +204,7 @@
 	t.Cleanup(d.Die)
 	c := &recordingDispatcher{Dispatcher: d}
 	go func() {
-		for range d.Acks { // nobody waits for them
+		for range d.Acks { // discarded
 		}
 	}()
 	go func() {
@@ -221,12 +222,13 @@
 	return c
 }
 
-// TestAColdDispatcherUnderTheSumOfAll: 24 processes with even load are told of two cold dispatchers beside two warm ones, and all their
-// calls would rather go to these. In no second do they all together send one more than the settings allow it then, and what is put down to chance.
+// TestAColdDispatcherUnderTheSumOfAll: 24 processes with equal load get two cold dispatchers beside two warm ones, and all their calls have
+// a cold one as first choice. In no second may all processes together send more to a cold dispatcher than the settings allow at that time,
+// plus a statistical margin.
 func TestAColdDispatcherUnderTheSumOfAll(t *testing.T) {
 	const (
 		processes   = 24
-		perProcess  = 8.0 // set-ups a second
+		perProcess  = 8.0 // set-ups per second
 		coldFor     = 6 * time.Second
 		startShare  = 0.28 // as in the file
 		tipMultiple = 2.0
@@ -252,7 +254,7 @@
 	for _, p := range all {
 		p.waitReady()
 	}
-	var first atomic.Int32 // the dispatchers of first choice are this one and the next
+	var first atomic.Int32 // the first choices are this dispatcher and the next
 	stop := make(chan struct{})
 	var load sync.WaitGroup
 	defer load.Wait()
@@ -284,7 +286,7 @@
 			}
 		})
 	}
-	time.Sleep(5 * time.Second) // for each to know its rate
+	time.Sleep(5 * time.Second) // until each process knows its rate
 	since := time.Now()
 	for i := 2; i < 4; i++ {
 		late = append(late, endpoint(fmt.Sprint("d", i), i, dispatchers[i].Address(), since))
@@ -292,7 +294,7 @@
 	discovery.announce(t, late...)
 	first.Store(2)
 	time.Sleep(coldFor)
-	warm := processes * perProcess / 4 // its even part, a second
+	warm := processes * perProcess / 4 // the even share of a dispatcher, per second
 	for i, d := range dispatchers[2:] {
 		d.mu.Lock()
 		times := slices.Clone(d.times)
@@ -316,7 +318,7 @@
 			t.Errorf("cold dispatcher %d was sent %d in a window, %.2f times its budget", i, most, worst)
 		}
 		if len(times) < 10 {
-			t.Errorf("cold dispatcher %d was sent %d set-ups: it is left idle", i, len(times))
+			t.Errorf("cold dispatcher %d was sent %d set-ups: it is nearly idle", i, len(times))
 		}
 	}
 }
--- a/cmd/cherryrelay/fleet_test.go
+++ b/cmd/cherryrelay/fleet_test.go
@@ -20,15 +20,15 @@
 	"cherryrelay/internal/trial"
 )
 
-// fleetLease is the lease of the stories: the shortest that there may be.
+// fleetLease is the lease of the tests: the shortest that is allowed.
 const fleetLease = time.Second
 
-// fleetFixture is a ground with a judge of what its processes believe.
+// fleetFixture is a set of controllers with a store and a checker of their fleet views.
 type fleetFixture struct {
 	*testing.T
 	*trial.Ground
 	checker         trial.Beliefs
-	expectViolation bool // faults are wanted
+	expectViolation bool // violations are expected
 }
 
 func newFleetFixture(t *testing.T, controllers int) *fleetFixture {
@@ -57,7 +57,7 @@
 		s.must(g.Close())
 		faults, samples := s.checker.Faults()
 		if s.expectViolation != (len(faults) > 0) || samples < 10 {
-			t.Errorf("%d faults in %d samples: %s", len(faults), samples, strings.Join(faults, "\n"))
+			t.Errorf("%d violations in %d samples: %s", len(faults), samples, strings.Join(faults, "\n"))
 		}
 		if t.Failed() {
 			for _, c := range g.Controllers {
@@ -76,15 +76,15 @@
 	}
 }
 
-// waitUntil waits for what must come, for as long as a busy machine may take.
+// waitUntil waits until a condition holds, for as long as a busy machine may take.
 func (s *fleetFixture) waitUntil(what string, holds func() bool) {
 	s.Helper()
 	if !trial.Until(peer.Patience, holds) {
-		s.Fatalf("it never came that %s", what)
+		s.Fatalf("never happened: %s", what)
 	}
 }
 
-// waitAllServing waits until these controllers serve, are certain, and each sees just these as serving.
+// waitAllServing waits until these controllers hold their leases and each lists exactly these as serving.
 func (s *fleetFixture) waitAllServing(those ...*trial.Controller) {
 	s.Helper()
 	for _, c := range those {
@@ -102,26 +102,26 @@
 	}
 }
 
-// listedAsGone reports whether a controller has told that a life is over.
+// listedAsGone reports whether a controller lists an incarnation as ended.
 func listedAsGone(s membership.Shown, name string, incarnation int64) bool {
 	return slices.ContainsFunc(s.Gone, func(m membership.ShownMember) bool { return m.Name == name && m.Incarnation == incarnation })
 }
 
-// waitGone waits until all others have told the end of a life.
+// waitGone waits until all other controllers list an incarnation as ended.
 func (s *fleetFixture) waitGone(c *trial.Controller, incarnation int64) {
 	s.Helper()
 	for _, o := range s.Controllers {
 		if o != c {
-			s.waitUntil(o.Name+" is told of the end of "+c.Name, func() bool { return listedAsGone(o.Fleet(), c.Name, incarnation) })
+			s.waitUntil(o.Name+" knows of the end of "+c.Name, func() bool { return listedAsGone(o.Fleet(), c.Name, incarnation) })
 		}
 	}
 }
 
-// waitNewIncarnation waits until a controller is certain as another incarnation than before, and a later one.
+// waitNewIncarnation waits until a controller holds its lease as another and later incarnation.
 func (s *fleetFixture) waitNewIncarnation(c *trial.Controller, before int64) {
 	s.Helper()
 	var now membership.Shown
-	s.waitUntil(c.Name+" is certain anew", func() bool { now = c.Fleet(); return now.Certain && now.Incarnation != before })
+	s.waitUntil(c.Name+" holds its lease again", func() bool { now = c.Fleet(); return now.Certain && now.Incarnation != before })
 	if now.Incarnation < before {
 		s.Errorf("%s has incarnation %d after %d", c.Name, now.Incarnation, before)
 	}
@@ -131,7 +131,7 @@
 	s := newFleetFixture(t, 3)
 	n1 := s.Controllers[0]
 	first := n1.Fleet().Incarnation
-	for _, page := range []string{"show", "history"} { // what operators ask for
+	for _, page := range []string{"show", "history"} { // the pages for operators
 		var out, faults bytes.Buffer
 		status := commands.Run([]string{"fleet", page, "--management", n1.Management()}, os.Getenv, &out, &faults, nil)
 		if text := out.String(); status != commands.Yes || !strings.Contains(text, "n1") || !strings.Contains(text, "n3") || !strings.Contains(text, "serving") {
@@ -140,15 +140,15 @@
 	}
 	killed := time.Now()
 	s.must(n1.Kill())
-	s.must(n1.Start()) // within the lease: the name is still that of the one before
+	s.must(n1.Start()) // within the lease: the name still belongs to the killed process
 	s.waitGone(n1, first)
 	if took := time.Since(killed); took < fleetLease/2 {
-		t.Errorf("the end of a killed process was told after %v, before its lease can have ended", took)
+		t.Errorf("the end of a killed process was reported after %v, before its lease can have expired", took)
 	}
 	s.waitNewIncarnation(n1, first)
 	s.waitAllServing(s.Controllers...)
 	if !strings.Contains(n1.Log(), "the name is in use") {
-		t.Error("the successor did not say that its name was in use")
+		t.Error("the successor did not log that its name was in use")
 	}
 	second := n1.Fleet().Incarnation
 	s.must(n1.Kill())
@@ -157,10 +157,10 @@
 	s.waitNewIncarnation(n1, second)
 	third := n1.Fleet().Incarnation
 	left := time.Now()
-	s.must(n1.Stop()) // planned: the others are told at once
+	s.must(n1.Stop()) // planned: the others are notified at once
 	s.waitGone(n1, third)
-	t.Logf("a planned end was told after %v", time.Since(left))
-	for _, c := range s.Controllers { // all at once
+	t.Logf("a planned end was reported after %v", time.Since(left))
+	for _, c := range s.Controllers { // all at the same time
 		s.must(c.Kill())
 	}
 	for _, c := range s.Controllers {
@@ -177,7 +177,7 @@
 	s.waitGone(n1, before)
 	n1.Resume()
 	if now := n1.Fleet(); now.Certain && now.Incarnation == before {
-		t.Errorf("a process that was paused past its lease is certain of incarnation %d still", before)
+		t.Errorf("a process that was paused past its lease still holds its lease as incarnation %d", before)
 	}
 	s.waitNewIncarnation(n1, before)
 	s.waitAllServing(s.Controllers...)
@@ -188,10 +188,10 @@
 	n1 := s.Controllers[0]
 	before := n1.Fleet().Incarnation
 	s.Net.Part([]string{n1.Name}, []string{trial.StoreName})
-	s.waitUntil("n1 is not certain", func() bool { return !n1.Fleet().Certain })
+	s.waitUntil("n1 does not hold its lease", func() bool { return !n1.Fleet().Certain })
 	s.waitGone(n1, before)
 	if f := n1.Fleet(); len(f.Gone) > 0 || len(f.Members) != 3 {
-		t.Errorf("cut off, n1 holds %v to be gone", f.Gone)
+		t.Errorf("while it is cut off, n1 lists %v as gone", f.Gone)
 	}
 	if status, err := n1.Ask("/api/ready", nil); status != 200 {
 		t.Errorf("cut off from the store, n1 does not serve: %d, %v", status, err)
@@ -202,29 +202,29 @@
 	s.waitAllServing(s.Controllers...)
 }
 
-// TestFleetWithoutStoreAnswers: renewals arrive and answers do not, so the store keeps the key while its owner cannot know.
+// TestFleetWithoutStoreAnswers: the store receives renewals but its answers are lost, so it keeps a key while the owner cannot know.
 func TestFleetWithoutStoreAnswers(t *testing.T) {
 	s := newFleetFixture(t, 3)
 	n1, n2 := s.Controllers[0], s.Controllers[1]
 	before := n1.Fleet().Incarnation
 	s.Store.Fault(store.Faults{Late: 2 * fleetLease})
 	for _, c := range s.Controllers {
-		s.waitUntil(c.Name+" is not certain", func() bool { return !c.Fleet().Certain })
+		s.waitUntil(c.Name+" does not hold its lease", func() bool { return !c.Fleet().Certain })
 	}
 	s.Store.Fault(store.Faults{})
 	s.waitAllServing(s.Controllers...)
 	s.Net.Set("n1>store", fault.Rule{Back: fault.Way{Hole: true}})
-	s.waitUntil("n1 is not certain", func() bool { return !n1.Fleet().Certain })
+	s.waitUntil("n1 does not hold its lease", func() bool { return !n1.Fleet().Certain })
 	s.Net.Heal()
 	s.waitAllServing(s.Controllers...)
 	for _, at := range []*trial.Controller{n1, n2} {
 		if now := at.Fleet(); listedAsGone(now, n1.Name, before) && n1.Fleet().Incarnation == before {
-			t.Errorf("%s holds an incarnation to have ended that lives", at.Name)
+			t.Errorf("%s lists a running incarnation as ended", at.Name)
 		}
 	}
 }
 
-// TestFleetWithoutItsStore: a lost store is not a dead fleet.
+// TestFleetWithoutItsStore: without its store the fleet goes on serving, and no member is considered gone.
 func TestFleetWithoutItsStore(t *testing.T) {
 	s := newFleetFixture(t, 3)
 	before := map[string]int64{}
@@ -234,7 +234,7 @@
 	backup := s.Store.Backup()
 	s.StopStore()
 	for _, c := range s.Controllers {
-		s.waitUntil("nothing is certain", func() bool { return !c.Fleet().Certain && !c.Fleet().Actable })
+		s.waitUntil("no controller holds its lease", func() bool { return !c.Fleet().Certain && !c.Fleet().Actable })
 		if status, _ := c.Ask("/api/ready", nil); status != 200 {
 			t.Errorf("%s does not serve without the store", c.Name)
 		}
@@ -243,12 +243,12 @@
 	s.waitAllServing(s.Controllers...)
 	for _, c := range s.Controllers {
 		if f := c.Fleet(); len(f.Gone) > 0 || f.Incarnation != before[c.Name] {
-			t.Errorf("%s: after a store that was away, %v are gone, and incarnation %d is %d", c.Name, f.Gone, before[c.Name], f.Incarnation)
+			t.Errorf("%s: after the store returned, %v are gone, and incarnation %d is %d", c.Name, f.Gone, before[c.Name], f.Incarnation)
 		}
 	}
-	// Back from a backup, and then another one that is empty: nobody has ended by what is missing there.
+	// The store is restored from a backup, and then replaced by an empty one. A missing key does not mean that its owner has ended.
 	s.Store.Put("/other", "1")
-	s.waitUntil("all have seen the later revision", func() bool { return s.Controllers[0].Fleet().Actable })
+	s.waitUntil("n1 has seen the later revision", func() bool { return s.Controllers[0].Fleet().Actable })
 	for i, to := range []any{backup, nil} {
 		s.StopStore()
 		s.Store.Restore(to, uint64(100+i))
@@ -256,23 +256,23 @@
 		s.waitAllServing(s.Controllers...)
 		for _, c := range s.Controllers {
 			if f := c.Fleet(); len(f.Gone) > 0 {
-				t.Errorf("%s: with a store that was put back, %v are held to be gone", c.Name, f.Gone)
+				t.Errorf("%s: with a restored store, %v are listed as gone", c.Name, f.Gone)
 			}
 		}
 	}
 }
 
-// TestFleetNameIsTakenOnce: a second process under a name in use waits, serves, and has it once the first has ended.
+// TestFleetNameIsTakenOnce: a second process with a name in use serves without the name, and gets it after the first has ended.
 func TestFleetNameIsTakenOnce(t *testing.T) {
 	s := newFleetFixture(t, 2)
 	n1, n2 := s.Controllers[0], s.Controllers[1]
 	before := n1.Fleet().Incarnation
 	s.must(n2.Kill())
 	s.must(n2.Start("LB_NAME=n1"))
-	s.waitUntil("the second is kept out", func() bool { return strings.HasPrefix(n2.Fleet().Holder, "incarnation") })
-	time.Sleep(3 * fleetLease / 2) // it goes on being kept out
+	s.waitUntil("the second does not get the name", func() bool { return strings.HasPrefix(n2.Fleet().Holder, "incarnation") })
+	time.Sleep(3 * fleetLease / 2) // still without the name
 	if f := n2.Fleet(); f.Certain || f.Incarnation != 0 {
-		t.Errorf("the second process has the name as %d, certain %v", f.Incarnation, f.Certain)
+		t.Errorf("the second process has the name as %d, holds its lease %v", f.Incarnation, f.Certain)
 	}
 	if f := n1.Fleet(); !f.Certain || f.Incarnation != before {
 		t.Errorf("the first process lost its name")
@@ -281,7 +281,8 @@
 	s.waitUntil("the second has the name", func() bool { f := n2.Fleet(); return f.Certain && f.Incarnation > before })
 }
 
-// TestFleetWatchFromBeforeACompaction: what changes while a process is cut off and the store is compacted, and a hundred changes at once.
+// TestFleetWatchFromBeforeACompaction: the fleet changes while a controller is cut off and the store is compacted, and then a hundred
+// changes come at once.
 func TestFleetWatchFromBeforeACompaction(t *testing.T) {
 	s := newFleetFixture(t, 3)
 	n1, n2, n3 := s.Controllers[0], s.Controllers[1], s.Controllers[2]
@@ -314,8 +315,9 @@
 	s.waitAllServing(s.Controllers...)
 }
 
-// TestFleetViolationsAreDetected: a store that ends a lease early leaves its owner certain for a moment after others were told of its end.
-// That is where the argument ends (docs/fleet-members.md), and it is the offence that shows that the judge looks.
+// TestFleetViolationsAreDetected: a store that ends a lease early makes its owner believe for a moment that it holds the lease after others
+// were notified of its end. The guarantee does not cover this case (docs/fleet-members.md), so it shows that the checker detects
+// violations.
 func TestFleetViolationsAreDetected(t *testing.T) {
 	s := newFleetFixture(t, 3)
 	s.expectViolation = true
@@ -328,9 +330,9 @@
 	}
 }
 
-// TestCallsDuringFleetFaults has callers at each of three controllers, each of which keeps its calls, while processes are killed, paused
-// and cut off and the store stalls. Callers come back to where they were, and see every call to its one answer. The end of a call whose
-// controller was killed may be told to another one, which does not hold it: that is still to come, with takeover.
+// TestCallsDuringFleetFaults: callers use three controllers with ledgers while processes are killed, paused and cut off and the store
+// stalls. Callers reconnect to the same controller, and each call gets exactly one answer. The end of a call whose controller was killed
+// may be sent to another controller that does not have the call; delivering it needs takeover.
 func TestCallsDuringFleetFaults(t *testing.T) {
 	t.Parallel()
 	j := newChecker()
@@ -376,10 +378,10 @@
 		t.Errorf("only %d calls were answered", finals["answer"])
 	}
 	s.waitAllServing(s.Controllers...)
-	t.Logf("%d set-ups at dispatchers; callers had %v; the ends of %d were told to a controller that did not hold them", setUps, finals, len(untold))
+	t.Logf("%d set-ups at dispatchers; callers had %v; the ends of %d were sent to a controller that did not have them", setUps, finals, len(untold))
 }
 
-// TestDrawnTrials plays what a few seeds draw: any fault, at any time, on three controllers with calls. make soak plays more of them.
+// TestDrawnTrials runs a few seeds, which draw any fault at any time on three controllers with calls. make soak runs more of them.
 func TestDrawnTrials(t *testing.T) { drawnTrials(t, 3, 3, 6*time.Second) }
 
 func drawnTrials(t *testing.T, seeds uint64, controllers int, lasting time.Duration) {
@@ -396,13 +398,14 @@
 				t.Errorf("unanswered %d, together %v: %s\nafter %s", r.Unanswered, r.Together,
 					strings.Join(append(r.Faults, r.Beliefs...), "\n"), strings.Join(r.Plan, "\n"))
 			case r.Finals["answer"] < 10 || r.Samples < 100 || len(r.Plan) < 5:
-				t.Errorf("%v answers, %d samples, %d deeds: nothing was tried", r.Finals["answer"], r.Samples, len(r.Plan))
+				t.Errorf("%v answers, %d samples, %d steps: too few", r.Finals["answer"], r.Samples, len(r.Plan))
 			}
 		})
 	}
 }
 
-// TestFleetThroughAnUpgrade: the old process leaves once its successor serves, and stays if that dies; the name is one process's at a time.
+// TestFleetThroughAnUpgrade: the old process leaves the fleet when its successor serves, and rejoins if the successor dies. The name
+// belongs to one process at a time.
 func TestFleetThroughAnUpgrade(t *testing.T) {
 	s := newFleetFixture(t, 2)
 	n1, n2 := s.Controllers[0], s.Controllers[1]
--- a/cmd/cherryrelay/idle_faults_test.go
+++ b/cmd/cherryrelay/idle_faults_test.go
@@ -8,11 +8,11 @@
 	"cherryrelay/internal/peer"
 )
 
-// idleTime is longer than a connection to a dispatcher may be silent before it is doubted.
+// idleTime is longer than a connection to a dispatcher may be idle before it becomes suspect.
 const idleTime = 3 * time.Second
 
-// TestFaultsAfterAnIdleTime: nothing was said for long, and then a dispatcher's connections are reset, dead, or gone with it in the moment in
-// which calls come again. Each call has one final answer in its time, and those that another dispatcher can take stand.
+// TestFaultsAfterAnIdleTime: after a long idle time a dispatcher's connections are reset or unresponsive, or the dispatcher has died, at
+// the moment when calls come again. Each call gets one final answer in time, and calls that another dispatcher can accept are established.
 func TestFaultsAfterAnIdleTime(t *testing.T) {
 	const calls, left = 8, 8 * time.Second
 	for name, trouble := range map[string]func(d *peer.Dispatcher, e peer.Event){
@@ -67,9 +67,9 @@
 					stand++
 				}
 			}
-			t.Logf("%d of %d stand, after %v", stand, calls, time.Since(begun))
+			t.Logf("%d of %d are established after %v", stand, calls, time.Since(begun))
 			if stand < calls/2 || time.Since(begun) > left+time.Second {
-				t.Errorf("%d of %d stand after %v", stand, calls, time.Since(begun))
+				t.Errorf("%d of %d are established after %v", stand, calls, time.Since(begun))
 			}
 		})
 	}
--- a/cmd/cherryrelay/kill_test.go
+++ b/cmd/cherryrelay/kill_test.go
@@ -21,7 +21,7 @@
 	"cherryrelay/internal/trial"
 )
 
-// operatorConfig is a controller of its own: with a ledger, both fronts, and a pool file.
+// operatorConfig is the configuration of one controller with a ledger, both fronts, and a pool file.
 var operatorConfig = `[controller]
 name = n1
 listen = %s
@@ -37,21 +37,21 @@
 %s
 ` + fmt.Sprintf(trial.Settings, 1)
 
-// guard is that of the operator's file.
+// guard is the guard in operatorConfig.
 const guard = 500 * time.Millisecond
 
-// process is the program itself, in a process that can be killed.
+// process is the program in a process of its own, which can be killed.
 type process struct {
 	*testing.T
 	directory              string
 	lines, api, management string
-	extra                  string // keys of the ledger's section
+	extra                  string // additional keys of the ledger section
 	cmd                    *exec.Cmd
 	ended                  chan error
 	log                    *logBuffer
 }
 
-// logBuffer is a log that may be read while it is written.
+// logBuffer is a log that can be read while it is written.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -96,12 +96,12 @@
 	p.waitReady()
 }
 
-// waitLog waits for a line of the log.
+// waitLog waits until the log contains a text.
 func (p *process) waitLog(text string) {
 	p.Helper()
 	for until := time.Now().Add(peer.Patience); !strings.Contains(p.log.String(), text); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			p.Fatalf("the log never says %q:\n%s", text, p.log)
+			p.Fatalf("the log never contains %q:\n%s", text, p.log)
 		}
 	}
 }
@@ -119,12 +119,12 @@
 		default:
 		}
 		if time.Now().After(until) {
-			p.Fatal("the program is never ready")
+			p.Fatal("the program does not become ready")
 		}
 	}
 }
 
-// launch starts the program.
+// launch starts the program without waiting until it is ready.
 func (p *process) launch() {
 	p.Helper()
 	p.launchWith()
@@ -138,7 +138,7 @@
 	p.run(cmd)
 }
 
-// run begins a command as the process, and notes its log and its end.
+// run starts a command as the process and collects its log and its exit status.
 func (p *process) run(cmd *exec.Cmd) {
 	p.Helper()
 	ended := make(chan error, 1)
@@ -150,20 +150,20 @@
 	go func() { ended <- cmd.Wait() }()
 }
 
-// kill ends the process at once, in the middle of whatever it does.
+// kill kills the process with SIGKILL.
 func (p *process) kill() {
 	_ = p.cmd.Process.Signal(syscall.SIGKILL)
 	<-p.ended
 	p.cmd = nil
 }
 
-// httpGet makes a call at a management address; status 0 says that nobody answers.
+// httpGet sends a GET request to a management address. Status 0 means that there is no answer.
 func httpGet(address, path string) (status int, body string) {
 	w := &fixture{}
 	return w.get(address, path)
 }
 
-// startDispatcher opens a dispatcher whose acts go by the id of the call alone.
+// startDispatcher starts a dispatcher whose behaviour depends only on the call ID.
 func startDispatcher(t *testing.T, transport, name string, j *trial.Judge) *trial.Dispatcher {
 	t.Helper()
 	d, err := trial.Stand(transport, name, j)
@@ -178,16 +178,16 @@
 
 func token(id string) string { return trial.Token(id) }
 
-// checkAllSettled reports what a judge has found, and what callers are owed still.
+// checkAllSettled reports violations, and calls without a final answer or without a delivered end.
 func checkAllSettled(t *testing.T, j *trial.Judge) {
 	t.Helper()
 	if _, untold := j.Unsettled(); len(untold) > 0 {
-		t.Errorf("the end of %d calls is never told: %v", len(untold), untold[:min(len(untold), 20)])
+		t.Errorf("the end of %d calls is never delivered: %v", len(untold), untold[:min(len(untold), 20)])
 	}
 	checkAllAnswered(t, j)
 }
 
-// checkAllAnswered reports what a judge has found, and the calls without an answer.
+// checkAllAnswered reports violations and calls without a final answer.
 func checkAllAnswered(t *testing.T, j *trial.Judge) {
 	t.Helper()
 	faults, _, _ := j.Verdict()
@@ -196,17 +196,17 @@
 		faults = append(faults, id+" has no answer")
 	}
 	if len(faults) > 0 {
-		t.Errorf("%d faults:\n%s", len(faults), strings.Join(faults[:min(len(faults), 20)], "\n"))
+		t.Errorf("%d violations:\n%s", len(faults), strings.Join(faults[:min(len(faults), 20)], "\n"))
 	}
 }
 
-// TestKilledAgainAndAgain kills the program under load and starts it again, over both fronts. All calls of all callers are
-// followed to their end, and dispatchers see to the rules.
+// TestKilledAgainAndAgain kills the program under load and restarts it, over both fronts. All calls are followed to their end, and the
+// dispatchers check the rules.
 func TestKilledAgainAndAgain(t *testing.T) {
 	runKills(t, 30, nil)
 }
 
-// runKills plays that with so many kills; meanwhile is what happens to the state before each return.
+// runKills kills and restarts the program the given number of times. meanwhile changes the stored state before each restart.
 func runKills(t *testing.T, times int, meanwhile func(*process, *rand.Rand)) {
 	for i, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
@@ -243,7 +243,7 @@
 				if meanwhile != nil {
 					meanwhile(p, rng)
 				}
-				for rng.IntN(3) == 0 { // killed in the middle of its return, perhaps again and again
+				for rng.IntN(3) == 0 { // killed again while it starts, perhaps several times
 					p.launch()
 					time.Sleep(time.Duration(rng.IntN(60)) * time.Millisecond)
 					p.kill()
@@ -261,7 +261,7 @@
 			_, setUps, finals := j.Verdict()
 			for what, n := range finals {
 				if meanwhile == nil && strings.HasPrefix(what, "after the answer: ") && !strings.Contains(what, "release 16 ") {
-					t.Errorf("%d calls that stood were cut, and no dispatcher has ended them: %s", n, what)
+					t.Errorf("%d established calls were cut that no dispatcher had ended: %s", n, what)
 				}
 			}
 			checkAllSettled(t, j)
@@ -270,7 +270,7 @@
 	}
 }
 
-// addRecovered adds up what was done with the calls of earlier processes.
+// addRecovered adds up the actions that a process took for the calls of previous processes.
 func addRecovered(t *testing.T, management string, into map[string]int) {
 	t.Helper()
 	_, text := httpGet(management, "/api/telemetry")
--- a/cmd/cherryrelay/main_test.go
+++ b/cmd/cherryrelay/main_test.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// stuckReportBefore is how long before its time limit a run ends with a report of the tests that still run.
+	// stuckReportBefore is the time before the time limit of the run at which the unfinished tests are reported.
 	stuckReportBefore = 20 * time.Second
-	// maxStacks bounds the bytes of the stacks of all goroutines.
+	// maxStacks limits the bytes of the stacks of all goroutines.
 	maxStacks = 16 << 20
 )
 
-// TestMain runs the program in place of the tests where the environment says so.
+// TestMain runs the program instead of the tests if the environment asks for it.
 func TestMain(m *testing.M) {
 	if os.Getenv(asProgram) != "" {
 		main()
@@ -34,7 +34,7 @@
 	os.Exit(m.Run())
 }
 
-// timeLimit is that of the whole run; 0 for none.
+// timeLimit returns the time limit of the whole run, or 0 if there is none.
 func timeLimit() time.Duration {
 	f := flag.Lookup("test.timeout")
 	if f == nil {
@@ -52,10 +52,10 @@
 	return text[:runtime.Stack(text, true)]
 }
 
-// reportStuckTests writes the stacks of tests that still run and of the callers that they may wait for. The report of package testing has
-// every goroutine, thousands of them, and where a part of it is kept alone the tests are not in it.
+// reportStuckTests writes the stacks of the unfinished tests and of the callers that they may wait for. The report of package testing has
+// thousands of goroutines, and a truncated part of it does not contain the tests.
 func reportStuckTests(w io.Writer, stacks []byte) {
-	fmt.Fprintln(w, "these tests do not end:")
+	fmt.Fprintln(w, "unfinished tests:")
 	for one := range bytes.SplitSeq(stacks, []byte("\n\n")) {
 		test := bytes.Contains(one, []byte("testing.tRunner(")) && !bytes.Contains(one, []byte("testing.(*T).Parallel("))
 		if test || bytes.Contains(one, []byte("internal/trial.(*Caller).Run(")) {
@@ -64,7 +64,7 @@
 	}
 }
 
-// TestAStuckTestIsReported guards against a run that ends at its time limit, and of which nobody can say which test did not end.
+// TestAStuckTestIsReported guards against a run that exceeds its time limit without showing which test did not finish.
 func TestAStuckTestIsReported(t *testing.T) {
 	release, waits := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -79,6 +79,6 @@
 		t.Errorf("this test is not reported:\n%s", report.String())
 	}
 	if bytes.Contains(report.Bytes(), []byte("TestAStuckTestIsReported.func1(")) {
-		t.Errorf("a goroutine that is no test is reported:\n%s", report.String())
+		t.Errorf("a goroutine that is not a test is reported:\n%s", report.String())
 	}
 }
--- a/cmd/cherryrelay/operators_test.go
+++ b/cmd/cherryrelay/operators_test.go
@@ -21,7 +21,7 @@
 	"cherryrelay/internal/peer"
 )
 
-// request makes a call at the management address.
+// request sends a request to the management address.
 func (w *fixture) request(method, path string) (status int, body string) {
 	w.Helper()
 	r, err := http.NewRequest(method, "http://"+w.node.manage.Address()+path, nil)
@@ -35,7 +35,7 @@
 	return resp.StatusCode, string(text)
 }
 
-// get makes a GET call at some management address; status 0 says that nobody answers.
+// get sends a GET request to a management address. Status 0 means that there is no answer.
 func (w *fixture) get(address, path string) (status int, body string) {
 	client := &http.Client{Timeout: peer.Patience, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + address + path)
@@ -50,7 +50,7 @@
 	return resp.StatusCode, string(text)
 }
 
-// recordStatus notes what an operator is told.
+// recordStatus records the status that an operator gets.
 func (w *fixture) recordStatus(method, path string) {
 	w.Helper()
 	status, _ := w.request(method, path)
@@ -60,11 +60,11 @@
 func (w *fixture) expectClosed(c *peer.Caller) {
 	w.Helper()
 	if m, err := c.Next(); err == nil {
-		w.Fatalf("caller hears %+v, want a close", m)
+		w.Fatalf("the caller got %+v, want a close", m)
 	}
 }
 
-// TestEvacuation: a controller that was to drain said on that it takes work, and kept its callers.
+// TestEvacuation: an evacuated controller used to report that it accepts calls, and kept its callers.
 func TestEvacuation(t *testing.T) {
 	runScenario(t, []string{
 		"operator: /api/ready 200", "d0: setup 1 x", "caller: answer 1 y", "d1: setup 2 x",
@@ -85,27 +85,27 @@
 		w.recordStatus("GET", "/api/ready")
 		w.must(busy.Send(jsonl.Message{Type: "ping", ID: id(0)}))
 		w.recordMessage(busy)
-		w.recordStatus("POST", "/api/evacuate") // once more changes nothing
+		w.recordStatus("POST", "/api/evacuate") // the second request changes nothing
 		w.expectClosed(idle)
-		time.Sleep(1300 * time.Millisecond) // by then newcomers are refused; later is as good
+		time.Sleep(1300 * time.Millisecond) // by then new callers are refused; later would do as well
 		w.must(busy.SetUp(id(3), longTimeout, 1, "x"))
 		w.recordMessage(busy)
 		w.must(open.Answer("y"))
 		w.recordMessage(busy)
 		w.must(w.dispatchers[0].Release(id(1), 16))
-		w.recordMessage(stood) // what stood ends where its caller hears it
+		w.recordMessage(stood) // the established call ends while its caller is connected
 		w.expectClosed(stood)
 		w.must(busy.Close())
 		w.waitAck(1)
-		w.must(w.dispatchers[1].Release(id(2), 16)) // with nobody there to hear it
+		w.must(w.dispatchers[1].Release(id(2), 16)) // while no caller is connected
 		w.recordStatus("POST", "/api/rejoin")
 		w.recordStatus("GET", "/api/ready")
-		tester := w.connect() // who tests takes the next message for the result: callers stayed away
+		tester := w.connect() // a health check takes the next message for its result: callers stayed away
 		w.must(tester.Send(jsonl.Message{Type: "ping", ID: id(0)}))
 		w.recordMessage(tester)
 		c := w.connect()
 		w.recordMessage(c)
-		// Midway it is called off: nothing is closed, and what was under way goes on.
+		// An evacuation that is cancelled half-way closes no connection, and pending calls continue.
 		w.must(c.SetUp(id(4), longTimeout, 1, "x"))
 		open = w.recordEvent(1)
 		w.recordStatus("POST", "/api/evacuate")
@@ -114,18 +114,18 @@
 		w.recordMessage(c)
 		w.must(c.Send(jsonl.Message{Type: "ping", ID: id(0)}))
 		w.recordMessage(c)
-		// And it can be ended on the way.
+		// A shutdown can follow during an evacuation.
 		w.recordStatus("POST", "/api/evacuate")
 		w.node.drain()
 		w.must(<-w.done)
 	})
 }
 
-// TestManagementAddress: what operators may send, and that those who send nothing keep nobody out.
+// TestManagementAddress: the valid and invalid requests of operators; idle connections do not block other operators.
 func TestManagementAddress(t *testing.T) {
 	w := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
 	w.newCaller()
-	const idle = 40 // far more than are kept
+	const idle = 40 // far more than are kept open
 	shut := make(chan struct{}, idle)
 	for range idle {
 		nc, err := net.Dial("tcp", w.node.manage.Address())
@@ -135,7 +135,7 @@
 		w.must(err)
 		go func() { _, _ = nc.Read(make([]byte, 1)); shut <- struct{}{} }()
 	}
-	for range idle - management.MaxOpen { // all have been accepted then: one that came later would shut one of those below
+	for range idle - management.MaxOpen { // all have been accepted then; a later one would close one of the connections below
 		<-shut
 	}
 	for _, test := range []struct{ send, want, has string }{
@@ -152,14 +152,14 @@
 		{"POST /api/rejoin HTTP/1.1\r\nHost: h\r\nContent-Length: 5000\r\n\r\n", "400 Bad Request", ""},
 		{"POST /api/rejoin HTTP/1.1\r\nHost: h\r\nContent-Length: -1\r\n\r\n", "400 Bad Request", ""},
 		{"POST /api/rejoin HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n", "400 Bad Request", ""},
-		{"GET /" + strings.Repeat("a", 8<<10-4), "400 Bad Request", ""}, // one byte too many
+		{"GET /" + strings.Repeat("a", 8<<10-4), "400 Bad Request", ""}, // one byte too long
 	} {
 		nc, err := net.Dial("tcp", w.node.manage.Address())
 		w.must(err)
 		_, err = io.WriteString(nc, test.send)
 		w.must(err)
 		w.must(nc.SetReadDeadline(time.Now().Add(peer.Patience)))
-		answer, err := io.ReadAll(nc) // to its end: the controller closes
+		answer, err := io.ReadAll(nc) // to the end: the controller closes the connection
 		w.must(err)
 		w.must(nc.Close())
 		first, rest, _ := strings.Cut(string(answer), "\r\n")
@@ -169,7 +169,7 @@
 	}
 }
 
-// TestAnAddressInUseIsOnePlainError: the program ended with a panic instead, as a crash.
+// TestAnAddressInUseIsOnePlainError: the program used to end with a panic.
 func TestAnAddressInUseIsOnePlainError(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -182,7 +182,7 @@
 	}
 }
 
-// recordMetrics notes the figures that an operator is shown.
+// recordMetrics records the metrics that an operator gets.
 func (w *fixture) recordMetrics() {
 	w.Helper()
 	status, text := w.request("GET", "/api/telemetry")
@@ -196,8 +196,8 @@
 	}
 }
 
-// waitMetric waits until the figures have a line. The decisions are told of a list at the end of the round of the loop in which it came: figures that are read
-// in that round are those of before.
+// waitMetric waits until the metrics have a line. The decision module gets a list at the end of the event loop iteration in which it
+// arrived, so metrics that are read in that iteration are still the old ones.
 func (w *fixture) waitMetric(line string) {
 	w.Helper()
 	shown := make(chan bool)
@@ -210,10 +210,10 @@
 			return
 		}
 	}
-	w.Errorf("the figures never have %q", line)
+	w.Errorf("the metrics never contain %q", line)
 }
 
-// endMetrics are the figures of ends of calls, where one has ended, or none.
+// endMetrics returns the metrics for ends of calls when the given number of calls has ended.
 func endMetrics(ended int) []string {
 	var lines []string
 	for _, result := range []string{"already_over", "ambiguous", "awaits_answer", "earlier_attempt", "ended", "not_established",
@@ -227,7 +227,7 @@
 	return append(lines, fmt.Sprint("ends_told_total ", ended), "ends_waited_total 0", "ends_repeated_total 0", "ends_dropped_total 0")
 }
 
-// TestTelemetry: the figures say what callers and dispatchers saw.
+// TestTelemetry: the metrics match the messages of callers and dispatchers.
 func TestTelemetry(t *testing.T) {
 	runScenario(t, slices.Concat([]string{
 		`requests_total{class="send-setup",outcome="served"} 0`, `requests_total{class="send-setup",outcome="refused"} 0`,
@@ -253,8 +253,8 @@
 		w.recordMessage(c)
 		w.must(c.SetUp(id(2), longTimeout, 0, "x"))
 		w.must(w.recordEvent(0).Refuse(peer.NoLine))
-		w.recordEvent(1)                                                                           // and there it stays open
-		w.must(c.Send(jsonl.Message{Type: "setup", ID: id(3), Fields: setUpFields("strange", 1)})) // no class of ours: no label of ours
+		w.recordEvent(1)                                                                           // the call stays pending there
+		w.must(c.Send(jsonl.Message{Type: "setup", ID: id(3), Fields: setUpFields("strange", 1)})) // an unknown class gets no label
 		w.recordMessage(c)
 		w.must(c.Send(jsonl.Message{Type: "setup", ID: id(4), Fields: setUpFields("send-setup", -1)}))
 		w.recordMessage(c)
@@ -263,7 +263,7 @@
 		leaving := w.list
 		leaving.Servers = slices.Clone(w.list.Servers)
 		leaving.Servers[0].Status = control.Draining
-		time.Sleep(500 * time.Millisecond) // by then it does not rest any more: that it drains is what counts
+		time.Sleep(500 * time.Millisecond) // by then its back-off has ended, and only its draining counts
 		w.node.loop.Post(func() { w.node.core.Update(leaving) })
 		w.waitMetric("dispatchers_excluded 1")
 		w.recordMetrics()
--- a/cmd/cherryrelay/paused_test.go
+++ b/cmd/cherryrelay/paused_test.go
@@ -12,9 +12,10 @@
 	"cherryrelay/internal/peer"
 )
 
-// A process is stopped and goes on. What is overdue then and what has come meanwhile wait in the same instant: the order decides.
+// These tests stop a process and continue it. Expired timers and input that arrived meanwhile are then ready at once, and their order
+// decides.
 
-// startWithDispatchers is the program beside two scripted dispatchers, without a ledger.
+// startWithDispatchers starts the program, without a ledger, with two scripted dispatchers.
 func startWithDispatchers(t *testing.T) (*process, [2]*peer.Dispatcher) {
 	t.Helper()
 	p := newProcess(t, "off")
@@ -51,7 +52,7 @@
 		case e = <-d[0].Events:
 		case e = <-d[1].Events:
 		case <-patience:
-			t.Fatal("no set-up comes")
+			t.Fatal("no set-up arrives")
 		}
 		if e.Kind == "setup" {
 			return e
@@ -59,7 +60,7 @@
 	}
 }
 
-// setUpInGuard leaves a set-up of a caller in the guard, and one of another out.
+// setUpInGuard places a call that waits in the guard and another whose attempt is in progress.
 func setUpInGuard(t *testing.T, p *process, d [2]*peer.Dispatcher, n int) (c, other *peer.Caller, out peer.Event) {
 	t.Helper()
 	must := func(err error) {
@@ -74,13 +75,13 @@
 	other, err = peer.Call("tcp", p.lines)
 	must(err)
 	must(c.SetUp(id(n), 8*time.Second, n%2, "x"))
-	must(nextSetUp(t, d).Refuse(peer.Broken)) // from here the guard counts
+	must(nextSetUp(t, d).Refuse(peer.Broken)) // the guard starts here
 	must(other.SetUp(id(0x100+n), 8*time.Second, (n+1)%2, "x"))
-	return c, other, nextSetUp(t, d) // the refusal came before: the guard's timer runs
+	return c, other, nextSetUp(t, d) // the refusal arrived before: the guard's timer runs
 }
 
-// TestASetUpCancelledDuringAPauseIsNotSent: the guard of a call ends while the process stands still, and its caller leaves meanwhile. It was
-// sent on, as the timer and the word of the caller's end were ready at once.
+// TestASetUpCancelledDuringAPauseIsNotSent: while the process is stopped, the guard of a call ends and its caller cancels or disconnects.
+// The set-up was sent, as the timer and the cancellation were ready at the same time.
 func TestASetUpCancelledDuringAPauseIsNotSent(t *testing.T) {
 	t.Parallel()
 	p, d := startWithDispatchers(t)
@@ -107,14 +108,14 @@
 			if e.ID == id(0x200+n) {
 				break
 			}
-			t.Errorf("round %d: %s was sent on, and its caller had left %v before", n, e.ID, guard)
+			t.Errorf("round %d: %s was sent %v after its caller had cancelled", n, e.ID, guard)
 		}
 		_, _ = c.Close(), other.Close()
 	}
 }
 
-// TestASetUpDuringAPauseBeforeTheEndOfADrain: SIGTERM; the process stands still while a set-up comes in time, and goes on when nothing more
-// would. It ended with the set-up unread.
+// TestASetUpDuringAPauseBeforeTheEndOfADrain: after SIGTERM the process is stopped, a set-up arrives in time, and the process continues
+// after the time for new set-ups. It exited without reading the set-up.
 func TestASetUpDuringAPauseBeforeTheEndOfADrain(t *testing.T) {
 	t.Parallel()
 	for round := 0; round < 4; {
@@ -123,7 +124,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := c.SetUp(id(1), 9*time.Second, 0, "x"); err != nil { // so that the connection is known to be open
+		if err := c.SetUp(id(1), 9*time.Second, 0, "x"); err != nil { // to make sure that the connection is open
 			t.Fatal(err)
 		}
 		if err := c.Release(id(1), call.CauseNormal); err != nil {
@@ -139,10 +140,10 @@
 		p.signal(syscall.SIGCONT)
 		if !inTime {
 			p.kill()
-			continue // this machine was too slow for the order; again
+			continue // the machine was too slow to keep the order; repeat
 		}
 		m, err := c.Next()
-		if err == nil && m.ID == id(1) { // it was refused before it was given up, on a machine that is busy
+		if err == nil && m.ID == id(1) { // on a busy machine the call was refused before the release arrived
 			m, err = c.Next()
 		}
 		if err != nil || m.ID != id(2) {
@@ -154,8 +155,8 @@
 	}
 }
 
-// TestSignalsInADrain: SIGTERM comes twice and SIGHUP between, with a set-up out and one that comes behind them. Both are answered, and
-// the program ends in good order.
+// TestSignalsInADrain: SIGTERM comes twice with SIGHUP between, while one attempt is in progress and another set-up follows. Both are
+// answered, and the program exits without an error.
 func TestSignalsInADrain(t *testing.T) {
 	t.Parallel()
 	for _, signals := range [][]syscall.Signal{
@@ -193,7 +194,7 @@
 			}
 			p.cmd = nil
 		case <-time.After(peer.Patience):
-			t.Fatalf("%v: it does not end", signals)
+			t.Fatalf("%v: the process does not exit", signals)
 		}
 	}
 }
--- a/cmd/cherryrelay/poolfile_test.go
+++ b/cmd/cherryrelay/poolfile_test.go
@@ -40,12 +40,12 @@
 	log         *logRecorder
 }
 
-// answeringDispatcher is a dispatcher that answers and keeps what it was sent, and when.
+// answeringDispatcher is a dispatcher that answers every set-up and records its ID and time.
 type answeringDispatcher struct {
 	*peer.Dispatcher
 	mu       sync.Mutex
 	received []arrival
-	hold     time.Duration // how long its calls stand; 0 for until the caller ends them
+	hold     time.Duration // the duration of its calls; 0 until the caller ends them
 	ended    chan struct{}
 }
 
@@ -57,7 +57,7 @@
 func (d *answeringDispatcher) serve() {
 	defer close(d.ended)
 	go func() {
-		for range d.Acks { // nobody waits for them
+		for range d.Acks { // discarded
 		}
 	}()
 	for e := range d.Events {
@@ -81,7 +81,7 @@
 	return append([]arrival(nil), d.received...)
 }
 
-// logRecorder keeps what is logged.
+// logRecorder keeps the log.
 type logRecorder struct {
 	slog.Handler
 	mu   sync.Mutex
@@ -106,7 +106,7 @@
 	return strings.Contains(n.text.String(), text)
 }
 
-// newPoolFixture starts n dispatchers; the controller starts with serve.
+// newPoolFixture starts n dispatchers. The controller is started by serve.
 func newPoolFixture(t *testing.T, transport string, n int) *poolFixture {
 	t.Helper()
 	s := &poolFixture{fixture: &fixture{T: t, transport: transport}, path: filepath.Join(t.TempDir(), "pool.ini"), state: t.TempDir(), log: newLogRecorder()}
@@ -127,10 +127,10 @@
 	return s
 }
 
-// long running is what the dispatchers of most sets are; nothing of them starts cold.
+// startedLongAgo is the start time of most dispatchers, so that none of them gets a cold start.
 var startedLongAgo = time.Duration(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).UnixNano())
 
-// member is the i-th dispatcher, of a weight.
+// member returns the list entry of the i-th dispatcher with a weight.
 func (s *poolFixture) member(i, weight int) pool.Member {
 	if weight == 0 {
 		weight = pool.NoNewCalls
@@ -139,14 +139,14 @@
 		ID: control.ServerID(fmt.Sprint("s", i)), Cell: i, Weight: weight, StartedAt: startedLongAgo}}
 }
 
-// replaceFile replaces the file by one rename.
+// replaceFile replaces the pool file with a single rename.
 func (s *poolFixture) replaceFile(text []byte) {
 	s.Helper()
 	s.must(os.WriteFile(s.path+".new", text, 0o600))
 	s.must(os.Rename(s.path+".new", s.path))
 }
 
-// writeWeights puts a set with the weights of the first dispatchers.
+// writeWeights writes a pool file with the first dispatchers and their weights.
 func (s *poolFixture) writeWeights(label string, weights ...int) {
 	s.Helper()
 	var members []pool.Member
@@ -176,14 +176,14 @@
 	s.waitReady()
 }
 
-// stop ends the controller.
+// stop stops the controller.
 func (s *poolFixture) stop() {
 	s.Helper()
 	s.node.loop.Quit()
 	s.must(<-s.done)
 }
 
-// poolState is what the controller says of its set.
+// poolState returns the state of the list that the controller reports.
 func (w *fixture) poolState() lists.State {
 	w.Helper()
 	status, text := w.request("GET", lists.StatePath)
@@ -194,17 +194,17 @@
 	return s
 }
 
-// waitActive waits until a version is in force, and the event loop knows.
+// waitActive waits until a version is active and applied by the event loop.
 func (w *fixture) waitActive(label string) {
 	w.Helper()
 	for until := time.Now().Add(peer.Patience); ; time.Sleep(time.Millisecond) {
 		s := w.poolState()
 		if s.Version != nil && s.Version.Label == label {
-			w.poolState() // a round of the loop later, what was posted with the version has been done
+			w.poolState() // one event loop iteration later, everything posted with the version has run
 			return
 		}
 		if time.Now().After(until) {
-			w.Fatalf("%s is not in force: %+v", label, s)
+			w.Fatalf("%s is not active: %+v", label, s)
 		}
 	}
 }
@@ -221,14 +221,14 @@
 	}
 }
 
-// sendSetUp is a set-up without a first choice.
+// sendSetUp sends a set-up without a first choice.
 func sendSetUp(c *peer.Caller, id string) error {
 	x := "x"
 	return c.Send(jsonl.Message{Type: "setup", ID: id, SDP: &x, Fields: map[string]jsonl.Value{
 		"class": "send-setup", "tenant": "acme", "key": jsonl.Value("k" + id), "left": jsonl.Value(strconv.Itoa(int(longTimeout.Milliseconds())))}})
 }
 
-// placeCalls places calls one after the other, each ended by the caller, and tells how many each dispatcher got.
+// placeCalls places calls one after the other, ends each, and returns the number of set-ups per dispatcher.
 func (s *poolFixture) placeCalls(from, n int) []int {
 	s.Helper()
 	before := make([]int, len(s.dispatchers))
@@ -240,7 +240,7 @@
 		s.must(sendSetUp(c, id(from+i)))
 		m, err := c.Next()
 		for err == nil && m.Type == "release" && m.ID != id(from+i) {
-			m, err = c.Next() // an earlier call's end by its dispatcher, which crossed that of the caller
+			m, err = c.Next() // the dispatcher's end of an earlier call, which crossed that of the caller
 		}
 		s.must(err)
 		if m.Type != "answer" || m.ID != id(from+i) {
@@ -282,7 +282,7 @@
 	}
 }
 
-// TestARemovedDispatcherGetsNoNewCalls gets nothing new; the call that stands there goes on. The same with weight 0.
+// TestARemovedDispatcherGetsNoNewCalls: a removed dispatcher and one with weight 0 get no new calls, and their established calls continue.
 func TestARemovedDispatcherGetsNoNewCalls(t *testing.T) {
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
@@ -311,7 +311,7 @@
 	}
 }
 
-// TestCallsOfARemovedDispatcherContinue, for longer than one that has left is waited for; and they are cut when it dies.
+// TestCallsOfARemovedDispatcherContinue: the calls continue for longer than a removed dispatcher is waited for, and are cut when it dies.
 func TestCallsOfARemovedDispatcherContinue(t *testing.T) {
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
@@ -338,7 +338,7 @@
 	}
 }
 
-// TestAnInvalidFileLeavesTheSetActive, and the operator sees why.
+// TestAnInvalidFileLeavesTheSetActive: an invalid file does not change the active set, and operators see the reason.
 func TestAnInvalidFileLeavesTheSetActive(t *testing.T) {
 	s := newPoolFixture(t, "tcp", 2)
 	s.writeWeights("good", 1, 1)
@@ -368,17 +368,18 @@
 	for _, want := range []string{`edge_lb_pool_versions_taken_total 1`, `edge_lb_pool_versions_refused_total{reason="twice"} 1`,
 		`edge_lb_pool_refused 1`, `edge_lb_pool_servers 2`, `edge_lb_pool_weight 2`} {
 		if !strings.Contains(figures, want+"\n") {
-			t.Errorf("no %q in the figures", want)
+			t.Errorf("the metrics do not contain %q", want)
 		}
 	}
 	s.replaceFile(whole)
 	s.waitActive("next")
 	if s.poolState().Trouble != nil {
-		t.Error("the trouble is over, and still told")
+		t.Error("the fault is still reported after a valid file")
 	}
 }
 
-// TestStartsWithAnInvalidFile: with a stored set it serves and says so; without, or with a torn one, it ends with one line.
+// TestStartsWithAnInvalidFile: with a stored set the controller serves and logs the fault. Without a stored set, or with a damaged one, it
+// exits with a one-line error.
 func TestStartsWithAnInvalidFile(t *testing.T) {
 	s := newPoolFixture(t, "tcp", 2)
 	s.config.State = &config.State{Directory: s.state}
@@ -386,7 +387,7 @@
 	fails := func() {
 		t.Helper()
 		if err := s.startController(); err == nil || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), s.path) {
-			t.Errorf("the start gives %v", err)
+			t.Errorf("the start returned %v", err)
 		}
 	}
 	fails()
@@ -409,16 +410,16 @@
 	s.must(err)
 	s.must(os.WriteFile(path, text[:len(text)-1], 0o600))
 	fails()
-	s.writeWeights("later", 1, 1) // with a good file, a torn set does no harm
+	s.writeWeights("later", 1, 1) // with a valid file, a damaged stored set does no harm
 	s.serve()
 	s.waitActive("later")
 	if !s.log.contains("the stored set is corrupted") {
-		t.Error("nothing is said of the torn set")
+		t.Error("the damaged stored set is not logged")
 	}
 }
 
-// TestAReplacementStartsCold: under another name at the same address, and under the same name with a later start. What
-// stood at the old one is cut, and its caller hears of it.
+// TestAReplacementStartsCold: a dispatcher with another name at the same address, or with the same name and a later start, starts cold. The
+// established call of the old one is cut, and its caller is notified.
 func TestAReplacementStartsCold(t *testing.T) {
 	for name, change := range map[string]func(*pool.Member){
 		"another name": func(m *pool.Member) { m.ID, m.StartedAt = "new", 0 },
@@ -431,7 +432,7 @@
 			c := s.newCaller()
 			s.must(c.SetUp(id(1), longTimeout, 0, "x"))
 			s.recordMessage(c)
-			s.dispatchers[0].Cut() // the old process goes
+			s.dispatchers[0].Cut() // the old process ends
 			m := s.member(0, 1)
 			change(&m)
 			s.replaceFile(poolfile.Write("new", []pool.Member{m, s.member(1, 1)}))
@@ -447,7 +448,7 @@
 	}
 }
 
-// TestASuccessorHasTheSameSet: an upgrade in the middle of a change, and while the file is broken.
+// TestASuccessorHasTheSameSet: upgrades during a change and while the file is invalid.
 func TestASuccessorHasTheSameSet(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	s := newPoolFixture(t, "tcp", 2)
@@ -458,7 +459,7 @@
 	s.writeWeights("two", 1, 3)
 	old := s.fixture
 	s.fixture = &fixture{T: t, transport: "tcp"}
-	s.serve() // the successor
+	s.serve() // starts the successor
 	s.waitActive("two")
 	s.must(<-old.done)
 	if got := s.placeCalls(0x100, 40); got[0] != 10 || got[1] != 30 {
@@ -476,7 +477,7 @@
 	}
 }
 
-// TestReloadReadsTheFile: SIGHUP in the middle of a change takes the file that is there by then.
+// TestReloadReadsTheFile: SIGHUP during a change activates the file of that moment.
 func TestReloadReadsTheFile(t *testing.T) {
 	s := newPoolFixture(t, "tcp", 2)
 	s.writeWeights("one", 1, 1)
@@ -499,7 +500,7 @@
 	return status, o.String(), f.String()
 }
 
-// TestPoolCommands asks a controller that runs, with more servers than a page holds.
+// TestPoolCommands queries a running controller with more servers than a page holds.
 func TestPoolCommands(t *testing.T) {
 	s := newPoolFixture(t, "tcp", 1)
 	members := []pool.Member{s.member(0, 7)}
@@ -526,27 +527,27 @@
 		t.Errorf("status %d: %s", status, out)
 	}
 	if status, _, faults = runCommand("pool", "show", "--management=127.0.0.1:1"); status != 1 || strings.Count(faults, "\n") != 1 {
-		t.Errorf("nobody there: status %d, %q", status, faults)
+		t.Errorf("without a controller: status %d, %q", status, faults)
 	}
 }
 
-// fileRewriter writes the versions of a test, good and bad ones.
+// fileRewriter writes valid and invalid versions of the pool file.
 type fileRewriter struct {
 	*poolFixture
 	rng      *rand.Rand
-	versions []writtenVersion // the valid ones
+	versions []writtenVersion // the valid versions
 }
 
 type writtenVersion struct {
 	label   string
 	at      time.Time
-	allowed map[int]bool // who may get calls
+	allowed map[int]bool // the dispatchers that may get calls
 }
 
-// decoy is the dispatcher that only invalid versions name with a weight.
+// decoy returns the index of the dispatcher that only invalid versions give a weight.
 func (r *fileRewriter) decoy() int { return len(r.dispatchers) - 1 }
 
-// next draws a version and writes it in one of several ways. It reports whether it is valid.
+// next draws a version, writes it in one of several ways, and reports whether it is valid.
 func (r *fileRewriter) next(n int) bool {
 	v := writtenVersion{label: fmt.Sprint("v", n), allowed: map[int]bool{}}
 	var members []pool.Member
@@ -564,7 +565,7 @@
 		}
 	}
 	text := poolfile.Write(v.label, members)
-	if n%3 == 2 { // invalid, or partial
+	if n%3 == 2 { // invalid or incomplete
 		with := append(members, r.member(r.decoy(), 9))
 		switch r.rng.IntN(5) {
 		case 0:
@@ -593,7 +594,7 @@
 		r.replaceFile(text)
 		return
 	}
-	f, err := os.Create(r.path) // in place, and in two halves
+	f, err := os.Create(r.path) // in place, in two parts
 	r.must(err)
 	cut := r.rng.IntN(len(text) + 1)
 	_, err = f.Write(text[:cut])
@@ -603,7 +604,7 @@
 	r.must(errors.Join(err, f.Close()))
 }
 
-// loadResult places calls on one connection until it is told to stop, and counts what became of them.
+// loadResult counts the outcomes of the calls of one connection.
 type loadResult struct {
 	placed, answered, refused, twice int
 	err                              error
@@ -640,9 +641,9 @@
 	return l
 }
 
-// runRewrites has a file swapped under load, a third of the versions invalid. At each rest the version in force is the last valid
-// one, and calls go to those alone that it names; nobody gets any that no valid version names. If late is above 0, no call
-// comes to a dispatcher so long after a version that does not name it.
+// runRewrites replaces the pool file repeatedly under load; a third of the versions is invalid. At the end of each block the last valid
+// version is active, and only its dispatchers get calls. A dispatcher that no valid version names never gets a call. If late is above 0, no
+// call reaches a dispatcher later than that after a version that removes it.
 func runRewrites(t *testing.T, transport string, versions int, late time.Duration) {
 	s := newPoolFixture(t, transport, 6)
 	for _, d := range s.dispatchers {
@@ -693,9 +694,9 @@
 	}
 }
 
-// sinceForbidden is how long before a time the last version that allows a dispatcher was replaced by one that does not.
+// sinceForbidden returns the time since the last version that allows a dispatcher was replaced by one that does not.
 func (r *fileRewriter) sinceForbidden(i int, at time.Time) time.Duration {
-	var since time.Time // of the versions that forbid it, the first after the last that allows it
+	var since time.Time // the first version that forbids it after the last that allows it
 	for _, v := range r.versions {
 		if v.at.After(at) {
 			break
@@ -722,7 +723,7 @@
 	}
 }
 
-// writeLargeSet puts a set of so many servers, the first two of which are there.
+// writeLargeSet writes a set with the given number of servers. Only the first two exist.
 func (s *poolFixture) writeLargeSet(label string, servers int) {
 	s.Helper()
 	members := []pool.Member{s.member(0, 1), s.member(1, 1)}
@@ -733,7 +734,7 @@
 	s.replaceFile(poolfile.Write(label, members))
 }
 
-// logOnFailure shows the log when a test has failed.
+// logOnFailure prints the log if the test has failed.
 func (s *poolFixture) logOnFailure() {
 	if s.Failed() {
 		s.log.mu.Lock()
--- a/cmd/cherryrelay/reconfigure_test.go
+++ b/cmd/cherryrelay/reconfigure_test.go
@@ -10,8 +10,8 @@
 	"cherryrelay/internal/settings"
 )
 
-// TestReconfiguration: set-ups of a class that a new configuration names were failed. Now it binds at once and whole, what is open
-// keeps the class that it came with, and a configuration that makes no sense changes nothing.
+// TestReconfiguration: set-ups of a class that a new configuration adds used to fail. Now a new configuration applies at once and as a
+// whole. Pending calls keep the class of their set-up, and an invalid configuration changes nothing.
 func TestReconfiguration(t *testing.T) {
 	runScenario(t, slices.Concat([]string{
 		"d0: setup 1 x", "caller: release 2 100",
@@ -42,10 +42,10 @@
 			s.RequestClasses[0].Semantics, s.RequestClasses[1].Name = "non_idempotent", "urgent"
 			s.FamilyInfo.AllowedPools, s.FamilyInfo.ClassWidth = [][]int{{0}, {1}}, []int{1, 1}
 		})
-		w.must(open.Refuse(peer.Busy)) // it may have run; as a call of the old class it may be repeated
+		w.must(open.Refuse(peer.Busy)) // the dispatcher may have run it; a call of the old class may be repeated
 		open = w.recordEvent(0)
 		setUp(3, 0, "send-setup")
-		w.must(w.recordEvent(0).Refuse(peer.Busy)) // of the new one it may not
+		w.must(w.recordEvent(0).Refuse(peer.Busy)) // a call of the new class may not be repeated
 		w.recordMessage(c)
 		setUp(4, 1, "urgent")
 		w.must(w.recordEvent(1).Answer("y"))
--- a/cmd/cherryrelay/refused_test.go
+++ b/cmd/cherryrelay/refused_test.go
@@ -11,9 +11,9 @@
 	"cherryrelay/internal/peer"
 )
 
-// The term: a request whose new connection closes gets its answer first.
+// A set-up on a new connection must be answered before the connection is closed.
 
-// expectAnswerBeforeClose wants the answer to a set-up ahead of the end of its connection.
+// expectAnswerBeforeClose expects the answer to a set-up before the end of its connection.
 func (w *fixture) expectAnswerBeforeClose(c *peer.Caller, n int) {
 	w.Helper()
 	m, err := c.Next()
@@ -22,7 +22,7 @@
 	}
 }
 
-// fillConnections opens connections until the node may hold no more; each has a set-up open, so that none of them can make room.
+// fillConnections opens connections up to the limit of the node. Each has a pending set-up, so that none can be evicted.
 func (w *fixture) fillConnections(n int) {
 	w.Helper()
 	for i := range n {
@@ -32,10 +32,10 @@
 	}
 }
 
-// refusals are the paths on which the controller closes a new connection on which a set-up has come.
+// refusals are the cases in which the controller closes a new connection with a set-up.
 var refusals = map[string]struct {
 	bounds callers.Bounds
-	ask    func(w *fixture) *peer.Caller // a new connection on which the set-up 1 has been sent whole
+	ask    func(w *fixture) *peer.Caller // a new connection on which the complete set-up 1 has been sent
 }{
 	"no connection can make room": {callers.Bounds{Connections: 2, Silent: longTimeout, Idle: longTimeout}, func(w *fixture) *peer.Caller {
 		w.fillConnections(2)
@@ -44,7 +44,7 @@
 		return c
 	}},
 	"it drains, and the time for new set-ups is over": {callers.Bounds{Silent: longTimeout, Idle: longTimeout}, func(w *fixture) *peer.Caller {
-		w.fillConnections(1) // keeps it from ending
+		w.fillConnections(1) // keeps it from exiting
 		w.node.drain()
 		time.Sleep(800 * time.Millisecond)
 		c := w.connect()
@@ -67,7 +67,7 @@
 	return c.Frame(text)
 }
 
-// TestANewConnectionsSetUpIsAnsweredBeforeItsClose forces each of the paths over JSON lines.
+// TestANewConnectionsSetUpIsAnsweredBeforeItsClose runs each of the cases over JSON lines.
 func TestANewConnectionsSetUpIsAnsweredBeforeItsClose(t *testing.T) {
 	for name, refusal := range refusals {
 		t.Run(name, func(t *testing.T) {
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestASetUpBeyondTheConnectionLimitIsAnswered: the listener itself closes what comes beyond the bound, its spare part included, which is
-// held by connections that lie before the loop.
+// TestASetUpBeyondTheConnectionLimitIsAnswered: the listener itself closes connections beyond the limit and its reserve. The reserve is
+// held by connections that are queued for the loop.
 func TestASetUpBeyondTheConnectionLimitIsAnswered(t *testing.T) {
 	t.Parallel()
 	bounds := callers.Bounds{Connections: 2, Silent: longTimeout, Idle: longTimeout}
@@ -96,11 +96,11 @@
 	free()
 	m, err := c.Next()
 	if err != nil || m.ID != id(1) || m.Type != "release" || m.CauseOr(0) != call.CauseCongestion || m.Fields["wait"] == "" {
-		t.Errorf("%+v, %v: want a refusal with a time to come back", m, err)
+		t.Errorf("%+v, %v: want a refusal with a retry time", m, err)
 	}
 }
 
-// TestASetUpAheadOfAFloodIsAnswered: behind a set-up that lies before the loop, more comes than may wait beyond the ring.
+// TestASetUpAheadOfAFloodIsAnswered: behind a set-up that is queued for the loop, more input arrives than the ring buffer holds.
 func TestASetUpAheadOfAFloodIsAnswered(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
@@ -112,7 +112,7 @@
 	flood := c.Frame([]byte(`{"type":"progress","id":"` + id(2) + `","fields":{}}`))
 	flood = []byte(strings.Repeat(string(flood), 1<<20/len(flood)))
 	w.must(c.SetWriteDeadline(time.Now().Add(time.Second)))
-	_ = c.SendRaw(flood) // it is closed meanwhile, or read no more
+	_ = c.SendRaw(flood) // the connection is closed meanwhile, or not read any more
 	free()
 	w.expectAnswerBeforeClose(c, 1)
 }
--- a/cmd/cherryrelay/reload_test.go
+++ b/cmd/cherryrelay/reload_test.go
@@ -18,10 +18,10 @@
 	"cherryrelay/internal/peer"
 )
 
-// asProgram has the test binary be the program itself, for what only a process can show.
+// asProgram is the environment variable that makes the test binary run the program itself, for tests that need a process.
 const asProgram = "CHERRYRELAY_TEST_AS_PROGRAM"
 
-// startListServer is a coordinator that tells what it is asked for, and then one event.
+// startListServer starts a coordinator that reports the requested event IDs and sends one event.
 func startListServer(t *testing.T, event string) (address string, asked chan string) {
 	asked = make(chan string, 16)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -45,12 +45,12 @@
 				return
 			}
 		case <-patience:
-			t.Fatalf("no coordinator was asked for what follows %s", want)
+			t.Fatalf("no coordinator was asked for the events after %s", want)
 		}
 	}
 }
 
-// waitServers waits until a list with so many dispatchers is in force.
+// waitServers waits until the active list has the given number of dispatchers.
 func waitServers(t *testing.T, management string, servers int) {
 	t.Helper()
 	for begun := time.Now(); ; time.Sleep(time.Millisecond) {
@@ -59,13 +59,13 @@
 			return
 		}
 		if time.Since(begun) > peer.Patience {
-			t.Fatalf("%d dispatchers are in force, want %d", state.Servers, servers)
+			t.Fatalf("the active list has %d dispatchers, want %d", state.Servers, servers)
 		}
 	}
 }
 
-// TestReload: SIGHUP ended the program. It moves to the coordinator that the file now names, the numbers go on, and a
-// file that cannot be read changes nothing.
+// TestReload: SIGHUP used to end the program. It must switch to the coordinator that the file now names and continue the event numbers. An
+// invalid file changes nothing.
 func TestReload(t *testing.T) {
 	event := "id: %d\ndata: {\"index\":%[1]d,\"endpoints\":{\"snapshot\":true,\"endpoints\":[%s]}}\n\n"
 	entry := `{"name":"d9","address":"127.0.0.1:1","status":"active","group":0,"zone":"east","since_ms":0}`
@@ -106,11 +106,11 @@
 		}
 	}
 	waitRequested(t, askedFirst, "1")
-	waitServers(t, management, 0) // what the first one tells is taken in before the move
+	waitServers(t, management, 0) // the list of the first one is applied before the switch
 	write(file(second))
 	hup()
 	waitRequested(t, askedSecond, "4")
-	waitServers(t, management, 1) // what the second one tells is taken in before the next move
+	waitServers(t, management, 1) // the list of the second one is applied before the next switch
 	write("{")
 	hup()
 	write(file(third))
--- a/cmd/cherryrelay/replacement_callers_soak_test.go
+++ b/cmd/cherryrelay/replacement_callers_soak_test.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// maxCallerConnections is how many connections callers hold at most.
+	// maxCallerConnections limits the open connections of all callers.
 	maxCallerConnections = 24
-	// hangUpShare is the part of calls that stand which their callers end themselves.
+	// hangUpShare is the share of established calls that their callers end.
 	hangUpShare = 0.15
-	// minTimeLeft and maxTimeLeft bound how long callers wait for an answer.
+	// minTimeLeft and maxTimeLeft limit the time left of a set-up.
 	minTimeLeft, maxTimeLeft = 300 * time.Millisecond, 6 * time.Second
 )
 
-// replacementCallers are the callers of a play: they use some connections for their calls, whose ends may come on any, and close those that have
-// had none for a while.
+// replacementCallers are the callers of a run. They place their calls on a few connections, receive ends on any of them, and close
+// connections that were idle for a while.
 type replacementCallers struct {
 	run     *replacementRun
 	meter   *schedulerMeter
@@ -33,19 +33,19 @@
 	crossed int
 }
 
-// replacementCaller is one connection.
+// replacementCaller is one connection of the callers.
 type replacementCaller struct {
 	*peer.Caller
-	openCalls int // calls of it that are owed something
+	openCalls int // pending calls, and established ones if they keep the connection open
 	usedAt    time.Time
 }
 
-// replacementCall is one call at its caller's end.
+// replacementCall is the caller's state of one call.
 type replacementCall struct {
 	connection *replacementCaller
-	keepsOpen  bool // it keeps its connection open
+	keepsOpen  bool // the call keeps its connection open
 	answered   bool
-	cancelled  bool // its caller has given it up, or ended it
+	cancelled  bool // the caller has cancelled or ended it
 	terminated bool
 }
 
@@ -53,7 +53,7 @@
 	return &replacementCallers{run: p, meter: startMeter(), calls: map[string]*replacementCall{}, rng: rand.New(rand.NewPCG(p.seed, 4))}
 }
 
-// placeCalls places calls until no more are to come.
+// placeCalls places calls until the run accepts no more.
 func (c *replacementCallers) placeCalls(rng *rand.Rand) {
 	p := c.run
 	perSecond := p.load * float64(p.dispatcherCount*p.work.Lines) / (p.work.Holds / 2).Seconds()
@@ -69,7 +69,7 @@
 	}
 }
 
-// connection is the one for the next call: often one that is open, else another.
+// connection returns the connection for the next call: often an open one, otherwise a new one.
 func (c *replacementCallers) connection(rng *rand.Rand) *replacementCaller {
 	c.mu.Lock()
 	if n := len(c.all); n > 0 && (n >= maxCallerConnections || rng.Float64() < 0.8) {
@@ -106,12 +106,12 @@
 	c.mu.Unlock()
 	c.run.checker.Placed(id, time.Now())
 	if err := on.SetUp(id, left, rng.IntN(c.run.dispatcherCount), "x"); err != nil {
-		c.run.Errorf("a set-up on an open connection: %v", err)
+		c.run.Errorf("sending a set-up on an open connection: %v", err)
 	}
 	time.AfterFunc(left, func() { c.cancel(id, false) })
 }
 
-// cancel gives a call up that has no answer, or ends one that stands.
+// cancel cancels a pending call or ends an established one.
 func (c *replacementCallers) cancel(id string, answered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,7 +125,7 @@
 	_ = k.connection.Release(id, 16)
 }
 
-// read takes in what a connection is told until it ends.
+// read handles the messages of a connection until it ends.
 func (c *replacementCallers) read(on *replacementCaller) {
 	for {
 		m, err := on.NextWithin(time.Hour)
@@ -143,7 +143,7 @@
 	on.usedAt = time.Now()
 	k := c.calls[id]
 	if k == nil {
-		c.run.Errorf("%s of %s, which nobody placed", kind, id)
+		c.run.Errorf("%s for %s, which no caller placed", kind, id)
 		return
 	}
 	if k.cancelled {
@@ -166,7 +166,7 @@
 	k.releaseConnection()
 }
 
-// releaseConnection has the call keep its connection open no longer.
+// releaseConnection stops the call from keeping its connection open.
 func (k *replacementCall) releaseConnection() {
 	if k.keepsOpen {
 		k.keepsOpen = false
@@ -175,7 +175,7 @@
 	}
 }
 
-// closeIdle closes connections that have had no call for a while, but for the last one: the ends of calls may come on any.
+// closeIdle closes connections that were idle for a while, except the last one: ends of calls may come on any connection.
 func (c *replacementCallers) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -188,7 +188,7 @@
 	}
 }
 
-// connectionEnded takes in the end of a connection.
+// connectionEnded removes a connection that has ended.
 func (c *replacementCallers) connectionEnded(on *replacementCaller) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -200,7 +200,7 @@
 	_ = on.Close()
 }
 
-// pendingCalls is the number of calls that have no answer yet.
+// pendingCalls returns the number of calls without an answer.
 func (c *replacementCallers) pendingCalls() (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/cmd/cherryrelay/replacement_soak_test.go
+++ b/cmd/cherryrelay/replacement_soak_test.go
@@ -18,38 +18,39 @@
 	"cherryrelay/internal/trial"
 )
 
-// A soak of rolling replacements: the program's own process on a platform's configuration, under more calls than there are lines, while each of
-// its dispatchers drains, refuses connections, and ends. Every end of a call that stood is held against the bounds of the protocol page.
+// Soak test of rolling replacements: the program runs in its own process on a platform configuration, with more calls than there are lines,
+// while each of its dispatchers drains, refuses connections, and ends. The end of every established call is checked against the limits of
+// the protocol page.
 
 const (
-	// replacementSeeds are played by make test, and concurrentReplacements of the long run side by side.
+	// replacementSeeds is the number of seeds of make test, and concurrentReplacements the number of concurrent runs of the long test.
 	replacementSeeds, concurrentReplacements = 6, 12
-	// maxReplaced is how many dispatchers there are at most before, and after.
+	// maxReplaced limits the dispatchers before, and after, the replacement.
 	maxReplaced = 3
-	// linkDelay and linkJitter are how late what passes between the controller and a dispatcher or a caller is.
+	// linkDelay and linkJitter are the delay and jitter of messages between the controller and dispatchers or callers.
 	linkDelay, linkJitter = 3 * time.Millisecond, 22 * time.Millisecond
-	// lineReportInterval is the pace at which dispatchers tell of their free lines.
+	// lineReportInterval is the interval at which dispatchers report their free lines.
 	lineReportInterval = 200 * time.Millisecond
-	// stepPause is the longest pause between two steps of a replacement, and replacementPause between the beginnings of two.
+	// stepPause is the longest pause between two steps of a replacement, and replacementPause between the starts of two replacements.
 	stepPause, replacementPause = 300 * time.Millisecond, 1500 * time.Millisecond
 )
 
-// latency is the rule of all links.
+// latency is the fault rule of all connections.
 var latency = fault.Rule{Forth: fault.Way{Delay: linkDelay, Jitter: linkJitter}, Back: fault.Way{Delay: linkDelay, Jitter: linkJitter}}
 
-// replacementScenario is what a seed draws.
+// replacementScenario is the scenario that a seed draws.
 type replacementScenario struct {
 	seed              uint64
-	dispatcherCount   int // dispatchers, before and after
+	dispatcherCount   int // before, and after, the replacement
 	work              trial.Work
-	aim               time.Duration // of the calls' class: an attempt that takes longer may be withdrawn
-	slowest           time.Duration // the longest that an answer takes in the overload
-	load              float64       // set-ups, as a part of what the lines can take: with few, connections have little to do, and more of them are overtaken
-	callerIdle        time.Duration // after which callers close a connection
-	keepsConnections  bool          // callers keep a connection open while calls of it stand
-	closesConnections bool          // dispatchers close connections in order
-	reports           bool          // they tell of their lines unasked
-	refuses           bool          // they refuse connections as they drain
+	aim               time.Duration // of the calls' class: a longer attempt may be cancelled
+	slowest           time.Duration // longest time to an answer under overload
+	load              float64       // set-ups as a share of the capacity of the lines; at low load, connections are often idle and overtaken
+	callerIdle        time.Duration // idle time after which callers close a connection
+	keepsConnections  bool          // callers keep a connection open while it has established calls
+	closesConnections bool          // dispatchers close connections after a closing message
+	reports           bool          // dispatchers report their lines unasked
+	refuses           bool          // dispatchers refuse connections while they drain
 	simultaneous      bool          // all are replaced at the same time
 	drainFor          time.Duration
 }
@@ -74,17 +75,17 @@
 		s.dispatcherCount, s.work.Lines, s.work.Unanswered, s.load, s.aim, s.slowest, s.work.Holds, s.drainFor, s.callerIdle, s.keepsConnections, s.closesConnections, s.reports, s.refuses, s.simultaneous)
 }
 
-// replacementResult is what a play came to.
+// replacementResult is the result of a run.
 type replacementResult struct {
 	violations []string
 	log        string
-	ends       int // calls that stood, of which the end was judged
-	repeated   int // of these, calls that were tried more than once at one dispatcher
-	crossed    int // answers that came after their callers had given up
+	ends       int // established calls whose end was checked
+	repeated   int // of these, calls with more than one attempt at the same dispatcher
+	crossed    int // answers that arrived after their callers had cancelled
 	counts     map[string]int
 }
 
-// eventServer is a coordinator that tells all its events in order, from any on.
+// eventServer is a coordinator that sends all its events to each client in order.
 type eventServer struct {
 	address string
 	mu      sync.Mutex
@@ -125,7 +126,7 @@
 	}
 }
 
-// publish adds an event; the list of the start is number 1.
+// publish adds an event. The initial list has number 1.
 func (l *eventServer) publish(t *testing.T, changes ...map[string]any) {
 	t.Helper()
 	l.mu.Lock()
@@ -141,7 +142,7 @@
 	l.changed = make(chan struct{})
 }
 
-// listedDispatcher is a dispatcher behind a link, as the list has it.
+// listedDispatcher is a dispatcher behind a fault proxy, with its list entry.
 type listedDispatcher struct {
 	*trial.Replaced
 	entry map[string]any
@@ -157,25 +158,25 @@
 	return entry
 }
 
-// replacementRun is one play under way.
+// replacementRun is the state of a run.
 type replacementRun struct {
 	*testing.T
 	replacementScenario
 	*process
 	net       *fault.Net
-	front     string // where callers connect
+	front     string // address for callers
 	list      *eventServer
 	checker   *trial.Judge
 	rng       *rand.Rand
-	callsDone chan struct{} // closed when no more calls come
-	ended     chan struct{} // closed when the play ends
+	callsDone chan struct{} // closed when no more calls are placed
+	ended     chan struct{} // closed when the run ends
 	busy      sync.WaitGroup
 
 	mu      sync.Mutex
 	started []*listedDispatcher
 }
 
-// startListed opens a dispatcher behind a link of its own.
+// startListed starts a dispatcher behind a fault proxy of its own.
 func (p *replacementRun) startListed(n int, since time.Time) *listedDispatcher {
 	p.Helper()
 	name := fmt.Sprint("s", n)
@@ -201,7 +202,7 @@
 
 func formatReport(free, lines int) string { return fmt.Sprintf("x0:%d;x1:%d", free, lines) }
 
-// runDispatcher has a dispatcher report and close connections, as the seed has it, until the play ends.
+// runDispatcher makes a dispatcher report its lines and close connections, as the seed demands, until the run ends.
 func (p *replacementRun) runDispatcher(d *listedDispatcher, rng *rand.Rand) {
 	for {
 		select {
@@ -218,7 +219,7 @@
 	}
 }
 
-// replacementProgram is the variable that names another build's program to be played, in place of this one.
+// replacementProgram is the environment variable that names the program of another build to test instead.
 const replacementProgram = "CHERRYRELAY_PROGRAM"
 
 func (p *replacementRun) launchProgram() {
@@ -233,7 +234,7 @@
 	p.run(cmd)
 }
 
-// begin opens the dispatchers and starts the process.
+// begin starts the dispatchers and the process.
 func (p *replacementRun) begin() (old []*listedDispatcher) {
 	p.Helper()
 	var known []map[string]any
@@ -262,12 +263,12 @@
 	return old
 }
 
-// sleepRandomly waits for a time that is drawn, in milliseconds.
+// sleepRandomly sleeps for a random number of milliseconds below a limit.
 func sleepRandomly(rng *rand.Rand, most time.Duration) {
 	time.Sleep(time.Duration(rng.IntN(int(most/time.Millisecond))) * time.Millisecond)
 }
 
-// replace has one dispatcher take the place of another, which drains and ends.
+// replace starts a dispatcher in the place of another, which drains and ends.
 func (p *replacementRun) replace(d *listedDispatcher, n int, rng *rand.Rand) {
 	sleepRandomly(rng, stepPause)
 	next := p.startListed(n, time.Now())
@@ -293,8 +294,8 @@
 	p.net.Refuse(d.link)
 }
 
-// runReplacement plays a seed. The guard between attempts is not judged: on a busy machine dispatchers see the end of an attempt late, which the
-// soak of shutdowns measures.
+// runReplacement runs the scenario of a seed. The guard between attempts is not checked: on a busy machine dispatchers see the end of an
+// attempt late. The soak test of shutdowns measures that.
 func runReplacement(t *testing.T, seed uint64) replacementResult {
 	t.Helper()
 	p := &replacementRun{T: t, replacementScenario: drawReplacement(seed), net: fault.New(seed), list: newEventServer(t),
@@ -328,10 +329,10 @@
 	return r
 }
 
-// check ends what stands, waits for what callers are owed, and holds all against the rules.
+// check ends the established calls, waits for the answers and ends that callers still expect, and returns all violations.
 func (p *replacementRun) check(c *replacementCallers, late *schedulerMeter) replacementResult {
 	p.Helper()
-	trial.Until(maxTimeLeft+time.Second, func() bool { return c.pendingCalls() == 0 }) // callers give up what has no answer
+	trial.Until(maxTimeLeft+time.Second, func() bool { return c.pendingCalls() == 0 }) // callers cancel calls without an answer
 	p.mu.Lock()
 	for _, d := range p.started {
 		d.EndAll()
@@ -356,15 +357,15 @@
 		by := e.Late(now)
 		switch {
 		case e.ToldAt.IsZero():
-			r.violations = append(r.violations, fmt.Sprintf("the end of %s is never told; %s", e.ID, e.Trail))
+			r.violations = append(r.violations, fmt.Sprintf("the end of %s is never delivered; %s", e.ID, e.Trail))
 		case by > 0 && by > late.delayBetween(e.OverAt, until) && by > c.meter.delayBetween(e.OverAt, until):
-			r.violations = append(r.violations, fmt.Sprintf("the end of %s is told %v too late; %s", e.ID, by, e.Trail))
+			r.violations = append(r.violations, fmt.Sprintf("the end of %s is delivered %v too late; %s", e.ID, by, e.Trail))
 		}
 	}
 	return r
 }
 
-// triedAgain reports whether a trail has two set-ups at one dispatcher.
+// triedAgain reports whether a call history has two set-ups at one dispatcher.
 func triedAgain(trail string) bool {
 	at := map[string]bool{}
 	for part := range strings.SplitSeq(trail, ", ") {
@@ -378,13 +379,13 @@
 	return false
 }
 
-// TestReplacements guards against ends of calls that are told to nobody while dispatchers are replaced under overload.
+// TestReplacements guards against undelivered ends of calls while dispatchers are replaced under overload.
 func TestReplacements(t *testing.T) {
 	t.Parallel()
 	runReplacements(t, 1, replacementSeeds, replacementSeeds)
 }
 
-// TestSoakReplacements plays the long run: CHERRYRELAY_SEEDS plays from the seed CHERRYRELAY_FIRST on.
+// TestSoakReplacements is the long test: it runs CHERRYRELAY_SEEDS seeds from the seed CHERRYRELAY_FIRST on.
 func TestSoakReplacements(t *testing.T) {
 	skipUnlessSoak(t)
 	runReplacements(t, environmentNumber(t, "CHERRYRELAY_FIRST", 1), environmentNumber(t, "CHERRYRELAY_SEEDS", 50), concurrentReplacements)
@@ -405,16 +406,16 @@
 		}
 	})
 	if ends.Load() == 0 {
-		t.Error("no call stood to its end")
+		t.Error("no established call ended")
 	}
 }
 
-// runAndReport plays a seed, reports what it came to, and tells how many ends were judged.
+// runAndReport runs a seed, logs its result, and returns the number of checked ends.
 func runAndReport(t *testing.T, seed uint64) (ends int) {
 	t.Helper()
 	begun, s := time.Now(), drawReplacement(seed)
 	r := runReplacement(t, seed)
-	t.Logf("seed %d: %d ends judged, %d of calls tried again at their dispatcher, %d answers crossed a give-up, %d connections given up as dead, %v in all; %v; %v",
+	t.Logf("seed %d: %d ends checked, %d of calls tried again at their dispatcher, %d answers crossed a cancellation, %d connections abandoned as unresponsive, %v in all; %v; %v",
 		seed, r.ends, r.repeated, r.crossed, strings.Count(r.log, "open but unresponsive"), time.Since(begun).Round(time.Millisecond), r.counts, &s)
 	if len(r.violations) > 0 {
 		again := fmt.Sprintf("again with `make soak SOAK=SoakReplacements SEEDS=1 FIRST=%d`", seed)
--- a/cmd/cherryrelay/resume_test.go
+++ b/cmd/cherryrelay/resume_test.go
@@ -17,7 +17,7 @@
 	"cherryrelay/internal/trial"
 )
 
-// resumeFixture is the program, in a process of its own, between dispatchers that act by themselves and callers of a story.
+// resumeFixture is the program in its own process, with automatic dispatchers and scripted callers.
 type resumeFixture struct {
 	*process
 	transport   string
@@ -25,7 +25,7 @@
 	dispatchers []*trial.Dispatcher
 }
 
-// newResumeFixture starts the program with n dispatchers, which answer at once.
+// newResumeFixture starts the program with n dispatchers that answer at once.
 func newResumeFixture(t *testing.T, transport, extra string, n int) *resumeFixture {
 	t.Helper()
 	d := &resumeFixture{process: newProcess(t, extra), transport: transport, checker: newChecker()}
@@ -39,7 +39,7 @@
 	return d
 }
 
-// writePool writes the pool file; its dispatchers have run since then.
+// writePool writes the pool file with the given start time of its dispatchers.
 func (d *resumeFixture) writePool(since time.Duration) {
 	d.Helper()
 	var members []pool.Member
@@ -59,7 +59,7 @@
 	}
 }
 
-// connect connects; an empty transport is that of the desk.
+// connect opens a connection of a caller.
 func (d *resumeFixture) connect() *peer.Caller {
 	d.Helper()
 	address := d.lines
@@ -72,7 +72,7 @@
 	return c
 }
 
-// setUp sends a set-up that can be resumed.
+// setUp sends a set-up with a token, so that it can be resumed.
 func (d *resumeFixture) setUp(c *peer.Caller, id string) {
 	d.Helper()
 	x := "x"
@@ -89,7 +89,7 @@
 	d.must(c.Send(jsonl.Message{Type: "resume", ID: id, Fields: fields}))
 }
 
-// expect wants the next message to a caller.
+// expect requires the next message to a caller.
 func (d *resumeFixture) expect(c *peer.Caller, want string) {
 	d.Helper()
 	m, err := c.Next()
@@ -99,11 +99,11 @@
 		got += fmt.Sprint(" ", m.CauseOr(0))
 	}
 	if got != want {
-		d.Fatalf("the caller gets %q (%v), want %q", got, m.Fields, want)
+		d.Fatalf("the caller got %q (%v), want %q", got, m.Fields, want)
 	}
 }
 
-// expectNothing more comes to a caller: the next is the answer to a test.
+// expectNothing requires that a caller gets no message before the answer to a ping.
 func (d *resumeFixture) expectNothing(c *peer.Caller) {
 	d.Helper()
 	d.must(c.Send(jsonl.Message{Type: "ping", ID: id(0)}))
@@ -115,14 +115,14 @@
 	checkAllSettled(d.T, d.checker)
 }
 
-// setUnresponsive has the dispatchers leave set-ups open.
+// setUnresponsive makes the dispatchers leave set-ups unanswered, or answer them again.
 func (d *resumeFixture) setUnresponsive(slow bool) {
 	for _, a := range d.dispatchers {
 		a.Act(!slow, slow)
 	}
 }
 
-// over both fronts.
+// bothFronts runs a script over both fronts.
 func bothFronts(t *testing.T, script func(t *testing.T, transport string)) {
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
@@ -132,7 +132,7 @@
 	}
 }
 
-// TestOnlyTheOwnerResumes, while the program lives and after a kill.
+// TestOnlyTheOwnerResumes tests resume requests while the program runs and after a kill.
 func TestOnlyTheOwnerResumes(t *testing.T) {
 	bothFronts(t, func(t *testing.T, transport string) {
 		d := newResumeFixture(t, transport, "", 2)
@@ -142,13 +142,13 @@
 		d.setUnresponsive(true)
 		d.setUp(c, id(2))
 		d.waitAttempt(id(2))
-		d.must(c.Close()) // the open one is kept for its caller
+		d.must(c.Close()) // the pending call is kept for its caller
 		stranger := d.connect()
 		d.resume(stranger, id(1), "not the token of it", false)
 		d.expect(stranger, "release 1 41")
 		d.resume(stranger, id(2), token(id(1)), false)
 		d.expect(stranger, "release 2 41")
-		d.resume(stranger, id(3), token(id(3)), false) // nobody's
+		d.resume(stranger, id(3), token(id(3)), false) // unknown call
 		d.expect(stranger, "release 3 41")
 		c = d.connect()
 		d.resume(c, id(1), token(id(1)), true)
@@ -160,7 +160,7 @@
 		stranger = d.connect()
 		d.resume(stranger, id(1), "not the token of it", false)
 		d.expect(stranger, "release 1 41")
-		// The same caller on two connections: the later one has it, and nothing is answered twice on one.
+		// The same caller uses two connections: the later one gets the messages of the call, and nothing is answered twice on one.
 		first, second := d.connect(), d.connect()
 		d.resume(first, id(1), token(id(1)), false)
 		d.expect(first, "answer 1")
@@ -178,7 +178,7 @@
 	})
 }
 
-// waitAttempt waits until an attempt of a call is out at some dispatcher.
+// waitAttempt waits until an attempt of a call is in progress at a dispatcher.
 func (d *resumeFixture) waitAttempt(id string) {
 	d.Helper()
 	for until := time.Now().Add(peer.Patience); time.Now().Before(until); time.Sleep(time.Millisecond) {
@@ -186,17 +186,17 @@
 			return
 		}
 	}
-	d.Fatalf("no attempt of %s comes out", id)
+	d.Fatalf("there is no attempt of %s", id)
 }
 
-// endCall has whichever dispatcher has a call end it.
+// endCall ends a call at the dispatcher that has it.
 func (d *resumeFixture) endCall(id string) {
 	for _, a := range d.dispatchers {
 		a.End(id)
 	}
 }
 
-// TestKilledInTheWaitBeforeAResend: the call goes out again no sooner than the guard after the return, and is answered once.
+// TestKilledInTheWaitBeforeAResend: after a restart the call is sent again no sooner than the guard allows, and is answered once.
 func TestKilledInTheWaitBeforeAResend(t *testing.T) {
 	bothFronts(t, func(t *testing.T, transport string) {
 		d := newResumeFixture(t, transport, "", 1)
@@ -218,7 +218,7 @@
 	})
 }
 
-// breakNext has the next set-up break on its way.
+// breakNext makes the next set-up break.
 func (d *resumeFixture) breakNext() {
 	d.dispatchers[0].Break(1)
 }
@@ -230,10 +230,11 @@
 			return
 		}
 	}
-	d.Fatalf("%s never broke", id)
+	d.Fatalf("%s never breaks", id)
 }
 
-// TestCallsThatEndWhileTheProcessIsDown: one ends, one is lost with its dispatcher, and one's dispatcher is replaced cold.
+// TestCallsThatEndWhileTheProcessIsDown: one call ends, one is lost with its dispatcher, and the dispatcher of another is replaced by one
+// that starts cold.
 func TestCallsThatEndWhileTheProcessIsDown(t *testing.T) {
 	bothFronts(t, func(t *testing.T, transport string) {
 		d := newResumeFixture(t, transport, "", 2)
@@ -250,7 +251,7 @@
 			d.resume(c, id(n+1), token(id(n+1)), true)
 		}
 		d.expect(c, "release 1 16")
-		d.expectNothing(c) // the others stand
+		d.expectNothing(c) // the others are established
 		d.kill()
 		d.writePool(time.Duration(time.Now().UnixNano())) // other processes at the same addresses
 		d.start()
@@ -271,8 +272,8 @@
 	})
 }
 
-// TestTheLedgerIsDamagedWhileDown: cut, flipped, and with a segment gone, again and again under load. Who comes back gets one
-// final answer for each call, and dispatchers see no rule broken.
+// TestTheLedgerIsDamagedWhileDown truncates the ledger, flips bits and empties segments, repeatedly and under load. A caller that resumes
+// gets one final answer for each call, and dispatchers see no violation.
 func TestTheLedgerIsDamagedWhileDown(t *testing.T) {
 	spoil := func(p *process, rng *rand.Rand) {
 		names, err := filepath.Glob(filepath.Join(p.directory, "ledger", "*.segment"))
@@ -302,7 +303,7 @@
 	runKills(t, 12, spoil)
 }
 
-// TestTwoProcessesOnOneLedgerDirectory: the second one ends with one plain line, and the first serves on.
+// TestTwoProcessesOnOneLedgerDirectory: the second process exits with a one-line error, and the first continues to serve.
 func TestTwoProcessesOnOneLedgerDirectory(t *testing.T) {
 	d := newResumeFixture(t, "ws", "", 1)
 	other := newProcess(t, "")
@@ -318,15 +319,15 @@
 	other.cmd = nil
 	lines := strings.Split(strings.TrimSpace(other.log.String()), "\n")
 	if err == nil || !strings.Contains(lines[len(lines)-1], "another process holds the directory") {
-		t.Errorf("it ended with %v:\n%s", err, other.log)
+		t.Errorf("the second process ended with %v:\n%s", err, other.log)
 	}
 	c := d.connect()
 	d.setUp(c, id(1))
 	d.expect(c, "answer 1")
 }
 
-// TestUpgradesAndTheLedger: a successor takes the ledger over; and if the old process is killed outright in the middle, the
-// successor has its calls from it.
+// TestUpgradesAndTheLedger: a successor takes over the ledger. If the old process is killed during the handover, the successor recovers its
+// calls from the ledger.
 func TestUpgradesAndTheLedger(t *testing.T) {
 	bothFronts(t, func(t *testing.T, transport string) {
 		for _, outright := range []bool{false, true} {
@@ -347,7 +348,7 @@
 			d.waitReady()
 			d.setUnresponsive(false)
 			if !outright {
-				d.answerAll() // where it came in
+				d.answerAll() // answered by the process that accepted the set-up
 				d.expect(c, "answer 2")
 				if err := <-old.ended; err != nil {
 					d.Errorf("the old process ended with %v", err)
@@ -361,7 +362,7 @@
 				d.expect(c, "answer 2")
 			}
 			d.expectNothing(c)
-			// The successor keeps them now: it is killed in its turn.
+			// The successor has the ledger now and is killed in turn.
 			d.kill()
 			d.launchWith("LB_MANAGEMENT=" + d.management)
 			d.waitReady()
@@ -379,14 +380,14 @@
 	})
 }
 
-// answerAll has the dispatchers answer what they have left open.
+// answerAll makes the dispatchers answer all unanswered set-ups.
 func (d *resumeFixture) answerAll() {
 	for _, a := range d.dispatchers {
 		a.AnswerAll()
 	}
 }
 
-// TestManyResumeAtOnce: all callers of a large gateway come back on one connection.
+// TestManyResumeAtOnce: all callers of a large gateway resume on one connection.
 func TestManyResumeAtOnce(t *testing.T) { resumeMany(t, 2000) }
 
 func resumeMany(t *testing.T, calls int) {
@@ -412,7 +413,7 @@
 	c = d.connect()
 	got := map[string]int{}
 	from = time.Now()
-	// A test after some is answered once they are taken: whoever writes faster than is read is dropped, and may come again.
+	// A ping after each batch is answered when the batch has been read: a connection that sends faster than it is read is closed.
 	const atOnce = 250
 	for n := 0; n < calls; n += atOnce {
 		for i := n; i < n+atOnce; i++ {
@@ -437,5 +438,5 @@
 	}
 	d.expectNothing(c)
 	d.checkSettled()
-	t.Logf("%d calls that stood: ready %v after the start, all resumed after another %v", calls, ready, took)
+	t.Logf("%d established calls: ready %v after the start, all resumed after another %v", calls, ready, took)
 }
--- a/cmd/cherryrelay/run_delay_test.go
+++ b/cmd/cherryrelay/run_delay_test.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// runDelayPeriod is the pause between two looks at the threads of a process.
+// runDelayPeriod is the interval at which the threads of a process are polled.
 const runDelayPeriod = 5 * time.Millisecond
 
-// measureRunDelays records how long threads of a process wait for a core, as the kernel counts it, until the process ends. Whatever else a process
-// waits for, or does for too long, is its own.
+// measureRunDelays records how long the threads of a process wait for a core, by the kernel's counters, until the process ends. Other
+// waiting or slowness of the process is not recorded.
 func measureRunDelays(pid int) *schedulerMeter {
 	m := &schedulerMeter{}
 	go func() {
@@ -35,16 +35,16 @@
 	return m
 }
 
-// runDelays is how long each thread of a process has waited for a core since it began; empty once the process has ended.
+// runDelays returns how long each thread of a process has waited for a core since its start. The map is empty after the process has ended.
 func runDelays(pid int) map[string]time.Duration {
 	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	delays := map[string]time.Duration{}
 	for _, thread := range threads {
 		text, err := os.ReadFile(thread)
 		if err != nil {
-			continue // it has ended
+			continue // the thread has ended
 		}
-		fields := strings.Fields(string(text)) // time on a core, time waited for one, and how often it had one
+		fields := strings.Fields(string(text)) // time on a core, time waiting for one, and number of time slices
 		if len(fields) < 2 {
 			continue
 		}
@@ -55,7 +55,7 @@
 	return delays
 }
 
-// startProcess starts a process that is killed at the end of the test.
+// startProcess starts a process that is killed when the test ends.
 func startProcess(t *testing.T, name string, args ...string) (pid int) {
 	t.Helper()
 	cmd := exec.Command(name, args...)
@@ -69,23 +69,23 @@
 	return cmd.Process.Pid
 }
 
-// TestAProcessThatKeepsCallersWaitingIsNotExcused guards against a soak whose judge excuses a controller that is late by itself: a process that
-// stands still for 600 ms, on a machine of any load, is held to the 500 ms in which a late answer may come.
+// TestAProcessThatKeepsCallersWaitingIsNotExcused guards against a checker that excuses a controller for its own slowness: a process that
+// blocks for 600 ms, on a machine of any load, exceeds the 500 ms by which an answer may be late.
 func TestAProcessThatKeepsCallersWaitingIsNotExcused(t *testing.T) {
 	const blocked = 600 * time.Millisecond
 	pid := startProcess(t, "sleep", "60")
-	time.Sleep(blocked / 4) // its start is not in question
+	time.Sleep(blocked / 4) // skip the delays of its start
 	j := newShutdownChecker()
 	j.meter, j.process = &schedulerMeter{}, measureRunDelays(pid)
 	begun := time.Now()
 	time.Sleep(blocked)
 	if end := time.Now(); !j.exceeds(blocked, maxAnswerDelay, begun, end) {
-		t.Errorf("excused for %v of %v", j.process.delayBetween(begun, end), blocked)
+		t.Errorf("the process is excused for %v of %v", j.process.delayBetween(begun, end), blocked)
 	}
 }
 
-// TestAProcessWithoutACoreIsExcused guards against a controller that is held to times in which the machine gave it no core: of two busy processes
-// for each core, one has to wait for about half of the time.
+// TestAProcessWithoutACoreIsExcused guards against blaming a controller for times in which the machine gave it no core: with two busy
+// processes per core, each waits about half of the time.
 func TestAProcessWithoutACoreIsExcused(t *testing.T) {
 	const measured = time.Second
 	var pid int
@@ -95,6 +95,6 @@
 	m, begun := measureRunDelays(pid), time.Now()
 	time.Sleep(measured)
 	if waited := m.delayBetween(begun, time.Now()); waited < measured/10 || waited > 2*measured {
-		t.Errorf("it waited for a core for %v of %v", waited, measured)
+		t.Errorf("the process waited for a core for %v of %v", waited, measured)
 	}
 }
--- a/cmd/cherryrelay/settings_test.go
+++ b/cmd/cherryrelay/settings_test.go
@@ -8,7 +8,7 @@
 	"cherryrelay/internal/settings"
 )
 
-// testSettings are those of a small deployment; the figures are the tests' own.
+// testSettings returns the settings of a small deployment. The numbers are only for tests.
 func testSettings(t *testing.T) *settings.Settings {
 	t.Helper()
 	s := new(settings.Settings)
--- a/cmd/cherryrelay/share_load_test.go
+++ b/cmd/cherryrelay/share_load_test.go
@@ -11,9 +11,9 @@
 	"cherryrelay/internal/peer"
 )
 
-// The term: no process serves nobody while others are asked to wait.
+// No process may be left without calls while others refuse calls with a retry time.
 
-// limitedDispatcher is a dispatcher with few lines, each of which a call holds for a while; beyond them it has none.
+// limitedDispatcher is a dispatcher with few lines. Each call occupies one for a while, and a call without a free line is refused.
 type limitedDispatcher struct {
 	*peer.Dispatcher
 	free atomic.Int32
@@ -37,7 +37,7 @@
 	t.Cleanup(func() { close(ended) })
 	go l.sendReports(ended)
 	go func() {
-		for range d.Acks { // nobody waits for them
+		for range d.Acks { // discarded
 		}
 	}()
 	go func() {
@@ -50,7 +50,7 @@
 	return l
 }
 
-// reportInterval is the pace at which a dispatcher tells how many lines are free.
+// reportInterval is the interval at which a dispatcher reports its free lines.
 const reportInterval = 100 * time.Millisecond
 
 func (l *limitedDispatcher) sendReports(ended <-chan struct{}) {
@@ -77,10 +77,10 @@
 	})
 }
 
-// outcomeCount is what the callers of one process were told.
+// outcomeCount counts the answers to the callers of one process.
 type outcomeCount struct{ served, refused atomic.Int32 }
 
-// placeCalls has a caller ask a process so often a second until it is stopped; with a closed connection, it connects again.
+// placeCalls places calls at a process at the given rate until it is stopped. It reconnects if the connection is closed.
 func (n *outcomeCount) placeCalls(p *process, rate float64, base int, first func(n int) int, stop <-chan struct{}) {
 	var c *peer.Caller
 	defer func() {
@@ -124,17 +124,17 @@
 	}
 }
 
-// TestEveryProcessServesCalls: six processes ask more of four dispatchers than these have lines for. The callers of one name as their first
-// choice none but a dispatcher that drains; another process is killed and starts again. Neither
-// is left with nothing while others are asked to wait.
+// TestEveryProcessServesCalls: six processes place more calls than four dispatchers have lines. The callers of one process have only a
+// draining dispatcher as first choice, and another process is killed and starts again. Neither process may be left without calls while
+// others refuse calls with a retry time.
 func TestEveryProcessServesCalls(t *testing.T) {
 	const (
 		processes = 6
-		rate      = 24.0 // set-ups a second of each: half as much again as there are lines for
+		rate      = 24.0 // set-ups per second of each: half as many again as there are lines for
 		drained   = 0
 		restarted = 1
 		measured  = 8 * time.Second
-		least     = 0.1 // of the mean of the others
+		least     = 0.1 // as a share of the mean of the others
 	)
 	discovery := startChangeCoordinator(t)
 	var known []map[string]any
@@ -186,9 +186,9 @@
 		}
 	}
 	mean := float64(others) / (processes - 2)
-	t.Logf("served by each: %v; %d were asked to wait", served, refused)
+	t.Logf("served by each: %v; %d were refused with a retry time", served, refused)
 	if refused == 0 {
-		t.Fatal("nobody was asked to wait: the story has no load")
+		t.Fatal("no call was refused: the load is too low")
 	}
 	for i, n := range served {
 		if float64(n) < least*mean {
--- a/cmd/cherryrelay/shares_test.go
+++ b/cmd/cherryrelay/shares_test.go
@@ -12,7 +12,7 @@
 	"cherryrelay/internal/peer"
 )
 
-// TestOperatorsSeeTheSharesOfDispatchers: how often each was asked, and how often in vain for want of a line.
+// TestOperatorsSeeTheSharesOfDispatchers: the page shows how many set-ups each dispatcher got and how many it refused for lack of a line.
 func TestOperatorsSeeTheSharesOfDispatchers(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
@@ -31,15 +31,15 @@
 			break
 		}
 		if time.Now().After(until) {
-			t.Fatalf("%+v: want one request of the first in vain, and a line of the second", shares)
+			t.Fatalf("%+v: want one refusal by the first dispatcher and one line of the second", shares)
 		}
 	}
 	if shares[0].SetUpsSent != 1 || shares[1].SetUpsSent != 1 || shares[0].OwnLines != 0 || shares[0].BackOffMS <= 0 {
-		t.Errorf("%+v: want each asked once, and a rest for the first", shares)
+		t.Errorf("%+v: want one set-up each, and a back-off of the first", shares)
 	}
 }
 
-// TestTheSharesOfOneDispatcher: the query names it.
+// TestTheSharesOfOneDispatcher: the query selects one dispatcher.
 func TestTheSharesOfOneDispatcher(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
--- a/cmd/cherryrelay/short_deadlines_test.go
+++ b/cmd/cherryrelay/short_deadlines_test.go
@@ -7,8 +7,8 @@
 	"cherryrelay/internal/callers"
 )
 
-// TestLittleTimeLeft: callers wait for 20 to 80 ms more, and a dispatcher drops such set-ups without a word. Each caller has one final answer, no later
-// than half a second after its time, and a call with time left is placed as ever.
+// TestLittleTimeLeft: callers have 20 to 80 ms left, and a dispatcher drops such set-ups without an answer. Each caller gets one final
+// answer, no later than half a second after its deadline, and a call with time left is placed as usual.
 func TestLittleTimeLeft(t *testing.T) {
 	for _, mix := range [][2]string{{"tcp", "tcp"}, {"ws", "ws"}} {
 		t.Run(mix[0], func(t *testing.T) {
@@ -26,7 +26,7 @@
 					t.Fatalf("%+v: want the final answer to call %d", m, 10+n)
 				}
 				if late := time.Since(begun) - left; late > maxAnswerDelay && late-meter.delayBetween(begun, time.Now()) > maxAnswerDelay {
-					t.Errorf("call %d is answered %v after its time", 10+n, late)
+					t.Errorf("call %d is answered %v after its deadline", 10+n, late)
 				}
 			}
 			w.must(c.SetUp(id(1), longTimeout, 0, "x"))
