--- a/cmd/cherryrelay/shutdown_callers_test.go
+++ b/cmd/cherryrelay/shutdown_callers_test.go
@@ -17,18 +17,18 @@
 	"cherryrelay/internal/peer"
 )
 
-// shutdownCallers are all callers of one play.
+// shutdownCallers are all callers of one run.
 type shutdownCallers struct {
 	checker   *shutdownChecker
 	transport string
 	address   string
-	dialUntil atomic.Int64  // Unix nanoseconds until which new connections are opened; 0 for no end
-	done      chan struct{} // closed once the process has ended
+	dialUntil atomic.Int64  // Unix nanoseconds until which new connections are opened; 0 for no limit
+	done      chan struct{} // closed when the process has ended
 	next      atomic.Uint64
 	running   sync.WaitGroup
 
 	mu          sync.Mutex
-	answerTimes *hdrhistogram.Histogram // microseconds to the final answer
+	answerTimes *hdrhistogram.Histogram // microseconds from a set-up to its final answer
 }
 
 // shutdownConnection is one connection of a caller.
@@ -36,18 +36,18 @@
 	*peer.Caller
 	callers  *shutdownCallers
 	from     time.Time
-	excluded bool // its caller does not read, so that its set-ups are not judged
-	late     bool // what is read was told earlier
+	excluded bool // the caller does not read, so that its set-ups are not checked
+	late     bool // messages may have arrived earlier than they are read
 
 	writing sync.Mutex
 	mu      sync.Mutex
-	ids     []string // set-ups that were written on it
+	ids     []string // of the set-ups that were written on it
 }
 
-// slowReaderPause is how long a slow reader of a crowd reads nothing.
+// slowReaderPause is the time in which a slow reader of a crowd reads nothing.
 const slowReaderPause = 2500 * time.Millisecond
 
-// maxCallerPause is the longest pause between two acts of a caller.
+// maxCallerPause is the longest pause between two actions of a caller.
 const maxCallerPause = 30 * time.Millisecond
 
 func (c *shutdownCallers) dial() *shutdownConnection {
@@ -70,7 +70,7 @@
 	}
 }
 
-// run has a caller act on one connection after another until the process ends, and on open ones until then.
+// run makes a caller use one connection after another until the process ends.
 func (c *shutdownCallers) run(seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 0x736864))
 	for !c.ended() {
@@ -83,7 +83,7 @@
 		go func() { defer close(reading); s.read() }()
 		for !c.ended() && s.performAction(rng) {
 			select {
-			case <-reading: // closed by the other side
+			case <-reading: // closed by the controller
 			case <-time.After(time.Duration(rng.Int64N(int64(maxCallerPause)))):
 				continue
 			}
@@ -98,7 +98,7 @@
 	}
 }
 
-// encodeSetUps are so many set-ups in one piece, with the time that they are answered in.
+// encodeSetUps returns n set-ups in one piece, and their IDs.
 func (s *shutdownConnection) encodeSetUps(rng *rand.Rand, n int) (text []byte, ids []string) {
 	left := 50*time.Millisecond + time.Duration(rng.Int64N(int64(3*time.Second-50*time.Millisecond)))
 	for range n {
@@ -120,7 +120,7 @@
 	}
 }
 
-// register has the judge know of set-ups that are about to be written.
+// register adds set-ups that are about to be written to the checker.
 func (s *shutdownConnection) register(ids []string, left time.Duration) {
 	for _, id := range ids {
 		s.callers.checker.markWritten(id, time.Now(), left, s.excluded)
@@ -139,7 +139,7 @@
 	return s.Frame(text)
 }
 
-// performAction does one thing, and reports whether the connection is to be used further.
+// performAction performs a random action and reports whether the connection is used further.
 func (s *shutdownConnection) performAction(rng *rand.Rand) bool {
 	s.writing.Lock()
 	defer s.writing.Unlock()
@@ -152,7 +152,7 @@
 		text, ids := s.encodeSetUps(rng, 1)
 		s.send(text, ids)
 		time.AfterFunc(time.Duration(rng.IntN(200))*time.Millisecond, func() {
-			s.writing.Lock() // not between the pieces of a set-up
+			s.writing.Lock() // not between the parts of a set-up
 			defer s.writing.Unlock()
 			_ = s.SendRaw(s.encodeRelease(ids[0]))
 			s.callers.checker.markCancelled(ids[0], time.Now(), true)
@@ -162,7 +162,7 @@
 		s.send(append(text, s.encodeRelease(ids[0])...), ids)
 		s.disconnect()
 		return false
-	case 3: // in pieces
+	case 3: // in parts
 		text, ids := s.encodeSetUps(rng, 1)
 		for n := min(len(text), 1+rng.IntN(100)); n < len(text); n = min(len(text), 1+rng.IntN(100)) {
 			_ = s.SendRaw(text[:n])
@@ -178,7 +178,7 @@
 	return true
 }
 
-// disconnect closes the connection: its caller waits for nothing any more.
+// disconnect closes the connection and cancels its calls.
 func (s *shutdownConnection) disconnect() {
 	s.mu.Lock()
 	ids := s.ids
@@ -189,7 +189,7 @@
 	_ = s.CloseWrite()
 }
 
-// read takes in what comes until the connection ends.
+// read handles messages until the connection ends.
 func (s *shutdownConnection) read() {
 	for {
 		m, err := s.NextWithin(time.Minute)
@@ -202,14 +202,14 @@
 		}
 		at := time.Now()
 		if s.late {
-			at = s.from // it came at some time since then
+			at = s.from // it arrived at some time since then
 		}
 		s.callers.checker.markReceived(m.ID, m.Type, m.Description(), at)
 		s.callers.recordAnswerTime(m.ID)
 	}
 }
 
-// recordAnswerTime notes the time to a final answer.
+// recordAnswerTime records the time to a final answer.
 func (c *shutdownCallers) recordAnswerTime(id string) {
 	c.checker.mu.Lock()
 	call := c.checker.calls[id]
@@ -225,8 +225,8 @@
 	}
 }
 
-// reportEnd tells the judge of the end. The kernel knows when the last segment of the other side came: the end, or what acknowledged the
-// last words of this side, if they came later.
+// reportEnd reports the end of the connection to the checker. The kernel knows when the last segment of the other side arrived: the close,
+// or a later acknowledgement of data of this side.
 func (s *shutdownConnection) reportEnd(err error) {
 	seen := time.Now()
 	kernel := seen
@@ -245,7 +245,7 @@
 	s.callers.checker.markConnectionEnded(ids, s.from, kernel, seen, err)
 }
 
-// startCrowd has many more callers come at once, each of its kind.
+// startCrowd starts n more callers of random kinds at once.
 func (c *shutdownCallers) startCrowd(rng *rand.Rand, n int) {
 	for i := range n {
 		kind, seed := rng.IntN(6), rng.Uint64()
@@ -258,14 +258,14 @@
 			defer s.Close()
 			s.excluded = kind == 1
 			switch kind {
-			case 0: // says nothing
+			case 0: // sends nothing
 			case 1: // does not read
 				for range 10 {
 					_ = s.SetWriteDeadline(time.Now().Add(time.Second))
 					s.send(s.encodeSetUps(rng, 4))
 				}
 				select {
-				case <-time.After(slowReaderPause): // before the process may be killed: what is unread then is lost with the reset
+				case <-time.After(slowReaderPause): // before the process may be killed: unread data is lost with the reset
 				case <-c.done:
 				}
 				s.late = true
--- a/cmd/cherryrelay/shutdown_checker_test.go
+++ b/cmd/cherryrelay/shutdown_checker_test.go
@@ -10,47 +10,47 @@
 	"cherryrelay/internal/trial"
 )
 
-// What a soak of shutdowns holds against the rules at the callers' end. Its figures are those of the protocol page.
+// The limits that the soak test of shutdowns checks for callers are those of the protocol page.
 const (
-	// maxAnswerDelay is how late a final answer may come: until then it only earns nothing.
+	// maxAnswerDelay is the time after its deadline in which a final answer may still come; it earns nothing then.
 	maxAnswerDelay = 500 * time.Millisecond
-	// maxCrossingTime is how long before the end of its connection a set-up may have been written and still count as crossing it.
+	// maxCrossingTime is the time before the end of its connection in which a set-up counts as crossing that end.
 	maxCrossingTime = 20 * time.Millisecond
-	// endDeliveryLimit is within what the end of a call that stood is told, and protocolSlack what is allowed for beyond each limit.
+	// endDeliveryLimit is the time in which the end of an established call must be delivered. protocolSlack is added to each limit.
 	endDeliveryLimit, protocolSlack = time.Second, 50 * time.Millisecond
-	// maxAttemptDelay is how long after its caller has left an attempt may begin.
+	// maxAttemptDelay is the time after its caller's cancellation in which an attempt may still start.
 	maxAttemptDelay = 100 * time.Millisecond
 )
 
-// shutdownCall is one set-up at its caller's end.
+// shutdownCall is the caller's state of one set-up.
 type shutdownCall struct {
 	written     time.Time
-	sent        time.Time // when its last byte was with the kernel; zero if it never was
+	sent        time.Time // time when the kernel had its last byte; zero if it never had
 	left        time.Duration
 	finals      int
 	finalAt     time.Time
 	established bool
-	endReported bool      // the end of the call that stood
-	cancelledAt time.Time // when its caller gave it up
-	released    bool      // by a word of its own, which ends the call as well if that stands by then
-	crossed     bool      // its connection ended as it was written
-	lost        bool      // its connection ended, and it has no answer
-	excluded    bool      // of a caller that does not read
+	endReported bool      // the end of the established call was delivered
+	cancelledAt time.Time // when its caller cancelled it
+	released    bool      // by a release message, which also ends a call that is established by then
+	crossed     bool      // its connection ended while it was written
+	lost        bool      // its connection ended without an answer
+	excluded    bool      // its caller does not read
 }
 
-// shutdownChecker collects what callers see. Its methods may be called from any goroutine.
+// shutdownChecker collects the messages of callers and checks them. It is safe for concurrent use.
 type shutdownChecker struct {
 	meter   *schedulerMeter
-	process *schedulerMeter // what the process under test is excused for; nil for nothing
+	process *schedulerMeter // delays that the tested process is excused for; nil for none
 
 	mu         sync.Mutex
 	calls      map[string]*shutdownCall
 	violations []string
-	endReports map[string]time.Time // ends, by id, on whatever connection
-	connected  []interval           // when callers could be told
+	endReports map[string]time.Time // times of delivered ends by call ID, on any connection
+	connected  []interval           // times in which a caller was connected
 }
 
-// interval is a time in which a connection was open.
+// interval is the time in which a connection was open.
 type interval struct{ from, to time.Time }
 
 func newShutdownChecker() *shutdownChecker {
@@ -67,7 +67,7 @@
 	j.calls[id] = &shutdownCall{written: at, left: left, excluded: excluded}
 }
 
-// markSent notes that set-ups are with the kernel.
+// markSent records that the kernel has the set-ups.
 func (j *shutdownChecker) markSent(ids []string, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -76,7 +76,7 @@
 	}
 }
 
-// markCancelled notes that a caller has cancelled a set-up or closed its connection, unless it had its answer.
+// markCancelled records that a caller has cancelled a set-up or closed its connection before the answer.
 func (j *shutdownChecker) markCancelled(id string, at time.Time, released bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -88,7 +88,7 @@
 	}
 }
 
-// markReceived takes in a message: an answer, or a release, which is a final answer or the end of a call that stood.
+// markReceived records a message: an answer, or a release, which is a final answer or the end of an established call.
 func (j *shutdownChecker) markReceived(id, kind, description string, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -117,7 +117,7 @@
 	}
 }
 
-// markConnectionEnded notes that a connection has ended, at a time on the kernel's clock, with the set-ups that came on it.
+// markConnectionEnded records that a connection with the given set-ups has ended, at a time on the kernel's clock.
 func (j *shutdownChecker) markConnectionEnded(ids []string, from, kernel, seen time.Time, reason error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -135,7 +135,8 @@
 	}
 }
 
-// markCrossed notes set-ups of a connection that ended before its caller knew: those that were not there at its end crossed it.
+// markCrossed records set-ups of a connection that ended before its caller noticed: those that the controller had not received crossed the
+// end.
 func (j *shutdownChecker) markCrossed(ids []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -146,7 +147,7 @@
 	}
 }
 
-// check holds all against the rules, with what dispatchers saw. The process lived until a time.
+// check returns all violations, also those that dispatchers saw. livedUntil is when the process ended.
 func (j *shutdownChecker) check(dispatchers *trial.Judge, arrivals map[string][]time.Time, livedUntil time.Time) []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -154,14 +155,14 @@
 	faults = append(faults, j.violations...)
 	for id, c := range j.calls {
 		if late := c.finalAt.Sub(c.written) - c.left; c.finals > 0 && c.cancelledAt.IsZero() && j.exceeds(late, maxAnswerDelay, c.written, c.finalAt) {
-			faults = append(faults, fmt.Sprintf("%s: answered %v after its time of %v", id, late, c.left))
+			faults = append(faults, fmt.Sprintf("%s: answered %v after its deadline of %v", id, late, c.left))
 		}
 		if c.finals == 0 && c.cancelledAt.IsZero() && !c.crossed && !c.lost && !c.excluded {
 			faults = append(faults, fmt.Sprintf("%s: no answer, written %v before the end", id, livedUntil.Sub(c.written)))
 		}
 		for _, at := range arrivals[id] {
 			if late := at.Sub(c.cancelledAt); !c.cancelledAt.IsZero() && j.exceeds(late, maxAttemptDelay+protocolSlack, c.cancelledAt, at) {
-				faults = append(faults, fmt.Sprintf("%s: an attempt began %v after its caller had left", id, late))
+				faults = append(faults, fmt.Sprintf("%s: an attempt began %v after its caller had cancelled", id, late))
 			}
 			if late := at.Sub(c.finalAt); c.finals > 0 && !c.excluded && j.exceeds(late, maxAttemptDelay+protocolSlack, c.finalAt, at) {
 				faults = append(faults, fmt.Sprintf("%s: an attempt began %v after its final answer", id, late))
@@ -174,7 +175,7 @@
 			continue
 		}
 		if at, told := j.endReports[id]; !told || j.exceeds(at.Sub(over), within, over, at) {
-			faults = append(faults, fmt.Sprintf("%s: its end is told %v, at %v after it; it ended %v before the process, %v after its answer, left %v", id, told, at.Sub(over), livedUntil.Sub(over),
+			faults = append(faults, fmt.Sprintf("%s: its end was delivered: %v, %v after it; it ended %v before the process and %v after its answer; cancelled: %v", id, told, at.Sub(over), livedUntil.Sub(over),
 				over.Sub(c.finalAt), !c.cancelledAt.IsZero()))
 		}
 	}
@@ -182,7 +183,7 @@
 	return faults
 }
 
-// exceeds reports whether a time between two instants is over its bound by more than this machine was late between them.
+// exceeds reports whether a time between two instants exceeds its limit by more than the delays measured between them.
 func (j *shutdownChecker) exceeds(took, most time.Duration, from, to time.Time) bool {
 	if took <= most || took-j.meter.delayBetween(from, to) <= most {
 		return false
@@ -190,12 +191,12 @@
 	return j.process == nil || took-j.process.delayBetween(from, to) > most
 }
 
-// reachable reports whether one connection was open all that time.
+// reachable reports whether one connection was open during the whole time.
 func (j *shutdownChecker) reachable(from, to time.Time) bool {
 	return slices.ContainsFunc(j.connected, func(i interval) bool { return i.from.Before(from) && i.to.After(to) })
 }
 
-// countCrossed is how many set-ups crossed the end of their connection.
+// countCrossed returns the number of set-ups that crossed the end of their connection.
 func (j *shutdownChecker) countCrossed() (n int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -207,12 +208,12 @@
 	return n
 }
 
-// TestTheShutdownCheckerDetectsViolations: with an answer held back, doubled, late or made up, a close before the answer, an attempt for who has left, and an
-// end that is not told.
+// TestTheShutdownCheckerDetectsViolations tests the checker with missing, duplicate, late and invented answers, a close before the answer,
+// an attempt after a cancellation, and an undelivered end.
 func TestTheShutdownCheckerDetectsViolations(t *testing.T) {
 	t.Parallel()
 	const call = "1"
-	begun := time.Now().Add(-time.Hour) // no meter has seen that
+	begun := time.Now().Add(-time.Hour) // before the measurements of any meter
 	at := func(ms int) time.Time { return begun.Add(time.Duration(ms) * time.Millisecond) }
 	for name, test := range map[string]struct {
 		play func(j *shutdownChecker, d *trial.Judge) (arrivals []time.Time)
@@ -289,12 +290,12 @@
 	}
 }
 
-// TestADelayRecordedAfterTheAnswerCounts guards against a judge that holds a process to a delay that it is excused for: the delay is recorded
-// once it has ended, which may be after the answer that it made late. One that is recorded for another time excuses nothing.
+// TestADelayRecordedAfterTheAnswerCounts guards against a checker that blames a process for an excused delay: a delay is recorded when it
+// has ended, which may be after the answer that it delayed. A delay at another time excuses nothing.
 func TestADelayRecordedAfterTheAnswerCounts(t *testing.T) {
 	t.Parallel()
 	const call, left, late, delay = "1", time.Second, 700 * time.Millisecond, 400 * time.Millisecond
-	begun := time.Now().Add(-time.Hour) // no meter has seen that
+	begun := time.Now().Add(-time.Hour) // before the measurements of any meter
 	answered := begun.Add(left + late)
 	for name, test := range map[string]struct {
 		delayEnded time.Time
--- a/cmd/cherryrelay/shutdown_soak_test.go
+++ b/cmd/cherryrelay/shutdown_soak_test.go
@@ -26,38 +26,38 @@
 	"cherryrelay/internal/trial"
 )
 
-// A soak of shutdowns: the program's own process over loopback, ended as the platform ends it, while callers go on using the connections
-// that they have. One seed is one play.
+// Soak test of shutdowns: the program runs in its own process over loopback and is ended like on the platform, while callers keep using
+// their connections. Each seed is one run.
 
 const (
-	// shortSeeds are played by make test, and concurrentShutdowns of them side by side.
+	// shortSeeds is the number of seeds of make test, and concurrentShutdowns the number of concurrent runs.
 	shortSeeds, concurrentShutdowns = 48, 4
-	// killTimeout is the earliest at which the platform kills after SIGTERM: the longest deadline, which counts as 3 s where it is longer,
-	// and 0.7 s.
+	// killTimeout is the earliest time after SIGTERM at which the platform kills the process: the longest deadline, at most 3 s, plus 0.7
+	// s.
 	killTimeout = 3*time.Second + 700*time.Millisecond
-	// answerTransitTime is how long before a reset an answer may have been written that is lost with it.
+	// answerTransitTime is the time before a reset in which a written answer may be lost with it.
 	answerTransitTime = 100 * time.Millisecond
-	// shutdownCallerCount is how many callers there are; a crowd has ten times as many.
+	// shutdownCallerCount is the number of callers; a crowd has crowdFactor times as many.
 	shutdownCallerCount, crowdFactor = 12, 10
 )
 
-// shutdownScenario is what a seed draws.
+// shutdownScenario is the scenario that a seed draws.
 type shutdownScenario struct {
 	seed                uint64
-	transport           string // of callers
-	dispatcherTransport string // of dispatchers
+	transport           string // of the callers
+	dispatcherTransport string // of the dispatchers
 	ledger              bool
 	crowd               bool
 	sockets             int
-	faults              []string      // of dispatchers, from a moment on
-	signals             []string      // beside SIGTERM, in order
-	dialPeriod          time.Duration // after SIGTERM
-	killFirst           bool          // it is killed right after an accept, and back under its name, before the shutdown
-	successor           bool          // another start at the same address follows SIGTERM
+	faults              []string      // of dispatchers, from some moment on
+	signals             []string      // besides SIGTERM, in order
+	dialPeriod          time.Duration // time after SIGTERM in which callers open connections
+	killFirst           bool          // the process is killed right after an accept, and restarted under its name, before the shutdown
+	successor           bool          // a successor starts at the same address after SIGTERM
 	serveFirst          time.Duration
 }
 
-// The troubles of dispatchers, and the signals beside SIGTERM.
+// The faults of dispatchers, and the signals besides SIGTERM.
 var (
 	shutdownFaults  = []string{"hangs", "resets", "breaks", "dies", "drains"}
 	shutdownSignals = []string{"hangup before", "hangup with", "hangup after", "again", "stop and go on", "broken file"}
@@ -82,7 +82,7 @@
 	return s
 }
 
-// kinds are the troubles of a play, for the summary.
+// kinds returns the properties of a run, for the summary.
 func (s *shutdownScenario) kinds() []string {
 	kinds := append([]string{"callers over " + s.transport, "dispatchers over " + s.dispatcherTransport}, slices.Concat(s.faults, s.signals)...)
 	for name, is := range map[string]bool{"ledger": s.ledger, "crowd": s.crowd, "killed and back": s.killFirst, "successor": s.successor} {
@@ -93,7 +93,7 @@
 	return kinds
 }
 
-// shutdownResult is what a play came to.
+// shutdownResult is the result of a run.
 type shutdownResult struct {
 	violations     []string
 	calls, crossed int
@@ -101,10 +101,10 @@
 	log            string
 	exit           time.Duration
 	answerTimes    *hdrhistogram.Histogram
-	readyAgain     time.Duration // after a kill; 0 without one
+	readyAgain     time.Duration // time to be ready after a kill; 0 without one
 }
 
-// shutdownRun is one play under way.
+// shutdownRun is the state of a run.
 type shutdownRun struct {
 	*testing.T
 	shutdownScenario
@@ -115,10 +115,10 @@
 	callers     *shutdownCallers
 	members     []pool.Member
 	running     sync.WaitGroup
-	stops       *schedulerMeter // takes down for how long the process was stopped
+	stops       *schedulerMeter // records how long the process was stopped
 }
 
-// arrivalTimes keeps when attempts came.
+// arrivalTimes records the times of attempts by call ID.
 type arrivalTimes struct {
 	mu sync.Mutex
 	at map[string][]time.Time
@@ -134,7 +134,7 @@
 	}
 }
 
-// prepare writes the files and opens the dispatchers.
+// prepare writes the files and starts the dispatchers.
 func (p *shutdownRun) prepare(arrivals *arrivalTimes) {
 	extra := "off"
 	if p.ledger {
@@ -150,7 +150,7 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		p.Fatal(err)
 	}
-	p.checker = trial.NewJudge(guard, time.Hour) // the callers' own judge holds deadlines
+	p.checker = trial.NewJudge(guard, time.Hour) // the callers' checker checks deadlines
 	p.checker.OnSetUp(func(id string, at time.Time) {
 		arrivals.mu.Lock()
 		defer arrivals.mu.Unlock()
@@ -165,15 +165,15 @@
 	p.writePool()
 }
 
-// resetConnections has a dispatcher reset its connections: the answers that no controller can have read are lost, those among them that it sent while it
-// did so.
+// resetConnections makes a dispatcher reset its connections. Answers that the controller cannot have read are lost, also those that the
+// dispatcher sends during the reset.
 func (p *shutdownRun) resetConnections(d *trial.Dispatcher, reset func()) {
 	begun := time.Now()
 	reset()
 	p.checker.AnswersLost(d.Name, begun.Add(-answerTransitTime), begun)
 }
 
-// injectFault has something go wrong at a dispatcher.
+// injectFault causes a fault at a random dispatcher.
 func (p *shutdownRun) injectFault(what string) {
 	i := p.rng.IntN(len(p.dispatchers))
 	d := p.dispatchers[i]
@@ -197,7 +197,7 @@
 	}
 }
 
-// sendSignals does what one of shutdownSignals says, at its time relative to SIGTERM.
+// sendSignals sends the drawn signals for a time relative to SIGTERM.
 func (p *shutdownRun) sendSignals(when string) {
 	for _, s := range p.signals {
 		switch {
@@ -221,7 +221,7 @@
 	}
 }
 
-// runShutdown plays a seed. What the process is late by counts for nothing as far as excuses measures it.
+// runShutdown runs the scenario of a seed. The process is excused for the delays that excuses measures.
 func runShutdown(t *testing.T, seed uint64, excuses func(*shutdownRun) *schedulerMeter) shutdownResult {
 	t.Helper()
 	p := &shutdownRun{T: t, shutdownScenario: drawShutdown(seed), rng: rand.New(rand.NewPCG(seed, 1))}
@@ -289,11 +289,11 @@
 	return r
 }
 
-// normalResponseTime is what a call at the management address takes on a machine that is not busy.
+// normalResponseTime is the response time of the management address on an idle machine.
 const normalResponseTime = 10 * time.Millisecond
 
-// measureResponseDelay measures how late the process is, as long as it lives: its loop answers each call at the management address. A process that was
-// stopped, or that has no core, is late by no fault of its own; one that is slow by itself is not told from it.
+// measureResponseDelay measures the delays of the process until it ends, by requests to the management address that its event loop answers.
+// It cannot distinguish a process that was stopped or had no core, which is not its fault, from one that is slow by itself.
 func (p *shutdownRun) measureResponseDelay() *schedulerMeter {
 	m := &schedulerMeter{}
 	management := p.management
@@ -309,10 +309,10 @@
 	return m
 }
 
-// measureCoreDelay measures how long the process waited for a core. What it is slow by itself counts against it.
+// measureCoreDelay measures how long the process waits for a core. Its own slowness is not excused.
 func (p *shutdownRun) measureCoreDelay() *schedulerMeter { return measureRunDelays(p.cmd.Process.Pid) }
 
-// exitWithoutDelay has a process that was built with the race detector exit without the second that it sleeps by default.
+// exitWithoutDelay makes a program that was built with the race detector exit without its default sleep of one second.
 const exitWithoutDelay = "GORACE=atexit_sleep_ms=0"
 
 // begin starts the process and waits until it is ready.
@@ -321,7 +321,7 @@
 	p.waitReady()
 }
 
-// restartAfterKill has the process killed right after it has accepted callers, and started again; it tells after how long it was ready.
+// restartAfterKill kills the process right after it has accepted a caller, restarts it, and returns the time until it is ready.
 func (p *shutdownRun) restartAfterKill() time.Duration {
 	p.begin()
 	c, err := peer.Call("tcp", p.lines)
@@ -335,7 +335,7 @@
 	return time.Since(begun)
 }
 
-// knownRedSeeds are the seeds of this soak that KNOWN-RED.txt names, which the short run leaves out.
+// knownRedSeeds returns the seeds of this soak test that KNOWN-RED.txt names, which the short test skips.
 func knownRedSeeds(t *testing.T) map[uint64]bool {
 	t.Helper()
 	seeds := map[uint64]bool{}
@@ -360,12 +360,12 @@
 	return seeds
 }
 
-// shutdownSummary adds up plays.
+// shutdownSummary adds up the results of runs.
 type shutdownSummary struct {
 	mu                    sync.Mutex
 	runs, failed, crossed int
 	calls, killed         int
-	kinds                 map[string][2]int // plays, and of them those that failed
+	kinds                 map[string][2]int // number of runs, and of those that failed
 	answerTimes, exits    *hdrhistogram.Histogram
 }
 
@@ -393,9 +393,9 @@
 
 func (s *shutdownSummary) log(t *testing.T) {
 	t.Helper()
-	t.Logf("%d plays, %d failed; %d set-ups, %d crossed the end of their connection; %d processes had to be killed", s.runs, s.failed, s.calls, s.crossed, s.killed)
+	t.Logf("%d runs, %d failed; %d set-ups, %d crossed the end of their connection; %d processes had to be killed", s.runs, s.failed, s.calls, s.crossed, s.killed)
 	for _, kind := range slices.Sorted(maps.Keys(s.kinds)) {
-		t.Logf("  %-28s %3d plays, %d failed", kind, s.kinds[kind][0], s.kinds[kind][1])
+		t.Logf("  %-28s %3d runs, %d failed", kind, s.kinds[kind][0], s.kinds[kind][1])
 	}
 	for name, h := range map[string]*hdrhistogram.Histogram{"to the final answer": s.answerTimes, "from SIGTERM to the exit": s.exits} {
 		t.Logf("  %s, ms: p50 %.1f, p90 %.1f, p99 %.1f, most %.1f", name, float64(h.ValueAtQuantile(50))/1000,
@@ -403,18 +403,18 @@
 	}
 }
 
-// TestSoakShutdowns plays the long run: CHERRYRELAY_SEEDS plays from the seed CHERRYRELAY_FIRST on. TestShutdowns is the short one.
+// TestSoakShutdowns is the long test: it runs CHERRYRELAY_SEEDS seeds from the seed CHERRYRELAY_FIRST on. TestShutdowns is the short one.
 func TestSoakShutdowns(t *testing.T) {
 	skipUnlessSoak(t)
 	runShutdowns(t, environmentNumber(t, "CHERRYRELAY_FIRST", 1), environmentNumber(t, "CHERRYRELAY_SEEDS", 50), nil, (*shutdownRun).measureCoreDelay)
 }
 
-// TestShutdowns plays fixed seeds, but for those that KNOWN-RED.txt names.
+// TestShutdowns runs fixed seeds, except those that KNOWN-RED.txt names.
 func TestShutdowns(t *testing.T) {
 	runShutdowns(t, 1, shortSeeds, knownRedSeeds(t), (*shutdownRun).measureResponseDelay)
 }
 
-// TestShutdownsOfASlowController plays them with a judge that does not excuse a controller for being slow by itself.
+// TestShutdownsOfASlowController runs the same seeds with a checker that does not excuse a controller for its own slowness.
 func TestShutdownsOfASlowController(t *testing.T) {
 	runShutdowns(t, 1, shortSeeds, knownRedSeeds(t), (*shutdownRun).measureCoreDelay)
 }
--- a/cmd/cherryrelay/soak_fleet_test.go
+++ b/cmd/cherryrelay/soak_fleet_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestSoakTrials plays two hundred seeds of any fault with five controllers.
+// TestSoakTrials runs two hundred seeds that draw any fault, with five controllers.
 func TestSoakTrials(t *testing.T) {
 	if os.Getenv("CHERRYRELAY_SOAK") == "" {
 		t.Skip("make soak")
--- a/cmd/cherryrelay/soak_ledger_test.go
+++ b/cmd/cherryrelay/soak_ledger_test.go
@@ -30,7 +30,7 @@
 	resumeMany(t, 10_000)
 }
 
-// TestSoakCostOfTheLedger measures what the ledger adds on the way of a call, and to the processor.
+// TestSoakCostOfTheLedger measures the latency and the processor time that the ledger adds to calls.
 func TestSoakCostOfTheLedger(t *testing.T) {
 	skipUnlessSoak(t)
 	const callers, window, lasting = 4, 8, 8 * time.Second
@@ -87,13 +87,13 @@
 				bytes, _ = strconv.ParseFloat(strings.TrimSpace(rest), 64)
 			}
 		}
-		t.Logf("sync %s: %d calls in %v, %.0f a second, %.0f a second of one core; p50 %d us, p99 %d us; %.0f bytes a call", mode, calls, took.Round(time.Millisecond),
+		t.Logf("sync %s: %d calls in %v, %.0f per second, %.0f per second of one core; p50 %d us, p99 %d us; %.0f bytes per call", mode, calls, took.Round(time.Millisecond),
 			float64(calls)/took.Seconds(), float64(calls)/used.Seconds(), h.ValueAtQuantile(50), h.ValueAtQuantile(99), bytes/float64(calls))
 		d.kill()
 	}
 }
 
-// cpuTime is the processor time that a process has used.
+// cpuTime returns the processor time that a process has used.
 func cpuTime(t *testing.T, pid int) time.Duration {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -106,7 +106,7 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// TestSoakTimeToRecover measures the return with many calls that stand and are open.
+// TestSoakTimeToRecover measures a restart with many established and pending calls.
 func TestSoakTimeToRecover(t *testing.T) {
 	skipUnlessSoak(t)
 	for _, calls := range []int{1000, 10_000, 100_000} {
@@ -125,7 +125,7 @@
 				{Kind: recovery.KindAccepted, ID: id(i + 1), AtUs: now, DeadlineUs: now + 60e6, Class: "send-setup", Called: "k", Description: strings.Repeat("x", 100), Token: recovery.HashToken(token(id(i + 1)))},
 				{Kind: recovery.KindAttemptSent, ID: id(i + 1), AtUs: now, Server: "s0", Address: address},
 			}
-			if i%10 > 0 { // one in ten is open
+			if i%10 > 0 { // one in ten is pending
 				events = append(events, recovery.Event{Kind: recovery.KindEstablished, ID: id(i + 1), AtUs: now, Server: "s0", Address: address, Description: "y" + id(i+1)})
 			}
 			for _, e := range events {
--- a/cmd/cherryrelay/soak_subset_test.go
+++ b/cmd/cherryrelay/soak_subset_test.go
@@ -15,8 +15,8 @@
 	"cherryrelay/internal/peer"
 )
 
-// TestSoakSubsetIdle measures what a controller that nobody calls costs with 3,000 live dispatchers listed, without [subset] and with it, and
-// with it where 34,000 more are listed that drain, turn about.
+// TestSoakSubsetIdle measures the cost of a controller without calls and with 3,000 live dispatchers: without [subset], with it, and with
+// it and 34,000 more listed dispatchers that drain. The variants alternate.
 func TestSoakSubsetIdle(t *testing.T) {
 	skipUnlessSoak(t)
 	const live, listed, plays, settles, measured = 3000, 37_000, 3, 10 * time.Second, 12 * time.Second
@@ -56,17 +56,17 @@
 				t.Fatal(err)
 			}
 			on := variant.extra != ""
-			t.Logf("play %d, %d listed, [subset] %v: %.2f%% of a core idle, %d descriptors, %.1f MB resident, ready after %.2f s and %.2f s of processor time in all",
+			t.Logf("run %d, %d listed, [subset] %v: %.2f%% of a core idle, %d descriptors, %.1f MB resident, ready after %.2f s and %.2f s of processor time in all",
 				play+1, variant.listed, on, share, len(links), residentMB(t, pid), ready.Seconds(), started.Seconds())
 			if on && share > 1.1 {
-				t.Errorf("%.2f%% of a core with nobody calling, 1.1%% are allowed", share)
+				t.Errorf("%.2f%% of a core without calls, at most 1.1%% are allowed", share)
 			}
 			p.kill()
 		}
 	}
 }
 
-// processorTime is that which a process has had.
+// processorTime returns the processor time that a process has used.
 func processorTime(t *testing.T, pid int) time.Duration {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -85,7 +85,7 @@
 	return time.Duration(ticks) * 10 * time.Millisecond
 }
 
-// residentMB is the memory of a process, in MB.
+// residentMB returns the resident memory of a process in MB.
 func residentMB(t *testing.T, pid int) float64 {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -99,6 +99,6 @@
 			}
 		}
 	}
-	t.Fatal("no VmRSS")
+	t.Fatal("the process status has no VmRSS")
 	return 0
 }
--- a/cmd/cherryrelay/soak_test.go
+++ b/cmd/cherryrelay/soak_test.go
@@ -9,16 +9,15 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// skipUnlessSoak skips a test that is too long for every landing, or whose verdict is about speed: make soak runs them.
+// skipUnlessSoak skips a test that is too long for every merge, or that checks speed. make soak runs these tests.
 func skipUnlessSoak(t *testing.T) {
 	t.Helper()
 	if os.Getenv("CHERRYRELAY_SOAK") == "" {
-		t.Skip("a long run: make soak")
+		t.Skip("long test: run make soak")
 	}
 }
 
-// TestSoakAFileRewrittenUnderLoad swaps the file for minutes, and holds every call against the half second that a change may
-// take.
+// TestSoakAFileRewrittenUnderLoad replaces the file for minutes and checks for every call that a change takes at most half a second.
 func TestSoakAFileRewrittenUnderLoad(t *testing.T) {
 	skipUnlessSoak(t)
 	for _, transport := range []string{"tcp", "ws"} {
@@ -26,7 +25,7 @@
 	}
 }
 
-// TestSoakTimeToActivation measures the time from a rename to the version in force, as the management address tells it.
+// TestSoakTimeToActivation measures the time from a rename to the activation of the version, as the management address reports it.
 func TestSoakTimeToActivation(t *testing.T) {
 	skipUnlessSoak(t)
 	for _, servers := range []int{2, 1000} {
@@ -38,7 +37,7 @@
 			const rounds = 200
 			for i := range rounds {
 				label := fmt.Sprint("v", i)
-				time.Sleep(time.Duration(i%37) * time.Millisecond) // at any point of what the watcher does
+				time.Sleep(time.Duration(i%37) * time.Millisecond) // at any phase of the watcher
 				from := time.Now()
 				s.writeLargeSet(label, servers)
 				s.waitActive(label)
@@ -46,10 +45,10 @@
 					t.Fatal(err)
 				}
 			}
-			t.Logf("%d servers, %d renames: in force after %.1f ms (median), %.1f ms (99%%), %.1f ms (worst)", servers, rounds,
+			t.Logf("%d servers, %d renames: active after %.1f ms (median), %.1f ms (99%%), %.1f ms (worst)", servers, rounds,
 				float64(h.ValueAtQuantile(50))/1e3, float64(h.ValueAtQuantile(99))/1e3, float64(h.Max())/1e3)
 			if worst := time.Duration(h.Max()) * time.Microsecond; worst > 500*time.Millisecond {
-				t.Errorf("a version was in force only after %v", worst)
+				t.Errorf("a version was active only after %v", worst)
 			}
 		})
 	}
--- a/cmd/cherryrelay/startup_drain_test.go
+++ b/cmd/cherryrelay/startup_drain_test.go
@@ -14,7 +14,7 @@
 	"cherryrelay/internal/peer"
 )
 
-// newFixtureWithoutList is a node that no list has reached, and whose coordinator, if it has one, is at the address.
+// newFixtureWithoutList returns a node without a list, with a coordinator at the address unless it is empty.
 func newFixtureWithoutList(t *testing.T, coordinator string) *fixture {
 	t.Helper()
 	c := new(config.Config)
@@ -29,7 +29,7 @@
 	return w
 }
 
-// setList has the node told of so many dispatchers.
+// setList applies a list with n dispatchers to the node.
 func (w *fixture) setList(n int, address func(i int) string) {
 	u := call.Update{Complete: true}
 	for i := range n {
@@ -40,24 +40,24 @@
 	<-told
 }
 
-// waitDrained waits for a node that drains.
+// waitDrained waits until a draining node ends.
 func (w *fixture) waitDrained(since time.Time) {
 	w.Helper()
 	select {
 	case err := <-w.done:
 		if took := time.Since(since); err != nil || took < 700*time.Millisecond {
-			w.Errorf("ended with %v after %v: what still arrives is to be served", err, took)
+			w.Errorf("ended with %v after %v: late set-ups must be served", err, took)
 		}
 	case <-time.After(peer.Patience):
-		w.Fatal("it does not end")
+		w.Fatal("the node does not end")
 	}
 }
 
-// TestDrainAtAnyMoment: before the first list, while 300 dispatchers refuse connections or leave them unanswered, and while the
-// coordinator moves.
+// TestDrainAtAnyMoment drains before the first list, while 300 dispatchers refuse connections or do not answer, and while the coordinator
+// changes.
 func TestDrainAtAnyMoment(t *testing.T) {
 	t.Parallel()
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // connections come up, and nothing is said on them
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // connections open, and nothing is sent on them
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,8 +102,7 @@
 	}
 }
 
-// TestAListThatComesLate: a call that comes before any dispatcher is known is answered in its time, and one that comes after
-// the list has come is set up.
+// TestAListThatComesLate: a call before the first list is answered by its deadline, and a call after the list is set up.
 func TestAListThatComesLate(t *testing.T) {
 	t.Parallel()
 	w := newFixtureWithoutList(t, "")
@@ -132,8 +131,8 @@
 	}
 }
 
-// TestStartedAgainUnderItsName: a controller that was killed leaves its dispatchers with connections that look open. The next
-// one under its name reaches them all the same, and an end that is told on a connection of the dead one is told to it too.
+// TestStartedAgainUnderItsName: a controller that was killed leaves its dispatchers with connections that look open. The next controller
+// under its name still reaches them, and gets an end that is sent on a connection of the killed one.
 func TestStartedAgainUnderItsName(t *testing.T) {
 	t.Parallel()
 	d, err := peer.Dispatch("tcp", "127.0.0.1:0", "x0:40;x1:40")
@@ -157,7 +156,7 @@
 	dead.setList(1, func(int) string { return d.Address() })
 	stand(dead, 1)
 	hold, free := make(chan struct{}), make(chan struct{})
-	dead.node.loop.Post(func() { close(hold); <-free }) // its loop stands still from here on: its connections stay open and it says nothing
+	dead.node.loop.Post(func() { close(hold); <-free }) // its loop blocks from here on: its connections stay open and it sends nothing
 	<-hold
 	defer close(free)
 	next := newFixtureWithoutList(t, "")
@@ -167,8 +166,8 @@
 	if m, err := c.NextWithin(time.Second); err != nil || m.ID != id(2) || m.CauseOr(0) != call.CauseNormal {
 		t.Errorf("%+v, %v: want the end of the call within a second", m, err)
 	}
-	next.must(d.Release(id(1), call.CauseNormal)) // of the dead one's; told on the newest connection
+	next.must(d.Release(id(1), call.CauseNormal)) // of the killed controller, sent on the newest connection
 	if m, err := c.Next(); err != nil || m.ID != id(1) {
-		t.Errorf("%+v, %v: want the end of the call of before", m, err)
+		t.Errorf("%+v, %v: want the end of the earlier call", m, err)
 	}
 }
--- a/cmd/cherryrelay/subset_test.go
+++ b/cmd/cherryrelay/subset_test.go
@@ -21,15 +21,15 @@
 
 const (
 	subsetSize, subsetMost = 4, 32
-	// guardSlack is how much later than the controller a dispatcher on a busy machine may see that an attempt was taken back.
+	// guardSlack is the time by which a dispatcher on a busy machine may see a cancellation later than the controller.
 	guardSlack = 100 * time.Millisecond
-	// maxTracesShown is how many calls without an answer are reported where too few have one.
+	// maxTracesShown limits the call histories that are shown when too few calls have an answer.
 	maxTracesShown = 12
-	// subsetIdlePeriod is a minute of quiet, compressed.
+	// subsetIdlePeriod stands for a minute without changes.
 	subsetIdlePeriod = 400 * time.Millisecond
 )
 
-// subsetFixture is some controllers, each in a process of its own, that connect to a subset of many dispatchers.
+// subsetFixture is a number of controllers, each in its own process, that connect to a subset of many dispatchers.
 type subsetFixture struct {
 	*testing.T
 	checker     *trial.Judge
@@ -65,14 +65,14 @@
 	}
 }
 
-// startDispatchers opens more dispatchers, and has them be in the next list.
+// startDispatchers starts more dispatchers and adds them to the next list.
 func (s *subsetFixture) startDispatchers(n int) {
 	s.Helper()
 	for range n {
 		i := len(s.dispatchers)
 		free, err := peer.Free()
 		s.must(err)
-		host, _, err := net.SplitHostPort(free) // nobody else listens there once it is lost
+		host, _, err := net.SplitHostPort(free) // nobody else listens at this host when the dispatcher has died
 		s.must(err)
 		d, err := trial.StandAt("tcp", net.JoinHostPort(host, "0"), fmt.Sprint("s", i), s.checker)
 		s.must(err)
@@ -83,7 +83,7 @@
 	}
 }
 
-// writeList has a list be in force at all controllers.
+// writeList writes a list and waits until it is active at all controllers.
 func (s *subsetFixture) writeList(members []pool.Member) {
 	s.Helper()
 	s.listed = members
@@ -95,7 +95,7 @@
 		s.must(os.Rename(path+".new", path))
 	}
 	for _, p := range s.controllers {
-		s.waitUntil(label+" is in force", func() bool {
+		s.waitUntil(label+" is active", func() bool {
 			_, text := httpGet(p.management, "/api/pool")
 			return p.cmd == nil || strings.Contains(text, `"label":"`+label+`"`)
 		})
@@ -106,12 +106,12 @@
 	s.Helper()
 	for until := time.Now().Add(peer.Patience); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(until) {
-			s.Fatal("never: ", what)
+			s.Fatal("never happened: ", what)
 		}
 	}
 }
 
-// metric is one of a controller's; -1 if it is not told.
+// metric returns a metric of a controller, or -1 if it has none.
 func metric(p *process, name string) int {
 	_, text := httpGet(p.management, "/api/telemetry")
 	for line := range strings.Lines(text) {
@@ -124,7 +124,7 @@
 	return -1
 }
 
-// connectedDispatchers are the dispatchers that have connections.
+// connectedDispatchers returns the dispatchers that have connections.
 func (s *subsetFixture) connectedDispatchers() (some []*trial.Dispatcher) {
 	for _, d := range s.dispatchers {
 		if d.Links() > 0 {
@@ -134,7 +134,7 @@
 	return some
 }
 
-// runCallers has callers at all controllers while something happens, and sees each call to its end. It tells what the callers had.
+// runCallers places calls at all controllers during meanwhile, waits for each to finish, and returns the results of the callers.
 func (s *subsetFixture) runCallers(meanwhile func()) map[string]int {
 	s.Helper()
 	done := make(chan struct{})
@@ -148,14 +148,14 @@
 	calling.Wait()
 	if len(s.controllers) == 1 {
 		checkAllSettled(s.T, s.checker)
-	} else { // these dispatchers tell an end on one connection, which may be that of a controller that does not hold the call
+	} else { // these dispatchers send an end on one connection, possibly to a controller that does not have the call
 		checkAllAnswered(s.T, s.checker)
 	}
 	_, _, finals := s.checker.Verdict()
 	return finals
 }
 
-// waitEstablished waits until so many more calls stand.
+// waitEstablished waits until the given number of further calls is established.
 func (s *subsetFixture) waitEstablished(more int) {
 	s.Helper()
 	_, _, before := s.checker.Verdict()
@@ -164,11 +164,11 @@
 		return now["answer"] >= before["answer"]+more
 	}
 	if !trial.Until(peer.Patience, holds) {
-		s.Fatalf("never: %d more calls stand; %s", more, s.progress(before["answer"]))
+		s.Fatalf("never established: %d more calls; %s", more, s.progress(before["answer"]))
 	}
 }
 
-// progress tells how far the callers and the subsets have come, with the trails of some calls that have no answer.
+// progress describes the progress of the callers and the subsets, with the histories of some unanswered calls.
 func (s *subsetFixture) progress(answersBefore int) string {
 	var text strings.Builder
 	_, _, finals := s.checker.Verdict()
@@ -183,9 +183,9 @@
 	return text.String()
 }
 
-// TestSubsetFaults: one or three controllers with calls, each connected to four of forty dispatchers, while what they are connected to is
-// lost, replaced, silent, or not listed anew. Every call has its answer, none is refused while others could take it, and of one controller
-// every end is told.
+// TestSubsetFaults: one or three controllers with calls are each connected to four of forty dispatchers, which die, are replaced, stop
+// answering, or are listed by a file that disappears. Every call gets an answer, none is refused while other dispatchers could accept it,
+// and with one controller every end is delivered.
 func TestSubsetFaults(t *testing.T) {
 	for name, fault := range map[string]func(s *subsetFixture){
 		"the subset is lost whole": func(s *subsetFixture) {
@@ -203,7 +203,7 @@
 			for _, p := range s.controllers {
 				s.must(os.Remove(filepath.Join(p.directory, "pool.ini")))
 			}
-			time.Sleep(3 * subsetIdlePeriod) // a minute and more of quiet, compressed
+			time.Sleep(3 * subsetIdlePeriod) // more than the compressed minute
 			for _, d := range s.connectedDispatchers() {
 				d.Die()
 			}
@@ -229,7 +229,7 @@
 	}
 }
 
-// runFault has calls placed while the fault comes, and holds what became of them against what may.
+// runFault places calls during the fault and checks their results.
 func (s *subsetFixture) runFault(name string, fault func(*subsetFixture)) {
 	s.Helper()
 	growths, trials := 0, 0
@@ -237,8 +237,8 @@
 		s.waitEstablished(50)
 		for _, p := range s.controllers {
 			if strings.Contains(name, "say nothing") {
-				// To each the module leaves its last call, by which it would show that it speaks again, and sends trial calls,
-				// more and more seldom: two within these calls' time.
+				// The module keeps its last call at each unresponsive dispatcher, by which it would see it recover, and sends trial calls,
+				// more and more rarely: two during these calls.
 				trials += 3 * metric(p, "subset_size")
 			}
 		}
@@ -246,7 +246,7 @@
 		for _, p := range s.controllers {
 			growths += metric(p, "subset_growths_total")
 			if n := metric(p, "subset_size"); n > subsetMost {
-				s.Errorf("%d dispatchers in the subset, %d are the most", n, subsetMost)
+				s.Errorf("%d dispatchers in the subset, at most %d are allowed", n, subsetMost)
 			}
 		}
 	})
@@ -257,7 +257,7 @@
 		}
 	}
 	if refused > trials {
-		s.Errorf("%d calls refused, at most %d may be", refused, trials)
+		s.Errorf("%d calls refused, at most %d are allowed", refused, trials)
 	}
 	if finals["answer"] < 150 {
 		s.Errorf("only %d calls were answered", finals["answer"])
@@ -265,7 +265,8 @@
 	s.Logf("%d growths; callers had %v", growths, finals)
 }
 
-// TestSubsetOfOne follows one controller: which dispatchers it connects to, what drains, and what of a call that stands at one that leaves the subset.
+// TestSubsetOfOne checks of one controller which dispatchers it connects to, which drain, and that the end of a call arrives whose
+// dispatcher leaves the subset.
 func TestSubsetOfOne(t *testing.T) {
 	t.Parallel()
 	s := newSubsetFixture(t, 1, 40)
@@ -273,10 +274,11 @@
 	s.waitUntil("it is connected to its subset", func() bool { return len(s.connectedDispatchers()) == subsetSize })
 	inside := s.connectedDispatchers()
 	if n := metric(p, "subset_listed"); n != 40 {
-		t.Errorf("%d listed", n)
+		t.Errorf("%d dispatchers are listed, want 40", n)
 	}
 
-	// A call's first choice lies outside. It is reached, and leaves the subset after the quiet, while the call stands.
+	// The first choice of a call is outside the subset. It is connected, and leaves the subset after the idle period while the call is
+	// established.
 	outside := slices.IndexFunc(s.dispatchers, func(d *trial.Dispatcher) bool { return d.Links() == 0 })
 	c, err := peer.Call("tcp", p.lines)
 	s.must(err)
@@ -286,25 +288,25 @@
 	s.checker.Placed(id(1), time.Now())
 	s.must(c.SetUp(id(1), 8*time.Second, outside, "x"))
 	if m, err := c.Next(); err != nil || m.Type != "answer" || s.checker.Stands(id(1)) != at.Name {
-		t.Fatalf("%+v, cause %d, %v; it stands at %q, not at %s\n%s", m, m.CauseOr(0), err, s.checker.Stands(id(1)), at.Name, p.log)
+		t.Fatalf("%+v, cause %d, %v; it is established at %q, not at %s\n%s", m, m.CauseOr(0), err, s.checker.Stands(id(1)), at.Name, p.log)
 	}
-	s.waitUntil("the subset is as before", func() bool { return metric(p, "subset_size") == subsetSize })
-	time.Sleep(3 * time.Second) // by then a connection that nobody wants is closed
+	s.waitUntil("the subset has its size again", func() bool { return metric(p, "subset_size") == subsetSize })
+	time.Sleep(3 * time.Second) // an unused connection is closed by then
 	since := time.Now()
 	at.End(id(1))
 	if m, err := c.Next(); err != nil || m.Type != "release" || m.ID != id(1) || time.Since(since) > time.Second {
-		t.Errorf("%+v, %v after %v: its end is to be told within 1 s", m, err, time.Since(since))
+		t.Errorf("%+v, %v after %v: want its end within 1 s", m, err, time.Since(since))
 	}
-	s.waitUntil("the connection that nobody wants is closed", func() bool { return at.Links() == 0 })
+	s.waitUntil("the unused connection is closed", func() bool { return at.Links() == 0 })
 
-	// One inside and one outside drain: nothing new goes to either, and another one is in the place.
+	// One dispatcher inside and one outside drain: neither gets new calls, and another one replaces the one inside.
 	drained := []int{slices.Index(s.dispatchers, inside[0]), outside}
 	members := slices.Clone(s.listed)
 	for _, i := range drained {
 		members[i].Status = control.Draining
 	}
 	s.writeList(members)
-	s.waitUntil("another one is in its place", func() bool { return len(s.connectedDispatchers()) >= subsetSize+1 })
+	s.waitUntil("another dispatcher replaces it", func() bool { return len(s.connectedDispatchers()) >= subsetSize+1 })
 	for n, first := range []int{drained[0], drained[1], drained[0], drained[1]} {
 		s.checker.Placed(id(10+n), time.Now())
 		s.must(c.SetUp(id(10+n), 8*time.Second, first, "x"))
@@ -313,21 +315,21 @@
 		m, err := c.Next()
 		s.must(err)
 		if m.Type == "release" && m.CauseOr(0) == 16 {
-			continue // the end of one that stood
+			continue // the end of an established call
 		}
 		answers++
 		for _, i := range drained {
 			if m.Type == "answer" && s.checker.Stands(m.ID) == s.dispatchers[i].Name {
-				t.Errorf("call %s stands at %s, which drains", m.ID, s.dispatchers[i].Name)
+				t.Errorf("call %s is established at %s, which drains", m.ID, s.dispatchers[i].Name)
 			}
 		}
 		if m.Type != "answer" {
-			t.Errorf("%+v, cause %d: another could have taken it\n%s", m, m.CauseOr(0), p.log)
+			t.Errorf("%+v, cause %d: another dispatcher could have accepted it\n%s", m, m.CauseOr(0), p.log)
 		}
 	}
 }
 
-// TestSubsetOfABadSetting: one plain line and no start.
+// TestSubsetOfABadSetting: the program exits with a one-line error.
 func TestSubsetOfABadSetting(t *testing.T) {
 	t.Parallel()
 	p := newProcess(t, "[subset]\nsize = 9\nmost = 8\n")
@@ -339,6 +341,6 @@
 			t.Errorf("%v: %q", err, text)
 		}
 	case <-time.After(peer.Patience):
-		t.Error("it starts")
+		t.Error("the program starts")
 	}
 }
--- a/cmd/cherryrelay/takeover_test.go
+++ b/cmd/cherryrelay/takeover_test.go
@@ -13,7 +13,7 @@
 	"cherryrelay/internal/trial"
 )
 
-// takeoverFixture is a site whose controllers keep their calls in one directory, under load by callers that come back wherever they are answered.
+// takeoverFixture is a fleet whose controllers keep their ledgers in one directory, under load by callers that reconnect to any controller.
 type takeoverFixture struct {
 	*fleetFixture
 	checker     *trial.Judge
@@ -58,8 +58,8 @@
 	return all
 }
 
-// finish lets the callers come to an end, and holds all calls against the rules: every caller has its answer and its end, nothing is left
-// at a dispatcher, and nobody was told that nothing is known of a call that was taken.
+// finish waits for the callers to finish and checks all calls: every caller gets its answer and its end, no call is left at a dispatcher,
+// and no accepted call is reported as unknown.
 func (s *takeoverFixture) finish() map[string]int {
 	s.Helper()
 	close(s.done)
@@ -68,23 +68,23 @@
 	faults, _, finals := s.checker.Verdict()
 	unanswered, untold := s.checker.Unsettled()
 	if len(faults)+len(unanswered)+len(untold) > 0 {
-		s.Errorf("faults %v, without an answer %v, without an end %v, with the last steps %q", faults, unanswered, untold, s.LastSteps(untold))
+		s.Errorf("violations %v, without an answer %v, without an end %v, with the last steps %q", faults, unanswered, untold, s.LastSteps(untold))
 	}
 	s.waitUntil("nothing is left at the dispatchers", func() bool { return len(s.checker.Left()) == 0 })
 	s.Log(finals)
 	return finals
 }
 
-// takeoverStatus is what a controller tells of its takeovers.
+// takeoverStatus returns the takeovers that a controller reports.
 func takeoverStatus(c *trial.Controller) (s takeover.Shown) {
-	_, _ = c.Ask(takeover.Path, &s) // one that does not answer has taken nothing, as far as can be seen
+	_, _ = c.Ask(takeover.Path, &s) // a controller that does not answer counts as one without takeovers
 	return s
 }
 
-// waitSealed waits until one of the controllers has the ledger of a lost one.
+// waitSealed waits until one of the controllers has taken over the ledger of a terminated one.
 func (s *takeoverFixture) waitSealed(name string, by ...*trial.Controller) {
 	s.Helper()
-	s.waitUntil("the ledger of "+name+" is taken", func() bool {
+	s.waitUntil("the ledger of "+name+" is taken over", func() bool {
 		for _, c := range by {
 			for _, told := range takeoverStatus(c).Told {
 				if told.Name == name {
@@ -96,8 +96,8 @@
 	})
 }
 
-// TestALostControllersCallsGoOn: one of three is killed for good under load, over each front. Its callers come back at the others and find
-// every call: those that were open are answered, those that stood are told their end.
+// TestALostControllersCallsGoOn: one of three controllers is killed for good under load, over each front. Its callers reconnect to the
+// others and find every call: pending calls are answered, and the ends of established calls are delivered.
 func TestALostControllersCallsGoOn(t *testing.T) {
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
@@ -115,7 +115,8 @@
 	}
 }
 
-// TestTheControllerThatTookOverIsKilledToo: all but one of four are killed, each soon after the one before, so that takers are lost with what they had taken.
+// TestTheControllerThatTookOverIsKilledToo: all but one of four are killed in quick succession, so that a controller is lost together with
+// the calls that it took over.
 func TestTheControllerThatTookOverIsKilledToo(t *testing.T) {
 	t.Parallel()
 	s := newTakeoverFixture(t, 4, 12, "tcp")
@@ -128,18 +129,18 @@
 	time.Sleep(time.Second)
 	s.finish()
 	if shown := takeoverStatus(s.Controllers[3]); shown.Sealed == 0 || shown.Failed > 0 {
-		t.Errorf("the last one took %+v", shown)
+		t.Errorf("the last controller reports %+v", shown)
 	}
 }
 
-// TestAPausedControllerRestartsAfterTakeover: one stands still for longer than its lease, under load, and goes on with what it has in hand. Others have its
-// calls by then, and it begins anew without them.
+// TestAPausedControllerRestartsAfterTakeover: a controller under load is paused for longer than its lease and then continues with its old
+// state. Others have taken over its calls by then, so it must restart without them.
 func TestAPausedControllerRestartsAfterTakeover(t *testing.T) {
 	runTakeoverOfLiveController(t, func(s *takeoverFixture, n1 *trial.Controller) { n1.Pause() }, func(s *takeoverFixture, n1 *trial.Controller) { n1.Resume() })
 }
 
-// runTakeoverOfLiveController has the first of three controllers hurt under load until its ledger is taken, and then left alone: it begins anew, and no call
-// suffers.
+// runTakeoverOfLiveController disturbs the first of three controllers under load until its ledger is taken over, and then ends the
+// disturbance. The controller must restart, and no call may suffer.
 func runTakeoverOfLiveController(t *testing.T, hurt, heal func(s *takeoverFixture, n1 *trial.Controller)) {
 	t.Helper()
 	t.Parallel()
@@ -156,14 +157,14 @@
 	s.finish()
 }
 
-// TestAControllerCutOffFromTheStoreRestarts: one that does not reach the store, but its callers, dispatchers and files, is taken over once its
-// lease has ended; it sees that before it says another word.
+// TestAControllerCutOffFromTheStoreRestarts: a controller that reaches its callers, dispatchers and files, but not the store, is taken over
+// when its lease has expired. It must notice that before it sends another message.
 func TestAControllerCutOffFromTheStoreRestarts(t *testing.T) {
 	runTakeoverOfLiveController(t, func(s *takeoverFixture, _ *trial.Controller) { s.Net.Part([]string{"n1"}, []string{trial.StoreName}) },
 		func(s *takeoverFixture, _ *trial.Controller) { s.Net.Heal() })
 }
 
-// TestTheStoreIsLost: nobody is certain of anybody's end, and nobody is taken over; calls go on.
+// TestTheStoreIsLost: no controller can be known to have ended, so none is taken over, and calls continue.
 func TestTheStoreIsLost(t *testing.T) {
 	t.Parallel()
 	s := newTakeoverFixture(t, 3, 8, "tcp")
@@ -173,14 +174,14 @@
 	s.waitAllServing(s.Controllers...)
 	for _, c := range s.Controllers {
 		if shown := takeoverStatus(c); shown.Sealed > 0 {
-			t.Errorf("%s took %+v", c.Name, shown)
+			t.Errorf("%s reports %+v", c.Name, shown)
 		}
 	}
 	time.Sleep(time.Second)
 	s.finish()
 }
 
-// call is one call of a story: placed at a controller, and resumed at others.
+// placeCall places a call at a controller on a new connection.
 func (s *takeoverFixture) placeCall(at *trial.Controller, id string) *peer.Caller {
 	s.Helper()
 	c, err := peer.Call("tcp", at.Lines)
@@ -210,12 +211,12 @@
 	s.Helper()
 	m, err := c.Next()
 	if err != nil || m.Type != kind {
-		s.Fatalf("heard %+v, %v, want %s", m, err, kind)
+		s.Fatalf("got %+v, %v, want %s", m, err, kind)
 	}
 	return m
 }
 
-// newEstablishedCall has two controllers, and a call that stands at the first.
+// newEstablishedCall returns a fixture of two controllers, with a call established at the first.
 func newEstablishedCall(t *testing.T) (*takeoverFixture, *peer.Caller) {
 	t.Helper()
 	t.Parallel()
@@ -228,7 +229,8 @@
 	return s, first
 }
 
-// TestACallerResumesAtAnotherController while its controller lives: it finds its call there, and is told its end there.
+// TestACallerResumesAtAnotherController: a caller resumes its call while the first controller is alive, and its end is delivered at the
+// other.
 func TestACallerResumesAtAnotherController(t *testing.T) {
 	s, first := newEstablishedCall(t)
 	s.must(first.Close())
@@ -245,16 +247,16 @@
 	}
 	s.expect(second, "release")
 	if given := takeoverStatus(s.Controllers[0]).Given; given != 1 {
-		t.Errorf("n1 gave %d calls", given)
+		t.Errorf("n1 transferred %d calls, want 1", given)
 	}
 }
 
-// TestAResumeWithAnotherTokenIsRejected: who comes with another token is told that nothing is known, and the call goes on.
+// TestAResumeWithAnotherTokenIsRejected: a resume request with another token is answered as unknown, and the call continues.
 func TestAResumeWithAnotherTokenIsRejected(t *testing.T) {
 	s, first := newEstablishedCall(t)
 	stranger := s.resume(s.Controllers[1], id(1), "a token of somebody else", false)
 	if m := s.expect(stranger, "release"); m.CauseOr(0) != 41 {
-		t.Errorf("the stranger heard %+v", m)
+		t.Errorf("the caller with another token got %+v", m)
 	}
 	if s.checker.Stands(id(1)) == "" {
 		t.Error("the call was cut")
@@ -263,8 +265,9 @@
 	s.waitUntil("its caller ends it", func() bool { return s.checker.Stands(id(1)) == "" })
 }
 
-// TestTheAttemptOfAPausedControllerFailsOnce guards against an attempt whose controller stands still past its lease, and whose answer it finds as it
-// goes on: its caller, who is elsewhere by then, is told once that it failed, the call that stands is cut, and the owner says nothing of it.
+// TestTheAttemptOfAPausedControllerFailsOnce guards against an attempt whose controller is paused past its lease and finds the answer when
+// it continues: its caller, now at another controller, is notified once of the failure, the established call is cut, and the paused
+// controller sends no message.
 func TestTheAttemptOfAPausedControllerFailsOnce(t *testing.T) {
 	t.Parallel()
 	s := newTakeoverFixture(t, 2, 0, "tcp")
@@ -273,32 +276,32 @@
 		d.Act(false, true)
 	}
 	first := s.placeCall(n1, id(1))
-	s.waitUntil("its attempt is out", func() bool { return s.checker.Out(id(1)) != "" })
+	s.waitUntil("its attempt is in progress", func() bool { return s.checker.Out(id(1)) != "" })
 	before := n1.Fleet().Incarnation
 	n1.Pause()
 	for _, d := range s.dispatchers {
-		d.AnswerAll() // nobody reads that
+		d.AnswerAll() // unread by the paused controller
 	}
 	s.waitSealed("n1", n2)
 	second := s.resume(n2, id(1), trial.Token(id(1)), false)
 	if m := s.expect(second, "release"); m.CauseOr(0) != 41 {
-		t.Errorf("its caller heard %+v, want that it failed", m)
+		t.Errorf("its caller got %+v, want a failure", m)
 	}
 	told := time.Now()
-	s.waitUntil("it is cut", func() bool { return s.checker.Stands(id(1)) == "" })
+	s.waitUntil("the call is cut", func() bool { return s.checker.Stands(id(1)) == "" })
 	if took := time.Since(told); took > endDeliveryLimit {
-		t.Errorf("it is cut %v after its caller was told", took)
+		t.Errorf("the call is cut %v after its caller was notified", took)
 	}
 
 	n1.Resume()
 	s.waitNewIncarnation(n1, before)
 	if m, err := first.Next(); err == nil {
-		t.Errorf("its owner said %+v as it went on", m)
+		t.Errorf("the paused controller sent %+v when it continued", m)
 	}
 	if m, err := second.NextWithin(time.Second); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("its caller heard more: %+v, %v", m, err)
+		t.Errorf("its caller got another message: %+v, %v", m, err)
 	}
 	if faults, setUps, _ := s.checker.Verdict(); setUps != 1 || len(faults)+len(s.checker.Left()) > 0 {
-		t.Errorf("%d set-ups, want one; faults %v, left %v", setUps, faults, s.checker.Left())
+		t.Errorf("%d set-ups, want one; violations %v, left %v", setUps, faults, s.checker.Left())
 	}
 }
--- a/cmd/cherryrelay/upgrade_test.go
+++ b/cmd/cherryrelay/upgrade_test.go
@@ -19,7 +19,7 @@
 	"cherryrelay/internal/peer"
 )
 
-// freeAddress is a local address whose port is free.
+// freeAddress returns a local address with a free port.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	address, err := peer.Free()
@@ -29,7 +29,7 @@
 	return address
 }
 
-// startSuccessor starts a second process at the same addresses. It knows no dispatchers yet.
+// startSuccessor starts a second node at the same addresses. It has no list yet.
 func (w *fixture) startSuccessor() *fixture {
 	w.Helper()
 	c := *w.node.config
@@ -41,10 +41,10 @@
 	return next
 }
 
-// sendList tells a node of the dispatchers.
+// sendList sends the list of dispatchers to a node.
 func (w *fixture) sendList() { w.node.loop.Post(func() { w.node.core.Update(w.list) }) }
 
-// waitReady waits for a node's yes.
+// waitReady waits until a node reports that it is ready.
 func (w *fixture) waitReady() {
 	w.Helper()
 	for status := 0; status != 200; time.Sleep(time.Millisecond) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// runUpgrade plays a script over both fronts, with a node at fixed addresses.
+// runUpgrade runs a script over both fronts, with a node at fixed addresses.
 func runUpgrade(t *testing.T, want []string, script func(w *fixture)) {
 	t.Setenv("TMPDIR", t.TempDir())
 	for _, transport := range []string{"tcp", "ws"} {
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestUpgrade: a second start at the same addresses ended with an error. Now it takes over; set-ups that are open are
-// answered where they came in, and each end of a call is told once, by the new process.
+// TestUpgrade: a second start at the same addresses used to end with an error. Now it takes over: pending set-ups are answered where they
+// were accepted, and each end of a call is delivered once, by the new process.
 func TestUpgrade(t *testing.T) {
 	runUpgrade(t, []string{
 		"d0: setup 1 x", "caller: answer 1 y", "d1: setup 2 x", "operator: /api/ready 503", "operator: /api/ready 200",
@@ -100,17 +100,18 @@
 		old.recordMessage(busy)
 		old.expectClosed(busy)
 		old.waitAck(1)
-		// Ends are told on connections of a known process: the old one's stay open here, as its end is not that of a process.
-		old.must(first.ReleaseHere(id(1), 16)) // to the old one, whose caller has gone
+		// Ends are sent on connections of a known process. The connections of the old node stay open here, as both nodes are in one
+		// process.
+		old.must(first.ReleaseHere(id(1), 16)) // to the old node, whose caller has disconnected
 		old.recordMessage(c)
 		old.must(<-old.done) // it has ended by itself
 		old.must(later.ReleaseHere(id(2), 41))
 		old.recordMessage(c)
-		// A call that only the old process can have known, ended by its caller.
+		// The caller ends a call that only the old process can have known.
 		old.must(c.Release(id(4), 31))
 		old.recordEvent(0)
 		old.must(later.ReleaseHere(id(3), 16))
-		old.recordMessage(c) // and nothing else came for the others
+		old.recordMessage(c) // no other message came for the other calls
 	})
 }
 
@@ -127,8 +128,8 @@
 	}
 }
 
-// TestEndsThatWaitGoToTheSuccessor guards against the end of a call that is told to nobody: it waits at the old process for a caller to
-// connect, and callers connect to the new one.
+// TestEndsThatWaitGoToTheSuccessor guards against losing the end of a call that waits at the old process for a caller to connect, while
+// callers connect to the new process.
 func TestEndsThatWaitGoToTheSuccessor(t *testing.T) {
 	runUpgrade(t, []string{
 		"d0: setup 1 x", "caller: answer 1 y", "d0: setup 2 x", "caller: release 1 16", "caller: answer 2 y",
@@ -155,7 +156,8 @@
 	})
 }
 
-// TestASuccessorThatDies leaves the old process in service, before it was ready and after; another one may follow.
+// TestASuccessorThatDies: the old process continues to serve if its successor dies, before or after it was ready, and another one may
+// follow.
 func TestASuccessorThatDies(t *testing.T) {
 	runUpgrade(t, []string{
 		"d0: setup 1 x", "caller: answer 1 y", "d0: setup 2 x", "caller: answer 2 y", "d0: setup 3 x", "caller: answer 3 y",
@@ -178,7 +180,7 @@
 		old.must(<-second.done)
 		for path := handover.Path(old.node.config.Listen); ; time.Sleep(time.Millisecond) {
 			if _, err := os.Lstat(path); err == nil {
-				break // the path went with the second, and is the old one's again
+				break // the second node removed the path, and the old one has created it again
 			}
 		}
 		old.waitReady()
@@ -191,8 +193,8 @@
 	})
 }
 
-// TestForeignFilesAtTheHandoverPath: a file that is no socket of ours, one that a dead process left, and one whose owner does not answer
-// keep nobody from starting.
+// TestForeignFilesAtTheHandoverPath: a file that is not a socket, a socket of a dead process, and one whose owner does not answer do not
+// prevent a start.
 func TestForeignFilesAtTheHandoverPath(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
@@ -239,18 +241,18 @@
 			w.node.loop.Quit()
 			w.must(<-w.done)
 			if left, _ := filepath.Glob(path + "*"); len(left) > 0 != (name == "file") {
-				t.Errorf("%v is left", left)
+				t.Errorf("%v is left over", left)
 			}
 		})
 	}
 }
 
-// TestDescriptors: what two processes may hold together keeps to the limit of one, with or without a second front.
+// TestDescriptors: two processes together stay within the descriptor limit of one, with or without a second front.
 func TestDescriptors(t *testing.T) {
 	const (
 		own        = 16 // of a program: its standard files, pollers, listeners, the list, the handover
-		dispatcher = 4  // links
-		fleet      = 8  // dispatchers, twice what is usual: in a release, old and new ones overlap
+		dispatcher = 4  // connections
+		fleet      = 8  // dispatchers, twice as many as usual: during a release, old and new ones overlap
 	)
 	for _, sockets := range []int{256, 384, 1024} {
 		for _, second := range []*config.WebSocket{nil, {}} {
@@ -261,14 +263,14 @@
 				connections *= 2
 			}
 			if all := connections + 2*(own+management.Descriptors) + dispatcher*fleet; all > sockets {
-				t.Errorf("of %d, %d may be taken (second front: %v)", sockets, all, second != nil)
+				t.Errorf("of %d descriptors, %d may be used (second front: %v)", sockets, all, second != nil)
 			}
 			for processes := 1; processes <= upgradeProcesses; processes++ {
 				share := socketQuota(c, processes)
 				for connected := range share.MaxCallers + 1 {
 					callers, each := share.Divide(connected)
 					if all := callers + processes*(own+management.Descriptors+each); all > sockets || each < dispatcher*fleet/4 {
-						t.Fatalf("of %d, %d processes may take %d, %d for dispatchers (second front: %v)", sockets, processes, all, each, second != nil)
+						t.Fatalf("of %d descriptors, %d processes may use %d, %d for dispatchers (second front: %v)", sockets, processes, all, each, second != nil)
 					}
 				}
 			}
