--- a/cmd/cherryrelay/calls_test.go
+++ b/cmd/cherryrelay/calls_test.go
@@ -407,7 +407,7 @@
 			runScenario(t, []string{"d1: setup 2 x", "d0: setup 1 x", "again", "caller: answer 2 y"}, func(w *fixture) {
 				c := w.newCaller()
 				w.must(c.SetUp(id(2), longTimeout, 1, "x"))
-				f := w.recordEvent(1)
+				second := w.recordEvent(1)
 				w.must(c.SetUp(id(1), longTimeout, 0, "x"))
 				w.must(answer(w.recordEvent(0)))
 				wanted := []string{"release", "setup"}
@@ -420,7 +420,7 @@
 					}
 				}
 				w.record("again")
-				w.must(f.Answer("y"))
+				w.must(second.Answer("y"))
 				w.recordMessage(c)
 			})
 		})
@@ -536,11 +536,11 @@
 		w.must(c.Release(id(1), 16))
 		w.recordEvent(0)
 		w.must(c.SetUp(id(2), longTimeout, 0, "x"))
-		f := w.recordEvent(0)
-		if f.Beside(e) {
+		second := w.recordEvent(0)
+		if second.Beside(e) {
 			t.Error("the next set-up went out on the connection on which the previous one had no answer")
 		}
-		w.must(f.Answer("y"))
+		w.must(second.Answer("y"))
 		w.recordMessage(c)
 	})
 }
@@ -557,11 +557,11 @@
 		w.recordMessage(c)
 		time.Sleep(2600 * time.Millisecond) // a slow machine makes it longer
 		w.must(c.SetUp(id(2), longTimeout, 0, "x"))
-		f := w.recordEvent(0)
-		if f.Beside(e) {
+		second := w.recordEvent(0)
+		if second.Beside(e) {
 			t.Error("the set-up went out on a connection that had been idle for 2.6 s")
 		}
-		w.must(f.Answer("z"))
+		w.must(second.Answer("z"))
 		w.recordMessage(c)
 	})
 }
@@ -577,10 +577,10 @@
 		other := w.newCaller()
 		w.waitClosed(kept)
 		w.must(other.SetUp(id(2), longTimeout, 1, "x"))
-		f := w.recordEvent(1)
+		second := w.recordEvent(1)
 		w.must(e.Answer("y"))
 		w.recordMessage(c)
-		w.must(f.Answer("y"))
+		w.must(second.Answer("y"))
 		w.recordMessage(other)
 		_ = w.newCaller()
 		w.waitClosed(c) // idle for longer than the other
@@ -647,10 +647,10 @@
 		e := w.recordEvent(0)
 		w.node.drain()
 		w.must(c.SetUp(id(2), longTimeout, 1, "x")) // still in transit when the signal came
-		f := w.recordEvent(1)
+		second := w.recordEvent(1)
 		w.must(e.Answer("y"))
 		w.recordMessage(c)
-		w.must(f.Answer("y"))
+		w.must(second.Answer("y"))
 		w.recordMessage(c)
 		select {
 		case err := <-w.done:
@@ -671,8 +671,8 @@
 	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 2 42 wait 2000", "caller: release 1 16"}, func(w *fixture) {
 		c := w.newCaller()
 		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-		stands := w.recordEvent(0)
-		w.must(stands.Answer("y"))
+		established := w.recordEvent(0)
+		w.must(established.Answer("y"))
 		w.recordMessage(c)
 		d := w.dispatchers[0]
 		d.Rest()
@@ -680,7 +680,7 @@
 		w.must(c.SetUp(id(2), 300*time.Millisecond, 0, "x"))
 		w.recordMessage(c)
 		time.Sleep(time.Second) // longer than the messages sent before take to arrive
-		w.must(stands.ReleaseHere(id(1), 16))
+		w.must(established.ReleaseHere(id(1), 16))
 		w.recordMessage(c)
 		d.Wake()
 	})
--- a/cmd/cherryrelay/cancel_test.go
+++ b/cmd/cherryrelay/cancel_test.go
@@ -119,9 +119,9 @@
 	"in the guard after an answer that tells a break": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
 		e := w.recordEvent(0)
-		broke := time.Now()
+		brokenAt := time.Now()
 		w.must(e.Refuse(peer.Broken))
-		return broke.Add(w.guard()), noop
+		return brokenAt.Add(w.guard()), noop
 	}},
 	"in the guard, draining": {drains: true, hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
@@ -148,7 +148,7 @@
 	}},
 	"lies before a busy loop": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
 		w.waitConnections(0, 1)
-		free := w.pauseLoop()
+		resumeLoop := w.pauseLoop()
 		before := w.node.loop.Pending()
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
 		w.waitQueued(before + 1)
@@ -159,7 +159,7 @@
 			defer behind.Close()
 			w.must(behind.Send(jsonl.Message{Type: "ping", ID: id(0)})) // it is read behind the cancellation
 			w.waitQueued(other + 1)
-			free()
+			resumeLoop()
 		}
 	}},
 }
@@ -169,7 +169,7 @@
 }
 
 // cancelWhilePending cancels a set-up in a state, maxSendDelay before the awaited event, and reports whether it did so in time.
-func (w *fixture) cancelWhilePending(state pendingState, leave func(w *fixture, c *peer.Caller, n int) error) (inTime bool) {
+func (w *fixture) cancelWhilePending(state pendingState, cancel func(w *fixture, c *peer.Caller, n int) error) (inTime bool) {
 	w.Helper()
 	const number = 1
 	c := w.newConfiguredCaller()
@@ -177,9 +177,9 @@
 	if !sendable.IsZero() {
 		time.Sleep(time.Until(sendable.Add(-maxSendDelay - cancelMargin)))
 	}
-	w.must(leave(w, c, number))
-	left := time.Now()
-	if inTime = sendable.IsZero() || left.Before(sendable.Add(-maxSendDelay)); !inTime {
+	w.must(cancel(w, c, number))
+	cancelledAt := time.Now()
+	if inTime = sendable.IsZero() || cancelledAt.Before(sendable.Add(-maxSendDelay)); !inTime {
 		return false
 	}
 	if sendable.IsZero() {
@@ -196,7 +196,7 @@
 	for i, d := range w.dispatchers {
 		for len(d.Events) > 0 {
 			if e := <-d.Events; e.Kind == "setup" && e.ID == id(number) {
-				w.Errorf("d%d was sent the set-up %v after its client had cancelled", i, e.At.Sub(left))
+				w.Errorf("d%d was sent the set-up %v after its client had cancelled", i, e.At.Sub(cancelledAt))
 			}
 		}
 	}
@@ -207,17 +207,17 @@
 func TestNothingIsSentAfterACancellation(t *testing.T) {
 	customers := differingSettings(t)
 	names := []string{"one class", "two classes", "three classes"}
-	turn := 0
+	number := 0
 	for name, state := range pendingStates {
-		for way, leave := range cancellations {
+		for kind, cancel := range cancellations {
 			for _, transport := range []string{"tcp", "ws"} {
-				turn++
-				customer := names[turn%len(names)]
-				t.Run(strings.Join([]string{name, way, transport, customer}, ", "), func(t *testing.T) {
+				number++
+				customer := names[number%len(names)]
+				t.Run(strings.Join([]string{name, kind, transport, customer}, ", "), func(t *testing.T) {
 					t.Parallel()
 					for inTime := false; !inTime; { // repeat if the machine is too slow to keep the order
 						s := *customers[customer]
-						inTime = newFixtureWithSettings(t, transport, "tcp", state.late, &s).cancelWhilePending(state, leave)
+						inTime = newFixtureWithSettings(t, transport, "tcp", state.late, &s).cancelWhilePending(state, cancel)
 					}
 				})
 			}
--- a/cmd/cherryrelay/capacity_test.go
+++ b/cmd/cherryrelay/capacity_test.go
@@ -40,14 +40,14 @@
 }
 
 // slope returns the fitted slope of a measured figure.
-func slope(t *testing.T, r capacity.Report, figure string) float64 {
+func slope(t *testing.T, r capacity.Report, name string) float64 {
 	t.Helper()
 	for _, f := range r.Fits {
-		if f.Figure == figure {
+		if f.Figure == name {
 			return f.Slope
 		}
 	}
-	t.Fatalf("%s is not measured", figure)
+	t.Fatalf("%s is not measured", name)
 	return 0
 }
 
--- a/cmd/cherryrelay/closes_test.go
+++ b/cmd/cherryrelay/closes_test.go
@@ -81,7 +81,7 @@
 	t.Parallel()
 	w := newFixture(t, "ws", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
 	c := w.connect()
-	free := w.pauseLoop()
+	resumeLoop := w.pauseLoop()
 	before := w.node.loop.Pending()
 	w.must(c.SendRaw(w.encodeSetUp(c, 1)))
 	w.waitQueued(before + 1)
@@ -92,27 +92,27 @@
 	}
 	w.must(c.SetWriteDeadline(time.Now().Add(time.Second)))
 	_ = c.SendRaw(flood)
-	free()
+	resumeLoop()
 	w.finalAnswers(c, 1)
 }
 
 // TestASetUpCompletedAsItsTimeoutExpires guards against a set-up that is lost because its last part arrives at the moment of its timeout.
 func TestASetUpCompletedAsItsTimeoutExpires(t *testing.T) {
-	const silent = 200 * time.Millisecond
+	const timeout = 200 * time.Millisecond
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
-			w := newFixture(t, transport, "tcp", callers.Bounds{Silent: silent, Idle: longTimeout})
+			w := newFixture(t, transport, "tcp", callers.Bounds{Silent: timeout, Idle: longTimeout})
 			c := w.connect()
 			text := w.encodeSetUp(c, 1)
 			w.must(c.SendRaw(text[:len(text)/2]))
-			time.Sleep(silent / 2) // until the first half has been read
-			free := w.pauseLoop()
+			time.Sleep(timeout / 2) // until the first half has been read
+			resumeLoop := w.pauseLoop()
 			before := w.node.loop.Pending()
 			w.must(c.SendRaw(text[len(text)/2:]))
 			w.waitQueued(before + 1)
-			time.Sleep(silent) // until the timeout has expired
-			free()
+			time.Sleep(timeout) // until the timeout has expired
+			resumeLoop()
 			w.must(w.recordEvent(0).Answer("y"))
 			if m := w.nextMessage(c); m.Type != "answer" {
 				t.Errorf("%+v: want the answer", m)
@@ -135,21 +135,21 @@
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
 			w := newFixture(t, transport, "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
-			other, stood := w.newCaller(), w.newCaller()
-			for n, c := range []*peer.Caller{other, stood} {
+			other, ending := w.newCaller(), w.newCaller()
+			for n, c := range []*peer.Caller{other, ending} {
 				w.must(c.SetUp(id(n+1), longTimeout, 0, "x"))
 				w.must(w.recordEvent(0).Answer("y"))
 				w.recordMessage(c)
 			}
-			free := w.pauseLoop()
+			resumeLoop := w.pauseLoop()
 			before := w.node.loop.Pending()
 			w.must(w.dispatchers[0].Release(id(2), call.CauseNormal))
 			w.waitQueued(before + 1)
 			w.node.loop.Post(func() { // in the same event loop iteration, after the end
-				_ = stood.Close()
+				_ = ending.Close()
 				time.Sleep(400 * time.Millisecond)
 			})
-			free()
+			resumeLoop()
 			if m := w.nextMessage(other); m.Type != "release" || m.ID != id(2) {
 				t.Errorf("%+v: want the end of the other call", m)
 			}
--- a/cmd/cherryrelay/crossings_test.go
+++ b/cmd/cherryrelay/crossings_test.go
@@ -81,9 +81,9 @@
 	w.Helper()
 	s := w.list.Servers[d]
 	s.Status = status
-	taken := make(chan struct{})
-	w.node.loop.Post(func() { w.node.core.Update(call.Update{Servers: []call.Server{s}}); close(taken) })
-	<-taken
+	applied := make(chan struct{})
+	w.node.loop.Post(func() { w.node.core.Update(call.Update{Servers: []call.Server{s}}); close(applied) })
+	<-applied
 }
 
 // pauseLoop blocks the event loop and returns the function that unblocks it.
@@ -179,8 +179,8 @@
 	for until := time.Now().Add(peer.Patience); ; time.Sleep(time.Millisecond) {
 		text := make(chan string)
 		w.node.loop.Post(func() {
-			figures, err := w.node.core.Telemetry()
-			text <- figures + fmt.Sprint(err)
+			metrics, err := w.node.core.Telemetry()
+			text <- metrics + fmt.Sprint(err)
 		})
 		if strings.Contains(<-text, fmt.Sprintf("\nedge_lb_in_flight %d\n", n)) {
 			return
@@ -200,18 +200,18 @@
 	customers := differingSettings(t)
 	for name, wait := range waitingStates {
 		for customer := range customers {
-			for way, leave := range cancellations {
+			for kind, cancel := range cancellations {
 				for _, transport := range []string{"tcp", "ws"} {
-					t.Run(strings.Join([]string{name, customer, way, transport}, ", "), func(t *testing.T) {
+					t.Run(strings.Join([]string{name, customer, kind, transport}, ", "), func(t *testing.T) {
 						t.Parallel()
 						s := *customers[customer]
 						w := newFixtureWithSettings(t, transport, "tcp", wait.late, &s)
 						c := w.newConfiguredCaller()
 						meter := startMeter()
-						then := wait.hold(w, c, 1)
-						left := time.Now()
-						w.must(leave(w, c, 1))
-						then()
+						proceed := wait.hold(w, c, 1)
+						cancelledAt := time.Now()
+						w.must(cancel(w, c, 1))
+						proceed()
 						w.waitInFlight(0)
 						if wait.late {
 							w.waitConnections(0, 1) // a second later
@@ -220,8 +220,8 @@
 						for last, d := range w.dispatchers {
 							for len(d.Events) > 0 {
 								e := <-d.Events
-								if e.Kind == "setup" && e.ID == id(1) && e.At.Sub(left)-meter.delayBetween(left, e.At) > maxSendDelay {
-									t.Errorf("d%d was sent the set-up %v after its caller had cancelled", last, e.At.Sub(left))
+								if e.Kind == "setup" && e.ID == id(1) && e.At.Sub(cancelledAt)-meter.delayBetween(cancelledAt, e.At) > maxSendDelay {
+									t.Errorf("d%d was sent the set-up %v after its caller had cancelled", last, e.At.Sub(cancelledAt))
 								}
 							}
 						}
@@ -248,12 +248,12 @@
 				for range more {
 					bytes = append(bytes, c.Frame([]byte(`{"type":"progress","id":"`+id(2)+`","fields":{}}`))...)
 				}
-				free := w.pauseLoop()
+				resumeLoop := w.pauseLoop()
 				w.must(c.SendRaw(bytes))
 				w.must(c.Close())
 				w.waitQueued(1)
 				time.Sleep(50 * time.Millisecond) // until the close has arrived, too; if it arrives later, the node sees it before it sends the set-up
-				free()
+				resumeLoop()
 				w.waitInFlight(0)
 				other := w.newCaller()
 				w.must(other.SetUp(id(3), longTimeout, 0, "y"))
@@ -304,7 +304,7 @@
 // TestAnEndOnAConnectionThatBreaks: a dispatcher sends the end of a call while the connection breaks, and again on the next connection that
 // is opened. No connection was opened, as another one was open and one was enough.
 func TestAnEndOnAConnectionThatBreaks(t *testing.T) {
-	for name, breaks := range map[string]func(e peer.Event) error{
+	for name, breakConnection := range map[string]func(e peer.Event) error{
 		"spoilt ahead of it": func(e peer.Event) error {
 			return e.SendRaw([]byte("\x00\x01\x02 spoilt\r\n\r\nBYE sip:caller@net SIP/2.0\r\nCall-ID: " + e.ID +
 				"\r\nCSeq: 2 BYE\r\nReason: Q.850;cause=16\r\nContent-Length: 0\r\n\r\n"))
@@ -327,8 +327,8 @@
 				w.recordMessage(c)
 				d := w.dispatchers[0]
 				d.TellLinks()
-				w.must(breaks(e))
-				broke := time.Now()
+				w.must(breakConnection(e))
+				brokenAt := time.Now()
 				for {
 					o, err := d.Next()
 					w.must(err)
@@ -338,7 +338,7 @@
 					}
 				}
 				w.recordMessage(c)
-				if took := time.Since(broke); took > time.Second {
+				if took := time.Since(brokenAt); took > time.Second {
 					t.Errorf("delivered after %v", took)
 				}
 				want := []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 16"}
@@ -353,24 +353,24 @@
 // TestAnAnswerThatCrossesItsCallersEnd: the caller has disconnected, but the answer is processed first. The call stayed established without
 // a caller until its dispatcher ended it.
 func TestAnAnswerThatCrossesItsCallersEnd(t *testing.T) {
-	for way, leave := range cancellations {
-		if way == "release" {
+	for kind, cancel := range cancellations {
+		if kind == "release" {
 			continue // the release is queued behind the answer and ends the established call
 		}
 		for _, transport := range []string{"tcp", "ws"} {
-			t.Run(way+", "+transport, func(t *testing.T) {
+			t.Run(kind+", "+transport, func(t *testing.T) {
 				t.Parallel()
 				w := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
 				c := w.newCaller()
 				w.must(c.SetUp(id(1), longTimeout, 0, "x"))
 				e := w.recordEvent(0)
-				free := w.pauseLoop()
+				resumeLoop := w.pauseLoop()
 				before := w.node.loop.Pending()
 				w.must(e.Answer("y"))
 				w.waitQueued(before + 1) // the answer comes first
-				w.must(leave(w, c, 1))
+				w.must(cancel(w, c, 1))
 				w.waitQueued(before + 2)
-				free()
+				resumeLoop()
 				if o := w.recordEvent(0); o.Kind != "release" || o.ID != id(1) {
 					t.Errorf("got %+v, want the release of a call without a caller", o)
 				}
@@ -395,28 +395,28 @@
 					w := newFixtureWithSettings(t, transport, "tcp", false, &before)
 					c := w.newConfiguredCaller()
 					w.must(c.SetUp(id(1), 20*time.Second, 0, "stands"))
-					stands := w.recordEvent(0)
-					w.must(stands.Answer("y"))
+					established := w.recordEvent(0)
+					w.must(established.Answer("y"))
 					w.recordMessage(c)
 					w.must(c.SetUp(id(2), 20*time.Second, 1, "in the guard"))
-					broke := w.recordEvent(1)
-					w.must(broke.Refuse(peer.Broken))
+					broken := w.recordEvent(1)
+					w.must(broken.Refuse(peer.Broken))
 					w.waitAck(1) // processed: the guard of the old settings applies
 					w.must(c.SetUp(id(3), 20*time.Second, 1, "out"))
-					out := w.recordEvent(1)
+					attempt := w.recordEvent(1)
 					old := c.Class
 					config := *w.node.config
 					config.Settings = &after
 					w.node.reload(&config, nil)
-					again := w.nextSetUp() // after the guard, under the class of its set-up
-					if again.ID != id(2) || again.Class != old || again.At.Sub(broke.At) < time.Duration(before.FamilyInfo.GuardUs)*time.Microsecond {
-						t.Errorf("%s of class %s after %v: want the call in the guard, of class %s", again.ID, again.Class, again.At.Sub(broke.At), old)
+					repeated := w.nextSetUp() // after the guard, under the class of its set-up
+					if repeated.ID != id(2) || repeated.Class != old || repeated.At.Sub(broken.At) < time.Duration(before.FamilyInfo.GuardUs)*time.Microsecond {
+						t.Errorf("%s of class %s after %v: want the call in the guard, of class %s", repeated.ID, repeated.Class, repeated.At.Sub(broken.At), old)
 					}
-					w.must(out.Answer("z")) // before the later one: a connection that is overtaken for long is abandoned
+					w.must(attempt.Answer("z")) // before the later one: a connection that is overtaken for long is abandoned
 					w.recordMessage(c)
-					w.must(again.Answer("z"))
+					w.must(repeated.Answer("z"))
 					w.recordMessage(c)
-					w.must(stands.ReleaseHere(id(1), call.CauseNormal))
+					w.must(established.ReleaseHere(id(1), call.CauseNormal))
 					w.recordMessage(c)
 					w.must(c.SetUp(id(4), 20*time.Second, 0, "of a class that is gone"))
 					w.recordMessage(c)
@@ -501,8 +501,8 @@
 // TestASetUpCancelledDuringAnUpgradeIsNotSent: a set-up is in the guard when a successor starts to serve, and its caller disconnects from
 // the old process.
 func TestASetUpCancelledDuringAnUpgradeIsNotSent(t *testing.T) {
-	for way, leave := range cancellations {
-		t.Run(way, func(t *testing.T) {
+	for kind, cancel := range cancellations {
+		t.Run(kind, func(t *testing.T) {
 			runUpgrade(t, []string{"d0: setup 1 x", "d1: setup 2 x", "caller: answer 2 y", "caller: release 2 16"}, func(old *fixture) {
 				idle, c := old.newCaller(), old.newCaller()
 				old.must(c.SetUp(id(1), longTimeout, 0, "x"))
@@ -513,7 +513,7 @@
 				old.expectClosed(idle) // it accepts no more callers
 				old.must(first.Refuse(peer.Broken))
 				old.waitAck(0) // the set-up is in the guard now
-				old.must(leave(old, c, 1))
+				old.must(cancel(old, c, 1))
 				old.waitInFlight(0)
 				other := next.newCaller()
 				old.must(other.SetUp(id(2), longTimeout, 1, "x"))
@@ -538,8 +538,8 @@
 // TestASetUpCancelledAsItsConnectionOpensIsNotSent: the connection that a set-up waits for is open, and the cancellation is queued behind
 // that event.
 func TestASetUpCancelledAsItsConnectionOpensIsNotSent(t *testing.T) {
-	for way, leave := range cancellations {
-		t.Run(way, func(t *testing.T) {
+	for kind, cancel := range cancellations {
+		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			s := testSettings(t)
 			s.Caps.ConnectTimeoutUs = 5_000_000
@@ -547,15 +547,15 @@
 			c := w.newCaller()
 			w.must(c.SetUp(id(1), 20*time.Second, 0, "x"))
 			w.waitInFlight(1)
-			free := w.pauseLoop()
+			resumeLoop := w.pauseLoop()
 			before := w.node.loop.Pending()
 			w.dispatchers[0].Open()
 			w.waitQueued(before + 2) // a second later: the connection and the first message of its dispatcher
 			w.waitConnections(0, 1)
 			now := w.node.loop.Pending()
-			w.must(leave(w, c, 1))
+			w.must(cancel(w, c, 1))
 			w.waitQueued(now + 1)
-			free()
+			resumeLoop()
 			w.waitInFlight(0)
 			other := w.newCaller()
 			w.must(other.SetUp(id(2), longTimeout, 0, "y"))
--- a/cmd/cherryrelay/descriptors_test.go
+++ b/cmd/cherryrelay/descriptors_test.go
@@ -231,7 +231,7 @@
 }
 
 // placeCall places a call, requires its final answer in time, and reports whether the call is established.
-func (s *limitedProcess) placeCall(c *peer.Caller, number, first int) (stands bool) {
+func (s *limitedProcess) placeCall(c *peer.Caller, number, first int) (established bool) {
 	s.Helper()
 	const left = 8 * time.Second
 	if err := c.SetUp(id(number), left, first, "x"); err != nil {
@@ -280,41 +280,41 @@
 	// A third of the descriptors is reserved for callers.
 	const callers, calls = sockets / 3, 5
 	var all sync.WaitGroup
-	var standing [live]*peer.Caller
-	var stand atomic.Int64
+	var connections [live]*peer.Caller
+	var established atomic.Int64
 	for i := range callers {
 		c, err := peer.Call("tcp", s.lines)
 		s.must(err)
 		defer c.Close()
 		if i < live {
-			standing[i] = c
+			connections[i] = c
 		}
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			for n := range calls {
 				if s.placeCall(c, 1+i*calls+n, (i+n)%live) {
-					stand.Add(1)
+					established.Add(1)
 				}
 			}
 		}()
 	}
 	all.Wait()
-	if least := int64(callers * calls * 9 / 10); stand.Load() < least {
-		t.Errorf("of %d calls %d are established, want %d", callers*calls, stand.Load(), least)
+	if least := int64(callers * calls * 9 / 10); established.Load() < least {
+		t.Errorf("of %d calls %d are established, want %d", callers*calls, established.Load(), least)
 	}
 
 	newest := startPromptDispatcher(t)
 	s.sendChange(2, listEntry("newest", newest.Address(), "active", len(known)), listEntry("d0", dispatchers[0].Address(), "leaving", 0))
 	s.waitServers(len(known)+1, time.Second)
-	if !s.placeCall(standing[0], 1000, len(known)) {
+	if !s.placeCall(connections[0], 1000, len(known)) {
 		t.Error("the call to the newest dispatcher is not established")
 	}
 
 	// A call is established at each of the live dispatchers, which then end it. They report the end on an open connection, and on those
 	// that open later.
 	dispatchers = append(dispatchers, newest)
-	for i, c := range standing {
+	for i, c := range connections {
 		all.Add(1)
 		go func() {
 			defer all.Done()
@@ -323,7 +323,7 @@
 				first = len(known)
 			}
 			if !s.placeCall(c, 2000+i, first) {
-				standing[i] = nil
+				connections[i] = nil
 			}
 		}()
 	}
@@ -334,7 +334,7 @@
 			d.calls.Range(func(id, _ any) bool { return d.Release(fmt.Sprint(id), call.CauseNormal) == nil })
 		})
 	}
-	for i, c := range standing {
+	for i, c := range connections {
 		for c != nil {
 			m, err := c.NextWithin(8 * time.Second)
 			if err != nil {
@@ -346,7 +346,7 @@
 		}
 	}
 	took := time.Since(since)
-	t.Logf("%d of %d calls were established; the last end was delivered after %v", stand.Load(), callers*calls, took)
+	t.Logf("%d of %d calls were established; the last end was delivered after %v", established.Load(), callers*calls, took)
 	if took > 8*time.Second {
 		t.Errorf("the last end was delivered after %v", took)
 	}
--- a/cmd/cherryrelay/endings_test.go
+++ b/cmd/cherryrelay/endings_test.go
@@ -30,7 +30,7 @@
 // node open one.
 func TestEndsOnADeadConnection(t *testing.T) {
 	for _, mix := range [][2]string{{"tcp", "tcp"}, {"ws", "ws"}} {
-		for name, givenUp := range map[string]bool{"nothing to do there": false, "a set-up was given up there": true} {
+		for name, cancelled := range map[string]bool{"nothing to do there": false, "a set-up was given up there": true} {
 			t.Run(name+", "+mix[0]+" to "+mix[1], func(t *testing.T) {
 				t.Parallel()
 				w := newFixtureWithSettings(t, mix[0], mix[1], false, testSettings(t))
@@ -49,45 +49,45 @@
 					}
 					return e
 				}
-				var dead peer.Event
+				var unresponsive peer.Event
 				for n := 2; n <= 3; n++ {
-					dead = place(n)
-					w.must(dead.Answer("y"))
+					unresponsive = place(n)
+					w.must(unresponsive.Answer("y"))
 					w.recordMessage(c)
 				}
-				if givenUp {
+				if cancelled {
 					place(4)
-					w.must(dead.ReleaseHere(id(0x77), call.CauseNormal))
+					w.must(unresponsive.ReleaseHere(id(0x77), call.CauseNormal))
 					w.recordMessage(c) // so that a message has arrived since the set-up was sent
 				}
-				dead.Deafen()
-				if givenUp {
+				unresponsive.Deafen()
+				if cancelled {
 					w.must(c.Release(id(4), call.CauseNormal))
 				}
 				w.must(live.Answer("y"))
 				w.recordMessage(c)
 				d := w.dispatchers[0]
 				d.TellLinks()
-				heard := 0
+				others := 0
 				for n := 2; n <= 3; n++ {
 					ended := time.Now() // the dispatcher sends the end on the unresponsive connection
-					for told := false; !told; time.Sleep(50 * time.Millisecond) {
+					for delivered := false; !delivered; time.Sleep(50 * time.Millisecond) {
 						select {
 						case e := <-d.Events:
 							if e.Kind == "opened" {
 								w.must(e.ReleaseHere(id(n), call.CauseNormal))
 							}
 						default: // other calls keep the connections busy
-							heard++
-							w.must(live.ReleaseHere(id(0x1000+heard), call.CauseNormal))
+							others++
+							w.must(live.ReleaseHere(id(0x1000+others), call.CauseNormal))
 						}
-						for ours := false; !ours && !told; {
+						for received := false; !received && !delivered; {
 							m, err := c.NextWithin(100 * time.Millisecond)
 							if errors.Is(err, os.ErrDeadlineExceeded) {
 								break
 							}
 							w.must(err)
-							told, ours = m.ID == id(n), m.ID == id(0x1000+heard)
+							delivered, received = m.ID == id(n), m.ID == id(0x1000+others)
 						}
 						if time.Since(ended) > peer.Patience {
 							t.Fatalf("the end of call %d is never delivered", n)
@@ -105,13 +105,13 @@
 // TestAnEndAsTheLastConnectionCloses: the end of a call and the close of the only caller's connection are queued for the loop, in both
 // orders. The end must be delivered on the next connection.
 func TestAnEndAsTheLastConnectionCloses(t *testing.T) {
-	for way, leave := range cancellations {
-		if way == "release" {
+	for kind, cancel := range cancellations {
+		if kind == "release" {
 			continue
 		}
 		for _, transport := range []string{"tcp", "ws"} {
 			for _, endFirst := range []bool{true, false} {
-				t.Run(fmt.Sprint(way, ", ", transport, ", the end first: ", endFirst), func(t *testing.T) {
+				t.Run(fmt.Sprint(kind, ", ", transport, ", the end first: ", endFirst), func(t *testing.T) {
 					t.Parallel()
 					w := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
 					c := w.newCaller()
@@ -120,19 +120,19 @@
 					w.must(e.Answer("y"))
 					w.recordMessage(c)
 					w.waitAck(0)
-					free := w.pauseLoop()
+					resumeLoop := w.pauseLoop()
 					before := w.node.loop.Pending()
-					acts := []func() error{
-						func() error { return e.ReleaseHere(id(1), call.CauseNormal) }, func() error { return leave(w, c, 1) },
+					actions := []func() error{
+						func() error { return e.ReleaseHere(id(1), call.CauseNormal) }, func() error { return cancel(w, c, 1) },
 					}
 					if !endFirst {
-						acts[0], acts[1] = acts[1], acts[0]
+						actions[0], actions[1] = actions[1], actions[0]
 					}
-					for i, act := range acts {
-						w.must(act())
+					for i, action := range actions {
+						w.must(action())
 						w.waitQueued(before + i + 1)
 					}
-					free()
+					resumeLoop()
 					other := w.newCaller()
 					w.must(other.SetUp(id(2), longTimeout, 0, "x"))
 					w.recordMessage(other)
@@ -150,17 +150,17 @@
 
 // blockSocket fills the socket of a caller: the caller sends many pings and reads no answer until the node can write no more. It returns
 // the number of unread answers.
-func (w *fixture) blockSocket(c *peer.Caller) (asked int) {
+func (w *fixture) blockSocket(c *peer.Caller) (pings int) {
 	w.Helper()
 	for {
 		w.must(c.Send(jsonl.Message{Type: "ping", ID: strings.Repeat("0", 12<<10)})) // its answer repeats the ID
-		asked++
+		pings++
 		for since := time.Now(); !w.frontsIdle(); time.Sleep(time.Millisecond) {
 			if time.Since(since) > 300*time.Millisecond { // far longer than reading one takes
-				return asked
+				return pings
 			}
 		}
-		if asked > 10_000 {
+		if pings > 10_000 {
 			w.Fatal("the socket never blocks")
 		}
 	}
@@ -168,9 +168,9 @@
 
 // frontsIdle reports whether the fronts have no unread input and no buffered output.
 func (w *fixture) frontsIdle() bool {
-	quiet := make(chan bool)
-	w.node.loop.Post(func() { quiet <- w.node.lines.Idle() && w.node.api.Idle() })
-	return <-quiet
+	idle := make(chan bool)
+	w.node.loop.Post(func() { idle <- w.node.lines.Idle() && w.node.api.Idle() })
+	return <-idle
 }
 
 // TestLastAnswersWaitForTheSocket: a draining controller could exit while a caller has not read its answer.
@@ -182,7 +182,7 @@
 			c := w.newCaller()
 			w.must(c.SetUp(id(1), longTimeout, 0, "x"))
 			e := w.recordEvent(0)
-			asked := w.blockSocket(c)
+			pings := w.blockSocket(c)
 			w.must(e.Refuse(peer.Busy))
 			w.waitAck(0)
 			w.node.drain()
@@ -195,7 +195,7 @@
 			for pongs := 0; ; pongs++ {
 				m, err := c.Next()
 				if err != nil {
-					t.Fatalf("%v after %d of %d pongs: want the final answer", err, pongs, asked)
+					t.Fatalf("%v after %d of %d pongs: want the final answer", err, pongs, pings)
 				}
 				if m.Type != "pong" {
 					if m.ID != id(1) || m.Type != "release" {
@@ -290,7 +290,7 @@
 	})
 	p.waitReady()
 	number := 1
-	tells := func(status string) {
+	sendStatus := func(status string) {
 		number++
 		e := fmt.Sprintf("id: %d\ndata: {\"index\":%[1]d,\"endpoints\":{\"snapshot\":false,\"endpoints\":[", number)
 		for i, d := range d {
@@ -301,7 +301,7 @@
 	for n := 1; n <= 6; n++ {
 		c, other, e := setUpInGuard(t, p, d, n)
 		p.signal(syscall.SIGSTOP)
-		tells("leaving")
+		sendStatus("leaving")
 		time.Sleep(guard + 100*time.Millisecond) // the grace period is no longer than the guard
 		p.signal(syscall.SIGCONT)
 		if err := e.Answer("y"); err != nil {
@@ -320,7 +320,7 @@
 				}
 			}
 		}
-		tells("active")
+		sendStatus("active")
 		for again := 1; ; again++ { // until the node has applied the change
 			if err := other.SetUp(id(0x1000*n+again), 8*time.Second, 0, "x"); err != nil {
 				t.Fatal(err)
--- a/cmd/cherryrelay/failure_report_test.go
+++ b/cmd/cherryrelay/failure_report_test.go
@@ -22,9 +22,9 @@
 var callID = regexp.MustCompile(`\b[0-9a-f]{16}\b`)
 
 // failureReport returns the violations of a run, the command that repeats it, and the log of its process, in this order.
-func failureReport(again string, faults []string, log string) string {
-	shown := strings.Join(faults[:min(len(faults), maxViolationsShown)], "\n")
-	return fmt.Sprintf("%d violations; %s\n%s\nof these calls the log has:\n%sthe log of the process:\n%s", len(faults), again,
+func failureReport(repeatCommand string, violations []string, log string) string {
+	shown := strings.Join(violations[:min(len(violations), maxViolationsShown)], "\n")
+	return fmt.Sprintf("%d violations; %s\n%s\nof these calls the log has:\n%sthe log of the process:\n%s", len(violations), repeatCommand,
 		shown, linesOfCalls(log, callID.FindAllString(shown, -1)), shortenLog(log))
 }
 
@@ -58,12 +58,12 @@
 // output is truncated.
 func TestAFailureReportStartsWithTheViolations(t *testing.T) {
 	t.Parallel()
-	const firstFault, firstLine, lastLine = "0000000000000001: no answer", "the first line\n", "the last line\n"
+	const firstViolation, firstLine, lastLine = "0000000000000001: no answer", "the first line\n", "the last line\n"
 	const lineOfCall = "call without an answer at its deadline id=0000000000000001\n"
 	noise := strings.Repeat("limit of connections reached\n", 1<<16)
-	report := failureReport("again with this", []string{firstFault, "another"}, firstLine+noise+lineOfCall+noise+lastLine)
+	report := failureReport("again with this", []string{firstViolation, "another"}, firstLine+noise+lineOfCall+noise+lastLine)
 	const headMost = 256 // bytes before the log
-	if at := strings.Index(report, firstFault); at < 0 || at > headMost || at > strings.Index(report, firstLine) {
+	if at := strings.Index(report, firstViolation); at < 0 || at > headMost || at > strings.Index(report, firstLine) {
 		t.Errorf("the first violation is at %d: %.300q", at, report)
 	}
 	if most := maxLogShown + 2*headMost; len(report) > most {
@@ -77,7 +77,7 @@
 	if !strings.HasSuffix(report, lastLine) {
 		t.Errorf("the report does not end like the log: %.300q", report)
 	}
-	if short := failureReport("", []string{firstFault}, firstLine); !strings.HasSuffix(short, firstLine) {
+	if short := failureReport("", []string{firstViolation}, firstLine); !strings.HasSuffix(short, firstLine) {
 		t.Errorf("a short log is not shown unchanged: %q", short)
 	}
 }
--- a/cmd/cherryrelay/fleet_test.go
+++ b/cmd/cherryrelay/fleet_test.go
@@ -55,9 +55,9 @@
 		close(stop)
 		watching.Wait()
 		s.must(g.Close())
-		faults, samples := s.checker.Faults()
-		if s.expectViolation != (len(faults) > 0) || samples < 10 {
-			t.Errorf("%d violations in %d samples: %s", len(faults), samples, strings.Join(faults, "\n"))
+		violations, samples := s.checker.Faults()
+		if s.expectViolation != (len(violations) > 0) || samples < 10 {
+			t.Errorf("%d violations in %d samples: %s", len(violations), samples, strings.Join(violations, "\n"))
 		}
 		if t.Failed() {
 			for _, c := range g.Controllers {
@@ -373,12 +373,12 @@
 	calling.Wait()
 	checkAllAnswered(t, j)
 	_, setUps, finals := j.Verdict()
-	_, untold := j.Unsettled()
+	_, undelivered := j.Unsettled()
 	if finals["answer"] < 50 {
 		t.Errorf("only %d calls were answered", finals["answer"])
 	}
 	s.waitAllServing(s.Controllers...)
-	t.Logf("%d set-ups at dispatchers; callers had %v; the ends of %d were sent to a controller that did not have them", setUps, finals, len(untold))
+	t.Logf("%d set-ups at dispatchers; callers had %v; the ends of %d were sent to a controller that did not have them", setUps, finals, len(undelivered))
 }
 
 // TestDrawnTrials runs a few seeds, which draw any fault at any time on three controllers with calls. make soak runs more of them.
--- a/cmd/cherryrelay/idle_faults_test.go
+++ b/cmd/cherryrelay/idle_faults_test.go
@@ -15,7 +15,7 @@
 // the moment when calls come again. Each call gets one final answer in time, and calls that another dispatcher can accept are established.
 func TestFaultsAfterAnIdleTime(t *testing.T) {
 	const calls, left = 8, 8 * time.Second
-	for name, trouble := range map[string]func(d *peer.Dispatcher, e peer.Event){
+	for name, fault := range map[string]func(d *peer.Dispatcher, e peer.Event){
 		"reset":              func(d *peer.Dispatcher, _ peer.Event) { d.Cut() },
 		"dead":               func(_ *peer.Dispatcher, e peer.Event) { e.Deafen() },
 		"gone":               func(d *peer.Dispatcher, _ peer.Event) { d.Die() },
@@ -33,8 +33,8 @@
 			w.recordMessage(c)
 			w.must(c.Release(id(1), 16))
 			time.Sleep(idleTime)
-			over := make(chan struct{})
-			defer close(over)
+			done := make(chan struct{})
+			defer close(done)
 			for _, d := range w.dispatchers {
 				go func() {
 					for {
@@ -43,17 +43,17 @@
 							if e.Kind == "setup" {
 								_ = e.Answer("y")
 							}
-						case <-over:
+						case <-done:
 							return
 						}
 					}
 				}()
 			}
-			trouble(w.dispatchers[0], first)
+			fault(w.dispatchers[0], first)
 			for n := range calls {
 				w.must(c.SetUp(id(10+n), left, 0, "x"))
 			}
-			finals, stand := map[string]int{}, 0
+			finals, established := map[string]int{}, 0
 			begun := time.Now()
 			for len(finals) < calls {
 				m, err := c.NextWithin(left + left/2)
@@ -64,12 +64,12 @@
 					t.Errorf("%s has a second final answer", m.ID)
 				}
 				if m.Type == "answer" {
-					stand++
+					established++
 				}
 			}
-			t.Logf("%d of %d are established after %v", stand, calls, time.Since(begun))
-			if stand < calls/2 || time.Since(begun) > left+time.Second {
-				t.Errorf("%d of %d are established after %v", stand, calls, time.Since(begun))
+			t.Logf("%d of %d are established after %v", established, calls, time.Since(begun))
+			if established < calls/2 || time.Since(begun) > left+time.Second {
+				t.Errorf("%d of %d are established after %v", established, calls, time.Since(begun))
 			}
 		})
 	}
--- a/cmd/cherryrelay/kill_test.go
+++ b/cmd/cherryrelay/kill_test.go
@@ -181,8 +181,8 @@
 // checkAllSettled reports violations, and calls without a final answer or without a delivered end.
 func checkAllSettled(t *testing.T, j *trial.Judge) {
 	t.Helper()
-	if _, untold := j.Unsettled(); len(untold) > 0 {
-		t.Errorf("the end of %d calls is never delivered: %v", len(untold), untold[:min(len(untold), 20)])
+	if _, undelivered := j.Unsettled(); len(undelivered) > 0 {
+		t.Errorf("the end of %d calls is never delivered: %v", len(undelivered), undelivered[:min(len(undelivered), 20)])
 	}
 	checkAllAnswered(t, j)
 }
@@ -190,13 +190,13 @@
 // checkAllAnswered reports violations and calls without a final answer.
 func checkAllAnswered(t *testing.T, j *trial.Judge) {
 	t.Helper()
-	faults, _, _ := j.Verdict()
+	violations, _, _ := j.Verdict()
 	unanswered, _ := j.Unsettled()
 	for _, id := range unanswered {
-		faults = append(faults, id+" has no answer")
+		violations = append(violations, id+" has no answer")
 	}
-	if len(faults) > 0 {
-		t.Errorf("%d violations:\n%s", len(faults), strings.Join(faults[:min(len(faults), 20)], "\n"))
+	if len(violations) > 0 {
+		t.Errorf("%d violations:\n%s", len(violations), strings.Join(violations[:min(len(violations), 20)], "\n"))
 	}
 }
 
@@ -207,7 +207,7 @@
 }
 
 // runKills kills and restarts the program the given number of times. meanwhile changes the stored state before each restart.
-func runKills(t *testing.T, times int, meanwhile func(*process, *rand.Rand)) {
+func runKills(t *testing.T, times int, beforeRestart func(*process, *rand.Rand)) {
 	for i, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
@@ -240,8 +240,8 @@
 			for range times {
 				time.Sleep(time.Duration(30+rng.IntN(30)*rng.IntN(50)) * time.Millisecond)
 				p.kill()
-				if meanwhile != nil {
-					meanwhile(p, rng)
+				if beforeRestart != nil {
+					beforeRestart(p, rng)
 				}
 				for rng.IntN(3) == 0 { // killed again while it starts, perhaps several times
 					p.launch()
@@ -260,7 +260,7 @@
 			}
 			_, setUps, finals := j.Verdict()
 			for what, n := range finals {
-				if meanwhile == nil && strings.HasPrefix(what, "after the answer: ") && !strings.Contains(what, "release 16 ") {
+				if beforeRestart == nil && strings.HasPrefix(what, "after the answer: ") && !strings.Contains(what, "release 16 ") {
 					t.Errorf("%d established calls were cut that no dispatcher had ended: %s", n, what)
 				}
 			}
--- a/cmd/cherryrelay/main_test.go
+++ b/cmd/cherryrelay/main_test.go
@@ -56,10 +56,10 @@
 // thousands of goroutines, and a truncated part of it does not contain the tests.
 func reportStuckTests(w io.Writer, stacks []byte) {
 	fmt.Fprintln(w, "unfinished tests:")
-	for one := range bytes.SplitSeq(stacks, []byte("\n\n")) {
-		test := bytes.Contains(one, []byte("testing.tRunner(")) && !bytes.Contains(one, []byte("testing.(*T).Parallel("))
-		if test || bytes.Contains(one, []byte("internal/trial.(*Caller).Run(")) {
-			fmt.Fprintf(w, "%s\n\n", one)
+	for stack := range bytes.SplitSeq(stacks, []byte("\n\n")) {
+		test := bytes.Contains(stack, []byte("testing.tRunner(")) && !bytes.Contains(stack, []byte("testing.(*T).Parallel("))
+		if test || bytes.Contains(stack, []byte("internal/trial.(*Caller).Run(")) {
+			fmt.Fprintf(w, "%s\n\n", stack)
 		}
 	}
 }
--- a/cmd/cherryrelay/operators_test.go
+++ b/cmd/cherryrelay/operators_test.go
@@ -74,11 +74,11 @@
 		"d1: setup 4 x", "operator: /api/evacuate 200", "operator: /api/rejoin 200", "caller: answer 4 y", "caller: pong  1",
 		"operator: /api/evacuate 200",
 	}, func(w *fixture) {
-		idle, stood, busy := w.newCaller(), w.newCaller(), w.newCaller()
+		idle, established, busy := w.newCaller(), w.newCaller(), w.newCaller()
 		w.recordStatus("GET", "/api/ready")
-		w.must(stood.SetUp(id(1), longTimeout, 0, "x"))
+		w.must(established.SetUp(id(1), longTimeout, 0, "x"))
 		w.must(w.recordEvent(0).Answer("y"))
-		w.recordMessage(stood)
+		w.recordMessage(established)
 		w.must(busy.SetUp(id(2), longTimeout, 1, "x"))
 		open := w.recordEvent(1)
 		w.recordStatus("POST", "/api/evacuate")
@@ -93,8 +93,8 @@
 		w.must(open.Answer("y"))
 		w.recordMessage(busy)
 		w.must(w.dispatchers[0].Release(id(1), 16))
-		w.recordMessage(stood) // the established call ends while its caller is connected
-		w.expectClosed(stood)
+		w.recordMessage(established) // the established call ends while its caller is connected
+		w.expectClosed(established)
 		w.must(busy.Close())
 		w.waitAck(1)
 		w.must(w.dispatchers[1].Release(id(2), 16)) // while no caller is connected
--- a/cmd/cherryrelay/paused_test.go
+++ b/cmd/cherryrelay/paused_test.go
@@ -46,12 +46,12 @@
 // nextSetUp waits for a set-up at either dispatcher.
 func nextSetUp(t *testing.T, d [2]*peer.Dispatcher) peer.Event {
 	t.Helper()
-	for patience := time.After(peer.Patience); ; {
+	for timeout := time.After(peer.Patience); ; {
 		var e peer.Event
 		select {
 		case e = <-d[0].Events:
 		case e = <-d[1].Events:
-		case <-patience:
+		case <-timeout:
 			t.Fatal("no set-up arrives")
 		}
 		if e.Kind == "setup" {
@@ -61,7 +61,7 @@
 }
 
 // setUpInGuard places a call that waits in the guard and another whose attempt is in progress.
-func setUpInGuard(t *testing.T, p *process, d [2]*peer.Dispatcher, n int) (c, other *peer.Caller, out peer.Event) {
+func setUpInGuard(t *testing.T, p *process, d [2]*peer.Dispatcher, n int) (c, other *peer.Caller, attempt peer.Event) {
 	t.Helper()
 	must := func(err error) {
 		t.Helper()
@@ -88,8 +88,8 @@
 	for n := 1; n <= 12; n++ {
 		c, other, e := setUpInGuard(t, p, d, n)
 		p.signal(syscall.SIGSTOP)
-		leave := []func() error{c.Reset, func() error { return c.Release(id(n), call.CauseNormal) }, c.Close}[n%3]
-		if err := leave(); err != nil {
+		cancel := []func() error{c.Reset, func() error { return c.Release(id(n), call.CauseNormal) }, c.Close}[n%3]
+		if err := cancel(); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(guard + 100*time.Millisecond)
--- a/cmd/cherryrelay/poolfile_test.go
+++ b/cmd/cherryrelay/poolfile_test.go
@@ -290,18 +290,18 @@
 			s.writeWeights("both", 1, 1)
 			s.serve()
 			c := s.newCaller()
-			for i, gone := range []func(){func() { s.writeWeights("idle", 0, 1) }, func() { s.replaceFile(poolfile.Write("left", []pool.Member{s.member(1, 1)})) }} {
+			for i, remove := range []func(){func() { s.writeWeights("idle", 0, 1) }, func() { s.replaceFile(poolfile.Write("left", []pool.Member{s.member(1, 1)})) }} {
 				s.writeWeights("both", 1, 1)
 				s.waitActive("both")
-				stands := id(0x100 * (i + 1))
-				s.must(c.SetUp(stands, longTimeout, 0, "x"))
+				established := id(0x100 * (i + 1))
+				s.must(c.SetUp(established, longTimeout, 0, "x"))
 				s.recordMessage(c)
-				gone()
+				remove()
 				s.waitActive([]string{"idle", "left"}[i])
 				if got := s.placeCalls(0x1000*(i+1), 20); got[0] != 0 || got[1] != 20 {
 					t.Errorf("calls went to %v", got)
 				}
-				s.must(s.dispatchers[0].Release(stands, 16))
+				s.must(s.dispatchers[0].Release(established, 16))
 				s.recordMessage(c)
 			}
 			if diff := cmp.Diff([]string{"caller: answer 100 y", "caller: release 100 16", "caller: answer 200 y", "caller: release 200 16"}, s.observed); diff != "" {
@@ -345,7 +345,7 @@
 	s.serve()
 	s.waitActive("good")
 	whole := poolfile.Write("next", []pool.Member{s.member(0, 1), s.member(1, 9)})
-	for _, broken := range []struct {
+	for _, invalid := range []struct {
 		text   []byte
 		reason pool.Reason
 	}{
@@ -355,8 +355,8 @@
 		{bytes.Replace(whole, []byte("servers = 2"), []byte("servers = 3"), 1), pool.BadCount},
 		{nil, pool.Unfinished},
 	} {
-		s.replaceFile(broken.text)
-		s.waitRefused(broken.reason)
+		s.replaceFile(invalid.text)
+		s.waitRefused(invalid.reason)
 		s.waitActive("good")
 	}
 	s.must(os.Remove(s.path))
@@ -364,10 +364,10 @@
 	if got := s.placeCalls(0x100, 20); got[0] != 10 || got[1] != 10 {
 		t.Errorf("calls went to %v", got)
 	}
-	_, figures := s.request("GET", "/api/telemetry")
+	_, metrics := s.request("GET", "/api/telemetry")
 	for _, want := range []string{`edge_lb_pool_versions_taken_total 1`, `edge_lb_pool_versions_refused_total{reason="twice"} 1`,
 		`edge_lb_pool_refused 1`, `edge_lb_pool_servers 2`, `edge_lb_pool_weight 2`} {
-		if !strings.Contains(figures, want+"\n") {
+		if !strings.Contains(metrics, want+"\n") {
 			t.Errorf("the metrics do not contain %q", want)
 		}
 	}
@@ -384,13 +384,13 @@
 	s := newPoolFixture(t, "tcp", 2)
 	s.config.State = &config.State{Directory: s.state}
 	s.replaceFile([]byte("[pool]\n"))
-	fails := func() {
+	expectFailure := func() {
 		t.Helper()
 		if err := s.startController(); err == nil || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), s.path) {
 			t.Errorf("the start returned %v", err)
 		}
 	}
-	fails()
+	expectFailure()
 	s.writeWeights("good", 1, 3)
 	s.serve()
 	s.waitActive("good")
@@ -409,7 +409,7 @@
 	text, err := os.ReadFile(path)
 	s.must(err)
 	s.must(os.WriteFile(path, text[:len(text)-1], 0o600))
-	fails()
+	expectFailure()
 	s.writeWeights("later", 1, 1) // with a valid file, a damaged stored set does no harm
 	s.serve()
 	s.waitActive("later")
--- a/cmd/cherryrelay/refused_test.go
+++ b/cmd/cherryrelay/refused_test.go
@@ -53,9 +53,9 @@
 	}},
 	"a fault lies behind it": {callers.Bounds{Silent: longTimeout, Idle: longTimeout}, func(w *fixture) *peer.Caller {
 		c := w.connect()
-		free := w.pauseLoop()
+		resumeLoop := w.pauseLoop()
 		w.must(c.SendRaw(append(w.encodeSetUp(c, 1), c.Frame([]byte(`{"type":"setup",`))...)))
-		free()
+		resumeLoop()
 		return c
 	}},
 }
@@ -85,7 +85,7 @@
 	bounds := callers.Bounds{Connections: 2, Silent: longTimeout, Idle: longTimeout}
 	w := newFixture(t, "tcp", "tcp", bounds)
 	w.fillConnections(bounds.Connections)
-	free := w.pauseLoop()
+	resumeLoop := w.pauseLoop()
 	for range bounds.Most() - bounds.Connections {
 		before := w.node.loop.Pending()
 		w.connect()
@@ -93,7 +93,7 @@
 	}
 	c := w.connect()
 	w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-	free()
+	resumeLoop()
 	m, err := c.Next()
 	if err != nil || m.ID != id(1) || m.Type != "release" || m.CauseOr(0) != call.CauseCongestion || m.Fields["wait"] == "" {
 		t.Errorf("%+v, %v: want a refusal with a retry time", m, err)
@@ -105,7 +105,7 @@
 	t.Parallel()
 	w := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
 	c := w.connect()
-	free := w.pauseLoop()
+	resumeLoop := w.pauseLoop()
 	before := w.node.loop.Pending()
 	w.must(c.SendRaw(w.encodeSetUp(c, 1)))
 	w.waitQueued(before + 1)
@@ -113,6 +113,6 @@
 	flood = []byte(strings.Repeat(string(flood), 1<<20/len(flood)))
 	w.must(c.SetWriteDeadline(time.Now().Add(time.Second)))
 	_ = c.SendRaw(flood) // the connection is closed meanwhile, or not read any more
-	free()
+	resumeLoop()
 	w.expectAnswerBeforeClose(c, 1)
 }
--- a/cmd/cherryrelay/reload_test.go
+++ b/cmd/cherryrelay/reload_test.go
@@ -22,29 +22,29 @@
 const asProgram = "CHERRYRELAY_TEST_AS_PROGRAM"
 
 // startListServer starts a coordinator that reports the requested event IDs and sends one event.
-func startListServer(t *testing.T, event string) (address string, asked chan string) {
-	asked = make(chan string, 16)
+func startListServer(t *testing.T, event string) (address string, requested chan string) {
+	requested = make(chan string, 16)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprint(w, event)
 		_ = http.NewResponseController(w).Flush()
-		asked <- r.Header.Get("Last-Event-ID")
+		requested <- r.Header.Get("Last-Event-ID")
 		<-r.Context().Done()
 	}))
 	t.Cleanup(server.Close)
 	t.Cleanup(server.CloseClientConnections)
-	return strings.TrimPrefix(server.URL, "http://"), asked
+	return strings.TrimPrefix(server.URL, "http://"), requested
 }
 
 func waitRequested(t *testing.T, asked chan string, want string) {
 	t.Helper()
-	patience := time.After(peer.Patience)
+	timeout := time.After(peer.Patience)
 	for {
 		select {
 		case got := <-asked:
 			if got == want {
 				return
 			}
-		case <-patience:
+		case <-timeout:
 			t.Fatalf("no coordinator was asked for the events after %s", want)
 		}
 	}
@@ -99,7 +99,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }()
 	t.Cleanup(func() { _ = cmd.Process.Kill() })
-	hup := func() {
+	reload := func() {
 		t.Helper()
 		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
@@ -108,13 +108,13 @@
 	waitRequested(t, askedFirst, "1")
 	waitServers(t, management, 0) // the list of the first one is applied before the switch
 	write(file(second))
-	hup()
+	reload()
 	waitRequested(t, askedSecond, "4")
 	waitServers(t, management, 1) // the list of the second one is applied before the next switch
 	write("{")
-	hup()
+	reload()
 	write(file(third))
-	hup()
+	reload()
 	waitRequested(t, askedThird, "9")
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
--- a/cmd/cherryrelay/replacement_soak_test.go
+++ b/cmd/cherryrelay/replacement_soak_test.go
@@ -104,15 +104,15 @@
 }
 
 func (l *eventServer) serve(w http.ResponseWriter, r *http.Request) {
-	told := 0
+	sent := 0
 	for {
 		l.mu.Lock()
-		events, more := l.events[told:], l.changed
+		events, more := l.events[sent:], l.changed
 		l.mu.Unlock()
 		for _, e := range events {
 			fmt.Fprint(w, e)
 		}
-		told += len(events)
+		sent += len(events)
 		if http.NewResponseController(w).Flush() != nil {
 			return
 		}
@@ -339,12 +339,12 @@
 	}
 	p.mu.Unlock()
 	trial.Until(trial.ToldAfterEnd+time.Second, func() bool {
-		_, untold := p.checker.Unsettled()
-		return len(untold) == 0
+		_, undelivered := p.checker.Unsettled()
+		return len(undelivered) == 0
 	})
-	faults, _, counts := p.checker.Verdict()
+	violations, _, counts := p.checker.Verdict()
 	now := time.Now()
-	r := replacementResult{violations: faults, crossed: c.crossings(), counts: counts}
+	r := replacementResult{violations: violations, crossed: c.crossings(), counts: counts}
 	for _, e := range p.checker.Ends() {
 		r.ends++
 		if triedAgain(e.Trail) {
@@ -393,14 +393,14 @@
 
 func runReplacements(t *testing.T, first, seeds, atOnce uint64) {
 	t.Helper()
-	turns := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, atOnce)
 	var ends atomic.Int64
 	t.Run("plays", func(t *testing.T) {
 		for seed := first; seed < first+seeds; seed++ {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				turns <- struct{}{}
-				defer func() { <-turns }()
+				slots <- struct{}{}
+				defer func() { <-slots }()
 				ends.Add(int64(runAndReport(t, seed)))
 			})
 		}
@@ -418,8 +418,8 @@
 	t.Logf("seed %d: %d ends checked, %d of calls tried again at their dispatcher, %d answers crossed a cancellation, %d connections abandoned as unresponsive, %v in all; %v; %v",
 		seed, r.ends, r.repeated, r.crossed, strings.Count(r.log, "open but unresponsive"), time.Since(begun).Round(time.Millisecond), r.counts, &s)
 	if len(r.violations) > 0 {
-		again := fmt.Sprintf("again with `make soak SOAK=SoakReplacements SEEDS=1 FIRST=%d`", seed)
-		t.Error(failureReport(again, r.violations, r.log))
+		repeatCommand := fmt.Sprintf("again with `make soak SOAK=SoakReplacements SEEDS=1 FIRST=%d`", seed)
+		t.Error(failureReport(repeatCommand, r.violations, r.log))
 	}
 	return r.ends
 }
--- a/cmd/cherryrelay/resume_test.go
+++ b/cmd/cherryrelay/resume_test.go
@@ -275,7 +275,7 @@
 // TestTheLedgerIsDamagedWhileDown truncates the ledger, flips bits and empties segments, repeatedly and under load. A caller that resumes
 // gets one final answer for each call, and dispatchers see no violation.
 func TestTheLedgerIsDamagedWhileDown(t *testing.T) {
-	spoil := func(p *process, rng *rand.Rand) {
+	damage := func(p *process, rng *rand.Rand) {
 		names, err := filepath.Glob(filepath.Join(p.directory, "ledger", "*.segment"))
 		if err != nil || len(names) == 0 {
 			p.Fatalf("no segments: %v", err)
@@ -300,7 +300,7 @@
 			p.Fatal(err)
 		}
 	}
-	runKills(t, 12, spoil)
+	runKills(t, 12, damage)
 }
 
 // TestTwoProcessesOnOneLedgerDirectory: the second process exits with a one-line error, and the first continues to serve.
@@ -330,7 +330,7 @@
 // calls from the ledger.
 func TestUpgradesAndTheLedger(t *testing.T) {
 	bothFronts(t, func(t *testing.T, transport string) {
-		for _, outright := range []bool{false, true} {
+		for _, killOld := range []bool{false, true} {
 			d := newResumeFixture(t, transport, "", 1)
 			c := d.connect()
 			d.setUp(c, id(1))
@@ -341,13 +341,13 @@
 			old := *d.process
 			d.management = freeAddress(t)
 			d.launchWith("LB_MANAGEMENT=" + d.management)
-			if outright {
+			if killOld {
 				d.waitLog("a predecessor serves")
 				old.kill()
 			}
 			d.waitReady()
 			d.setUnresponsive(false)
-			if !outright {
+			if !killOld {
 				d.answerAll() // answered by the process that accepted the set-up
 				d.expect(c, "answer 2")
 				if err := <-old.ended; err != nil {
@@ -357,8 +357,8 @@
 			}
 			c = d.connect()
 			d.resume(c, id(1), token(id(1)), true)
-			d.resume(c, id(2), token(id(2)), !outright)
-			if outright {
+			d.resume(c, id(2), token(id(2)), !killOld)
+			if killOld {
 				d.expect(c, "answer 2")
 			}
 			d.expectNothing(c)
@@ -414,9 +414,9 @@
 	got := map[string]int{}
 	from = time.Now()
 	// A ping after each batch is answered when the batch has been read: a connection that sends faster than it is read is closed.
-	const atOnce = 250
-	for n := 0; n < calls; n += atOnce {
-		for i := n; i < n+atOnce; i++ {
+	const batch = 250
+	for n := 0; n < calls; n += batch {
+		for i := n; i < n+batch; i++ {
 			d.resume(c, id(i+1), token(id(i+1)), false)
 		}
 		d.must(c.Send(jsonl.Message{Type: "ping", ID: id(0)}))
--- a/cmd/cherryrelay/shutdown_checker_test.go
+++ b/cmd/cherryrelay/shutdown_checker_test.go
@@ -99,7 +99,7 @@
 		return
 	case kind == "release" && c.established, kind == "release" && c.finals == 0 && !c.cancelledAt.IsZero():
 		c.endReported = true
-		if _, before := j.endReports[id]; !before {
+		if _, known := j.endReports[id]; !known {
 			j.endReports[id] = at
 		}
 		return
@@ -151,21 +151,21 @@
 func (j *shutdownChecker) check(dispatchers *trial.Judge, arrivals map[string][]time.Time, livedUntil time.Time) []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	faults, _, _ := dispatchers.Verdict()
-	faults = append(faults, j.violations...)
+	violations, _, _ := dispatchers.Verdict()
+	violations = append(violations, j.violations...)
 	for id, c := range j.calls {
 		if late := c.finalAt.Sub(c.written) - c.left; c.finals > 0 && c.cancelledAt.IsZero() && j.exceeds(late, maxAnswerDelay, c.written, c.finalAt) {
-			faults = append(faults, fmt.Sprintf("%s: answered %v after its deadline of %v", id, late, c.left))
+			violations = append(violations, fmt.Sprintf("%s: answered %v after its deadline of %v", id, late, c.left))
 		}
 		if c.finals == 0 && c.cancelledAt.IsZero() && !c.crossed && !c.lost && !c.excluded {
-			faults = append(faults, fmt.Sprintf("%s: no answer, written %v before the end", id, livedUntil.Sub(c.written)))
+			violations = append(violations, fmt.Sprintf("%s: no answer, written %v before the end", id, livedUntil.Sub(c.written)))
 		}
 		for _, at := range arrivals[id] {
 			if late := at.Sub(c.cancelledAt); !c.cancelledAt.IsZero() && j.exceeds(late, maxAttemptDelay+protocolSlack, c.cancelledAt, at) {
-				faults = append(faults, fmt.Sprintf("%s: an attempt began %v after its caller had cancelled", id, late))
+				violations = append(violations, fmt.Sprintf("%s: an attempt began %v after its caller had cancelled", id, late))
 			}
 			if late := at.Sub(c.finalAt); c.finals > 0 && !c.excluded && j.exceeds(late, maxAttemptDelay+protocolSlack, c.finalAt, at) {
-				faults = append(faults, fmt.Sprintf("%s: an attempt began %v after its final answer", id, late))
+				violations = append(violations, fmt.Sprintf("%s: an attempt began %v after its final answer", id, late))
 			}
 		}
 		over := dispatchers.OverAt(id)
@@ -174,21 +174,21 @@
 		if !c.established || c.released || over.IsZero() || due.After(livedUntil) || !j.reachable(over, due) {
 			continue
 		}
-		if at, told := j.endReports[id]; !told || j.exceeds(at.Sub(over), within, over, at) {
-			faults = append(faults, fmt.Sprintf("%s: its end was delivered: %v, %v after it; it ended %v before the process and %v after its answer; cancelled: %v", id, told, at.Sub(over), livedUntil.Sub(over),
+		if at, delivered := j.endReports[id]; !delivered || j.exceeds(at.Sub(over), within, over, at) {
+			violations = append(violations, fmt.Sprintf("%s: its end was delivered: %v, %v after it; it ended %v before the process and %v after its answer; cancelled: %v", id, delivered, at.Sub(over), livedUntil.Sub(over),
 				over.Sub(c.finalAt), !c.cancelledAt.IsZero()))
 		}
 	}
-	slices.Sort(faults)
-	return faults
+	slices.Sort(violations)
+	return violations
 }
 
 // exceeds reports whether a time between two instants exceeds its limit by more than the delays measured between them.
-func (j *shutdownChecker) exceeds(took, most time.Duration, from, to time.Time) bool {
-	if took <= most || took-j.meter.delayBetween(from, to) <= most {
+func (j *shutdownChecker) exceeds(took, limit time.Duration, from, to time.Time) bool {
+	if took <= limit || took-j.meter.delayBetween(from, to) <= limit {
 		return false
 	}
-	return j.process == nil || took-j.process.delayBetween(from, to) > most
+	return j.process == nil || took-j.process.delayBetween(from, to) > limit
 }
 
 // reachable reports whether one connection was open during the whole time.
@@ -283,9 +283,9 @@
 		j.markWritten(call, at(0), time.Second, false)
 		j.markSent([]string{call}, at(0))
 		arrivals := test.play(j, d)
-		faults := j.check(d, map[string][]time.Time{call: arrivals}, time.Now().Add(time.Hour))
-		if (len(faults) == 0) != test.ok {
-			t.Errorf("%s: %q, want it to pass: %v", name, faults, test.ok)
+		violations := j.check(d, map[string][]time.Time{call: arrivals}, time.Now().Add(time.Hour))
+		if (len(violations) == 0) != test.ok {
+			t.Errorf("%s: %q, want it to pass: %v", name, violations, test.ok)
 		}
 	}
 }
@@ -309,9 +309,9 @@
 		j.markWritten(call, begun, left, false)
 		j.markReceived(call, "release", "", answered)
 		j.process.add(schedulerDelay{end: test.delayEnded, lost: delay})
-		faults := j.check(trial.NewJudge(guard, time.Hour), nil, time.Now())
-		if (len(faults) == 0) != test.ok {
-			t.Errorf("%s: %q, want it to pass: %v", name, faults, test.ok)
+		violations := j.check(trial.NewJudge(guard, time.Hour), nil, time.Now())
+		if (len(violations) == 0) != test.ok {
+			t.Errorf("%s: %q, want it to pass: %v", name, violations, test.ok)
 		}
 	}
 }
--- a/cmd/cherryrelay/shutdown_soak_test.go
+++ b/cmd/cherryrelay/shutdown_soak_test.go
@@ -69,9 +69,9 @@
 	s := shutdownScenario{seed: seed, transport: pick("tcp", "ws"), dispatcherTransport: pick("tcp", "ws"), ledger: rng.IntN(2) == 0, crowd: seed%3 == 0,
 		sockets: 128 << rng.IntN(3), dialPeriod: 200*time.Millisecond + time.Duration(rng.Int64N(int64(200*time.Millisecond))),
 		killFirst: rng.IntN(5) == 0, successor: rng.IntN(6) == 0, serveFirst: time.Duration(300+rng.IntN(500)) * time.Millisecond}
-	for _, trouble := range shutdownFaults {
+	for _, kind := range shutdownFaults {
 		if rng.IntN(3) == 0 {
-			s.faults = append(s.faults, trouble)
+			s.faults = append(s.faults, kind)
 		}
 	}
 	for _, signal := range shutdownSignals {
@@ -174,10 +174,10 @@
 }
 
 // injectFault causes a fault at a random dispatcher.
-func (p *shutdownRun) injectFault(what string) {
+func (p *shutdownRun) injectFault(kind string) {
 	i := p.rng.IntN(len(p.dispatchers))
 	d := p.dispatchers[i]
-	switch what {
+	switch kind {
 	case "hangs":
 		d.Act(false, true)
 	case "resets":
@@ -247,8 +247,8 @@
 		c.running.Go(func() { c.run(seed) })
 	}
 	time.Sleep(p.serveFirst)
-	for _, what := range p.faults {
-		p.injectFault(what)
+	for _, kind := range p.faults {
+		p.injectFault(kind)
 	}
 	p.sendSignals("before")
 	if p.crowd {
@@ -419,11 +419,11 @@
 	runShutdowns(t, 1, shortSeeds, knownRedSeeds(t), (*shutdownRun).measureCoreDelay)
 }
 
-func environmentNumber(t *testing.T, name string, otherwise uint64) uint64 {
+func environmentNumber(t *testing.T, name string, defaultValue uint64) uint64 {
 	t.Helper()
 	text := os.Getenv(name)
 	if text == "" {
-		return otherwise
+		return defaultValue
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
@@ -432,20 +432,20 @@
 	return n
 }
 
-func runShutdowns(t *testing.T, first, seeds uint64, leftOut map[uint64]bool, excuses func(*shutdownRun) *schedulerMeter) {
+func runShutdowns(t *testing.T, first, seeds uint64, skipped map[uint64]bool, excuses func(*shutdownRun) *schedulerMeter) {
 	t.Helper()
 	s := &shutdownSummary{kinds: map[string][2]int{}, answerTimes: hdrhistogram.New(1, 60_000_000, 3), exits: hdrhistogram.New(1, 60_000_000, 3)}
-	turns := make(chan struct{}, concurrentShutdowns)
+	slots := make(chan struct{}, concurrentShutdowns)
 	t.Run("plays", func(t *testing.T) {
 		for seed := first; seed < first+seeds; seed++ {
-			if leftOut[seed] {
+			if skipped[seed] {
 				t.Logf("seed %d is known to fail", seed)
 				continue
 			}
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				turns <- struct{}{}
-				defer func() { <-turns }()
+				slots <- struct{}{}
+				defer func() { <-slots }()
 				r := runShutdown(t, seed, excuses)
 				scenario := drawShutdown(seed)
 				s.add(scenario.kinds(), r)
@@ -455,8 +455,8 @@
 					t.Errorf("ready %v after a kill", r.readyAgain)
 				}
 				if len(r.violations) > 0 {
-					again := fmt.Sprintf("again with `make soak SEEDS=1 FIRST=%d`; %v", seed, scenario.kinds())
-					t.Error(failureReport(again, r.violations, r.log))
+					repeatCommand := fmt.Sprintf("again with `make soak SEEDS=1 FIRST=%d`; %v", seed, scenario.kinds())
+					t.Error(failureReport(repeatCommand, r.violations, r.log))
 				}
 			})
 		}
--- a/cmd/cherryrelay/soak_subset_test.go
+++ b/cmd/cherryrelay/soak_subset_test.go
@@ -19,7 +19,7 @@
 // it and 34,000 more listed dispatchers that drain. The variants alternate.
 func TestSoakSubsetIdle(t *testing.T) {
 	skipUnlessSoak(t)
-	const live, listed, plays, settles, measured = 3000, 37_000, 3, 10 * time.Second, 12 * time.Second
+	const live, listed, runs, settles, measured = 3000, 37_000, 3, 10 * time.Second, 12 * time.Second
 	var members []pool.Member
 	for i := range live {
 		d, err := peer.Dispatch("tcp", "127.0.0.1:0", "x0:40;x1:40")
@@ -34,7 +34,7 @@
 		members = append(members, pool.Member{Address: fmt.Sprintf("127.1.%d.%d:1", i>>8, i&255), ServerEntry: control.ServerEntry{
 			ID: control.ServerID(fmt.Sprint("s", i)), Cell: i, Weight: 1, StartedAt: startedLongAgo, Status: control.Draining}})
 	}
-	for play := range plays {
+	for run := range runs {
 		for _, variant := range []struct {
 			extra  string
 			listed int
@@ -57,7 +57,7 @@
 			}
 			on := variant.extra != ""
 			t.Logf("run %d, %d listed, [subset] %v: %.2f%% of a core idle, %d descriptors, %.1f MB resident, ready after %.2f s and %.2f s of processor time in all",
-				play+1, variant.listed, on, share, len(links), residentMB(t, pid), ready.Seconds(), started.Seconds())
+				run+1, variant.listed, on, share, len(links), residentMB(t, pid), ready.Seconds(), started.Seconds())
 			if on && share > 1.1 {
 				t.Errorf("%.2f%% of a core without calls, at most 1.1%% are allowed", share)
 			}
--- a/cmd/cherryrelay/startup_drain_test.go
+++ b/cmd/cherryrelay/startup_drain_test.go
@@ -35,9 +35,9 @@
 	for i := range n {
 		u.Servers = append(u.Servers, call.Server{ServerEntry: control.ServerEntry{ID: control.ServerID(fmt.Sprint("d", i)), Cell: i}, Address: address(i)})
 	}
-	told := make(chan struct{})
-	w.node.loop.Post(func() { w.node.core.Update(u); close(told) })
-	<-told
+	applied := make(chan struct{})
+	w.node.loop.Post(func() { w.node.core.Update(u); close(applied) })
+	<-applied
 }
 
 // waitDrained waits until a draining node ends.
@@ -57,24 +57,24 @@
 // changes.
 func TestDrainAtAnyMoment(t *testing.T) {
 	t.Parallel()
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // connections open, and nothing is sent on them
+	listener, err := net.Listen("tcp", "127.0.0.1:0") // connections open, and nothing is sent on them
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
-	nobody := freeAddress(t)
+	defer listener.Close()
+	unused := freeAddress(t)
 	for name, before := range map[string]func(w *fixture){
 		"no list":         func(*fixture) {},
 		"an empty list":   func(w *fixture) { w.setList(0, nil) },
-		"300 that refuse": func(w *fixture) { w.setList(300, func(int) string { return nobody }) },
+		"300 that refuse": func(w *fixture) { w.setList(300, func(int) string { return unused }) },
 		"300 that are silent": func(w *fixture) {
-			w.setList(300, func(int) string { return silent.Addr().String() })
-			w.setList(300, func(int) string { return nobody })
+			w.setList(300, func(int) string { return listener.Addr().String() })
+			w.setList(300, func(int) string { return unused })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newFixtureWithoutList(t, nobody)
+			w := newFixtureWithoutList(t, unused)
 			before(w)
 			since := time.Now()
 			w.node.drain()
@@ -85,7 +85,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			other, asked := startListServer(t, "")
-			w := newFixtureWithoutList(t, nobody)
+			w := newFixtureWithoutList(t, unused)
 			since := time.Now()
 			for _, reload := range order {
 				if reload {
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 	defer d.Die()
-	stand := func(w *fixture, number int) (*peer.Caller, peer.Event) {
+	establish := func(w *fixture, number int) (*peer.Caller, peer.Event) {
 		c, err := peer.Call("tcp", w.node.lines.Address())
 		w.must(err)
 		w.Cleanup(func() { _ = c.Close() })
@@ -152,16 +152,16 @@
 		w.must(err)
 		return c, e
 	}
-	dead := newFixtureWithoutList(t, "")
-	dead.setList(1, func(int) string { return d.Address() })
-	stand(dead, 1)
+	killed := newFixtureWithoutList(t, "")
+	killed.setList(1, func(int) string { return d.Address() })
+	establish(killed, 1)
 	hold, free := make(chan struct{}), make(chan struct{})
-	dead.node.loop.Post(func() { close(hold); <-free }) // its loop blocks from here on: its connections stay open and it sends nothing
+	killed.node.loop.Post(func() { close(hold); <-free }) // its loop blocks from here on: its connections stay open and it sends nothing
 	<-hold
 	defer close(free)
 	next := newFixtureWithoutList(t, "")
 	next.setList(1, func(int) string { return d.Address() })
-	c, e := stand(next, 2)
+	c, e := establish(next, 2)
 	next.must(e.ReleaseHere(id(2), call.CauseNormal))
 	if m, err := c.NextWithin(time.Second); err != nil || m.ID != id(2) || m.CauseOr(0) != call.CauseNormal {
 		t.Errorf("%+v, %v: want the end of the call within a second", m, err)
--- a/cmd/cherryrelay/subset_test.go
+++ b/cmd/cherryrelay/subset_test.go
@@ -125,13 +125,13 @@
 }
 
 // connectedDispatchers returns the dispatchers that have connections.
-func (s *subsetFixture) connectedDispatchers() (some []*trial.Dispatcher) {
+func (s *subsetFixture) connectedDispatchers() (connected []*trial.Dispatcher) {
 	for _, d := range s.dispatchers {
 		if d.Links() > 0 {
-			some = append(some, d)
+			connected = append(connected, d)
 		}
 	}
-	return some
+	return connected
 }
 
 // runCallers places calls at all controllers during meanwhile, waits for each to finish, and returns the results of the callers.
@@ -212,8 +212,8 @@
 			s.waitEstablished(30)
 		},
 		"they accept and say nothing": func(s *subsetFixture) {
-			silent := s.connectedDispatchers()
-			for _, d := range silent {
+			unresponsive := s.connectedDispatchers()
+			for _, d := range unresponsive {
 				d.Act(false, true)
 			}
 			s.waitEstablished(100)
@@ -279,28 +279,28 @@
 
 	// The first choice of a call is outside the subset. It is connected, and leaves the subset after the idle period while the call is
 	// established.
-	outside := slices.IndexFunc(s.dispatchers, func(d *trial.Dispatcher) bool { return d.Links() == 0 })
+	outsider := slices.IndexFunc(s.dispatchers, func(d *trial.Dispatcher) bool { return d.Links() == 0 })
 	c, err := peer.Call("tcp", p.lines)
 	s.must(err)
 	defer c.Close()
-	at := s.dispatchers[outside]
-	at.Act(true, false)
+	dispatcher := s.dispatchers[outsider]
+	dispatcher.Act(true, false)
 	s.checker.Placed(id(1), time.Now())
-	s.must(c.SetUp(id(1), 8*time.Second, outside, "x"))
-	if m, err := c.Next(); err != nil || m.Type != "answer" || s.checker.Stands(id(1)) != at.Name {
-		t.Fatalf("%+v, cause %d, %v; it is established at %q, not at %s\n%s", m, m.CauseOr(0), err, s.checker.Stands(id(1)), at.Name, p.log)
+	s.must(c.SetUp(id(1), 8*time.Second, outsider, "x"))
+	if m, err := c.Next(); err != nil || m.Type != "answer" || s.checker.Stands(id(1)) != dispatcher.Name {
+		t.Fatalf("%+v, cause %d, %v; it is established at %q, not at %s\n%s", m, m.CauseOr(0), err, s.checker.Stands(id(1)), dispatcher.Name, p.log)
 	}
 	s.waitUntil("the subset has its size again", func() bool { return metric(p, "subset_size") == subsetSize })
 	time.Sleep(3 * time.Second) // an unused connection is closed by then
 	since := time.Now()
-	at.End(id(1))
+	dispatcher.End(id(1))
 	if m, err := c.Next(); err != nil || m.Type != "release" || m.ID != id(1) || time.Since(since) > time.Second {
 		t.Errorf("%+v, %v after %v: want its end within 1 s", m, err, time.Since(since))
 	}
-	s.waitUntil("the unused connection is closed", func() bool { return at.Links() == 0 })
+	s.waitUntil("the unused connection is closed", func() bool { return dispatcher.Links() == 0 })
 
 	// One dispatcher inside and one outside drain: neither gets new calls, and another one replaces the one inside.
-	drained := []int{slices.Index(s.dispatchers, inside[0]), outside}
+	drained := []int{slices.Index(s.dispatchers, inside[0]), outsider}
 	members := slices.Clone(s.listed)
 	for _, i := range drained {
 		members[i].Status = control.Draining
--- a/cmd/cherryrelay/takeover_test.go
+++ b/cmd/cherryrelay/takeover_test.go
@@ -65,10 +65,10 @@
 	close(s.done)
 	s.calling.Wait()
 	checkAllAnswered(s.T, s.checker)
-	faults, _, finals := s.checker.Verdict()
-	unanswered, untold := s.checker.Unsettled()
-	if len(faults)+len(unanswered)+len(untold) > 0 {
-		s.Errorf("violations %v, without an answer %v, without an end %v, with the last steps %q", faults, unanswered, untold, s.LastSteps(untold))
+	violations, _, finals := s.checker.Verdict()
+	unanswered, undelivered := s.checker.Unsettled()
+	if len(violations)+len(unanswered)+len(undelivered) > 0 {
+		s.Errorf("violations %v, without an answer %v, without an end %v, with the last steps %q", violations, unanswered, undelivered, s.LastSteps(undelivered))
 	}
 	s.waitUntil("nothing is left at the dispatchers", func() bool { return len(s.checker.Left()) == 0 })
 	s.Log(finals)
@@ -86,8 +86,8 @@
 	s.Helper()
 	s.waitUntil("the ledger of "+name+" is taken over", func() bool {
 		for _, c := range by {
-			for _, told := range takeoverStatus(c).Told {
-				if told.Name == name {
+			for _, notified := range takeoverStatus(c).Told {
+				if notified.Name == name {
 					return true
 				}
 			}
@@ -246,8 +246,8 @@
 		}
 	}
 	s.expect(second, "release")
-	if given := takeoverStatus(s.Controllers[0]).Given; given != 1 {
-		t.Errorf("n1 transferred %d calls, want 1", given)
+	if transferred := takeoverStatus(s.Controllers[0]).Given; transferred != 1 {
+		t.Errorf("n1 transferred %d calls, want 1", transferred)
 	}
 }
 
@@ -287,9 +287,9 @@
 	if m := s.expect(second, "release"); m.CauseOr(0) != 41 {
 		t.Errorf("its caller got %+v, want a failure", m)
 	}
-	told := time.Now()
+	notifiedAt := time.Now()
 	s.waitUntil("the call is cut", func() bool { return s.checker.Stands(id(1)) == "" })
-	if took := time.Since(told); took > endDeliveryLimit {
+	if took := time.Since(notifiedAt); took > endDeliveryLimit {
 		t.Errorf("the call is cut %v after its caller was notified", took)
 	}
 
@@ -301,7 +301,7 @@
 	if m, err := second.NextWithin(time.Second); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("its caller got another message: %+v, %v", m, err)
 	}
-	if faults, setUps, _ := s.checker.Verdict(); setUps != 1 || len(faults)+len(s.checker.Left()) > 0 {
-		t.Errorf("%d set-ups, want one; violations %v, left %v", setUps, faults, s.checker.Left())
+	if violations, setUps, _ := s.checker.Verdict(); setUps != 1 || len(violations)+len(s.checker.Left()) > 0 {
+		t.Errorf("%d set-ups, want one; violations %v, left %v", setUps, violations, s.checker.Left())
 	}
 }
--- a/cmd/cherryrelay/upgrade_test.go
+++ b/cmd/cherryrelay/upgrade_test.go
@@ -75,11 +75,11 @@
 		"operator: /api/ready 503", "d1: setup 3 x", "caller: answer 3 y", "caller: answer 2 y",
 		"caller: release 1 16", "caller: release 2 41", "d0: release 4 31", "caller: release 3 16",
 	}, func(old *fixture) {
-		idle, stood, busy := old.newCaller(), old.newCaller(), old.newCaller()
-		old.must(stood.SetUp(id(1), longTimeout, 0, "x"))
+		idle, established, busy := old.newCaller(), old.newCaller(), old.newCaller()
+		old.must(established.SetUp(id(1), longTimeout, 0, "x"))
 		first := old.recordEvent(0)
 		old.must(first.Answer("y"))
-		old.recordMessage(stood)
+		old.recordMessage(established)
 		old.must(busy.SetUp(id(2), longTimeout, 1, "x"))
 		open := old.recordEvent(1)
 		next := old.startSuccessor()
@@ -89,7 +89,7 @@
 		next.sendList()
 		next.waitReady()
 		old.expectClosed(idle)
-		old.expectClosed(stood)
+		old.expectClosed(established)
 		old.recordStatus("GET", "/api/ready")
 		c := next.newCaller()
 		old.must(c.SetUp(id(3), longTimeout, 1, "x"))
@@ -134,14 +134,14 @@
 	runUpgrade(t, []string{
 		"d0: setup 1 x", "caller: answer 1 y", "d0: setup 2 x", "caller: release 1 16", "caller: answer 2 y",
 	}, func(old *fixture) {
-		gone := old.newCaller()
-		old.must(gone.SetUp(id(1), longTimeout, 0, "x"))
-		ends := old.recordEvent(0)
-		old.must(ends.Answer("y"))
-		old.recordMessage(gone)
+		disconnected := old.newCaller()
+		old.must(disconnected.SetUp(id(1), longTimeout, 0, "x"))
+		established := old.recordEvent(0)
+		old.must(established.Answer("y"))
+		old.recordMessage(disconnected)
 		old.waitAck(0)
-		old.must(gone.Close())
-		old.must(ends.ReleaseHere(id(1), 16))
+		old.must(disconnected.Close())
+		old.must(established.ReleaseHere(id(1), 16))
 		old.waitEndQueued()
 		next := old.startSuccessor()
 		next.sendList()
@@ -162,7 +162,7 @@
 	runUpgrade(t, []string{
 		"d0: setup 1 x", "caller: answer 1 y", "d0: setup 2 x", "caller: answer 2 y", "d0: setup 3 x", "caller: answer 3 y",
 	}, func(old *fixture) {
-		serves := func(w *fixture, n int) {
+		placeCall := func(w *fixture, n int) {
 			t.Helper()
 			c := w.newCaller()
 			w.must(c.SetUp(id(n), longTimeout, 0, "x"))
@@ -170,7 +170,7 @@
 			old.recordMessage(c)
 		}
 		first := old.startSuccessor()
-		serves(old, 1)
+		placeCall(old, 1)
 		first.node.loop.Quit()
 		old.must(<-first.done)
 		second := old.startSuccessor()
@@ -184,12 +184,12 @@
 			}
 		}
 		old.waitReady()
-		serves(old, 2)
+		placeCall(old, 2)
 		third := old.startSuccessor()
 		third.sendList()
 		third.waitReady()
 		old.must(<-old.done)
-		serves(third, 3)
+		placeCall(third, 3)
 	})
 }
 
@@ -198,7 +198,7 @@
 func TestForeignFilesAtTheHandoverPath(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
-	listens := func(path string) *net.UnixListener {
+	listen := func(path string) *net.UnixListener {
 		l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 		if err != nil {
 			t.Fatal(err)
@@ -207,12 +207,12 @@
 		t.Cleanup(func() { _ = l.Close() })
 		return l
 	}
-	for name, lay := range map[string]func(path string) error{
+	for name, createFile := range map[string]func(path string) error{
 		"file":   func(path string) error { return os.WriteFile(path, []byte("mine"), 0o600) },
-		"stale":  func(path string) error { return listens(path).Close() },
-		"silent": func(path string) error { listens(path); return nil },
+		"stale":  func(path string) error { return listen(path).Close() },
+		"silent": func(path string) error { listen(path); return nil },
 		"rude": func(path string) error {
-			l := listens(path)
+			l := listen(path)
 			go func() {
 				for {
 					nc, err := l.Accept()
@@ -228,7 +228,7 @@
 		t.Run(name, func(t *testing.T) {
 			listen := freeAddress(t)
 			path := handover.Path(listen)
-			if err := lay(path); err != nil {
+			if err := createFile(path); err != nil {
 				t.Fatal(err)
 			}
 			w := newFixtureAt(t, listen, "127.0.0.1:0", "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
