--- a/cmd/cherryrelay/calls_test.go
+++ b/cmd/cherryrelay/calls_test.go
@@ -51,7 +51,7 @@
 			w := newFixture(t, mix[0], mix[1], bounds)
 			script(w)
 			if diff := cmp.Diff(want, w.observed); diff != "" {
-				t.Errorf("what the peers saw (-want +got):\n%s", diff)
+				t.Errorf("messages of the peers (-want +got):\n%s", diff)
 			}
 		})
 	}
@@ -399,7 +399,7 @@
 	// and other calls are not affected.
 	for name, answer := range map[string]func(e peer.Event) error{
 		"noise":     func(e peer.Event) error { return e.Answer("\x01\x02\x03") },
-		"nothing":   func(e peer.Event) error { return e.Answer("") },
+		"empty":     func(e peer.Event) error { return e.Answer("") },
 		"too long":  func(e peer.Event) error { return e.Answer(strings.Repeat("\n", jsonl.MaxMessage-400)) },
 		"cut short": func(e peer.Event) error { return e.AnswerHalf() },
 	} {
@@ -622,7 +622,7 @@
 			whole := c.Frame([]byte(`{"type":"ping","id":"` + id(3) + `"}`))
 			w.must(c.SendRaw(whole[:len(whole)/2]))
 		}},
-		"taken back": {callers.Bounds{Silent: soon, Idle: longTimeout}, func(w *fixture, c *peer.Caller) {
+		"cancelled": {callers.Bounds{Silent: soon, Idle: longTimeout}, func(w *fixture, c *peer.Caller) {
 			w.must(c.SetUp(id(1), longTimeout, 0, "x"))
 			w.must(c.Release(id(1), 16))
 		}},
--- a/cmd/cherryrelay/cancel_test.go
+++ b/cmd/cherryrelay/cancel_test.go
@@ -116,7 +116,7 @@
 		w.must(e.Reset())
 		return reset.Add(w.guard()), noop
 	}},
-	"in the guard after an answer that tells a break": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
+	"in the guard after an answer of a failure": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
 		e := w.recordEvent(0)
 		brokenAt := time.Now()
@@ -131,22 +131,22 @@
 		w.must(e.Reset())
 		return reset.Add(w.guard()), noop
 	}},
-	"out, and refused later": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
+	"attempt in progress, refused later": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
 		e := w.recordEvent(0)
 		return time.Time{}, func() { _ = e.Refuse(peer.NoLine) } // the connection may be closed by then, which also ends the attempt
 	}},
-	"out, and its connection is reset later": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
+	"attempt in progress, connection reset later": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
 		e := w.recordEvent(0)
 		return time.Time{}, func() { _ = e.Reset() } // as above
 	}},
-	"waits for a connection": {late: true, hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
+	"waiting for a connection": {late: true, hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
 		w.waitInFlight(1)
 		return time.Time{}, w.dispatchers[0].Open
 	}},
-	"lies before a busy loop": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
+	"queued for a busy loop": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
 		w.waitConnections(0, 1)
 		resumeLoop := w.pauseLoop()
 		before := w.node.loop.Pending()
--- a/cmd/cherryrelay/crossings_test.go
+++ b/cmd/cherryrelay/crossings_test.go
@@ -108,7 +108,7 @@
 // same connection has arrived.
 func (w *fixture) exhaustLines(c *peer.Caller, mark int) {
 	w.Helper()
-	w.must(c.SetUp(id(mark+0x10), 20*time.Second, 0, "stands, so that its caller is told ends"))
+	w.must(c.SetUp(id(mark+0x10), 20*time.Second, 0, "established, so that its caller gets ends"))
 	w.must(w.recordEvent(0).Answer("y"))
 	w.recordMessage(c)
 	for i, d := range w.dispatchers {
@@ -166,7 +166,7 @@
 		w.must(e.Reset())
 		return func() {}
 	}},
-	"a connection that comes up late": {true, func(w *fixture, c *peer.Caller, n int) func() {
+	"a connection that opens late": {true, func(w *fixture, c *peer.Caller, n int) func() {
 		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
 		w.waitInFlight(1)
 		return w.dispatchers[0].Open
@@ -294,7 +294,7 @@
 				}
 				want := []string{"d1: setup 1 x", "caller: answer 1 y", "d1: setup 2 x", "caller: answer 2 y"}
 				if diff := cmp.Diff(want, w.observed); diff != "" {
-					t.Errorf("what the peers saw (-want +got):\n%s", diff)
+					t.Errorf("messages of the peers (-want +got):\n%s", diff)
 				}
 			})
 		}
@@ -305,11 +305,11 @@
 // is opened. No connection was opened, as another one was open and one was enough.
 func TestAnEndOnAConnectionThatBreaks(t *testing.T) {
 	for name, breakConnection := range map[string]func(e peer.Event) error{
-		"spoilt ahead of it": func(e peer.Event) error {
-			return e.SendRaw([]byte("\x00\x01\x02 spoilt\r\n\r\nBYE sip:caller@net SIP/2.0\r\nCall-ID: " + e.ID +
+		"invalid input before it": func(e peer.Event) error {
+			return e.SendRaw([]byte("\x00\x01\x02 invalid\r\n\r\nBYE sip:caller@net SIP/2.0\r\nCall-ID: " + e.ID +
 				"\r\nCSeq: 2 BYE\r\nReason: Q.850;cause=16\r\nContent-Length: 0\r\n\r\n"))
 		},
-		"cut inside it": func(e peer.Event) error {
+		"cut in the middle of it": func(e peer.Event) error {
 			return e.SendRaw([]byte("BYE sip:caller@net SIP/2.0\r\nCall-ID: " + e.ID + "\r\nCSeq: 2 B"))
 		},
 		"reset": peer.Event.Reset,
@@ -343,7 +343,7 @@
 				}
 				want := []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 16"}
 				if diff := cmp.Diff(want, w.observed); diff != "" {
-					t.Errorf("what the peers saw (-want +got):\n%s", diff)
+					t.Errorf("messages of the peers (-want +got):\n%s", diff)
 				}
 			})
 		}
@@ -394,7 +394,7 @@
 					before, after := *customers[from], *customers[to]
 					w := newFixtureWithSettings(t, transport, "tcp", false, &before)
 					c := w.newConfiguredCaller()
-					w.must(c.SetUp(id(1), 20*time.Second, 0, "stands"))
+					w.must(c.SetUp(id(1), 20*time.Second, 0, "established"))
 					established := w.recordEvent(0)
 					w.must(established.Answer("y"))
 					w.recordMessage(c)
@@ -402,7 +402,7 @@
 					broken := w.recordEvent(1)
 					w.must(broken.Refuse(peer.Broken))
 					w.waitAck(1) // processed: the guard of the old settings applies
-					w.must(c.SetUp(id(3), 20*time.Second, 1, "out"))
+					w.must(c.SetUp(id(3), 20*time.Second, 1, "in progress"))
 					attempt := w.recordEvent(1)
 					old := c.Class
 					config := *w.node.config
@@ -418,7 +418,7 @@
 					w.recordMessage(c)
 					w.must(established.ReleaseHere(id(1), call.CauseNormal))
 					w.recordMessage(c)
-					w.must(c.SetUp(id(4), 20*time.Second, 0, "of a class that is gone"))
+					w.must(c.SetUp(id(4), 20*time.Second, 0, "of a removed class"))
 					w.recordMessage(c)
 					next := w.newConfiguredCaller()
 					if next.Class == old {
@@ -431,10 +431,10 @@
 					if e.Class != next.Class {
 						t.Errorf("sent as %q, want %q", e.Class, next.Class)
 					}
-					want := []string{"d0: setup 1 stands", "caller: answer 1 y", "d1: setup 2 in the guard", "d1: setup 3 out",
+					want := []string{"d0: setup 1 established", "caller: answer 1 y", "d1: setup 2 in the guard", "d1: setup 3 in progress",
 						"caller: answer 3 z", "caller: answer 2 z", "caller: release 1 16", "caller: release 4 100", "caller: answer 5 z"}
 					if diff := cmp.Diff(want, w.observed); diff != "" {
-						t.Errorf("what the peers saw (-want +got):\n%s", diff)
+						t.Errorf("messages of the peers (-want +got):\n%s", diff)
 					}
 				})
 			}
@@ -586,7 +586,7 @@
 			w.recordMessage(c)
 			want := []string{"caller: release 77 41", "caller: pong  1", "caller: release 77 41", "d0: setup 1 x", "caller: answer 1 y"}
 			if diff := cmp.Diff(want, w.observed); diff != "" {
-				t.Errorf("what the peers saw (-want +got):\n%s", diff)
+				t.Errorf("messages of the peers (-want +got):\n%s", diff)
 			}
 		})
 	}
--- a/cmd/cherryrelay/endings_test.go
+++ b/cmd/cherryrelay/endings_test.go
@@ -30,7 +30,7 @@
 // node open one.
 func TestEndsOnADeadConnection(t *testing.T) {
 	for _, mix := range [][2]string{{"tcp", "tcp"}, {"ws", "ws"}} {
-		for name, cancelled := range map[string]bool{"nothing to do there": false, "a set-up was given up there": true} {
+		for name, cancelled := range map[string]bool{"no cancelled set-up": false, "with a cancelled set-up": true} {
 			t.Run(name+", "+mix[0]+" to "+mix[1], func(t *testing.T) {
 				t.Parallel()
 				w := newFixtureWithSettings(t, mix[0], mix[1], false, testSettings(t))
@@ -140,7 +140,7 @@
 					w.recordMessage(other)
 					want := []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 16", "d0: setup 2 x", "caller: answer 2 y"}
 					if diff := cmp.Diff(want, w.observed); diff != "" {
-						t.Errorf("what the peers saw (-want +got):\n%s", diff)
+						t.Errorf("messages of the peers (-want +got):\n%s", diff)
 					}
 				})
 			}
@@ -231,7 +231,7 @@
 			w.recordMessage(other)
 			want := []string{"d0: setup 1 x", "d1: setup 2 x", "d0: release 1 16", "caller: answer 2 y"}
 			if diff := cmp.Diff(want, w.observed); diff != "" {
-				t.Errorf("what the peers saw (-want +got):\n%s", diff)
+				t.Errorf("messages of the peers (-want +got):\n%s", diff)
 			}
 		})
 	}
--- a/cmd/cherryrelay/fleet_test.go
+++ b/cmd/cherryrelay/fleet_test.go
@@ -295,7 +295,7 @@
 	s.waitUntil("the store has no key of n2", func() bool { return len(s.Store.Keys(trial.Prefix)) == 1 })
 	s.Store.Compact()
 	s.Net.Heal()
-	s.waitUntil("n1 sees it all", func() bool {
+	s.waitUntil("n1 sees all changes", func() bool {
 		f := n1.Fleet()
 		return listedAsGone(f, "n2", two) && listedAsGone(f, "n3", three) && f.Actable
 	})
@@ -307,7 +307,7 @@
 		s.Store.Put(trial.Prefix+"x", "")
 	}
 	s.Store.Put(trial.Prefix+"y", `{"state":"serving","address":"b"}`)
-	s.waitUntil("n1 finds the watch silent and reads anew", func() bool {
+	s.waitUntil("n1 notices the idle watch and reads the fleet again", func() bool {
 		return slices.ContainsFunc(n1.Fleet().Members, func(m membership.ShownMember) bool { return m.Name == "y" })
 	})
 	s.Store.Fault(store.Faults{})
@@ -378,7 +378,7 @@
 		t.Errorf("only %d calls were answered", finals["answer"])
 	}
 	s.waitAllServing(s.Controllers...)
-	t.Logf("%d set-ups at dispatchers; callers had %v; the ends of %d were sent to a controller that did not have them", setUps, finals, len(undelivered))
+	t.Logf("%d set-ups at dispatchers; callers got %v; the ends of %d were sent to a controller that did not have them", setUps, finals, len(undelivered))
 }
 
 // TestDrawnTrials runs a few seeds, which draw any fault at any time on three controllers with calls. make soak runs more of them.
--- a/cmd/cherryrelay/idle_faults_test.go
+++ b/cmd/cherryrelay/idle_faults_test.go
@@ -17,10 +17,10 @@
 	const calls, left = 8, 8 * time.Second
 	for name, fault := range map[string]func(d *peer.Dispatcher, e peer.Event){
 		"reset":              func(d *peer.Dispatcher, _ peer.Event) { d.Cut() },
-		"dead":               func(_ *peer.Dispatcher, e peer.Event) { e.Deafen() },
-		"gone":               func(d *peer.Dispatcher, _ peer.Event) { d.Die() },
-		"listens no more":    func(d *peer.Dispatcher, _ peer.Event) { d.Stop() },
-		"takes nothing in":   func(d *peer.Dispatcher, _ peer.Event) { d.Rest(); time.AfterFunc(time.Second, d.Wake) },
+		"unresponsive":       func(_ *peer.Dispatcher, e peer.Event) { e.Deafen() },
+		"dies":               func(d *peer.Dispatcher, _ peer.Event) { d.Die() },
+		"stops listening":    func(d *peer.Dispatcher, _ peer.Event) { d.Stop() },
+		"pauses":             func(d *peer.Dispatcher, _ peer.Event) { d.Rest(); time.AfterFunc(time.Second, d.Wake) },
 		"reset, again later": func(d *peer.Dispatcher, _ peer.Event) { d.Cut(); time.AfterFunc(200*time.Millisecond, d.Cut) },
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/cherryrelay/kill_test.go
+++ b/cmd/cherryrelay/kill_test.go
@@ -265,7 +265,7 @@
 				}
 			}
 			checkAllSettled(t, j)
-			t.Logf("%d kills, %d calls, %d set-ups at dispatchers, %d resumes; callers had %v; recovered %v", times, calls, setUps, resumes, finals, recovered)
+			t.Logf("%d kills, %d calls, %d set-ups at dispatchers, %d resumes; callers got %v; recovered %v", times, calls, setUps, resumes, finals, recovered)
 		})
 	}
 }
--- a/cmd/cherryrelay/refused_test.go
+++ b/cmd/cherryrelay/refused_test.go
@@ -37,13 +37,13 @@
 	bounds callers.Bounds
 	ask    func(w *fixture) *peer.Caller // a new connection on which the complete set-up 1 has been sent
 }{
-	"no connection can make room": {callers.Bounds{Connections: 2, Silent: longTimeout, Idle: longTimeout}, func(w *fixture) *peer.Caller {
+	"no connection can be evicted": {callers.Bounds{Connections: 2, Silent: longTimeout, Idle: longTimeout}, func(w *fixture) *peer.Caller {
 		w.fillConnections(2)
 		c := w.connect()
 		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
 		return c
 	}},
-	"it drains, and the time for new set-ups is over": {callers.Bounds{Silent: longTimeout, Idle: longTimeout}, func(w *fixture) *peer.Caller {
+	"draining, after the time for new set-ups": {callers.Bounds{Silent: longTimeout, Idle: longTimeout}, func(w *fixture) *peer.Caller {
 		w.fillConnections(1) // keeps it from exiting
 		w.node.drain()
 		time.Sleep(800 * time.Millisecond)
@@ -51,7 +51,7 @@
 		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
 		return c
 	}},
-	"a fault lies behind it": {callers.Bounds{Silent: longTimeout, Idle: longTimeout}, func(w *fixture) *peer.Caller {
+	"an invalid message follows": {callers.Bounds{Silent: longTimeout, Idle: longTimeout}, func(w *fixture) *peer.Caller {
 		c := w.connect()
 		resumeLoop := w.pauseLoop()
 		w.must(c.SendRaw(append(w.encodeSetUp(c, 1), c.Frame([]byte(`{"type":"setup",`))...)))
--- a/cmd/cherryrelay/shutdown_checker_test.go
+++ b/cmd/cherryrelay/shutdown_checker_test.go
@@ -219,7 +219,7 @@
 		play func(j *shutdownChecker, d *trial.Judge) (arrivals []time.Time)
 		ok   bool
 	}{
-		"sound": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
+		"valid": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
 			j.markReceived(call, "answer", trial.Description(call), at(500))
 			return []time.Time{at(10)}
 		}, true},
@@ -227,8 +227,8 @@
 			j.markReceived(call, "release", "", at(500))
 			return nil
 		}, true},
-		"held back": {func(*shutdownChecker, *trial.Judge) []time.Time { return nil }, false},
-		"doubled": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
+		"no answer": {func(*shutdownChecker, *trial.Judge) []time.Time { return nil }, false},
+		"two answers": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
 			j.markReceived(call, "answer", trial.Description(call), at(500))
 			j.markReceived(call, "answer", trial.Description(call), at(501))
 			return nil
@@ -237,7 +237,7 @@
 			j.markReceived(call, "release", "", at(1501))
 			return nil
 		}, false},
-		"made up": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
+		"invented answer": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
 			j.markReceived(call, "answer", "something", at(500))
 			return nil
 		}, false},
@@ -249,7 +249,7 @@
 			j.markConnectionEnded([]string{call}, at(-100), at(20), at(20), nil)
 			return nil
 		}, true},
-		"sent after its caller left": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
+		"sent after a cancellation": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
 			j.markCancelled(call, at(100), true)
 			return []time.Time{at(251)}
 		}, false},
@@ -257,7 +257,7 @@
 			j.markReceived(call, "release", "", at(100))
 			return []time.Time{at(251)}
 		}, false},
-		"two attempts out": {func(j *shutdownChecker, d *trial.Judge) []time.Time {
+		"two attempts in progress": {func(j *shutdownChecker, d *trial.Judge) []time.Time {
 			d.SetUp(call, "d1", at(10))
 			d.SetUp(call, "d2", at(20))
 			j.markReceived(call, "release", "", at(500))
@@ -270,7 +270,7 @@
 			j.markReceived(call, "release", "", at(500))
 			return nil
 		}, false},
-		"an end that is not told": {func(j *shutdownChecker, d *trial.Judge) []time.Time {
+		"an undelivered end": {func(j *shutdownChecker, d *trial.Judge) []time.Time {
 			d.SetUp(call, "d1", at(10))
 			d.Answered(call, "d1")
 			j.markReceived(call, "answer", trial.Description(call), at(500))
@@ -301,8 +301,8 @@
 		delayEnded time.Time
 		ok         bool
 	}{
-		"it lasted as the answer came": {answered.Add(delay / 10), true},
-		"it began after the answer":    {answered.Add(2 * delay), false},
+		"it lasted until after the answer": {answered.Add(delay / 10), true},
+		"it began after the answer":        {answered.Add(2 * delay), false},
 	} {
 		j := newShutdownChecker()
 		j.process = &schedulerMeter{}
--- a/cmd/cherryrelay/startup_drain_test.go
+++ b/cmd/cherryrelay/startup_drain_test.go
@@ -67,7 +67,7 @@
 		"no list":         func(*fixture) {},
 		"an empty list":   func(w *fixture) { w.setList(0, nil) },
 		"300 that refuse": func(w *fixture) { w.setList(300, func(int) string { return unused }) },
-		"300 that are silent": func(w *fixture) {
+		"300 that do not answer": func(w *fixture) {
 			w.setList(300, func(int) string { return listener.Addr().String() })
 			w.setList(300, func(int) string { return unused })
 		},
--- a/cmd/cherryrelay/subset_test.go
+++ b/cmd/cherryrelay/subset_test.go
@@ -173,7 +173,7 @@
 	var text strings.Builder
 	_, _, finals := s.checker.Verdict()
 	unanswered, _ := s.checker.Unsettled()
-	fmt.Fprintf(&text, "%d of them stand, callers had %v, %d calls are open", finals["answer"]-answersBefore, finals, len(unanswered))
+	fmt.Fprintf(&text, "%d of them are established, callers got %v, %d calls are pending", finals["answer"]-answersBefore, finals, len(unanswered))
 	for _, p := range s.controllers {
 		fmt.Fprintf(&text, "\n%s: %d dispatchers in the subset, %d growths", p.management, metric(p, "subset_size"), metric(p, "subset_growths_total"))
 	}
@@ -262,7 +262,7 @@
 	if finals["answer"] < 150 {
 		s.Errorf("only %d calls were answered", finals["answer"])
 	}
-	s.Logf("%d growths; callers had %v", growths, finals)
+	s.Logf("%d growths; callers got %v", growths, finals)
 }
 
 // TestSubsetOfOne checks of one controller which dispatchers it connects to, which drain, and that the end of a call arrives whose
--- a/cmd/cherryrelay/upgrade_test.go
+++ b/cmd/cherryrelay/upgrade_test.go
@@ -61,7 +61,7 @@
 			w.waitReady()
 			script(w)
 			if diff := cmp.Diff(want, w.observed); diff != "" {
-				t.Errorf("what the peers saw (-want +got):\n%s", diff)
+				t.Errorf("messages of the peers (-want +got):\n%s", diff)
 			}
 		})
 	}
