--- a/cmd/cherryrelay/calls_test.go
+++ b/cmd/cherryrelay/calls_test.go
@@ -37,20 +37,20 @@
 var transports = [][2]string{{"tcp", "tcp"}, {"ws", "ws"}, {"ws", "tcp"}, {"tcp", "ws"}}
 
 // runScenario runs a script over each combination of transports. The peers must receive the same messages on all of them.
-func runScenario(t *testing.T, want []string, script func(w *fixture)) {
+func runScenario(t *testing.T, want []string, script func(f *fixture)) {
 	t.Helper()
 	runScenarioWithBounds(t, callers.Bounds{Silent: longTimeout, Idle: longTimeout}, want, script)
 }
 
 // runScenarioWithBounds is runScenario with limits for the connections of callers.
-func runScenarioWithBounds(t *testing.T, bounds callers.Bounds, want []string, script func(w *fixture)) {
+func runScenarioWithBounds(t *testing.T, bounds callers.Bounds, want []string, script func(f *fixture)) {
 	t.Helper()
 	for _, mix := range transports {
 		t.Run(mix[0]+" to "+mix[1], func(t *testing.T) {
 			t.Parallel()
-			w := newFixture(t, mix[0], mix[1], bounds)
-			script(w)
-			if diff := cmp.Diff(want, w.observed); diff != "" {
+			f := newFixture(t, mix[0], mix[1], bounds)
+			script(f)
+			if diff := cmp.Diff(want, f.observed); diff != "" {
 				t.Errorf("messages of the peers (-want +got):\n%s", diff)
 			}
 		})
@@ -86,67 +86,67 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &fixture{T: t, node: n, transport: transport, done: make(chan error, 1), dispatchers: dispatchers}
-	go func() { w.done <- n.run() }()
+	f := &fixture{T: t, node: n, transport: transport, done: make(chan error, 1), dispatchers: dispatchers}
+	go func() { f.done <- n.run() }()
 	var u call.Update
-	for i, d := range w.dispatchers {
+	for i, d := range f.dispatchers {
 		u.Servers = append(u.Servers, call.Server{
 			ServerEntry: control.ServerEntry{ID: control.ServerID(fmt.Sprint("d", i)), Cell: i}, Address: d.Address()})
 	}
 	u.Complete = true
-	w.list = u
-	w.sendList()
+	f.list = u
+	f.sendList()
 	t.Cleanup(func() {
 		n.loop.Quit()
-		for _, d := range w.dispatchers {
+		for _, d := range f.dispatchers {
 			d.Die()
 		}
 	})
-	return w
+	return f
 }
 
-func (w *fixture) must(err error) {
-	w.Helper()
+func (f *fixture) must(err error) {
+	f.Helper()
 	if err != nil {
-		w.Fatal(err)
+		f.Fatal(err)
 	}
 }
 
-func (w *fixture) record(format string, args ...any) {
-	w.observed = append(w.observed, fmt.Sprintf(format, args...))
+func (f *fixture) record(format string, args ...any) {
+	f.observed = append(f.observed, fmt.Sprintf(format, args...))
 }
 
 // newCaller connects a caller and pings the node until it answers that it accepts calls.
-func (w *fixture) newCaller() *peer.Caller {
-	w.Helper()
-	c := w.connect()
+func (f *fixture) newCaller() *peer.Caller {
+	f.Helper()
+	c := f.connect()
 	for passed := 0; passed == 0; {
-		w.must(c.Send(jsonl.Message{Type: "ping", ID: id(0)}))
+		f.must(c.Send(jsonl.Message{Type: "ping", ID: id(0)}))
 		m, err := c.Next()
-		w.must(err)
+		f.must(err)
 		passed = m.CauseOr(0)
 	}
 	return c
 }
 
 // connect connects a caller without sending anything.
-func (w *fixture) connect() *peer.Caller {
-	w.Helper()
-	address := w.node.lines.Address()
-	if w.transport == "ws" {
-		address = w.node.api.Address()
+func (f *fixture) connect() *peer.Caller {
+	f.Helper()
+	address := f.node.lines.Address()
+	if f.transport == "ws" {
+		address = f.node.api.Address()
 	}
-	c, err := peer.Call(w.transport, address)
-	w.must(err)
-	w.Cleanup(func() { _ = c.Close() })
+	c, err := peer.Call(f.transport, address)
+	f.must(err)
+	f.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
 // recordMessage records the next message to a caller.
-func (w *fixture) recordMessage(c *peer.Caller) {
-	w.Helper()
+func (f *fixture) recordMessage(c *peer.Caller) {
+	f.Helper()
 	m, err := c.Next()
-	w.must(err)
+	f.must(err)
 	text := m.Description()
 	if m.Cause != nil {
 		text = fmt.Sprint(*m.Cause)
@@ -154,30 +154,30 @@
 	if m.Fields["wait"] != "" {
 		text += " wait " + string(m.Fields["wait"])
 	}
-	w.record("caller: %s %s %s", m.Type, strings.TrimLeft(m.ID, "0"), text)
+	f.record("caller: %s %s %s", m.Type, strings.TrimLeft(m.ID, "0"), text)
 }
 
 // recordEvent records the next event at a dispatcher.
-func (w *fixture) recordEvent(d int) peer.Event {
-	w.Helper()
-	e, err := w.dispatchers[d].Next()
-	w.must(err)
+func (f *fixture) recordEvent(d int) peer.Event {
+	f.Helper()
+	e, err := f.dispatchers[d].Next()
+	f.must(err)
 	text := e.Description
 	if e.Kind == "release" {
 		text = fmt.Sprint(e.Cause)
 	}
-	w.record("d%d: %s %s %s", d, e.Kind, strings.TrimLeft(e.ID, "0"), text)
+	f.record("d%d: %s %s %s", d, e.Kind, strings.TrimLeft(e.ID, "0"), text)
 	return e
 }
 
 // waitAck waits for the ACK of a final answer if the transport has one.
-func (w *fixture) waitAck(d int) {
-	w.Helper()
-	if !strings.HasPrefix(w.dispatchers[d].Address(), "ws") {
+func (f *fixture) waitAck(d int) {
+	f.Helper()
+	if !strings.HasPrefix(f.dispatchers[d].Address(), "ws") {
 		select {
-		case <-w.dispatchers[d].Acks:
+		case <-f.dispatchers[d].Acks:
 		case <-time.After(peer.Patience):
-			w.Fatal("no ACK")
+			f.Fatal("no ACK")
 		}
 	}
 }
@@ -193,90 +193,90 @@
 		"d1: setup 1 " + sdp, "caller: answer 1 " + sdp, "caller: release 1 16",
 		"d0: setup 2 x", "caller: answer 2 y", "d0: release 2 31",
 		"d0: setup 3 x", "caller: answer 3 y", "caller: release 3 41",
-	}, func(w *fixture) {
-		c := w.newCaller()
-		w.must(c.SetUp(id(1), longTimeout, 1, sdp))
-		e := w.recordEvent(1)
+	}, func(f *fixture) {
+		c := f.newCaller()
+		f.must(c.SetUp(id(1), longTimeout, 1, sdp))
+		e := f.recordEvent(1)
 		if e.Class != "send-setup" || e.Key != "k"+id(1) || e.Left <= 0 || e.Left > longTimeout {
 			t.Errorf("set-up arrived as %+v", e)
 		}
-		w.must(e.Answer(sdp))
-		w.recordMessage(c)
-		w.waitAck(1)
-		w.must(w.dispatchers[1].Release(id(1), 16))
-		w.recordMessage(c)
+		f.must(e.Answer(sdp))
+		f.recordMessage(c)
+		f.waitAck(1)
+		f.must(f.dispatchers[1].Release(id(1), 16))
+		f.recordMessage(c)
 		// The caller ends the second call.
-		w.must(c.SetUp(id(2), longTimeout, 0, "x"))
-		w.must(w.recordEvent(0).Answer("y"))
-		w.recordMessage(c)
-		w.must(c.Release(id(2), 31))
-		w.recordEvent(0)
+		f.must(c.SetUp(id(2), longTimeout, 0, "x"))
+		f.must(f.recordEvent(0).Answer("y"))
+		f.recordMessage(c)
+		f.must(c.Release(id(2), 31))
+		f.recordEvent(0)
 		// The dispatcher ends the third call with cause 41.
-		w.must(c.SetUp(id(3), longTimeout, 0, "x"))
-		w.must(w.recordEvent(0).Answer("y"))
-		w.recordMessage(c)
-		w.must(w.dispatchers[0].Release(id(3), 41))
-		w.recordMessage(c)
+		f.must(c.SetUp(id(3), longTimeout, 0, "x"))
+		f.must(f.recordEvent(0).Answer("y"))
+		f.recordMessage(c)
+		f.must(f.dispatchers[0].Release(id(3), 41))
+		f.recordMessage(c)
 	})
 }
 
 func TestARefusedAttemptGoesElsewhere(t *testing.T) {
 	// Dispatchers number every answer 1. When the answer to a second attempt was taken for the first attempt's, it was discarded and its
 	// dispatcher became suspect: a fifth of the calls of a quiet day was lost.
-	runScenario(t, []string{"d0: setup 1 x", "d1: setup 1 x", "caller: answer 1 y", "caller: release 1 16"}, func(w *fixture) {
-		c := w.newCaller()
-		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-		w.must(w.recordEvent(0).Refuse(peer.NoLine))
-		w.waitAck(0)
-		w.must(w.recordEvent(1).Answer("y"))
-		w.recordMessage(c)
-		w.waitAck(1)
-		w.must(w.dispatchers[1].Release(id(1), 16))
-		w.recordMessage(c)
+	runScenario(t, []string{"d0: setup 1 x", "d1: setup 1 x", "caller: answer 1 y", "caller: release 1 16"}, func(f *fixture) {
+		c := f.newCaller()
+		f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		f.must(f.recordEvent(0).Refuse(peer.NoLine))
+		f.waitAck(0)
+		f.must(f.recordEvent(1).Answer("y"))
+		f.recordMessage(c)
+		f.waitAck(1)
+		f.must(f.dispatchers[1].Release(id(1), 16))
+		f.recordMessage(c)
 	})
 }
 
 func TestAnAttemptIsCancelledAtTheDeadline(t *testing.T) {
-	runScenario(t, []string{"d0: setup 1 x", "d0: release 1 16", "caller: release", "d0: release 1 16"}, func(w *fixture) {
-		c := w.newCaller()
-		w.must(c.SetUp(id(1), 400*time.Millisecond, 0, "x"))
-		e := w.recordEvent(0)
-		w.recordEvent(0)
+	runScenario(t, []string{"d0: setup 1 x", "d0: release 1 16", "caller: release", "d0: release 1 16"}, func(f *fixture) {
+		c := f.newCaller()
+		f.must(c.SetUp(id(1), 400*time.Millisecond, 0, "x"))
+		e := f.recordEvent(0)
+		f.recordEvent(0)
 		m, err := c.Next()
-		w.must(err)
-		w.record("caller: %s", m.Type) // refused or failed, depending on the time left at the cancellation
-		w.must(e.Answer("y"))          // too late: the dispatcher's call is released
-		w.waitAck(0)
-		w.recordEvent(0)
+		f.must(err)
+		f.record("caller: %s", m.Type) // refused or failed, depending on the time left at the cancellation
+		f.must(e.Answer("y"))          // too late: the dispatcher's call is released
+		f.waitAck(0)
+		f.recordEvent(0)
 	})
 }
 
 func TestAnAnswerAfterACancellationIsReleased(t *testing.T) {
-	runScenario(t, []string{"d0: setup 1 x", "d0: release 1 16", "d0: release 1 16", "caller: pong  1"}, func(w *fixture) {
-		c := w.newCaller()
-		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-		e := w.recordEvent(0)
-		w.must(c.Release(id(1), 16))
-		w.recordEvent(0)
-		w.must(e.Answer("y")) // crosses the cancellation
-		w.recordEvent(0)
-		w.must(c.Send(jsonl.Message{Type: "ping", ID: id(0)}))
-		w.recordMessage(c) // no other message comes for the call
+	runScenario(t, []string{"d0: setup 1 x", "d0: release 1 16", "d0: release 1 16", "caller: pong  1"}, func(f *fixture) {
+		c := f.newCaller()
+		f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		e := f.recordEvent(0)
+		f.must(c.Release(id(1), 16))
+		f.recordEvent(0)
+		f.must(e.Answer("y")) // crosses the cancellation
+		f.recordEvent(0)
+		f.must(c.Send(jsonl.Message{Type: "ping", ID: id(0)}))
+		f.recordMessage(c) // no other message comes for the call
 	})
 }
 
 func TestAConnectionThatClosesInsideAMessage(t *testing.T) {
-	runScenario(t, []string{"d0: setup 1 x", "d0: release 1 16", "d1: setup 2 x", "caller: answer 2 y"}, func(w *fixture) {
-		other, c := w.newCaller(), w.newCaller()
-		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-		w.recordEvent(0)
+	runScenario(t, []string{"d0: setup 1 x", "d0: release 1 16", "d1: setup 2 x", "caller: answer 2 y"}, func(f *fixture) {
+		other, c := f.newCaller(), f.newCaller()
+		f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		f.recordEvent(0)
 		whole := c.Frame([]byte(`{"type":"setup","id":"` + id(3) + `"}`))
-		w.must(c.SendRaw(whole[:len(whole)/2]))
-		w.must(c.Close())
-		w.recordEvent(0)
-		w.must(other.SetUp(id(2), longTimeout, 1, "x"))
-		w.must(w.recordEvent(1).Answer("y"))
-		w.recordMessage(other)
+		f.must(c.SendRaw(whole[:len(whole)/2]))
+		f.must(c.Close())
+		f.recordEvent(0)
+		f.must(other.SetUp(id(2), longTimeout, 1, "x"))
+		f.must(f.recordEvent(1).Answer("y"))
+		f.recordMessage(other)
 	})
 }
 
@@ -286,12 +286,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			runScenario(t, []string{"d0: setup 1 x", "caller: release 1 41", "d0: release 1 16", "d1: setup 2 x", "caller: answer 2 y"},
-				func(w *fixture) {
-					other, c := w.newCaller(), w.newCaller()
-					w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-					w.recordEvent(0)
-					w.must(c.SendRaw(c.Frame([]byte(text))))
-					w.recordMessage(c)
+				func(f *fixture) {
+					other, c := f.newCaller(), f.newCaller()
+					f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+					f.recordEvent(0)
+					f.must(c.SendRaw(c.Frame([]byte(text))))
+					f.recordMessage(c)
 					_, err := c.Next()
 					var closed *websocket.Error
 					if errors.As(err, &closed) && closed.Code != websocket.BadData && closed.Code != websocket.TooBig {
@@ -300,10 +300,10 @@
 					if err == nil {
 						t.Error("the connection stays open")
 					}
-					w.recordEvent(0)
-					w.must(other.SetUp(id(2), longTimeout, 1, "x"))
-					w.must(w.recordEvent(1).Answer("y"))
-					w.recordMessage(other)
+					f.recordEvent(0)
+					f.must(other.SetUp(id(2), longTimeout, 1, "x"))
+					f.must(f.recordEvent(1).Answer("y"))
+					f.recordMessage(other)
 				})
 		})
 	}
@@ -324,40 +324,40 @@
 		want = append(want, fmt.Sprintf("caller: release %x 100", i+1))
 	}
 	want = append(want, "caller: release fd 41", "d0: setup ff x", "caller: answer ff y")
-	runScenario(t, want, func(w *fixture) {
+	runScenario(t, want, func(f *fixture) {
 		send := func(c *peer.Caller, n int, fields string) {
-			w.must(c.SendRaw(c.Frame([]byte(`{"type":"setup","id":"` + id(n) + `","fields":{` + fields + `}`))))
+			f.must(c.SendRaw(c.Frame([]byte(`{"type":"setup","id":"` + id(n) + `","fields":{` + fields + `}`))))
 		}
-		c := w.newCaller()
+		c := f.newCaller()
 		for i, change := range bad {
 			if i%4 == 0 {
-				c = w.newCaller() // many bad set-ups close the connection
+				c = f.newCaller() // many bad set-ups close the connection
 			}
 			fields := strings.Replace(good, change[0], change[1], 1)
 			if fields == good {
 				t.Fatalf("%s is not in the set-up", change[0])
 			}
 			send(c, i+1, fields)
-			w.recordMessage(c)
+			f.recordMessage(c)
 		}
-		c = w.newCaller()
+		c = f.newCaller()
 		send(c, 0xfd, strings.Replace(good, "900", "0", 1)) // valid, but its deadline has passed
-		w.recordMessage(c)
-		w.must(c.SetUp(id(0xff), longTimeout, 0, "x"))
-		w.must(w.recordEvent(0).Answer("y"))
-		w.recordMessage(c)
+		f.recordMessage(c)
+		f.must(c.SetUp(id(0xff), longTimeout, 0, "x"))
+		f.must(f.recordEvent(0).Answer("y"))
+		f.recordMessage(c)
 	})
 }
 
 func TestAConnectionWithOnlyBadSetUpsIsClosed(t *testing.T) {
-	runScenario(t, nil, func(w *fixture) {
-		c := w.newCaller()
+	runScenario(t, nil, func(f *fixture) {
+		c := f.newCaller()
 		for i := range 100 {
 			if c.SendRaw(c.Frame([]byte(`{"type":"setup","id":"`+id(i+1)+`","fields":{"class":"none"}}`))) != nil {
 				break
 			}
 		}
-		w.waitClosed(c)
+		f.waitClosed(c)
 	})
 }
 
@@ -365,31 +365,31 @@
 	// A second set-up with the ID of a pending one gets no answer of its own on the same connection. One on another connection does not
 	// affect the first.
 	runScenario(t, []string{"d0: setup 1 x", "caller: release 1 100", "caller: answer 1 y", "d0: setup 2 x", "caller: release 2 41",
-		"d0: release 2 16"}, func(w *fixture) {
-		c, other := w.newCaller(), w.newCaller()
-		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-		e := w.recordEvent(0)
-		w.must(other.SetUp(id(1), longTimeout, 1, "z"))
-		w.recordMessage(other)
+		"d0: release 2 16"}, func(f *fixture) {
+		c, other := f.newCaller(), f.newCaller()
+		f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		e := f.recordEvent(0)
+		f.must(other.SetUp(id(1), longTimeout, 1, "z"))
+		f.recordMessage(other)
 		_ = other.Release(id(1), 16) // must not end the other connection's call
-		w.waitClosed(other)
-		w.must(e.Answer("y"))
-		w.recordMessage(c)
-		w.must(c.SetUp(id(2), longTimeout, 0, "x"))
-		w.recordEvent(0)
-		w.must(c.SetUp(id(2), longTimeout, 0, "z"))
-		w.recordMessage(c)
-		w.waitClosed(c)
-		w.recordEvent(0)
+		f.waitClosed(other)
+		f.must(e.Answer("y"))
+		f.recordMessage(c)
+		f.must(c.SetUp(id(2), longTimeout, 0, "x"))
+		f.recordEvent(0)
+		f.must(c.SetUp(id(2), longTimeout, 0, "z"))
+		f.recordMessage(c)
+		f.waitClosed(c)
+		f.recordEvent(0)
 	})
 }
 
 // waitConnections waits until a dispatcher has the given number of connections.
-func (w *fixture) waitConnections(d, links int) {
-	w.Helper()
-	for begin := time.Now(); w.dispatchers[d].Links() < links; time.Sleep(5 * time.Millisecond) {
+func (f *fixture) waitConnections(d, links int) {
+	f.Helper()
+	for begin := time.Now(); f.dispatchers[d].Links() < links; time.Sleep(5 * time.Millisecond) {
 		if time.Since(begin) > peer.Patience {
-			w.Fatalf("dispatcher %d has %d connections, want %d", d, w.dispatchers[d].Links(), links)
+			f.Fatalf("dispatcher %d has %d connections, want %d", d, f.dispatchers[d].Links(), links)
 		}
 	}
 }
@@ -404,24 +404,24 @@
 		"cut short": func(e peer.Event) error { return e.AnswerHalf() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			runScenario(t, []string{"d1: setup 2 x", "d0: setup 1 x", "again", "caller: answer 2 y"}, func(w *fixture) {
-				c := w.newCaller()
-				w.must(c.SetUp(id(2), longTimeout, 1, "x"))
-				second := w.recordEvent(1)
-				w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-				w.must(answer(w.recordEvent(0)))
+			runScenario(t, []string{"d1: setup 2 x", "d0: setup 1 x", "again", "caller: answer 2 y"}, func(f *fixture) {
+				c := f.newCaller()
+				f.must(c.SetUp(id(2), longTimeout, 1, "x"))
+				second := f.recordEvent(1)
+				f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+				f.must(answer(f.recordEvent(0)))
 				wanted := []string{"release", "setup"}
-				if name == "too long" && !strings.HasPrefix(w.dispatchers[0].Address(), "ws") {
+				if name == "too long" && !strings.HasPrefix(f.dispatchers[0].Address(), "ws") {
 					wanted = []string{"release"} // it is readable, but no message to a caller can hold it: the call has failed
 				}
 				for _, want := range wanted {
-					if e, err := w.dispatchers[0].Next(); err != nil || e.Kind != want || e.ID != id(1) {
+					if e, err := f.dispatchers[0].Next(); err != nil || e.Kind != want || e.ID != id(1) {
 						t.Errorf("got %v, %v, want a %s", e, err, want)
 					}
 				}
-				w.record("again")
-				w.must(second.Answer("y"))
-				w.recordMessage(c)
+				f.record("again")
+				f.must(second.Answer("y"))
+				f.recordMessage(c)
 			})
 		})
 	}
@@ -429,89 +429,89 @@
 
 func TestStrayAnswersAreDropped(t *testing.T) {
 	// An early answer with another ID and a duplicate answer are neither answered nor released, and are not taken for another call's.
-	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "d0: setup 2 x", "caller: answer 2 z"}, func(w *fixture) {
-		c := w.newCaller()
-		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-		e := w.recordEvent(0)
+	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "d0: setup 2 x", "caller: answer 2 z"}, func(f *fixture) {
+		c := f.newCaller()
+		f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		e := f.recordEvent(0)
 		stray := e
 		stray.ID = id(0x99)
-		w.must(stray.Answer("stray"))
-		w.must(stray.Answer("\x01\x02")) // the content does not matter: the connection stays usable
-		w.must(e.Answer("y"))
-		w.must(e.Answer("y"))
-		w.recordMessage(c)
-		w.must(c.SetUp(id(2), longTimeout, 0, "x"))
-		w.must(w.recordEvent(0).Answer("z"))
-		w.recordMessage(c)
+		f.must(stray.Answer("stray"))
+		f.must(stray.Answer("\x01\x02")) // the content does not matter: the connection stays usable
+		f.must(e.Answer("y"))
+		f.must(e.Answer("y"))
+		f.recordMessage(c)
+		f.must(c.SetUp(id(2), longTimeout, 0, "x"))
+		f.must(f.recordEvent(0).Answer("z"))
+		f.recordMessage(c)
 	})
 }
 
 func TestAnUnresponsiveConnectionIsAvoided(t *testing.T) {
 	// A later set-up to the same dispatcher is answered on another connection. The earlier set-up used to wait until its deadline.
 	runScenario(t, []string{"d0: setup 1 x", "d0: setup 2 x", "caller: answer 2 y", "d0: setup 1 x", "caller: answer 1 z"},
-		func(w *fixture) {
-			w.waitConnections(0, 1)
-			c := w.newCaller()
-			w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-			w.recordEvent(0)
-			w.waitConnections(0, 2)            // a connection without any message makes the pool open another
+		func(f *fixture) {
+			f.waitConnections(0, 1)
+			c := f.newCaller()
+			f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+			f.recordEvent(0)
+			f.waitConnections(0, 2)            // a connection without any message makes the pool open another
 			time.Sleep(400 * time.Millisecond) // more than the answers may be apart; a slow machine makes it longer
-			w.must(c.SetUp(id(2), longTimeout, 0, "x"))
-			w.must(w.recordEvent(0).Answer("y"))
-			w.recordMessage(c)
-			w.must(w.recordEvent(0).Answer("z"))
-			w.recordMessage(c)
+			f.must(c.SetUp(id(2), longTimeout, 0, "x"))
+			f.must(f.recordEvent(0).Answer("y"))
+			f.recordMessage(c)
+			f.must(f.recordEvent(0).Answer("z"))
+			f.recordMessage(c)
 		})
 }
 
 func TestCallsOfADispatcherThatDiesAreReleased(t *testing.T) {
-	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 41"}, func(w *fixture) {
-		c := w.newCaller()
-		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-		w.must(w.recordEvent(0).Answer("y"))
-		w.recordMessage(c)
-		w.dispatchers[0].Die()
-		w.recordMessage(c)
+	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 41"}, func(f *fixture) {
+		c := f.newCaller()
+		f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		f.must(f.recordEvent(0).Answer("y"))
+		f.recordMessage(c)
+		f.dispatchers[0].Die()
+		f.recordMessage(c)
 	})
 }
 
 func TestCallsOfADispatcherThatStopsSilentlyAreReleased(t *testing.T) {
 	// At the end of a drain a dispatcher left its connections open without sending anything, and refused new ones. Its calls were released
 	// only when the list reported its removal, 12 s later.
-	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 41"}, func(w *fixture) {
-		c := w.newCaller()
-		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-		w.must(w.recordEvent(0).Answer("y"))
-		w.recordMessage(c)
-		w.dispatchers[0].Stop()
-		w.recordMessage(c)
+	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 41"}, func(f *fixture) {
+		c := f.newCaller()
+		f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		f.must(f.recordEvent(0).Answer("y"))
+		f.recordMessage(c)
+		f.dispatchers[0].Stop()
+		f.recordMessage(c)
 	})
 }
 
 func TestACallOutlivesItsConnections(t *testing.T) {
 	// An established call does not belong to a connection: its end may arrive and be delivered on new connections. The same holds for a
 	// call of the previous process.
-	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 16", "caller: release 77 41"}, func(w *fixture) {
-		c := w.newCaller()
-		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-		w.must(w.recordEvent(0).Answer("y"))
-		w.recordMessage(c)
-		w.must(c.Close())
-		w.dispatchers[0].Cut()
-		for w.dispatchers[0].Release(id(1), 16) != nil {
+	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 16", "caller: release 77 41"}, func(f *fixture) {
+		c := f.newCaller()
+		f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		f.must(f.recordEvent(0).Answer("y"))
+		f.recordMessage(c)
+		f.must(c.Close())
+		f.dispatchers[0].Cut()
+		for f.dispatchers[0].Release(id(1), 16) != nil {
 			time.Sleep(10 * time.Millisecond) // until the node has connected again
 		}
-		c = w.connect()
-		w.recordMessage(c)
-		w.must(w.dispatchers[0].Release(id(0x77), 41))
-		w.recordMessage(c)
-		w.must(w.dispatchers[0].Release(id(0x77), 41)) // sent twice, delivered once
+		c = f.connect()
+		f.recordMessage(c)
+		f.must(f.dispatchers[0].Release(id(0x77), 41))
+		f.recordMessage(c)
+		f.must(f.dispatchers[0].Release(id(0x77), 41)) // sent twice, delivered once
 	})
 }
 
 // waitClosed waits until the controller closes the connection.
-func (w *fixture) waitClosed(c *peer.Caller) {
-	w.Helper()
+func (f *fixture) waitClosed(c *peer.Caller) {
+	f.Helper()
 	for {
 		_, err := c.Next()
 		if err == nil {
@@ -519,7 +519,7 @@
 		}
 		var late net.Error
 		if errors.As(err, &late) && late.Timeout() {
-			w.Error("the connection stays open")
+			f.Error("the connection stays open")
 		}
 		return
 	}
@@ -528,41 +528,41 @@
 func TestASetUpAvoidsAConnectionThatNeverAnswered(t *testing.T) {
 	// Trial calls to a dispatcher were sent one at a time, all on the same unresponsive connection. The dispatcher was considered
 	// unresponsive for the rest of the day.
-	runScenario(t, []string{"d0: setup 1 x", "d0: release 1 16", "d0: setup 2 x", "caller: answer 2 y"}, func(w *fixture) {
-		w.waitConnections(0, 1)
-		c := w.newCaller()
-		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-		e := w.recordEvent(0)
-		w.must(c.Release(id(1), 16))
-		w.recordEvent(0)
-		w.must(c.SetUp(id(2), longTimeout, 0, "x"))
-		second := w.recordEvent(0)
+	runScenario(t, []string{"d0: setup 1 x", "d0: release 1 16", "d0: setup 2 x", "caller: answer 2 y"}, func(f *fixture) {
+		f.waitConnections(0, 1)
+		c := f.newCaller()
+		f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		e := f.recordEvent(0)
+		f.must(c.Release(id(1), 16))
+		f.recordEvent(0)
+		f.must(c.SetUp(id(2), longTimeout, 0, "x"))
+		second := f.recordEvent(0)
 		if second.Beside(e) {
 			t.Error("the next set-up went out on the connection on which the previous one had no answer")
 		}
-		w.must(second.Answer("y"))
-		w.recordMessage(c)
+		f.must(second.Answer("y"))
+		f.recordMessage(c)
 	})
 }
 
 func TestASetUpAvoidsAConnectionThatWasIdleForLong(t *testing.T) {
 	// A set-up and its cancellation were sent on the connection to a dispatcher that was cut off. They arrived together when the connection
 	// recovered, while the call was already being sent elsewhere: sooner than the guard allows.
-	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "d0: setup 2 x", "caller: answer 2 z"}, func(w *fixture) {
-		w.waitConnections(0, 1)
-		c := w.newCaller()
-		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-		e := w.recordEvent(0)
-		w.must(e.Answer("y"))
-		w.recordMessage(c)
+	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "d0: setup 2 x", "caller: answer 2 z"}, func(f *fixture) {
+		f.waitConnections(0, 1)
+		c := f.newCaller()
+		f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		e := f.recordEvent(0)
+		f.must(e.Answer("y"))
+		f.recordMessage(c)
 		time.Sleep(2600 * time.Millisecond) // a slow machine makes it longer
-		w.must(c.SetUp(id(2), longTimeout, 0, "x"))
-		second := w.recordEvent(0)
+		f.must(c.SetUp(id(2), longTimeout, 0, "x"))
+		second := f.recordEvent(0)
 		if second.Beside(e) {
 			t.Error("the set-up went out on a connection that had been idle for 2.6 s")
 		}
-		w.must(second.Answer("z"))
-		w.recordMessage(c)
+		f.must(second.Answer("z"))
+		f.recordMessage(c)
 	})
 }
 
@@ -570,22 +570,22 @@
 	// Callers that placed one call and kept their connection used up the descriptors: no dispatcher could be connected to, and no new
 	// caller was accepted. A connection with a pending set-up is never evicted.
 	runScenarioWithBounds(t, callers.Bounds{Connections: 2, Silent: longTimeout, Idle: longTimeout}, []string{"d0: setup 1 x", "d1: setup 2 x",
-		"caller: answer 1 y", "caller: answer 2 y", "caller: release 1 16"}, func(w *fixture) {
-		c, kept := w.newCaller(), w.newCaller()
-		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-		e := w.recordEvent(0)
-		other := w.newCaller()
-		w.waitClosed(kept)
-		w.must(other.SetUp(id(2), longTimeout, 1, "x"))
-		second := w.recordEvent(1)
-		w.must(e.Answer("y"))
-		w.recordMessage(c)
-		w.must(second.Answer("y"))
-		w.recordMessage(other)
-		_ = w.newCaller()
-		w.waitClosed(c) // idle for longer than the other
-		w.must(w.dispatchers[0].Release(id(1), 16))
-		w.recordMessage(other) // the end of its call is delivered on an open connection
+		"caller: answer 1 y", "caller: answer 2 y", "caller: release 1 16"}, func(f *fixture) {
+		c, kept := f.newCaller(), f.newCaller()
+		f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		e := f.recordEvent(0)
+		other := f.newCaller()
+		f.waitClosed(kept)
+		f.must(other.SetUp(id(2), longTimeout, 1, "x"))
+		second := f.recordEvent(1)
+		f.must(e.Answer("y"))
+		f.recordMessage(c)
+		f.must(second.Answer("y"))
+		f.recordMessage(other)
+		_ = f.newCaller()
+		f.waitClosed(c) // idle for longer than the other
+		f.must(f.dispatchers[0].Release(id(1), 16))
+		f.recordMessage(other) // the end of its call is delivered on an open connection
 	})
 }
 
@@ -594,19 +594,19 @@
 	// and was lost.
 	idle := 2 * time.Second
 	runScenarioWithBounds(t, callers.Bounds{Silent: longTimeout, Idle: idle}, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 16"},
-		func(w *fixture) {
-			c := w.newCaller()
-			w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-			w.must(w.recordEvent(0).Answer("y"))
-			w.recordMessage(c)
+		func(f *fixture) {
+			c := f.newCaller()
+			f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+			f.must(f.recordEvent(0).Answer("y"))
+			f.recordMessage(c)
 			time.Sleep(idle + idle/2)
-			w.must(c.Send(jsonl.Message{Type: "ping", ID: id(0)}))
+			f.must(c.Send(jsonl.Message{Type: "ping", ID: id(0)}))
 			if m, err := c.Next(); err != nil || m.Type != "pong" {
 				t.Errorf("got %v, %v", m, err)
 			}
-			w.must(w.dispatchers[0].Release(id(1), 16))
-			w.recordMessage(c)
-			w.waitClosed(c)
+			f.must(f.dispatchers[0].Release(id(1), 16))
+			f.recordMessage(c)
+			f.waitClosed(c)
 		})
 }
 
@@ -615,48 +615,48 @@
 	soon := 50 * time.Millisecond
 	for name, test := range map[string]struct {
 		bounds callers.Bounds
-		say    func(w *fixture, c *peer.Caller)
+		say    func(f *fixture, c *peer.Caller)
 	}{
 		"silent": {callers.Bounds{Silent: soon, Idle: longTimeout}, func(*fixture, *peer.Caller) {}},
-		"half a message": {callers.Bounds{Silent: soon, Idle: longTimeout}, func(w *fixture, c *peer.Caller) {
+		"half a message": {callers.Bounds{Silent: soon, Idle: longTimeout}, func(f *fixture, c *peer.Caller) {
 			whole := c.Frame([]byte(`{"type":"ping","id":"` + id(3) + `"}`))
-			w.must(c.SendRaw(whole[:len(whole)/2]))
+			f.must(c.SendRaw(whole[:len(whole)/2]))
 		}},
-		"cancelled": {callers.Bounds{Silent: soon, Idle: longTimeout}, func(w *fixture, c *peer.Caller) {
-			w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-			w.must(c.Release(id(1), 16))
+		"cancelled": {callers.Bounds{Silent: soon, Idle: longTimeout}, func(f *fixture, c *peer.Caller) {
+			f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+			f.must(c.Release(id(1), 16))
 		}},
-		"idle": {callers.Bounds{Silent: longTimeout, Idle: soon}, func(w *fixture, c *peer.Caller) {
-			w.must(c.Send(jsonl.Message{Type: "ping", ID: id(0)}))
+		"idle": {callers.Bounds{Silent: longTimeout, Idle: soon}, func(f *fixture, c *peer.Caller) {
+			f.must(c.Send(jsonl.Message{Type: "ping", ID: id(0)}))
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			runScenarioWithBounds(t, test.bounds, nil, func(w *fixture) {
-				c := w.connect()
-				test.say(w, c)
-				w.waitClosed(c)
+			runScenarioWithBounds(t, test.bounds, nil, func(f *fixture) {
+				c := f.connect()
+				test.say(f, c)
+				f.waitClosed(c)
 			})
 		})
 	}
 }
 
 func TestAPlannedRestartCompletesOpenSetUps(t *testing.T) {
-	runScenario(t, []string{"d0: setup 1 x", "d1: setup 2 x", "caller: answer 1 y", "caller: answer 2 y"}, func(w *fixture) {
-		c := w.newCaller()
-		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-		e := w.recordEvent(0)
-		w.node.drain()
-		w.must(c.SetUp(id(2), longTimeout, 1, "x")) // still in transit when the signal came
-		second := w.recordEvent(1)
-		w.must(e.Answer("y"))
-		w.recordMessage(c)
-		w.must(second.Answer("y"))
-		w.recordMessage(c)
+	runScenario(t, []string{"d0: setup 1 x", "d1: setup 2 x", "caller: answer 1 y", "caller: answer 2 y"}, func(f *fixture) {
+		c := f.newCaller()
+		f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		e := f.recordEvent(0)
+		f.node.drain()
+		f.must(c.SetUp(id(2), longTimeout, 1, "x")) // still in transit when the signal came
+		second := f.recordEvent(1)
+		f.must(e.Answer("y"))
+		f.recordMessage(c)
+		f.must(second.Answer("y"))
+		f.recordMessage(c)
 		select {
-		case err := <-w.done:
-			w.must(err)
+		case err := <-f.done:
+			f.must(err)
 		case <-time.After(peer.Patience):
-			w.Fatal("the node does not end")
+			f.Fatal("the node does not end")
 		}
 		if _, err := c.Next(); !errors.Is(err, io.EOF) && err == nil {
 			t.Error("the node's connection stays open")
@@ -668,20 +668,20 @@
 // continues, it sends the end of a call there before it notices the close. As a new connection is already open, it sends the end nowhere
 // else.
 func TestAnEndOnAnAbandonedConnection(t *testing.T) {
-	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 2 42 wait 2000", "caller: release 1 16"}, func(w *fixture) {
-		c := w.newCaller()
-		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-		established := w.recordEvent(0)
-		w.must(established.Answer("y"))
-		w.recordMessage(c)
-		d := w.dispatchers[0]
+	runScenario(t, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 2 42 wait 2000", "caller: release 1 16"}, func(f *fixture) {
+		c := f.newCaller()
+		f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		established := f.recordEvent(0)
+		f.must(established.Answer("y"))
+		f.recordMessage(c)
+		d := f.dispatchers[0]
 		d.Rest()
-		w.dispatchers[1].Die()
-		w.must(c.SetUp(id(2), 300*time.Millisecond, 0, "x"))
-		w.recordMessage(c)
+		f.dispatchers[1].Die()
+		f.must(c.SetUp(id(2), 300*time.Millisecond, 0, "x"))
+		f.recordMessage(c)
 		time.Sleep(time.Second) // longer than the messages sent before take to arrive
-		w.must(established.ReleaseHere(id(1), 16))
-		w.recordMessage(c)
+		f.must(established.ReleaseHere(id(1), 16))
+		f.recordMessage(c)
 		d.Wake()
 	})
 }
--- a/cmd/cherryrelay/cancel_test.go
+++ b/cmd/cherryrelay/cancel_test.go
@@ -89,7 +89,7 @@
 type pendingState struct {
 	late   bool // connections to the first dispatcher open only after Open is called
 	drains bool
-	hold   func(w *fixture, c *peer.Caller, n int) (sendable time.Time, next func())
+	hold   func(f *fixture, c *peer.Caller, n int) (sendable time.Time, next func())
 }
 
 // cancelMargin is added to maxSendDelay for the time between the cancellation and the end of the wait.
@@ -98,86 +98,86 @@
 func noop() {}
 
 var pendingStates = map[string]pendingState{
-	"held for credit": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
-		other := w.newConfiguredCaller()
-		w.exhaustLines(other, 0x500)
-		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		w.waitInFlight(1)
+	"held for credit": {hold: func(f *fixture, c *peer.Caller, n int) (time.Time, func()) {
+		other := f.newConfiguredCaller()
+		f.exhaustLines(other, 0x500)
+		f.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
+		f.waitInFlight(1)
 		return time.Time{}, func() {
-			for _, d := range w.dispatchers {
+			for _, d := range f.dispatchers {
 				_ = d.Report("x0:40;x1:40") // on the connections that are still open
 			}
 		}
 	}},
-	"in the guard after a reset": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
-		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		e := w.recordEvent(0)
+	"in the guard after a reset": {hold: func(f *fixture, c *peer.Caller, n int) (time.Time, func()) {
+		f.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
+		e := f.recordEvent(0)
 		reset := time.Now()
-		w.must(e.Reset())
-		return reset.Add(w.guard()), noop
+		f.must(e.Reset())
+		return reset.Add(f.guard()), noop
 	}},
-	"in the guard after an answer of a failure": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
-		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		e := w.recordEvent(0)
+	"in the guard after an answer of a failure": {hold: func(f *fixture, c *peer.Caller, n int) (time.Time, func()) {
+		f.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
+		e := f.recordEvent(0)
 		brokenAt := time.Now()
-		w.must(e.Refuse(peer.Broken))
-		return brokenAt.Add(w.guard()), noop
+		f.must(e.Refuse(peer.Broken))
+		return brokenAt.Add(f.guard()), noop
 	}},
-	"in the guard, draining": {drains: true, hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
-		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		e := w.recordEvent(0)
-		w.node.drain()
+	"in the guard, draining": {drains: true, hold: func(f *fixture, c *peer.Caller, n int) (time.Time, func()) {
+		f.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
+		e := f.recordEvent(0)
+		f.node.drain()
 		reset := time.Now()
-		w.must(e.Reset())
-		return reset.Add(w.guard()), noop
+		f.must(e.Reset())
+		return reset.Add(f.guard()), noop
 	}},
-	"attempt in progress, refused later": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
-		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		e := w.recordEvent(0)
+	"attempt in progress, refused later": {hold: func(f *fixture, c *peer.Caller, n int) (time.Time, func()) {
+		f.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
+		e := f.recordEvent(0)
 		return time.Time{}, func() { _ = e.Refuse(peer.NoLine) } // the connection may be closed by then, which also ends the attempt
 	}},
-	"attempt in progress, connection reset later": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
-		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		e := w.recordEvent(0)
+	"attempt in progress, connection reset later": {hold: func(f *fixture, c *peer.Caller, n int) (time.Time, func()) {
+		f.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
+		e := f.recordEvent(0)
 		return time.Time{}, func() { _ = e.Reset() } // as above
 	}},
-	"waiting for a connection": {late: true, hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
-		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		w.waitInFlight(1)
-		return time.Time{}, w.dispatchers[0].Open
+	"waiting for a connection": {late: true, hold: func(f *fixture, c *peer.Caller, n int) (time.Time, func()) {
+		f.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
+		f.waitInFlight(1)
+		return time.Time{}, f.dispatchers[0].Open
 	}},
-	"queued for a busy loop": {hold: func(w *fixture, c *peer.Caller, n int) (time.Time, func()) {
-		w.waitConnections(0, 1)
-		resumeLoop := w.pauseLoop()
-		before := w.node.loop.Pending()
-		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		w.waitQueued(before + 1)
+	"queued for a busy loop": {hold: func(f *fixture, c *peer.Caller, n int) (time.Time, func()) {
+		f.waitConnections(0, 1)
+		resumeLoop := f.pauseLoop()
+		before := f.node.loop.Pending()
+		f.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
+		f.waitQueued(before + 1)
 		return time.Time{}, func() {
-			other := w.node.loop.Pending()
-			behind, err := peer.Call("tcp", w.node.lines.Address())
-			w.must(err)
+			other := f.node.loop.Pending()
+			behind, err := peer.Call("tcp", f.node.lines.Address())
+			f.must(err)
 			defer behind.Close()
-			w.must(behind.Send(jsonl.Message{Type: "ping", ID: id(0)})) // it is read behind the cancellation
-			w.waitQueued(other + 1)
+			f.must(behind.Send(jsonl.Message{Type: "ping", ID: id(0)})) // it is read behind the cancellation
+			f.waitQueued(other + 1)
 			resumeLoop()
 		}
 	}},
 }
 
-func (w *fixture) guard() time.Duration {
-	return time.Duration(w.node.config.Settings.FamilyInfo.GuardUs) * time.Microsecond
+func (f *fixture) guard() time.Duration {
+	return time.Duration(f.node.config.Settings.FamilyInfo.GuardUs) * time.Microsecond
 }
 
 // cancelWhilePending cancels a set-up in a state, maxSendDelay before the awaited event, and reports whether it did so in time.
-func (w *fixture) cancelWhilePending(state pendingState, cancel func(w *fixture, c *peer.Caller, n int) error) (inTime bool) {
-	w.Helper()
+func (f *fixture) cancelWhilePending(state pendingState, cancel func(w *fixture, c *peer.Caller, n int) error) (inTime bool) {
+	f.Helper()
 	const number = 1
-	c := w.newConfiguredCaller()
-	sendable, next := state.hold(w, c, number)
+	c := f.newConfiguredCaller()
+	sendable, next := state.hold(f, c, number)
 	if !sendable.IsZero() {
 		time.Sleep(time.Until(sendable.Add(-maxSendDelay - cancelMargin)))
 	}
-	w.must(cancel(w, c, number))
+	f.must(cancel(f, c, number))
 	cancelledAt := time.Now()
 	if inTime = sendable.IsZero() || cancelledAt.Before(sendable.Add(-maxSendDelay)); !inTime {
 		return false
@@ -187,16 +187,16 @@
 	}
 	next()
 	if !state.drains { // a draining node may have exited by now
-		w.waitInFlight(0)
+		f.waitInFlight(0)
 	}
 	if state.late {
-		w.waitConnections(0, 1) // a second later
+		f.waitConnections(0, 1) // a second later
 	}
-	time.Sleep(w.guard() + maxSendDelay) // longer than any wait of the set-up
-	for i, d := range w.dispatchers {
+	time.Sleep(f.guard() + maxSendDelay) // longer than any wait of the set-up
+	for i, d := range f.dispatchers {
 		for len(d.Events) > 0 {
 			if e := <-d.Events; e.Kind == "setup" && e.ID == id(number) {
-				w.Errorf("d%d was sent the set-up %v after its client had cancelled", i, e.At.Sub(cancelledAt))
+				f.Errorf("d%d was sent the set-up %v after its client had cancelled", i, e.At.Sub(cancelledAt))
 			}
 		}
 	}
--- a/cmd/cherryrelay/closes_test.go
+++ b/cmd/cherryrelay/closes_test.go
@@ -11,8 +11,8 @@
 )
 
 // finalAnswers reads messages until the connection ends and returns the final answers to the set-ups with the given numbers.
-func (w *fixture) finalAnswers(c *peer.Caller, numbers ...int) map[int]*jsonl.Message {
-	w.Helper()
+func (f *fixture) finalAnswers(c *peer.Caller, numbers ...int) map[int]*jsonl.Message {
+	f.Helper()
 	answers := map[int]*jsonl.Message{}
 	for {
 		m, err := c.Next()
@@ -21,7 +21,7 @@
 		}
 		for _, n := range numbers {
 			if m.ID == id(n) && answers[n] != nil {
-				w.Errorf("set-up %d has a second answer: %+v", n, m)
+				f.Errorf("set-up %d has a second answer: %+v", n, m)
 			} else if m.ID == id(n) {
 				answers[n] = m
 			}
@@ -29,18 +29,18 @@
 	}
 	for _, n := range numbers {
 		if answers[n] == nil {
-			w.Errorf("set-up %d has no answer", n)
+			f.Errorf("set-up %d has no answer", n)
 		}
 	}
 	return answers
 }
 
 // encodeSetUps returns the frames of several set-ups, to be sent in one segment.
-func (w *fixture) encodeSetUps(c *peer.Caller, numbers ...int) []byte {
-	w.Helper()
+func (f *fixture) encodeSetUps(c *peer.Caller, numbers ...int) []byte {
+	f.Helper()
 	var text []byte
 	for _, n := range numbers {
-		text = append(text, w.encodeSetUp(c, n)...)
+		text = append(text, f.encodeSetUp(c, n)...)
 	}
 	return text
 }
@@ -50,11 +50,11 @@
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
-			w := newFixture(t, transport, "tcp", callers.Bounds{Connections: 2, Silent: longTimeout, Idle: longTimeout})
-			w.fillConnections(2)
-			c := w.connect()
-			w.must(c.SendRaw(w.encodeSetUps(c, 1, 2, 3)))
-			for n, m := range w.finalAnswers(c, 1, 2, 3) {
+			f := newFixture(t, transport, "tcp", callers.Bounds{Connections: 2, Silent: longTimeout, Idle: longTimeout})
+			f.fillConnections(2)
+			c := f.connect()
+			f.must(c.SendRaw(f.encodeSetUps(c, 1, 2, 3)))
+			for n, m := range f.finalAnswers(c, 1, 2, 3) {
 				if m.CauseOr(0) != call.CauseCongestion || m.Fields["wait"] == "" {
 					t.Errorf("set-up %d got %+v: want a refusal with a retry time", n, m)
 				}
@@ -68,10 +68,10 @@
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
-			w := newFixture(t, transport, "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
-			c := w.connect()
-			w.must(c.SendRaw(w.encodeSetUps(c, 1, 1, 2, 3))) // the second set-up 1 cannot be distinguished from the first
-			w.finalAnswers(c, 1, 2, 3)
+			f := newFixture(t, transport, "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+			c := f.connect()
+			f.must(c.SendRaw(f.encodeSetUps(c, 1, 1, 2, 3))) // the second set-up 1 cannot be distinguished from the first
+			f.finalAnswers(c, 1, 2, 3)
 		})
 	}
 }
@@ -79,21 +79,21 @@
 // TestASetUpAheadOfAFloodOverTheAPI is TestASetUpAheadOfAFloodIsAnswered for the call-control API.
 func TestASetUpAheadOfAFloodOverTheAPI(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t, "ws", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
-	c := w.connect()
-	resumeLoop := w.pauseLoop()
-	before := w.node.loop.Pending()
-	w.must(c.SendRaw(w.encodeSetUp(c, 1)))
-	w.waitQueued(before + 1)
+	f := newFixture(t, "ws", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+	c := f.connect()
+	resumeLoop := f.pauseLoop()
+	before := f.node.loop.Pending()
+	f.must(c.SendRaw(f.encodeSetUp(c, 1)))
+	f.waitQueued(before + 1)
 	text := c.Frame([]byte(`{"type":"progress","id":"` + id(2) + `","fields":{}}`))
 	var flood []byte
 	for len(flood) < 1<<20 {
 		flood = append(flood, text...)
 	}
-	w.must(c.SetWriteDeadline(time.Now().Add(time.Second)))
+	f.must(c.SetWriteDeadline(time.Now().Add(time.Second)))
 	_ = c.SendRaw(flood)
 	resumeLoop()
-	w.finalAnswers(c, 1)
+	f.finalAnswers(c, 1)
 }
 
 // TestASetUpCompletedAsItsTimeoutExpires guards against a set-up that is lost because its last part arrives at the moment of its timeout.
@@ -102,29 +102,29 @@
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
-			w := newFixture(t, transport, "tcp", callers.Bounds{Silent: timeout, Idle: longTimeout})
-			c := w.connect()
-			text := w.encodeSetUp(c, 1)
-			w.must(c.SendRaw(text[:len(text)/2]))
+			f := newFixture(t, transport, "tcp", callers.Bounds{Silent: timeout, Idle: longTimeout})
+			c := f.connect()
+			text := f.encodeSetUp(c, 1)
+			f.must(c.SendRaw(text[:len(text)/2]))
 			time.Sleep(timeout / 2) // until the first half has been read
-			resumeLoop := w.pauseLoop()
-			before := w.node.loop.Pending()
-			w.must(c.SendRaw(text[len(text)/2:]))
-			w.waitQueued(before + 1)
+			resumeLoop := f.pauseLoop()
+			before := f.node.loop.Pending()
+			f.must(c.SendRaw(text[len(text)/2:]))
+			f.waitQueued(before + 1)
 			time.Sleep(timeout) // until the timeout has expired
 			resumeLoop()
-			w.must(w.recordEvent(0).Answer("y"))
-			if m := w.nextMessage(c); m.Type != "answer" {
+			f.must(f.recordEvent(0).Answer("y"))
+			if m := f.nextMessage(c); m.Type != "answer" {
 				t.Errorf("%+v: want the answer", m)
 			}
 		})
 	}
 }
 
-func (w *fixture) nextMessage(c *peer.Caller) *jsonl.Message {
-	w.Helper()
+func (f *fixture) nextMessage(c *peer.Caller) *jsonl.Message {
+	f.Helper()
 	m, err := c.Next()
-	w.must(err)
+	f.must(err)
 	return m
 }
 
@@ -134,23 +134,23 @@
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
-			w := newFixture(t, transport, "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
-			other, ending := w.newCaller(), w.newCaller()
+			f := newFixture(t, transport, "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+			other, ending := f.newCaller(), f.newCaller()
 			for n, c := range []*peer.Caller{other, ending} {
-				w.must(c.SetUp(id(n+1), longTimeout, 0, "x"))
-				w.must(w.recordEvent(0).Answer("y"))
-				w.recordMessage(c)
+				f.must(c.SetUp(id(n+1), longTimeout, 0, "x"))
+				f.must(f.recordEvent(0).Answer("y"))
+				f.recordMessage(c)
 			}
-			resumeLoop := w.pauseLoop()
-			before := w.node.loop.Pending()
-			w.must(w.dispatchers[0].Release(id(2), call.CauseNormal))
-			w.waitQueued(before + 1)
-			w.node.loop.Post(func() { // in the same event loop iteration, after the end
+			resumeLoop := f.pauseLoop()
+			before := f.node.loop.Pending()
+			f.must(f.dispatchers[0].Release(id(2), call.CauseNormal))
+			f.waitQueued(before + 1)
+			f.node.loop.Post(func() { // in the same event loop iteration, after the end
 				_ = ending.Close()
 				time.Sleep(400 * time.Millisecond)
 			})
 			resumeLoop()
-			if m := w.nextMessage(other); m.Type != "release" || m.ID != id(2) {
+			if m := f.nextMessage(other); m.Type != "release" || m.ID != id(2) {
 				t.Errorf("%+v: want the end of the other call", m)
 			}
 		})
--- a/cmd/cherryrelay/crossings_test.go
+++ b/cmd/cherryrelay/crossings_test.go
@@ -65,10 +65,10 @@
 }
 
 // newConfiguredCaller returns a caller that uses the last class and the first tenant of the settings.
-func (w *fixture) newConfiguredCaller() *peer.Caller {
-	w.Helper()
-	c := w.newCaller()
-	s := w.node.config.Settings
+func (f *fixture) newConfiguredCaller() *peer.Caller {
+	f.Helper()
+	c := f.newCaller()
+	s := f.node.config.Settings
 	c.Class, c.Tenant = s.RequestClasses[len(s.RequestClasses)-1].Name, ""
 	if len(s.Tenants) > 0 {
 		c.Tenant = s.Tenants[0].Name
@@ -77,61 +77,61 @@
 }
 
 // updateStatus changes the status of a dispatcher in the node's list and waits until the change is applied.
-func (w *fixture) updateStatus(d int, status control.ServerStatus) {
-	w.Helper()
-	s := w.list.Servers[d]
+func (f *fixture) updateStatus(d int, status control.ServerStatus) {
+	f.Helper()
+	s := f.list.Servers[d]
 	s.Status = status
 	applied := make(chan struct{})
-	w.node.loop.Post(func() { w.node.core.Update(call.Update{Servers: []call.Server{s}}); close(applied) })
+	f.node.loop.Post(func() { f.node.core.Update(call.Update{Servers: []call.Server{s}}); close(applied) })
 	<-applied
 }
 
 // pauseLoop blocks the event loop and returns the function that unblocks it.
-func (w *fixture) pauseLoop() (free func()) {
+func (f *fixture) pauseLoop() (free func()) {
 	held, freed := make(chan struct{}), make(chan struct{})
-	w.node.loop.Post(func() { close(held); <-freed })
+	f.node.loop.Post(func() { close(held); <-freed })
 	<-held
 	return func() { close(freed) }
 }
 
 // waitQueued waits until the given number of events is queued for the loop.
-func (w *fixture) waitQueued(n int) {
-	w.Helper()
-	for until := time.Now().Add(peer.Patience); w.node.loop.Pending() < n; time.Sleep(time.Millisecond) {
+func (f *fixture) waitQueued(n int) {
+	f.Helper()
+	for until := time.Now().Add(peer.Patience); f.node.loop.Pending() < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			w.Fatalf("%d events are queued for the loop, want %d", w.node.loop.Pending(), n)
+			f.Fatalf("%d events are queued for the loop, want %d", f.node.loop.Pending(), n)
 		}
 	}
 }
 
 // exhaustLines makes all dispatchers report that no line is free, and waits until the node has read the reports: a later message on the
 // same connection has arrived.
-func (w *fixture) exhaustLines(c *peer.Caller, mark int) {
-	w.Helper()
-	w.must(c.SetUp(id(mark+0x10), 20*time.Second, 0, "established, so that its caller gets ends"))
-	w.must(w.recordEvent(0).Answer("y"))
-	w.recordMessage(c)
-	for i, d := range w.dispatchers {
-		w.waitConnections(i, 1)
-		w.must(d.Report("x0:0;x1:40"))
-		w.must(d.Release(id(mark+i), 16))
+func (f *fixture) exhaustLines(c *peer.Caller, mark int) {
+	f.Helper()
+	f.must(c.SetUp(id(mark+0x10), 20*time.Second, 0, "established, so that its caller gets ends"))
+	f.must(f.recordEvent(0).Answer("y"))
+	f.recordMessage(c)
+	for i, d := range f.dispatchers {
+		f.waitConnections(i, 1)
+		f.must(d.Report("x0:0;x1:40"))
+		f.must(d.Release(id(mark+i), 16))
 		if m, err := c.Next(); err != nil || m.ID != id(mark+i) {
-			w.Fatalf("%+v, %v: want the end of a call of the previous process", m, err)
+			f.Fatalf("%+v, %v: want the end of a call of the previous process", m, err)
 		}
 	}
-	w.must(c.Release(id(mark+0x10), 31))
-	w.recordEvent(0)
-	w.waitInFlight(0)
+	f.must(c.Release(id(mark+0x10), 31))
+	f.recordEvent(0)
+	f.waitInFlight(0)
 }
 
 // cancellations are the ways in which a caller cancels a set-up or disconnects.
-var cancellations = map[string]func(w *fixture, c *peer.Caller, n int) error{
+var cancellations = map[string]func(f *fixture, c *peer.Caller, n int) error{
 	"release":    func(_ *fixture, c *peer.Caller, n int) error { return c.Release(id(n), call.CauseNormal) },
 	"FIN":        func(_ *fixture, c *peer.Caller, _ int) error { return c.Close() },
 	"RST":        func(_ *fixture, c *peer.Caller, _ int) error { return c.Reset() },
 	"half-close": func(_ *fixture, c *peer.Caller, _ int) error { return c.CloseWrite() },
-	"close frame": func(w *fixture, c *peer.Caller, _ int) error {
-		if w.transport != "ws" {
+	"close frame": func(f *fixture, c *peer.Caller, _ int) error {
+		if f.transport != "ws" {
 			return c.Close()
 		}
 		return c.SendRaw(websocket.AppendClose(nil, 1001, "", true))
@@ -141,52 +141,52 @@
 // waitingStates are the states in which a set-up waits. hold puts the set-up n into the state; then makes the awaited event happen.
 var waitingStates = map[string]struct {
 	late bool
-	hold func(w *fixture, c *peer.Caller, n int) (then func())
+	hold func(f *fixture, c *peer.Caller, n int) (then func())
 }{
-	"credit": {false, func(w *fixture, c *peer.Caller, n int) func() {
-		other := w.newConfiguredCaller()
-		w.exhaustLines(other, 0x500)
-		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		w.waitInFlight(1)
+	"credit": {false, func(f *fixture, c *peer.Caller, n int) func() {
+		other := f.newConfiguredCaller()
+		f.exhaustLines(other, 0x500)
+		f.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
+		f.waitInFlight(1)
 		return func() {
-			for _, d := range w.dispatchers {
-				w.must(d.Report("x0:40;x1:40"))
+			for _, d := range f.dispatchers {
+				f.must(d.Report("x0:40;x1:40"))
 			}
 		}
 	}},
-	"guard": {false, func(w *fixture, c *peer.Caller, n int) func() {
-		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		w.must(w.recordEvent(0).Reset())
+	"guard": {false, func(f *fixture, c *peer.Caller, n int) func() {
+		f.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
+		f.must(f.recordEvent(0).Reset())
 		return func() {}
 	}},
-	"guard, draining": {false, func(w *fixture, c *peer.Caller, n int) func() {
-		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		e := w.recordEvent(0)
-		w.node.drain()
-		w.must(e.Reset())
+	"guard, draining": {false, func(f *fixture, c *peer.Caller, n int) func() {
+		f.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
+		e := f.recordEvent(0)
+		f.node.drain()
+		f.must(e.Reset())
 		return func() {}
 	}},
-	"a connection that opens late": {true, func(w *fixture, c *peer.Caller, n int) func() {
-		w.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		w.waitInFlight(1)
-		return w.dispatchers[0].Open
+	"a connection that opens late": {true, func(f *fixture, c *peer.Caller, n int) func() {
+		f.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
+		f.waitInFlight(1)
+		return f.dispatchers[0].Open
 	}},
 }
 
 // waitInFlight waits until the node has the given number of pending set-ups.
-func (w *fixture) waitInFlight(n int) {
-	w.Helper()
+func (f *fixture) waitInFlight(n int) {
+	f.Helper()
 	for until := time.Now().Add(peer.Patience); ; time.Sleep(time.Millisecond) {
 		text := make(chan string)
-		w.node.loop.Post(func() {
-			metrics, err := w.node.core.Telemetry()
+		f.node.loop.Post(func() {
+			metrics, err := f.node.core.Telemetry()
 			text <- metrics + fmt.Sprint(err)
 		})
 		if strings.Contains(<-text, fmt.Sprintf("\nedge_lb_in_flight %d\n", n)) {
 			return
 		}
 		if time.Now().After(until) {
-			w.Fatalf("there are never %d pending set-ups", n)
+			f.Fatalf("there are never %d pending set-ups", n)
 		}
 	}
 }
@@ -205,19 +205,19 @@
 					t.Run(strings.Join([]string{name, customer, kind, transport}, ", "), func(t *testing.T) {
 						t.Parallel()
 						s := *customers[customer]
-						w := newFixtureWithSettings(t, transport, "tcp", wait.late, &s)
-						c := w.newConfiguredCaller()
+						f := newFixtureWithSettings(t, transport, "tcp", wait.late, &s)
+						c := f.newConfiguredCaller()
 						meter := startMeter()
-						proceed := wait.hold(w, c, 1)
+						proceed := wait.hold(f, c, 1)
 						cancelledAt := time.Now()
-						w.must(cancel(w, c, 1))
+						f.must(cancel(f, c, 1))
 						proceed()
-						w.waitInFlight(0)
+						f.waitInFlight(0)
 						if wait.late {
-							w.waitConnections(0, 1) // a second later
+							f.waitConnections(0, 1) // a second later
 						}
 						time.Sleep(time.Duration(s.FamilyInfo.GuardUs)*time.Microsecond + 100*time.Millisecond) // longer than any wait of the set-up
-						for last, d := range w.dispatchers {
+						for last, d := range f.dispatchers {
 							for len(d.Events) > 0 {
 								e := <-d.Events
 								if e.Kind == "setup" && e.ID == id(1) && e.At.Sub(cancelledAt)-meter.delayBetween(cancelledAt, e.At) > maxSendDelay {
@@ -239,25 +239,25 @@
 		for _, transport := range []string{"tcp", "ws"} {
 			t.Run(name+", "+transport, func(t *testing.T) {
 				t.Parallel()
-				w := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
-				c := w.newCaller()
-				w.waitConnections(0, 1)
+				f := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
+				c := f.newCaller()
+				f.waitConnections(0, 1)
 				text, err := jsonl.Append(nil, c.Asks(id(1), longTimeout, 0, "x"))
-				w.must(err)
+				f.must(err)
 				bytes := c.Frame(text)
 				for range more {
 					bytes = append(bytes, c.Frame([]byte(`{"type":"progress","id":"`+id(2)+`","fields":{}}`))...)
 				}
-				resumeLoop := w.pauseLoop()
-				w.must(c.SendRaw(bytes))
-				w.must(c.Close())
-				w.waitQueued(1)
+				resumeLoop := f.pauseLoop()
+				f.must(c.SendRaw(bytes))
+				f.must(c.Close())
+				f.waitQueued(1)
 				time.Sleep(50 * time.Millisecond) // until the close has arrived, too; if it arrives later, the node sees it before it sends the set-up
 				resumeLoop()
-				w.waitInFlight(0)
-				other := w.newCaller()
-				w.must(other.SetUp(id(3), longTimeout, 0, "y"))
-				if e := w.recordEvent(0); e.ID != id(3) {
+				f.waitInFlight(0)
+				other := f.newCaller()
+				f.must(other.SetUp(id(3), longTimeout, 0, "y"))
+				if e := f.recordEvent(0); e.ID != id(3) {
 					t.Errorf("a %s for %s was sent after its caller had cancelled", e.Kind, e.ID)
 				}
 			})
@@ -273,27 +273,27 @@
 			t.Run(fmt.Sprint(customer, ", ", status), func(t *testing.T) {
 				t.Parallel()
 				s := *s
-				w := newFixtureWithSettings(t, "tcp", "tcp", true, &s)
-				c := w.newConfiguredCaller()
-				w.must(c.SetUp(id(1), 20*time.Second, 0, "x"))
-				w.waitInFlight(1)
-				w.updateStatus(0, status)
-				w.dispatchers[0].Open()
-				w.must(w.recordEvent(1).Answer("y"))
-				w.recordMessage(c)
+				f := newFixtureWithSettings(t, "tcp", "tcp", true, &s)
+				c := f.newConfiguredCaller()
+				f.must(c.SetUp(id(1), 20*time.Second, 0, "x"))
+				f.waitInFlight(1)
+				f.updateStatus(0, status)
+				f.dispatchers[0].Open()
+				f.must(f.recordEvent(1).Answer("y"))
+				f.recordMessage(c)
 				if status == control.Draining {
-					w.waitConnections(0, 1)
+					f.waitConnections(0, 1)
 				} else {
 					time.Sleep(1200 * time.Millisecond) // when the connection would have opened
 				}
-				w.must(c.SetUp(id(2), 20*time.Second, 0, "x"))
-				w.must(w.recordEvent(1).Answer("y"))
-				w.recordMessage(c)
-				if len(w.dispatchers[0].Events) > 0 {
-					t.Errorf("a dispatcher that is leaving was sent %+v", <-w.dispatchers[0].Events)
+				f.must(c.SetUp(id(2), 20*time.Second, 0, "x"))
+				f.must(f.recordEvent(1).Answer("y"))
+				f.recordMessage(c)
+				if len(f.dispatchers[0].Events) > 0 {
+					t.Errorf("a dispatcher that is leaving was sent %+v", <-f.dispatchers[0].Events)
 				}
 				want := []string{"d1: setup 1 x", "caller: answer 1 y", "d1: setup 2 x", "caller: answer 2 y"}
-				if diff := cmp.Diff(want, w.observed); diff != "" {
+				if diff := cmp.Diff(want, f.observed); diff != "" {
 					t.Errorf("messages of the peers (-want +got):\n%s", diff)
 				}
 			})
@@ -317,32 +317,32 @@
 		for _, transport := range []string{"tcp", "ws"} {
 			t.Run(name+", "+transport, func(t *testing.T) {
 				t.Parallel()
-				w := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
-				w.waitConnections(0, 1)
-				c := w.newCaller()
-				w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-				e := w.recordEvent(0)
-				w.waitConnections(0, 2) // a connection without any message makes the pool open another
-				w.must(e.Answer("y"))
-				w.recordMessage(c)
-				d := w.dispatchers[0]
+				f := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
+				f.waitConnections(0, 1)
+				c := f.newCaller()
+				f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+				e := f.recordEvent(0)
+				f.waitConnections(0, 2) // a connection without any message makes the pool open another
+				f.must(e.Answer("y"))
+				f.recordMessage(c)
+				d := f.dispatchers[0]
 				d.TellLinks()
-				w.must(breakConnection(e))
+				f.must(breakConnection(e))
 				brokenAt := time.Now()
 				for {
 					o, err := d.Next()
-					w.must(err)
+					f.must(err)
 					if o.Kind == "opened" {
-						w.must(o.ReleaseHere(id(1), call.CauseNormal))
+						f.must(o.ReleaseHere(id(1), call.CauseNormal))
 						break
 					}
 				}
-				w.recordMessage(c)
+				f.recordMessage(c)
 				if took := time.Since(brokenAt); took > time.Second {
 					t.Errorf("delivered after %v", took)
 				}
 				want := []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 16"}
-				if diff := cmp.Diff(want, w.observed); diff != "" {
+				if diff := cmp.Diff(want, f.observed); diff != "" {
 					t.Errorf("messages of the peers (-want +got):\n%s", diff)
 				}
 			})
@@ -360,18 +360,18 @@
 		for _, transport := range []string{"tcp", "ws"} {
 			t.Run(kind+", "+transport, func(t *testing.T) {
 				t.Parallel()
-				w := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
-				c := w.newCaller()
-				w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-				e := w.recordEvent(0)
-				resumeLoop := w.pauseLoop()
-				before := w.node.loop.Pending()
-				w.must(e.Answer("y"))
-				w.waitQueued(before + 1) // the answer comes first
-				w.must(cancel(w, c, 1))
-				w.waitQueued(before + 2)
+				f := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
+				c := f.newCaller()
+				f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+				e := f.recordEvent(0)
+				resumeLoop := f.pauseLoop()
+				before := f.node.loop.Pending()
+				f.must(e.Answer("y"))
+				f.waitQueued(before + 1) // the answer comes first
+				f.must(cancel(f, c, 1))
+				f.waitQueued(before + 2)
 				resumeLoop()
-				if o := w.recordEvent(0); o.Kind != "release" || o.ID != id(1) {
+				if o := f.recordEvent(0); o.Kind != "release" || o.ID != id(1) {
 					t.Errorf("got %+v, want the release of a call without a caller", o)
 				}
 			})
@@ -392,48 +392,48 @@
 				t.Run(from+" for "+to+", "+transport, func(t *testing.T) {
 					t.Parallel()
 					before, after := *customers[from], *customers[to]
-					w := newFixtureWithSettings(t, transport, "tcp", false, &before)
-					c := w.newConfiguredCaller()
-					w.must(c.SetUp(id(1), 20*time.Second, 0, "established"))
-					established := w.recordEvent(0)
-					w.must(established.Answer("y"))
-					w.recordMessage(c)
-					w.must(c.SetUp(id(2), 20*time.Second, 1, "in the guard"))
-					broken := w.recordEvent(1)
-					w.must(broken.Refuse(peer.Broken))
-					w.waitAck(1) // processed: the guard of the old settings applies
-					w.must(c.SetUp(id(3), 20*time.Second, 1, "in progress"))
-					attempt := w.recordEvent(1)
+					f := newFixtureWithSettings(t, transport, "tcp", false, &before)
+					c := f.newConfiguredCaller()
+					f.must(c.SetUp(id(1), 20*time.Second, 0, "established"))
+					established := f.recordEvent(0)
+					f.must(established.Answer("y"))
+					f.recordMessage(c)
+					f.must(c.SetUp(id(2), 20*time.Second, 1, "in the guard"))
+					broken := f.recordEvent(1)
+					f.must(broken.Refuse(peer.Broken))
+					f.waitAck(1) // processed: the guard of the old settings applies
+					f.must(c.SetUp(id(3), 20*time.Second, 1, "in progress"))
+					attempt := f.recordEvent(1)
 					old := c.Class
-					config := *w.node.config
+					config := *f.node.config
 					config.Settings = &after
-					w.node.reload(&config, nil)
-					repeated := w.nextSetUp() // after the guard, under the class of its set-up
+					f.node.reload(&config, nil)
+					repeated := f.nextSetUp() // after the guard, under the class of its set-up
 					if repeated.ID != id(2) || repeated.Class != old || repeated.At.Sub(broken.At) < time.Duration(before.FamilyInfo.GuardUs)*time.Microsecond {
 						t.Errorf("%s of class %s after %v: want the call in the guard, of class %s", repeated.ID, repeated.Class, repeated.At.Sub(broken.At), old)
 					}
-					w.must(attempt.Answer("z")) // before the later one: a connection that is overtaken for long is abandoned
-					w.recordMessage(c)
-					w.must(repeated.Answer("z"))
-					w.recordMessage(c)
-					w.must(established.ReleaseHere(id(1), call.CauseNormal))
-					w.recordMessage(c)
-					w.must(c.SetUp(id(4), 20*time.Second, 0, "of a removed class"))
-					w.recordMessage(c)
-					next := w.newConfiguredCaller()
+					f.must(attempt.Answer("z")) // before the later one: a connection that is overtaken for long is abandoned
+					f.recordMessage(c)
+					f.must(repeated.Answer("z"))
+					f.recordMessage(c)
+					f.must(established.ReleaseHere(id(1), call.CauseNormal))
+					f.recordMessage(c)
+					f.must(c.SetUp(id(4), 20*time.Second, 0, "of a removed class"))
+					f.recordMessage(c)
+					next := f.newConfiguredCaller()
 					if next.Class == old {
 						t.Fatalf("%s names %q as well: the settings do not differ", to, old)
 					}
-					w.must(next.SetUp(id(5), 20*time.Second, 0, "new"))
-					e := w.nextSetUp()
-					w.must(e.Answer("z"))
-					w.recordMessage(next)
+					f.must(next.SetUp(id(5), 20*time.Second, 0, "new"))
+					e := f.nextSetUp()
+					f.must(e.Answer("z"))
+					f.recordMessage(next)
 					if e.Class != next.Class {
 						t.Errorf("sent as %q, want %q", e.Class, next.Class)
 					}
 					want := []string{"d0: setup 1 established", "caller: answer 1 y", "d1: setup 2 in the guard", "d1: setup 3 in progress",
 						"caller: answer 3 z", "caller: answer 2 z", "caller: release 1 16", "caller: release 4 100", "caller: answer 5 z"}
-					if diff := cmp.Diff(want, w.observed); diff != "" {
+					if diff := cmp.Diff(want, f.observed); diff != "" {
 						t.Errorf("messages of the peers (-want +got):\n%s", diff)
 					}
 				})
@@ -443,7 +443,7 @@
 }
 
 // nextSetUp waits for a set-up at either dispatcher.
-func (w *fixture) nextSetUp() peer.Event { w.Helper(); return nextSetUp(w.T, w.dispatchers) }
+func (f *fixture) nextSetUp() peer.Event { f.Helper(); return nextSetUp(f.T, f.dispatchers) }
 
 // TestASetUpThatArrivesInHalvesAtTheEndOfADrain: a draining controller has received half of a set-up when it could exit. It waits for the
 // rest and answers it.
@@ -451,27 +451,27 @@
 	t.Parallel()
 	for _, transport := range []string{"tcp", "ws"} {
 		for inOrder := false; !inOrder; { // repeat if the machine is too slow to keep the order
-			w := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
-			c := w.newCaller()
+			f := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
+			c := f.newCaller()
 			text, err := jsonl.Append(nil, c.Asks(id(1), 20*time.Second, 0, "x"))
-			w.must(err)
+			f.must(err)
 			whole := c.Frame(text)
 			drained := time.Now()
-			w.node.drain()
+			f.node.drain()
 			time.Sleep(600 * time.Millisecond)
 			half := time.Now()
-			w.must(c.SendRaw(whole[:len(whole)/2]))
+			f.must(c.SendRaw(whole[:len(whole)/2]))
 			begun := time.Since(drained) < 680*time.Millisecond
 			time.Sleep(300 * time.Millisecond) // beyond the time after which it would exit
 			err = c.SendRaw(whole[len(whole)/2:])
 			if inOrder = begun && time.Since(half) < 450*time.Millisecond; !inOrder {
 				continue
 			}
-			w.must(err)
+			f.must(err)
 			if m, err := c.Next(); err != nil || m.ID != id(1) || m.Type != "release" || m.Fields["wait"] == "" {
 				t.Errorf("%s: %+v, %v: want a refusal with a retry time", transport, m, err)
 			}
-			w.must(<-w.done)
+			f.must(<-f.done)
 		}
 	}
 }
@@ -482,19 +482,19 @@
 	t.Parallel()
 	s := testSettings(t)
 	s.Caps.ConnectTimeoutUs = 300_000
-	w := newFixtureWithSettings(t, "tcp", "tcp", true, s)
-	c := w.newCaller()
-	w.must(c.SetUp(id(1), 20*time.Second, 0, "x"))
-	e := w.recordEvent(1)
-	w.dispatchers[0].Open()
-	w.must(e.Answer("y"))
-	w.recordMessage(c)
-	w.waitConnections(0, 1)
-	w.must(c.SetUp(id(2), 20*time.Second, 1, "x"))
-	w.must(w.recordEvent(1).Answer("y"))
-	w.recordMessage(c)
-	if len(w.dispatchers[0].Events) > 0 {
-		t.Errorf("sent on the connection that timed out: %+v", <-w.dispatchers[0].Events)
+	f := newFixtureWithSettings(t, "tcp", "tcp", true, s)
+	c := f.newCaller()
+	f.must(c.SetUp(id(1), 20*time.Second, 0, "x"))
+	e := f.recordEvent(1)
+	f.dispatchers[0].Open()
+	f.must(e.Answer("y"))
+	f.recordMessage(c)
+	f.waitConnections(0, 1)
+	f.must(c.SetUp(id(2), 20*time.Second, 1, "x"))
+	f.must(f.recordEvent(1).Answer("y"))
+	f.recordMessage(c)
+	if len(f.dispatchers[0].Events) > 0 {
+		t.Errorf("sent on the connection that timed out: %+v", <-f.dispatchers[0].Events)
 	}
 }
 
@@ -543,23 +543,23 @@
 			t.Parallel()
 			s := testSettings(t)
 			s.Caps.ConnectTimeoutUs = 5_000_000
-			w := newFixtureWithSettings(t, "tcp", "tcp", true, s)
-			c := w.newCaller()
-			w.must(c.SetUp(id(1), 20*time.Second, 0, "x"))
-			w.waitInFlight(1)
-			resumeLoop := w.pauseLoop()
-			before := w.node.loop.Pending()
-			w.dispatchers[0].Open()
-			w.waitQueued(before + 2) // a second later: the connection and the first message of its dispatcher
-			w.waitConnections(0, 1)
-			now := w.node.loop.Pending()
-			w.must(cancel(w, c, 1))
-			w.waitQueued(now + 1)
+			f := newFixtureWithSettings(t, "tcp", "tcp", true, s)
+			c := f.newCaller()
+			f.must(c.SetUp(id(1), 20*time.Second, 0, "x"))
+			f.waitInFlight(1)
+			resumeLoop := f.pauseLoop()
+			before := f.node.loop.Pending()
+			f.dispatchers[0].Open()
+			f.waitQueued(before + 2) // a second later: the connection and the first message of its dispatcher
+			f.waitConnections(0, 1)
+			now := f.node.loop.Pending()
+			f.must(cancel(f, c, 1))
+			f.waitQueued(now + 1)
 			resumeLoop()
-			w.waitInFlight(0)
-			other := w.newCaller()
-			w.must(other.SetUp(id(2), longTimeout, 0, "y"))
-			if e := w.recordEvent(0); e.ID != id(2) {
+			f.waitInFlight(0)
+			other := f.newCaller()
+			f.must(other.SetUp(id(2), longTimeout, 0, "y"))
+			if e := f.recordEvent(0); e.ID != id(2) {
 				t.Errorf("a %s for %s was sent after its caller had cancelled", e.Kind, e.ID)
 			}
 		})
@@ -572,20 +572,20 @@
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
-			w := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
-			w.waitConnections(0, 1)
-			tester := w.connect()
-			w.must(w.dispatchers[0].Release(id(0x77), 41))
-			w.recordMessage(tester) // it has sent nothing, and no other caller is connected
-			w.must(tester.Send(jsonl.Message{Type: "ping", ID: id(0)}))
-			w.recordMessage(tester)
-			c := w.newCaller()
-			w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-			w.recordMessage(c)
-			w.must(w.recordEvent(0).Answer("y"))
-			w.recordMessage(c)
+			f := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
+			f.waitConnections(0, 1)
+			tester := f.connect()
+			f.must(f.dispatchers[0].Release(id(0x77), 41))
+			f.recordMessage(tester) // it has sent nothing, and no other caller is connected
+			f.must(tester.Send(jsonl.Message{Type: "ping", ID: id(0)}))
+			f.recordMessage(tester)
+			c := f.newCaller()
+			f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+			f.recordMessage(c)
+			f.must(f.recordEvent(0).Answer("y"))
+			f.recordMessage(c)
 			want := []string{"caller: release 77 41", "caller: pong  1", "caller: release 77 41", "d0: setup 1 x", "caller: answer 1 y"}
-			if diff := cmp.Diff(want, w.observed); diff != "" {
+			if diff := cmp.Diff(want, f.observed); diff != "" {
 				t.Errorf("messages of the peers (-want +got):\n%s", diff)
 			}
 		})
--- a/cmd/cherryrelay/end_steps_test.go
+++ b/cmd/cherryrelay/end_steps_test.go
@@ -42,25 +42,25 @@
 			t.Parallel()
 			log := new(logBuffer)
 			handler := logs.Bound(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug}), endlog.Messages()...)
-			w := newLoggedFixtureOver(t, mix, slog.New(handler))
-			caller := w.newCaller()
-			w.must(caller.SetUp(id(1), longTimeout, 0, "x"))
-			attempt := w.recordEvent(0)
-			w.must(attempt.Answer("y"))
-			w.recordMessage(caller)
-			w.must(caller.Close())
-			w.waitLogged(log, 1, endlog.CallersMessage, endlog.StepKey, string(endlog.CallersEnded))
-			w.must(attempt.ReleaseHere(id(1), call.CauseNormal))
-			w.waitLogged(log, 1, endlog.CallMessage, endlog.StepKey, string(endlog.EndWaits))
-			silent := w.connect() // it sends nothing, so that the end may be unread
-			w.recordMessage(silent)
-			w.waitLogged(log, 1, endlog.CallMessage, endlog.StepKey, string(endlog.EndWithKernel))
-			w.must(silent.Close())
-			w.waitLogged(log, 2, endlog.CallMessage, endlog.StepKey, string(endlog.EndWaits))
-			other := w.newCaller()
-			w.must(other.SetUp(id(2), longTimeout, 1, "x"))
-			w.recordMessage(other)
-			w.waitLogged(log, 2, endlog.CallMessage, endlog.StepKey, string(endlog.EndWithKernel))
+			f := newLoggedFixtureOver(t, mix, slog.New(handler))
+			caller := f.newCaller()
+			f.must(caller.SetUp(id(1), longTimeout, 0, "x"))
+			attempt := f.recordEvent(0)
+			f.must(attempt.Answer("y"))
+			f.recordMessage(caller)
+			f.must(caller.Close())
+			f.waitLogged(log, 1, endlog.CallersMessage, endlog.StepKey, string(endlog.CallersEnded))
+			f.must(attempt.ReleaseHere(id(1), call.CauseNormal))
+			f.waitLogged(log, 1, endlog.CallMessage, endlog.StepKey, string(endlog.EndWaits))
+			silent := f.connect() // it sends nothing, so that the end may be unread
+			f.recordMessage(silent)
+			f.waitLogged(log, 1, endlog.CallMessage, endlog.StepKey, string(endlog.EndWithKernel))
+			f.must(silent.Close())
+			f.waitLogged(log, 2, endlog.CallMessage, endlog.StepKey, string(endlog.EndWaits))
+			other := f.newCaller()
+			f.must(other.SetUp(id(2), longTimeout, 1, "x"))
+			f.recordMessage(other)
+			f.waitLogged(log, 2, endlog.CallMessage, endlog.StepKey, string(endlog.EndWithKernel))
 
 			var got []endlog.Step
 			connections := map[endlog.Step][]string{}
@@ -83,12 +83,12 @@
 			if len(queued) != 2 || queued[0] == queued[1] || !slices.Equal(queued[:1], connections[endlog.EndUnread]) {
 				t.Errorf("queued on connections %v, unread on %v", queued, connections[endlog.EndUnread])
 			}
-			read := w.firstStep(log, endlog.ReleaseRead)
+			read := f.firstStep(log, endlog.ReleaseRead)
 			opened := log.endSteps(endlog.DispatcherMessage, endlog.StepKey, string(endlog.LinkOpened))
 			if !containsConnection(opened, read) || read[endlog.StateKey] != "open" {
 				t.Errorf("the release was read as %v; the connections opened are %v", read, opened)
 			}
-			if r := w.firstStep(log, endlog.EndReceived); r[endlog.ResultKey] != "ended" {
+			if r := f.firstStep(log, endlog.EndReceived); r[endlog.ResultKey] != "ended" {
 				t.Errorf("the end was received as %v", r)
 			}
 		})
@@ -120,21 +120,21 @@
 }
 
 // firstStep returns the first logged step of that name.
-func (w *fixture) firstStep(log *logBuffer, step endlog.Step) map[string]string {
-	w.Helper()
+func (f *fixture) firstStep(log *logBuffer, step endlog.Step) map[string]string {
+	f.Helper()
 	steps := log.endSteps(endlog.CallMessage, endlog.StepKey, string(step))
 	if len(steps) == 0 {
-		w.Fatalf("%q is never logged", step)
+		f.Fatalf("%q is never logged", step)
 	}
 	return steps[0]
 }
 
 // waitLogged waits until the given number of steps is logged.
-func (w *fixture) waitLogged(log *logBuffer, number int, message, key, value string) {
-	w.Helper()
+func (f *fixture) waitLogged(log *logBuffer, number int, message, key, value string) {
+	f.Helper()
 	for until := time.Now().Add(peer.Patience); len(log.endSteps(message, key, value)) < number; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			w.Fatalf("%q is never logged %d times:\n%s", value, number, log)
+			f.Fatalf("%q is never logged %d times:\n%s", value, number, log)
 		}
 	}
 }
--- a/cmd/cherryrelay/endings_test.go
+++ b/cmd/cherryrelay/endings_test.go
@@ -33,17 +33,17 @@
 		for name, cancelled := range map[string]bool{"no cancelled set-up": false, "with a cancelled set-up": true} {
 			t.Run(name+", "+mix[0]+" to "+mix[1], func(t *testing.T) {
 				t.Parallel()
-				w := newFixtureWithSettings(t, mix[0], mix[1], false, testSettings(t))
-				w.waitConnections(0, 1)
-				c := w.newCaller()
-				w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-				live := w.recordEvent(0)
-				w.waitConnections(0, 2) // a connection without any message makes the pool open another
-				w.must(w.dispatchers[0].Release(id(0x66), call.CauseNormal))
-				w.recordMessage(c) // on the second connection: the node has opened it
+				f := newFixtureWithSettings(t, mix[0], mix[1], false, testSettings(t))
+				f.waitConnections(0, 1)
+				c := f.newCaller()
+				f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+				live := f.recordEvent(0)
+				f.waitConnections(0, 2) // a connection without any message makes the pool open another
+				f.must(f.dispatchers[0].Release(id(0x66), call.CauseNormal))
+				f.recordMessage(c) // on the second connection: the node has opened it
 				place := func(n int) peer.Event {
-					w.must(c.SetUp(id(n), longTimeout, 0, "x"))
-					e := w.recordEvent(0)
+					f.must(c.SetUp(id(n), longTimeout, 0, "x"))
+					e := f.recordEvent(0)
 					if e.Beside(live) {
 						t.Fatalf("the set-up %d was sent on the connection of the first, which is pending", n)
 					}
@@ -52,21 +52,21 @@
 				var unresponsive peer.Event
 				for n := 2; n <= 3; n++ {
 					unresponsive = place(n)
-					w.must(unresponsive.Answer("y"))
-					w.recordMessage(c)
+					f.must(unresponsive.Answer("y"))
+					f.recordMessage(c)
 				}
 				if cancelled {
 					place(4)
-					w.must(unresponsive.ReleaseHere(id(0x77), call.CauseNormal))
-					w.recordMessage(c) // so that a message has arrived since the set-up was sent
+					f.must(unresponsive.ReleaseHere(id(0x77), call.CauseNormal))
+					f.recordMessage(c) // so that a message has arrived since the set-up was sent
 				}
 				unresponsive.Deafen()
 				if cancelled {
-					w.must(c.Release(id(4), call.CauseNormal))
+					f.must(c.Release(id(4), call.CauseNormal))
 				}
-				w.must(live.Answer("y"))
-				w.recordMessage(c)
-				d := w.dispatchers[0]
+				f.must(live.Answer("y"))
+				f.recordMessage(c)
+				d := f.dispatchers[0]
 				d.TellLinks()
 				others := 0
 				for n := 2; n <= 3; n++ {
@@ -75,18 +75,18 @@
 						select {
 						case e := <-d.Events:
 							if e.Kind == "opened" {
-								w.must(e.ReleaseHere(id(n), call.CauseNormal))
+								f.must(e.ReleaseHere(id(n), call.CauseNormal))
 							}
 						default: // other calls keep the connections busy
 							others++
-							w.must(live.ReleaseHere(id(0x1000+others), call.CauseNormal))
+							f.must(live.ReleaseHere(id(0x1000+others), call.CauseNormal))
 						}
 						for received := false; !received && !delivered; {
 							m, err := c.NextWithin(100 * time.Millisecond)
 							if errors.Is(err, os.ErrDeadlineExceeded) {
 								break
 							}
-							w.must(err)
+							f.must(err)
 							delivered, received = m.ID == id(n), m.ID == id(0x1000+others)
 						}
 						if time.Since(ended) > peer.Patience {
@@ -113,33 +113,33 @@
 			for _, endFirst := range []bool{true, false} {
 				t.Run(fmt.Sprint(kind, ", ", transport, ", the end first: ", endFirst), func(t *testing.T) {
 					t.Parallel()
-					w := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
-					c := w.newCaller()
-					w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-					e := w.recordEvent(0)
-					w.must(e.Answer("y"))
-					w.recordMessage(c)
-					w.waitAck(0)
-					resumeLoop := w.pauseLoop()
-					before := w.node.loop.Pending()
+					f := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
+					c := f.newCaller()
+					f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+					e := f.recordEvent(0)
+					f.must(e.Answer("y"))
+					f.recordMessage(c)
+					f.waitAck(0)
+					resumeLoop := f.pauseLoop()
+					before := f.node.loop.Pending()
 					actions := []func() error{
-						func() error { return e.ReleaseHere(id(1), call.CauseNormal) }, func() error { return cancel(w, c, 1) },
+						func() error { return e.ReleaseHere(id(1), call.CauseNormal) }, func() error { return cancel(f, c, 1) },
 					}
 					if !endFirst {
 						actions[0], actions[1] = actions[1], actions[0]
 					}
 					for i, action := range actions {
-						w.must(action())
-						w.waitQueued(before + i + 1)
+						f.must(action())
+						f.waitQueued(before + i + 1)
 					}
 					resumeLoop()
-					other := w.newCaller()
-					w.must(other.SetUp(id(2), longTimeout, 0, "x"))
-					w.recordMessage(other)
-					w.must(w.recordEvent(0).Answer("y"))
-					w.recordMessage(other)
+					other := f.newCaller()
+					f.must(other.SetUp(id(2), longTimeout, 0, "x"))
+					f.recordMessage(other)
+					f.must(f.recordEvent(0).Answer("y"))
+					f.recordMessage(other)
 					want := []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 16", "d0: setup 2 x", "caller: answer 2 y"}
-					if diff := cmp.Diff(want, w.observed); diff != "" {
+					if diff := cmp.Diff(want, f.observed); diff != "" {
 						t.Errorf("messages of the peers (-want +got):\n%s", diff)
 					}
 				})
@@ -150,26 +150,26 @@
 
 // blockSocket fills the socket of a caller: the caller sends many pings and reads no answer until the node can write no more. It returns
 // the number of unread answers.
-func (w *fixture) blockSocket(c *peer.Caller) (pings int) {
-	w.Helper()
+func (f *fixture) blockSocket(c *peer.Caller) (pings int) {
+	f.Helper()
 	for {
-		w.must(c.Send(jsonl.Message{Type: "ping", ID: strings.Repeat("0", 12<<10)})) // its answer repeats the ID
+		f.must(c.Send(jsonl.Message{Type: "ping", ID: strings.Repeat("0", 12<<10)})) // its answer repeats the ID
 		pings++
-		for since := time.Now(); !w.frontsIdle(); time.Sleep(time.Millisecond) {
+		for since := time.Now(); !f.frontsIdle(); time.Sleep(time.Millisecond) {
 			if time.Since(since) > 300*time.Millisecond { // far longer than reading one takes
 				return pings
 			}
 		}
 		if pings > 10_000 {
-			w.Fatal("the socket never blocks")
+			f.Fatal("the socket never blocks")
 		}
 	}
 }
 
 // frontsIdle reports whether the fronts have no unread input and no buffered output.
-func (w *fixture) frontsIdle() bool {
+func (f *fixture) frontsIdle() bool {
 	idle := make(chan bool)
-	w.node.loop.Post(func() { idle <- w.node.lines.Idle() && w.node.api.Idle() })
+	f.node.loop.Post(func() { idle <- f.node.lines.Idle() && f.node.api.Idle() })
 	return <-idle
 }
 
@@ -178,17 +178,17 @@
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
-			w := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
-			c := w.newCaller()
-			w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-			e := w.recordEvent(0)
-			pings := w.blockSocket(c)
-			w.must(e.Refuse(peer.Busy))
-			w.waitAck(0)
-			w.node.drain()
+			f := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
+			c := f.newCaller()
+			f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+			e := f.recordEvent(0)
+			pings := f.blockSocket(c)
+			f.must(e.Refuse(peer.Busy))
+			f.waitAck(0)
+			f.node.drain()
 			time.Sleep(900 * time.Millisecond) // beyond the time after which it would exit
 			select {
-			case <-w.done:
+			case <-f.done:
 				t.Error("it exited with an undelivered answer")
 			default:
 			}
@@ -204,7 +204,7 @@
 					break
 				}
 			}
-			w.must(<-w.done)
+			f.must(<-f.done)
 		})
 	}
 }
@@ -215,22 +215,22 @@
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
-			w := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
-			c, other := w.newCaller(), w.newCaller()
-			w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-			w.recordEvent(0)
-			w.must(other.SetUp(id(2), longTimeout, 1, "x"))
-			e := w.recordEvent(1)
-			w.blockSocket(c)
+			f := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
+			c, other := f.newCaller(), f.newCaller()
+			f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+			f.recordEvent(0)
+			f.must(other.SetUp(id(2), longTimeout, 1, "x"))
+			e := f.recordEvent(1)
+			f.blockSocket(c)
 			go func() { // until its connection is closed
 				for c.Send(jsonl.Message{Type: "ping", ID: strings.Repeat("0", 12<<10)}) == nil {
 				}
 			}()
-			w.recordEvent(0)
-			w.must(e.Answer("y"))
-			w.recordMessage(other)
+			f.recordEvent(0)
+			f.must(e.Answer("y"))
+			f.recordMessage(other)
 			want := []string{"d0: setup 1 x", "d1: setup 2 x", "d0: release 1 16", "caller: answer 2 y"}
-			if diff := cmp.Diff(want, w.observed); diff != "" {
+			if diff := cmp.Diff(want, f.observed); diff != "" {
 				t.Errorf("messages of the peers (-want +got):\n%s", diff)
 			}
 		})
@@ -353,33 +353,33 @@
 // time, and one without only when the lookup has finished.
 func TestALookupIsAnsweredInTime(t *testing.T) {
 	t.Parallel()
-	w := newFixtureWithSettings(t, "ws", "tcp", false, testSettings(t))
+	f := newFixtureWithSettings(t, "ws", "tcp", false, testSettings(t))
 	set := make(chan struct{})
-	w.node.loop.Post(func() {
-		w.node.core.UseFinder(pendingFinder{}, func() bool { return true }, func(err error) { t.Error(err) })
+	f.node.loop.Post(func() {
+		f.node.core.UseFinder(pendingFinder{}, func() bool { return true }, func(err error) { t.Error(err) })
 		close(set)
 	})
 	<-set
-	c := w.newCaller()
+	c := f.newCaller()
 	begun := time.Now()
 	for n, left := range []string{"1200", "600", "900", ""} {
 		fields := map[string]jsonl.Value{"token": "a token of some caller"}
 		if left != "" {
 			fields["left"] = jsonl.Value(left)
 		}
-		w.must(c.Send(jsonl.Message{Type: "resume", ID: id(n), Fields: fields}))
+		f.must(c.Send(jsonl.Message{Type: "resume", ID: id(n), Fields: fields}))
 	}
 	for _, want := range []struct {
 		id int
 		by time.Duration
 	}{{1, 600 * time.Millisecond}, {2, 900 * time.Millisecond}, {0, 1200 * time.Millisecond}} {
 		m, err := c.Next()
-		w.must(err)
+		f.must(err)
 		if took := time.Since(begun); m.ID != id(want.id) || m.Type != "release" || m.Fields["error"] != "unknown" || took < want.by-100*time.Millisecond {
 			t.Errorf("%+v after %v: want the final answer to %d by %v", m, took, want.id, want.by)
 		}
 	}
-	w.node.loop.Post(func() { w.node.core.CallNotFound(id(3), false) })
+	f.node.loop.Post(func() { f.node.core.CallNotFound(id(3), false) })
 	if m, err := c.Next(); err != nil || m.ID != id(3) || m.Fields["error"] != "unknown" {
 		t.Errorf("%+v, %v: want the answer to the last request", m, err)
 	}
--- a/cmd/cherryrelay/idle_faults_test.go
+++ b/cmd/cherryrelay/idle_faults_test.go
@@ -25,17 +25,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
-			c := w.newCaller()
-			w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-			first := w.recordEvent(0)
-			w.must(first.Answer("y"))
-			w.recordMessage(c)
-			w.must(c.Release(id(1), 16))
+			f := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+			c := f.newCaller()
+			f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+			first := f.recordEvent(0)
+			f.must(first.Answer("y"))
+			f.recordMessage(c)
+			f.must(c.Release(id(1), 16))
 			time.Sleep(idleTime)
 			done := make(chan struct{})
 			defer close(done)
-			for _, d := range w.dispatchers {
+			for _, d := range f.dispatchers {
 				go func() {
 					for {
 						select {
@@ -49,9 +49,9 @@
 					}
 				}()
 			}
-			fault(w.dispatchers[0], first)
+			fault(f.dispatchers[0], first)
 			for n := range calls {
-				w.must(c.SetUp(id(10+n), left, 0, "x"))
+				f.must(c.SetUp(id(10+n), left, 0, "x"))
 			}
 			finals, established := map[string]int{}, 0
 			begun := time.Now()
--- a/cmd/cherryrelay/kill_test.go
+++ b/cmd/cherryrelay/kill_test.go
@@ -159,8 +159,8 @@
 
 // httpGet sends a GET request to a management address. Status 0 means that there is no answer.
 func httpGet(address, path string) (status int, body string) {
-	w := &fixture{}
-	return w.get(address, path)
+	f := &fixture{}
+	return f.get(address, path)
 }
 
 // startDispatcher starts a dispatcher whose behaviour depends only on the call ID.
--- a/cmd/cherryrelay/operators_test.go
+++ b/cmd/cherryrelay/operators_test.go
@@ -22,21 +22,21 @@
 )
 
 // request sends a request to the management address.
-func (w *fixture) request(method, path string) (status int, body string) {
-	w.Helper()
-	r, err := http.NewRequest(method, "http://"+w.node.manage.Address()+path, nil)
-	w.must(err)
+func (f *fixture) request(method, path string) (status int, body string) {
+	f.Helper()
+	r, err := http.NewRequest(method, "http://"+f.node.manage.Address()+path, nil)
+	f.must(err)
 	client := &http.Client{Timeout: peer.Patience, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Do(r)
-	w.must(err)
+	f.must(err)
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
-	w.must(err)
+	f.must(err)
 	return resp.StatusCode, string(text)
 }
 
 // get sends a GET request to a management address. Status 0 means that there is no answer.
-func (w *fixture) get(address, path string) (status int, body string) {
+func (f *fixture) get(address, path string) (status int, body string) {
 	client := &http.Client{Timeout: peer.Patience, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + address + path)
 	if err != nil {
@@ -51,16 +51,16 @@
 }
 
 // recordStatus records the status that an operator gets.
-func (w *fixture) recordStatus(method, path string) {
-	w.Helper()
-	status, _ := w.request(method, path)
-	w.record("operator: %s %d", path, status)
+func (f *fixture) recordStatus(method, path string) {
+	f.Helper()
+	status, _ := f.request(method, path)
+	f.record("operator: %s %d", path, status)
 }
 
-func (w *fixture) expectClosed(c *peer.Caller) {
-	w.Helper()
+func (f *fixture) expectClosed(c *peer.Caller) {
+	f.Helper()
 	if m, err := c.Next(); err == nil {
-		w.Fatalf("the caller got %+v, want a close", m)
+		f.Fatalf("the caller got %+v, want a close", m)
 	}
 }
 
@@ -73,66 +73,66 @@
 		"operator: /api/rejoin 200", "operator: /api/ready 200", "caller: pong  1", "caller: release 2 16",
 		"d1: setup 4 x", "operator: /api/evacuate 200", "operator: /api/rejoin 200", "caller: answer 4 y", "caller: pong  1",
 		"operator: /api/evacuate 200",
-	}, func(w *fixture) {
-		idle, established, busy := w.newCaller(), w.newCaller(), w.newCaller()
-		w.recordStatus("GET", "/api/ready")
-		w.must(established.SetUp(id(1), longTimeout, 0, "x"))
-		w.must(w.recordEvent(0).Answer("y"))
-		w.recordMessage(established)
-		w.must(busy.SetUp(id(2), longTimeout, 1, "x"))
-		open := w.recordEvent(1)
-		w.recordStatus("POST", "/api/evacuate")
-		w.recordStatus("GET", "/api/ready")
-		w.must(busy.Send(jsonl.Message{Type: "ping", ID: id(0)}))
-		w.recordMessage(busy)
-		w.recordStatus("POST", "/api/evacuate") // the second request changes nothing
-		w.expectClosed(idle)
+	}, func(f *fixture) {
+		idle, established, busy := f.newCaller(), f.newCaller(), f.newCaller()
+		f.recordStatus("GET", "/api/ready")
+		f.must(established.SetUp(id(1), longTimeout, 0, "x"))
+		f.must(f.recordEvent(0).Answer("y"))
+		f.recordMessage(established)
+		f.must(busy.SetUp(id(2), longTimeout, 1, "x"))
+		open := f.recordEvent(1)
+		f.recordStatus("POST", "/api/evacuate")
+		f.recordStatus("GET", "/api/ready")
+		f.must(busy.Send(jsonl.Message{Type: "ping", ID: id(0)}))
+		f.recordMessage(busy)
+		f.recordStatus("POST", "/api/evacuate") // the second request changes nothing
+		f.expectClosed(idle)
 		time.Sleep(1300 * time.Millisecond) // by then new callers are refused; later would do as well
-		w.must(busy.SetUp(id(3), longTimeout, 1, "x"))
-		w.recordMessage(busy)
-		w.must(open.Answer("y"))
-		w.recordMessage(busy)
-		w.must(w.dispatchers[0].Release(id(1), 16))
-		w.recordMessage(established) // the established call ends while its caller is connected
-		w.expectClosed(established)
-		w.must(busy.Close())
-		w.waitAck(1)
-		w.must(w.dispatchers[1].Release(id(2), 16)) // while no caller is connected
-		w.recordStatus("POST", "/api/rejoin")
-		w.recordStatus("GET", "/api/ready")
-		tester := w.connect() // a health check takes the next message for its result: callers stayed away
-		w.must(tester.Send(jsonl.Message{Type: "ping", ID: id(0)}))
-		w.recordMessage(tester)
-		c := w.connect()
-		w.recordMessage(c)
+		f.must(busy.SetUp(id(3), longTimeout, 1, "x"))
+		f.recordMessage(busy)
+		f.must(open.Answer("y"))
+		f.recordMessage(busy)
+		f.must(f.dispatchers[0].Release(id(1), 16))
+		f.recordMessage(established) // the established call ends while its caller is connected
+		f.expectClosed(established)
+		f.must(busy.Close())
+		f.waitAck(1)
+		f.must(f.dispatchers[1].Release(id(2), 16)) // while no caller is connected
+		f.recordStatus("POST", "/api/rejoin")
+		f.recordStatus("GET", "/api/ready")
+		tester := f.connect() // a health check takes the next message for its result: callers stayed away
+		f.must(tester.Send(jsonl.Message{Type: "ping", ID: id(0)}))
+		f.recordMessage(tester)
+		c := f.connect()
+		f.recordMessage(c)
 		// An evacuation that is cancelled half-way closes no connection, and pending calls continue.
-		w.must(c.SetUp(id(4), longTimeout, 1, "x"))
-		open = w.recordEvent(1)
-		w.recordStatus("POST", "/api/evacuate")
-		w.recordStatus("POST", "/api/rejoin")
-		w.must(open.Answer("y"))
-		w.recordMessage(c)
-		w.must(c.Send(jsonl.Message{Type: "ping", ID: id(0)}))
-		w.recordMessage(c)
+		f.must(c.SetUp(id(4), longTimeout, 1, "x"))
+		open = f.recordEvent(1)
+		f.recordStatus("POST", "/api/evacuate")
+		f.recordStatus("POST", "/api/rejoin")
+		f.must(open.Answer("y"))
+		f.recordMessage(c)
+		f.must(c.Send(jsonl.Message{Type: "ping", ID: id(0)}))
+		f.recordMessage(c)
 		// A shutdown can follow during an evacuation.
-		w.recordStatus("POST", "/api/evacuate")
-		w.node.drain()
-		w.must(<-w.done)
+		f.recordStatus("POST", "/api/evacuate")
+		f.node.drain()
+		f.must(<-f.done)
 	})
 }
 
 // TestManagementAddress: the valid and invalid requests of operators; idle connections do not block other operators.
 func TestManagementAddress(t *testing.T) {
-	w := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
-	w.newCaller()
+	f := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+	f.newCaller()
 	const idle = 40 // far more than are kept open
 	shut := make(chan struct{}, idle)
 	for range idle {
-		nc, err := net.Dial("tcp", w.node.manage.Address())
-		w.must(err)
+		nc, err := net.Dial("tcp", f.node.manage.Address())
+		f.must(err)
 		t.Cleanup(func() { _ = nc.Close() })
 		_, err = io.WriteString(nc, "GET /api/re")
-		w.must(err)
+		f.must(err)
 		go func() { _, _ = nc.Read(make([]byte, 1)); shut <- struct{}{} }()
 	}
 	for range idle - management.MaxOpen { // all have been accepted then; a later one would close one of the connections below
@@ -154,14 +154,14 @@
 		{"POST /api/rejoin HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n", "400 Bad Request", ""},
 		{"GET /" + strings.Repeat("a", 8<<10-4), "400 Bad Request", ""}, // one byte too long
 	} {
-		nc, err := net.Dial("tcp", w.node.manage.Address())
-		w.must(err)
+		nc, err := net.Dial("tcp", f.node.manage.Address())
+		f.must(err)
 		_, err = io.WriteString(nc, test.send)
-		w.must(err)
-		w.must(nc.SetReadDeadline(time.Now().Add(peer.Patience)))
+		f.must(err)
+		f.must(nc.SetReadDeadline(time.Now().Add(peer.Patience)))
 		answer, err := io.ReadAll(nc) // to the end: the controller closes the connection
-		w.must(err)
-		w.must(nc.Close())
+		f.must(err)
+		f.must(nc.Close())
 		first, rest, _ := strings.Cut(string(answer), "\r\n")
 		if first != "HTTP/1.1 "+test.want || !strings.Contains(rest, test.has) {
 			t.Errorf("%.60q is answered with %q, want %s and %q", test.send, answer, test.want, test.has)
@@ -183,34 +183,34 @@
 }
 
 // recordMetrics records the metrics that an operator gets.
-func (w *fixture) recordMetrics() {
-	w.Helper()
-	status, text := w.request("GET", "/api/telemetry")
+func (f *fixture) recordMetrics() {
+	f.Helper()
+	status, text := f.request("GET", "/api/telemetry")
 	if status != http.StatusOK {
-		w.Fatalf("telemetry is answered with %d", status)
+		f.Fatalf("telemetry is answered with %d", status)
 	}
 	for line := range strings.Lines(text) {
 		if !strings.HasPrefix(line, "#") {
-			w.record("%s", strings.TrimPrefix(strings.TrimSpace(line), "edge_lb_"))
+			f.record("%s", strings.TrimPrefix(strings.TrimSpace(line), "edge_lb_"))
 		}
 	}
 }
 
 // waitMetric waits until the metrics have a line. The decision module gets a list at the end of the event loop iteration in which it
 // arrived, so metrics that are read in that iteration are still the old ones.
-func (w *fixture) waitMetric(line string) {
-	w.Helper()
+func (f *fixture) waitMetric(line string) {
+	f.Helper()
 	shown := make(chan bool)
 	for begun := time.Now(); time.Since(begun) < peer.Patience; time.Sleep(time.Millisecond) {
-		w.node.loop.Post(func() {
-			text, err := w.node.core.Telemetry()
+		f.node.loop.Post(func() {
+			text, err := f.node.core.Telemetry()
 			shown <- err == nil && strings.Contains(text, line)
 		})
 		if <-shown {
 			return
 		}
 	}
-	w.Errorf("the metrics never contain %q", line)
+	f.Errorf("the metrics never contain %q", line)
 }
 
 // endMetrics returns the metrics for ends of calls when the given number of calls has ended.
@@ -239,34 +239,34 @@
 		`requests_total{class="send-setup",outcome="served"} 2`, `requests_total{class="send-setup",outcome="refused"} 0`,
 		`requests_total{class="send-setup",outcome="failed"} 2`, "attempts_total 4", "in_flight 2", "dispatchers_known 2",
 		"dispatchers_excluded 1", "reloads_ok_total 0", "reloads_failed_total 0",
-	}, endMetrics(1)), func(w *fixture) {
-		c := w.newCaller()
-		w.recordMetrics()
-		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-		w.must(w.recordEvent(0).Answer("y"))
-		w.recordMessage(c)
-		w.must(c.SetUp(id(6), longTimeout, 0, "x"))
-		ending := w.recordEvent(0)
-		w.must(ending.Answer("y"))
-		w.recordMessage(c)
-		w.must(ending.ReleaseHere(id(6), call.CauseNormal))
-		w.recordMessage(c)
-		w.must(c.SetUp(id(2), longTimeout, 0, "x"))
-		w.must(w.recordEvent(0).Refuse(peer.NoLine))
-		w.recordEvent(1)                                                                           // the call stays pending there
-		w.must(c.Send(jsonl.Message{Type: "setup", ID: id(3), Fields: setUpFields("strange", 1)})) // an unknown class gets no label
-		w.recordMessage(c)
-		w.must(c.Send(jsonl.Message{Type: "setup", ID: id(4), Fields: setUpFields("send-setup", -1)}))
-		w.recordMessage(c)
-		w.must(c.SetUp(id(5), 0, 0, "x"))
-		w.recordMessage(c)
-		leaving := w.list
-		leaving.Servers = slices.Clone(w.list.Servers)
+	}, endMetrics(1)), func(f *fixture) {
+		c := f.newCaller()
+		f.recordMetrics()
+		f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		f.must(f.recordEvent(0).Answer("y"))
+		f.recordMessage(c)
+		f.must(c.SetUp(id(6), longTimeout, 0, "x"))
+		ending := f.recordEvent(0)
+		f.must(ending.Answer("y"))
+		f.recordMessage(c)
+		f.must(ending.ReleaseHere(id(6), call.CauseNormal))
+		f.recordMessage(c)
+		f.must(c.SetUp(id(2), longTimeout, 0, "x"))
+		f.must(f.recordEvent(0).Refuse(peer.NoLine))
+		f.recordEvent(1)                                                                           // the call stays pending there
+		f.must(c.Send(jsonl.Message{Type: "setup", ID: id(3), Fields: setUpFields("strange", 1)})) // an unknown class gets no label
+		f.recordMessage(c)
+		f.must(c.Send(jsonl.Message{Type: "setup", ID: id(4), Fields: setUpFields("send-setup", -1)}))
+		f.recordMessage(c)
+		f.must(c.SetUp(id(5), 0, 0, "x"))
+		f.recordMessage(c)
+		leaving := f.list
+		leaving.Servers = slices.Clone(f.list.Servers)
 		leaving.Servers[0].Status = control.Draining
 		time.Sleep(500 * time.Millisecond) // by then its back-off has ended, and only its draining counts
-		w.node.loop.Post(func() { w.node.core.Update(leaving) })
-		w.waitMetric("dispatchers_excluded 1")
-		w.recordMetrics()
+		f.node.loop.Post(func() { f.node.core.Update(leaving) })
+		f.waitMetric("dispatchers_excluded 1")
+		f.recordMetrics()
 	})
 }
 
--- a/cmd/cherryrelay/poolfile_test.go
+++ b/cmd/cherryrelay/poolfile_test.go
@@ -184,39 +184,39 @@
 }
 
 // poolState returns the state of the list that the controller reports.
-func (w *fixture) poolState() lists.State {
-	w.Helper()
-	status, text := w.request("GET", lists.StatePath)
+func (f *fixture) poolState() lists.State {
+	f.Helper()
+	status, text := f.request("GET", lists.StatePath)
 	var s lists.State
 	if err := jsoniter.UnmarshalFromString(text, &s); err != nil || status != 200 {
-		w.Fatalf("%d %s: %v", status, text, err)
+		f.Fatalf("%d %s: %v", status, text, err)
 	}
 	return s
 }
 
 // waitActive waits until a version is active and applied by the event loop.
-func (w *fixture) waitActive(label string) {
-	w.Helper()
+func (f *fixture) waitActive(label string) {
+	f.Helper()
 	for until := time.Now().Add(peer.Patience); ; time.Sleep(time.Millisecond) {
-		s := w.poolState()
+		s := f.poolState()
 		if s.Version != nil && s.Version.Label == label {
-			w.poolState() // one event loop iteration later, everything posted with the version has run
+			f.poolState() // one event loop iteration later, everything posted with the version has run
 			return
 		}
 		if time.Now().After(until) {
-			w.Fatalf("%s is not active: %+v", label, s)
+			f.Fatalf("%s is not active: %+v", label, s)
 		}
 	}
 }
 
 // waitRefused waits until the last candidate is refused for a reason.
-func (w *fixture) waitRefused(reason pool.Reason) {
-	w.Helper()
+func (f *fixture) waitRefused(reason pool.Reason) {
+	f.Helper()
 	for until := time.Now().Add(peer.Patience); ; time.Sleep(time.Millisecond) {
-		if t := w.poolState().Trouble; t != nil && t.Faults[0].Reason == reason {
+		if t := f.poolState().Trouble; t != nil && t.Faults[0].Reason == reason {
 			return
 		} else if time.Now().After(until) {
-			w.Fatalf("not refused for %s, but %+v", reason, t)
+			f.Fatalf("not refused for %s, but %+v", reason, t)
 		}
 	}
 }
--- a/cmd/cherryrelay/reconfigure_test.go
+++ b/cmd/cherryrelay/reconfigure_test.go
@@ -21,44 +21,44 @@
 		`requests_total{class="send-setup",outcome="failed"} 1`, `requests_total{class="urgent",outcome="served"} 2`,
 		`requests_total{class="urgent",outcome="refused"} 0`, `requests_total{class="urgent",outcome="failed"} 1`,
 		"attempts_total 5", "in_flight 3", "dispatchers_known 2", "dispatchers_excluded 0", "reloads_ok_total 2", "reloads_failed_total 1",
-	}, endMetrics(0)), func(w *fixture) {
+	}, endMetrics(0)), func(f *fixture) {
 		reload := func(change func(s *settings.Settings)) {
 			c := &config.Config{Settings: testSettings(t)}
 			change(c.Settings)
-			w.node.reload(c, nil)
+			f.node.reload(c, nil)
 		}
-		c := w.newCaller()
+		c := f.newCaller()
 		setUp := func(n, first int, class string) {
 			m := jsonl.Message{Type: "setup", ID: id(n), SDP: new("x"), Fields: setUpFields(class, 60000)}
 			m.Fields["extras"] = jsonl.Value("dest:" + string(rune('0'+first)))
-			w.must(c.Send(m))
+			f.must(c.Send(m))
 		}
-		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-		open := w.recordEvent(0)
+		f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		open := f.recordEvent(0)
 		setUp(2, 1, "urgent")
-		w.recordMessage(c)
+		f.recordMessage(c)
 		reload(func(s *settings.Settings) {
 			s.RequestClasses = append(s.RequestClasses, s.RequestClasses[0])
 			s.RequestClasses[0].Semantics, s.RequestClasses[1].Name = "non_idempotent", "urgent"
 			s.FamilyInfo.AllowedPools, s.FamilyInfo.ClassWidth = [][]int{{0}, {1}}, []int{1, 1}
 		})
-		w.must(open.Refuse(peer.Busy)) // the dispatcher may have run it; a call of the old class may be repeated
-		open = w.recordEvent(0)
+		f.must(open.Refuse(peer.Busy)) // the dispatcher may have run it; a call of the old class may be repeated
+		open = f.recordEvent(0)
 		setUp(3, 0, "send-setup")
-		w.must(w.recordEvent(0).Refuse(peer.Busy)) // a call of the new class may not be repeated
-		w.recordMessage(c)
+		f.must(f.recordEvent(0).Refuse(peer.Busy)) // a call of the new class may not be repeated
+		f.recordMessage(c)
 		setUp(4, 1, "urgent")
-		w.must(w.recordEvent(1).Answer("y"))
-		w.recordMessage(c)
+		f.must(f.recordEvent(1).Answer("y"))
+		f.recordMessage(c)
 		reload(func(s *settings.Settings) { s.RequestClasses[0].DeadlineUs = -5 })
 		setUp(5, 1, "urgent")
-		w.must(w.recordEvent(1).Answer("y"))
-		w.recordMessage(c)
+		f.must(f.recordEvent(1).Answer("y"))
+		f.recordMessage(c)
 		reload(func(*settings.Settings) {})
 		setUp(6, 1, "urgent")
-		w.recordMessage(c)
-		w.must(open.Answer("y"))
-		w.recordMessage(c)
-		w.recordMetrics()
+		f.recordMessage(c)
+		f.must(open.Answer("y"))
+		f.recordMessage(c)
+		f.recordMetrics()
 	})
 }
--- a/cmd/cherryrelay/refused_test.go
+++ b/cmd/cherryrelay/refused_test.go
@@ -14,56 +14,56 @@
 // A set-up on a new connection must be answered before the connection is closed.
 
 // expectAnswerBeforeClose expects the answer to a set-up before the end of its connection.
-func (w *fixture) expectAnswerBeforeClose(c *peer.Caller, n int) {
-	w.Helper()
+func (f *fixture) expectAnswerBeforeClose(c *peer.Caller, n int) {
+	f.Helper()
 	m, err := c.Next()
 	if err != nil || m.ID != id(n) || m.Type != "release" {
-		w.Errorf("%+v, %v: want the answer to the set-up on a new connection", m, err)
+		f.Errorf("%+v, %v: want the answer to the set-up on a new connection", m, err)
 	}
 }
 
 // fillConnections opens connections up to the limit of the node. Each has a pending set-up, so that none can be evicted.
-func (w *fixture) fillConnections(n int) {
-	w.Helper()
+func (f *fixture) fillConnections(n int) {
+	f.Helper()
 	for i := range n {
-		c := w.connect()
-		w.must(c.SetUp(id(0x100+i), longTimeout, 0, "x"))
-		w.recordEvent(0)
+		c := f.connect()
+		f.must(c.SetUp(id(0x100+i), longTimeout, 0, "x"))
+		f.recordEvent(0)
 	}
 }
 
 // refusals are the cases in which the controller closes a new connection with a set-up.
 var refusals = map[string]struct {
 	bounds callers.Bounds
-	ask    func(w *fixture) *peer.Caller // a new connection on which the complete set-up 1 has been sent
+	ask    func(f *fixture) *peer.Caller // a new connection on which the complete set-up 1 has been sent
 }{
-	"no connection can be evicted": {callers.Bounds{Connections: 2, Silent: longTimeout, Idle: longTimeout}, func(w *fixture) *peer.Caller {
-		w.fillConnections(2)
-		c := w.connect()
-		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+	"no connection can be evicted": {callers.Bounds{Connections: 2, Silent: longTimeout, Idle: longTimeout}, func(f *fixture) *peer.Caller {
+		f.fillConnections(2)
+		c := f.connect()
+		f.must(c.SetUp(id(1), longTimeout, 0, "x"))
 		return c
 	}},
-	"draining, after the time for new set-ups": {callers.Bounds{Silent: longTimeout, Idle: longTimeout}, func(w *fixture) *peer.Caller {
-		w.fillConnections(1) // keeps it from exiting
-		w.node.drain()
+	"draining, after the time for new set-ups": {callers.Bounds{Silent: longTimeout, Idle: longTimeout}, func(f *fixture) *peer.Caller {
+		f.fillConnections(1) // keeps it from exiting
+		f.node.drain()
 		time.Sleep(800 * time.Millisecond)
-		c := w.connect()
-		w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+		c := f.connect()
+		f.must(c.SetUp(id(1), longTimeout, 0, "x"))
 		return c
 	}},
-	"an invalid message follows": {callers.Bounds{Silent: longTimeout, Idle: longTimeout}, func(w *fixture) *peer.Caller {
-		c := w.connect()
-		resumeLoop := w.pauseLoop()
-		w.must(c.SendRaw(append(w.encodeSetUp(c, 1), c.Frame([]byte(`{"type":"setup",`))...)))
+	"an invalid message follows": {callers.Bounds{Silent: longTimeout, Idle: longTimeout}, func(f *fixture) *peer.Caller {
+		c := f.connect()
+		resumeLoop := f.pauseLoop()
+		f.must(c.SendRaw(append(f.encodeSetUp(c, 1), c.Frame([]byte(`{"type":"setup",`))...)))
 		resumeLoop()
 		return c
 	}},
 }
 
-func (w *fixture) encodeSetUp(c *peer.Caller, n int) []byte {
-	w.Helper()
+func (f *fixture) encodeSetUp(c *peer.Caller, n int) []byte {
+	f.Helper()
 	text, err := jsonl.Append(nil, c.Asks(id(n), longTimeout, 0, "x"))
-	w.must(err)
+	f.must(err)
 	return c.Frame(text)
 }
 
@@ -72,8 +72,8 @@
 	for name, refusal := range refusals {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newFixture(t, "tcp", "tcp", refusal.bounds)
-			w.expectAnswerBeforeClose(refusal.ask(w), 1)
+			f := newFixture(t, "tcp", "tcp", refusal.bounds)
+			f.expectAnswerBeforeClose(refusal.ask(f), 1)
 		})
 	}
 }
@@ -83,16 +83,16 @@
 func TestASetUpBeyondTheConnectionLimitIsAnswered(t *testing.T) {
 	t.Parallel()
 	bounds := callers.Bounds{Connections: 2, Silent: longTimeout, Idle: longTimeout}
-	w := newFixture(t, "tcp", "tcp", bounds)
-	w.fillConnections(bounds.Connections)
-	resumeLoop := w.pauseLoop()
+	f := newFixture(t, "tcp", "tcp", bounds)
+	f.fillConnections(bounds.Connections)
+	resumeLoop := f.pauseLoop()
 	for range bounds.Most() - bounds.Connections {
-		before := w.node.loop.Pending()
-		w.connect()
-		w.waitQueued(before + 1)
+		before := f.node.loop.Pending()
+		f.connect()
+		f.waitQueued(before + 1)
 	}
-	c := w.connect()
-	w.must(c.SetUp(id(1), longTimeout, 0, "x"))
+	c := f.connect()
+	f.must(c.SetUp(id(1), longTimeout, 0, "x"))
 	resumeLoop()
 	m, err := c.Next()
 	if err != nil || m.ID != id(1) || m.Type != "release" || m.CauseOr(0) != call.CauseCongestion || m.Fields["wait"] == "" {
@@ -103,16 +103,16 @@
 // TestASetUpAheadOfAFloodIsAnswered: behind a set-up that is queued for the loop, more input arrives than the ring buffer holds.
 func TestASetUpAheadOfAFloodIsAnswered(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
-	c := w.connect()
-	resumeLoop := w.pauseLoop()
-	before := w.node.loop.Pending()
-	w.must(c.SendRaw(w.encodeSetUp(c, 1)))
-	w.waitQueued(before + 1)
+	f := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+	c := f.connect()
+	resumeLoop := f.pauseLoop()
+	before := f.node.loop.Pending()
+	f.must(c.SendRaw(f.encodeSetUp(c, 1)))
+	f.waitQueued(before + 1)
 	flood := c.Frame([]byte(`{"type":"progress","id":"` + id(2) + `","fields":{}}`))
 	flood = []byte(strings.Repeat(string(flood), 1<<20/len(flood)))
-	w.must(c.SetWriteDeadline(time.Now().Add(time.Second)))
+	f.must(c.SetWriteDeadline(time.Now().Add(time.Second)))
 	_ = c.SendRaw(flood) // the connection is closed meanwhile, or not read any more
 	resumeLoop()
-	w.expectAnswerBeforeClose(c, 1)
+	f.expectAnswerBeforeClose(c, 1)
 }
--- a/cmd/cherryrelay/shares_test.go
+++ b/cmd/cherryrelay/shares_test.go
@@ -15,15 +15,15 @@
 // TestOperatorsSeeTheSharesOfDispatchers: the page shows how many set-ups each dispatcher got and how many it refused for lack of a line.
 func TestOperatorsSeeTheSharesOfDispatchers(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
-	c := w.newCaller()
-	w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-	w.must(w.recordEvent(0).Refuse(peer.NoLine))
-	w.must(w.recordEvent(1).Answer("y"))
-	w.recordMessage(c)
+	f := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+	c := f.newCaller()
+	f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+	f.must(f.recordEvent(0).Refuse(peer.NoLine))
+	f.must(f.recordEvent(1).Answer("y"))
+	f.recordMessage(c)
 	var shares []call.DispatcherShare
 	for until := time.Now().Add(peer.Patience); ; time.Sleep(time.Millisecond) {
-		status, body := w.request(http.MethodGet, "/api/shares")
+		status, body := f.request(http.MethodGet, "/api/shares")
 		if status != http.StatusOK || jsoniter.UnmarshalFromString(body, &shares) != nil || len(shares) != 2 {
 			t.Fatalf("%d %s", status, body)
 		}
@@ -42,13 +42,13 @@
 // TestTheSharesOfOneDispatcher: the query selects one dispatcher.
 func TestTheSharesOfOneDispatcher(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+	f := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
 	var all, one []call.DispatcherShare
-	_, body := w.request(http.MethodGet, "/api/shares")
+	_, body := f.request(http.MethodGet, "/api/shares")
 	if err := jsoniter.UnmarshalFromString(body, &all); err != nil || len(all) != 2 {
 		t.Fatal(err, body)
 	}
-	_, body = w.request(http.MethodGet, "/api/shares?dispatcher="+string(all[1].ID))
+	_, body = f.request(http.MethodGet, "/api/shares?dispatcher="+string(all[1].ID))
 	if err := jsoniter.UnmarshalFromString(body, &one); err != nil || len(one) != 1 || one[0].ID != all[1].ID {
 		t.Errorf("%v, %s: want %s alone", err, body, all[1].ID)
 	}
--- a/cmd/cherryrelay/short_deadlines_test.go
+++ b/cmd/cherryrelay/short_deadlines_test.go
@@ -13,15 +13,15 @@
 	for _, mix := range [][2]string{{"tcp", "tcp"}, {"ws", "ws"}} {
 		t.Run(mix[0], func(t *testing.T) {
 			t.Parallel()
-			w := newFixture(t, mix[0], mix[1], callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+			f := newFixture(t, mix[0], mix[1], callers.Bounds{Silent: longTimeout, Idle: longTimeout})
 			meter := startMeter()
-			c := w.newCaller()
+			c := f.newCaller()
 			for n := range 20 {
 				left := time.Duration(20+3*n) * time.Millisecond
 				begun := time.Now()
-				w.must(c.SetUp(id(10+n), left, n%2, "x"))
+				f.must(c.SetUp(id(10+n), left, n%2, "x"))
 				m, err := c.Next()
-				w.must(err)
+				f.must(err)
 				if m.ID != id(10+n) || m.Type != "release" {
 					t.Fatalf("%+v: want the final answer to call %d", m, 10+n)
 				}
@@ -29,13 +29,13 @@
 					t.Errorf("call %d is answered %v after its deadline", 10+n, late)
 				}
 			}
-			w.must(c.SetUp(id(1), longTimeout, 0, "x"))
-			e := w.nextSetUp()
+			f.must(c.SetUp(id(1), longTimeout, 0, "x"))
+			e := f.nextSetUp()
 			for e.ID != id(1) {
-				e = w.nextSetUp()
+				e = f.nextSetUp()
 			}
-			w.must(e.Answer("y"))
-			if m := w.nextMessage(c); m.ID != id(1) || m.Type != "answer" {
+			f.must(e.Answer("y"))
+			if m := f.nextMessage(c); m.ID != id(1) || m.Type != "answer" {
 				t.Errorf("%+v: want the answer to the call with time left", m)
 			}
 		})
--- a/cmd/cherryrelay/startup_drain_test.go
+++ b/cmd/cherryrelay/startup_drain_test.go
@@ -23,33 +23,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &fixture{T: t, node: n, transport: "tcp", done: make(chan error, 1)}
-	go func() { w.done <- n.run() }()
+	f := &fixture{T: t, node: n, transport: "tcp", done: make(chan error, 1)}
+	go func() { f.done <- n.run() }()
 	t.Cleanup(n.loop.Quit)
-	return w
+	return f
 }
 
 // setList applies a list with n dispatchers to the node.
-func (w *fixture) setList(n int, address func(i int) string) {
+func (f *fixture) setList(n int, address func(i int) string) {
 	u := call.Update{Complete: true}
 	for i := range n {
 		u.Servers = append(u.Servers, call.Server{ServerEntry: control.ServerEntry{ID: control.ServerID(fmt.Sprint("d", i)), Cell: i}, Address: address(i)})
 	}
 	applied := make(chan struct{})
-	w.node.loop.Post(func() { w.node.core.Update(u); close(applied) })
+	f.node.loop.Post(func() { f.node.core.Update(u); close(applied) })
 	<-applied
 }
 
 // waitDrained waits until a draining node ends.
-func (w *fixture) waitDrained(since time.Time) {
-	w.Helper()
+func (f *fixture) waitDrained(since time.Time) {
+	f.Helper()
 	select {
-	case err := <-w.done:
+	case err := <-f.done:
 		if took := time.Since(since); err != nil || took < 700*time.Millisecond {
-			w.Errorf("ended with %v after %v: late set-ups must be served", err, took)
+			f.Errorf("ended with %v after %v: late set-ups must be served", err, took)
 		}
 	case <-time.After(peer.Patience):
-		w.Fatal("the node does not end")
+		f.Fatal("the node does not end")
 	}
 }
 
@@ -63,41 +63,41 @@
 	}
 	defer listener.Close()
 	unused := freeAddress(t)
-	for name, before := range map[string]func(w *fixture){
+	for name, before := range map[string]func(f *fixture){
 		"no list":         func(*fixture) {},
-		"an empty list":   func(w *fixture) { w.setList(0, nil) },
-		"300 that refuse": func(w *fixture) { w.setList(300, func(int) string { return unused }) },
-		"300 that do not answer": func(w *fixture) {
-			w.setList(300, func(int) string { return listener.Addr().String() })
-			w.setList(300, func(int) string { return unused })
+		"an empty list":   func(f *fixture) { f.setList(0, nil) },
+		"300 that refuse": func(f *fixture) { f.setList(300, func(int) string { return unused }) },
+		"300 that do not answer": func(f *fixture) {
+			f.setList(300, func(int) string { return listener.Addr().String() })
+			f.setList(300, func(int) string { return unused })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newFixtureWithoutList(t, unused)
-			before(w)
+			f := newFixtureWithoutList(t, unused)
+			before(f)
 			since := time.Now()
-			w.node.drain()
-			w.waitDrained(since)
+			f.node.drain()
+			f.waitDrained(since)
 		})
 	}
 	for name, order := range map[string][2]bool{"reload, then drain": {true, false}, "drain, then reload": {false, true}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			other, asked := startListServer(t, "")
-			w := newFixtureWithoutList(t, unused)
+			f := newFixtureWithoutList(t, unused)
 			since := time.Now()
 			for _, reload := range order {
 				if reload {
-					c := *w.node.config
+					c := *f.node.config
 					c.Coordinator = other
-					w.node.reload(&c, nil)
+					f.node.reload(&c, nil)
 				} else {
-					w.node.drain()
+					f.node.drain()
 				}
 			}
 			waitRequested(t, asked, "0")
-			w.waitDrained(since)
+			f.waitDrained(since)
 		})
 	}
 }
@@ -105,27 +105,27 @@
 // TestAListThatComesLate: a call before the first list is answered by its deadline, and a call after the list is set up.
 func TestAListThatComesLate(t *testing.T) {
 	t.Parallel()
-	w := newFixtureWithoutList(t, "")
-	c, err := peer.Call("tcp", w.node.lines.Address())
-	w.must(err)
+	f := newFixtureWithoutList(t, "")
+	c, err := peer.Call("tcp", f.node.lines.Address())
+	f.must(err)
 	defer c.Close()
-	w.must(c.SetUp(id(1), 600*time.Millisecond, 0, "early"))
+	f.must(c.SetUp(id(1), 600*time.Millisecond, 0, "early"))
 	if m, err := c.Next(); err != nil || m.ID != id(1) || m.Type != "release" {
 		t.Fatalf("%+v, %v: want a final answer", m, err)
 	}
-	w.setList(0, nil)
-	w.must(c.SetUp(id(2), 600*time.Millisecond, 0, "still early"))
+	f.setList(0, nil)
+	f.must(c.SetUp(id(2), 600*time.Millisecond, 0, "still early"))
 	if m, err := c.Next(); err != nil || m.ID != id(2) || m.Type != "release" {
 		t.Fatalf("%+v, %v: want a final answer", m, err)
 	}
 	d, err := peer.Dispatch("tcp", "127.0.0.1:0", "x0:40;x1:40")
-	w.must(err)
+	f.must(err)
 	defer d.Die()
-	w.setList(1, func(int) string { return d.Address() })
-	w.must(c.SetUp(id(3), peer.Patience, 0, "late"))
+	f.setList(1, func(int) string { return d.Address() })
+	f.must(c.SetUp(id(3), peer.Patience, 0, "late"))
 	e, err := d.Next()
-	w.must(err)
-	w.must(e.Answer("yes"))
+	f.must(err)
+	f.must(e.Answer("yes"))
 	if m, err := c.Next(); err != nil || m.ID != id(3) || m.Type != "answer" {
 		t.Errorf("%+v, %v: want the answer", m, err)
 	}
@@ -140,16 +140,16 @@
 		t.Fatal(err)
 	}
 	defer d.Die()
-	establish := func(w *fixture, number int) (*peer.Caller, peer.Event) {
-		c, err := peer.Call("tcp", w.node.lines.Address())
-		w.must(err)
-		w.Cleanup(func() { _ = c.Close() })
-		w.must(c.SetUp(id(number), peer.Patience, 0, "d"))
+	establish := func(f *fixture, number int) (*peer.Caller, peer.Event) {
+		c, err := peer.Call("tcp", f.node.lines.Address())
+		f.must(err)
+		f.Cleanup(func() { _ = c.Close() })
+		f.must(c.SetUp(id(number), peer.Patience, 0, "d"))
 		e, err := d.Next()
-		w.must(err)
-		w.must(e.Answer("yes"))
+		f.must(err)
+		f.must(e.Answer("yes"))
 		_, err = c.Next()
-		w.must(err)
+		f.must(err)
 		return c, e
 	}
 	killed := newFixtureWithoutList(t, "")
--- a/cmd/cherryrelay/upgrade_test.go
+++ b/cmd/cherryrelay/upgrade_test.go
@@ -30,37 +30,37 @@
 }
 
 // startSuccessor starts a second node at the same addresses. It has no list yet.
-func (w *fixture) startSuccessor() *fixture {
-	w.Helper()
-	c := *w.node.config
-	n, err := startWithBounds(&c, slog.New(slog.DiscardHandler), w.node.bounds)
-	w.must(err)
-	next := &fixture{T: w.T, node: n, transport: w.transport, dispatchers: w.dispatchers, done: make(chan error, 1), list: w.list}
+func (f *fixture) startSuccessor() *fixture {
+	f.Helper()
+	c := *f.node.config
+	n, err := startWithBounds(&c, slog.New(slog.DiscardHandler), f.node.bounds)
+	f.must(err)
+	next := &fixture{T: f.T, node: n, transport: f.transport, dispatchers: f.dispatchers, done: make(chan error, 1), list: f.list}
 	go func() { next.done <- n.run() }()
-	w.Cleanup(n.loop.Quit)
+	f.Cleanup(n.loop.Quit)
 	return next
 }
 
 // sendList sends the list of dispatchers to a node.
-func (w *fixture) sendList() { w.node.loop.Post(func() { w.node.core.Update(w.list) }) }
+func (f *fixture) sendList() { f.node.loop.Post(func() { f.node.core.Update(f.list) }) }
 
 // waitReady waits until a node reports that it is ready.
-func (w *fixture) waitReady() {
-	w.Helper()
+func (f *fixture) waitReady() {
+	f.Helper()
 	for status := 0; status != 200; time.Sleep(time.Millisecond) {
-		status, _ = w.request("GET", "/api/ready")
+		status, _ = f.request("GET", "/api/ready")
 	}
 }
 
 // runUpgrade runs a script over both fronts, with a node at fixed addresses.
-func runUpgrade(t *testing.T, want []string, script func(w *fixture)) {
+func runUpgrade(t *testing.T, want []string, script func(f *fixture)) {
 	t.Setenv("TMPDIR", t.TempDir())
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
-			w := newFixtureAt(t, freeAddress(t), freeAddress(t), transport, transport, callers.Bounds{Silent: longTimeout, Idle: longTimeout})
-			w.waitReady()
-			script(w)
-			if diff := cmp.Diff(want, w.observed); diff != "" {
+			f := newFixtureAt(t, freeAddress(t), freeAddress(t), transport, transport, callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+			f.waitReady()
+			script(f)
+			if diff := cmp.Diff(want, f.observed); diff != "" {
 				t.Errorf("messages of the peers (-want +got):\n%s", diff)
 			}
 		})
@@ -116,14 +116,14 @@
 }
 
 // waitEndQueued waits until the end of a call waits for a caller to connect.
-func (w *fixture) waitEndQueued() {
-	w.Helper()
+func (f *fixture) waitEndQueued() {
+	f.Helper()
 	const waited = "edge_lb_ends_waited_total 1"
 	text := ""
 	for until := time.Now().Add(peer.Patience); !strings.Contains(text, waited); time.Sleep(time.Millisecond) {
-		_, text = w.request("GET", "/api/telemetry")
+		_, text = f.request("GET", "/api/telemetry")
 		if time.Now().After(until) {
-			w.Fatalf("no %q", waited)
+			f.Fatalf("no %q", waited)
 		}
 	}
 }
@@ -162,11 +162,11 @@
 	runUpgrade(t, []string{
 		"d0: setup 1 x", "caller: answer 1 y", "d0: setup 2 x", "caller: answer 2 y", "d0: setup 3 x", "caller: answer 3 y",
 	}, func(old *fixture) {
-		placeCall := func(w *fixture, n int) {
+		placeCall := func(f *fixture, n int) {
 			t.Helper()
-			c := w.newCaller()
-			w.must(c.SetUp(id(n), longTimeout, 0, "x"))
-			w.must(old.recordEvent(0).Answer("y"))
+			c := f.newCaller()
+			f.must(c.SetUp(id(n), longTimeout, 0, "x"))
+			f.must(old.recordEvent(0).Answer("y"))
 			old.recordMessage(c)
 		}
 		first := old.startSuccessor()
@@ -231,15 +231,15 @@
 			if err := createFile(path); err != nil {
 				t.Fatal(err)
 			}
-			w := newFixtureAt(t, listen, "127.0.0.1:0", "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
-			w.waitReady()
+			f := newFixtureAt(t, listen, "127.0.0.1:0", "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+			f.waitReady()
 			info, err := os.Lstat(path)
-			w.must(err)
+			f.must(err)
 			if foreign := name == "file"; foreign != info.Mode().IsRegular() || !foreign && info.Mode().Perm() != 0o600 {
 				t.Errorf("%s is %v now", path, info.Mode())
 			}
-			w.node.loop.Quit()
-			w.must(<-w.done)
+			f.node.loop.Quit()
+			f.must(<-f.done)
 			if left, _ := filepath.Glob(path + "*"); len(left) > 0 != (name == "file") {
 				t.Errorf("%v is left over", left)
 			}
