--- a/cmd/cherryrelay/cancel_test.go
+++ b/cmd/cherryrelay/cancel_test.go
@@ -169,7 +169,7 @@
 }
 
 // cancelWhilePending cancels a set-up in a state, maxSendDelay before the awaited event, and reports whether it did so in time.
-func (f *fixture) cancelWhilePending(state pendingState, cancel func(w *fixture, c *peer.Caller, n int) error) (inTime bool) {
+func (f *fixture) cancelWhilePending(state pendingState, cancel func(f *fixture, c *peer.Caller, n int) error) (inTime bool) {
 	f.Helper()
 	const number = 1
 	c := f.newConfiguredCaller()
--- a/cmd/cherryrelay/crowd_test.go
+++ b/cmd/cherryrelay/crowd_test.go
@@ -31,9 +31,9 @@
 // or an error text. It retries a set-up that crossed the close of its connection.
 func crowdCaller(address netip.AddrPort, number int, silent bool) string {
 	for try := 0; ; try++ {
-		end, err := crowdCall(address, number|try<<20, silent)
+		outcome, err := crowdCall(address, number|try<<20, silent)
 		if err == nil {
-			return end
+			return outcome
 		}
 		if !errors.Is(err, errCrossed) || try == crowdTries {
 			return err.Error()
@@ -46,7 +46,7 @@
 
 // crowdCall is one try. It makes its system calls directly: with Go's scheduler between them, a set-up on a busy machine would come long
 // after the connection.
-func crowdCall(address netip.AddrPort, number int, silent bool) (end string, err error) {
+func crowdCall(address netip.AddrPort, number int, silent bool) (outcome string, err error) {
 	text, err := jsonl.Append(nil, (&peer.Caller{Class: "send-setup", Tenant: "acme"}).Asks(id(number), crowdTimeLeft, 0, "x"))
 	if err != nil {
 		return "", err
@@ -119,14 +119,14 @@
 			s := startLimited(t, sockets, coordinator, listEntry("d0", d.Address(), "active", 0))
 			s.startCoordinator(coordinator)
 			var mu sync.Mutex
-			ends := map[string]int{}
+			outcomes := map[string]int{}
 			var all sync.WaitGroup
 			for i := range crowd.callers {
 				silent := crowd.everySilent > 0 && i%crowd.everySilent == 0
 				all.Go(func() {
-					end := crowdCaller(netip.MustParseAddrPort(s.lines), i+1, silent)
+					outcome := crowdCaller(netip.MustParseAddrPort(s.lines), i+1, silent)
 					mu.Lock()
-					ends[end]++
+					outcomes[outcome]++
 					mu.Unlock()
 				})
 			}
@@ -134,13 +134,13 @@
 			s.sendChange(2, listEntry("newest", newest.Address(), "active", 1))
 			s.waitServers(2, time.Second)
 			all.Wait()
-			t.Logf("%v", ends)
-			for end, n := range ends {
-				if end != "answer" && end != "refused" && end != "silent" {
-					t.Errorf("%d callers: %s", n, end)
+			t.Logf("%v", outcomes)
+			for outcome, n := range outcomes {
+				if outcome != "answer" && outcome != "refused" && outcome != "silent" {
+					t.Errorf("%d callers: %s", n, outcome)
 				}
 			}
-			if ends["answer"] == 0 {
+			if outcomes["answer"] == 0 {
 				t.Error("no call was answered")
 			}
 			s.checkDescriptors()
--- a/cmd/cherryrelay/descriptors_test.go
+++ b/cmd/cherryrelay/descriptors_test.go
@@ -128,8 +128,8 @@
 func (s *limitedProcess) checkDescriptors() {
 	s.Helper()
 	s.Logf("%d descriptors of %d", s.maxOpen.Load(), s.sockets)
-	if most := s.maxOpen.Load(); most >= int64(s.sockets) {
-		s.Errorf("%d descriptors of %d are open: none is left", most, s.sockets)
+	if maxOpen := s.maxOpen.Load(); maxOpen >= int64(s.sockets) {
+		s.Errorf("%d descriptors of %d are open: none is left", maxOpen, s.sockets)
 	}
 	for _, text := range []string{"too many open files", "no file descriptor"} {
 		if strings.Contains(s.log.String(), text) {
@@ -411,8 +411,8 @@
 	if !s.placeCall(c, 100, len(known)) {
 		t.Error("the call to the newest dispatcher is not established")
 	}
-	if most := s.maxOpen.Load(); most < sockets/2 {
-		t.Errorf("%d descriptors of %d: the clients do not use them up", most, sockets)
+	if maxOpen := s.maxOpen.Load(); maxOpen < sockets/2 {
+		t.Errorf("%d descriptors of %d: the clients do not use them up", maxOpen, sockets)
 	}
 	s.checkDescriptors()
 }
--- a/cmd/cherryrelay/fleet.go
+++ b/cmd/cherryrelay/fleet.go
@@ -56,12 +56,12 @@
 	if c.Etcd == nil {
 		return nil
 	}
-	take := n.lists.Stream(decide.FromEtcd)
+	apply := n.lists.Stream(decide.FromEtcd)
 	if n.fleet != nil && slices.Equal(c.Etcd.Endpoints, c.Fleet.Endpoints) {
-		go etcd.Over(n.fleet.client, c.Etcd.Prefix, n.log, take).Run(ctx)
+		go etcd.Over(n.fleet.client, c.Etcd.Prefix, n.log, apply).Run(ctx)
 		return nil
 	}
-	list, err := etcd.New(*c.Etcd, n.log, take)
+	list, err := etcd.New(*c.Etcd, n.log, apply)
 	if err != nil {
 		return err //nolint:wrapcheck // the error names its source
 	}
--- a/cmd/cherryrelay/ledger.go
+++ b/cmd/cherryrelay/ledger.go
@@ -47,9 +47,9 @@
 		return nil, errors.Join(err, d.Close())
 	}
 	k := &openedLedger{damage: found.Damage, key: key, verify: ledgerVerifier(d)}
-	var bad error
-	if k.calls, bad = recovery.Replay(found.Records, found.Gaps); bad != nil {
-		k.damage = append(k.damage, bad.Error())
+	var replayErr error
+	if k.calls, replayErr = recovery.Replay(found.Records, found.Gaps); replayErr != nil {
+		k.damage = append(k.damage, replayErr.Error())
 	}
 	now := time.Duration(time.Now().UnixNano())
 	k.calls.Prune(now)
--- a/cmd/cherryrelay/node.go
+++ b/cmd/cherryrelay/node.go
@@ -34,9 +34,9 @@
 	upgrade   *upgrade
 	loop      *call.Loop
 	log       *slog.Logger
-	lines     *callers.Front     // the platform's front
-	api       *callers.Front     // the call-control API; nil if it is off
-	manage    *management.Server // nil without an address
+	lines     *callers.Front     // the platform's front, over JSON lines
+	api       *callers.Front     // the call-control API over WebSocket; nil if it is off
+	manage    *management.Server // nil without a management address
 	list      *coordinator.Stream
 	lists     *lists.Keeper
 	files     *files.Watcher // nil without a pool file
@@ -92,9 +92,9 @@
 	loop.AddIdleCheck(pool.NoUnreadInput)
 	keeper := lists.New(log, func(u call.Update) { loop.Post(func() { core.Update(u) }) })
 	if c.Subset != nil {
-		most := c.Subset.ListBound(c.Limits.MemoryMB << 20)
-		keeper.Bound(most)
-		log.Info("connecting to a subset of the list", "size", c.Subset.Size, "zone", c.Subset.Zone, "listed at most", most)
+		limit := c.Subset.ListBound(c.Limits.MemoryMB << 20)
+		keeper.Bound(limit)
+		log.Info("connecting to a subset of the list", "size", c.Subset.Size, "zone", c.Subset.Zone, "listed at most", limit)
 	}
 	for i := range c.Known.Updates {
 		u, err := c.Known.Updates[i].Update()
@@ -106,10 +106,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n = &node{config: c, pool: pool, upgrade: u, core: core, loop: loop, log: log, cancel: cancel, bounds: bounds, lists: keeper, terms: callers.NewTerms(c.Settings)}
 	u.node = n
-	opened := n
+	incomplete := n
 	defer func() {
 		if err != nil { // n is nil by then
-			err = errors.Join(err, opened.close())
+			err = errors.Join(err, incomplete.close())
 		}
 	}()
 	if c.Pool != nil {
@@ -192,11 +192,11 @@
 }
 
 func (n *node) openFront(address string, format func() callers.Format) (*callers.Front, error) {
-	tcp, err := n.upgrade.listener(address)
+	listener, err := n.upgrade.listener(address)
 	if err != nil {
 		return nil, fmt.Errorf("callers: %w", err)
 	}
-	f := callers.New(n.loop, n.core, n.log, tcp, format, n.bounds, n.terms)
+	f := callers.New(n.loop, n.core, n.log, listener, format, n.bounds, n.terms)
 	n.core.AddFront(f)
 	n.core.OnFlush(f.Flush)
 	n.loop.AddIdleCheck(f.Heard)
@@ -231,7 +231,7 @@
 	if n.takeovers != nil {
 		err = n.takeovers.Close()
 	}
-	if n.ledger != nil { // before a successor is told that this one has ended
+	if n.ledger != nil { // before the successor is notified of the end
 		err = errors.Join(err, n.ledger.Close())
 	}
 	if n.fleet != nil {
@@ -253,11 +253,11 @@
 		closers = append(closers, n.manage.Close)
 	}
 	errs := make([]error, len(closers))
-	var all sync.WaitGroup
-	for i, closes := range closers {
-		all.Go(func() { errs[i] = closes() })
+	var closing sync.WaitGroup
+	for i, closeListener := range closers {
+		closing.Go(func() { errs[i] = closeListener() })
 	}
-	all.Wait()
+	closing.Wait()
 	return errors.Join(errs...)
 }
 
--- a/cmd/cherryrelay/poolfile_test.go
+++ b/cmd/cherryrelay/poolfile_test.go
@@ -43,10 +43,10 @@
 // answeringDispatcher is a dispatcher that answers every set-up and records its ID and time.
 type answeringDispatcher struct {
 	*peer.Dispatcher
-	mu       sync.Mutex
-	received []arrival
-	hold     time.Duration // the duration of its calls; 0 until the caller ends them
-	ended    chan struct{}
+	mu           sync.Mutex
+	received     []arrival
+	callDuration time.Duration // the duration of its calls; 0 until the caller ends them
+	ended        chan struct{}
 }
 
 type arrival struct {
@@ -66,7 +66,7 @@
 		}
 		d.mu.Lock()
 		d.received = append(d.received, arrival{e.ID, e.At})
-		hold := d.hold
+		hold := d.callDuration
 		d.mu.Unlock()
 		_ = e.Answer("y")
 		if hold > 0 {
@@ -644,10 +644,10 @@
 // runRewrites replaces the pool file repeatedly under load; a third of the versions is invalid. At the end of each block the last valid
 // version is active, and only its dispatchers get calls. A dispatcher that no valid version names never gets a call. If late is above 0, no
 // call reaches a dispatcher later than that after a version that removes it.
-func runRewrites(t *testing.T, transport string, versions int, late time.Duration) {
+func runRewrites(t *testing.T, transport string, versions int, limit time.Duration) {
 	s := newPoolFixture(t, transport, 6)
 	for _, d := range s.dispatchers {
-		d.hold = 20 * time.Millisecond
+		d.callDuration = 20 * time.Millisecond
 	}
 	r := &fileRewriter{poolFixture: s, rng: rand.New(rand.NewPCG(11, 7))}
 	r.next(0)
@@ -689,7 +689,7 @@
 		}
 	}
 	t.Logf("%s: %d versions, %d valid, %d calls; a call came at most %v after the version that forbids it", transport, versions, len(r.versions), total, worst)
-	if late > 0 && worst > late {
+	if limit > 0 && worst > limit {
 		t.Errorf("a call came %v after the version that forbids it", worst)
 	}
 }
--- a/cmd/cherryrelay/replacement_callers_soak_test.go
+++ b/cmd/cherryrelay/replacement_callers_soak_test.go
@@ -82,30 +82,30 @@
 		c.run.Error(err)
 		return nil
 	}
-	one := &replacementCaller{Caller: connection, usedAt: time.Now()}
+	caller := &replacementCaller{Caller: connection, usedAt: time.Now()}
 	c.mu.Lock()
-	c.all = append(c.all, one)
+	c.all = append(c.all, caller)
 	c.mu.Unlock()
-	go c.read(one)
-	return one
+	go c.read(caller)
+	return caller
 }
 
 func (c *replacementCallers) place(rng *rand.Rand) {
-	on := c.connection(rng)
-	if on == nil {
+	caller := c.connection(rng)
+	if caller == nil {
 		return
 	}
 	left := minTimeLeft + time.Duration(rng.Int64N(int64(maxTimeLeft-minTimeLeft)))
 	c.mu.Lock()
 	c.placed++
 	id := fmt.Sprintf("%04x%012x", c.run.seed&0xffff, c.placed)
-	k := &replacementCall{connection: on, keepsOpen: true}
+	k := &replacementCall{connection: caller, keepsOpen: true}
 	c.calls[id] = k
-	on.openCalls++
-	on.usedAt = time.Now()
+	caller.openCalls++
+	caller.usedAt = time.Now()
 	c.mu.Unlock()
 	c.run.checker.Placed(id, time.Now())
-	if err := on.SetUp(id, left, rng.IntN(c.run.dispatcherCount), "x"); err != nil {
+	if err := caller.SetUp(id, left, rng.IntN(c.run.dispatcherCount), "x"); err != nil {
 		c.run.Errorf("sending a set-up on an open connection: %v", err)
 	}
 	time.AfterFunc(left, func() { c.cancel(id, false) })
@@ -126,21 +126,21 @@
 }
 
 // read handles the messages of a connection until it ends.
-func (c *replacementCallers) read(on *replacementCaller) {
+func (c *replacementCallers) read(caller *replacementCaller) {
 	for {
-		m, err := on.NextWithin(time.Hour)
+		m, err := caller.NextWithin(time.Hour)
 		if err != nil {
-			c.connectionEnded(on)
+			c.connectionEnded(caller)
 			return
 		}
-		c.handleMessage(on, m.ID, m.Type, m.Description(), m.CauseOr(0))
+		c.handleMessage(caller, m.ID, m.Type, m.Description(), m.CauseOr(0))
 	}
 }
 
-func (c *replacementCallers) handleMessage(on *replacementCaller, id, kind, text string, cause int) {
+func (c *replacementCallers) handleMessage(caller *replacementCaller, id, kind, text string, cause int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	on.usedAt = time.Now()
+	caller.usedAt = time.Now()
 	k := c.calls[id]
 	if k == nil {
 		c.run.Errorf("%s for %s, which no caller placed", kind, id)
@@ -180,24 +180,24 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := 0; i < len(c.all) && len(c.all) > 1; i++ {
-		if one := c.all[i]; one.openCalls == 0 && time.Since(one.usedAt) > c.run.callerIdle {
+		if caller := c.all[i]; caller.openCalls == 0 && time.Since(caller.usedAt) > c.run.callerIdle {
 			c.all = append(c.all[:i:i], c.all[i+1:]...)
-			_ = one.Close()
+			_ = caller.Close()
 			i--
 		}
 	}
 }
 
 // connectionEnded removes a connection that has ended.
-func (c *replacementCallers) connectionEnded(on *replacementCaller) {
+func (c *replacementCallers) connectionEnded(ended *replacementCaller) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i, one := range c.all {
-		if one == on {
+	for i, caller := range c.all {
+		if caller == ended {
 			c.all = append(c.all[:i:i], c.all[i+1:]...)
 		}
 	}
-	_ = on.Close()
+	_ = ended.Close()
 }
 
 // pendingCalls returns the number of calls without an answer.
@@ -221,7 +221,7 @@
 func (c *replacementCallers) closeAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, one := range c.all {
-		_ = one.Close()
+	for _, caller := range c.all {
+		_ = caller.Close()
 	}
 }
--- a/cmd/cherryrelay/replacement_soak_test.go
+++ b/cmd/cherryrelay/replacement_soak_test.go
@@ -27,8 +27,8 @@
 	replacementSeeds, concurrentReplacements = 6, 12
 	// maxReplaced limits the dispatchers before, and after, the replacement.
 	maxReplaced = 3
-	// linkDelay and linkJitter are the delay and jitter of messages between the controller and dispatchers or callers.
-	linkDelay, linkJitter = 3 * time.Millisecond, 22 * time.Millisecond
+	// connectionDelay and connectionJitter are the delay and jitter of messages between the controller and dispatchers or callers.
+	connectionDelay, connectionJitter = 3 * time.Millisecond, 22 * time.Millisecond
 	// lineReportInterval is the interval at which dispatchers report their free lines.
 	lineReportInterval = 200 * time.Millisecond
 	// stepPause is the longest pause between two steps of a replacement, and replacementPause between the starts of two replacements.
@@ -36,7 +36,7 @@
 )
 
 // latency is the fault rule of all connections.
-var latency = fault.Rule{Forth: fault.Way{Delay: linkDelay, Jitter: linkJitter}, Back: fault.Way{Delay: linkDelay, Jitter: linkJitter}}
+var latency = fault.Rule{Forth: fault.Way{Delay: connectionDelay, Jitter: connectionJitter}, Back: fault.Way{Delay: connectionDelay, Jitter: connectionJitter}}
 
 // replacementScenario is the scenario that a seed draws.
 type replacementScenario struct {
@@ -48,7 +48,7 @@
 	load              float64       // set-ups as a share of the capacity of the lines; at low load, connections are often idle and overtaken
 	callerIdle        time.Duration // idle time after which callers close a connection
 	keepsConnections  bool          // callers keep a connection open while it has established calls
-	closesConnections bool          // dispatchers close connections after a closing message
+	closesConnections bool          // dispatchers close connections gracefully
 	reports           bool          // dispatchers report their lines unasked
 	refuses           bool          // dispatchers refuse connections while they drain
 	simultaneous      bool          // all are replaced at the same time
@@ -71,7 +71,7 @@
 }
 
 func (s *replacementScenario) String() string {
-	return fmt.Sprintf("%d dispatchers of %d lines, %.2f of set-ups unanswered, load %.2f, aim %v, answers in %v, calls of %v, drains of %v, callers' connections closed after %v, kept for calls that stand %v; dispatchers close %v, report %v, refuse as they drain %v, all at once %v",
+	return fmt.Sprintf("%d dispatchers of %d lines, %.2f of set-ups unanswered, load %.2f, aim %v, answers in %v, calls of %v, drains of %v, callers' connections closed after %v, kept for established calls %v; dispatchers close %v, report %v, refuse as they drain %v, all at once %v",
 		s.dispatcherCount, s.work.Lines, s.work.Unanswered, s.load, s.aim, s.slowest, s.work.Holds, s.drainFor, s.callerIdle, s.keepsConnections, s.closesConnections, s.reports, s.refuses, s.simultaneous)
 }
 
@@ -107,7 +107,7 @@
 	sent := 0
 	for {
 		l.mu.Lock()
-		events, more := l.events[sent:], l.changed
+		events, changed := l.events[sent:], l.changed
 		l.mu.Unlock()
 		for _, e := range events {
 			fmt.Fprint(w, e)
@@ -117,7 +117,7 @@
 			return
 		}
 		select {
-		case <-more:
+		case <-changed:
 		case <-time.After(time.Second):
 			fmt.Fprint(w, ": here\n\n")
 		case <-r.Context().Done():
@@ -146,7 +146,7 @@
 type listedDispatcher struct {
 	*trial.Replaced
 	entry map[string]any
-	link  string
+	path  string
 }
 
 func (d *listedDispatcher) entryWithStatus(status string) map[string]any {
@@ -170,7 +170,7 @@
 	rng       *rand.Rand
 	callsDone chan struct{} // closed when no more calls are placed
 	ended     chan struct{} // closed when the run ends
-	busy      sync.WaitGroup
+	running   sync.WaitGroup
 
 	mu      sync.Mutex
 	started []*listedDispatcher
@@ -191,12 +191,12 @@
 	if err != nil {
 		p.Fatal(err)
 	}
-	d := &listedDispatcher{Replaced: r, link: "c>" + name, entry: endpoint(name, n%p.dispatcherCount, address, since)}
-	p.net.Set(d.link, latency)
+	d := &listedDispatcher{Replaced: r, path: "c>" + name, entry: endpoint(name, n%p.dispatcherCount, address, since)}
+	p.net.Set(d.path, latency)
 	p.mu.Lock()
 	p.started = append(p.started, d)
 	p.mu.Unlock()
-	p.busy.Go(func() { p.runDispatcher(d, rand.New(rand.NewPCG(work.Seed, 2))) })
+	p.running.Go(func() { p.runDispatcher(d, rand.New(rand.NewPCG(work.Seed, 2))) })
 	return d
 }
 
@@ -264,8 +264,8 @@
 }
 
 // sleepRandomly sleeps for a random number of milliseconds below a limit.
-func sleepRandomly(rng *rand.Rand, most time.Duration) {
-	time.Sleep(time.Duration(rng.IntN(int(most/time.Millisecond))) * time.Millisecond)
+func sleepRandomly(rng *rand.Rand, limit time.Duration) {
+	time.Sleep(time.Duration(rng.IntN(int(limit/time.Millisecond))) * time.Millisecond)
 }
 
 // replace starts a dispatcher in the place of another, which drains and ends.
@@ -278,7 +278,7 @@
 	p.list.publish(p.T, d.entryWithStatus("leaving"))
 	if p.refuses {
 		sleepRandomly(rng, stepPause)
-		p.net.Refuse(d.link)
+		p.net.Refuse(d.path)
 		d.Stop()
 	}
 	time.Sleep(time.Duration(rng.Int64N(int64(p.drainFor))))
@@ -291,7 +291,7 @@
 		sleepRandomly(rng, stepPause)
 		p.list.publish(p.T, d.entryWithStatus("left"))
 	}
-	p.net.Refuse(d.link)
+	p.net.Refuse(d.path)
 }
 
 // runReplacement runs the scenario of a seed. The guard between attempts is not checked: on a busy machine dispatchers see the end of an
@@ -302,7 +302,7 @@
 		checker: trial.NewJudge(0, 9*time.Second), rng: rand.New(rand.NewPCG(seed, 1)), callsDone: make(chan struct{}), ended: make(chan struct{})}
 	t.Cleanup(p.net.Close)
 	old := p.begin()
-	late := measureRunDelays(p.cmd.Process.Pid)
+	delays := measureRunDelays(p.cmd.Process.Pid)
 	c := newReplacementCallers(p)
 	c.running.Go(func() { c.placeCalls(rand.New(rand.NewPCG(seed, 3))) })
 	time.Sleep(time.Second)
@@ -321,16 +321,16 @@
 	time.Sleep(500 * time.Millisecond)
 	close(p.callsDone)
 	c.running.Wait()
-	r := p.check(c, late)
+	r := p.check(c, delays)
 	close(p.ended)
-	p.busy.Wait()
+	p.running.Wait()
 	c.closeAll()
 	r.log = p.log.String()
 	return r
 }
 
 // check ends the established calls, waits for the answers and ends that callers still expect, and returns all violations.
-func (p *replacementRun) check(c *replacementCallers, late *schedulerMeter) replacementResult {
+func (p *replacementRun) check(c *replacementCallers, delays *schedulerMeter) replacementResult {
 	p.Helper()
 	trial.Until(maxTimeLeft+time.Second, func() bool { return c.pendingCalls() == 0 }) // callers cancel calls without an answer
 	p.mu.Lock()
@@ -354,21 +354,21 @@
 		if until.IsZero() {
 			until = now
 		}
-		by := e.Late(now)
+		lateness := e.Late(now)
 		switch {
 		case e.ToldAt.IsZero():
 			r.violations = append(r.violations, fmt.Sprintf("the end of %s is never delivered; %s", e.ID, e.Trail))
-		case by > 0 && by > late.delayBetween(e.OverAt, until) && by > c.meter.delayBetween(e.OverAt, until):
-			r.violations = append(r.violations, fmt.Sprintf("the end of %s is delivered %v too late; %s", e.ID, by, e.Trail))
+		case lateness > 0 && lateness > delays.delayBetween(e.OverAt, until) && lateness > c.meter.delayBetween(e.OverAt, until):
+			r.violations = append(r.violations, fmt.Sprintf("the end of %s is delivered %v too late; %s", e.ID, lateness, e.Trail))
 		}
 	}
 	return r
 }
 
 // triedAgain reports whether a call history has two set-ups at one dispatcher.
-func triedAgain(trail string) bool {
+func triedAgain(history string) bool {
 	at := map[string]bool{}
-	for part := range strings.SplitSeq(trail, ", ") {
+	for part := range strings.SplitSeq(history, ", ") {
 		if _, where, ok := strings.Cut(part, " set up at "); ok {
 			if at[where] {
 				return true
@@ -391,9 +391,9 @@
 	runReplacements(t, environmentNumber(t, "CHERRYRELAY_FIRST", 1), environmentNumber(t, "CHERRYRELAY_SEEDS", 50), concurrentReplacements)
 }
 
-func runReplacements(t *testing.T, first, seeds, atOnce uint64) {
+func runReplacements(t *testing.T, first, seeds, concurrent uint64) {
 	t.Helper()
-	slots := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, concurrent)
 	var ends atomic.Int64
 	t.Run("plays", func(t *testing.T) {
 		for seed := first; seed < first+seeds; seed++ {
--- a/cmd/cherryrelay/resume_test.go
+++ b/cmd/cherryrelay/resume_test.go
@@ -407,12 +407,12 @@
 		}
 	}
 	d.kill()
-	from := time.Now()
+	start := time.Now()
 	d.start()
-	ready := time.Since(from)
+	ready := time.Since(start)
 	c = d.connect()
 	got := map[string]int{}
-	from = time.Now()
+	start = time.Now()
 	// A ping after each batch is answered when the batch has been read: a connection that sends faster than it is read is closed.
 	const batch = 250
 	for n := 0; n < calls; n += batch {
@@ -432,7 +432,7 @@
 			got[m.ID]++
 		}
 	}
-	took := time.Since(from)
+	took := time.Since(start)
 	if len(got) != calls {
 		d.Errorf("%d of %d calls were answered", len(got), calls)
 	}
--- a/cmd/cherryrelay/shutdown_soak_test.go
+++ b/cmd/cherryrelay/shutdown_soak_test.go
@@ -32,8 +32,8 @@
 const (
 	// shortSeeds is the number of seeds of make test, and concurrentShutdowns the number of concurrent runs.
 	shortSeeds, concurrentShutdowns = 48, 4
-	// killTimeout is the earliest time after SIGTERM at which the platform kills the process: the longest deadline, at most 3 s, plus 0.7
-	// s.
+	// killTimeout is the earliest time after SIGTERM at which the platform kills the process: 0.7 s after the longest deadline, which
+	// counts as 3 s if it is longer.
 	killTimeout = 3*time.Second + 700*time.Millisecond
 	// answerTransitTime is the time before a reset in which a written answer may be lost with it.
 	answerTransitTime = 100 * time.Millisecond
@@ -65,7 +65,7 @@
 
 func drawShutdown(seed uint64) shutdownScenario {
 	rng := rand.New(rand.NewPCG(seed, 0x73746f70))
-	pick := func(of ...string) string { return of[rng.IntN(len(of))] }
+	pick := func(choices ...string) string { return choices[rng.IntN(len(choices))] }
 	s := shutdownScenario{seed: seed, transport: pick("tcp", "ws"), dispatcherTransport: pick("tcp", "ws"), ledger: rng.IntN(2) == 0, crowd: seed%3 == 0,
 		sockets: 128 << rng.IntN(3), dialPeriod: 200*time.Millisecond + time.Duration(rng.Int64N(int64(200*time.Millisecond))),
 		killFirst: rng.IntN(5) == 0, successor: rng.IntN(6) == 0, serveFirst: time.Duration(300+rng.IntN(500)) * time.Millisecond}
@@ -85,8 +85,8 @@
 // kinds returns the properties of a run, for the summary.
 func (s *shutdownScenario) kinds() []string {
 	kinds := append([]string{"callers over " + s.transport, "dispatchers over " + s.dispatcherTransport}, slices.Concat(s.faults, s.signals)...)
-	for name, is := range map[string]bool{"ledger": s.ledger, "crowd": s.crowd, "killed and back": s.killFirst, "successor": s.successor} {
-		if is {
+	for name, present := range map[string]bool{"ledger": s.ledger, "crowd": s.crowd, "killed and back": s.killFirst, "successor": s.successor} {
+		if present {
 			kinds = append(kinds, name)
 		}
 	}
@@ -222,7 +222,7 @@
 }
 
 // runShutdown runs the scenario of a seed. The process is excused for the delays that excuses measures.
-func runShutdown(t *testing.T, seed uint64, excuses func(*shutdownRun) *schedulerMeter) shutdownResult {
+func runShutdown(t *testing.T, seed uint64, measureDelay func(*shutdownRun) *schedulerMeter) shutdownResult {
 	t.Helper()
 	p := &shutdownRun{T: t, shutdownScenario: drawShutdown(seed), rng: rand.New(rand.NewPCG(seed, 1))}
 	arrivals := &arrivalTimes{at: map[string][]time.Time{}}
@@ -238,7 +238,7 @@
 		address = p.api
 	}
 	j := newShutdownChecker()
-	j.process = excuses(p)
+	j.process = measureDelay(p)
 	p.stops = j.process
 	c := &shutdownCallers{checker: j, transport: p.transport, address: address, done: make(chan struct{}), answerTimes: r.answerTimes}
 	p.callers = c
@@ -256,8 +256,8 @@
 		time.Sleep(time.Duration(p.rng.IntN(50)) * time.Millisecond)
 	}
 	p.signal(syscall.SIGTERM)
-	asked := time.Now()
-	c.dialUntil.Store(asked.Add(p.dialPeriod).UnixNano())
+	signalledAt := time.Now()
+	c.dialUntil.Store(signalledAt.Add(p.dialPeriod).UnixNano())
 	p.sendSignals("with")
 	if p.successor {
 		next := *p.process
@@ -268,13 +268,13 @@
 	p.sendSignals("after")
 	select {
 	case err := <-p.ended:
-		r.exit = time.Since(asked)
+		r.exit = time.Since(signalledAt)
 		if err != nil {
 			r.violations = append(r.violations, fmt.Sprintf("the process ended with %v", err))
 		}
 		p.cmd = nil
-	case <-time.After(time.Until(asked.Add(killTimeout))):
-		r.killed, r.exit = true, time.Since(asked)
+	case <-time.After(time.Until(signalledAt.Add(killTimeout))):
+		r.killed, r.exit = true, time.Since(signalledAt)
 		p.kill()
 	}
 	livedUntil := time.Now()
@@ -432,7 +432,7 @@
 	return n
 }
 
-func runShutdowns(t *testing.T, first, seeds uint64, skipped map[uint64]bool, excuses func(*shutdownRun) *schedulerMeter) {
+func runShutdowns(t *testing.T, first, seeds uint64, skipped map[uint64]bool, measureDelay func(*shutdownRun) *schedulerMeter) {
 	t.Helper()
 	s := &shutdownSummary{kinds: map[string][2]int{}, answerTimes: hdrhistogram.New(1, 60_000_000, 3), exits: hdrhistogram.New(1, 60_000_000, 3)}
 	slots := make(chan struct{}, concurrentShutdowns)
@@ -446,7 +446,7 @@
 				t.Parallel()
 				slots <- struct{}{}
 				defer func() { <-slots }()
-				r := runShutdown(t, seed, excuses)
+				r := runShutdown(t, seed, measureDelay)
 				scenario := drawShutdown(seed)
 				s.add(scenario.kinds(), r)
 				fmt.Fprintf(os.Stderr, "seed %d: %d set-ups, %d crossed, exit after %v, %d faults; %v\n", seed, r.calls, r.crossed,
--- a/cmd/cherryrelay/soak_ledger_test.go
+++ b/cmd/cherryrelay/soak_ledger_test.go
@@ -44,7 +44,7 @@
 		var mu sync.Mutex
 		h := hdrhistogram.New(1, 60_000_000, 3)
 		before := cpuTime(t, pid)
-		from := time.Now()
+		start := time.Now()
 		var running sync.WaitGroup
 		calls := 0
 		for n := range callers {
@@ -52,8 +52,8 @@
 			running.Go(func() {
 				next := (n + 1) << 32
 				sent := map[string]time.Time{}
-				for time.Since(from) < lasting || len(sent) > 0 {
-					for len(sent) < window && time.Since(from) < lasting {
+				for time.Since(start) < lasting || len(sent) > 0 {
+					for len(sent) < window && time.Since(start) < lasting {
 						next++
 						sent[id(next)] = time.Now()
 						d.setUp(c, id(next))
@@ -78,7 +78,7 @@
 			})
 		}
 		running.Wait()
-		took := time.Since(from)
+		took := time.Since(start)
 		used := cpuTime(t, pid) - before
 		_, text := httpGet(d.management, "/api/telemetry")
 		bytes := 0.0
@@ -139,13 +139,13 @@
 		}
 		size := l.Metrics().Bytes
 		d.must(l.Close())
-		from := time.Now()
+		start := time.Now()
 		d.start()
-		ready := time.Since(from)
+		ready := time.Since(start)
 		c := d.connect()
 		d.must(c.Send(jsonl.Message{Type: "resume", ID: id(2), Fields: map[string]jsonl.Value{"token": jsonl.Value(token(id(2))), "answered": "0"}}))
 		d.expect(c, "answer 2")
-		first := time.Since(from)
+		first := time.Since(start)
 		status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", d.cmd.Process.Pid))
 		d.must(err)
 		peak := ""
--- a/cmd/cherryrelay/soak_test.go
+++ b/cmd/cherryrelay/soak_test.go
@@ -38,10 +38,10 @@
 			for i := range rounds {
 				label := fmt.Sprint("v", i)
 				time.Sleep(time.Duration(i%37) * time.Millisecond) // at any phase of the watcher
-				from := time.Now()
+				start := time.Now()
 				s.writeLargeSet(label, servers)
 				s.waitActive(label)
-				if err := h.RecordValue(time.Since(from).Microseconds()); err != nil {
+				if err := h.RecordValue(time.Since(start).Microseconds()); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/cmd/cherryrelay/takeover.go
+++ b/cmd/cherryrelay/takeover.go
@@ -14,26 +14,27 @@
 	"cherryrelay/internal/takeover"
 )
 
-// startTakeovers starts the takeover of calls of terminated controllers once this process has its ledger. Without [fleet] ledgers it does nothing.
+// startTakeovers starts the takeover of calls of terminated controllers once this process has its ledger. Without [fleet] ledgers it does
+// nothing.
 func (n *node) startTakeovers() {
 	f, k := n.config.Fleet, n.opened
 	if f == nil || f.Ledgers == "" || n.takeovers != nil || k == nil || n.fleet == nil {
 		return
 	}
-	certain := func() (decide.IncarnationID, bool) {
+	heldIncarnation := func() (decide.IncarnationID, bool) {
 		store, incarnation, ok := n.fleet.Life()
 		return decide.IncarnationID{Store: store, Number: incarnation}, ok
 	}
 	room, err := takeover.Open(n.core, takeover.Options{
 		Ledgers: f.Ledgers, Name: n.config.Name, Key: k.key, Lease: f.Lease(), Post: n.loop.Post, Still: k.verify, Taken: n.restart,
-		Certain: certain, Fleet: n,
+		Certain: heldIncarnation, Fleet: n,
 	}, n.log)
 	if err != nil {
 		n.log.Error("calls are not transferred between controllers", "err", err)
 		return
 	}
 	n.takeovers = room
-	n.core.UseFinder(room, func() bool { _, ok := certain(); return ok }, n.restart)
+	n.core.UseFinder(room, func() bool { _, ok := heldIncarnation(); return ok }, n.restart)
 	n.core.AddMetrics(room.Figures)
 	n.loop.Post(func() {
 		if n.manage != nil {
@@ -53,12 +54,12 @@
 // this process must not send any further message about them. Its connections close, and its callers reconnect here or elsewhere.
 func (n *node) restart(why error) {
 	n.log.Error("THE CALLS OF THIS CONTROLLER WERE TAKEN OVER: it restarts without them", "err", why)
-	own, err := os.Executable()
+	program, err := os.Executable()
 	if err == nil {
 		err = setCloseOnExec()
 	}
 	if err == nil {
-		err = syscall.Exec(own, os.Args, os.Environ())
+		err = syscall.Exec(program, os.Args, os.Environ())
 	}
 	n.log.Error("the program cannot be started again", "err", err)
 	os.Exit(1)
--- a/cmd/cherryrelay/upgrade.go
+++ b/cmd/cherryrelay/upgrade.go
@@ -20,7 +20,8 @@
 )
 
 const (
-	// handoverRetryInterval and handoverTimeout are the interval and the timeout for retries while the predecessor is busy with another successor.
+	// handoverRetryInterval and handoverTimeout are the interval and the timeout for retries while the predecessor is busy with another
+	// successor.
 	handoverRetryInterval, handoverTimeout = 100 * time.Millisecond, 3 * time.Second
 	// connectionReportInterval is the interval at which a process reports its number of connections to its successor.
 	connectionReportInterval = 50 * time.Millisecond
@@ -67,9 +68,9 @@
 
 // listener returns the inherited listener for the address, or a new one.
 func (u *upgrade) listener(address string) (*net.TCPListener, error) {
-	if tcp := u.inherited[address]; tcp != nil {
+	if listener := u.inherited[address]; listener != nil {
 		delete(u.inherited, address)
-		return tcp, nil
+		return listener, nil
 	}
 	return conn.BindShared(address) //nolint:wrapcheck // the error names its source
 }
@@ -77,9 +78,9 @@
 // run starts to serve. If a predecessor serves, run waits until calls can be placed.
 func (u *upgrade) run() {
 	n := u.node
-	for address, tcp := range u.inherited {
+	for address, listener := range u.inherited {
 		n.log.Warn("an inherited socket that no front uses is closed", "address", address)
-		_ = tcp.Close()
+		_ = listener.Close()
 	}
 	if u.predecessor == nil {
 		u.serve()
@@ -227,11 +228,11 @@
 	if u.successor != p {
 		return
 	}
-	served := u.successorReady
+	hadServed := u.successorReady
 	u.successor, u.successorReady, u.reportedConnections = nil, false, 0
-	if old := u.server; served && old != nil { // the path was the successor's
+	if server := u.server; hadServed && server != nil { // the successor had the path
 		u.acceptSuccessors()
-		_ = old.Close()
+		_ = server.Close()
 	}
 	n.core.SuccessorEnded()
 	n.cancelLeave()
@@ -275,7 +276,8 @@
 const (
 	// callersReserveDivisor is the divisor of the limit that gives the sockets reserved for callers.
 	callersReserveDivisor = 3
-	// callersHeadroomDivisor is the divisor of the limit that gives the sockets kept free for new callers; minCallersHeadroom is their minimum.
+	// callersHeadroomDivisor is the divisor of the limit that gives the sockets kept free for new callers. minCallersHeadroom is the
+	// minimum of these sockets.
 	callersHeadroomDivisor, minCallersHeadroom = 16, 8
 )
 
@@ -283,22 +285,23 @@
 const refusalSockets = 2
 
 // socketQuota returns the sockets that callers and dispatchers have together while the given number of processes share the limit. Each of two
-// processes gets half of the sockets that the callers of both leave. The processes divide the callers by their reports (upgrade.reportedConnections).
+// processes gets half of the sockets that the callers of both leave. The processes divide the callers by their reports
+// (upgrade.reportedConnections).
 func socketQuota(c *config.Config, processes int) links.SocketQuota {
-	limit, most := c.Limits.Sockets, callerBounds(c).Most()
+	limit, maxCallers := c.Limits.Sockets, callerBounds(c).Most()
 	if c.WebSocket != nil {
-		most *= 2
+		maxCallers *= 2
 	}
-	own := programDescriptors
+	reserved := programDescriptors
 	if c.Management != "" {
-		own += management.Descriptors
+		reserved += management.Descriptors
 	}
-	least := dispatchers.MaxConnections // dispatchers get connections even if the limit is small
+	minDispatchers := dispatchers.MaxConnections // dispatchers get connections even if the limit is small
 	if processes == 1 {
-		sockets := max(limit-own, most+least)
-		return links.SocketQuota{Sockets: sockets, MaxCallers: most, Reserved: min(limit/callersReserveDivisor, most), Headroom: max(limit/callersHeadroomDivisor, minCallersHeadroom)}
+		sockets := max(limit-reserved, maxCallers+minDispatchers)
+		return links.SocketQuota{Sockets: sockets, MaxCallers: maxCallers, Reserved: min(limit/callersReserveDivisor, maxCallers), Headroom: max(limit/callersHeadroomDivisor, minCallersHeadroom)}
 	}
-	return links.SocketQuota{Sockets: most + max((limit-most)/processes-own, least), MaxCallers: most, Reserved: most}
+	return links.SocketQuota{Sockets: maxCallers + max((limit-maxCallers)/processes-reserved, minDispatchers), MaxCallers: maxCallers, Reserved: maxCallers}
 }
 
 // divideSockets sets the socket limits of callers and dispatchers by the number of connected callers.
@@ -331,26 +334,26 @@
 // applyLimits sets the limits of this process. While two processes run, both together keep to the limits of one.
 func (n *node) applyLimits() {
 	c, u := n.config, n.upgrade
-	two := u.predecessor != nil || u.successor != nil
-	memory, each := c.Limits.MemoryMB<<20, dispatchers.MaxConnections
-	if two {
-		memory, each = memory/upgradeProcesses, each/upgradeProcesses
+	upgrading := u.predecessor != nil || u.successor != nil
+	memory, maxConnections := c.Limits.MemoryMB<<20, dispatchers.MaxConnections
+	if upgrading {
+		memory, maxConnections = memory/upgradeProcesses, maxConnections/upgradeProcesses
 	}
 	limitMemory(memory)
 	n.core.LimitMemory(memory)
-	n.pool.SetMaxConnections(each)
+	n.pool.SetMaxConnections(maxConnections)
 	processes := 1
-	if two {
+	if upgrading {
 		processes = upgradeProcesses
 	}
 	n.division = socketDivision{SocketQuota: socketQuota(c, processes), callers: -1}
-	most := n.bounds.Connections
-	if u.predecessor != nil && most > 0 {
-		most = max(most-u.reportedConnections, 1)
+	maxCallers := n.bounds.Connections
+	if u.predecessor != nil && maxCallers > 0 {
+		maxCallers = max(maxCallers-u.reportedConnections, 1)
 	}
 	for _, f := range n.fronts() {
-		f.Limit(most)
-		f.Listener().Shared(two)
+		f.Limit(maxCallers)
+		f.Listener().Shared(upgrading)
 	}
 	n.divideSockets()
 }
--- a/cmd/cherryrelay/upgrade_test.go
+++ b/cmd/cherryrelay/upgrade_test.go
@@ -198,7 +198,7 @@
 func TestForeignFilesAtTheHandoverPath(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
-	listen := func(path string) *net.UnixListener {
+	listenUnix := func(path string) *net.UnixListener {
 		l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 		if err != nil {
 			t.Fatal(err)
@@ -209,10 +209,10 @@
 	}
 	for name, createFile := range map[string]func(path string) error{
 		"file":   func(path string) error { return os.WriteFile(path, []byte("mine"), 0o600) },
-		"stale":  func(path string) error { return listen(path).Close() },
-		"silent": func(path string) error { listen(path); return nil },
+		"stale":  func(path string) error { return listenUnix(path).Close() },
+		"silent": func(path string) error { listenUnix(path); return nil },
 		"rude": func(path string) error {
-			l := listen(path)
+			l := listenUnix(path)
 			go func() {
 				for {
 					nc, err := l.Accept()
