--- a/cmd/cherryrelay/crossings_test.go
+++ b/cmd/cherryrelay/crossings_test.go
@@ -574,11 +574,11 @@
 			t.Parallel()
 			f := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
 			f.waitConnections(0, 1)
-			tester := f.connect()
+			healthCheck := f.connect()
 			f.must(f.dispatchers[0].Release(id(0x77), 41))
-			f.recordMessage(tester) // it has sent nothing, and no other caller is connected
-			f.must(tester.Send(jsonl.Message{Type: "ping", ID: id(0)}))
-			f.recordMessage(tester)
+			f.recordMessage(healthCheck) // it has sent nothing, and no other caller is connected
+			f.must(healthCheck.Send(jsonl.Message{Type: "ping", ID: id(0)}))
+			f.recordMessage(healthCheck)
 			c := f.newCaller()
 			f.must(c.SetUp(id(1), longTimeout, 0, "x"))
 			f.recordMessage(c)
--- a/cmd/cherryrelay/fleet_load_test.go
+++ b/cmd/cherryrelay/fleet_load_test.go
@@ -254,7 +254,7 @@
 	for _, p := range all {
 		p.waitReady()
 	}
-	var first atomic.Int32 // the first choices are this dispatcher and the next
+	var first atomic.Int32 // the first choices are this dispatcher and the next one
 	stop := make(chan struct{})
 	var load sync.WaitGroup
 	defer load.Wait()
--- a/cmd/cherryrelay/operators_test.go
+++ b/cmd/cherryrelay/operators_test.go
@@ -100,9 +100,9 @@
 		f.must(f.dispatchers[1].Release(id(2), 16)) // while no caller is connected
 		f.recordStatus("POST", "/api/rejoin")
 		f.recordStatus("GET", "/api/ready")
-		tester := f.connect() // a health check takes the next message for its result: callers stayed away
-		f.must(tester.Send(jsonl.Message{Type: "ping", ID: id(0)}))
-		f.recordMessage(tester)
+		healthCheck := f.connect() // it takes the next message as its result; after the end of a call, callers stayed away
+		f.must(healthCheck.Send(jsonl.Message{Type: "ping", ID: id(0)}))
+		f.recordMessage(healthCheck)
 		c := f.connect()
 		f.recordMessage(c)
 		// An evacuation that is cancelled half-way closes no connection, and pending calls continue.
--- a/cmd/cherryrelay/poolfile_test.go
+++ b/cmd/cherryrelay/poolfile_test.go
@@ -45,7 +45,7 @@
 	*peer.Dispatcher
 	mu           sync.Mutex
 	received     []arrival
-	callDuration time.Duration // the duration of its calls; 0 until the caller ends them
+	callDuration time.Duration // 0 if the caller ends the call
 	ended        chan struct{}
 }
 
@@ -66,11 +66,11 @@
 		}
 		d.mu.Lock()
 		d.received = append(d.received, arrival{e.ID, e.At})
-		hold := d.callDuration
+		duration := d.callDuration
 		d.mu.Unlock()
 		_ = e.Answer("y")
-		if hold > 0 {
-			time.AfterFunc(hold, func() { _ = d.Release(e.ID, 16) })
+		if duration > 0 {
+			time.AfterFunc(duration, func() { _ = d.Release(e.ID, 16) })
 		}
 	}
 }
@@ -81,7 +81,7 @@
 	return append([]arrival(nil), d.received...)
 }
 
-// logRecorder keeps the log.
+// logRecorder is a log handler that keeps the text of the log.
 type logRecorder struct {
 	slog.Handler
 	mu   sync.Mutex
--- a/cmd/cherryrelay/replacement_callers_soak_test.go
+++ b/cmd/cherryrelay/replacement_callers_soak_test.go
@@ -212,7 +212,7 @@
 	return n
 }
 
-func (c *replacementCallers) crossings() int {
+func (c *replacementCallers) countCrossed() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.crossed
--- a/cmd/cherryrelay/replacement_soak_test.go
+++ b/cmd/cherryrelay/replacement_soak_test.go
@@ -344,7 +344,7 @@
 	})
 	violations, _, counts := p.checker.Verdict()
 	now := time.Now()
-	r := replacementResult{violations: violations, crossed: c.crossings(), counts: counts}
+	r := replacementResult{violations: violations, crossed: c.countCrossed(), counts: counts}
 	for _, e := range p.checker.Ends() {
 		r.ends++
 		if triedAgain(e.Trail) {
--- a/cmd/cherryrelay/shutdown_checker_test.go
+++ b/cmd/cherryrelay/shutdown_checker_test.go
@@ -95,7 +95,7 @@
 	c := j.calls[id]
 	switch {
 	case c == nil:
-		j.addViolation("%s: a %s for a set-up that nobody sent", id, kind)
+		j.addViolation("%s: a %s for a set-up that no caller sent", id, kind)
 		return
 	case kind == "release" && c.established, kind == "release" && c.finals == 0 && !c.cancelledAt.IsZero():
 		c.endReported = true
