--- a/cmd/cherryrelay-lab/main.go
+++ b/cmd/cherryrelay-lab/main.go
@@ -80,7 +80,7 @@
 	var t trialFlags
 	c := &cobra.Command{
 		Use: "trial SCENARIO.ini", Short: "Run a scenario, once or for many seeds",
-		Long: "Runs a scenario on controllers that it starts as processes. Actions in a scenario:\n  " + strings.Join(trial.Deeds(), ", ") +
+		Long: "Runs a scenario on controllers that it starts as processes. Actions in a scenario:\n  " + strings.Join(trial.Actions(), ", ") +
 			"\nThe exit status is 1 if a rule was broken; the command that repeats that seed is printed.",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error { return t.run(c, args[0]) },
 	}
@@ -126,7 +126,7 @@
 			break
 		}
 		seed := t.seed + uint64(i)
-		r, err := trial.Play(s, seed, []string{t.program}, nil, version(), t.progress(c.ErrOrStderr(), i))
+		r, err := trial.RunScenario(s, seed, []string{t.program}, nil, version(), t.progress(c.ErrOrStderr(), i))
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", seed, err)
 		}
@@ -137,7 +137,7 @@
 		if !r.Passed() {
 			sum.failed++
 			fmt.Fprintf(c.OutOrStdout(), "seed %d: %s\nrepeat with: %s trial %s --seed %d --controllers %d\n", seed,
-				strings.Join(append(append([]string{fmt.Sprintf("%d unanswered, together %v", r.Unanswered, r.Together)}, r.Faults...), r.Beliefs...), "\n  "),
+				strings.Join(append(append([]string{fmt.Sprintf("%d unanswered, together %v", r.Unanswered, r.Converged)}, r.Violations...), r.LeaseViolations...), "\n  "),
 				os.Args[0], path, seed, s.Controllers)
 		}
 	}
@@ -197,13 +197,13 @@
 
 func (s *summary) add(r *trial.Result) {
 	s.seeds++
-	s.calls, s.setUps, s.unanswered, s.unconfirmed = s.calls+r.Calls, s.setUps+r.SetUps, s.unanswered+r.Unanswered, s.unconfirmed+r.Untold
-	s.steps, s.samples, s.requests, s.durationMs = s.steps+len(r.Plan), s.samples+r.Samples, s.requests+r.Store.Sum(), s.durationMs+r.TookMs
+	s.calls, s.setUps, s.unanswered, s.unconfirmed = s.calls+r.Calls, s.setUps+r.SetUps, s.unanswered+r.Unanswered, s.unconfirmed+r.Unnotified
+	s.steps, s.samples, s.requests, s.durationMs = s.steps+len(r.Plan), s.samples+r.Samples, s.requests+r.Store.Total(), s.durationMs+r.TookMs
 	s.resumes += r.Resumes
-	if len(r.WordsMs) > 0 {
-		r.EndsMs = append(r.EndsMs, trial.Ended{Cause: lostConnectionRow, Ms: r.WordsMs})
+	if len(r.ResumeDelaysMs) > 0 {
+		r.EndDelays = append(r.EndDelays, trial.EndDelays{Cause: lostConnectionRow, Ms: r.ResumeDelaysMs})
 	}
-	for _, e := range r.EndsMs {
+	for _, e := range r.EndDelays {
 		h := s.ends[e.Cause]
 		if h == nil {
 			h = hdrhistogram.New(1, 600_000, 3)
--- a/cmd/cherryrelay-lab/scale.go
+++ b/cmd/cherryrelay-lab/scale.go
@@ -29,7 +29,7 @@
 	c := &cobra.Command{
 		Use: "scale SCENARIO.ini", Short: "Run and measure a large fleet, most of it without callers",
 		Long: "Runs hollow controllers, many in a process, and a few real ones that serve calls. Reports their resource usage and the time until\n" +
-			"changes are active. Kinds of faults in a scenario: " + strings.Join(scale.Kinds(), ", ") + ".\n" +
+			"changes are active. Kinds of faults in a scenario: " + strings.Join(scale.EventKinds(), ", ") + ".\n" +
 			"The exit status is 1 if a rule was broken or the run exceeded its limits; docs/scale.md describes both.",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error { return f.run(c, args[0]) },
 	}
@@ -48,7 +48,7 @@
 func scaleWorkerCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: workerCommandName, Hidden: true, Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return scale.Work(os.Stdin, os.Stdout) },
+		RunE: func(*cobra.Command, []string) error { return scale.RunWorker(os.Stdin, os.Stdout) },
 	}
 }
 
@@ -68,7 +68,7 @@
 	if !f.quiet {
 		o.Progress = scaleProgress(c.ErrOrStderr())
 	}
-	r, err := scale.Play(c.Context(), s, f.seed, o)
+	r, err := scale.Run(c.Context(), s, f.seed, o)
 	if err != nil {
 		return fmt.Errorf("%w; repeat with: %s", err, o.Command)
 	}
@@ -85,7 +85,7 @@
 		}
 	}
 	if !r.Passed() {
-		return fmt.Errorf("%d rules were broken", len(r.Faults))
+		return fmt.Errorf("%d rules were broken", len(r.Violations))
 	}
 	return nil
 }
@@ -96,14 +96,14 @@
 	if err != nil {
 		return nil, err //nolint:wrapcheck // the error names its operation
 	}
-	s, faults := scale.Read(text)
+	s, faults := scale.ReadScenario(text)
 	for _, fault := range faults {
 		fmt.Fprintf(errOut, "%s: %v\n", path, fault)
 	}
 	if len(faults) > 0 {
 		return nil, fmt.Errorf("%s is invalid, faults: %d", path, len(faults))
 	}
-	for _, flag := range []struct{ value, target *int }{{&f.controllers, &s.Controllers}, {&f.real, &s.Real}, {&f.services, &s.Services}} {
+	for _, flag := range []struct{ value, target *int }{{&f.controllers, &s.Controllers}, {&f.real, &s.RealControllers}, {&f.services, &s.Services}} {
 		if *flag.value >= 0 {
 			*flag.target = *flag.value
 		}
@@ -113,7 +113,7 @@
 
 // commandLine returns the command that repeats the run.
 func (f *scaleFlags) commandLine(path string, s *scale.Scenario) string {
-	return fmt.Sprintf("%s scale %s --controllers %d --real %d --services %d --seed %d", os.Args[0], path, s.Controllers, s.Real, s.Services, f.seed)
+	return fmt.Sprintf("%s scale %s --controllers %d --real %d --services %d --seed %d", os.Args[0], path, s.Controllers, s.RealControllers, s.Services, f.seed)
 }
 
 // scaleProgress returns a function that redraws a progress bar in place.
--- a/cmd/cherryrelay-lab/scalechart.go
+++ b/cmd/cherryrelay-lab/scalechart.go
@@ -62,7 +62,7 @@
 		of   func(*scale.Report) float64
 	}{
 		{"store requests/s", func(r *scale.Report) float64 { return ordinaryPhase(r).Requests }},
-		{"watch messages/s", func(r *scale.Report) float64 { return ordinaryPhase(r).Notices }},
+		{"watch messages/s", func(r *scale.Report) float64 { return ordinaryPhase(r).WatchMessages }},
 		{"in force, p99 ms", hollowP99Ms},
 	} {
 		var points plotter.XYs
--- a/cmd/cherryrelay/calls_test.go
+++ b/cmd/cherryrelay/calls_test.go
@@ -39,7 +39,7 @@
 // runScenario runs a script over each combination of transports. The peers must receive the same messages on all of them.
 func runScenario(t *testing.T, want []string, script func(f *fixture)) {
 	t.Helper()
-	runScenarioWithBounds(t, callers.Bounds{Silent: longTimeout, Idle: longTimeout}, want, script)
+	runScenarioWithBounds(t, callers.Bounds{MessageTimeout: longTimeout, IdleTimeout: longTimeout}, want, script)
 }
 
 // runScenarioWithBounds is runScenario with limits for the connections of callers.
@@ -66,7 +66,7 @@
 	var d [2]*peer.Dispatcher
 	for i := range d {
 		var err error
-		if d[i], err = peer.Dispatch(dispatchers, "127.0.0.1:0", "x0:40;x1:40"); err != nil {
+		if d[i], err = peer.StartDispatcher(dispatchers, "127.0.0.1:0", "x0:40;x1:40"); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -99,7 +99,7 @@
 	t.Cleanup(func() {
 		n.loop.Quit()
 		for _, d := range f.dispatchers {
-			d.Die()
+			d.Kill()
 		}
 	})
 	return f
@@ -136,7 +136,7 @@
 	if f.transport == "ws" {
 		address = f.node.api.Address()
 	}
-	c, err := peer.Call(f.transport, address)
+	c, err := peer.DialCaller(f.transport, address)
 	f.must(err)
 	f.Cleanup(func() { _ = c.Close() })
 	return c
@@ -176,7 +176,7 @@
 	if !strings.HasPrefix(f.dispatchers[d].Address(), "ws") {
 		select {
 		case <-f.dispatchers[d].Acks:
-		case <-time.After(peer.Patience):
+		case <-time.After(peer.Timeout):
 			f.Fatal("no ACK")
 		}
 	}
@@ -282,7 +282,7 @@
 
 func TestAnIllegalMessageClosesItsConnectionAlone(t *testing.T) {
 	for name, text := range map[string]string{
-		"unreadable": `{"type":"setup",`, "oversized": strings.Repeat("x", jsonl.MaxMessage+1),
+		"unreadable": `{"type":"setup",`, "oversized": strings.Repeat("x", jsonl.MaxMessageSize+1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			runScenario(t, []string{"d0: setup 1 x", "caller: release 1 41", "d0: release 1 16", "d1: setup 2 x", "caller: answer 2 y"},
@@ -294,7 +294,7 @@
 					f.recordMessage(c)
 					_, err := c.Next()
 					var closed *websocket.Error
-					if errors.As(err, &closed) && closed.Code != websocket.BadData && closed.Code != websocket.TooBig {
+					if errors.As(err, &closed) && closed.Code != websocket.InvalidPayload && closed.Code != websocket.TooBig {
 						t.Errorf("closed with %v", closed)
 					}
 					if err == nil {
@@ -387,9 +387,9 @@
 // waitConnections waits until a dispatcher has the given number of connections.
 func (f *fixture) waitConnections(d, links int) {
 	f.Helper()
-	for begin := time.Now(); f.dispatchers[d].Links() < links; time.Sleep(5 * time.Millisecond) {
-		if time.Since(begin) > peer.Patience {
-			f.Fatalf("dispatcher %d has %d connections, want %d", d, f.dispatchers[d].Links(), links)
+	for begin := time.Now(); f.dispatchers[d].ConnCount() < links; time.Sleep(5 * time.Millisecond) {
+		if time.Since(begin) > peer.Timeout {
+			f.Fatalf("dispatcher %d has %d connections, want %d", d, f.dispatchers[d].ConnCount(), links)
 		}
 	}
 }
@@ -400,8 +400,8 @@
 	for name, answer := range map[string]func(e peer.Event) error{
 		"noise":     func(e peer.Event) error { return e.Answer("\x01\x02\x03") },
 		"empty":     func(e peer.Event) error { return e.Answer("") },
-		"too long":  func(e peer.Event) error { return e.Answer(strings.Repeat("\n", jsonl.MaxMessage-400)) },
-		"cut short": func(e peer.Event) error { return e.AnswerHalf() },
+		"too long":  func(e peer.Event) error { return e.Answer(strings.Repeat("\n", jsonl.MaxMessageSize-400)) },
+		"cut short": func(e peer.Event) error { return e.SendPartialAnswer() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			runScenario(t, []string{"d1: setup 2 x", "d0: setup 1 x", "again", "caller: answer 2 y"}, func(f *fixture) {
@@ -470,7 +470,7 @@
 		f.must(c.SetUp(id(1), longTimeout, 0, "x"))
 		f.must(f.recordEvent(0).Answer("y"))
 		f.recordMessage(c)
-		f.dispatchers[0].Die()
+		f.dispatchers[0].Kill()
 		f.recordMessage(c)
 	})
 }
@@ -483,7 +483,7 @@
 		f.must(c.SetUp(id(1), longTimeout, 0, "x"))
 		f.must(f.recordEvent(0).Answer("y"))
 		f.recordMessage(c)
-		f.dispatchers[0].Stop()
+		f.dispatchers[0].StopListening()
 		f.recordMessage(c)
 	})
 }
@@ -497,7 +497,7 @@
 		f.must(f.recordEvent(0).Answer("y"))
 		f.recordMessage(c)
 		f.must(c.Close())
-		f.dispatchers[0].Cut()
+		f.dispatchers[0].ResetConns()
 		for f.dispatchers[0].Release(id(1), 16) != nil {
 			time.Sleep(10 * time.Millisecond) // until the node has connected again
 		}
@@ -537,7 +537,7 @@
 		f.recordEvent(0)
 		f.must(c.SetUp(id(2), longTimeout, 0, "x"))
 		second := f.recordEvent(0)
-		if second.Beside(e) {
+		if second.SameConn(e) {
 			t.Error("the next set-up went out on the connection on which the previous one had no answer")
 		}
 		f.must(second.Answer("y"))
@@ -558,7 +558,7 @@
 		time.Sleep(2600 * time.Millisecond) // a slow machine makes it longer
 		f.must(c.SetUp(id(2), longTimeout, 0, "x"))
 		second := f.recordEvent(0)
-		if second.Beside(e) {
+		if second.SameConn(e) {
 			t.Error("the set-up went out on a connection that had been idle for 2.6 s")
 		}
 		f.must(second.Answer("z"))
@@ -569,7 +569,7 @@
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	// Callers that placed one call and kept their connection used up the descriptors: no dispatcher could be connected to, and no new
 	// caller was accepted. A connection with a pending set-up is never evicted.
-	runScenarioWithBounds(t, callers.Bounds{Connections: 2, Silent: longTimeout, Idle: longTimeout}, []string{"d0: setup 1 x", "d1: setup 2 x",
+	runScenarioWithBounds(t, callers.Bounds{MaxConnections: 2, MessageTimeout: longTimeout, IdleTimeout: longTimeout}, []string{"d0: setup 1 x", "d1: setup 2 x",
 		"caller: answer 1 y", "caller: answer 2 y", "caller: release 1 16"}, func(f *fixture) {
 		c, kept := f.newCaller(), f.newCaller()
 		f.must(c.SetUp(id(1), longTimeout, 0, "x"))
@@ -593,7 +593,7 @@
 	// A caller keeps its connection for the duration of its call and may send a set-up on it at any moment. That set-up crossed the close
 	// and was lost.
 	idle := 2 * time.Second
-	runScenarioWithBounds(t, callers.Bounds{Silent: longTimeout, Idle: idle}, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 16"},
+	runScenarioWithBounds(t, callers.Bounds{MessageTimeout: longTimeout, IdleTimeout: idle}, []string{"d0: setup 1 x", "caller: answer 1 y", "caller: release 1 16"},
 		func(f *fixture) {
 			c := f.newCaller()
 			f.must(c.SetUp(id(1), longTimeout, 0, "x"))
@@ -617,16 +617,16 @@
 		bounds callers.Bounds
 		say    func(f *fixture, c *peer.Caller)
 	}{
-		"silent": {callers.Bounds{Silent: soon, Idle: longTimeout}, func(*fixture, *peer.Caller) {}},
-		"half a message": {callers.Bounds{Silent: soon, Idle: longTimeout}, func(f *fixture, c *peer.Caller) {
+		"silent": {callers.Bounds{MessageTimeout: soon, IdleTimeout: longTimeout}, func(*fixture, *peer.Caller) {}},
+		"half a message": {callers.Bounds{MessageTimeout: soon, IdleTimeout: longTimeout}, func(f *fixture, c *peer.Caller) {
 			whole := c.Frame([]byte(`{"type":"ping","id":"` + id(3) + `"}`))
 			f.must(c.SendRaw(whole[:len(whole)/2]))
 		}},
-		"cancelled": {callers.Bounds{Silent: soon, Idle: longTimeout}, func(f *fixture, c *peer.Caller) {
+		"cancelled": {callers.Bounds{MessageTimeout: soon, IdleTimeout: longTimeout}, func(f *fixture, c *peer.Caller) {
 			f.must(c.SetUp(id(1), longTimeout, 0, "x"))
 			f.must(c.Release(id(1), 16))
 		}},
-		"idle": {callers.Bounds{Silent: longTimeout, Idle: soon}, func(f *fixture, c *peer.Caller) {
+		"idle": {callers.Bounds{MessageTimeout: longTimeout, IdleTimeout: soon}, func(f *fixture, c *peer.Caller) {
 			f.must(c.Send(jsonl.Message{Type: "ping", ID: id(0)}))
 		}},
 	} {
@@ -655,7 +655,7 @@
 		select {
 		case err := <-f.done:
 			f.must(err)
-		case <-time.After(peer.Patience):
+		case <-time.After(peer.Timeout):
 			f.Fatal("the node does not end")
 		}
 		if _, err := c.Next(); !errors.Is(err, io.EOF) && err == nil {
@@ -675,13 +675,13 @@
 		f.must(established.Answer("y"))
 		f.recordMessage(c)
 		d := f.dispatchers[0]
-		d.Rest()
-		f.dispatchers[1].Die()
+		d.PauseInput()
+		f.dispatchers[1].Kill()
 		f.must(c.SetUp(id(2), 300*time.Millisecond, 0, "x"))
 		f.recordMessage(c)
 		time.Sleep(time.Second) // longer than the messages sent before take to arrive
-		f.must(established.ReleaseHere(id(1), 16))
+		f.must(established.ReleaseOnConn(id(1), 16))
 		f.recordMessage(c)
-		d.Wake()
+		d.ResumeInput()
 	})
 }
--- a/cmd/cherryrelay/cancel_test.go
+++ b/cmd/cherryrelay/cancel_test.go
@@ -105,7 +105,7 @@
 		f.waitInFlight(1)
 		return time.Time{}, func() {
 			for _, d := range f.dispatchers {
-				_ = d.Report("x0:40;x1:40") // on the connections that are still open
+				_ = d.SetReport("x0:40;x1:40") // on the connections that are still open
 			}
 		}
 	}},
@@ -113,14 +113,14 @@
 		f.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
 		e := f.recordEvent(0)
 		reset := time.Now()
-		f.must(e.Reset())
+		f.must(e.ResetConn())
 		return reset.Add(f.guard()), noop
 	}},
 	"in the guard after an answer of a failure": {hold: func(f *fixture, c *peer.Caller, n int) (time.Time, func()) {
 		f.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
 		e := f.recordEvent(0)
 		brokenAt := time.Now()
-		f.must(e.Refuse(peer.Broken))
+		f.must(e.Refuse(peer.TemporaryFailure))
 		return brokenAt.Add(f.guard()), noop
 	}},
 	"in the guard, draining": {drains: true, hold: func(f *fixture, c *peer.Caller, n int) (time.Time, func()) {
@@ -128,7 +128,7 @@
 		e := f.recordEvent(0)
 		f.node.drain()
 		reset := time.Now()
-		f.must(e.Reset())
+		f.must(e.ResetConn())
 		return reset.Add(f.guard()), noop
 	}},
 	"attempt in progress, refused later": {hold: func(f *fixture, c *peer.Caller, n int) (time.Time, func()) {
@@ -139,12 +139,12 @@
 	"attempt in progress, connection reset later": {hold: func(f *fixture, c *peer.Caller, n int) (time.Time, func()) {
 		f.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
 		e := f.recordEvent(0)
-		return time.Time{}, func() { _ = e.Reset() } // as above
+		return time.Time{}, func() { _ = e.ResetConn() } // as above
 	}},
 	"waiting for a connection": {late: true, hold: func(f *fixture, c *peer.Caller, n int) (time.Time, func()) {
 		f.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
 		f.waitInFlight(1)
-		return time.Time{}, f.dispatchers[0].Open
+		return time.Time{}, f.dispatchers[0].StartAccepting
 	}},
 	"queued for a busy loop": {hold: func(f *fixture, c *peer.Caller, n int) (time.Time, func()) {
 		f.waitConnections(0, 1)
@@ -154,7 +154,7 @@
 		f.waitQueued(before + 1)
 		return time.Time{}, func() {
 			other := f.node.loop.Pending()
-			behind, err := peer.Call("tcp", f.node.lines.Address())
+			behind, err := peer.DialCaller("tcp", f.node.lines.Address())
 			f.must(err)
 			defer behind.Close()
 			f.must(behind.Send(jsonl.Message{Type: "ping", ID: id(0)})) // it is read behind the cancellation
--- a/cmd/cherryrelay/closes_test.go
+++ b/cmd/cherryrelay/closes_test.go
@@ -50,7 +50,7 @@
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
-			f := newFixture(t, transport, "tcp", callers.Bounds{Connections: 2, Silent: longTimeout, Idle: longTimeout})
+			f := newFixture(t, transport, "tcp", callers.Bounds{MaxConnections: 2, MessageTimeout: longTimeout, IdleTimeout: longTimeout})
 			f.fillConnections(2)
 			c := f.connect()
 			f.must(c.SendRaw(f.encodeSetUps(c, 1, 2, 3)))
@@ -68,7 +68,7 @@
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
-			f := newFixture(t, transport, "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+			f := newFixture(t, transport, "tcp", callers.Bounds{MessageTimeout: longTimeout, IdleTimeout: longTimeout})
 			c := f.connect()
 			f.must(c.SendRaw(f.encodeSetUps(c, 1, 1, 2, 3))) // the second set-up 1 cannot be distinguished from the first
 			f.finalAnswers(c, 1, 2, 3)
@@ -79,7 +79,7 @@
 // TestASetUpAheadOfAFloodOverTheAPI is TestASetUpAheadOfAFloodIsAnswered for the call-control API.
 func TestASetUpAheadOfAFloodOverTheAPI(t *testing.T) {
 	t.Parallel()
-	f := newFixture(t, "ws", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+	f := newFixture(t, "ws", "tcp", callers.Bounds{MessageTimeout: longTimeout, IdleTimeout: longTimeout})
 	c := f.connect()
 	resumeLoop := f.pauseLoop()
 	before := f.node.loop.Pending()
@@ -102,7 +102,7 @@
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
-			f := newFixture(t, transport, "tcp", callers.Bounds{Silent: timeout, Idle: longTimeout})
+			f := newFixture(t, transport, "tcp", callers.Bounds{MessageTimeout: timeout, IdleTimeout: longTimeout})
 			c := f.connect()
 			text := f.encodeSetUp(c, 1)
 			f.must(c.SendRaw(text[:len(text)/2]))
@@ -134,7 +134,7 @@
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
 			t.Parallel()
-			f := newFixture(t, transport, "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+			f := newFixture(t, transport, "tcp", callers.Bounds{MessageTimeout: longTimeout, IdleTimeout: longTimeout})
 			other, ending := f.newCaller(), f.newCaller()
 			for n, c := range []*peer.Caller{other, ending} {
 				f.must(c.SetUp(id(n+1), longTimeout, 0, "x"))
--- a/cmd/cherryrelay/crossings_test.go
+++ b/cmd/cherryrelay/crossings_test.go
@@ -53,15 +53,15 @@
 	for i := range d {
 		var err error
 		if late && i == 0 {
-			d[i], err = peer.DispatchLate(dispatchers, "x0:40;x1:40")
+			d[i], err = peer.NewFullBacklogDispatcher(dispatchers, "x0:40;x1:40")
 		} else {
-			d[i], err = peer.Dispatch(dispatchers, "127.0.0.1:0", "x0:40;x1:40")
+			d[i], err = peer.StartDispatcher(dispatchers, "127.0.0.1:0", "x0:40;x1:40")
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	return newFixtureWith(t, "127.0.0.1:0", "127.0.0.1:0", transport, d, callers.Bounds{Silent: longTimeout, Idle: longTimeout}, s)
+	return newFixtureWith(t, "127.0.0.1:0", "127.0.0.1:0", transport, d, callers.Bounds{MessageTimeout: longTimeout, IdleTimeout: longTimeout}, s)
 }
 
 // newConfiguredCaller returns a caller that uses the last class and the first tenant of the settings.
@@ -97,7 +97,7 @@
 // waitQueued waits until the given number of events is queued for the loop.
 func (f *fixture) waitQueued(n int) {
 	f.Helper()
-	for until := time.Now().Add(peer.Patience); f.node.loop.Pending() < n; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(peer.Timeout); f.node.loop.Pending() < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			f.Fatalf("%d events are queued for the loop, want %d", f.node.loop.Pending(), n)
 		}
@@ -113,7 +113,7 @@
 	f.recordMessage(c)
 	for i, d := range f.dispatchers {
 		f.waitConnections(i, 1)
-		f.must(d.Report("x0:0;x1:40"))
+		f.must(d.SetReport("x0:0;x1:40"))
 		f.must(d.Release(id(mark+i), 16))
 		if m, err := c.Next(); err != nil || m.ID != id(mark+i) {
 			f.Fatalf("%+v, %v: want the end of a call of the previous process", m, err)
@@ -150,33 +150,33 @@
 		f.waitInFlight(1)
 		return func() {
 			for _, d := range f.dispatchers {
-				f.must(d.Report("x0:40;x1:40"))
+				f.must(d.SetReport("x0:40;x1:40"))
 			}
 		}
 	}},
 	"guard": {false, func(f *fixture, c *peer.Caller, n int) func() {
 		f.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
-		f.must(f.recordEvent(0).Reset())
+		f.must(f.recordEvent(0).ResetConn())
 		return func() {}
 	}},
 	"guard, draining": {false, func(f *fixture, c *peer.Caller, n int) func() {
 		f.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
 		e := f.recordEvent(0)
 		f.node.drain()
-		f.must(e.Reset())
+		f.must(e.ResetConn())
 		return func() {}
 	}},
 	"a connection that opens late": {true, func(f *fixture, c *peer.Caller, n int) func() {
 		f.must(c.SetUp(id(n), 20*time.Second, 0, "x"))
 		f.waitInFlight(1)
-		return f.dispatchers[0].Open
+		return f.dispatchers[0].StartAccepting
 	}},
 }
 
 // waitInFlight waits until the node has the given number of pending set-ups.
 func (f *fixture) waitInFlight(n int) {
 	f.Helper()
-	for until := time.Now().Add(peer.Patience); ; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(peer.Timeout); ; time.Sleep(time.Millisecond) {
 		text := make(chan string)
 		f.node.loop.Post(func() {
 			metrics, err := f.node.core.Telemetry()
@@ -242,7 +242,7 @@
 				f := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
 				c := f.newCaller()
 				f.waitConnections(0, 1)
-				text, err := jsonl.Append(nil, c.Asks(id(1), longTimeout, 0, "x"))
+				text, err := jsonl.Append(nil, c.SetUpMessage(id(1), longTimeout, 0, "x"))
 				f.must(err)
 				bytes := c.Frame(text)
 				for range more {
@@ -278,7 +278,7 @@
 				f.must(c.SetUp(id(1), 20*time.Second, 0, "x"))
 				f.waitInFlight(1)
 				f.updateStatus(0, status)
-				f.dispatchers[0].Open()
+				f.dispatchers[0].StartAccepting()
 				f.must(f.recordEvent(1).Answer("y"))
 				f.recordMessage(c)
 				if status == control.Draining {
@@ -312,7 +312,7 @@
 		"cut in the middle of it": func(e peer.Event) error {
 			return e.SendRaw([]byte("BYE sip:caller@net SIP/2.0\r\nCall-ID: " + e.ID + "\r\nCSeq: 2 B"))
 		},
-		"reset": peer.Event.Reset,
+		"reset": peer.Event.ResetConn,
 	} {
 		for _, transport := range []string{"tcp", "ws"} {
 			t.Run(name+", "+transport, func(t *testing.T) {
@@ -326,14 +326,14 @@
 				f.must(e.Answer("y"))
 				f.recordMessage(c)
 				d := f.dispatchers[0]
-				d.TellLinks()
+				d.EnableConnEvents()
 				f.must(breakConnection(e))
 				brokenAt := time.Now()
 				for {
 					o, err := d.Next()
 					f.must(err)
 					if o.Kind == "opened" {
-						f.must(o.ReleaseHere(id(1), call.CauseNormal))
+						f.must(o.ReleaseOnConn(id(1), call.CauseNormal))
 						break
 					}
 				}
@@ -400,7 +400,7 @@
 					f.recordMessage(c)
 					f.must(c.SetUp(id(2), 20*time.Second, 1, "in the guard"))
 					broken := f.recordEvent(1)
-					f.must(broken.Refuse(peer.Broken))
+					f.must(broken.Refuse(peer.TemporaryFailure))
 					f.waitAck(1) // processed: the guard of the old settings applies
 					f.must(c.SetUp(id(3), 20*time.Second, 1, "in progress"))
 					attempt := f.recordEvent(1)
@@ -416,7 +416,7 @@
 					f.recordMessage(c)
 					f.must(repeated.Answer("z"))
 					f.recordMessage(c)
-					f.must(established.ReleaseHere(id(1), call.CauseNormal))
+					f.must(established.ReleaseOnConn(id(1), call.CauseNormal))
 					f.recordMessage(c)
 					f.must(c.SetUp(id(4), 20*time.Second, 0, "of a removed class"))
 					f.recordMessage(c)
@@ -453,7 +453,7 @@
 		for inOrder := false; !inOrder; { // repeat if the machine is too slow to keep the order
 			f := newFixtureWithSettings(t, transport, "tcp", false, testSettings(t))
 			c := f.newCaller()
-			text, err := jsonl.Append(nil, c.Asks(id(1), 20*time.Second, 0, "x"))
+			text, err := jsonl.Append(nil, c.SetUpMessage(id(1), 20*time.Second, 0, "x"))
 			f.must(err)
 			whole := c.Frame(text)
 			drained := time.Now()
@@ -486,7 +486,7 @@
 	c := f.newCaller()
 	f.must(c.SetUp(id(1), 20*time.Second, 0, "x"))
 	e := f.recordEvent(1)
-	f.dispatchers[0].Open()
+	f.dispatchers[0].StartAccepting()
 	f.must(e.Answer("y"))
 	f.recordMessage(c)
 	f.waitConnections(0, 1)
@@ -511,7 +511,7 @@
 				next.sendList()
 				next.waitReady()
 				old.expectClosed(idle) // it accepts no more callers
-				old.must(first.Refuse(peer.Broken))
+				old.must(first.Refuse(peer.TemporaryFailure))
 				old.waitAck(0) // the set-up is in the guard now
 				old.must(cancel(old, c, 1))
 				old.waitInFlight(0)
@@ -521,7 +521,7 @@
 				old.must(e.Answer("y"))
 				old.recordMessage(other)
 				time.Sleep(guard + 100*time.Millisecond)
-				old.must(e.ReleaseHere(id(2), call.CauseNormal))
+				old.must(e.ReleaseOnConn(id(2), call.CauseNormal))
 				old.recordMessage(other)
 				for i, d := range old.dispatchers {
 					for len(d.Events) > 0 {
@@ -549,7 +549,7 @@
 			f.waitInFlight(1)
 			resumeLoop := f.pauseLoop()
 			before := f.node.loop.Pending()
-			f.dispatchers[0].Open()
+			f.dispatchers[0].StartAccepting()
 			f.waitQueued(before + 2) // a second later: the connection and the first message of its dispatcher
 			f.waitConnections(0, 1)
 			now := f.node.loop.Pending()
--- a/cmd/cherryrelay/crowd_test.go
+++ b/cmd/cherryrelay/crowd_test.go
@@ -47,7 +47,7 @@
 // crowdCall is one try. It makes its system calls directly: with Go's scheduler between them, a set-up on a busy machine would come long
 // after the connection.
 func crowdCall(address netip.AddrPort, number int, silent bool) (outcome string, err error) {
-	text, err := jsonl.Append(nil, (&peer.Caller{Class: "send-setup", Tenant: "acme"}).Asks(id(number), crowdTimeLeft, 0, "x"))
+	text, err := jsonl.Append(nil, (&peer.Caller{Class: "send-setup", Tenant: "acme"}).SetUpMessage(id(number), crowdTimeLeft, 0, "x"))
 	if err != nil {
 		return "", err
 	}
--- a/cmd/cherryrelay/descriptors_test.go
+++ b/cmd/cherryrelay/descriptors_test.go
@@ -180,7 +180,7 @@
 		if _, body := httpGet(s.management, lists.StatePath); jsoniter.UnmarshalFromString(body, &state) == nil && state.Servers == servers {
 			break
 		}
-		if time.Since(since) > peer.Patience {
+		if time.Since(since) > peer.Timeout {
 			s.Fatalf("the active list has %d dispatchers, want %d", state.Servers, servers)
 		}
 		time.Sleep(time.Millisecond)
@@ -198,11 +198,11 @@
 
 func startPromptDispatcher(t *testing.T) *promptDispatcher {
 	t.Helper()
-	p, err := peer.Dispatch("tcp", "127.0.0.1:0", "x0:40;x1:40")
+	p, err := peer.StartDispatcher("tcp", "127.0.0.1:0", "x0:40;x1:40")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(p.Die)
+	t.Cleanup(p.Kill)
 	d := &promptDispatcher{Dispatcher: p}
 	go func() {
 		for e := range d.Events {
@@ -283,7 +283,7 @@
 	var connections [live]*peer.Caller
 	var established atomic.Int64
 	for i := range callers {
-		c, err := peer.Call("tcp", s.lines)
+		c, err := peer.DialCaller("tcp", s.lines)
 		s.must(err)
 		defer c.Close()
 		if i < live {
@@ -369,7 +369,7 @@
 		known = append(known, listEntry(fmt.Sprint("silent", i), listenSilently(t), "active", len(known)))
 	}
 	s := startLimited(t, sockets, coordinator, known...)
-	c, err := peer.Call("tcp", s.lines)
+	c, err := peer.DialCaller("tcp", s.lines)
 	s.must(err)
 	defer c.Close()
 	s.placeCall(c, 1, 0)
@@ -393,13 +393,13 @@
 			}
 		})
 	}
-	for until := time.Now().Add(peer.Patience); refused.Load() < clients; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(peer.Timeout); refused.Load() < clients; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("the idle clients never exceed the limit")
 		}
 	}
 	for i, d := range dispatchers {
-		d.Cut()
+		d.ResetConns()
 		if !s.placeCall(c, 10+i, i) {
 			t.Errorf("the call to dispatcher %d is not established", i)
 		}
--- a/cmd/cherryrelay/end_steps_test.go
+++ b/cmd/cherryrelay/end_steps_test.go
@@ -41,7 +41,7 @@
 		t.Run(mix[0]+" to "+mix[1], func(t *testing.T) {
 			t.Parallel()
 			log := new(logBuffer)
-			handler := logs.Bound(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug}), endlog.Messages()...)
+			handler := logs.LimitRate(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug}), endlog.Messages()...)
 			f := newLoggedFixtureOver(t, mix, slog.New(handler))
 			caller := f.newCaller()
 			f.must(caller.SetUp(id(1), longTimeout, 0, "x"))
@@ -49,18 +49,18 @@
 			f.must(attempt.Answer("y"))
 			f.recordMessage(caller)
 			f.must(caller.Close())
-			f.waitLogged(log, 1, endlog.CallersMessage, endlog.StepKey, string(endlog.CallersEnded))
-			f.must(attempt.ReleaseHere(id(1), call.CauseNormal))
+			f.waitLogged(log, 1, endlog.CallerConnectionMessage, endlog.StepKey, string(endlog.CallerConnectionEnded))
+			f.must(attempt.ReleaseOnConn(id(1), call.CauseNormal))
 			f.waitLogged(log, 1, endlog.CallMessage, endlog.StepKey, string(endlog.EndWaits))
 			silent := f.connect() // it sends nothing, so that the end may be unread
 			f.recordMessage(silent)
-			f.waitLogged(log, 1, endlog.CallMessage, endlog.StepKey, string(endlog.EndWithKernel))
+			f.waitLogged(log, 1, endlog.CallMessage, endlog.StepKey, string(endlog.EndWrittenToKernel))
 			f.must(silent.Close())
 			f.waitLogged(log, 2, endlog.CallMessage, endlog.StepKey, string(endlog.EndWaits))
 			other := f.newCaller()
 			f.must(other.SetUp(id(2), longTimeout, 1, "x"))
 			f.recordMessage(other)
-			f.waitLogged(log, 2, endlog.CallMessage, endlog.StepKey, string(endlog.EndWithKernel))
+			f.waitLogged(log, 2, endlog.CallMessage, endlog.StepKey, string(endlog.EndWrittenToKernel))
 
 			var got []endlog.Step
 			connections := map[endlog.Step][]string{}
@@ -70,21 +70,21 @@
 				connections[step] = append(connections[step], s[endlog.ConnectionKey])
 			}
 			want := []endlog.Step{
-				endlog.AnswerQueued, endlog.Established, endlog.ReleaseRead, endlog.EndReceived, endlog.Over, endlog.EndWaits,
-				endlog.EndQueued, endlog.EndWithKernel, endlog.EndUnread, endlog.EndWaits, endlog.EndQueued, endlog.EndWithKernel,
+				endlog.AnswerQueued, endlog.Established, endlog.ReleaseRead, endlog.EndReceived, endlog.Terminated, endlog.EndWaits,
+				endlog.EndQueued, endlog.EndWrittenToKernel, endlog.EndUnconfirmed, endlog.EndWaits, endlog.EndQueued, endlog.EndWrittenToKernel,
 			}
 			if diff := cmp.Diff(want, got); diff != "" {
 				t.Errorf("steps of the call (-want +got):\n%s", diff)
 			}
 			queued := connections[endlog.EndQueued]
-			if diff := cmp.Diff(queued, connections[endlog.EndWithKernel]); diff != "" {
+			if diff := cmp.Diff(queued, connections[endlog.EndWrittenToKernel]); diff != "" {
 				t.Errorf("connections on which the end was queued and sent (-want +got):\n%s", diff)
 			}
-			if len(queued) != 2 || queued[0] == queued[1] || !slices.Equal(queued[:1], connections[endlog.EndUnread]) {
-				t.Errorf("queued on connections %v, unread on %v", queued, connections[endlog.EndUnread])
+			if len(queued) != 2 || queued[0] == queued[1] || !slices.Equal(queued[:1], connections[endlog.EndUnconfirmed]) {
+				t.Errorf("queued on connections %v, unread on %v", queued, connections[endlog.EndUnconfirmed])
 			}
 			read := f.firstStep(log, endlog.ReleaseRead)
-			opened := log.endSteps(endlog.DispatcherMessage, endlog.StepKey, string(endlog.LinkOpened))
+			opened := log.endSteps(endlog.DispatcherMessage, endlog.StepKey, string(endlog.ConnectionOpened))
 			if !containsConnection(opened, read) || read[endlog.StateKey] != "open" {
 				t.Errorf("the release was read as %v; the connections opened are %v", read, opened)
 			}
@@ -111,11 +111,11 @@
 	var d [2]*peer.Dispatcher
 	for i := range d {
 		var err error
-		if d[i], err = peer.Dispatch(transports[1], "127.0.0.1:0", "x0:40;x1:40"); err != nil {
+		if d[i], err = peer.StartDispatcher(transports[1], "127.0.0.1:0", "x0:40;x1:40"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	bounds := callers.Bounds{Silent: longTimeout, Idle: longTimeout}
+	bounds := callers.Bounds{MessageTimeout: longTimeout, IdleTimeout: longTimeout}
 	return newLoggedFixture(t, "127.0.0.1:0", "127.0.0.1:0", transports[0], d, bounds, testSettings(t), log)
 }
 
@@ -132,7 +132,7 @@
 // waitLogged waits until the given number of steps is logged.
 func (f *fixture) waitLogged(log *logBuffer, number int, message, key, value string) {
 	f.Helper()
-	for until := time.Now().Add(peer.Patience); len(log.endSteps(message, key, value)) < number; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(peer.Timeout); len(log.endSteps(message, key, value)) < number; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			f.Fatalf("%q is never logged %d times:\n%s", value, number, log)
 		}
--- a/cmd/cherryrelay/endings_test.go
+++ b/cmd/cherryrelay/endings_test.go
@@ -44,7 +44,7 @@
 				place := func(n int) peer.Event {
 					f.must(c.SetUp(id(n), longTimeout, 0, "x"))
 					e := f.recordEvent(0)
-					if e.Beside(live) {
+					if e.SameConn(live) {
 						t.Fatalf("the set-up %d was sent on the connection of the first, which is pending", n)
 					}
 					return e
@@ -57,17 +57,17 @@
 				}
 				if cancelled {
 					place(4)
-					f.must(unresponsive.ReleaseHere(id(0x77), call.CauseNormal))
+					f.must(unresponsive.ReleaseOnConn(id(0x77), call.CauseNormal))
 					f.recordMessage(c) // so that a message has arrived since the set-up was sent
 				}
-				unresponsive.Deafen()
+				unresponsive.DiscardInput()
 				if cancelled {
 					f.must(c.Release(id(4), call.CauseNormal))
 				}
 				f.must(live.Answer("y"))
 				f.recordMessage(c)
 				d := f.dispatchers[0]
-				d.TellLinks()
+				d.EnableConnEvents()
 				others := 0
 				for n := 2; n <= 3; n++ {
 					ended := time.Now() // the dispatcher sends the end on the unresponsive connection
@@ -75,11 +75,11 @@
 						select {
 						case e := <-d.Events:
 							if e.Kind == "opened" {
-								f.must(e.ReleaseHere(id(n), call.CauseNormal))
+								f.must(e.ReleaseOnConn(id(n), call.CauseNormal))
 							}
 						default: // other calls keep the connections busy
 							others++
-							f.must(live.ReleaseHere(id(0x1000+others), call.CauseNormal))
+							f.must(live.ReleaseOnConn(id(0x1000+others), call.CauseNormal))
 						}
 						for received := false; !received && !delivered; {
 							m, err := c.NextWithin(100 * time.Millisecond)
@@ -89,7 +89,7 @@
 							f.must(err)
 							delivered, received = m.ID == id(n), m.ID == id(0x1000+others)
 						}
-						if time.Since(ended) > peer.Patience {
+						if time.Since(ended) > peer.Timeout {
 							t.Fatalf("the end of call %d is never delivered", n)
 						}
 					}
@@ -123,7 +123,7 @@
 					resumeLoop := f.pauseLoop()
 					before := f.node.loop.Pending()
 					actions := []func() error{
-						func() error { return e.ReleaseHere(id(1), call.CauseNormal) }, func() error { return cancel(f, c, 1) },
+						func() error { return e.ReleaseOnConn(id(1), call.CauseNormal) }, func() error { return cancel(f, c, 1) },
 					}
 					if !endFirst {
 						actions[0], actions[1] = actions[1], actions[0]
@@ -183,7 +183,7 @@
 			f.must(c.SetUp(id(1), longTimeout, 0, "x"))
 			e := f.recordEvent(0)
 			pings := f.blockSocket(c)
-			f.must(e.Refuse(peer.Busy))
+			f.must(e.Refuse(peer.NumberBusy))
 			f.waitAck(0)
 			f.node.drain()
 			time.Sleep(900 * time.Millisecond) // beyond the time after which it would exit
@@ -264,10 +264,10 @@
 	text := strings.Replace(string(whole), `"coordinator": ""`, `"coordinator":"`+strings.TrimPrefix(list.URL, "http://")+`"`, 1)
 	var d [2]*peer.Dispatcher
 	for i := range d {
-		if d[i], err = peer.Dispatch("tcp", "127.0.0.1:0", "x0:40;x1:40"); err != nil {
+		if d[i], err = peer.StartDispatcher("tcp", "127.0.0.1:0", "x0:40;x1:40"); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(d[i].Die)
+		t.Cleanup(d[i].Kill)
 		text = strings.Replace(text, fmt.Sprintf("127.0.0.1:700%d", i+1), d[i].Address(), 1)
 	}
 	p := &process{T: t, directory: t.TempDir(), lines: freeAddress(t), management: freeAddress(t), log: new(logBuffer), ended: make(chan error, 1)}
--- a/cmd/cherryrelay/fleet.go
+++ b/cmd/cherryrelay/fleet.go
@@ -45,10 +45,10 @@
 		n.fleet = &fleet{client: client, Fleet: membership.Start(client, membership.Options{
 			Name: c.Name, Address: c.Listen, Prefix: strings.TrimSuffix(c.Fleet.Prefix, "/") + "/", Lease: c.Fleet.Lease(),
 		}, n.log)}
-		n.core.AddMetrics(n.fleet.Figures)
+		n.core.AddMetrics(n.fleet.Metrics)
 		if n.manage != nil {
 			for path, page := range n.fleet.Pages() {
-				n.manage.Show(path, page)
+				n.manage.AddPage(path, page)
 			}
 		}
 		n.loop.Post(n.reportState)
@@ -56,9 +56,9 @@
 	if c.Etcd == nil {
 		return nil
 	}
-	apply := n.lists.Stream(decide.FromEtcd)
+	apply := n.lists.UpdateHandler(decide.FromEtcd)
 	if n.fleet != nil && slices.Equal(c.Etcd.Endpoints, c.Fleet.Endpoints) {
-		go etcd.Over(n.fleet.client, c.Etcd.Prefix, n.log, apply).Run(ctx)
+		go etcd.NewWithClient(n.fleet.client, c.Etcd.Prefix, n.log, apply).Run(ctx)
 		return nil
 	}
 	list, err := etcd.New(*c.Etcd, n.log, apply)
@@ -74,9 +74,9 @@
 	switch {
 	case n.fleet.leaving:
 	case n.core.Ready():
-		n.fleet.Say(members.Serving)
+		n.fleet.SetState(members.Serving)
 	default:
-		n.fleet.Say(members.Joining)
+		n.fleet.SetState(members.Joining)
 	}
 	n.loop.After(stateReportInterval, n.reportState)
 }
@@ -92,6 +92,6 @@
 func (n *node) leave() {
 	if n.fleet != nil {
 		n.fleet.leaving = true
-		n.fleet.Say(members.Leaving)
+		n.fleet.SetState(members.Leaving)
 	}
 }
--- a/cmd/cherryrelay/fleet_load_test.go
+++ b/cmd/cherryrelay/fleet_load_test.go
@@ -90,11 +90,11 @@
 	const processes, within = 30, 10 * time.Second
 	var known []map[string]any
 	for i := range 2 {
-		d, err := peer.Dispatch("tcp", "127.0.0.1:0", "x0:40;x1:40")
+		d, err := peer.StartDispatcher("tcp", "127.0.0.1:0", "x0:40;x1:40")
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(d.Die)
+		t.Cleanup(d.Kill)
 		known = append(known, endpoint(fmt.Sprint("d", i), i, d.Address(), time.Time{}))
 	}
 	text := platformFile(t, processes, 15*time.Second, freeAddress(t), known) // no coordinator listens there
@@ -130,7 +130,7 @@
 	for i, p := range controllers {
 		p.launchOnPlatform()
 		all.Go(func() {
-			for took[i] = 2 * peer.Patience; time.Since(begin) < 2*peer.Patience; time.Sleep(20 * time.Millisecond) {
+			for took[i] = 2 * peer.Timeout; time.Since(begin) < 2*peer.Timeout; time.Sleep(20 * time.Millisecond) {
 				if status, _ := httpGet(p.management, "/api/ready"); status == http.StatusOK {
 					took[i] = time.Since(begin)
 					return
@@ -197,11 +197,11 @@
 
 func startRecordingDispatcher(t *testing.T) *recordingDispatcher {
 	t.Helper()
-	d, err := peer.Dispatch("tcp", "127.0.0.1:0", "x0:100000;x1:100000")
+	d, err := peer.StartDispatcher("tcp", "127.0.0.1:0", "x0:100000;x1:100000")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(d.Die)
+	t.Cleanup(d.Kill)
 	c := &recordingDispatcher{Dispatcher: d}
 	go func() {
 		for range d.Acks { // discarded
@@ -216,7 +216,7 @@
 			c.times = append(c.times, e.At)
 			c.mu.Unlock()
 			_ = e.Answer("y")
-			time.AfterFunc(50*time.Millisecond, func() { _ = e.ReleaseHere(e.ID, call.CauseNormal) })
+			time.AfterFunc(50*time.Millisecond, func() { _ = e.ReleaseOnConn(e.ID, call.CauseNormal) })
 		}
 	}()
 	return c
@@ -260,7 +260,7 @@
 	defer load.Wait()
 	defer close(stop)
 	for i, p := range all {
-		c, err := peer.Call("tcp", p.lines)
+		c, err := peer.DialCaller("tcp", p.lines)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/cherryrelay/fleet_test.go
+++ b/cmd/cherryrelay/fleet_test.go
@@ -26,8 +26,8 @@
 // fleetFixture is a set of controllers with a store and a checker of their fleet views.
 type fleetFixture struct {
 	*testing.T
-	*trial.Ground
-	checker         trial.Beliefs
+	*trial.Cluster
+	checker         trial.FleetChecker
 	expectViolation bool // violations are expected
 }
 
@@ -41,21 +41,21 @@
 func newFleetFixtureWith(t *testing.T, o trial.Options) *fleetFixture {
 	t.Helper()
 	o.Directory, o.Program, o.Env, o.Lease = t.TempDir(), []string{os.Args[0]}, []string{asProgram + "=1"}, fleetLease
-	g, err := trial.Open(o)
+	g, err := trial.NewCluster(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &fleetFixture{T: t, Ground: g}
+	s := &fleetFixture{T: t, Cluster: g}
 	for _, c := range g.Controllers {
 		s.must(c.Start())
 	}
 	stop := make(chan struct{})
-	watching := g.Watch(&s.checker, stop)
+	watching := g.StartPolling(&s.checker, stop)
 	t.Cleanup(func() {
 		close(stop)
 		watching.Wait()
 		s.must(g.Close())
-		violations, samples := s.checker.Faults()
+		violations, samples := s.checker.Violations()
 		if s.expectViolation != (len(violations) > 0) || samples < 10 {
 			t.Errorf("%d violations in %d samples: %s", len(violations), samples, strings.Join(violations, "\n"))
 		}
@@ -79,7 +79,7 @@
 // waitUntil waits until a condition holds, for as long as a busy machine may take.
 func (s *fleetFixture) waitUntil(what string, holds func() bool) {
 	s.Helper()
-	if !trial.Until(peer.Patience, holds) {
+	if !trial.WaitUntil(peer.Timeout, holds) {
 		s.Fatalf("never happened: %s", what)
 	}
 }
@@ -88,7 +88,7 @@
 func (s *fleetFixture) waitAllServing(those ...*trial.Controller) {
 	s.Helper()
 	for _, c := range those {
-		var seen membership.Shown
+		var seen membership.Status
 		s.waitUntil(c.Name+" sees all members serve", func() bool {
 			seen = c.Fleet()
 			serving := 0
@@ -97,14 +97,14 @@
 					serving++
 				}
 			}
-			return seen.Certain && seen.Actable && serving == len(those) && len(seen.Members) == len(those)
+			return seen.HoldsLease && seen.Actable && serving == len(those) && len(seen.Members) == len(those)
 		})
 	}
 }
 
 // listedAsGone reports whether a controller lists an incarnation as ended.
-func listedAsGone(s membership.Shown, name string, incarnation int64) bool {
-	return slices.ContainsFunc(s.Gone, func(m membership.ShownMember) bool { return m.Name == name && m.Incarnation == incarnation })
+func listedAsGone(s membership.Status, name string, incarnation int64) bool {
+	return slices.ContainsFunc(s.Gone, func(m membership.MemberStatus) bool { return m.Name == name && m.Incarnation == incarnation })
 }
 
 // waitGone waits until all other controllers list an incarnation as ended.
@@ -120,8 +120,8 @@
 // waitNewIncarnation waits until a controller holds its lease as another and later incarnation.
 func (s *fleetFixture) waitNewIncarnation(c *trial.Controller, before int64) {
 	s.Helper()
-	var now membership.Shown
-	s.waitUntil(c.Name+" holds its lease again", func() bool { now = c.Fleet(); return now.Certain && now.Incarnation != before })
+	var now membership.Status
+	s.waitUntil(c.Name+" holds its lease again", func() bool { now = c.Fleet(); return now.HoldsLease && now.Incarnation != before })
 	if now.Incarnation < before {
 		s.Errorf("%s has incarnation %d after %d", c.Name, now.Incarnation, before)
 	}
@@ -133,8 +133,8 @@
 	first := n1.Fleet().Incarnation
 	for _, page := range []string{"show", "history"} { // the pages for operators
 		var out, faults bytes.Buffer
-		status := commands.Run([]string{"fleet", page, "--management", n1.Management()}, os.Getenv, &out, &faults, nil)
-		if text := out.String(); status != commands.Yes || !strings.Contains(text, "n1") || !strings.Contains(text, "n3") || !strings.Contains(text, "serving") {
+		status := commands.Run([]string{"fleet", page, "--management", n1.ManagementAddress()}, os.Getenv, &out, &faults, nil)
+		if text := out.String(); status != commands.ExitSuccess || !strings.Contains(text, "n1") || !strings.Contains(text, "n3") || !strings.Contains(text, "serving") {
 			t.Errorf("fleet %s: status %d, %s%s", page, status, text, faults.String())
 		}
 	}
@@ -176,7 +176,7 @@
 	n1.Pause()
 	s.waitGone(n1, before)
 	n1.Resume()
-	if now := n1.Fleet(); now.Certain && now.Incarnation == before {
+	if now := n1.Fleet(); now.HoldsLease && now.Incarnation == before {
 		t.Errorf("a process that was paused past its lease still holds its lease as incarnation %d", before)
 	}
 	s.waitNewIncarnation(n1, before)
@@ -187,16 +187,16 @@
 	s := newFleetFixture(t, 3)
 	n1 := s.Controllers[0]
 	before := n1.Fleet().Incarnation
-	s.Net.Part([]string{n1.Name}, []string{trial.StoreName})
-	s.waitUntil("n1 does not hold its lease", func() bool { return !n1.Fleet().Certain })
+	s.Net.Partition([]string{n1.Name}, []string{trial.StoreName})
+	s.waitUntil("n1 does not hold its lease", func() bool { return !n1.Fleet().HoldsLease })
 	s.waitGone(n1, before)
 	if f := n1.Fleet(); len(f.Gone) > 0 || len(f.Members) != 3 {
 		t.Errorf("while it is cut off, n1 lists %v as gone", f.Gone)
 	}
-	if status, err := n1.Ask("/api/ready", nil); status != 200 {
+	if status, err := n1.Get("/api/ready", nil); status != 200 {
 		t.Errorf("cut off from the store, n1 does not serve: %d, %v", status, err)
 	}
-	s.waitUntil("the view is too old", func() bool { f := n1.Fleet(); return !f.Actable && f.AgeMs > 2*fleetLease.Milliseconds() })
+	s.waitUntil("the view is too old", func() bool { f := n1.Fleet(); return !f.Actable && f.ViewAgeMs > 2*fleetLease.Milliseconds() })
 	s.Net.Heal()
 	s.waitNewIncarnation(n1, before)
 	s.waitAllServing(s.Controllers...)
@@ -207,14 +207,14 @@
 	s := newFleetFixture(t, 3)
 	n1, n2 := s.Controllers[0], s.Controllers[1]
 	before := n1.Fleet().Incarnation
-	s.Store.Fault(store.Faults{Late: 2 * fleetLease})
+	s.Store.SetFaults(store.Faults{ResponseDelay: 2 * fleetLease})
 	for _, c := range s.Controllers {
-		s.waitUntil(c.Name+" does not hold its lease", func() bool { return !c.Fleet().Certain })
+		s.waitUntil(c.Name+" does not hold its lease", func() bool { return !c.Fleet().HoldsLease })
 	}
-	s.Store.Fault(store.Faults{})
+	s.Store.SetFaults(store.Faults{})
 	s.waitAllServing(s.Controllers...)
-	s.Net.Set("n1>store", fault.Rule{Back: fault.Way{Hole: true}})
-	s.waitUntil("n1 does not hold its lease", func() bool { return !n1.Fleet().Certain })
+	s.Net.SetRule("n1>store", fault.Rule{Back: fault.Impairment{Hole: true}})
+	s.waitUntil("n1 does not hold its lease", func() bool { return !n1.Fleet().HoldsLease })
 	s.Net.Heal()
 	s.waitAllServing(s.Controllers...)
 	for _, at := range []*trial.Controller{n1, n2} {
@@ -234,8 +234,8 @@
 	backup := s.Store.Backup()
 	s.StopStore()
 	for _, c := range s.Controllers {
-		s.waitUntil("no controller holds its lease", func() bool { return !c.Fleet().Certain && !c.Fleet().Actable })
-		if status, _ := c.Ask("/api/ready", nil); status != 200 {
+		s.waitUntil("no controller holds its lease", func() bool { return !c.Fleet().HoldsLease && !c.Fleet().Actable })
+		if status, _ := c.Get("/api/ready", nil); status != 200 {
 			t.Errorf("%s does not serve without the store", c.Name)
 		}
 	}
@@ -271,14 +271,14 @@
 	s.must(n2.Start("LB_NAME=n1"))
 	s.waitUntil("the second does not get the name", func() bool { return strings.HasPrefix(n2.Fleet().Holder, "incarnation") })
 	time.Sleep(3 * fleetLease / 2) // still without the name
-	if f := n2.Fleet(); f.Certain || f.Incarnation != 0 {
-		t.Errorf("the second process has the name as %d, holds its lease %v", f.Incarnation, f.Certain)
+	if f := n2.Fleet(); f.HoldsLease || f.Incarnation != 0 {
+		t.Errorf("the second process has the name as %d, holds its lease %v", f.Incarnation, f.HoldsLease)
 	}
-	if f := n1.Fleet(); !f.Certain || f.Incarnation != before {
+	if f := n1.Fleet(); !f.HoldsLease || f.Incarnation != before {
 		t.Errorf("the first process lost its name")
 	}
 	s.must(n1.Kill())
-	s.waitUntil("the second has the name", func() bool { f := n2.Fleet(); return f.Certain && f.Incarnation > before })
+	s.waitUntil("the second has the name", func() bool { f := n2.Fleet(); return f.HoldsLease && f.Incarnation > before })
 }
 
 // TestFleetWatchFromBeforeACompaction: the fleet changes while a controller is cut off and the store is compacted, and then a hundred
@@ -287,12 +287,12 @@
 	s := newFleetFixture(t, 3)
 	n1, n2, n3 := s.Controllers[0], s.Controllers[1], s.Controllers[2]
 	two, three := n2.Fleet().Incarnation, n3.Fleet().Incarnation
-	s.Net.Part([]string{n1.Name}, []string{trial.StoreName})
+	s.Net.Partition([]string{n1.Name}, []string{trial.StoreName})
 	s.must(n2.Kill())
 	s.must(n3.Stop())
 	s.must(n3.Start())
 	s.waitNewIncarnation(n3, three)
-	s.waitUntil("the store has no key of n2", func() bool { return len(s.Store.Keys(trial.Prefix)) == 1 })
+	s.waitUntil("the store has no key of n2", func() bool { return len(s.Store.Keys(trial.KeyPrefix)) == 1 })
 	s.Store.Compact()
 	s.Net.Heal()
 	s.waitUntil("n1 sees all changes", func() bool {
@@ -301,17 +301,17 @@
 	})
 	s.must(n2.Start())
 	s.waitAllServing(s.Controllers...)
-	s.Store.Fault(store.Faults{Deaf: true})
+	s.Store.SetFaults(store.Faults{MuteWatches: true})
 	for range 50 {
-		s.Store.Put(trial.Prefix+"x", `{"state":"serving","address":"a"}`)
-		s.Store.Put(trial.Prefix+"x", "")
+		s.Store.Put(trial.KeyPrefix+"x", `{"state":"serving","address":"a"}`)
+		s.Store.Put(trial.KeyPrefix+"x", "")
 	}
-	s.Store.Put(trial.Prefix+"y", `{"state":"serving","address":"b"}`)
+	s.Store.Put(trial.KeyPrefix+"y", `{"state":"serving","address":"b"}`)
 	s.waitUntil("n1 notices the idle watch and reads the fleet again", func() bool {
-		return slices.ContainsFunc(n1.Fleet().Members, func(m membership.ShownMember) bool { return m.Name == "y" })
+		return slices.ContainsFunc(n1.Fleet().Members, func(m membership.MemberStatus) bool { return m.Name == "y" })
 	})
-	s.Store.Fault(store.Faults{})
-	s.Store.Put(trial.Prefix+"y", "")
+	s.Store.SetFaults(store.Faults{})
+	s.Store.Put(trial.KeyPrefix+"y", "")
 	s.waitAllServing(s.Controllers...)
 }
 
@@ -324,7 +324,7 @@
 	n1 := s.Controllers[0]
 	for range 5 {
 		before := n1.Fleet().Incarnation
-		s.Store.LoseLeases(trial.Prefix + n1.Name)
+		s.Store.ExpireLeases(trial.KeyPrefix + n1.Name)
 		s.waitGone(n1, before)
 		s.waitNewIncarnation(n1, before)
 	}
@@ -344,7 +344,7 @@
 	done := make(chan struct{})
 	var calling sync.WaitGroup
 	for i, c := range s.Controllers {
-		caller := &trial.Caller{Transport: "tcp", Addresses: []string{c.Lines}, First: (i + 1) << 32, Window: 24, Judge: j, Patience: 4 * time.Second}
+		caller := &trial.Caller{Transport: "tcp", Addresses: []string{c.LinesAddress}, FirstCall: (i + 1) << 32, Window: 24, Checker: j, Timeout: 4 * time.Second}
 		calling.Go(func() { caller.Run(done) })
 	}
 	rng := rand.New(rand.NewPCG(3, 3))
@@ -359,21 +359,21 @@
 			time.Sleep(time.Duration(100+rng.IntN(300)) * time.Millisecond)
 			c.Resume()
 		case 2:
-			s.Net.Part([]string{c.Name}, []string{trial.StoreName})
+			s.Net.Partition([]string{c.Name}, []string{trial.StoreName})
 		case 4:
-			s.Store.Fault(store.Faults{Stall: true})
+			s.Store.SetFaults(store.Faults{Stall: true})
 		case 5:
-			s.Net.Cut("*>"+trial.StoreName, true)
+			s.Net.CloseConns("*>"+trial.StoreName, true)
 		}
 		time.Sleep(time.Duration(200+rng.IntN(300)) * time.Millisecond)
 		s.Net.Heal()
-		s.Store.Fault(store.Faults{})
+		s.Store.SetFaults(store.Faults{})
 	}
 	close(done)
 	calling.Wait()
 	checkAllAnswered(t, j)
-	_, setUps, finals := j.Verdict()
-	_, undelivered := j.Unsettled()
+	_, setUps, finals := j.Results()
+	_, undelivered := j.Unfinished()
 	if finals["answer"] < 50 {
 		t.Errorf("only %d calls were answered", finals["answer"])
 	}
@@ -388,17 +388,17 @@
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			s := &trial.Scenario{Controllers: controllers, Dispatchers: 2, Callers: 1, Window: 6, Lease: fleetLease, Lasting: lasting,
-				Every: 400 * time.Millisecond, Drawn: trial.Deeds()}
-			r, err := trial.Play(s, seed, []string{os.Args[0]}, []string{asProgram + "=1"}, "test", func(float64) {})
+			s := &trial.Scenario{Controllers: controllers, Dispatchers: 2, Callers: 1, Window: 6, Lease: fleetLease, Duration: lasting,
+				MeanInterval: 400 * time.Millisecond, RandomActions: trial.Actions()}
+			r, err := trial.RunScenario(s, seed, []string{os.Args[0]}, []string{asProgram + "=1"}, "test", func(float64) {})
 			switch {
 			case err != nil:
 				t.Fatal(err)
 			case !r.Passed():
-				t.Errorf("unanswered %d, together %v: %s\nafter %s", r.Unanswered, r.Together,
-					strings.Join(append(r.Faults, r.Beliefs...), "\n"), strings.Join(r.Plan, "\n"))
-			case r.Finals["answer"] < 10 || r.Samples < 100 || len(r.Plan) < 5:
-				t.Errorf("%v answers, %d samples, %d steps: too few", r.Finals["answer"], r.Samples, len(r.Plan))
+				t.Errorf("unanswered %d, together %v: %s\nafter %s", r.Unanswered, r.Converged,
+					strings.Join(append(r.Violations, r.LeaseViolations...), "\n"), strings.Join(r.Plan, "\n"))
+			case r.FinalAnswers["answer"] < 10 || r.Samples < 100 || len(r.Plan) < 5:
+				t.Errorf("%v answers, %d samples, %d steps: too few", r.FinalAnswers["answer"], r.Samples, len(r.Plan))
 			}
 		})
 	}
@@ -411,14 +411,14 @@
 	n1, n2 := s.Controllers[0], s.Controllers[1]
 	seen := func(state members.State, incarnation int64) func() bool {
 		return func() bool {
-			return slices.ContainsFunc(n2.Fleet().Members, func(m membership.ShownMember) bool {
+			return slices.ContainsFunc(n2.Fleet().Members, func(m membership.MemberStatus) bool {
 				return m.Name == n1.Name && m.State == state && (m.Incarnation == incarnation) == (incarnation > 0)
 			})
 		}
 	}
 	before := n1.Fleet().Incarnation
 	for _, dies := range []bool{true, false} {
-		next, operators := n1.Beside(), freeAddress(t)
+		next, operators := n1.NewSibling(), freeAddress(t)
 		s.must(next.Start("LB_MANAGEMENT=" + operators))
 		s.waitUntil("the old process leaves", seen(members.Leaving, before))
 		if dies {
@@ -427,7 +427,7 @@
 			continue
 		}
 		t.Cleanup(func() { s.must(next.Kill()) })
-		s.waitUntil("the old process has ended", func() bool { return !n1.Runs() })
+		s.waitUntil("the old process has ended", func() bool { return !n1.IsRunning() })
 		s.waitUntil("the name is the successor's", func() bool { return seen(members.Serving, 0)() && !seen(members.Serving, before)() })
 	}
 }
--- a/cmd/cherryrelay/idle_faults_test.go
+++ b/cmd/cherryrelay/idle_faults_test.go
@@ -16,16 +16,19 @@
 func TestFaultsAfterAnIdleTime(t *testing.T) {
 	const calls, left = 8, 8 * time.Second
 	for name, fault := range map[string]func(d *peer.Dispatcher, e peer.Event){
-		"reset":              func(d *peer.Dispatcher, _ peer.Event) { d.Cut() },
-		"unresponsive":       func(_ *peer.Dispatcher, e peer.Event) { e.Deafen() },
-		"dies":               func(d *peer.Dispatcher, _ peer.Event) { d.Die() },
-		"stops listening":    func(d *peer.Dispatcher, _ peer.Event) { d.Stop() },
-		"pauses":             func(d *peer.Dispatcher, _ peer.Event) { d.Rest(); time.AfterFunc(time.Second, d.Wake) },
-		"reset, again later": func(d *peer.Dispatcher, _ peer.Event) { d.Cut(); time.AfterFunc(200*time.Millisecond, d.Cut) },
+		"reset":           func(d *peer.Dispatcher, _ peer.Event) { d.ResetConns() },
+		"unresponsive":    func(_ *peer.Dispatcher, e peer.Event) { e.DiscardInput() },
+		"dies":            func(d *peer.Dispatcher, _ peer.Event) { d.Kill() },
+		"stops listening": func(d *peer.Dispatcher, _ peer.Event) { d.StopListening() },
+		"pauses":          func(d *peer.Dispatcher, _ peer.Event) { d.PauseInput(); time.AfterFunc(time.Second, d.ResumeInput) },
+		"reset, again later": func(d *peer.Dispatcher, _ peer.Event) {
+			d.ResetConns()
+			time.AfterFunc(200*time.Millisecond, d.ResetConns)
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+			f := newFixture(t, "tcp", "tcp", callers.Bounds{MessageTimeout: longTimeout, IdleTimeout: longTimeout})
 			c := f.newCaller()
 			f.must(c.SetUp(id(1), longTimeout, 0, "x"))
 			first := f.recordEvent(0)
--- a/cmd/cherryrelay/kill_test.go
+++ b/cmd/cherryrelay/kill_test.go
@@ -35,7 +35,7 @@
 directory = ledger
 lines = true
 %s
-` + fmt.Sprintf(trial.Settings, 1)
+` + fmt.Sprintf(trial.SettingsFormat, 1)
 
 // guard is the guard in operatorConfig.
 const guard = 500 * time.Millisecond
@@ -99,7 +99,7 @@
 // waitLog waits until the log contains a text.
 func (p *process) waitLog(text string) {
 	p.Helper()
-	for until := time.Now().Add(peer.Patience); !strings.Contains(p.log.String(), text); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(peer.Timeout); !strings.Contains(p.log.String(), text); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			p.Fatalf("the log never contains %q:\n%s", text, p.log)
 		}
@@ -108,7 +108,7 @@
 
 func (p *process) waitReady() {
 	p.Helper()
-	for until := time.Now().Add(peer.Patience); ; time.Sleep(2 * time.Millisecond) {
+	for until := time.Now().Add(peer.Timeout); ; time.Sleep(2 * time.Millisecond) {
 		if status, _ := httpGet(p.management, "/api/ready"); status == 200 {
 			return
 		}
@@ -164,34 +164,34 @@
 }
 
 // startDispatcher starts a dispatcher whose behaviour depends only on the call ID.
-func startDispatcher(t *testing.T, transport, name string, j *trial.Judge) *trial.Dispatcher {
+func startDispatcher(t *testing.T, transport, name string, j *trial.CallChecker) *trial.Dispatcher {
 	t.Helper()
-	d, err := trial.Stand(transport, name, j)
+	d, err := trial.StartDispatcher(transport, name, j)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(d.Die)
+	t.Cleanup(d.Kill)
 	return d
 }
 
-func newChecker() *trial.Judge { return trial.NewJudge(guard, 9*time.Second) }
+func newChecker() *trial.CallChecker { return trial.NewCallChecker(guard, 9*time.Second) }
 
 func token(id string) string { return trial.Token(id) }
 
 // checkAllSettled reports violations, and calls without a final answer or without a delivered end.
-func checkAllSettled(t *testing.T, j *trial.Judge) {
+func checkAllSettled(t *testing.T, j *trial.CallChecker) {
 	t.Helper()
-	if _, undelivered := j.Unsettled(); len(undelivered) > 0 {
+	if _, undelivered := j.Unfinished(); len(undelivered) > 0 {
 		t.Errorf("the end of %d calls is never delivered: %v", len(undelivered), undelivered[:min(len(undelivered), 20)])
 	}
 	checkAllAnswered(t, j)
 }
 
 // checkAllAnswered reports violations and calls without a final answer.
-func checkAllAnswered(t *testing.T, j *trial.Judge) {
+func checkAllAnswered(t *testing.T, j *trial.CallChecker) {
 	t.Helper()
-	violations, _, _ := j.Verdict()
-	unanswered, _ := j.Unsettled()
+	violations, _, _ := j.Results()
+	unanswered, _ := j.Unfinished()
 	for _, id := range unanswered {
 		violations = append(violations, id+" has no answer")
 	}
@@ -219,7 +219,7 @@
 				members = append(members, pool.Member{Address: a.Address(), ServerEntry: control.ServerEntry{
 					ID: control.ServerID(a.Name), Cell: i, Weight: 1, StartedAt: startedLongAgo}})
 			}
-			if err := os.WriteFile(filepath.Join(p.directory, "pool.ini"), poolfile.Write("v", members), 0o600); err != nil {
+			if err := os.WriteFile(filepath.Join(p.directory, "pool.ini"), poolfile.Encode("v", members), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			rng := rand.New(rand.NewPCG(uint64(i), uint64(times)))
@@ -232,7 +232,7 @@
 			var all []*trial.Caller
 			var running sync.WaitGroup
 			for n := range 4 {
-				a := &trial.Caller{Transport: transport, Addresses: []string{address}, First: (n + 1) << 32, Window: 8, Judge: j}
+				a := &trial.Caller{Transport: transport, Addresses: []string{address}, FirstCall: (n + 1) << 32, Window: 8, Checker: j}
 				all = append(all, a)
 				running.Go(func() { a.Run(done) })
 			}
@@ -258,7 +258,7 @@
 				calls += a.Placed
 				resumes += a.Resumes
 			}
-			_, setUps, finals := j.Verdict()
+			_, setUps, finals := j.Results()
 			for what, n := range finals {
 				if beforeRestart == nil && strings.HasPrefix(what, "after the answer: ") && !strings.Contains(what, "release 16 ") {
 					t.Errorf("%d established calls were cut that no dispatcher had ended: %s", n, what)
--- a/cmd/cherryrelay/ledger.go
+++ b/cmd/cherryrelay/ledger.go
@@ -34,7 +34,7 @@
 	var key []byte
 	var err error
 	if l.KeyFile != "" {
-		if key, err = files.Key(l.KeyFile); err != nil {
+		if key, err = files.ReadKey(l.KeyFile); err != nil {
 			return nil, fmt.Errorf("ledger: key: %w", err)
 		}
 	}
@@ -54,7 +54,7 @@
 	now := time.Duration(time.Now().UnixNano())
 	k.calls.Prune(now)
 	k.ledger = ledger.New(d, ledger.Options{
-		Name: name, Key: key, Sync: config.Syncs[l.Sync], SegmentSize: l.SegmentMB << 20, MaxSize: l.MostMB << 20,
+		Name: name, Key: key, Sync: config.SyncModes[l.Sync], SegmentSize: l.SegmentMB << 20, MaxSize: l.MaxMB << 20,
 		AfterWrite: k.verify,
 		Compact: func(records [][]byte, gaps map[int]bool) ([][]byte, error) {
 			return recovery.Compact(records, gaps, time.Duration(time.Now().UnixNano()))
--- a/cmd/cherryrelay/main.go
+++ b/cmd/cherryrelay/main.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return err //nolint:wrapcheck // the error names its source
 	}
-	log := slog.New(logs.Bound(handler, endlog.Messages()...)).With("name", c.Name)
+	log := slog.New(logs.LimitRate(handler, endlog.Messages()...)).With("name", c.Name)
 	slog.SetDefault(log)
 	n, err := start(c, log)
 	if err != nil {
--- a/cmd/cherryrelay/node.go
+++ b/cmd/cherryrelay/node.go
@@ -38,16 +38,16 @@
 	api       *callers.Front     // the call-control API over WebSocket; nil if it is off
 	manage    *management.Server // nil without a management address
 	list      *coordinator.Stream
-	lists     *lists.Keeper
-	files     *files.Watcher // nil without a pool file
-	store     *stored.Store  // nil without a state directory
-	opened    *openedLedger  // the ledger as it was opened; nil without one
-	ledger    *ledger.Ledger // nil without one, or while the predecessor has it
-	fleet     *fleet         // nil without a fleet
-	takeovers *takeover.Room // nil if calls are not transferred between controllers
+	lists     *lists.Registry
+	files     *files.Watcher        // nil without a pool file
+	store     *stored.Store         // nil without a state directory
+	opened    *openedLedger         // the ledger as it was opened; nil without one
+	ledger    *ledger.Ledger        // nil without one, or while the predecessor has it
+	fleet     *fleet                // nil without a fleet
+	takeovers *takeover.Participant // nil if calls are not transferred between controllers
 	cancel    context.CancelFunc
 	bounds    callers.Bounds
-	terms     *callers.Terms
+	terms     *callers.SetUpRules
 	division  socketDivision
 }
 
@@ -62,9 +62,9 @@
 	if c.Management != "" && sockets > 0 {
 		sockets = max(sockets-management.Descriptors, 2)
 	}
-	b := callers.Within(sockets)
+	b := callers.DefaultBounds(sockets)
 	if c.WebSocket != nil { // each front gets half
-		b.Connections = (b.Connections + 1) / 2
+		b.MaxConnections = (b.MaxConnections + 1) / 2
 	}
 	return b
 }
@@ -92,8 +92,8 @@
 	loop.AddIdleCheck(pool.NoUnreadInput)
 	keeper := lists.New(log, func(u call.Update) { loop.Post(func() { core.Update(u) }) })
 	if c.Subset != nil {
-		limit := c.Subset.ListBound(c.Limits.MemoryMB << 20)
-		keeper.Bound(limit)
+		limit := c.Subset.ListLimit(c.Limits.MemoryMB << 20)
+		keeper.SetLimit(limit)
 		log.Info("connecting to a subset of the list", "size", c.Subset.Size, "zone", c.Subset.Zone, "listed at most", limit)
 	}
 	for i := range c.Known.Updates {
@@ -101,10 +101,10 @@
 		if err != nil {
 			return nil, fmt.Errorf("known list: %w", err)
 		}
-		keeper.Stream(decide.FromStart)(u)
+		keeper.UpdateHandler(decide.FromStart)(u)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	n = &node{config: c, pool: pool, upgrade: u, core: core, loop: loop, log: log, cancel: cancel, bounds: bounds, lists: keeper, terms: callers.NewTerms(c.Settings)}
+	n = &node{config: c, pool: pool, upgrade: u, core: core, loop: loop, log: log, cancel: cancel, bounds: bounds, lists: keeper, terms: callers.NewSetUpRules(c.Settings)}
 	u.node = n
 	incomplete := n
 	defer func() {
@@ -118,12 +118,12 @@
 		}
 	}
 	if c.Ledger != nil {
-		n.terms.ResumeLines(c.Ledger.Lines)
+		n.terms.SetResumeOverLines(c.Ledger.ResumeOverJSONLines)
 		if err := n.startLedger(); err != nil {
 			return nil, err
 		}
 	}
-	lines := func() callers.Format { return new(callers.Lines) }
+	lines := func() callers.Format { return new(callers.JSONLines) }
 	if n.lines, err = n.openFront(c.Listen, lines); err != nil {
 		return nil, err
 	}
@@ -133,20 +133,20 @@
 			return nil, err
 		}
 	}
-	core.AddMetrics(func() []*dto.MetricFamily { return callers.Figures(n.fronts()...) })
+	core.AddMetrics(func() []*dto.MetricFamily { return callers.Metrics(n.fronts()...) })
 	if c.Management != "" {
 		if n.manage, err = management.Listen(loop, core, log, c.Management); err != nil {
 			return nil, err
 		}
 		for path, page := range keeper.Pages() {
-			n.manage.Show(path, page)
+			n.manage.AddPage(path, page)
 		}
-		n.manage.Show("/api/recovery", n.recoveryPage)
-		n.manage.Show("/api/shares", n.sharesPage)
+		n.manage.AddPage("/api/recovery", n.recoveryPage)
+		n.manage.AddPage("/api/shares", n.sharesPage)
 		log.Info("serving operators", "address", n.manage.Address())
 	}
-	n.list = coordinator.New(c.Coordinator, c.Known.Index, log, keeper.Stream(decide.FromCoordinator))
-	loop.AddIdleCheck(n.list.Quiet)
+	n.list = coordinator.New(c.Coordinator, c.Known.Index, log, keeper.UpdateHandler(decide.FromCoordinator))
+	loop.AddIdleCheck(n.list.AllDelivered)
 	go n.list.Run(ctx)
 	if err := n.followStore(ctx); err != nil {
 		return nil, err
@@ -161,23 +161,23 @@
 // startPoolFile activates the pool file, or the last valid set if the file is invalid, and follows the file.
 func (n *node) startPoolFile(ctx context.Context) error {
 	o := *n.config.Pool
-	n.files = files.New(o, n.log, func(c decide.Candidate) { n.lists.Take(c) })
+	n.files = files.New(o, n.log, func(c decide.Candidate) { n.lists.Apply(c) })
 	if s := n.config.State; s != nil {
 		// The stored set is restored before a valid file, too: only the servers that the file adds to it get a cold start.
 		switch m, err := stored.Load(s.Directory, o.File); {
 		case err == nil:
-			if v := n.lists.Recall(m); !v.Accepted {
+			if v := n.lists.Restore(m); !v.Accepted {
 				n.log.Error("the stored set of dispatchers is not used", "fault", v.Faults[0].String())
 			}
-		case !errors.Is(err, stored.ErrNone):
+		case !errors.Is(err, stored.ErrNotFound):
 			n.log.Error("the stored set of dispatchers is not used", "err", err)
 		}
 		n.store = stored.Open(s.Directory, o.File, n.log)
-		n.lists.StoreIn(n.store)
+		n.lists.SetStore(n.store)
 	}
-	v := n.lists.Take(n.files.First())
+	v := n.lists.Apply(n.files.ReadInitial())
 	switch {
-	case !v.Accepted && !n.lists.Listed():
+	case !v.Accepted && !n.lists.HasSet():
 		more := ""
 		if v.FaultCount > 1 {
 			more = fmt.Sprintf(" (and %d more: cherryrelay pool check %s)", v.FaultCount-1, o.File)
@@ -186,7 +186,7 @@
 	case !v.Accepted:
 		n.log.Error("the pool file is invalid: serving with the stored set", "file", o.File, "fault", v.Faults[0].String())
 	}
-	n.core.AddMetrics(n.lists.Figures)
+	n.core.AddMetrics(n.lists.Metrics)
 	go n.files.Run(ctx)
 	return nil
 }
@@ -199,7 +199,7 @@
 	f := callers.New(n.loop, n.core, n.log, listener, format, n.bounds, n.terms)
 	n.core.AddFront(f)
 	n.core.OnFlush(f.Flush)
-	n.loop.AddIdleCheck(f.Heard)
+	n.loop.AddIdleCheck(f.NoUnreadInput)
 	n.log.Info("serving", "address", f.Address())
 	return f, nil
 }
@@ -275,7 +275,7 @@
 func (n *node) reload(c *config.Config, err error) {
 	n.loop.Post(func() {
 		if err == nil {
-			err = c.Follow(n.config)
+			err = c.CheckReplacement(n.config)
 		}
 		if err == nil {
 			err = n.core.Reconfigure(c.Settings)
@@ -285,18 +285,18 @@
 			n.log.Error("configuration is not reloaded", "err", err)
 			return
 		}
-		n.terms = callers.NewTerms(c.Settings).ResumeLines(n.config.Ledger != nil && n.config.Ledger.Lines)
+		n.terms = callers.NewSetUpRules(c.Settings).SetResumeOverLines(n.config.Ledger != nil && n.config.Ledger.ResumeOverJSONLines)
 		for _, f := range n.fronts() {
-			f.Retune(n.terms)
+			f.SetRules(n.terms)
 		}
 		n.pool.Reconfigure(c.Settings.ConnectTimeout(), c.Settings.Report.Fields)
-		n.list.Move(c.Coordinator)
+		n.list.SetAddress(c.Coordinator)
 		c.Listen, c.Management, c.Operator = n.config.Listen, n.config.Management, n.config.Operator // only a restart changes them
 		n.config = c
-		n.bounds.Connections = callerBounds(c).Connections
+		n.bounds.MaxConnections = callerBounds(c).MaxConnections
 		n.applyLimits()
 		if n.files != nil {
-			n.files.Nudge()
+			n.files.PollSoon()
 		}
 		n.log.Info("configuration reloaded", "coordinator", c.Coordinator, "classes", len(c.Settings.RequestClasses))
 	})
--- a/cmd/cherryrelay/operators_test.go
+++ b/cmd/cherryrelay/operators_test.go
@@ -26,7 +26,7 @@
 	f.Helper()
 	r, err := http.NewRequest(method, "http://"+f.node.manage.Address()+path, nil)
 	f.must(err)
-	client := &http.Client{Timeout: peer.Patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: peer.Timeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Do(r)
 	f.must(err)
 	defer resp.Body.Close()
@@ -37,7 +37,7 @@
 
 // get sends a GET request to a management address. Status 0 means that there is no answer.
 func (f *fixture) get(address, path string) (status int, body string) {
-	client := &http.Client{Timeout: peer.Patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: peer.Timeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + address + path)
 	if err != nil {
 		return 0, ""
@@ -123,7 +123,7 @@
 
 // TestManagementAddress: the valid and invalid requests of operators; idle connections do not block other operators.
 func TestManagementAddress(t *testing.T) {
-	f := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+	f := newFixture(t, "tcp", "tcp", callers.Bounds{MessageTimeout: longTimeout, IdleTimeout: longTimeout})
 	f.newCaller()
 	const idle = 40 // far more than are kept open
 	shut := make(chan struct{}, idle)
@@ -135,7 +135,7 @@
 		f.must(err)
 		go func() { _, _ = nc.Read(make([]byte, 1)); shut <- struct{}{} }()
 	}
-	for range idle - management.MaxOpen { // all have been accepted then; a later one would close one of the connections below
+	for range idle - management.MaxConnections { // all have been accepted then; a later one would close one of the connections below
 		<-shut
 	}
 	for _, test := range []struct{ send, want, has string }{
@@ -158,7 +158,7 @@
 		f.must(err)
 		_, err = io.WriteString(nc, test.send)
 		f.must(err)
-		f.must(nc.SetReadDeadline(time.Now().Add(peer.Patience)))
+		f.must(nc.SetReadDeadline(time.Now().Add(peer.Timeout)))
 		answer, err := io.ReadAll(nc) // to the end: the controller closes the connection
 		f.must(err)
 		f.must(nc.Close())
@@ -201,7 +201,7 @@
 func (f *fixture) waitMetric(line string) {
 	f.Helper()
 	shown := make(chan bool)
-	for begun := time.Now(); time.Since(begun) < peer.Patience; time.Sleep(time.Millisecond) {
+	for begun := time.Now(); time.Since(begun) < peer.Timeout; time.Sleep(time.Millisecond) {
 		f.node.loop.Post(func() {
 			text, err := f.node.core.Telemetry()
 			shown <- err == nil && strings.Contains(text, line)
@@ -249,7 +249,7 @@
 		ending := f.recordEvent(0)
 		f.must(ending.Answer("y"))
 		f.recordMessage(c)
-		f.must(ending.ReleaseHere(id(6), call.CauseNormal))
+		f.must(ending.ReleaseOnConn(id(6), call.CauseNormal))
 		f.recordMessage(c)
 		f.must(c.SetUp(id(2), longTimeout, 0, "x"))
 		f.must(f.recordEvent(0).Refuse(peer.NoLine))
--- a/cmd/cherryrelay/paused_test.go
+++ b/cmd/cherryrelay/paused_test.go
@@ -23,10 +23,10 @@
 	pool := "[pool]\nformat = 1\nversion = 1\nservers = 2\n"
 	for i := range d {
 		var err error
-		if d[i], err = peer.Dispatch("tcp", "127.0.0.1:0", "x0:40;x1:40"); err != nil {
+		if d[i], err = peer.StartDispatcher("tcp", "127.0.0.1:0", "x0:40;x1:40"); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(d[i].Die)
+		t.Cleanup(d[i].Kill)
 		pool += fmt.Sprintf("[server d%d]\naddress = %s\ngroup = %d\nweight = 1\n", i, d[i].Address(), i)
 	}
 	if err := os.WriteFile(filepath.Join(p.directory, "pool.ini"), []byte(pool+"[end]\n"), 0o600); err != nil {
@@ -46,7 +46,7 @@
 // nextSetUp waits for a set-up at either dispatcher.
 func nextSetUp(t *testing.T, d [2]*peer.Dispatcher) peer.Event {
 	t.Helper()
-	for timeout := time.After(peer.Patience); ; {
+	for timeout := time.After(peer.Timeout); ; {
 		var e peer.Event
 		select {
 		case e = <-d[0].Events:
@@ -70,12 +70,12 @@
 		}
 	}
 	var err error
-	c, err = peer.Call("tcp", p.lines)
+	c, err = peer.DialCaller("tcp", p.lines)
 	must(err)
-	other, err = peer.Call("tcp", p.lines)
+	other, err = peer.DialCaller("tcp", p.lines)
 	must(err)
 	must(c.SetUp(id(n), 8*time.Second, n%2, "x"))
-	must(nextSetUp(t, d).Refuse(peer.Broken)) // the guard starts here
+	must(nextSetUp(t, d).Refuse(peer.TemporaryFailure)) // the guard starts here
 	must(other.SetUp(id(0x100+n), 8*time.Second, (n+1)%2, "x"))
 	return c, other, nextSetUp(t, d) // the refusal arrived before: the guard's timer runs
 }
@@ -120,7 +120,7 @@
 	t.Parallel()
 	for round := 0; round < 4; {
 		p, _ := startWithDispatchers(t)
-		c, err := peer.Call("tcp", p.lines)
+		c, err := peer.DialCaller("tcp", p.lines)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -163,7 +163,7 @@
 		{syscall.SIGTERM, syscall.SIGTERM}, {syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM}, {syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP},
 	} {
 		p, d := startWithDispatchers(t)
-		c, err := peer.Call("tcp", p.lines)
+		c, err := peer.DialCaller("tcp", p.lines)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -193,7 +193,7 @@
 				t.Errorf("%v: ended with %v:\n%s", signals, err, p.log)
 			}
 			p.cmd = nil
-		case <-time.After(peer.Patience):
+		case <-time.After(peer.Timeout):
 			t.Fatalf("%v: the process does not exit", signals)
 		}
 	}
--- a/cmd/cherryrelay/poolfile_test.go
+++ b/cmd/cherryrelay/poolfile_test.go
@@ -111,11 +111,11 @@
 	t.Helper()
 	s := &poolFixture{fixture: &fixture{T: t, transport: transport}, path: filepath.Join(t.TempDir(), "pool.ini"), state: t.TempDir(), log: newLogRecorder()}
 	for range n {
-		d, err := peer.Dispatch(transport, "127.0.0.1:0", "x0:1000000;x1:1000000")
+		d, err := peer.StartDispatcher(transport, "127.0.0.1:0", "x0:1000000;x1:1000000")
 		s.must(err)
 		a := &answeringDispatcher{Dispatcher: d, ended: make(chan struct{})}
 		go a.serve()
-		t.Cleanup(d.Die)
+		t.Cleanup(d.Kill)
 		s.dispatchers = append(s.dispatchers, a)
 	}
 	s.config = new(config.Config)
@@ -153,12 +153,12 @@
 	for i, w := range weights {
 		members = append(members, s.member(i, w))
 	}
-	s.replaceFile(poolfile.Write(label, members))
+	s.replaceFile(poolfile.Encode(label, members))
 }
 
 // startController starts the controller.
 func (s *poolFixture) startController() error {
-	n, err := startWithBounds(s.config, slog.New(s.log), callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+	n, err := startWithBounds(s.config, slog.New(s.log), callers.Bounds{MessageTimeout: longTimeout, IdleTimeout: longTimeout})
 	if err != nil {
 		return err
 	}
@@ -197,7 +197,7 @@
 // waitActive waits until a version is active and applied by the event loop.
 func (f *fixture) waitActive(label string) {
 	f.Helper()
-	for until := time.Now().Add(peer.Patience); ; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(peer.Timeout); ; time.Sleep(time.Millisecond) {
 		s := f.poolState()
 		if s.Version != nil && s.Version.Label == label {
 			f.poolState() // one event loop iteration later, everything posted with the version has run
@@ -212,8 +212,8 @@
 // waitRefused waits until the last candidate is refused for a reason.
 func (f *fixture) waitRefused(reason pool.Reason) {
 	f.Helper()
-	for until := time.Now().Add(peer.Patience); ; time.Sleep(time.Millisecond) {
-		if t := f.poolState().Trouble; t != nil && t.Faults[0].Reason == reason {
+	for until := time.Now().Add(peer.Timeout); ; time.Sleep(time.Millisecond) {
+		if t := f.poolState().LastRefused; t != nil && t.Faults[0].Reason == reason {
 			return
 		} else if time.Now().After(until) {
 			f.Fatalf("not refused for %s, but %+v", reason, t)
@@ -290,7 +290,7 @@
 			s.writeWeights("both", 1, 1)
 			s.serve()
 			c := s.newCaller()
-			for i, remove := range []func(){func() { s.writeWeights("idle", 0, 1) }, func() { s.replaceFile(poolfile.Write("left", []pool.Member{s.member(1, 1)})) }} {
+			for i, remove := range []func(){func() { s.writeWeights("idle", 0, 1) }, func() { s.replaceFile(poolfile.Encode("left", []pool.Member{s.member(1, 1)})) }} {
 				s.writeWeights("both", 1, 1)
 				s.waitActive("both")
 				established := id(0x100 * (i + 1))
@@ -324,12 +324,12 @@
 				s.must(c.SetUp(id(n), longTimeout, 0, "x"))
 				s.recordMessage(c)
 			}
-			s.replaceFile(poolfile.Write("left", []pool.Member{s.member(1, 1)}))
+			s.replaceFile(poolfile.Encode("left", []pool.Member{s.member(1, 1)}))
 			s.waitActive("left")
 			time.Sleep(3 * time.Second)
 			s.must(s.dispatchers[0].Release(id(1), 16))
 			s.recordMessage(c)
-			s.dispatchers[0].Die()
+			s.dispatchers[0].Kill()
 			s.recordMessage(c)
 			if diff := cmp.Diff([]string{"caller: answer 1 y", "caller: answer 2 y", "caller: release 1 16", "caller: release 2 41"}, s.observed); diff != "" {
 				t.Errorf("(-want +got):\n%s", diff)
@@ -344,14 +344,14 @@
 	s.writeWeights("good", 1, 1)
 	s.serve()
 	s.waitActive("good")
-	whole := poolfile.Write("next", []pool.Member{s.member(0, 1), s.member(1, 9)})
+	whole := poolfile.Encode("next", []pool.Member{s.member(0, 1), s.member(1, 9)})
 	for _, invalid := range []struct {
 		text   []byte
 		reason pool.Reason
 	}{
 		{whole[:len(whole)/2], pool.Unfinished},
 		{bytes.Replace(whole, []byte("server s1"), []byte("server s0"), 1), pool.Duplicate},
-		{poolfile.Write("zero", []pool.Member{s.member(0, 0), s.member(1, 0)}), pool.NoneActive},
+		{poolfile.Encode("zero", []pool.Member{s.member(0, 0), s.member(1, 0)}), pool.NoneActive},
 		{bytes.Replace(whole, []byte("servers = 2"), []byte("servers = 3"), 1), pool.BadCount},
 		{nil, pool.Unfinished},
 	} {
@@ -373,7 +373,7 @@
 	}
 	s.replaceFile(whole)
 	s.waitActive("next")
-	if s.poolState().Trouble != nil {
+	if s.poolState().LastRefused != nil {
 		t.Error("the fault is still reported after a valid file")
 	}
 }
@@ -405,7 +405,7 @@
 		t.Errorf("calls went to %v", got)
 	}
 	s.stop()
-	path := filepath.Join(s.state, stored.Name)
+	path := filepath.Join(s.state, stored.FileName)
 	text, err := os.ReadFile(path)
 	s.must(err)
 	s.must(os.WriteFile(path, text[:len(text)-1], 0o600))
@@ -432,10 +432,10 @@
 			c := s.newCaller()
 			s.must(c.SetUp(id(1), longTimeout, 0, "x"))
 			s.recordMessage(c)
-			s.dispatchers[0].Cut() // the old process ends
+			s.dispatchers[0].ResetConns() // the old process ends
 			m := s.member(0, 1)
 			change(&m)
-			s.replaceFile(poolfile.Write("new", []pool.Member{m, s.member(1, 1)}))
+			s.replaceFile(poolfile.Encode("new", []pool.Member{m, s.member(1, 1)}))
 			s.waitActive("new")
 			s.recordMessage(c)
 			if diff := cmp.Diff([]string{"caller: answer 1 y", "caller: release 1 41"}, s.observed); diff != "" {
@@ -508,7 +508,7 @@
 		members = append(members, pool.Member{Address: fmt.Sprintf("127.1.%d.%d:1", i/250, i%250+1), ServerEntry: control.ServerEntry{
 			ID: control.ServerID(fmt.Sprintf("t%03d", i)), Zone: "tartu", Status: control.Draining, Weight: pool.NoNewCalls}})
 	}
-	s.replaceFile(poolfile.Write("many", members))
+	s.replaceFile(poolfile.Encode("many", members))
 	s.serve()
 	s.replaceFile([]byte("[end]\n"))
 	s.waitRefused(pool.BadFormat)
@@ -564,21 +564,21 @@
 			members = append(members, m)
 		}
 	}
-	text := poolfile.Write(v.label, members)
+	text := poolfile.Encode(v.label, members)
 	if n%3 == 2 { // invalid or incomplete
 		with := append(members, r.member(r.decoy(), 9))
 		switch r.rng.IntN(5) {
 		case 0:
-			text = poolfile.Write(v.label, with)
+			text = poolfile.Encode(v.label, with)
 			text = text[:r.rng.IntN(len(text))]
 		case 1:
-			text = poolfile.Write(v.label, append(with, with[0]))
+			text = poolfile.Encode(v.label, append(with, with[0]))
 		case 2:
-			text = bytes.Replace(poolfile.Write(v.label, with), []byte("format = 1"), []byte("format = 2"), 1)
+			text = bytes.Replace(poolfile.Encode(v.label, with), []byte("format = 1"), []byte("format = 2"), 1)
 		case 3:
-			text = bytes.Replace(poolfile.Write(v.label, with), []byte("weight = 9"), []byte("weight = 9x"), 1)
+			text = bytes.Replace(poolfile.Encode(v.label, with), []byte("weight = 9"), []byte("weight = 9x"), 1)
 		case 4:
-			text = append(poolfile.Write(v.label, with), "[server late]\n"...)
+			text = append(poolfile.Encode(v.label, with), "[server late]\n"...)
 		}
 		r.write(text)
 		return false
@@ -731,7 +731,7 @@
 		members = append(members, pool.Member{Address: fmt.Sprintf("127.1.%d.%d:1", i/250, i%250+1), ServerEntry: control.ServerEntry{
 			ID: control.ServerID(fmt.Sprintf("t%05d", i)), Status: control.Draining, Weight: 1, StartedAt: startedLongAgo}})
 	}
-	s.replaceFile(poolfile.Write(label, members))
+	s.replaceFile(poolfile.Encode(label, members))
 }
 
 // logOnFailure prints the log if the test has failed.
--- a/cmd/cherryrelay/reconfigure_test.go
+++ b/cmd/cherryrelay/reconfigure_test.go
@@ -42,10 +42,10 @@
 			s.RequestClasses[0].Semantics, s.RequestClasses[1].Name = "non_idempotent", "urgent"
 			s.FamilyInfo.AllowedPools, s.FamilyInfo.ClassWidth = [][]int{{0}, {1}}, []int{1, 1}
 		})
-		f.must(open.Refuse(peer.Busy)) // the dispatcher may have run it; a call of the old class may be repeated
+		f.must(open.Refuse(peer.NumberBusy)) // the dispatcher may have run it; a call of the old class may be repeated
 		open = f.recordEvent(0)
 		setUp(3, 0, "send-setup")
-		f.must(f.recordEvent(0).Refuse(peer.Busy)) // a call of the new class may not be repeated
+		f.must(f.recordEvent(0).Refuse(peer.NumberBusy)) // a call of the new class may not be repeated
 		f.recordMessage(c)
 		setUp(4, 1, "urgent")
 		f.must(f.recordEvent(1).Answer("y"))
--- a/cmd/cherryrelay/refused_test.go
+++ b/cmd/cherryrelay/refused_test.go
@@ -37,13 +37,13 @@
 	bounds callers.Bounds
 	ask    func(f *fixture) *peer.Caller // a new connection on which the complete set-up 1 has been sent
 }{
-	"no connection can be evicted": {callers.Bounds{Connections: 2, Silent: longTimeout, Idle: longTimeout}, func(f *fixture) *peer.Caller {
+	"no connection can be evicted": {callers.Bounds{MaxConnections: 2, MessageTimeout: longTimeout, IdleTimeout: longTimeout}, func(f *fixture) *peer.Caller {
 		f.fillConnections(2)
 		c := f.connect()
 		f.must(c.SetUp(id(1), longTimeout, 0, "x"))
 		return c
 	}},
-	"draining, after the time for new set-ups": {callers.Bounds{Silent: longTimeout, Idle: longTimeout}, func(f *fixture) *peer.Caller {
+	"draining, after the time for new set-ups": {callers.Bounds{MessageTimeout: longTimeout, IdleTimeout: longTimeout}, func(f *fixture) *peer.Caller {
 		f.fillConnections(1) // keeps it from exiting
 		f.node.drain()
 		time.Sleep(800 * time.Millisecond)
@@ -51,7 +51,7 @@
 		f.must(c.SetUp(id(1), longTimeout, 0, "x"))
 		return c
 	}},
-	"an invalid message follows": {callers.Bounds{Silent: longTimeout, Idle: longTimeout}, func(f *fixture) *peer.Caller {
+	"an invalid message follows": {callers.Bounds{MessageTimeout: longTimeout, IdleTimeout: longTimeout}, func(f *fixture) *peer.Caller {
 		c := f.connect()
 		resumeLoop := f.pauseLoop()
 		f.must(c.SendRaw(append(f.encodeSetUp(c, 1), c.Frame([]byte(`{"type":"setup",`))...)))
@@ -62,7 +62,7 @@
 
 func (f *fixture) encodeSetUp(c *peer.Caller, n int) []byte {
 	f.Helper()
-	text, err := jsonl.Append(nil, c.Asks(id(n), longTimeout, 0, "x"))
+	text, err := jsonl.Append(nil, c.SetUpMessage(id(n), longTimeout, 0, "x"))
 	f.must(err)
 	return c.Frame(text)
 }
@@ -82,11 +82,11 @@
 // held by connections that are queued for the loop.
 func TestASetUpBeyondTheConnectionLimitIsAnswered(t *testing.T) {
 	t.Parallel()
-	bounds := callers.Bounds{Connections: 2, Silent: longTimeout, Idle: longTimeout}
+	bounds := callers.Bounds{MaxConnections: 2, MessageTimeout: longTimeout, IdleTimeout: longTimeout}
 	f := newFixture(t, "tcp", "tcp", bounds)
-	f.fillConnections(bounds.Connections)
+	f.fillConnections(bounds.MaxConnections)
 	resumeLoop := f.pauseLoop()
-	for range bounds.Most() - bounds.Connections {
+	for range bounds.MaxOpen() - bounds.MaxConnections {
 		before := f.node.loop.Pending()
 		f.connect()
 		f.waitQueued(before + 1)
@@ -103,7 +103,7 @@
 // TestASetUpAheadOfAFloodIsAnswered: behind a set-up that is queued for the loop, more input arrives than the ring buffer holds.
 func TestASetUpAheadOfAFloodIsAnswered(t *testing.T) {
 	t.Parallel()
-	f := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+	f := newFixture(t, "tcp", "tcp", callers.Bounds{MessageTimeout: longTimeout, IdleTimeout: longTimeout})
 	c := f.connect()
 	resumeLoop := f.pauseLoop()
 	before := f.node.loop.Pending()
--- a/cmd/cherryrelay/reload_test.go
+++ b/cmd/cherryrelay/reload_test.go
@@ -37,7 +37,7 @@
 
 func waitRequested(t *testing.T, asked chan string, want string) {
 	t.Helper()
-	timeout := time.After(peer.Patience)
+	timeout := time.After(peer.Timeout)
 	for {
 		select {
 		case got := <-asked:
@@ -58,7 +58,7 @@
 		if _, body := httpGet(management, lists.StatePath); jsoniter.UnmarshalFromString(body, &state) == nil && state.Servers == servers {
 			return
 		}
-		if time.Since(begun) > peer.Patience {
+		if time.Since(begun) > peer.Timeout {
 			t.Fatalf("the active list has %d dispatchers, want %d", state.Servers, servers)
 		}
 	}
--- a/cmd/cherryrelay/replacement_callers_soak_test.go
+++ b/cmd/cherryrelay/replacement_callers_soak_test.go
@@ -56,7 +56,7 @@
 // placeCalls places calls until the run accepts no more.
 func (c *replacementCallers) placeCalls(rng *rand.Rand) {
 	p := c.run
-	perSecond := p.load * float64(p.dispatcherCount*p.work.Lines) / (p.work.Holds / 2).Seconds()
+	perSecond := p.load * float64(p.dispatcherCount*p.work.Lines) / (p.work.MaxCallDuration / 2).Seconds()
 	for {
 		pause := time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second))
 		select {
@@ -77,7 +77,7 @@
 		return c.all[rng.IntN(n)]
 	}
 	c.mu.Unlock()
-	connection, err := peer.Call("tcp", c.run.front)
+	connection, err := peer.DialCaller("tcp", c.run.front)
 	if err != nil {
 		c.run.Error(err)
 		return nil
@@ -104,7 +104,7 @@
 	caller.openCalls++
 	caller.usedAt = time.Now()
 	c.mu.Unlock()
-	c.run.checker.Placed(id, time.Now())
+	c.run.checker.CallPlaced(id, time.Now())
 	if err := caller.SetUp(id, left, rng.IntN(c.run.dispatcherCount), "x"); err != nil {
 		c.run.Errorf("sending a set-up on an open connection: %v", err)
 	}
@@ -121,7 +121,7 @@
 	}
 	k.cancelled = true
 	k.releaseConnection()
-	c.run.checker.CallerLeft(id, time.Now())
+	c.run.checker.CallerFinished(id, time.Now())
 	_ = k.connection.Release(id, 16)
 }
 
@@ -152,13 +152,13 @@
 		}
 		return
 	}
-	if c.run.checker.Heard(id, kind, text, cause, time.Now()) {
+	if c.run.checker.MessageReceived(id, kind, text, cause, time.Now()) {
 		k.answered = true
 		if !c.run.keepsConnections {
 			k.releaseConnection()
 		}
 		if c.rng.Float64() < hangUpShare {
-			time.AfterFunc(time.Duration(c.rng.Int64N(int64(c.run.work.Holds))), func() { c.cancel(id, true) })
+			time.AfterFunc(time.Duration(c.rng.Int64N(int64(c.run.work.MaxCallDuration))), func() { c.cancel(id, true) })
 		}
 		return
 	}
--- a/cmd/cherryrelay/replacement_soak_test.go
+++ b/cmd/cherryrelay/replacement_soak_test.go
@@ -36,13 +36,13 @@
 )
 
 // latency is the fault rule of all connections.
-var latency = fault.Rule{Forth: fault.Way{Delay: connectionDelay, Jitter: connectionJitter}, Back: fault.Way{Delay: connectionDelay, Jitter: connectionJitter}}
+var latency = fault.Rule{Forth: fault.Impairment{Delay: connectionDelay, Jitter: connectionJitter}, Back: fault.Impairment{Delay: connectionDelay, Jitter: connectionJitter}}
 
 // replacementScenario is the scenario that a seed draws.
 type replacementScenario struct {
 	seed              uint64
 	dispatcherCount   int // before, and after, the replacement
-	work              trial.Work
+	work              trial.Workload
 	aim               time.Duration // of the calls' class: a longer attempt may be cancelled
 	slowest           time.Duration // longest time to an answer under overload
 	load              float64       // set-ups as a share of the capacity of the lines; at low load, connections are often idle and overtaken
@@ -62,17 +62,17 @@
 	}
 	s := replacementScenario{seed: seed, dispatcherCount: 1 + rng.IntN(maxReplaced), load: 0.1 + 1.3*rng.Float64(), aim: ms(150, 1500), slowest: ms(300, 1500), callerIdle: ms(300, 4000),
 		keepsConnections: rng.IntN(2) == 0, closesConnections: rng.IntN(2) == 0, reports: rng.IntN(2) == 0, refuses: rng.IntN(4) > 0, simultaneous: rng.IntN(3) == 0, drainFor: ms(1500, 4600)}
-	s.work = trial.Work{Lines: 8 + rng.IntN(16), Answers: 60 * time.Millisecond, Holds: ms(300, 2500), Broken: 0.1 * rng.Float64(),
-		Unanswered: 0.3 * rng.Float64(), Brief: 0.1, Seed: seed}
+	s.work = trial.Workload{Lines: 8 + rng.IntN(16), MaxAnswerDelay: 60 * time.Millisecond, MaxCallDuration: ms(300, 2500), FailedShare: 0.1 * rng.Float64(),
+		UnansweredShare: 0.3 * rng.Float64(), BriefShare: 0.1, Seed: seed}
 	if s.closesConnections {
-		s.work.Closes = 0.5
+		s.work.CloseShare = 0.5
 	}
 	return s
 }
 
 func (s *replacementScenario) String() string {
 	return fmt.Sprintf("%d dispatchers of %d lines, %.2f of set-ups unanswered, load %.2f, aim %v, answers in %v, calls of %v, drains of %v, callers' connections closed after %v, kept for established calls %v; dispatchers close %v, report %v, refuse as they drain %v, all at once %v",
-		s.dispatcherCount, s.work.Lines, s.work.Unanswered, s.load, s.aim, s.slowest, s.work.Holds, s.drainFor, s.callerIdle, s.keepsConnections, s.closesConnections, s.reports, s.refuses, s.simultaneous)
+		s.dispatcherCount, s.work.Lines, s.work.UnansweredShare, s.load, s.aim, s.slowest, s.work.MaxCallDuration, s.drainFor, s.callerIdle, s.keepsConnections, s.closesConnections, s.reports, s.refuses, s.simultaneous)
 }
 
 // replacementResult is the result of a run.
@@ -144,7 +144,7 @@
 
 // listedDispatcher is a dispatcher behind a fault proxy, with its list entry.
 type listedDispatcher struct {
-	*trial.Replaced
+	*trial.ReplaceableDispatcher
 	entry map[string]any
 	path  string
 }
@@ -166,7 +166,7 @@
 	net       *fault.Net
 	front     string // address for callers
 	list      *eventServer
-	checker   *trial.Judge
+	checker   *trial.CallChecker
 	rng       *rand.Rand
 	callsDone chan struct{} // closed when no more calls are placed
 	ended     chan struct{} // closed when the run ends
@@ -182,17 +182,17 @@
 	name := fmt.Sprint("s", n)
 	work := p.work
 	work.Seed = p.seed<<8 + uint64(n)
-	r, err := trial.StandToBeReplaced("tcp", name, formatReport(work.Lines, work.Lines), p.checker, work)
+	r, err := trial.StartReplaceableDispatcher("tcp", name, formatReport(work.Lines, work.Lines), p.checker, work)
 	if err != nil {
 		p.Fatal(err)
 	}
-	p.Cleanup(r.Die)
-	address, err := p.net.Between("c", name, r.Address())
+	p.Cleanup(r.Kill)
+	address, err := p.net.AddLink("c", name, r.Address())
 	if err != nil {
 		p.Fatal(err)
 	}
-	d := &listedDispatcher{Replaced: r, path: "c>" + name, entry: endpoint(name, n%p.dispatcherCount, address, since)}
-	p.net.Set(d.path, latency)
+	d := &listedDispatcher{ReplaceableDispatcher: r, path: "c>" + name, entry: endpoint(name, n%p.dispatcherCount, address, since)}
+	p.net.SetRule(d.path, latency)
 	p.mu.Lock()
 	p.started = append(p.started, d)
 	p.mu.Unlock()
@@ -211,10 +211,10 @@
 		case <-time.After(lineReportInterval):
 		}
 		if p.reports {
-			_ = d.Report(formatReport(d.Free(), p.work.Lines))
+			_ = d.SetReport(formatReport(d.FreeLines(), p.work.Lines))
 		}
 		if p.closesConnections {
-			d.CloseOne()
+			d.CloseIdleConn()
 		}
 	}
 }
@@ -254,10 +254,10 @@
 		p.Fatal(err)
 	}
 	p.process = newPlatformProcess(p.T, text)
-	if p.front, err = p.net.Between("callers", "c", p.lines); err != nil {
+	if p.front, err = p.net.AddLink("callers", "c", p.lines); err != nil {
 		p.Fatal(err)
 	}
-	p.net.Set("callers>c", latency)
+	p.net.SetRule("callers>c", latency)
 	p.launchProgram()
 	p.waitReady()
 	return old
@@ -273,25 +273,25 @@
 	sleepRandomly(rng, stepPause)
 	next := p.startListed(n, time.Now())
 	p.list.publish(p.T, next.entry)
-	next.Answer(p.slowest)
+	next.SetMaxAnswerDelay(p.slowest)
 	sleepRandomly(rng, 2*stepPause)
 	p.list.publish(p.T, d.entryWithStatus("leaving"))
 	if p.refuses {
 		sleepRandomly(rng, stepPause)
-		p.net.Refuse(d.path)
-		d.Stop()
+		p.net.RefuseConns(d.path)
+		d.StopListening()
 	}
 	time.Sleep(time.Duration(rng.Int64N(int64(p.drainFor))))
 	if rng.IntN(2) == 0 {
 		p.list.publish(p.T, d.entryWithStatus("left"))
 		sleepRandomly(rng, stepPause)
-		d.Die()
+		d.Kill()
 	} else {
-		d.Die()
+		d.Kill()
 		sleepRandomly(rng, stepPause)
 		p.list.publish(p.T, d.entryWithStatus("left"))
 	}
-	p.net.Refuse(d.path)
+	p.net.RefuseConns(d.path)
 }
 
 // runReplacement runs the scenario of a seed. The guard between attempts is not checked: on a busy machine dispatchers see the end of an
@@ -299,7 +299,7 @@
 func runReplacement(t *testing.T, seed uint64) replacementResult {
 	t.Helper()
 	p := &replacementRun{T: t, replacementScenario: drawReplacement(seed), net: fault.New(seed), list: newEventServer(t),
-		checker: trial.NewJudge(0, 9*time.Second), rng: rand.New(rand.NewPCG(seed, 1)), callsDone: make(chan struct{}), ended: make(chan struct{})}
+		checker: trial.NewCallChecker(0, 9*time.Second), rng: rand.New(rand.NewPCG(seed, 1)), callsDone: make(chan struct{}), ended: make(chan struct{})}
 	t.Cleanup(p.net.Close)
 	old := p.begin()
 	delays := measureRunDelays(p.cmd.Process.Pid)
@@ -307,7 +307,7 @@
 	c.running.Go(func() { c.placeCalls(rand.New(rand.NewPCG(seed, 3))) })
 	time.Sleep(time.Second)
 	for _, d := range old {
-		d.Answer(p.slowest)
+		d.SetMaxAnswerDelay(p.slowest)
 	}
 	var replacing sync.WaitGroup
 	for i, d := range old {
@@ -332,34 +332,34 @@
 // check ends the established calls, waits for the answers and ends that callers still expect, and returns all violations.
 func (p *replacementRun) check(c *replacementCallers, delays *schedulerMeter) replacementResult {
 	p.Helper()
-	trial.Until(maxTimeLeft+time.Second, func() bool { return c.pendingCalls() == 0 }) // callers cancel calls without an answer
+	trial.WaitUntil(maxTimeLeft+time.Second, func() bool { return c.pendingCalls() == 0 }) // callers cancel calls without an answer
 	p.mu.Lock()
 	for _, d := range p.started {
 		d.EndAll()
 	}
 	p.mu.Unlock()
-	trial.Until(trial.ToldAfterEnd+time.Second, func() bool {
-		_, undelivered := p.checker.Unsettled()
+	trial.WaitUntil(trial.MaxDelayAfterEnd+time.Second, func() bool {
+		_, undelivered := p.checker.Unfinished()
 		return len(undelivered) == 0
 	})
-	violations, _, counts := p.checker.Verdict()
+	violations, _, counts := p.checker.Results()
 	now := time.Now()
 	r := replacementResult{violations: violations, crossed: c.countCrossed(), counts: counts}
 	for _, e := range p.checker.Ends() {
 		r.ends++
-		if triedAgain(e.Trail) {
+		if triedAgain(e.History) {
 			r.repeated++
 		}
-		until := e.ToldAt
+		until := e.NotifiedAt
 		if until.IsZero() {
 			until = now
 		}
-		lateness := e.Late(now)
+		lateness := e.Lateness(now)
 		switch {
-		case e.ToldAt.IsZero():
-			r.violations = append(r.violations, fmt.Sprintf("the end of %s is never delivered; %s", e.ID, e.Trail))
-		case lateness > 0 && lateness > delays.delayBetween(e.OverAt, until) && lateness > c.meter.delayBetween(e.OverAt, until):
-			r.violations = append(r.violations, fmt.Sprintf("the end of %s is delivered %v too late; %s", e.ID, lateness, e.Trail))
+		case e.NotifiedAt.IsZero():
+			r.violations = append(r.violations, fmt.Sprintf("the end of %s is never delivered; %s", e.ID, e.History))
+		case lateness > 0 && lateness > delays.delayBetween(e.EndedAt, until) && lateness > c.meter.delayBetween(e.EndedAt, until):
+			r.violations = append(r.violations, fmt.Sprintf("the end of %s is delivered %v too late; %s", e.ID, lateness, e.History))
 		}
 	}
 	return r
--- a/cmd/cherryrelay/resume_test.go
+++ b/cmd/cherryrelay/resume_test.go
@@ -21,7 +21,7 @@
 type resumeFixture struct {
 	*process
 	transport   string
-	checker     *trial.Judge
+	checker     *trial.CallChecker
 	dispatchers []*trial.Dispatcher
 }
 
@@ -31,7 +31,7 @@
 	d := &resumeFixture{process: newProcess(t, extra), transport: transport, checker: newChecker()}
 	for i := range n {
 		a := startDispatcher(t, transport, fmt.Sprint("s", i), d.checker)
-		a.Act(true, false)
+		a.SetBehavior(true, false)
 		d.dispatchers = append(d.dispatchers, a)
 	}
 	d.writePool(startedLongAgo)
@@ -48,7 +48,7 @@
 			ID: control.ServerID(a.Name), Cell: i, Weight: 1, StartedAt: since}})
 	}
 	path := filepath.Join(d.directory, "pool.ini")
-	d.must(os.WriteFile(path+".new", poolfile.Write("v", members), 0o600))
+	d.must(os.WriteFile(path+".new", poolfile.Encode("v", members), 0o600))
 	d.must(os.Rename(path+".new", path))
 }
 
@@ -66,7 +66,7 @@
 	if d.transport == "ws" {
 		address = d.api
 	}
-	c, err := peer.Call(d.transport, address)
+	c, err := peer.DialCaller(d.transport, address)
 	d.must(err)
 	d.Cleanup(func() { _ = c.Close() })
 	return c
@@ -118,7 +118,7 @@
 // setUnresponsive makes the dispatchers leave set-ups unanswered, or answer them again.
 func (d *resumeFixture) setUnresponsive(slow bool) {
 	for _, a := range d.dispatchers {
-		a.Act(!slow, slow)
+		a.SetBehavior(!slow, slow)
 	}
 }
 
@@ -181,8 +181,8 @@
 // waitAttempt waits until an attempt of a call is in progress at a dispatcher.
 func (d *resumeFixture) waitAttempt(id string) {
 	d.Helper()
-	for until := time.Now().Add(peer.Patience); time.Now().Before(until); time.Sleep(time.Millisecond) {
-		if d.checker.Out(id) != "" {
+	for until := time.Now().Add(peer.Timeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
+		if d.checker.AttemptAt(id) != "" {
 			return
 		}
 	}
@@ -192,7 +192,7 @@
 // endCall ends a call at the dispatcher that has it.
 func (d *resumeFixture) endCall(id string) {
 	for _, a := range d.dispatchers {
-		a.End(id)
+		a.EndCall(id)
 	}
 }
 
@@ -220,13 +220,13 @@
 
 // breakNext makes the next set-up break.
 func (d *resumeFixture) breakNext() {
-	d.dispatchers[0].Break(1)
+	d.dispatchers[0].FailNext(1)
 }
 
 func (d *resumeFixture) waitBroken(id string) {
 	d.Helper()
-	for until := time.Now().Add(peer.Patience); time.Now().Before(until); time.Sleep(time.Millisecond) {
-		if !d.checker.Guarded(id).IsZero() {
+	for until := time.Now().Add(peer.Timeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
+		if !d.checker.GuardStart(id).IsZero() {
 			return
 		}
 	}
@@ -383,7 +383,7 @@
 // answerAll makes the dispatchers answer all unanswered set-ups.
 func (d *resumeFixture) answerAll() {
 	for _, a := range d.dispatchers {
-		a.AnswerAll()
+		a.AnswerPending()
 	}
 }
 
--- a/cmd/cherryrelay/share_load_test.go
+++ b/cmd/cherryrelay/share_load_test.go
@@ -26,11 +26,11 @@
 
 func startLimitedDispatcher(t *testing.T) *limitedDispatcher {
 	t.Helper()
-	d, err := peer.Dispatch("tcp", "127.0.0.1:0", fmt.Sprintf("x0:%d;x1:%[1]d", linesPerDispatcher))
+	d, err := peer.StartDispatcher("tcp", "127.0.0.1:0", fmt.Sprintf("x0:%d;x1:%[1]d", linesPerDispatcher))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(d.Die)
+	t.Cleanup(d.Kill)
 	l := &limitedDispatcher{Dispatcher: d}
 	l.free.Store(linesPerDispatcher)
 	ended := make(chan struct{})
@@ -59,7 +59,7 @@
 		case <-ended:
 			return
 		case <-time.After(reportInterval):
-			_ = l.Report(fmt.Sprintf("x0:%d;x1:%d", max(l.free.Load(), 0), linesPerDispatcher))
+			_ = l.SetReport(fmt.Sprintf("x0:%d;x1:%d", max(l.free.Load(), 0), linesPerDispatcher))
 		}
 	}
 }
@@ -73,7 +73,7 @@
 	_ = e.Answer("y")
 	time.AfterFunc(callDuration, func() {
 		l.free.Add(1)
-		_ = e.ReleaseHere(e.ID, call.CauseNormal)
+		_ = e.ReleaseOnConn(e.ID, call.CauseNormal)
 	})
 }
 
@@ -95,7 +95,7 @@
 		case <-time.After(time.Duration(float64(time.Second) / rate)):
 		}
 		if c == nil {
-			next, err := peer.Call("tcp", p.lines)
+			next, err := peer.DialCaller("tcp", p.lines)
 			if err != nil {
 				continue
 			}
--- a/cmd/cherryrelay/shares_test.go
+++ b/cmd/cherryrelay/shares_test.go
@@ -15,14 +15,14 @@
 // TestOperatorsSeeTheSharesOfDispatchers: the page shows how many set-ups each dispatcher got and how many it refused for lack of a line.
 func TestOperatorsSeeTheSharesOfDispatchers(t *testing.T) {
 	t.Parallel()
-	f := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+	f := newFixture(t, "tcp", "tcp", callers.Bounds{MessageTimeout: longTimeout, IdleTimeout: longTimeout})
 	c := f.newCaller()
 	f.must(c.SetUp(id(1), longTimeout, 0, "x"))
 	f.must(f.recordEvent(0).Refuse(peer.NoLine))
 	f.must(f.recordEvent(1).Answer("y"))
 	f.recordMessage(c)
 	var shares []call.DispatcherShare
-	for until := time.Now().Add(peer.Patience); ; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(peer.Timeout); ; time.Sleep(time.Millisecond) {
 		status, body := f.request(http.MethodGet, "/api/shares")
 		if status != http.StatusOK || jsoniter.UnmarshalFromString(body, &shares) != nil || len(shares) != 2 {
 			t.Fatalf("%d %s", status, body)
@@ -42,7 +42,7 @@
 // TestTheSharesOfOneDispatcher: the query selects one dispatcher.
 func TestTheSharesOfOneDispatcher(t *testing.T) {
 	t.Parallel()
-	f := newFixture(t, "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+	f := newFixture(t, "tcp", "tcp", callers.Bounds{MessageTimeout: longTimeout, IdleTimeout: longTimeout})
 	var all, one []call.DispatcherShare
 	_, body := f.request(http.MethodGet, "/api/shares")
 	if err := jsoniter.UnmarshalFromString(body, &all); err != nil || len(all) != 2 {
--- a/cmd/cherryrelay/short_deadlines_test.go
+++ b/cmd/cherryrelay/short_deadlines_test.go
@@ -13,7 +13,7 @@
 	for _, mix := range [][2]string{{"tcp", "tcp"}, {"ws", "ws"}} {
 		t.Run(mix[0], func(t *testing.T) {
 			t.Parallel()
-			f := newFixture(t, mix[0], mix[1], callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+			f := newFixture(t, mix[0], mix[1], callers.Bounds{MessageTimeout: longTimeout, IdleTimeout: longTimeout})
 			meter := startMeter()
 			c := f.newCaller()
 			for n := range 20 {
--- a/cmd/cherryrelay/shutdown_callers_test.go
+++ b/cmd/cherryrelay/shutdown_callers_test.go
@@ -54,7 +54,7 @@
 	if until := c.dialUntil.Load(); until > 0 && time.Now().UnixNano() > until {
 		return nil
 	}
-	p, err := peer.Call(c.transport, c.address)
+	p, err := peer.DialCaller(c.transport, c.address)
 	if err != nil {
 		return nil
 	}
@@ -103,7 +103,7 @@
 	left := 50*time.Millisecond + time.Duration(rng.Int64N(int64(3*time.Second-50*time.Millisecond)))
 	for range n {
 		number := int(s.callers.next.Add(1))
-		m, err := jsonl.Append(nil, s.Asks(id(number), left, rng.IntN(3), "x"))
+		m, err := jsonl.Append(nil, s.SetUpMessage(id(number), left, rng.IntN(3), "x"))
 		if err != nil {
 			panic(err)
 		}
@@ -270,7 +270,7 @@
 				}
 				s.late = true
 			case 2: // half a request
-				m, _ := jsonl.Append(nil, s.Asks(id(int(c.next.Add(1))), time.Second, 0, "x"))
+				m, _ := jsonl.Append(nil, s.SetUpMessage(id(int(c.next.Add(1))), time.Second, 0, "x"))
 				text := s.Frame(m)
 				_ = s.SendRaw(text[:len(text)/2])
 			case 3: // a flood behind a set-up
--- a/cmd/cherryrelay/shutdown_checker_test.go
+++ b/cmd/cherryrelay/shutdown_checker_test.go
@@ -148,10 +148,10 @@
 }
 
 // check returns all violations, also those that dispatchers saw. livedUntil is when the process ended.
-func (j *shutdownChecker) check(dispatchers *trial.Judge, arrivals map[string][]time.Time, livedUntil time.Time) []string {
+func (j *shutdownChecker) check(dispatchers *trial.CallChecker, arrivals map[string][]time.Time, livedUntil time.Time) []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	violations, _, _ := dispatchers.Verdict()
+	violations, _, _ := dispatchers.Results()
 	violations = append(violations, j.violations...)
 	for id, c := range j.calls {
 		if late := c.finalAt.Sub(c.written) - c.left; c.finals > 0 && c.cancelledAt.IsZero() && j.exceeds(late, maxAnswerDelay, c.written, c.finalAt) {
@@ -168,7 +168,7 @@
 				violations = append(violations, fmt.Sprintf("%s: an attempt began %v after its final answer", id, late))
 			}
 		}
-		over := dispatchers.OverAt(id)
+		over := dispatchers.EndedAt(id)
 		const within = endDeliveryLimit + protocolSlack
 		due := over.Add(within)
 		if !c.established || c.released || over.IsZero() || due.After(livedUntil) || !j.reachable(over, due) {
@@ -216,70 +216,70 @@
 	begun := time.Now().Add(-time.Hour) // before the measurements of any meter
 	at := func(ms int) time.Time { return begun.Add(time.Duration(ms) * time.Millisecond) }
 	for name, test := range map[string]struct {
-		play func(j *shutdownChecker, d *trial.Judge) (arrivals []time.Time)
+		play func(j *shutdownChecker, d *trial.CallChecker) (arrivals []time.Time)
 		ok   bool
 	}{
-		"valid": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
+		"valid": {func(j *shutdownChecker, _ *trial.CallChecker) []time.Time {
 			j.markReceived(call, "answer", trial.Description(call), at(500))
 			return []time.Time{at(10)}
 		}, true},
-		"refused": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
+		"refused": {func(j *shutdownChecker, _ *trial.CallChecker) []time.Time {
 			j.markReceived(call, "release", "", at(500))
 			return nil
 		}, true},
-		"no answer": {func(*shutdownChecker, *trial.Judge) []time.Time { return nil }, false},
-		"two answers": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
+		"no answer": {func(*shutdownChecker, *trial.CallChecker) []time.Time { return nil }, false},
+		"two answers": {func(j *shutdownChecker, _ *trial.CallChecker) []time.Time {
 			j.markReceived(call, "answer", trial.Description(call), at(500))
 			j.markReceived(call, "answer", trial.Description(call), at(501))
 			return nil
 		}, false},
-		"late": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
+		"late": {func(j *shutdownChecker, _ *trial.CallChecker) []time.Time {
 			j.markReceived(call, "release", "", at(1501))
 			return nil
 		}, false},
-		"invented answer": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
+		"invented answer": {func(j *shutdownChecker, _ *trial.CallChecker) []time.Time {
 			j.markReceived(call, "answer", "something", at(500))
 			return nil
 		}, false},
-		"closed before the answer": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
+		"closed before the answer": {func(j *shutdownChecker, _ *trial.CallChecker) []time.Time {
 			j.markConnectionEnded([]string{call}, at(-100), at(21), at(21), nil)
 			return nil
 		}, false},
-		"crossed the close": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
+		"crossed the close": {func(j *shutdownChecker, _ *trial.CallChecker) []time.Time {
 			j.markConnectionEnded([]string{call}, at(-100), at(20), at(20), nil)
 			return nil
 		}, true},
-		"sent after a cancellation": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
+		"sent after a cancellation": {func(j *shutdownChecker, _ *trial.CallChecker) []time.Time {
 			j.markCancelled(call, at(100), true)
 			return []time.Time{at(251)}
 		}, false},
-		"sent after its answer": {func(j *shutdownChecker, _ *trial.Judge) []time.Time {
+		"sent after its answer": {func(j *shutdownChecker, _ *trial.CallChecker) []time.Time {
 			j.markReceived(call, "release", "", at(100))
 			return []time.Time{at(251)}
 		}, false},
-		"two attempts in progress": {func(j *shutdownChecker, d *trial.Judge) []time.Time {
-			d.SetUp(call, "d1", at(10))
-			d.SetUp(call, "d2", at(20))
+		"two attempts in progress": {func(j *shutdownChecker, d *trial.CallChecker) []time.Time {
+			d.SetUpReceived(call, "d1", at(10))
+			d.SetUpReceived(call, "d2", at(20))
 			j.markReceived(call, "release", "", at(500))
 			return nil
 		}, false},
-		"inside the guard": {func(j *shutdownChecker, d *trial.Judge) []time.Time {
-			d.SetUp(call, "d1", at(10))
-			d.GivenUp(call, "d1", at(20))
-			d.SetUp(call, "d2", at(400))
+		"inside the guard": {func(j *shutdownChecker, d *trial.CallChecker) []time.Time {
+			d.SetUpReceived(call, "d1", at(10))
+			d.AttemptAborted(call, "d1", at(20))
+			d.SetUpReceived(call, "d2", at(400))
 			j.markReceived(call, "release", "", at(500))
 			return nil
 		}, false},
-		"an undelivered end": {func(j *shutdownChecker, d *trial.Judge) []time.Time {
-			d.SetUp(call, "d1", at(10))
-			d.Answered(call, "d1")
+		"an undelivered end": {func(j *shutdownChecker, d *trial.CallChecker) []time.Time {
+			d.SetUpReceived(call, "d1", at(10))
+			d.AttemptAnswered(call, "d1")
 			j.markReceived(call, "answer", trial.Description(call), at(500))
-			d.Over(call, "d1", 16)
+			d.CallEnded(call, "d1", 16)
 			j.markConnectionEnded(nil, at(-100), time.Now().Add(time.Hour), at(0), nil)
 			return nil
 		}, false},
 	} {
-		j, d := newShutdownChecker(), trial.NewJudge(guard, time.Hour)
+		j, d := newShutdownChecker(), trial.NewCallChecker(guard, time.Hour)
 		j.markWritten(call, at(0), time.Second, false)
 		j.markSent([]string{call}, at(0))
 		arrivals := test.play(j, d)
@@ -309,7 +309,7 @@
 		j.markWritten(call, begun, left, false)
 		j.markReceived(call, "release", "", answered)
 		j.process.add(schedulerDelay{end: test.delayEnded, lost: delay})
-		violations := j.check(trial.NewJudge(guard, time.Hour), nil, time.Now())
+		violations := j.check(trial.NewCallChecker(guard, time.Hour), nil, time.Now())
 		if (len(violations) == 0) != test.ok {
 			t.Errorf("%s: %q, want it to pass: %v", name, violations, test.ok)
 		}
--- a/cmd/cherryrelay/shutdown_soak_test.go
+++ b/cmd/cherryrelay/shutdown_soak_test.go
@@ -111,7 +111,7 @@
 	*process
 	rng         *rand.Rand
 	dispatchers []*trial.Dispatcher
-	checker     *trial.Judge
+	checker     *trial.CallChecker
 	callers     *shutdownCallers
 	members     []pool.Member
 	running     sync.WaitGroup
@@ -126,7 +126,7 @@
 
 func (p *shutdownRun) writePool() {
 	path := filepath.Join(p.directory, "pool.ini")
-	if err := os.WriteFile(path+".new", poolfile.Write("v", p.members), 0o600); err != nil {
+	if err := os.WriteFile(path+".new", poolfile.Encode("v", p.members), 0o600); err != nil {
 		p.Error(err)
 	}
 	if err := os.Rename(path+".new", path); err != nil {
@@ -150,7 +150,7 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		p.Fatal(err)
 	}
-	p.checker = trial.NewJudge(guard, time.Hour) // the callers' checker checks deadlines
+	p.checker = trial.NewCallChecker(guard, time.Hour) // the callers' checker checks deadlines
 	p.checker.OnSetUp(func(id string, at time.Time) {
 		arrivals.mu.Lock()
 		defer arrivals.mu.Unlock()
@@ -179,18 +179,18 @@
 	d := p.dispatchers[i]
 	switch kind {
 	case "hangs":
-		d.Act(false, true)
+		d.SetBehavior(false, true)
 	case "resets":
 		p.running.Go(func() {
 			for range 5 {
 				time.Sleep(150 * time.Millisecond)
-				p.resetConnections(d, d.Cut)
+				p.resetConnections(d, d.ResetConns)
 			}
 		})
 	case "breaks":
-		d.Break(10)
+		d.FailNext(10)
 	case "dies":
-		p.resetConnections(d, d.Die)
+		p.resetConnections(d, d.Kill)
 	case "drains":
 		p.members[i].Status = control.Draining
 		p.writePool()
@@ -324,7 +324,7 @@
 // restartAfterKill kills the process right after it has accepted a caller, restarts it, and returns the time until it is ready.
 func (p *shutdownRun) restartAfterKill() time.Duration {
 	p.begin()
-	c, err := peer.Call("tcp", p.lines)
+	c, err := peer.DialCaller("tcp", p.lines)
 	if err == nil {
 		_ = c.SetUp(id(1<<40), time.Second, 0, "x")
 		_ = c.Close()
--- a/cmd/cherryrelay/soak_subset_test.go
+++ b/cmd/cherryrelay/soak_subset_test.go
@@ -22,11 +22,11 @@
 	const live, listed, runs, settles, measured = 3000, 37_000, 3, 10 * time.Second, 12 * time.Second
 	var members []pool.Member
 	for i := range live {
-		d, err := peer.Dispatch("tcp", "127.0.0.1:0", "x0:40;x1:40")
+		d, err := peer.StartDispatcher("tcp", "127.0.0.1:0", "x0:40;x1:40")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer d.Die()
+		defer d.Kill()
 		members = append(members, pool.Member{Address: d.Address(), ServerEntry: control.ServerEntry{
 			ID: control.ServerID(fmt.Sprint("s", i)), Cell: i, Weight: 1, StartedAt: startedLongAgo}})
 	}
@@ -40,7 +40,7 @@
 			listed int
 		}{{"", live}, {"[subset]\n", live}, {"[subset]\n", listed}} {
 			p := newProcess(t, variant.extra)
-			if err := os.WriteFile(filepath.Join(p.directory, "pool.ini"), poolfile.Write("v", members[:variant.listed]), 0o600); err != nil {
+			if err := os.WriteFile(filepath.Join(p.directory, "pool.ini"), poolfile.Encode("v", members[:variant.listed]), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			from := time.Now()
--- a/cmd/cherryrelay/startup_drain_test.go
+++ b/cmd/cherryrelay/startup_drain_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	c := new(config.Config)
 	c.Listen, c.Seed, c.Coordinator, c.Settings = "127.0.0.1:0", "1", coordinator, testSettings(t)
-	n, err := startWithBounds(c, slog.New(slog.DiscardHandler), callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+	n, err := startWithBounds(c, slog.New(slog.DiscardHandler), callers.Bounds{MessageTimeout: longTimeout, IdleTimeout: longTimeout})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 		if took := time.Since(since); err != nil || took < 700*time.Millisecond {
 			f.Errorf("ended with %v after %v: late set-ups must be served", err, took)
 		}
-	case <-time.After(peer.Patience):
+	case <-time.After(peer.Timeout):
 		f.Fatal("the node does not end")
 	}
 }
@@ -106,7 +106,7 @@
 func TestAListThatComesLate(t *testing.T) {
 	t.Parallel()
 	f := newFixtureWithoutList(t, "")
-	c, err := peer.Call("tcp", f.node.lines.Address())
+	c, err := peer.DialCaller("tcp", f.node.lines.Address())
 	f.must(err)
 	defer c.Close()
 	f.must(c.SetUp(id(1), 600*time.Millisecond, 0, "early"))
@@ -118,11 +118,11 @@
 	if m, err := c.Next(); err != nil || m.ID != id(2) || m.Type != "release" {
 		t.Fatalf("%+v, %v: want a final answer", m, err)
 	}
-	d, err := peer.Dispatch("tcp", "127.0.0.1:0", "x0:40;x1:40")
+	d, err := peer.StartDispatcher("tcp", "127.0.0.1:0", "x0:40;x1:40")
 	f.must(err)
-	defer d.Die()
+	defer d.Kill()
 	f.setList(1, func(int) string { return d.Address() })
-	f.must(c.SetUp(id(3), peer.Patience, 0, "late"))
+	f.must(c.SetUp(id(3), peer.Timeout, 0, "late"))
 	e, err := d.Next()
 	f.must(err)
 	f.must(e.Answer("yes"))
@@ -135,16 +135,16 @@
 // under its name still reaches them, and gets an end that is sent on a connection of the killed one.
 func TestStartedAgainUnderItsName(t *testing.T) {
 	t.Parallel()
-	d, err := peer.Dispatch("tcp", "127.0.0.1:0", "x0:40;x1:40")
+	d, err := peer.StartDispatcher("tcp", "127.0.0.1:0", "x0:40;x1:40")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Die()
+	defer d.Kill()
 	establish := func(f *fixture, number int) (*peer.Caller, peer.Event) {
-		c, err := peer.Call("tcp", f.node.lines.Address())
+		c, err := peer.DialCaller("tcp", f.node.lines.Address())
 		f.must(err)
 		f.Cleanup(func() { _ = c.Close() })
-		f.must(c.SetUp(id(number), peer.Patience, 0, "d"))
+		f.must(c.SetUp(id(number), peer.Timeout, 0, "d"))
 		e, err := d.Next()
 		f.must(err)
 		f.must(e.Answer("yes"))
@@ -162,7 +162,7 @@
 	next := newFixtureWithoutList(t, "")
 	next.setList(1, func(int) string { return d.Address() })
 	c, e := establish(next, 2)
-	next.must(e.ReleaseHere(id(2), call.CauseNormal))
+	next.must(e.ReleaseOnConn(id(2), call.CauseNormal))
 	if m, err := c.NextWithin(time.Second); err != nil || m.ID != id(2) || m.CauseOr(0) != call.CauseNormal {
 		t.Errorf("%+v, %v: want the end of the call within a second", m, err)
 	}
--- a/cmd/cherryrelay/subset_test.go
+++ b/cmd/cherryrelay/subset_test.go
@@ -32,7 +32,7 @@
 // subsetFixture is a number of controllers, each in its own process, that connect to a subset of many dispatchers.
 type subsetFixture struct {
 	*testing.T
-	checker     *trial.Judge
+	checker     *trial.CallChecker
 	controllers []*process
 	dispatchers []*trial.Dispatcher
 	listed      []pool.Member
@@ -41,7 +41,7 @@
 
 func newSubsetFixture(t *testing.T, controllers, dispatchers int) *subsetFixture {
 	t.Helper()
-	s := &subsetFixture{T: t, checker: trial.NewJudge(guard-guardSlack, 9*time.Second)}
+	s := &subsetFixture{T: t, checker: trial.NewCallChecker(guard-guardSlack, 9*time.Second)}
 	for i := range controllers {
 		p := newProcess(t, fmt.Sprintf("[subset]\nsize = %d\nmost = %d\nquiet_ms = %d\n", subsetSize, subsetMost, subsetIdlePeriod.Milliseconds()))
 		path := filepath.Join(p.directory, "operator.ini")
@@ -70,13 +70,13 @@
 	s.Helper()
 	for range n {
 		i := len(s.dispatchers)
-		free, err := peer.Free()
+		free, err := peer.FreeAddress()
 		s.must(err)
 		host, _, err := net.SplitHostPort(free) // nobody else listens at this host when the dispatcher has died
 		s.must(err)
-		d, err := trial.StandAt("tcp", net.JoinHostPort(host, "0"), fmt.Sprint("s", i), s.checker)
+		d, err := trial.StartDispatcherAt("tcp", net.JoinHostPort(host, "0"), fmt.Sprint("s", i), s.checker)
 		s.must(err)
-		s.Cleanup(d.Die)
+		s.Cleanup(d.Kill)
 		s.dispatchers = append(s.dispatchers, d)
 		s.listed = append(s.listed, pool.Member{Address: d.Address(), ServerEntry: control.ServerEntry{
 			ID: control.ServerID(d.Name), Cell: i, Weight: 1, StartedAt: startedLongAgo}})
@@ -91,7 +91,7 @@
 	label := fmt.Sprint("v", s.versions)
 	for _, p := range s.controllers {
 		path := filepath.Join(p.directory, "pool.ini")
-		s.must(os.WriteFile(path+".new", poolfile.Write(label, members), 0o600))
+		s.must(os.WriteFile(path+".new", poolfile.Encode(label, members), 0o600))
 		s.must(os.Rename(path+".new", path))
 	}
 	for _, p := range s.controllers {
@@ -104,7 +104,7 @@
 
 func (s *subsetFixture) waitUntil(what string, holds func() bool) {
 	s.Helper()
-	for until := time.Now().Add(peer.Patience); !holds(); time.Sleep(2 * time.Millisecond) {
+	for until := time.Now().Add(peer.Timeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(until) {
 			s.Fatal("never happened: ", what)
 		}
@@ -127,7 +127,7 @@
 // connectedDispatchers returns the dispatchers that have connections.
 func (s *subsetFixture) connectedDispatchers() (connected []*trial.Dispatcher) {
 	for _, d := range s.dispatchers {
-		if d.Links() > 0 {
+		if d.ConnCount() > 0 {
 			connected = append(connected, d)
 		}
 	}
@@ -140,7 +140,7 @@
 	done := make(chan struct{})
 	var calling sync.WaitGroup
 	for i, p := range s.controllers {
-		caller := &trial.Caller{Transport: "tcp", Addresses: []string{p.lines}, First: (i + 1) << 32, Window: 24 / len(s.controllers), Judge: s.checker}
+		caller := &trial.Caller{Transport: "tcp", Addresses: []string{p.lines}, FirstCall: (i + 1) << 32, Window: 24 / len(s.controllers), Checker: s.checker}
 		calling.Go(func() { caller.Run(done) })
 	}
 	meanwhile()
@@ -151,19 +151,19 @@
 	} else { // these dispatchers send an end on one connection, possibly to a controller that does not have the call
 		checkAllAnswered(s.T, s.checker)
 	}
-	_, _, finals := s.checker.Verdict()
+	_, _, finals := s.checker.Results()
 	return finals
 }
 
 // waitEstablished waits until the given number of further calls is established.
 func (s *subsetFixture) waitEstablished(more int) {
 	s.Helper()
-	_, _, before := s.checker.Verdict()
+	_, _, before := s.checker.Results()
 	holds := func() bool {
-		_, _, now := s.checker.Verdict()
+		_, _, now := s.checker.Results()
 		return now["answer"] >= before["answer"]+more
 	}
-	if !trial.Until(peer.Patience, holds) {
+	if !trial.WaitUntil(peer.Timeout, holds) {
 		s.Fatalf("never established: %d more calls; %s", more, s.progress(before["answer"]))
 	}
 }
@@ -171,14 +171,14 @@
 // progress describes the progress of the callers and the subsets, with the histories of some unanswered calls.
 func (s *subsetFixture) progress(answersBefore int) string {
 	var text strings.Builder
-	_, _, finals := s.checker.Verdict()
-	unanswered, _ := s.checker.Unsettled()
+	_, _, finals := s.checker.Results()
+	unanswered, _ := s.checker.Unfinished()
 	fmt.Fprintf(&text, "%d of them are established, callers got %v, %d calls are pending", finals["answer"]-answersBefore, finals, len(unanswered))
 	for _, p := range s.controllers {
 		fmt.Fprintf(&text, "\n%s: %d dispatchers in the subset, %d growths", p.management, metric(p, "subset_size"), metric(p, "subset_growths_total"))
 	}
 	for _, id := range unanswered[:min(len(unanswered), maxTracesShown)] {
-		fmt.Fprintf(&text, "\n%s: %s", id, s.checker.Trail(id))
+		fmt.Fprintf(&text, "\n%s: %s", id, s.checker.History(id))
 	}
 	return text.String()
 }
@@ -190,7 +190,7 @@
 	for name, fault := range map[string]func(s *subsetFixture){
 		"the subset is lost whole": func(s *subsetFixture) {
 			for _, d := range s.connectedDispatchers() {
-				d.Die()
+				d.Kill()
 			}
 			s.waitEstablished(100)
 		},
@@ -205,7 +205,7 @@
 			}
 			time.Sleep(3 * subsetIdlePeriod) // more than the compressed minute
 			for _, d := range s.connectedDispatchers() {
-				d.Die()
+				d.Kill()
 			}
 			s.waitEstablished(100)
 			s.writeList(s.listed)
@@ -214,7 +214,7 @@
 		"they accept and say nothing": func(s *subsetFixture) {
 			unresponsive := s.connectedDispatchers()
 			for _, d := range unresponsive {
-				d.Act(false, true)
+				d.SetBehavior(false, true)
 			}
 			s.waitEstablished(100)
 		},
@@ -279,25 +279,25 @@
 
 	// The first choice of a call is outside the subset. It is connected, and leaves the subset after the idle period while the call is
 	// established.
-	outsider := slices.IndexFunc(s.dispatchers, func(d *trial.Dispatcher) bool { return d.Links() == 0 })
-	c, err := peer.Call("tcp", p.lines)
+	outsider := slices.IndexFunc(s.dispatchers, func(d *trial.Dispatcher) bool { return d.ConnCount() == 0 })
+	c, err := peer.DialCaller("tcp", p.lines)
 	s.must(err)
 	defer c.Close()
 	dispatcher := s.dispatchers[outsider]
-	dispatcher.Act(true, false)
-	s.checker.Placed(id(1), time.Now())
+	dispatcher.SetBehavior(true, false)
+	s.checker.CallPlaced(id(1), time.Now())
 	s.must(c.SetUp(id(1), 8*time.Second, outsider, "x"))
-	if m, err := c.Next(); err != nil || m.Type != "answer" || s.checker.Stands(id(1)) != dispatcher.Name {
-		t.Fatalf("%+v, cause %d, %v; it is established at %q, not at %s\n%s", m, m.CauseOr(0), err, s.checker.Stands(id(1)), dispatcher.Name, p.log)
+	if m, err := c.Next(); err != nil || m.Type != "answer" || s.checker.EstablishedAt(id(1)) != dispatcher.Name {
+		t.Fatalf("%+v, cause %d, %v; it is established at %q, not at %s\n%s", m, m.CauseOr(0), err, s.checker.EstablishedAt(id(1)), dispatcher.Name, p.log)
 	}
 	s.waitUntil("the subset has its size again", func() bool { return metric(p, "subset_size") == subsetSize })
 	time.Sleep(3 * time.Second) // an unused connection is closed by then
 	since := time.Now()
-	dispatcher.End(id(1))
+	dispatcher.EndCall(id(1))
 	if m, err := c.Next(); err != nil || m.Type != "release" || m.ID != id(1) || time.Since(since) > time.Second {
 		t.Errorf("%+v, %v after %v: want its end within 1 s", m, err, time.Since(since))
 	}
-	s.waitUntil("the unused connection is closed", func() bool { return dispatcher.Links() == 0 })
+	s.waitUntil("the unused connection is closed", func() bool { return dispatcher.ConnCount() == 0 })
 
 	// One dispatcher inside and one outside drain: neither gets new calls, and another one replaces the one inside.
 	drained := []int{slices.Index(s.dispatchers, inside[0]), outsider}
@@ -308,7 +308,7 @@
 	s.writeList(members)
 	s.waitUntil("another dispatcher replaces it", func() bool { return len(s.connectedDispatchers()) >= subsetSize+1 })
 	for n, first := range []int{drained[0], drained[1], drained[0], drained[1]} {
-		s.checker.Placed(id(10+n), time.Now())
+		s.checker.CallPlaced(id(10+n), time.Now())
 		s.must(c.SetUp(id(10+n), 8*time.Second, first, "x"))
 	}
 	for answers := 0; answers < 4; {
@@ -319,7 +319,7 @@
 		}
 		answers++
 		for _, i := range drained {
-			if m.Type == "answer" && s.checker.Stands(m.ID) == s.dispatchers[i].Name {
+			if m.Type == "answer" && s.checker.EstablishedAt(m.ID) == s.dispatchers[i].Name {
 				t.Errorf("call %s is established at %s, which drains", m.ID, s.dispatchers[i].Name)
 			}
 		}
@@ -340,7 +340,7 @@
 		if text := p.log.String(); err == nil || strings.Count(text, "\n") != 1 || !strings.Contains(text, "subset.most: 8") {
 			t.Errorf("%v: %q", err, text)
 		}
-	case <-time.After(peer.Patience):
+	case <-time.After(peer.Timeout):
 		t.Error("the program starts")
 	}
 }
--- a/cmd/cherryrelay/takeover.go
+++ b/cmd/cherryrelay/takeover.go
@@ -22,12 +22,12 @@
 		return
 	}
 	heldIncarnation := func() (decide.IncarnationID, bool) {
-		store, incarnation, ok := n.fleet.Life()
+		store, incarnation, ok := n.fleet.Incarnation()
 		return decide.IncarnationID{Store: store, Number: incarnation}, ok
 	}
 	room, err := takeover.Open(n.core, takeover.Options{
-		Ledgers: f.Ledgers, Name: n.config.Name, Key: k.key, Lease: f.Lease(), Post: n.loop.Post, Still: k.verify, Taken: n.restart,
-		Certain: heldIncarnation, Fleet: n,
+		LedgersDir: f.Ledgers, Name: n.config.Name, Key: k.key, Lease: f.Lease(), Post: n.loop.Post, VerifyOwnership: k.verify, OnSealed: n.restart,
+		Incarnation: heldIncarnation, Fleet: n,
 	}, n.log)
 	if err != nil {
 		n.log.Error("calls are not transferred between controllers", "err", err)
@@ -35,11 +35,11 @@
 	}
 	n.takeovers = room
 	n.core.UseFinder(room, func() bool { _, ok := heldIncarnation(); return ok }, n.restart)
-	n.core.AddMetrics(room.Figures)
+	n.core.AddMetrics(room.Metrics)
 	n.loop.Post(func() {
 		if n.manage != nil {
 			for path, page := range room.Pages() {
-				n.manage.Show(path, page)
+				n.manage.AddPage(path, page)
 			}
 		}
 	})
@@ -96,7 +96,7 @@
 		return nil, fmt.Errorf("opening the ledger: %w", err)
 	}
 	// The file names the incarnation that owned the ledger before. The end of that incarnation is not the end of this process.
-	if err := d.Remove(takeover.OwnerName); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := d.Remove(takeover.OwnerFile); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, errors.Join(fmt.Errorf("opening the ledger: %w", err), d.Close())
 	}
 	return d, nil
--- a/cmd/cherryrelay/takeover_test.go
+++ b/cmd/cherryrelay/takeover_test.go
@@ -16,7 +16,7 @@
 // takeoverFixture is a fleet whose controllers keep their ledgers in one directory, under load by callers that reconnect to any controller.
 type takeoverFixture struct {
 	*fleetFixture
-	checker     *trial.Judge
+	checker     *trial.CallChecker
 	dispatchers []*trial.Dispatcher
 	callers     []*trial.Caller
 	done        chan struct{}
@@ -38,8 +38,8 @@
 		if window == 0 {
 			break
 		}
-		c := &trial.Caller{Transport: transport, Addresses: fronts, First: (i + 1) << 32, Window: window, Judge: s.checker}
-		c.From(i)
+		c := &trial.Caller{Transport: transport, Addresses: fronts, FirstCall: (i + 1) << 32, Window: window, Checker: s.checker}
+		c.StartAt(i)
 		s.callers = append(s.callers, c)
 		s.calling.Go(func() { c.Run(s.done) })
 	}
@@ -50,9 +50,9 @@
 	var all []string
 	for _, c := range s.Controllers {
 		if transport == "ws" {
-			all = append(all, c.API)
+			all = append(all, c.APIAddress)
 		} else {
-			all = append(all, c.Lines)
+			all = append(all, c.LinesAddress)
 		}
 	}
 	return all
@@ -65,19 +65,19 @@
 	close(s.done)
 	s.calling.Wait()
 	checkAllAnswered(s.T, s.checker)
-	violations, _, finals := s.checker.Verdict()
-	unanswered, undelivered := s.checker.Unsettled()
+	violations, _, finals := s.checker.Results()
+	unanswered, undelivered := s.checker.Unfinished()
 	if len(violations)+len(unanswered)+len(undelivered) > 0 {
 		s.Errorf("violations %v, without an answer %v, without an end %v, with the last steps %q", violations, unanswered, undelivered, s.LastSteps(undelivered))
 	}
-	s.waitUntil("nothing is left at the dispatchers", func() bool { return len(s.checker.Left()) == 0 })
+	s.waitUntil("nothing is left at the dispatchers", func() bool { return len(s.checker.Remaining()) == 0 })
 	s.Log(finals)
 	return finals
 }
 
 // takeoverStatus returns the takeovers that a controller reports.
-func takeoverStatus(c *trial.Controller) (s takeover.Shown) {
-	_, _ = c.Ask(takeover.Path, &s) // a controller that does not answer counts as one without takeovers
+func takeoverStatus(c *trial.Controller) (s takeover.Status) {
+	_, _ = c.Get(takeover.Path, &s) // a controller that does not answer counts as one without takeovers
 	return s
 }
 
@@ -86,7 +86,7 @@
 	s.Helper()
 	s.waitUntil("the ledger of "+name+" is taken over", func() bool {
 		for _, c := range by {
-			for _, notified := range takeoverStatus(c).Told {
+			for _, notified := range takeoverStatus(c).Takeovers {
 				if notified.Name == name {
 					return true
 				}
@@ -160,7 +160,9 @@
 // TestAControllerCutOffFromTheStoreRestarts: a controller that reaches its callers, dispatchers and files, but not the store, is taken over
 // when its lease has expired. It must notice that before it sends another message.
 func TestAControllerCutOffFromTheStoreRestarts(t *testing.T) {
-	runTakeoverOfLiveController(t, func(s *takeoverFixture, _ *trial.Controller) { s.Net.Part([]string{"n1"}, []string{trial.StoreName}) },
+	runTakeoverOfLiveController(t, func(s *takeoverFixture, _ *trial.Controller) {
+		s.Net.Partition([]string{"n1"}, []string{trial.StoreName})
+	},
 		func(s *takeoverFixture, _ *trial.Controller) { s.Net.Heal() })
 }
 
@@ -184,10 +186,10 @@
 // placeCall places a call at a controller on a new connection.
 func (s *takeoverFixture) placeCall(at *trial.Controller, id string) *peer.Caller {
 	s.Helper()
-	c, err := peer.Call("tcp", at.Lines)
+	c, err := peer.DialCaller("tcp", at.LinesAddress)
 	s.must(err)
 	s.Cleanup(func() { _ = c.Close() })
-	s.checker.Placed(id, time.Now())
+	s.checker.CallPlaced(id, time.Now())
 	x := "x"
 	s.must(c.Send(jsonl.Message{Type: "setup", ID: id, SDP: &x, Fields: map[string]jsonl.Value{
 		"class": "send-setup", "tenant": "acme", "key": jsonl.Value("k" + id), "left": "8000", "token": jsonl.Value(trial.Token(id))}}))
@@ -196,7 +198,7 @@
 
 func (s *takeoverFixture) resume(at *trial.Controller, id, token string, answered bool) *peer.Caller {
 	s.Helper()
-	c, err := peer.Call("tcp", at.Lines)
+	c, err := peer.DialCaller("tcp", at.LinesAddress)
 	s.must(err)
 	s.Cleanup(func() { _ = c.Close() })
 	fields := map[string]jsonl.Value{"token": jsonl.Value(token)}
@@ -222,7 +224,7 @@
 	t.Parallel()
 	s := newTakeoverFixture(t, 2, 0, "tcp")
 	for _, d := range s.dispatchers {
-		d.Act(true, false)
+		d.SetBehavior(true, false)
 	}
 	first := s.placeCall(s.Controllers[0], id(1))
 	s.expect(first, "answer")
@@ -241,12 +243,12 @@
 	}
 	t.Logf("after %v", time.Since(begun))
 	for _, d := range s.dispatchers {
-		if s.checker.Stands(id(1)) == d.Name {
-			d.End(id(1))
+		if s.checker.EstablishedAt(id(1)) == d.Name {
+			d.EndCall(id(1))
 		}
 	}
 	s.expect(second, "release")
-	if transferred := takeoverStatus(s.Controllers[0]).Given; transferred != 1 {
+	if transferred := takeoverStatus(s.Controllers[0]).Transferred; transferred != 1 {
 		t.Errorf("n1 transferred %d calls, want 1", transferred)
 	}
 }
@@ -258,11 +260,11 @@
 	if m := s.expect(stranger, "release"); m.CauseOr(0) != 41 {
 		t.Errorf("the caller with another token got %+v", m)
 	}
-	if s.checker.Stands(id(1)) == "" {
+	if s.checker.EstablishedAt(id(1)) == "" {
 		t.Error("the call was cut")
 	}
 	s.must(first.Release(id(1), 16))
-	s.waitUntil("its caller ends it", func() bool { return s.checker.Stands(id(1)) == "" })
+	s.waitUntil("its caller ends it", func() bool { return s.checker.EstablishedAt(id(1)) == "" })
 }
 
 // TestTheAttemptOfAPausedControllerFailsOnce guards against an attempt whose controller is paused past its lease and finds the answer when
@@ -273,14 +275,14 @@
 	s := newTakeoverFixture(t, 2, 0, "tcp")
 	n1, n2 := s.Controllers[0], s.Controllers[1]
 	for _, d := range s.dispatchers {
-		d.Act(false, true)
+		d.SetBehavior(false, true)
 	}
 	first := s.placeCall(n1, id(1))
-	s.waitUntil("its attempt is in progress", func() bool { return s.checker.Out(id(1)) != "" })
+	s.waitUntil("its attempt is in progress", func() bool { return s.checker.AttemptAt(id(1)) != "" })
 	before := n1.Fleet().Incarnation
 	n1.Pause()
 	for _, d := range s.dispatchers {
-		d.AnswerAll() // unread by the paused controller
+		d.AnswerPending() // unread by the paused controller
 	}
 	s.waitSealed("n1", n2)
 	second := s.resume(n2, id(1), trial.Token(id(1)), false)
@@ -288,7 +290,7 @@
 		t.Errorf("its caller got %+v, want a failure", m)
 	}
 	notifiedAt := time.Now()
-	s.waitUntil("the call is cut", func() bool { return s.checker.Stands(id(1)) == "" })
+	s.waitUntil("the call is cut", func() bool { return s.checker.EstablishedAt(id(1)) == "" })
 	if took := time.Since(notifiedAt); took > endDeliveryLimit {
 		t.Errorf("the call is cut %v after its caller was notified", took)
 	}
@@ -301,7 +303,7 @@
 	if m, err := second.NextWithin(time.Second); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("its caller got another message: %+v, %v", m, err)
 	}
-	if violations, setUps, _ := s.checker.Verdict(); setUps != 1 || len(violations)+len(s.checker.Left()) > 0 {
-		t.Errorf("%d set-ups, want one; violations %v, left %v", setUps, violations, s.checker.Left())
+	if violations, setUps, _ := s.checker.Results(); setUps != 1 || len(violations)+len(s.checker.Remaining()) > 0 {
+		t.Errorf("%d set-ups, want one; violations %v, left %v", setUps, violations, s.checker.Remaining())
 	}
 }
--- a/cmd/cherryrelay/upgrade.go
+++ b/cmd/cherryrelay/upgrade.go
@@ -47,7 +47,7 @@
 		return
 	}
 	for until := time.Now().Add(handoverTimeout); ; time.Sleep(handoverRetryInterval) {
-		peer, listeners, err := handover.Ask(u.path)
+		peer, listeners, err := handover.RequestListeners(u.path)
 		switch {
 		case err == nil:
 			u.predecessor, u.inherited = peer, listeners
@@ -131,13 +131,13 @@
 func (u *upgrade) handleMessage(m handover.Message) {
 	n := u.node
 	switch {
-	case m.Open != nil:
-		u.reportedConnections = *m.Open
+	case m.OpenConnections != nil:
+		u.reportedConnections = *m.OpenConnections
 		n.applyLimits()
-	case m.Over != "":
-		n.core.Released("", m.Over, -1, m.Cause, nil)
-	case m.Stands != "":
-		n.core.Adopt(m.Stands, control.ServerID(m.Server))
+	case m.TerminatedCall != "":
+		n.core.Released("", m.TerminatedCall, -1, m.Cause, nil)
+	case m.EstablishedCall != "":
+		n.core.Adopt(m.EstablishedCall, control.ServerID(m.Server))
 	}
 }
 
@@ -164,7 +164,7 @@
 		}
 		var sockets []handover.Socket
 		for _, f := range n.fronts() {
-			file, err := f.Listener().Share()
+			file, err := f.Listener().File()
 			if err != nil {
 				n.log.Error("a socket is not handed over", "err", err)
 				continue
@@ -201,7 +201,7 @@
 		f.Listener().Stop()
 	}
 	n.core.Supersede(func(id string, end call.End) bool {
-		return u.successor != nil && u.successor.Send(handover.Message{Over: id, Cause: end.Cause})
+		return u.successor != nil && u.successor.Send(handover.Message{TerminatedCall: id, Cause: end.Cause})
 	})
 	u.reportConnections()
 }
@@ -217,7 +217,7 @@
 	}
 	if open != u.reportedConnections {
 		u.reportedConnections = open
-		u.successor.Send(handover.Message{Open: &open})
+		u.successor.Send(handover.Message{OpenConnections: &open})
 	}
 	u.node.loop.After(connectionReportInterval, u.reportConnections)
 }
@@ -249,7 +249,7 @@
 	if u.successor != nil {
 		if u.successorReady {
 			u.node.core.EachEstablishedCall(func(id string, server control.ServerID) {
-				u.successor.Last(handover.Message{Stands: id, Server: string(server)})
+				u.successor.SendBlocking(handover.Message{EstablishedCall: id, Server: string(server)})
 			})
 		}
 		u.successor.Finish()
@@ -288,7 +288,7 @@
 // processes gets half of the sockets that the callers of both leave. The processes divide the callers by their reports
 // (upgrade.reportedConnections).
 func socketQuota(c *config.Config, processes int) links.SocketQuota {
-	limit, maxCallers := c.Limits.Sockets, callerBounds(c).Most()
+	limit, maxCallers := c.Limits.Sockets, callerBounds(c).MaxOpen()
 	if c.WebSocket != nil {
 		maxCallers *= 2
 	}
@@ -324,10 +324,10 @@
 	free := n.division.CallerLimit(connected, held) - connected
 	for _, f := range n.fronts() {
 		if free < n.division.Headroom/2 { // dispatchers cannot free enough sockets
-			f.Squeeze()
+			f.EvictOne()
 		}
-		f.Scarce(free <= refusalSockets)
-		f.Accept(max(f.Connections()+free/len(n.fronts()), 1))
+		f.SetDescriptorsScarce(free <= refusalSockets)
+		f.LimitOpen(max(f.Connections()+free/len(n.fronts()), 1))
 	}
 }
 
@@ -347,13 +347,13 @@
 		processes = upgradeProcesses
 	}
 	n.division = socketDivision{SocketQuota: socketQuota(c, processes), callers: -1}
-	maxCallers := n.bounds.Connections
+	maxCallers := n.bounds.MaxConnections
 	if u.predecessor != nil && maxCallers > 0 {
 		maxCallers = max(maxCallers-u.reportedConnections, 1)
 	}
 	for _, f := range n.fronts() {
-		f.Limit(maxCallers)
-		f.Listener().Shared(upgrading)
+		f.SetMaxConnections(maxCallers)
+		f.Listener().SetShared(upgrading)
 	}
 	n.divideSockets()
 }
--- a/cmd/cherryrelay/upgrade_test.go
+++ b/cmd/cherryrelay/upgrade_test.go
@@ -22,7 +22,7 @@
 // freeAddress returns a local address with a free port.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	address, err := peer.Free()
+	address, err := peer.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 	t.Setenv("TMPDIR", t.TempDir())
 	for _, transport := range []string{"tcp", "ws"} {
 		t.Run(transport, func(t *testing.T) {
-			f := newFixtureAt(t, freeAddress(t), freeAddress(t), transport, transport, callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+			f := newFixtureAt(t, freeAddress(t), freeAddress(t), transport, transport, callers.Bounds{MessageTimeout: longTimeout, IdleTimeout: longTimeout})
 			f.waitReady()
 			script(f)
 			if diff := cmp.Diff(want, f.observed); diff != "" {
@@ -102,15 +102,15 @@
 		old.waitAck(1)
 		// Ends are sent on connections of a known process. The connections of the old node stay open here, as both nodes are in one
 		// process.
-		old.must(first.ReleaseHere(id(1), 16)) // to the old node, whose caller has disconnected
+		old.must(first.ReleaseOnConn(id(1), 16)) // to the old node, whose caller has disconnected
 		old.recordMessage(c)
 		old.must(<-old.done) // it has ended by itself
-		old.must(later.ReleaseHere(id(2), 41))
+		old.must(later.ReleaseOnConn(id(2), 41))
 		old.recordMessage(c)
 		// The caller ends a call that only the old process can have known.
 		old.must(c.Release(id(4), 31))
 		old.recordEvent(0)
-		old.must(later.ReleaseHere(id(3), 16))
+		old.must(later.ReleaseOnConn(id(3), 16))
 		old.recordMessage(c) // no other message came for the other calls
 	})
 }
@@ -120,7 +120,7 @@
 	f.Helper()
 	const waited = "edge_lb_ends_waited_total 1"
 	text := ""
-	for until := time.Now().Add(peer.Patience); !strings.Contains(text, waited); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(peer.Timeout); !strings.Contains(text, waited); time.Sleep(time.Millisecond) {
 		_, text = f.request("GET", "/api/telemetry")
 		if time.Now().After(until) {
 			f.Fatalf("no %q", waited)
@@ -141,7 +141,7 @@
 		old.recordMessage(disconnected)
 		old.waitAck(0)
 		old.must(disconnected.Close())
-		old.must(established.ReleaseHere(id(1), 16))
+		old.must(established.ReleaseOnConn(id(1), 16))
 		old.waitEndQueued()
 		next := old.startSuccessor()
 		next.sendList()
@@ -231,7 +231,7 @@
 			if err := createFile(path); err != nil {
 				t.Fatal(err)
 			}
-			f := newFixtureAt(t, listen, "127.0.0.1:0", "tcp", "tcp", callers.Bounds{Silent: longTimeout, Idle: longTimeout})
+			f := newFixtureAt(t, listen, "127.0.0.1:0", "tcp", "tcp", callers.Bounds{MessageTimeout: longTimeout, IdleTimeout: longTimeout})
 			f.waitReady()
 			info, err := os.Lstat(path)
 			f.must(err)
@@ -258,7 +258,7 @@
 		for _, second := range []*config.WebSocket{nil, {}} {
 			c := &config.Config{Management: "x", Operator: config.Operator{WebSocket: second}}
 			c.Limits.Sockets = sockets
-			connections := callerBounds(c).Most()
+			connections := callerBounds(c).MaxOpen()
 			if second != nil {
 				connections *= 2
 			}
--- a/deploy/built_test.go
+++ b/deploy/built_test.go
@@ -55,11 +55,11 @@
 		}
 	})
 	t.Run("starts, becomes ready and ends at SIGTERM, as a single process", func(t *testing.T) {
-		d, err := peer.Dispatch("tcp", "127.0.0.1:0", "x0:40;x1:40")
+		d, err := peer.StartDispatcher("tcp", "127.0.0.1:0", "x0:40;x1:40")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer d.Die()
+		defer d.Kill()
 		p := start(t, d.Address())
 		p.waitReady()
 		p.checkSingleProcess()
@@ -96,7 +96,7 @@
 // freeAddress returns an address that nothing listens on.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	address, err := peer.Free()
+	address, err := peer.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -146,7 +146,7 @@
 // waitFor waits until a condition is met, and fails the test if that takes too long.
 func (p *process) waitFor(condition string, met func() bool) {
 	p.Helper()
-	for deadline := time.Now().Add(peer.Patience); !met(); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(peer.Timeout); !met(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			p.Fatalf("timeout while waiting for %s; output: %s", condition, p.output())
 		}
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -43,7 +43,7 @@
 
 // dispatch runs a dispatcher that answers every set-up.
 func dispatch(transport, address string) error {
-	d, err := peer.Dispatch(transport, address, "x0:100;x1:100")
+	d, err := peer.StartDispatcher(transport, address, "x0:100;x1:100")
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 
 // placeCalls places calls and waits until all of them are released.
 func placeCalls(transport, address string, count int) error {
-	c, err := peer.Call(transport, address)
+	c, err := peer.DialCaller(transport, address)
 	if err != nil {
 		return err
 	}
--- a/internal/call/ambiguous_end.go
+++ b/internal/call/ambiguous_end.go
@@ -43,7 +43,7 @@
 		switch {
 		case k.ambiguous != end:
 		case replied:
-			endlog.Call(c.log, endlog.EndOfEarlier, k.ID, endlog.Server(k.server), endlog.Attempt(k.attempts-1))
+			endlog.Call(c.log, endlog.EndOfEarlierAttempt, k.ID, endlog.Server(k.server), endlog.Attempt(k.attempts-1))
 			c.dropAmbiguous(k)
 		case k.state == established:
 			c.applyAmbiguous(k)
@@ -73,7 +73,7 @@
 // which may still hold it.
 func (c *Core) applyAmbiguous(k *record) {
 	end := k.ambiguous
-	endlog.Call(c.log, endlog.EndOfLatest, k.ID, endlog.Server(k.server), endlog.Attempt(k.attempts-1))
+	endlog.Call(c.log, endlog.EndOfEstablishedCall, k.ID, endlog.Server(k.server), endlog.Attempt(k.attempts-1))
 	c.dropAmbiguous(k)
 	c.dispatchers.Release(k.server, k.ID, CauseTemporary)
 	c.Released(k.server, k.ID, noAttempt, end.cause, end.report)
--- a/internal/call/core.go
+++ b/internal/call/core.go
@@ -108,7 +108,7 @@
 	supersededAt        time.Time                     // when a successor began to serve; zero without one
 	relayEnd            func(id string, end End) bool // passes an end to the successor; nil without one
 	unknownCaller       *unknownCaller
-	metrics             telemetry.Figures
+	metrics             telemetry.Metrics
 	endCounts           map[receivedEnd]uint64
 	setUpCounts         map[control.ServerID]setUpCount
 	ledgerWriter        *ledgerWriter // nil without a ledger
--- a/internal/call/early_end.go
+++ b/internal/call/early_end.go
@@ -46,7 +46,7 @@
 // is late. Its caller must get the end of an established call within a second, which another attempt would delay.
 func (c *Core) terminateUnanswered(k *record, report []float64) {
 	k.attemptInProgress = false
-	endlog.Call(c.log, endlog.WithoutAnswer, k.ID, endlog.Server(k.server))
+	endlog.Call(c.log, endlog.TerminatedWithoutAnswer, k.ID, endlog.Server(k.server))
 	c.queueEvent(control.AttemptEnded{ID: control.CallID(k.ID), Server: k.server, Attempt: k.attempts - 1, Outcome: control.Reset,
 		Elapsed: time.Since(k.sentAt), CallOver: true, Report: report})
 	c.rejectCall(k, End{Cause: CauseTemporary, Reason: ReasonFailed})
--- a/internal/call/ends.go
+++ b/internal/call/ends.go
@@ -63,7 +63,7 @@
 	c.queueEvent(control.AttemptEnded{ID: control.CallID(k.ID), Server: k.server, Attempt: k.attempts - 1, Outcome: outcome,
 		Elapsed: time.Since(k.sentAt), CallOver: true, Report: report})
 	caller := k.Caller
-	endlog.Call(c.log, endlog.Over, k.ID, endlog.Server(k.server), slog.Int("cause", cause))
+	endlog.Call(c.log, endlog.Terminated, k.ID, endlog.Server(k.server), slog.Int("cause", cause))
 	c.persistTerminated(k, endOf(cause))
 	c.close(k)
 	k.end = endOf(cause)
--- a/internal/call/metrics.go
+++ b/internal/call/metrics.go
@@ -19,7 +19,7 @@
 // reject sends a caller the final answer to a set-up that is not established, and counts it. Classes that callers name
 // are only counted if they are in the settings, as the number of other names is unlimited.
 func (c *Core) reject(r *Request, end End) {
-	if c.metrics.Has(r.Class) {
+	if c.metrics.HasClass(r.Class) {
 		switch class := c.metrics.Class(r.Class); end.Cause {
 		case CauseNoCircuit, CauseCongestion, CauseFacility:
 			class.Refused++
--- a/internal/call/outcomes.go
+++ b/internal/call/outcomes.go
@@ -18,7 +18,7 @@
 func (c *Core) Answered(server control.ServerID, id string, attempt int, description string) bool {
 	k := c.calls[id]
 	if k != nil && k.state == established && k.server == server {
-		endlog.Call(c.log, endlog.AnswerAgain, id, endlog.Server(server), endlog.Attempt(attempt))
+		endlog.Call(c.log, endlog.RepeatedAnswer, id, endlog.Server(server), endlog.Attempt(attempt))
 		return false // a duplicate, or a late answer to an earlier attempt
 	}
 	if k != nil && k.attemptInProgress && k.server == server && attempt >= 0 && attempt < k.attempts-1 {
@@ -26,7 +26,7 @@
 		// call that the later attempt is about to establish. It is sent if the later attempt fails.
 		k.heldByEarlierAttempt = true
 		k.markEstablished(attempt)
-		endlog.Call(c.log, endlog.AnswerOfEarlier, id, endlog.Server(server), endlog.Attempt(attempt))
+		endlog.Call(c.log, endlog.AnswerOfEarlierAttempt, id, endlog.Server(server), endlog.Attempt(attempt))
 		return false
 	}
 	if k != nil && k.state == pending && k.Caller.Disconnected() && k.state == pending {
@@ -36,13 +36,13 @@
 		if k != nil {
 			k.markEstablished(attempt)
 		}
-		endlog.Call(c.log, endlog.AnswerUnwanted, id, endlog.Server(server), endlog.Attempt(attempt))
+		endlog.Call(c.log, endlog.UnexpectedAnswer, id, endlog.Server(server), endlog.Attempt(attempt))
 		c.dispatchers.Release(server, id, CauseNormal)
 		return false
 	}
 	if err := k.Caller.Answer(id, description); err != nil {
 		c.log.Warn("answer cannot be delivered to the caller", "id", id, "server", server, "err", err)
-		endlog.Call(c.log, endlog.AnswerUnfit, id, endlog.Server(server), endlog.Attempt(attempt))
+		endlog.Call(c.log, endlog.UndeliverableAnswer, id, endlog.Server(server), endlog.Attempt(attempt))
 		c.dispatchers.Release(server, id, CauseNormal)
 		c.AttemptEnded(server, id, attempt, control.Failed, false, nil)
 		k.tried = append(k.tried, triedAttempt{server, k.attempts - 1, true}) // the dispatcher has established it
@@ -120,7 +120,7 @@
 func (c *Core) DispatcherFailed(server control.ServerID) {
 	ids := slices.Sorted(c.EstablishedAt(server))
 	if len(ids) > 0 {
-		endlog.Dispatcher(c.log, endlog.CountsAsGone, string(server), slog.Int("calls", len(ids)))
+		endlog.Dispatcher(c.log, endlog.DispatcherPresumedGone, string(server), slog.Int("calls", len(ids)))
 	}
 	for _, id := range ids {
 		c.terminate(c.calls[id], CauseTemporary, nil)
--- a/internal/call/received_end_test.go
+++ b/internal/call/received_end_test.go
@@ -80,16 +80,16 @@
 	}
 	establish := answered("a", 0)
 	for step, steps := range map[endlog.Step][]func(*fixture){
-		endlog.AnswerAgain:     {establish, establish},
-		endlog.AnswerOfEarlier: {func(s *fixture) { s.core.calls[id].attempts = 2 }, establish},
-		endlog.AnswerUnwanted:  {answered("b", -1)},
-		endlog.AnswerUnfit:     {func(s *fixture) { s.core.calls[id].Caller = rejectsAnswers{s} }, establish},
-		endlog.Established:     {establish},
-		endlog.WithoutAnswer:   {func(s *fixture) { s.core.Released("a", id, 0, CauseNormal, nil) }},
-		endlog.Over:            {establish, func(s *fixture) { s.core.DispatcherFailed("a") }},
-		endlog.CountsAsGone:    {establish, func(s *fixture) { s.core.DispatcherFailed("a") }},
-		endlog.EndedByCaller:   {establish, func(s *fixture) { s.core.CallerReleased(s, id, CauseNormal) }},
-		endlog.ToSuccessor: {establish, func(s *fixture) { s.core.Supersede(func(string, End) bool { return true }) },
+		endlog.RepeatedAnswer:          {establish, establish},
+		endlog.AnswerOfEarlierAttempt:  {func(s *fixture) { s.core.calls[id].attempts = 2 }, establish},
+		endlog.UnexpectedAnswer:        {answered("b", -1)},
+		endlog.UndeliverableAnswer:     {func(s *fixture) { s.core.calls[id].Caller = rejectsAnswers{s} }, establish},
+		endlog.Established:             {establish},
+		endlog.TerminatedWithoutAnswer: {func(s *fixture) { s.core.Released("a", id, 0, CauseNormal, nil) }},
+		endlog.Terminated:              {establish, func(s *fixture) { s.core.DispatcherFailed("a") }},
+		endlog.DispatcherPresumedGone:  {establish, func(s *fixture) { s.core.DispatcherFailed("a") }},
+		endlog.TerminatedByCaller:      {establish, func(s *fixture) { s.core.CallerReleased(s, id, CauseNormal) }},
+		endlog.EndHandedToSuccessor: {establish, func(s *fixture) { s.core.Supersede(func(string, End) bool { return true }) },
 			func(s *fixture) { s.core.Released("a", id, 0, CauseNormal, nil) }},
 	} {
 		t.Run(string(step), func(t *testing.T) {
--- a/internal/call/recover.go
+++ b/internal/call/recover.go
@@ -234,7 +234,7 @@
 	}
 	c.recovered.Resumed++
 	k.resumedAt = time.Now()
-	endlog.Call(c.log, endlog.CameBack, id, endlog.Server(k.server), slog.String(endlog.StateKey, k.state.String()))
+	endlog.Call(c.log, endlog.Resumed, id, endlog.Server(k.server), slog.String(endlog.StateKey, k.state.String()))
 	switch {
 	case k.state == terminated:
 		if k.answeredTo != caller { // on the same connection it already has its answer
--- a/internal/call/requests.go
+++ b/internal/call/requests.go
@@ -148,7 +148,7 @@
 		c.persistEvent(k, recovery.KindCancelled, nil)
 		c.close(k)
 	case k.state == established:
-		endlog.Call(c.log, endlog.EndedByCaller, id, endlog.Server(k.server), slog.Int("cause", cause))
+		endlog.Call(c.log, endlog.TerminatedByCaller, id, endlog.Server(k.server), slog.Int("cause", cause))
 		c.dispatchers.Release(k.server, id, cause)
 		c.queueEvent(control.AttemptEnded{ID: control.CallID(id), Server: k.server, Attempt: k.attempts - 1,
 			Outcome: control.Cancelled, CallOver: true})
--- a/internal/call/resume_deadline_test.go
+++ b/internal/call/resume_deadline_test.go
@@ -46,7 +46,7 @@
 			core.UseFinder(stubFinder{}, func() bool { return true }, func(error) {})
 			core.Loop().After(timeLeft/2, func() {
 				e := accepted(id, core.now())
-				core.CallReceived(&takeover.Call{Events: []recovery.Event{e}, LastUs: e.AtUs}, -1)
+				core.CallReceived(&takeover.Call{Events: []recovery.Event{e}, LastAliveUs: e.AtUs}, -1)
 			})
 		},
 	} {
--- a/internal/call/selection.go
+++ b/internal/call/selection.go
@@ -489,7 +489,7 @@
 	if s == nil {
 		return d
 	}
-	if listed := s.subset.Active(); !s.coversList() && listed > 0 {
+	if listed := s.subset.ActiveCount(); !s.coversList() && listed > 0 {
 		connected := math.Ceil(float64(d.Nodes) * float64(s.subset.Len()) / float64(listed))
 		d.Nodes = min(d.Nodes, max(int(connected), 1))
 	}
--- a/internal/call/successor.go
+++ b/internal/call/successor.go
@@ -79,7 +79,7 @@
 // Without one, it returns false.
 func (c *Core) RelayToSuccessor(id string, end End) bool {
 	if c.relayEnd != nil && c.relayEnd(id, end) {
-		endlog.Call(c.log, endlog.ToSuccessor, id)
+		endlog.Call(c.log, endlog.EndHandedToSuccessor, id)
 		return true
 	}
 	return false
--- a/internal/call/transfer.go
+++ b/internal/call/transfer.go
@@ -15,7 +15,7 @@
 )
 
 // Finder looks up calls of failed controllers, and transfers calls between live ones; it is implemented by
-// *takeover.Room.
+// *takeover.Participant.
 type Finder interface {
 	// Lookup starts the lookup of a call; CallReceived or CallNotFound delivers the result.
 	Lookup(id string, token []byte) bool
@@ -118,8 +118,8 @@
 		return
 	}
 	rules := recovery.Rules{Guard: c.decisions.ReleaseGuard, MaxAttempts: c.decisions.MaxAttempts}
-	for _, d := range received.Book().Plan(c.now(), rules) {
-		d = decide.AdjustForLiveOwner(d, received.MayLive)
+	for _, d := range received.CallTable().Plan(c.now(), rules) {
+		d = decide.AdjustForLiveOwner(d, received.OwnerMayLive)
 		d.Call.FromOtherController = true
 		if c.recovered.Actions == nil {
 			c.recovered.Actions, c.recovered.Reasons = map[string]int{}, map[string]int{}
@@ -132,7 +132,7 @@
 		c.CallNotFound(id, false)
 		return
 	}
-	endlog.Call(c.log, endlog.Arrived, id, endlog.Server(k.server))
+	endlog.Call(c.log, endlog.TransferredIn, id, endlog.Server(k.server))
 	c.persistCall(k)
 	t.persisted = append(t.persisted, id)
 	c.verifyRecovered()
@@ -193,7 +193,7 @@
 			continue
 		}
 		// If the caller has resumed the call here since, the controller that asked has failed or has lost the caller.
-		if k.resumedAt.After(query.Seen) {
+		if k.resumedAt.After(query.FirstSeen) {
 			continue
 		}
 		if k.attemptInProgress {
@@ -205,7 +205,7 @@
 		c.stopTimers(k)
 		k.transferring = true
 		recoveryCall := c.recoveryCall(k)
-		if err := c.transfers.finder.Transfer(&takeover.Call{Events: recoveryCall.Events(), LastUs: c.now().Microseconds()}); err != nil {
+		if err := c.transfers.finder.Transfer(&takeover.Call{Events: recoveryCall.Events(), LastAliveUs: c.now().Microseconds()}); err != nil {
 			c.log.Error("call cannot be transferred to another controller", "id", id, "err", err)
 		}
 	}
@@ -217,7 +217,7 @@
 	if k == nil || !k.transferring {
 		return
 	}
-	endlog.Call(c.log, endlog.Given, id, endlog.Server(k.server))
+	endlog.Call(c.log, endlog.TransferredOut, id, endlog.Server(k.server))
 	c.persistEvent(k, recovery.KindCancelled, nil)
 	switch {
 	case k.state == pending:
--- a/internal/call/transfer_test.go
+++ b/internal/call/transfer_test.go
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	s.core.CallerDisconnected(disconnected)
-	query := takeover.Query{Token: recovery.HashToken(callToken), Seen: time.Now()}
+	query := takeover.Query{Token: recovery.HashToken(callToken), FirstSeen: time.Now()}
 	if err := s.core.ResumeCall(ResumeRequest{Caller: &lastEndCaller{fixture: s}, ID: id, Token: callToken}); err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 	if finder.transferred != 0 {
 		t.Error("a call is transferred for a query older than the resume request")
 	}
-	query.Seen = time.Now()
+	query.FirstSeen = time.Now()
 	s.core.TransferRequested(map[string]takeover.Query{id: query})
 	if finder.transferred != 1 {
 		t.Error("a call is not transferred for a query newer than the resume request")
--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -40,21 +40,21 @@
 
 // Bounds limit the connections of callers, so that they do not use up the descriptors and the memory.
 type Bounds struct {
-	// Connections is the maximum number of open connections; 0 means no limit.
-	Connections int
-	// Silent is how long a message may stay incomplete, and how long a connection to which nothing was sent stays open: callers
+	// MaxConnections is the maximum number of open connections; 0 means no limit.
+	MaxConnections int
+	// MessageTimeout is how long a message may stay incomplete, and how long a connection to which nothing was sent stays open: callers
 	// connect when they have a set-up. It must be well below the 3 s within which the connection of a misbehaving peer has to be
 	// closed.
-	Silent time.Duration
-	// Idle is how long a connection without a call stays open. Callers close theirs after 4 s, and connections that stay open
+	MessageTimeout time.Duration
+	// IdleTimeout is how long a connection without a call stays open. Callers close theirs after 4 s, and connections that stay open
 	// longer are not needed. It must be longer than 4 s, so that the close does not cross a set-up.
-	Idle time.Duration
+	IdleTimeout time.Duration
 }
 
-// Within returns the bounds for a process with this maximum number of descriptors; 0 means no maximum. Callers usually need a
+// DefaultBounds returns the bounds for a process with this maximum number of descriptors; 0 means no maximum. Callers usually need a
 // third of them and get half. The rest is for dispatchers, the list and the program itself.
-func Within(descriptors int) Bounds {
-	return Bounds{Connections: descriptors / 2, Silent: 2 * time.Second, Idle: 5 * time.Second}
+func DefaultBounds(descriptors int) Bounds {
+	return Bounds{MaxConnections: descriptors / 2, MessageTimeout: 2 * time.Second, IdleTimeout: 5 * time.Second}
 }
 
 // Reasons for closing a connection that has no open set-up.
@@ -96,29 +96,31 @@
 	Open() bool
 	// Frame returns the text of a message with its framing.
 	Frame(text []byte) []byte
-	// NamesErrors reports whether releases contain the error name of the API as well as the cause.
-	NamesErrors() bool
-	// Bye returns the message that is sent before the connection is closed because of err.
-	Bye(err error) []byte
+	// HasErrorField reports whether releases contain the error name of the API as well as the cause.
+	HasErrorField() bool
+	// ClosingMessage returns the message that is sent before the connection is closed because of err.
+	ClosingMessage(err error) []byte
 }
 
-// Lines is the platform's format: one message per line.
-type Lines struct{ dec jsonl.Decoder }
+// JSONLines is the platform's format: one message per line.
+type JSONLines struct{ dec jsonl.Decoder }
 
 // Next decodes a line.
-func (l *Lines) Next(in *ring.Buffer, _ func([]byte)) (*jsonl.Message, error) { return l.dec.Next(in) }
+func (l *JSONLines) Next(in *ring.Buffer, _ func([]byte)) (*jsonl.Message, error) {
+	return l.dec.Next(in)
+}
 
 // Open returns true: there is no handshake.
-func (l *Lines) Open() bool { return true }
+func (l *JSONLines) Open() bool { return true }
 
 // Frame appends a line feed.
-func (l *Lines) Frame(text []byte) []byte { return append(text, '\n') }
+func (l *JSONLines) Frame(text []byte) []byte { return append(text, '\n') }
 
-// Bye returns nil: the format has no closing message.
-func (l *Lines) Bye(error) []byte { return nil }
+// ClosingMessage returns nil: the format has no closing message.
+func (l *JSONLines) ClosingMessage(error) []byte { return nil }
 
-// NamesErrors returns false: the platform's releases contain only the cause.
-func (l *Lines) NamesErrors() bool { return false }
+// HasErrorField returns false: the platform's releases contain only the cause.
+func (l *JSONLines) HasErrorField() bool { return false }
 
 // Front is a listener and the connections that it has accepted from callers.
 type Front struct {
@@ -127,7 +129,7 @@
 	log               *slog.Logger
 	newFormat         func() Format
 	bounds            Bounds
-	rules             *Terms
+	rules             *SetUpRules
 	listener          Listener
 	conns             []*Conn   // in order of arrival
 	openConns         []*Conn   // connections on which messages can be sent
@@ -137,13 +139,13 @@
 }
 
 // New returns a front for a listening socket. It accepts connections once its listener is started.
-func New(loop *call.Loop, core Core, log *slog.Logger, tcp *net.TCPListener, format func() Format, bounds Bounds, rules *Terms) *Front {
+func New(loop *call.Loop, core Core, log *slog.Logger, tcp *net.TCPListener, format func() Format, bounds Bounds, rules *SetUpRules) *Front {
 	f := newFront(loop, core, log, format, bounds, rules)
-	f.useListener(conn.NewListener(loop, tcp, bounds.Most(), func(c *conn.Conn) conn.Handler { return f.accept(c) }))
+	f.useListener(conn.NewListener(loop, tcp, bounds.MaxOpen(), func(c *conn.Conn) conn.Handler { return f.accept(c) }))
 	return f
 }
 
-func newFront(loop *call.Loop, core Core, log *slog.Logger, format func() Format, bounds Bounds, rules *Terms) *Front {
+func newFront(loop *call.Loop, core Core, log *slog.Logger, format func() Format, bounds Bounds, rules *SetUpRules) *Front {
 	return &Front{core: core, loop: loop, log: log, newFormat: format, bounds: bounds, rules: rules}
 }
 
@@ -165,8 +167,8 @@
 	return f.listener.Shutdown()
 }
 
-// Retune replaces the rules for set-ups.
-func (f *Front) Retune(rules *Terms) { f.rules = rules }
+// SetRules replaces the rules for set-ups.
+func (f *Front) SetRules(rules *SetUpRules) { f.rules = rules }
 
 func (f *Front) accept(c connection) conn.Handler {
 	now := time.Now()
@@ -188,21 +190,21 @@
 }
 
 // Connections returns the number of connections that hold a descriptor.
-func (f *Front) Connections() int { return f.listener.Held() }
+func (f *Front) Connections() int { return f.listener.SocketCount() }
 
 // Idle reports whether nothing is left to process or deliver: no end waits for a caller, no connection waits to be accepted, and
 // no connection has unread input, an incomplete message, unsent output or an end that may be lost when it closes.
 func (f *Front) Idle() bool {
-	return len(f.pendingEnds) == 0 && !f.listener.Waiting() && !slices.ContainsFunc(f.conns, func(c *Conn) bool {
-		return !c.closed && (c.partial && time.Since(c.waitingSince) < partialMessageTimeout || c.conn.Unsent() > 0 || !c.conn.Quiet() ||
-			!c.conn.AllTaken() || c.mayLoseEnd())
+	return len(f.pendingEnds) == 0 && !f.listener.HasBacklog() && !slices.ContainsFunc(f.conns, func(c *Conn) bool {
+		return !c.closed && (c.partial && time.Since(c.waitingSince) < partialMessageTimeout || c.conn.Unsent() > 0 || !c.conn.NoPendingInput() ||
+			!c.conn.AllInputRead() || c.mayLoseEnd())
 	})
 }
 
-// Heard reports whether the event loop has received, as far as possible, all the input of callers with an open set-up. Other
+// NoUnreadInput reports whether the event loop has received, as far as possible, all the input of callers with an open set-up. Other
 // connections do not count, since no other caller can cancel a set-up. Of a very large number of connections, few have one.
-func (f *Front) Heard() bool {
-	return !slices.ContainsFunc(f.conns, func(c *Conn) bool { return !c.closed && f.core.PendingOf(c) > 0 && c.conn.Unread() })
+func (f *Front) NoUnreadInput() bool {
+	return !slices.ContainsFunc(f.conns, func(c *Conn) bool { return !c.closed && f.core.PendingOf(c) > 0 && c.conn.HasUnreadInput() })
 }
 
 var _ call.Caller = (*Conn)(nil)
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -50,7 +50,7 @@
 	for {
 		m, err := c.format.Next(in, c.conn.Write)
 		if errors.Is(err, io.EOF) {
-			return conn.ErrClosedHere // cleanly closed; open set-ups are cancelled
+			return conn.ErrClosedLocally // cleanly closed; open set-ups are cancelled
 		}
 		if err == nil && m != nil {
 			c.partial = false
@@ -65,8 +65,8 @@
 		c.markOpen()
 		if m == nil {
 			if c.canCloseOverflow(in) {
-				c.reportProtocolError(conn.ErrClosedHere)
-				return conn.ErrClosedHere
+				c.reportProtocolError(conn.ErrClosedLocally)
+				return conn.ErrClosedLocally
 			}
 			if partial := in.Len() > 0; partial != c.partial {
 				c.partial, c.waitingSince = partial, at
@@ -80,7 +80,7 @@
 // are not affected.
 func (c *Conn) reportProtocolError(err error) {
 	c.front.core.CallerProtocolError(c)
-	c.conn.Write(c.format.Bye(err))
+	c.conn.Write(c.format.ClosingMessage(err))
 }
 
 // closeWithError closes the connection because of an error that is found while no input arrives.
@@ -91,14 +91,14 @@
 
 // closeNow closes a connection that has no open set-up. It counts as closed at once, so that no end is sent on it.
 func (c *Conn) closeNow(reason error) {
-	c.wasReset = c.conn.Left() // it is not known yet whether by a reset
-	c.conn.Write(c.format.Bye(nil))
+	c.wasReset = c.conn.PeerClosed() // it is not known yet whether by a reset
+	c.conn.Write(c.format.ClosingMessage(nil))
 	c.conn.Close(reason)
 	c.Closed(reason)
 }
 
-// Broken has the open set-ups of a connection answered that is about to be closed because of an invalid stream.
-func (c *Conn) Broken(reason error) {
+// Faulted has the open set-ups of a connection answered that is about to be closed because of an invalid stream.
+func (c *Conn) Faulted(reason error) {
 	if !c.closed {
 		c.reportProtocolError(reason)
 	}
@@ -142,7 +142,7 @@
 		}
 		request := call.ResumeRequest{Caller: c, ID: m.ID, Token: string(m.Fields["token"]), Answered: m.Fields["answered"] == "1"}
 		deadline := at.Add(c.front.rules.longestTimeout())
-		if left, err := m.Int("left"); err == nil && left >= 0 && left <= maxTimeLeft.Milliseconds() {
+		if left, err := m.IntField("left"); err == nil && left >= 0 && left <= maxTimeLeft.Milliseconds() {
 			request.Deadline = at.Add(time.Duration(left) * time.Millisecond)
 			deadline = earlier(deadline, request.Deadline)
 		}
@@ -167,7 +167,7 @@
 
 // allowsResume reports whether calls can be resumed on the connection: always over the API, over JSON lines only if the operator
 // has enabled it.
-func (c *Conn) allowsResume() bool { return c.format.NamesErrors() || c.front.rules.resumeOverLines }
+func (c *Conn) allowsResume() bool { return c.format.HasErrorField() || c.front.rules.resumeOverLines }
 
 // handleSetUp offers a call to the core. A set-up with invalid fields is answered as failed. Its connection stays open unless it
 // has sent too many of these.
@@ -204,7 +204,7 @@
 	if err != nil {
 		return err //nolint:wrapcheck // the error needs no context
 	}
-	if len(text) >= jsonl.MaxMessage {
+	if len(text) >= jsonl.MaxMessageSize {
 		return jsonl.ErrTooLong
 	}
 	c.hasSent, c.lastUsedAt = true, time.Now()
@@ -235,17 +235,17 @@
 	f := c.front
 	f.conns = slices.DeleteFunc(f.conns, func(other *Conn) bool { return other == c })
 	f.openConns = slices.DeleteFunc(f.openConns, func(other *Conn) bool { return other == c })
-	if !errors.Is(reason, io.EOF) && !errors.Is(reason, conn.ErrClosedHere) {
+	if !errors.Is(reason, io.EOF) && !errors.Is(reason, conn.ErrClosedLocally) {
 		f.log.Warn("connection from callers closed", "peer", c.conn.Remote(), "reason", reason)
 	}
 	c.logEnded(reason)
 	f.core.CallerDisconnected(c)
 	for _, sent := range c.sentEnds {
 		if c.maybeUnread(sent) {
-			c.logCall(endlog.EndUnread, sent.id)
+			c.logCall(endlog.EndUnconfirmed, sent.id)
 			c.redeliver(sent)
 		} else {
-			c.logCall(endlog.EndCountsRead, sent.id)
+			c.logCall(endlog.EndPresumedRead, sent.id)
 		}
 	}
 	c.sentEnds = nil
@@ -259,13 +259,13 @@
 // Disconnected reports whether the caller has disconnected. Input that has arrived before is processed first.
 func (c *Conn) Disconnected() bool {
 	if !c.closed {
-		c.conn.Hear()
+		c.conn.ProcessInput()
 	}
 	return c.callerDisconnected()
 }
 
 // callerDisconnected reports whether the connection is closed, or closed on the caller's side.
-func (c *Conn) callerDisconnected() bool { return c.closed || c.conn.Left() }
+func (c *Conn) callerDisconnected() bool { return c.closed || c.conn.PeerClosed() }
 
 // markOpen adds the connection to the open ones once messages can be sent on it.
 func (c *Conn) markOpen() {
--- a/internal/callers/ends.go
+++ b/internal/callers/ends.go
@@ -87,7 +87,7 @@
 	}
 	f.dropExpired()
 	endlog.Call(f.log, endlog.EndWaits, e.id)
-	f.endCounts.Waited++
+	f.endCounts.Queued++
 	f.pendingEnds = append(f.pendingEnds, e)
 }
 
@@ -134,7 +134,7 @@
 	if e.end.HoldOff > 0 {
 		m.Fields["wait"] = jsonl.Value(strconv.FormatInt(e.end.HoldOff.Milliseconds(), 10))
 	}
-	if c.format.NamesErrors() {
+	if c.format.HasErrorField() {
 		m.Fields["error"] = jsonl.Value(e.end.Reason)
 	}
 	c.writeThen(m, then)
@@ -154,12 +154,12 @@
 
 // recordWritten records that all of an end was written to the socket.
 func (c *Conn) recordWritten(s *sentEnd) {
-	c.logCall(endlog.EndWithKernel, s.id)
+	c.logCall(endlog.EndWrittenToKernel, s.id)
 	s.sentAt = time.Now()
 	if s.firstSentAt.IsZero() {
 		s.firstSentAt = s.sentAt
 	}
-	c.front.endCounts.Told++
+	c.front.endCounts.Written++
 }
 
 // mayLoseEnd reports whether an end that was sent here may be lost because the caller closes the connection. A caller closes a
@@ -185,7 +185,7 @@
 	sent := c.sentEnds
 	c.sentEnds, c.receivedPing = nil, true
 	for _, s := range sent {
-		c.logCall(endlog.EndForTest, s.id)
+		c.logCall(endlog.EndOnTestConnection, s.id)
 		s.firstSentAt = time.Time{} // no caller has received it
 		c.redeliver(s)
 	}
--- a/internal/callers/ends_maybe_unread_test.go
+++ b/internal/callers/ends_maybe_unread_test.go
@@ -22,7 +22,7 @@
 func newFrontWithConns(t *testing.T, core Core, connections int) (*Front, []*peer.Caller, []*Conn) {
 	t.Helper()
 	f := newSmallFront(t, core)
-	onLoop(f.loop, func() { f.Limit(8) })
+	onLoop(f.loop, func() { f.SetMaxConnections(8) })
 	var callers []*peer.Caller
 	var conns []*Conn
 	for i := range connections {
@@ -63,8 +63,8 @@
 	t.Parallel()
 	for name, endConn := range map[string]func(*peer.Caller, *Conn) error{
 		"the peer closes it":  func(p *peer.Caller, _ *Conn) error { return p.Close() },
-		"this side closes it": func(_ *peer.Caller, c *Conn) error { c.conn.Close(conn.ErrClosedHere); return nil },
-		"this side aborts it": func(_ *peer.Caller, c *Conn) error { c.conn.(*conn.Conn).Abort(conn.ErrClosedHere); return nil },
+		"this side closes it": func(_ *peer.Caller, c *Conn) error { c.conn.Close(conn.ErrClosedLocally); return nil },
+		"this side aborts it": func(_ *peer.Caller, c *Conn) error { c.conn.(*conn.Conn).Abort(conn.ErrClosedLocally); return nil },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -76,7 +76,7 @@
 				if err := endConn(callers[0], c); err != nil {
 					t.Error(err)
 				}
-				for until := time.Now().Add(peer.Patience); c.conn.EndedAt().IsZero() && time.Now().Before(until); time.Sleep(time.Millisecond) {
+				for until := time.Now().Add(peer.Timeout); c.conn.EndedAt().IsZero() && time.Now().Before(until); time.Sleep(time.Millisecond) {
 				}
 				end.sentAt = c.conn.EndedAt().Add(-crossingTime / 2)
 				time.Sleep(crossingTime)
--- a/internal/callers/ends_reset_test.go
+++ b/internal/callers/ends_reset_test.go
@@ -21,8 +21,8 @@
 // EndedAt returns the time at which it ended.
 func (c *endedConn) EndedAt() time.Time { return c.endedAt }
 
-// Left reports whether the caller has disconnected.
-func (c *endedConn) Left() bool { return c.disconnected }
+// PeerClosed reports whether the caller has disconnected.
+func (c *endedConn) PeerClosed() bool { return c.disconnected }
 
 // Remote returns no address.
 func (c *endedConn) Remote() string { return "" }
@@ -42,7 +42,7 @@
 	f := newSmallFront(t, &stubCore{pending: map[call.Caller]int{}})
 	onLoop(f.loop, func() {
 		now := time.Now()
-		c := &Conn{front: f, conn: &endedConn{endedAt: now, disconnected: disconnected}, format: &Lines{}, receivedRequest: true}
+		c := &Conn{front: f, conn: &endedConn{endedAt: now, disconnected: disconnected}, format: &JSONLines{}, receivedRequest: true}
 		c.sentEnds = []*sentEnd{{callEnd: callEnd{id: "00000000000000a1", end: normalEnd, queuedAt: now, firstSentAt: now.Add(-sentBefore)},
 			sentAt: now.Add(-sentBefore)}}
 		step(f, c)
@@ -79,7 +79,7 @@
 func TestAnEndOnAConnectionClosedAsItsCallerDisconnects(t *testing.T) {
 	for disconnected, want := range map[bool]uint64{true: 1, false: 0} {
 		withEndedConn(t, 2*crossingTime, disconnected, func(f *Front, c *Conn) {
-			if c.closeNow(conn.ErrClosedHere); f.endCounts.Repeated != want {
+			if c.closeNow(conn.ErrClosedLocally); f.endCounts.Repeated != want {
 				t.Errorf("%d ends are repeated with the caller disconnected: %v; want %d", f.endCounts.Repeated, disconnected, want)
 			}
 		})
--- a/internal/callers/ends_test.go
+++ b/internal/callers/ends_test.go
@@ -28,7 +28,7 @@
 	if err := caller.Close(); err != nil {
 		t.Fatal(err)
 	}
-	for until, closed := time.Now().Add(peer.Patience), false; !closed; time.Sleep(time.Millisecond) {
+	for until, closed := time.Now().Add(peer.Timeout), false; !closed; time.Sleep(time.Millisecond) {
 		onLoop(f.loop, func() { closed = c.closed })
 		if time.Now().After(until) {
 			t.Fatal("the close is never processed")
@@ -71,8 +71,8 @@
 	})
 	recordCounts()
 	want := []EndCounts{
-		{Told: 1}, {Told: 1, Repeated: 1, Waited: 1}, {Told: 1, Repeated: 1, Waited: 2},
-		{Told: 3, Repeated: 1, Waited: 2}, {Told: 3, Repeated: 1, Waited: 2, Dropped: 1},
+		{Written: 1}, {Written: 1, Repeated: 1, Queued: 1}, {Written: 1, Repeated: 1, Queued: 2},
+		{Written: 3, Repeated: 1, Queued: 2}, {Written: 3, Repeated: 1, Queued: 2, Dropped: 1},
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("counts after each step (-want +got):\n%s", diff)
@@ -83,12 +83,12 @@
 func TestTheStepsOfEndsAreLogged(t *testing.T) {
 	const id = "00000000000000e5"
 	for step, trigger := range map[endlog.Step]func(f *Front, c *Conn){
-		endlog.EndCountsRead: func(_ *Front, c *Conn) {
+		endlog.EndPresumedRead: func(_ *Front, c *Conn) {
 			c.receivedRequest = true
 			c.sentEnds[0].sentAt = time.Now().Add(-2 * crossingTime)
-			c.closeNow(conn.ErrClosedHere)
+			c.closeNow(conn.ErrClosedLocally)
 		},
-		endlog.EndForTest: func(_ *Front, c *Conn) { c.markAsHealthCheck() },
+		endlog.EndOnTestConnection: func(_ *Front, c *Conn) { c.markAsHealthCheck() },
 		endlog.EndDropped: func(f *Front, c *Conn) {
 			c.markAsHealthCheck()
 			f.dropPending()
--- a/internal/callers/ends_unread_test.go
+++ b/internal/callers/ends_unread_test.go
@@ -25,7 +25,7 @@
 	if err := caller.Close(); err != nil {
 		t.Fatal(err)
 	}
-	for closed, until := false, time.Now().Add(peer.Patience); !closed; onLoop(f.loop, func() { closed = first.closed }) {
+	for closed, until := false, time.Now().Add(peer.Timeout); !closed; onLoop(f.loop, func() { closed = first.closed }) {
 		if time.Now().After(until) {
 			t.Fatal("the end of the connection is never reported")
 		}
--- a/internal/callers/evict_test.go
+++ b/internal/callers/evict_test.go
@@ -21,7 +21,7 @@
 	if !newest.overflow || busy.overflow {
 		t.Errorf("overflow of the newest connection: %v, of the busy one: %v", newest.overflow, busy.overflow)
 	}
-	front.Squeeze()
+	front.EvictOne()
 	if busy.closed || newest.closed || busy.overflow {
 		t.Error("a connection with a pending call was closed or marked")
 	}
--- a/internal/callers/fake_peers_test.go
+++ b/internal/callers/fake_peers_test.go
@@ -97,26 +97,26 @@
 // Stop does nothing.
 func (l *fakeListener) Stop() {}
 
-// Share returns an error: there is no socket.
-func (l *fakeListener) Share() (*os.File, error) { return nil, os.ErrInvalid }
+// File returns an error: there is no socket.
+func (l *fakeListener) File() (*os.File, error) { return nil, os.ErrInvalid }
 
-// Shared does nothing.
-func (l *fakeListener) Shared(bool) {}
+// SetShared does nothing.
+func (l *fakeListener) SetShared(bool) {}
 
 // Address returns no address.
 func (l *fakeListener) Address() string { return "" }
 
-// Limit sets the maximum number of connections.
-func (l *fakeListener) Limit(limit int) { l.limit = limit }
+// SetMaxConnections sets the maximum number of connections.
+func (l *fakeListener) SetMaxConnections(limit int) { l.limit = limit }
 
-// Held returns the number of connections.
-func (l *fakeListener) Held() int { return l.held }
+// SocketCount returns the number of connections.
+func (l *fakeListener) SocketCount() int { return l.held }
 
 // Full reports whether the limit is reached.
 func (l *fakeListener) Full() bool { return l.limit > 0 && l.held >= l.limit }
 
-// Waiting returns false: no connections wait.
-func (l *fakeListener) Waiting() bool { return false }
+// HasBacklog returns false: no connections wait.
+func (l *fakeListener) HasBacklog() bool { return false }
 
 // Shutdown does nothing.
 func (l *fakeListener) Shutdown() error { return nil }
@@ -212,7 +212,7 @@
 // apiClient uses the call-control API.
 type apiClient struct {
 	*fakeConn
-	opening websocket.Opening
+	opening websocket.ClientHandshake
 	dec     websocket.Decoder
 	opened  bool
 }
@@ -229,7 +229,7 @@
 
 func (c *apiClient) next() *jsonl.Message {
 	if !c.opened {
-		opened, err := c.opening.Done(c.in)
+		opened, err := c.opening.ReadResponse(c.in)
 		if err != nil {
 			c.caller.harness.violation("the handshake failed: %v", err)
 		}
@@ -465,26 +465,26 @@
 // Unsent returns the number of queued messages.
 func (c *fakeConn) Unsent() int { return len(c.writeQueue) }
 
-// Quiet reports whether no input is left to process.
-func (c *fakeConn) Quiet() bool {
+// NoPendingInput reports whether no input is left to process.
+func (c *fakeConn) NoPendingInput() bool {
 	return c.ended || !c.readPosted && c.input.Len() == 0 && c.kernelInput.Len() == 0
 }
 
-// AllTaken reports whether there is no input in the kernel.
-func (c *fakeConn) AllTaken() bool { return c.ended || c.kernelInput.Len() == 0 }
+// AllInputRead reports whether there is no input in the kernel.
+func (c *fakeConn) AllInputRead() bool { return c.ended || c.kernelInput.Len() == 0 }
 
-// Unread reports whether there is input in the kernel.
-func (c *fakeConn) Unread() bool { return !c.ended && c.kernelInput.Len() > 0 }
+// HasUnreadInput reports whether there is input in the kernel.
+func (c *fakeConn) HasUnreadInput() bool { return !c.ended && c.kernelInput.Len() > 0 }
 
-// Hear has the handler process its input.
-func (c *fakeConn) Hear() {
+// ProcessInput has the handler process its input.
+func (c *fakeConn) ProcessInput() {
 	if c.readPosted {
 		c.read()
 	}
 }
 
-// Left reports whether the end of the caller's side is next in the kernel.
-func (c *fakeConn) Left() bool {
+// PeerClosed reports whether the end of the caller's side is next in the kernel.
+func (c *fakeConn) PeerClosed() bool {
 	return c.ended || c.rst || c.fin && c.kernelInput.Len() == 0
 }
 
--- a/internal/callers/limits.go
+++ b/internal/callers/limits.go
@@ -19,35 +19,35 @@
 // that crosses a close within this time is sent again, as the protocol requires.
 const overflowTimeout = 50 * time.Millisecond
 
-// Most returns the number of connections that may be open for a moment.
-func (b Bounds) Most() int {
-	if b.Connections == 0 {
+// MaxOpen returns the number of connections that may be open for a moment.
+func (b Bounds) MaxOpen() int {
+	if b.MaxConnections == 0 {
 		return 0
 	}
-	return b.Connections + 1 + int(overflowShare*float64(b.Connections))
+	return b.MaxConnections + 1 + int(overflowShare*float64(b.MaxConnections))
 }
 
-// Limit sets the maximum number of open connections.
-func (f *Front) Limit(connections int) {
-	f.bounds.Connections = connections
-	f.listener.Limit(f.bounds.Most())
+// SetMaxConnections sets the maximum number of open connections.
+func (f *Front) SetMaxConnections(connections int) {
+	f.bounds.MaxConnections = connections
+	f.listener.SetMaxConnections(f.bounds.MaxOpen())
 }
 
-// Accept lowers the number of open connections further when descriptors are scarce. More connections wait to be accepted.
-func (f *Front) Accept(maxOpen int) {
-	if limit := f.bounds.Most(); limit == 0 || maxOpen < limit {
-		f.listener.Limit(maxOpen)
+// LimitOpen lowers the number of open connections further when descriptors are scarce. More connections wait to be accepted.
+func (f *Front) LimitOpen(maxOpen int) {
+	if limit := f.bounds.MaxOpen(); limit == 0 || maxOpen < limit {
+		f.listener.SetMaxConnections(maxOpen)
 	} else {
-		f.listener.Limit(limit)
+		f.listener.SetMaxConnections(limit)
 	}
 }
 
-// Squeeze evicts one connection that is not in use, as more connections may come than there are descriptors.
-func (f *Front) Squeeze() { f.evict(nil) }
+// EvictOne evicts one connection that is not in use, as more connections may come than there are descriptors.
+func (f *Front) EvictOne() { f.evict(nil) }
 
-// Scarce sets whether descriptors are so few that a new connection is refused unless another one can be evicted. The last
+// SetDescriptorsScarce sets whether descriptors are so few that a new connection is refused unless another one can be evicted. The last
 // descriptors are reserved for that, so that no caller waits in vain to be accepted.
-func (f *Front) Scarce(scarce bool) { f.descriptorsScarce = scarce }
+func (f *Front) SetDescriptorsScarce(scarce bool) { f.descriptorsScarce = scarce }
 
 // keepPriority ranks a connection without an open set-up: lowest if it never had a request or a ping, highest if it has an
 // established call, since its caller keeps it open then.
@@ -63,7 +63,7 @@
 
 // overLimit reports whether there are more connections than may stay open.
 func (f *Front) overLimit() bool {
-	return f.descriptorsScarce || f.bounds.Connections > 0 && len(f.conns) > f.bounds.Connections
+	return f.descriptorsScarce || f.bounds.MaxConnections > 0 && len(f.conns) > f.bounds.MaxConnections
 }
 
 // evict closes the connection with the lowest priority that was not used for the longest time. If each of them is in use, has an
@@ -79,13 +79,13 @@
 		if victim != nil {
 			order = cmp.Or(cmp.Compare(f.keepPriority(c), f.keepPriority(victim)), c.lastUsedAt.Compare(victim.lastUsedAt))
 		}
-		if order < 0 && c.conn.Quiet() {
+		if order < 0 && c.conn.NoPendingInput() {
 			victim = c
 		}
 	}
 	switch {
-	case victim != nil && (victim.receivedRequest || victim.receivedPing || now.Sub(victim.waitingSince) > newConnGracePeriod) && victim.conn.AllTaken():
-		victim.closeNow(conn.ErrClosedHere)
+	case victim != nil && (victim.receivedRequest || victim.receivedPing || now.Sub(victim.waitingSince) > newConnGracePeriod) && victim.conn.AllInputRead():
+		victim.closeNow(conn.ErrClosedLocally)
 	case newest != nil:
 		newest.overflow = true
 	}
@@ -97,7 +97,7 @@
 func (f *Front) poll() {
 	now := time.Now()
 	closing := f.core.Phase() >= call.Closing
-	interval, messageTimeout := pollInterval, f.bounds.Silent
+	interval, messageTimeout := pollInterval, f.bounds.MessageTimeout
 	switch {
 	case closing:
 		interval, messageTimeout = fastPollInterval, messageTimeout/2
@@ -113,13 +113,13 @@
 		case c.overflow && f.listener.Full() && now.Sub(c.waitingSince) > overflowTimeout:
 			c.closeOverflow()
 		case closing && f.core.PendingOf(c) == 0 && (f.core.EstablishedOf(c) == 0 || f.core.Superseded()) && now.Sub(c.waitingSince) > newConnGracePeriod &&
-			!slices.ContainsFunc(c.sentEnds, c.maybeUnread) && c.conn.Quiet() && c.conn.AllTaken():
-			c.closeNow(conn.ErrClosedHere)
-		case f.core.PendingOf(c) > 0 || f.core.EstablishedOf(c) > 0 || !c.conn.Quiet():
-		case !c.hasSent && now.Sub(c.waitingSince) > f.bounds.Silent && c.conn.AllTaken():
+			!slices.ContainsFunc(c.sentEnds, c.maybeUnread) && c.conn.NoPendingInput() && c.conn.AllInputRead():
+			c.closeNow(conn.ErrClosedLocally)
+		case f.core.PendingOf(c) > 0 || f.core.EstablishedOf(c) > 0 || !c.conn.NoPendingInput():
+		case !c.hasSent && now.Sub(c.waitingSince) > f.bounds.MessageTimeout && c.conn.AllInputRead():
 			c.closeNow(errNoMessage)
-		case now.Sub(c.lastUsedAt) > f.bounds.Idle && c.conn.AllTaken():
-			c.closeNow(conn.ErrClosedHere)
+		case now.Sub(c.lastUsedAt) > f.bounds.IdleTimeout && c.conn.AllInputRead():
+			c.closeNow(conn.ErrClosedLocally)
 		}
 	}
 	f.deliverPending()
@@ -162,18 +162,18 @@
 
 // canCloseOverflow reports whether a connection whose set-ups were refused has no unread input, and can be closed.
 func (c *Conn) canCloseOverflow(in *ring.Buffer) bool {
-	return c.refusedSetUp && in.Len() == 0 && c.conn.Quiet() && c.conn.AllTaken()
+	return c.refusedSetUp && in.Len() == 0 && c.conn.NoPendingInput() && c.conn.AllInputRead()
 }
 
 // closeOverflow closes a connection beyond the limit that is not in use, so that waiting connections can be accepted.
 func (c *Conn) closeOverflow() {
-	c.conn.Hear()
+	c.conn.ProcessInput()
 	switch {
 	case c.closed:
 	case !c.overflow || c.front.core.PendingOf(c) > 0: // a set-up was waiting to be processed, or the connection is within the limit now
 	case c.partial:
 		c.closeIncomplete()
-	case c.conn.Quiet() && c.conn.AllTaken():
+	case c.conn.NoPendingInput() && c.conn.AllInputRead():
 		c.closeNow(errNoMessage)
 	}
 }
@@ -181,8 +181,8 @@
 // closeIncomplete closes a connection on which a message has stayed incomplete, unless its rest has arrived by now.
 func (c *Conn) closeIncomplete() {
 	since := c.waitingSince
-	c.conn.Hear()
-	if !c.closed && c.partial && c.waitingSince.Equal(since) && !c.conn.Unread() && c.conn.AllTaken() {
+	c.conn.ProcessInput()
+	if !c.closed && c.partial && c.waitingSince.Equal(since) && !c.conn.HasUnreadInput() && c.conn.AllInputRead() {
 		c.closeWithError(errIncompleteMessage)
 	}
 }
--- a/internal/callers/log.go
+++ b/internal/callers/log.go
@@ -18,7 +18,7 @@
 // logEnded logs the end of the connection.
 func (c *Conn) logEnded(reason error) {
 	if log := c.front.log; endlog.Enabled(log) {
-		endlog.Callers(log, endlog.CallersEnded, c.number, slog.String("peer", c.conn.Remote()),
+		endlog.CallerConnection(log, endlog.CallerConnectionEnded, c.number, slog.String("peer", c.conn.Remote()),
 			endlog.Reason(reason), slog.Int("ends_sent", len(c.sentEnds)))
 	}
 }
--- a/internal/callers/metrics.go
+++ b/internal/callers/metrics.go
@@ -8,24 +8,24 @@
 
 // EndCounts count the deliveries of the ends of established calls since the start.
 type EndCounts struct {
-	Told     uint64 // written to the socket, on any connection
-	Waited   uint64 // queued because no connection was open for them
+	Written  uint64 // written to the socket, on any connection
+	Queued   uint64 // queued because no connection was open for them
 	Repeated uint64 // sent on another connection, as the first one ended before they were surely read
 	Dropped  uint64 // dropped because no caller connected in time, or because the process ended
 }
 
-// Figures returns the sums of several fronts' counts.
-func Figures(fronts ...*Front) []*dto.MetricFamily {
+// Metrics returns the sums of several fronts' counts.
+func Metrics(fronts ...*Front) []*dto.MetricFamily {
 	var sum EndCounts
 	for _, f := range fronts {
-		sum.Told += f.endCounts.Told
-		sum.Waited += f.endCounts.Waited
+		sum.Written += f.endCounts.Written
+		sum.Queued += f.endCounts.Queued
 		sum.Repeated += f.endCounts.Repeated
 		sum.Dropped += f.endCounts.Dropped
 	}
 	return []*dto.MetricFamily{
-		telemetry.Counter("ends_told_total", "Ends of calls that were written whole to callers' connections.", sum.Told),
-		telemetry.Counter("ends_waited_total", "Ends of calls that had to wait for a caller to connect.", sum.Waited),
+		telemetry.Counter("ends_told_total", "Ends of calls that were written whole to callers' connections.", sum.Written),
+		telemetry.Counter("ends_waited_total", "Ends of calls that had to wait for a caller to connect.", sum.Queued),
 		telemetry.Counter("ends_repeated_total", "Ends of calls told again, as their connection ended before they may have been read.", sum.Repeated),
 		telemetry.Counter("ends_dropped_total", "Ends of calls given up, as no caller connected in time or before the process ended.", sum.Dropped),
 	}
--- a/internal/callers/overflow_test.go
+++ b/internal/callers/overflow_test.go
@@ -45,8 +45,8 @@
 		t.Fatal(err)
 	}
 	loop := call.NewLoop()
-	f := New(loop, core, slog.New(slog.DiscardHandler), tcp, func() Format { return &Lines{} },
-		Bounds{Connections: 1, Silent: time.Minute, Idle: time.Minute}, NewTerms(&set))
+	f := New(loop, core, slog.New(slog.DiscardHandler), tcp, func() Format { return &JSONLines{} },
+		Bounds{MaxConnections: 1, MessageTimeout: time.Minute, IdleTimeout: time.Minute}, NewSetUpRules(&set))
 	onLoopEnd := make(chan struct{})
 	go func() { defer close(onLoopEnd); loop.Run() }()
 	onLoop(loop, func() { err = f.Listener().Start() })
@@ -68,14 +68,14 @@
 // connect opens a connection and waits until the front has this number of connections.
 func connect(t *testing.T, f *Front, number int) (*peer.Caller, *Conn) {
 	t.Helper()
-	caller, err := peer.Call("tcp", f.Address())
+	caller, err := peer.DialCaller("tcp", f.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = caller.Close() })
 	caller.Class = "c"
 	var accepted *Conn
-	for until := time.Now().Add(peer.Patience); accepted == nil; {
+	for until := time.Now().Add(peer.Timeout); accepted == nil; {
 		onLoop(f.loop, func() {
 			if len(f.conns) == number {
 				accepted = f.conns[number-1]
@@ -96,7 +96,7 @@
 			t.Error(err)
 			return
 		}
-		for until := time.Now().Add(peer.Patience); at.conn.Quiet() || !at.conn.AllTaken(); time.Sleep(time.Millisecond) {
+		for until := time.Now().Add(peer.Timeout); at.conn.NoPendingInput() || !at.conn.AllInputRead(); time.Sleep(time.Millisecond) {
 			if time.Now().After(until) {
 				t.Error("the set-up never arrives")
 				return
@@ -120,7 +120,7 @@
 			t.Error("the newest connection is not beyond the limit")
 		}
 		newest.waitingSince = time.Now().Add(-2 * overflowTimeout)
-		first.closeNow(conn.ErrClosedHere) // its descriptor is held for a moment longer
+		first.closeNow(conn.ErrClosedLocally) // its descriptor is held for a moment longer
 		f.poll()
 		if newest.closed || core.pending[newest] != 1 {
 			t.Errorf("closed: %v, with %d set-ups accepted; want it open with one", newest.closed, core.pending[newest])
--- a/internal/callers/scenarios_test.go
+++ b/internal/callers/scenarios_test.go
@@ -149,16 +149,16 @@
 	}
 	h := &harness{initialState: start, core: core, listener: &fakeListener{}, dispatchers: &fakeDispatchers{core: core}}
 	h.caller = &fakeCaller{harness: h}
-	format := func() Format { return &Lines{} }
+	format := func() Format { return &JSONLines{} }
 	if start.api {
 		format = func() Format { return NewWebSocket(testPath) }
 	}
-	h.front = newFront(loop, core, log, format, Within(0), NewTerms(set))
+	h.front = newFront(loop, core, log, format, DefaultBounds(0), NewSetUpRules(set))
 	h.front.useListener(h.listener)
 	core.SetDispatchers(h.dispatchers)
 	core.AddFront(h.front)
 	core.OnFlush(h.front.Flush)
-	loop.AddIdleCheck(h.front.Heard)
+	loop.AddIdleCheck(h.front.NoUnreadInput)
 	return h
 }
 
@@ -266,11 +266,11 @@
 		}, 0, false},
 		{'g', "everything is unblocked", func(h *harness) bool { return h.caller.unblock() }, 0, false},
 		{'l', "the limit is one connection", func(h *harness) bool {
-			limit := h.front.bounds.Connections
-			h.front.Limit(1)
+			limit := h.front.bounds.MaxConnections
+			h.front.SetMaxConnections(1)
 			return limit != 1
 		}, 0, false},
-		{'q', "a connection is evicted", func(h *harness) bool { h.front.Squeeze(); return true }, 0, false},
+		{'q', "a connection is evicted", func(h *harness) bool { h.front.EvictOne(); return true }, 0, false},
 		{'z', "the controller is evacuated", func(h *harness) bool {
 			serving := h.core.Phase() == call.Serving
 			h.core.Evacuate()
--- a/internal/callers/setup_rules.go
+++ b/internal/callers/setup_rules.go
@@ -21,16 +21,16 @@
 	maxExtraValue = 1 << 20
 )
 
-// Terms are the rules that a set-up must satisfy. A dispatcher closes the connection if it cannot read a message, and that
+// SetUpRules are the rules that a set-up must satisfy. A dispatcher closes the connection if it cannot read a message, and that
 // connection is shared by other calls. So a set-up is passed on only if the settings know its values and they fit every protocol.
-type Terms struct {
+type SetUpRules struct {
 	classes         map[string]classRules
 	tenants         []string
 	resumeOverLines bool // calls may be resumed over JSON lines as well
 }
 
-// ResumeLines sets whether calls may be resumed over JSON lines as well. The platform's callers never request it.
-func (rules *Terms) ResumeLines(allowed bool) *Terms {
+// SetResumeOverLines sets whether calls may be resumed over JSON lines as well. The platform's callers never request it.
+func (rules *SetUpRules) SetResumeOverLines(allowed bool) *SetUpRules {
 	rules.resumeOverLines = allowed
 	return rules
 }
@@ -42,9 +42,9 @@
 	width        int   // required width; 0 for any
 }
 
-// NewTerms returns the rules that follow from the settings.
-func NewTerms(s *settings.Settings) *Terms {
-	rules := &Terms{classes: map[string]classRules{}}
+// NewSetUpRules returns the rules that follow from the settings.
+func NewSetUpRules(s *settings.Settings) *SetUpRules {
+	rules := &SetUpRules{classes: map[string]classRules{}}
 	for i, c := range s.RequestClasses {
 		class := classRules{timeout: time.Duration(c.DeadlineUs) * time.Microsecond}
 		if i < len(s.FamilyInfo.AllowedPools) {
@@ -62,7 +62,7 @@
 }
 
 // longestTimeout returns the longest timeout of all classes.
-func (rules *Terms) longestTimeout() (longest time.Duration) {
+func (rules *SetUpRules) longestTimeout() (longest time.Duration) {
 	for _, class := range rules.classes {
 		longest = max(longest, class.timeout)
 	}
@@ -70,7 +70,7 @@
 }
 
 // parseSetUp checks and converts the fields of a set-up. Its token is used only if calls can be resumed on the connection.
-func (rules *Terms) parseSetUp(m *jsonl.Message, at time.Time, resumable bool) (r call.Request, err error) {
+func (rules *SetUpRules) parseSetUp(m *jsonl.Message, at time.Time, resumable bool) (r call.Request, err error) {
 	field := func(name string) string { return string(m.Fields[name]) }
 	class, ok := rules.classes[field("class")]
 	if !ok {
@@ -79,7 +79,7 @@
 	if len(rules.tenants) > 0 && !slices.Contains(rules.tenants, field("tenant")) {
 		return r, fmt.Errorf("unknown tenant %.40q", field("tenant"))
 	}
-	leftMS, err := m.Int("left")
+	leftMS, err := m.IntField("left")
 	if err != nil {
 		return r, err //nolint:wrapcheck // the error needs no context
 	}
--- a/internal/callers/transport.go
+++ b/internal/callers/transport.go
@@ -13,11 +13,11 @@
 	WriteThen(p []byte, then func()) conn.Ticket
 	Flush()
 	Unsent() int
-	Quiet() bool
-	AllTaken() bool
-	Unread() bool
-	Hear()
-	Left() bool
+	NoPendingInput() bool
+	AllInputRead() bool
+	HasUnreadInput() bool
+	ProcessInput()
+	PeerClosed() bool
 	EndedAt() time.Time
 	Remote() string
 	Close(reason error)
@@ -27,12 +27,12 @@
 type Listener interface {
 	Start() error
 	Stop()
-	Share() (*os.File, error)
-	Shared(shared bool)
+	File() (*os.File, error)
+	SetShared(shared bool)
 	Address() string
-	Limit(limit int)
-	Held() int
+	SetMaxConnections(limit int)
+	SocketCount() int
 	Full() bool
-	Waiting() bool
+	HasBacklog() bool
 	Shutdown() error
 }
--- a/internal/callers/unsent_answer_test.go
+++ b/internal/callers/unsent_answer_test.go
@@ -23,7 +23,7 @@
 // awaitAccepted waits until the front has a second connection.
 func awaitAccepted(t *testing.T, f *Front, other *Conn) (accepted *Conn) {
 	t.Helper()
-	for until := time.Now().Add(peer.Patience); accepted == nil; {
+	for until := time.Now().Add(peer.Timeout); accepted == nil; {
 		onLoop(f.loop, func() {
 			if i := slices.IndexFunc(f.conns, func(c *Conn) bool { return c != other }); i >= 0 {
 				accepted = f.conns[i]
@@ -58,13 +58,13 @@
 	if err := caller.SetUp(unsentCallID, 9*time.Second, 0, "x"); err != nil {
 		t.Fatal(err)
 	}
-	for accepted, until := false, time.Now().Add(peer.Patience); !accepted; onLoop(f.loop, func() { accepted = core.pending[first] == 1 }) {
+	for accepted, until := false, time.Now().Add(peer.Timeout); !accepted; onLoop(f.loop, func() { accepted = core.pending[first] == 1 }) {
 		if time.Now().After(until) {
 			t.Fatal("the set-up is never accepted")
 		}
 	}
-	onLoop(f.loop, func() { f.Limit(2) })
-	newest, err := peer.Call("tcp", f.Address())
+	onLoop(f.loop, func() { f.SetMaxConnections(2) })
+	newest, err := peer.DialCaller("tcp", f.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 		if err := first.Answer(unsentCallID, "y"); err != nil {
 			t.Error(err)
 		}
-		f.Limit(1)
+		f.SetMaxConnections(1)
 		f.evict(second)
 		if first.closed || !second.overflow {
 			t.Errorf("closed: %v; overflow of the new connection: %v", first.closed, second.overflow)
@@ -103,7 +103,7 @@
 		c.receivedRequest = true
 		c.extendAnswerDeadline(time.Now().Add(time.Minute))
 		c.End(unsentCallID, call.End{Cause: call.CauseNormal, Reason: call.ReasonEnded})
-		if f.Squeeze(); !c.closed {
+		if f.EvictOne(); !c.closed {
 			t.Error("the connection was not evicted")
 		}
 	})
@@ -120,7 +120,7 @@
 				h := newHarness(t, initialState{})
 				stays, want := false, after < callTimeout
 				evict := scenarioStep{'-', "a connection is evicted", func(h *harness) bool {
-					h.front.Squeeze()
+					h.front.EvictOne()
 					c, ok := h.callConn.handler.(*Conn)
 					stays = ok && !c.closed
 					return true
@@ -180,7 +180,7 @@
 			f := newSmallFront(t, resumeCore{newStubCore()})
 			_, c := connect(t, f, 1)
 			onLoop(f.loop, func() {
-				f.rules.ResumeLines(true)
+				f.rules.SetResumeOverLines(true)
 				fillSocket(t, c)
 				at := time.Now()
 				fields := map[string]jsonl.Value{}
--- a/internal/callers/websocket.go
+++ b/internal/callers/websocket.go
@@ -47,7 +47,7 @@
 		case websocket.Text:
 			message, err := jsonl.Parse(m.Payload)
 			if err != nil {
-				return nil, errors.Join(&websocket.Error{Code: websocket.BadData, Text: "unreadable message"}, err)
+				return nil, errors.Join(&websocket.Error{Code: websocket.InvalidPayload, Text: "unreadable message"}, err)
 			}
 			return message, nil
 		}
@@ -62,13 +62,13 @@
 	return websocket.Append(nil, websocket.Text, text, false)
 }
 
-// Bye returns a close frame with the code for the error.
-func (w *WebSocket) Bye(err error) []byte {
+// ClosingMessage returns a close frame with the code for the error.
+func (w *WebSocket) ClosingMessage(err error) []byte {
 	if !w.open {
 		return nil // the response to the handshake was the last message
 	}
 	return websocket.AppendClose(nil, websocket.CloseCode(err), "", false)
 }
 
-// NamesErrors returns true: releases contain the error name of the API.
-func (w *WebSocket) NamesErrors() bool { return true }
+// HasErrorField returns true: releases contain the error name of the API.
+func (w *WebSocket) HasErrorField() bool { return true }
