--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -24,10 +24,10 @@
 
 // Sample holds the figures of one repetition of a measurement at one size, or the error that made it fail.
 type Sample struct {
-	Size    int      `json:"size"`
-	Play    int      `json:"play"`
-	Figures []Figure `json:"figures,omitempty"`
-	Error   string   `json:"error,omitempty"`
+	Size       int      `json:"size"`
+	Repetition int      `json:"play"`
+	Figures    []Figure `json:"figures,omitempty"`
+	Error      string   `json:"error,omitempty"`
 }
 
 // Measurement describes one kind of measurement and the function that carries it out.
@@ -156,7 +156,7 @@
 		return Sample{}, fmt.Errorf("capacity: %w", err)
 	}
 	b := &bench{program: program, directory: directory, window: o.window, sockets: o.sockets, budget: runBudget}
-	s := Sample{Size: size, Play: repetition}
+	s := Sample{Size: size, Repetition: repetition}
 	s.Figures, err = m.measure(ctx, b, size)
 	if cause := context.Cause(ctx); cause != nil {
 		return s, cause //nolint:wrapcheck // an exceeded budget or an interrupt
@@ -196,7 +196,7 @@
 
 // printProgress writes a sample as one line.
 func printProgress(out io.Writer, s Sample) {
-	fmt.Fprintf(out, "size %d, play %d:", s.Size, s.Play)
+	fmt.Fprintf(out, "size %d, play %d:", s.Size, s.Repetition)
 	for _, f := range s.Figures {
 		fmt.Fprintf(out, " %s %.4g %s;", f.Name, f.Value, f.Unit)
 	}
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -44,7 +44,7 @@
 		var samples []Sample
 		for repetition := range rapid.IntRange(1, 3).Draw(t, "plays") {
 			for _, size := range sizes {
-				samples = append(samples, Sample{Size: size, Play: repetition + 1, Figures: []Figure{{"f", "", line.At(float64(size))}}})
+				samples = append(samples, Sample{Size: size, Repetition: repetition + 1, Figures: []Figure{{"f", "", line.At(float64(size))}}})
 			}
 		}
 		samples = rapid.Permutation(samples).Draw(t, "order")
@@ -62,7 +62,7 @@
 		var samples []Sample
 		for repetition := range rapid.IntRange(1, 4).Draw(t, "plays") {
 			for _, size := range sizes {
-				samples = append(samples, Sample{Size: size, Play: repetition, Figures: []Figure{{"f", "", rapid.Float64Range(0, 1000).Draw(t, "value")}}})
+				samples = append(samples, Sample{Size: size, Repetition: repetition, Figures: []Figure{{"f", "", rapid.Float64Range(0, 1000).Draw(t, "value")}}})
 			}
 		}
 		f := fitAll(samples)[0]
@@ -75,8 +75,8 @@
 
 func TestFitSkipsFailedSamples(t *testing.T) {
 	samples := []Sample{
-		{Size: 10, Play: 1, Figures: []Figure{{"a", "MB", 20}}}, {Size: 20, Play: 1, Error: "no"},
-		{Size: 30, Play: 1, Figures: []Figure{{"a", "MB", 60}, {"b", "", 1}}},
+		{Size: 10, Repetition: 1, Figures: []Figure{{"a", "MB", 20}}}, {Size: 20, Repetition: 1, Error: "no"},
+		{Size: 30, Repetition: 1, Figures: []Figure{{"a", "MB", 60}, {"b", "", 1}}},
 	}
 	all := fitAll(samples)
 	if len(all) != 2 || all[0].Figure != "a" || !approxEqual(all[0].Slope, 2) || all[1].Figure != "b" || all[0].Sizes != (Range{10, 30}) {
--- a/internal/capacity/command.go
+++ b/internal/capacity/command.go
@@ -152,7 +152,7 @@
 	_ = w.Flush() // a failed write to the output cannot be reported there
 	for _, s := range r.Samples {
 		if s.Error != "" {
-			fmt.Fprintf(out, "size %d, play %d failed: %s\n", s.Size, s.Play, s.Error)
+			fmt.Fprintf(out, "size %d, play %d failed: %s\n", s.Size, s.Repetition, s.Error)
 		}
 	}
 }
--- a/internal/capacity/controller.go
+++ b/internal/capacity/controller.go
@@ -71,11 +71,11 @@
 
 // startController starts a controller without waiting until it is ready.
 func (b *bench) startController(ctx context.Context, s controllerOptions) (*controller, error) {
-	listenAddress, err := peer.Free()
+	listenAddress, err := peer.FreeAddress()
 	if err != nil {
 		return nil, err //nolint:wrapcheck // the error names its operation
 	}
-	management, err := peer.Free()
+	management, err := peer.FreeAddress()
 	if err != nil {
 		return nil, err //nolint:wrapcheck // the error names its operation
 	}
--- a/internal/capacity/dispatchers.go
+++ b/internal/capacity/dispatchers.go
@@ -98,7 +98,7 @@
 
 // serve answers the messages on a connection until it is closed.
 func (d *dispatchers) serve(conn net.Conn) {
-	state := sip.Append(nil, &sip.Message{Method: "NOTIFY", URI: "sip:state@net", CallID: "state", Seq: 1, SeqOf: "NOTIFY",
+	state := sip.Append(nil, &sip.Message{Method: "NOTIFY", URI: "sip:state@net", CallID: "state", Seq: 1, SeqMethod: "NOTIFY",
 		Headers: []sip.Header{{Name: "P-Report", Value: reportedState}}})
 	if _, err := conn.Write(state); err != nil {
 		return
@@ -154,7 +154,7 @@
 
 // sendReport sends an unsolicited state report on a connection. The reported state varies with number.
 func sendReport(conn net.Conn, number int) error {
-	text := sip.Append(nil, &sip.Message{Method: "NOTIFY", URI: "sip:state@net", CallID: "state", Seq: 1, SeqOf: "NOTIFY",
+	text := sip.Append(nil, &sip.Message{Method: "NOTIFY", URI: "sip:state@net", CallID: "state", Seq: 1, SeqMethod: "NOTIFY",
 		Headers: []sip.Header{{Name: "P-Report", Value: fmt.Sprintf("x0:%d;x1:1000000", 1_000_000-number%1000)}}})
 	_, err := conn.Write(text)
 	return err //nolint:wrapcheck // the error names its operation
@@ -169,7 +169,7 @@
 
 // answer returns the encoded reply to a message, or nil if it needs none.
 func (d *dispatchers) answer(m *sip.Message) []byte {
-	reply := &sip.Message{Status: 200, Phrase: "OK", CallID: m.CallID, Seq: m.Seq, SeqOf: m.Method}
+	reply := &sip.Message{Status: 200, Phrase: "OK", CallID: m.CallID, Seq: m.Seq, SeqMethod: m.Method}
 	switch m.Method {
 	case "INVITE":
 		d.setUps.Add(1)
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -48,13 +48,13 @@
 
 // Fit is the line fitted to one figure over all repetitions, with the spread between the single repetitions.
 type Fit struct {
-	Figure string  `json:"figure"`
-	Unit   string  `json:"unit"`
-	Slope  float64 `json:"slope"`
-	Offset float64 `json:"offset"`
-	Spread Range   `json:"spread"` // slopes of the single repetitions
-	Sizes  Range   `json:"sizes"`
-	Plays  int     `json:"plays"`
+	Figure      string  `json:"figure"`
+	Unit        string  `json:"unit"`
+	Slope       float64 `json:"slope"`
+	Offset      float64 `json:"offset"`
+	Spread      Range   `json:"spread"` // slopes of the single repetitions
+	Sizes       Range   `json:"sizes"`
+	Repetitions int     `json:"plays"`
 	// Residual is the greatest distance of a sample from the line, relative to the value of the line at the greatest size.
 	Residual float64 `json:"residual"`
 	AtSizes  []Row   `json:"at_sizes"`
@@ -91,12 +91,12 @@
 			}
 			p := point{float64(s.Size), f.Value}
 			points = append(points, p)
-			byPlay[s.Play] = append(byPlay[s.Play], p)
+			byPlay[s.Repetition] = append(byPlay[s.Repetition], p)
 			bySize[s.Size] = append(bySize[s.Size], f.Value)
 		}
 	}
 	line := leastSquares(points)
-	result := Fit{Figure: figure.Name, Unit: figure.Unit, Slope: line.Slope, Offset: line.Offset, Plays: len(byPlay)}
+	result := Fit{Figure: figure.Name, Unit: figure.Unit, Slope: line.Slope, Offset: line.Offset, Repetitions: len(byPlay)}
 	var slopes, sizes []float64
 	for _, ps := range byPlay {
 		slopes = append(slopes, leastSquares(ps).Slope)
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, err //nolint:wrapcheck // the error names its operation
 	}
-	f.address, err = f.net.Between("members", "store", own)
+	f.address, err = f.net.AddLink("members", "store", own)
 	return f, err //nolint:wrapcheck // the error names its operation
 }
 
@@ -59,7 +59,7 @@
 		return err //nolint:wrapcheck // the error names its operation
 	}
 	m := membership.Start(client, membership.Options{Name: name, Address: "127.0.0.1:5060", Prefix: keyPrefix, Lease: leaseTime}, slog.New(slog.DiscardHandler))
-	m.Say(members.Serving)
+	m.SetState(members.Serving)
 	f.members, f.clients = append(f.members, m), append(f.clients, client)
 	return nil
 }
@@ -69,7 +69,7 @@
 	next := 0 // members before this index see all members
 	return waitUntil(ctx, joinTimeout, 2*time.Millisecond, func() bool {
 		for ; next < len(f.members); next++ {
-			if v := f.members[next].Show(); !v.Certain || len(v.Members)+v.More != len(f.members) {
+			if v := f.members[next].Status(); !v.HoldsLease || len(v.Members)+v.OmittedMembers != len(f.members) {
 				return false
 			}
 		}
@@ -91,7 +91,7 @@
 
 // bytesPassed returns the bytes transferred between the members and the store, in both directions.
 func (f *fleet) bytesPassed() int64 {
-	sent, received := f.net.Passed(storeLink)
+	sent, received := f.net.ForwardedBytes(storeLink)
 	return sent + received
 }
 
@@ -122,7 +122,7 @@
 	if err := pause(ctx, b.settleTime()); err != nil {
 		return nil, err
 	}
-	requests, bytes, cpu := f.store.Counts().Sum(), f.bytesPassed(), ownCPUTime()
+	requests, bytes, cpu := f.store.Counts().Total(), f.bytesPassed(), ownCPUTime()
 	if err := pause(ctx, b.window); err != nil {
 		return nil, err
 	}
@@ -130,7 +130,7 @@
 	figures := []Figure{
 		{"all see all after", "s", joined.Seconds()},
 		{"bytes until all see all", "", float64(joinBytes)},
-		{"requests at the store", "a second", float64(f.store.Counts().Sum()-requests) / seconds},
+		{"requests at the store", "a second", float64(f.store.Counts().Total()-requests) / seconds},
 		{"bytes", "a second", float64(f.bytesPassed()-bytes) / seconds},
 		{"processor, store and members together", "% of a core", 100 * (ownCPUTime() - cpu).Seconds() / seconds},
 	}
@@ -186,12 +186,12 @@
 	if err != nil {
 		return nil, err
 	}
-	var shown takeover.Shown
+	var shown takeover.Status
 	_, text, err := c.get(ctx, takeover.Path)
 	if err := errors.Join(err, json.Unmarshal(text, &shown)); err != nil {
 		return nil, err
 	}
-	return c.withResourceUsage([]Figure{{"processor", "% of a core", share}, {"a look takes", "ms", float64(shown.LookMs)}, {"ledgers taken that live", "", float64(shown.Sealed)}})
+	return c.withResourceUsage([]Figure{{"processor", "% of a core", share}, {"a look takes", "ms", float64(shown.ScanMs)}, {"ledgers taken that live", "", float64(shown.Sealed)}})
 }
 
 // lostController is the name of the controller whose ledger is taken over.
@@ -263,7 +263,7 @@
 	defer c.stop()
 	start := time.Now()
 	sealed, taken := time.Duration(0), time.Duration(0)
-	var shown takeover.Shown
+	var shown takeover.Status
 	used, _, err := c.cpuDuring(func() error {
 		return waitUntil(ctx, time.Minute, 5*time.Millisecond, func() bool {
 			_, text, err := c.get(ctx, takeover.Path)
@@ -274,17 +274,17 @@
 				sealed = time.Since(start)
 			}
 			taken = time.Since(start)
-			return c.hasEnded() || int(shown.Found+shown.Left) >= size
+			return c.hasEnded() || int(shown.Found+shown.Expired) >= size
 		})
 	})
 	if err != nil {
-		return nil, fmt.Errorf("%w; %d of %d calls taken over, %d steps failed, last log line: %s", err, shown.Left, size, shown.Failed, c.lastLogLine())
+		return nil, fmt.Errorf("%w; %d of %d calls taken over, %d steps failed, last log line: %s", err, shown.Expired, size, shown.Failed, c.lastLogLine())
 	}
 	if c.hasEnded() {
 		return nil, fmt.Errorf("capacity: the controller exited: %s", strings.TrimSpace(c.lastLogLine()))
 	}
 	var longestMs int64
-	for _, t := range shown.Told {
+	for _, t := range shown.Takeovers {
 		longestMs = max(longestMs, t.TookMs)
 	}
 	return c.withResourceUsage([]Figure{
--- a/internal/capacity/lists.go
+++ b/internal/capacity/lists.go
@@ -141,7 +141,7 @@
 	}
 	var addresses []string
 	for _, d := range unreachable {
-		defer d.Die()
+		defer d.Kill()
 		addresses = append(addresses, d.Address())
 	}
 	return b.measureUnreachable(ctx, addresses, func() error { return pause(ctx, b.window) })
@@ -157,7 +157,7 @@
 	for i := range n {
 		slots <- struct{}{}
 		opening.Go(func() {
-			all[i], errs[i] = peer.DispatchLate("tcp", reportedState)
+			all[i], errs[i] = peer.NewFullBacklogDispatcher("tcp", reportedState)
 			<-slots
 		})
 	}
@@ -248,7 +248,7 @@
 		members = append(members, pool.Member{Address: address, ServerEntry: control.ServerEntry{
 			ID: control.ServerID(fmt.Sprint("s", i)), Cell: i % cells, Weight: 1, StartedAt: time.Hour}})
 	}
-	text := poolfile.Write("v1", members)
+	text := poolfile.Encode("v1", members)
 	if err := os.WriteFile(filepath.Join(b.directory, "pool.ini"), text, 0o600); err != nil {
 		return nil, fmt.Errorf("capacity: %w", err)
 	}
--- a/internal/capacity/load.go
+++ b/internal/capacity/load.go
@@ -51,7 +51,7 @@
 // connect opens the connections of the callers.
 func (l *load) connect(address string) error {
 	for range callerConnections {
-		c, err := peer.Call("tcp", address)
+		c, err := peer.DialCaller("tcp", address)
 		if err != nil {
 			l.close()
 			return err //nolint:wrapcheck // the error names its operation
--- a/internal/capacity/loop.go
+++ b/internal/capacity/loop.go
@@ -23,7 +23,7 @@
 
 // startLoopWatch starts to ping the listener for callers, where the event loop sends every reply.
 func startLoopWatch(address string) (*loopWatch, error) {
-	c, err := peer.Call("tcp", address)
+	c, err := peer.DialCaller("tcp", address)
 	if err != nil {
 		return nil, err //nolint:wrapcheck // the error names its operation
 	}
@@ -46,7 +46,7 @@
 		if w.ping(c) != nil {
 			_ = c.Close() // the controller has closed it
 			var err error
-			if c, err = peer.Call("tcp", w.address); err != nil {
+			if c, err = peer.DialCaller("tcp", w.address); err != nil {
 				return // the controller has ended
 			}
 			continue
--- a/internal/commands/commands.go
+++ b/internal/commands/commands.go
@@ -21,9 +21,9 @@
 
 // Exit statuses.
 const (
-	Yes      = 0
-	No       = 1 // the check or the command failed; the reasons are on standard error
-	WrongUse = 2
+	ExitSuccess = 0
+	ExitFailure = 1 // the check or the command failed; the reasons are on standard error
+	ExitUsage   = 2
 )
 
 // commandError is the error of a command that has run, as opposed to a wrong use of the command line.
@@ -42,14 +42,14 @@
 	var failure commandError
 	switch {
 	case err == nil:
-		return Yes
+		return ExitSuccess
 	case errors.As(err, &failure):
 		fmt.Fprintln(errOut, "cherryrelay:", err)
-		return No
+		return ExitFailure
 	}
 	fmt.Fprintln(errOut, "cherryrelay:", err)
 	fmt.Fprintln(errOut, "see cherryrelay --help")
-	return WrongUse
+	return ExitUsage
 }
 
 // withExitFailure wraps the errors of a command, so that the exit status is that of a failure and not that of a wrong use.
--- a/internal/commands/fleet.go
+++ b/internal/commands/fleet.go
@@ -45,20 +45,20 @@
 // millis converts milliseconds to a duration.
 func millis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-func printTakeovers(out io.Writer, s takeover.Shown) error {
+func printTakeovers(out io.Writer, s takeover.Status) error {
 	fmt.Fprintf(out, "%d ledgers taken over; calls: %d resumed, %d not resumed, %d transferred, %d unknown; %d ends reported for others; %d failed operations; %d pending lookups; last scan took %v\n",
-		s.Sealed, s.Found, s.Left, s.Given, s.Unknown, s.Ends, s.Failed, s.Waiting, millis(s.LookMs))
-	if len(s.Told) == 0 {
+		s.Sealed, s.Found, s.Expired, s.Transferred, s.NotFound, s.RemoteEnds, s.Failed, s.PendingLookups, millis(s.ScanMs))
+	if len(s.Takeovers) == 0 {
 		return nil
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "time\tcontroller\tcalls\tduration\tstate of its process")
-	for _, t := range s.Told {
+	for _, t := range s.Takeovers {
 		state := "dead"
 		switch {
-		case t.From != "" && t.From != t.Name:
-			state = "taken over before by " + t.From + ", which has failed as well"
-		case t.Held:
+		case t.PreviousClaimant != "" && t.PreviousClaimant != t.Name:
+			state = "taken over before by " + t.PreviousClaimant + ", which has failed as well"
+		case t.OwnerMayLive:
 			state = "possibly alive: paused, or disconnected from the store"
 		}
 		fmt.Fprintf(table, "%s\t%s\t%d\t%v\t%s\n", t.At.Format(time.DateTime), t.Name, t.Calls, millis(t.TookMs), state)
@@ -66,16 +66,16 @@
 	return table.Flush() //nolint:wrapcheck // the error names its operation
 }
 
-func printFleet(out io.Writer, s membership.Shown) error {
+func printFleet(out io.Writer, s membership.Status) error {
 	switch {
-	case s.Certain:
-		fmt.Fprintf(out, "%s is %s as incarnation %d, holds its lease for another %v\n", s.Name, s.State, s.Incarnation, millis(s.LeftMs))
+	case s.HoldsLease:
+		fmt.Fprintf(out, "%s is %s as incarnation %d, holds its lease for another %v\n", s.Name, s.State, s.Incarnation, millis(s.LeaseRemainingMs))
 	case s.Holder != "":
 		fmt.Fprintf(out, "%s cannot join: its name is in use by %s\n", s.Name, s.Holder)
 	default:
 		fmt.Fprintf(out, "%s is %s, and does not hold its lease\n", s.Name, s.State)
 	}
-	if !s.Known {
+	if !s.MembersRead {
 		fmt.Fprintln(out, "the members have not been read yet")
 		return nil
 	}
@@ -83,7 +83,7 @@
 	if s.Actable {
 		usability = "fresh enough to act on"
 	}
-	fmt.Fprintf(out, "the view is at most %v old, %s; revision %d, lease %v\n", millis(s.AgeMs), usability, s.Revision, millis(s.LeaseMs))
+	fmt.Fprintf(out, "the view is at most %v old, %s; revision %d, lease %v\n", millis(s.ViewAgeMs), usability, s.Revision, millis(s.LeaseMs))
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "name\tincarnation\tstate\taddress\tknown for\tgone for")
 	for _, m := range s.Members {
@@ -92,8 +92,8 @@
 	for _, m := range s.Gone {
 		fmt.Fprintf(table, "%s\t%d\t%s\t%s\t%v\t%v\n", m.Name, m.Incarnation, m.State, m.Address, millis(m.KnownMs), millis(m.GoneMs))
 	}
-	if s.More > 0 {
-		fmt.Fprintf(table, "and %d more\n", s.More)
+	if s.OmittedMembers > 0 {
+		fmt.Fprintf(table, "and %d more\n", s.OmittedMembers)
 	}
 	return table.Flush() //nolint:wrapcheck // the error names its operation
 }
--- a/internal/commands/ledger.go
+++ b/internal/commands/ledger.go
@@ -50,7 +50,7 @@
 	if f.keyFile == "" {
 		return nil, nil
 	}
-	key, err := files.Key(f.keyFile)
+	key, err := files.ReadKey(f.keyFile)
 	if err != nil {
 		return nil, fmt.Errorf("key: %w", err)
 	}
--- a/internal/commands/pool.go
+++ b/internal/commands/pool.go
@@ -54,11 +54,11 @@
 	}
 	var key []byte
 	if keyFile != "" {
-		if key, err = files.Key(keyFile); err != nil {
+		if key, err = files.ReadKey(keyFile); err != nil {
 			return pool.Candidate{}, nil, fmt.Errorf("key: %w", err)
 		}
 	}
-	c := poolfile.Read(text, key)
+	c := poolfile.Parse(text, key)
 	return c, pool.Check(clock(), &c), nil
 }
 
@@ -118,7 +118,7 @@
 		Use: "seal FILE --key-file KEY", Short: "Add the MAC to a pool file, or replace it", Args: cobra.ExactArgs(1),
 		Long: "Checks the file and replaces it with a sealed one by a single rename, so that a controller that watches it sees a single change.",
 		RunE: withExitFailure(func(c *cobra.Command, args []string) error {
-			key, err := files.Key(keyFile)
+			key, err := files.ReadKey(keyFile)
 			if err != nil {
 				return fmt.Errorf("key: %w", err)
 			}
@@ -130,7 +130,7 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			set := poolfile.Read(sealed, key)
+			set := poolfile.Parse(sealed, key)
 			if faults := pool.Check(clock(), &set); len(faults) > 0 {
 				return fmt.Errorf("%s is not sealed: %v (faults: %d)", args[0], faults[0], len(faults))
 			}
@@ -387,9 +387,9 @@
 		fmt.Fprintf(out, "active for %v, stored: %s %s\n", (time.Duration(s.AgeMs) * time.Millisecond).Round(time.Second), s.Stored, s.NotSaved)
 		printVersion(out, s.Version)
 	}
-	if s.Trouble != nil {
+	if s.LastRefused != nil {
 		fmt.Fprintln(out, "the latest candidate was refused:")
-		printVersion(out, s.Trouble)
+		printVersion(out, s.LastRefused)
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "name\taddress\tzone\tgroup\tstatus\tweight\tsince")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -170,13 +170,13 @@
 		return c
 	}
 	base, extended := read("", ""), read(`"sockets"`, `"cores": 0.25, "sockets"`)
-	if err := extended.Follow(base); err != nil {
+	if err := extended.CheckReplacement(base); err != nil {
 		t.Errorf("configuration with an additional key: %v", err)
 	}
-	if err := base.Follow(extended); err == nil || !strings.Contains(err.Error(), "limits.cores") {
+	if err := base.CheckReplacement(extended); err == nil || !strings.Contains(err.Error(), "limits.cores") {
 		t.Errorf("configuration without a key: error %v, want one that names limits.cores", err)
 	}
-	if err := read(`"updates"`, `"later": [], "updates"`).Follow(read(`"updates"`, `"other": [], "updates"`)); err != nil {
+	if err := read(`"updates"`, `"later": [], "updates"`).CheckReplacement(read(`"updates"`, `"other": [], "updates"`)); err != nil {
 		t.Errorf("configuration with other known dispatchers: %v", err)
 	}
 }
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -77,9 +77,9 @@
 	return ""
 }
 
-// Follow returns an error if the configuration must not replace the previous one: a key that the previous one has and this
+// CheckReplacement returns an error if the configuration must not replace the previous one: a key that the previous one has and this
 // one lacks shows that the file was truncated or damaged. The dispatchers known at the start may differ.
-func (c *Config) Follow(previous *Config) error {
+func (c *Config) CheckReplacement(previous *Config) error {
 	for _, path := range slices.Sorted(maps.Keys(previous.keys)) {
 		if !c.keys[path] && !strings.HasPrefix(path, "known.") && !strings.HasSuffix(path, "[]") {
 			return fmt.Errorf("configuration: %s is missing, but the previous configuration has it", path)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -45,26 +45,26 @@
 
 // Ledger configures how the state of calls is stored to survive a restart.
 type Ledger struct {
-	Directory string `json:"directory"`
-	KeyFile   string `json:"key_file"`   // file with the key for the MAC of the records; empty for no MAC
-	Sync      string `json:"sync"`       // none, interval or always
-	SegmentMB int64  `json:"segment_mb"` // size of a segment; 0 for the default
-	MostMB    int64  `json:"most_mb"`    // limit on the size of the ledger; 0 for the default
-	OnFailure string `json:"on_failure"` // serve or refuse
-	Lines     bool   `json:"lines"`      // whether calls can be resumed over JSON lines, too
+	Directory           string `json:"directory"`
+	KeyFile             string `json:"key_file"`   // file with the key for the MAC of the records; empty for no MAC
+	Sync                string `json:"sync"`       // none, interval or always
+	SegmentMB           int64  `json:"segment_mb"` // size of a segment; 0 for the default
+	MaxMB               int64  `json:"most_mb"`    // limit on the size of the ledger; 0 for the default
+	OnFailure           string `json:"on_failure"` // serve or refuse
+	ResumeOverJSONLines bool   `json:"lines"`      // whether calls can be resumed over JSON lines, too
 }
 
-// Syncs maps the values of the key sync to the sync modes of the ledger.
-var Syncs = map[string]ledger.Sync{"": ledger.SyncNone, "none": ledger.SyncNone, "interval": ledger.SyncInterval, "always": ledger.SyncAlways}
+// SyncModes maps the values of the key sync to the sync modes of the ledger.
+var SyncModes = map[string]ledger.Sync{"": ledger.SyncNone, "none": ledger.SyncNone, "interval": ledger.SyncInterval, "always": ledger.SyncAlways}
 
 func (l *Ledger) check() error {
-	_, known := Syncs[l.Sync]
+	_, known := SyncModes[l.Sync]
 	switch {
 	case l.Directory == "":
 		return errors.New("ledger.directory: no directory is given")
 	case !known:
 		return fmt.Errorf("ledger.sync: %q is none of none, interval and always", l.Sync)
-	case l.SegmentMB < 0 || l.MostMB < 0 || l.MostMB > 0 && l.MostMB < 4*max(l.SegmentMB, ledger.DefaultSegmentSize>>20):
+	case l.SegmentMB < 0 || l.MaxMB < 0 || l.MaxMB > 0 && l.MaxMB < 4*max(l.SegmentMB, ledger.DefaultSegmentSize>>20):
 		return errors.New("ledger.most_mb: it must be at least four times segment_mb")
 	case l.OnFailure != "" && l.OnFailure != "serve" && l.OnFailure != "refuse":
 		return fmt.Errorf("ledger.on_failure: %q is neither serve nor refuse", l.OnFailure)
@@ -100,8 +100,8 @@
 	switch {
 	case f.Prefix == "":
 		return errors.New("fleet.prefix: no prefix is given")
-	case f.Lease() < membership.LeastLease || f.Lease() > membership.MostLease:
-		return fmt.Errorf("fleet.lease_ms: %d is not between %d and %d", f.LeaseMs, membership.LeastLease.Milliseconds(), membership.MostLease.Milliseconds())
+	case f.Lease() < membership.MinLease || f.Lease() > membership.MaxLease:
+		return fmt.Errorf("fleet.lease_ms: %d is not between %d and %d", f.LeaseMs, membership.MinLease.Milliseconds(), membership.MaxLease.Milliseconds())
 	case name == "" || strings.Contains(name, "/"):
 		return fmt.Errorf("fleet: the controller's name %.40q must not be empty or contain a slash, as it ends its key", name)
 	case f.Ledgers != "" && l == nil:
@@ -114,15 +114,15 @@
 
 // Subset configures to how many of the listed dispatchers this controller connects. docs/subset.md describes the keys.
 type Subset struct {
-	Size    int    `json:"size"`     // dispatchers in the subset; 0 for the default
-	Most    int    `json:"most"`     // dispatchers in the subset after growth; 0 for the default
-	Zone    string `json:"zone"`     // zone whose dispatchers are preferred; empty for none
-	QuietMs int64  `json:"quiet_ms"` // time without a need for growth until a grown subset shrinks; 0 for the default
+	Size          int    `json:"size"`     // dispatchers in the subset; 0 for the default
+	MaxSize       int    `json:"most"`     // dispatchers in the subset after growth; 0 for the default
+	Zone          string `json:"zone"`     // zone whose dispatchers are preferred; empty for none
+	ShrinkAfterMs int64  `json:"quiet_ms"` // time without a need for growth until a grown subset shrinks; 0 for the default
 }
 
 // Options returns the options of the subset of a controller.
 func (s *Subset) Options(controller string) subset.Options {
-	return subset.Options{Identity: controller, Zone: s.Zone, Size: s.Size, GrowthLimit: s.Most, ShrinkAfter: time.Duration(s.QuietMs) * time.Millisecond}
+	return subset.Options{Identity: controller, Zone: s.Zone, Size: s.Size, GrowthLimit: s.MaxSize, ShrinkAfter: time.Duration(s.ShrinkAfterMs) * time.Millisecond}
 }
 
 const (
@@ -131,24 +131,24 @@
 	listedBytes = 4 << 10
 	// listShare is the share of the memory that the list may use.
 	listShare = 0.75
-	// MostListed limits the dispatchers on a list. It is the only limit if the memory is not limited.
-	MostListed = 100_000
+	// MaxListed limits the dispatchers on a list. It is the only limit if the memory is not limited.
+	MaxListed = 100_000
 )
 
-// ListBound returns the maximum number of dispatchers on a list, for a limit on the memory in bytes; 0 is no limit.
-func (s *Subset) ListBound(memory int64) int {
+// ListLimit returns the maximum number of dispatchers on a list, for a limit on the memory in bytes; 0 is no limit.
+func (s *Subset) ListLimit(memory int64) int {
 	if memory <= 0 {
-		return MostListed
+		return MaxListed
 	}
-	return min(int(listShare*float64(memory)/listedBytes), MostListed)
+	return min(int(listShare*float64(memory)/listedBytes), MaxListed)
 }
 
 func (s *Subset) check(controller string) error {
 	if controller == "" {
 		return errors.New("subset: the controller has no name, which the choice of dispatchers depends on")
 	}
-	if s.QuietMs > maxQuietMs {
-		return fmt.Errorf("subset.quiet_ms: %d is above %d, which is a day", s.QuietMs, maxQuietMs)
+	if s.ShrinkAfterMs > maxQuietMs {
+		return fmt.Errorf("subset.quiet_ms: %d is above %d, which is a day", s.ShrinkAfterMs, maxQuietMs)
 	}
 	if err := s.Options(controller).Check(); err != nil {
 		return fmt.Errorf("subset.%w", err)
@@ -176,7 +176,7 @@
 		}
 	}
 	if o.Etcd != nil {
-		if err := o.Etcd.Check(); err != nil {
+		if err := o.Etcd.Validate(); err != nil {
 			return err //nolint:wrapcheck // the error names the key
 		}
 	}
@@ -282,11 +282,11 @@
 }
 
 func (o *operatorReader) readSection(s *inifile.Section) {
-	if name, ok := s.Named("class"); ok {
+	if name, ok := s.NameAfter("class"); ok {
 		o.readClass(s, name)
 		return
 	}
-	if name, ok := s.Named("tenant"); ok {
+	if name, ok := s.NameAfter("tenant"); ok {
 		o.readTenant(s, name)
 		return
 	}
--- a/internal/conn/accept.go
+++ b/internal/conn/accept.go
@@ -103,7 +103,7 @@
 			} else {
 				l.lingering = l.lingering[1:]
 				l.mu.Unlock()
-				oldest.Abort(ErrClosedHere)
+				oldest.Abort(ErrClosedLocally)
 				l.mu.Lock()
 				continue
 			}
@@ -152,8 +152,8 @@
 	return err == nil && n > 0
 }
 
-// Waiting reports whether connections wait to be accepted. It must be called on the event loop.
-func (l *Listener) Waiting() bool { return l.accepting != nil && l.accepting.hasBacklog() }
+// HasBacklog reports whether connections wait to be accepted. It must be called on the event loop.
+func (l *Listener) HasBacklog() bool { return l.accepting != nil && l.accepting.hasBacklog() }
 
 // lastReceiveTime returns when the socket last received data, or the zero time if no input is readable or the kernel does not report it.
 func lastReceiveTime(fd int) time.Time {
--- a/internal/conn/close.go
+++ b/internal/conn/close.go
@@ -21,11 +21,11 @@
 	maxDiscarded = 8 << 20
 )
 
-// Releaser is a Handler that is notified on the event loop when the connection has released its descriptor, possibly after Closed.
-type Releaser interface{ Released() }
+// SocketCloseHandler is a Handler that is notified on the event loop when the connection has released its descriptor, possibly after Closed.
+type SocketCloseHandler interface{ SocketClosed() }
 
-// Breaker is a Handler that can write closing messages before its connection is closed for a fault that this package has detected.
-type Breaker interface{ Broken(reason error) }
+// FaultHandler is a Handler that can write closing messages before its connection is closed for a fault that this package has detected.
+type FaultHandler interface{ Faulted(reason error) }
 
 // Close closes the connection. The handler is notified of the reason in this or a later event loop iteration.
 //
@@ -149,8 +149,8 @@
 	if !flood {
 		return
 	}
-	if h, ok := c.handler.(Breaker); ok {
-		h.Broken(ErrFlood)
+	if h, ok := c.handler.(FaultHandler); ok {
+		h.Faulted(ErrFlood)
 	}
 	c.Close(ErrFlood)
 }
@@ -161,8 +161,8 @@
 		c.listener.removeConn(c)
 	}
 	c.loop.Post(func() {
-		if h, ok := c.handler.(Releaser); ok {
-			h.Released()
+		if h, ok := c.handler.(SocketCloseHandler); ok {
+			h.SocketClosed()
 		}
 	})
 }
--- a/internal/conn/close_test.go
+++ b/internal/conn/close_test.go
@@ -89,9 +89,9 @@
 // waitForSocketCount waits until the listener's connections hold n descriptors.
 func waitForSocketCount(t *testing.T, l *Listener, n int, timeout time.Duration) {
 	t.Helper()
-	for start := time.Now(); l.Held() != n; time.Sleep(time.Millisecond) {
+	for start := time.Now(); l.SocketCount() != n; time.Sleep(time.Millisecond) {
 		if time.Since(start) > timeout {
-			t.Fatalf("the connections hold %d descriptors after %v, want %d", l.Held(), timeout, n)
+			t.Fatalf("the connections hold %d descriptors after %v, want %d", l.SocketCount(), timeout, n)
 		}
 	}
 }
@@ -182,7 +182,7 @@
 	defer file.Close()
 	fd := int(file.Fd())
 	c := newConn(make(fakeLoop, 16), stubPolledConnection{fd: fd, reader: netpoll.NewLinkBuffer()})
-	if !c.AllTaken() || !c.Quiet() {
+	if !c.AllInputRead() || !c.NoPendingInput() {
 		t.Error("input is reported before any has arrived")
 	}
 	if _, err := peer.Write([]byte("set-up")); err != nil {
@@ -192,14 +192,14 @@
 	if n, err := syscall.Read(fd, read); n != len("set-up") || err != nil { // like the poller before it makes the bytes available
 		t.Fatal(n, err)
 	}
-	if !c.Quiet() {
+	if !c.NoPendingInput() {
 		t.Error("the bytes are reported as pending, so that the count of received bytes is not needed any more")
 	}
-	if c.AllTaken() {
+	if c.AllInputRead() {
 		t.Error("all input is reported as read before any has reached the ring")
 	}
 	c.countRead(len("set-up"))
-	if !c.AllTaken() {
+	if !c.AllInputRead() {
 		t.Error("input is reported as unread after it has reached the ring")
 	}
 }
--- a/internal/conn/close_write_test.go
+++ b/internal/conn/close_write_test.go
@@ -54,7 +54,7 @@
 			}
 			defer peer.Close()
 			(<-loop)()
-			(<-connected).Finish(testTimeout)
+			(<-connected).CloseWrite(testTimeout)
 			if _, err := peer.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // the peer has received the half-close
 				t.Fatalf("reading: %v, want %v", err, io.EOF)
 			}
@@ -136,7 +136,7 @@
 	(<-loop)()
 	c := <-connected
 	c.Write([]byte("last"))
-	c.Finish(50 * time.Millisecond)
+	c.CloseWrite(50 * time.Millisecond)
 	if err := peer.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
@@ -154,7 +154,7 @@
 			t.Fatal("the connection stays open after the timeout")
 		}
 	}
-	if reason := <-handler.closed; !errors.Is(reason, ErrClosedHere) {
-		t.Errorf("closed with %v, want %v", reason, ErrClosedHere)
+	if reason := <-handler.closed; !errors.Is(reason, ErrClosedLocally) {
+		t.Errorf("closed with %v, want %v", reason, ErrClosedLocally)
 	}
 }
--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -45,8 +45,8 @@
 // ErrReset is the close reason of a connection that was reset. Unlike after an orderly close, the last bytes that the peer sent may be lost.
 var ErrReset = fmt.Errorf("reset by peer: %w", io.EOF)
 
-// ErrClosedHere is the close reason of a connection that this side closed without a fault.
-var ErrClosedHere = errors.New("closed by this side")
+// ErrClosedLocally is the close reason of a connection that this side closed without a fault.
+var ErrClosedLocally = errors.New("closed by this side")
 
 func init() {
 	// There is one poller. Its callbacks must run on netpoll's goroutine pool, not on the poller itself: closing a connection in a
@@ -119,10 +119,10 @@
 	return &Conn{loop: loop, nc: nc, in: ring.New(inboundCapacity), out: ring.New(outboundCapacity), spaceFreed: make(chan struct{}, 1)}
 }
 
-// Finish half-closes the connection: it closes the writing side and goes on reading until the peer closes too. Output that the socket
+// CloseWrite half-closes the connection: it closes the writing side and goes on reading until the peer closes too. Output that the socket
 // does not accept at once is discarded, since a later write would fail and end the reading as well. The connection is aborted after
 // the timeout.
-func (c *Conn) Finish(timeout time.Duration) {
+func (c *Conn) CloseWrite(timeout time.Duration) {
 	c.Flush()
 	c.mu.Lock()
 	c.writeClosed = true
@@ -134,7 +134,7 @@
 	c.mu.Unlock()
 	c.out.Discard(c.out.Len())
 	c.writeCallbacks = nil
-	time.AfterFunc(timeout, func() { c.loop.Post(func() { c.Abort(ErrClosedHere) }) })
+	time.AfterFunc(timeout, func() { c.loop.Post(func() { c.Abort(ErrClosedLocally) }) })
 }
 
 // Remote returns the peer's address.
--- a/internal/conn/conn_test.go
+++ b/internal/conn/conn_test.go
@@ -116,19 +116,19 @@
 	if err := <-connected; err != nil {
 		t.Fatal(err)
 	}
-	if !c.Quiet() {
+	if !c.NoPendingInput() {
 		t.Error("input is reported before any has arrived")
 	}
 	if _, err := peer.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	for start := time.Now(); c.Quiet(); time.Sleep(time.Millisecond) {
+	for start := time.Now(); c.NoPendingInput(); time.Sleep(time.Millisecond) {
 		if time.Since(start) > testTimeout {
 			t.Fatal("no input is reported after a byte has arrived")
 		}
 	}
 	(<-loop)() // delivers the byte
-	if !c.Quiet() {
+	if !c.NoPendingInput() {
 		t.Error("input is reported after all was delivered")
 	}
 }
@@ -167,7 +167,7 @@
 		}
 	}()
 	Dial(loop, ln.Addr().String(), testTimeout, func(c *Conn) Handler {
-		loop.Post(func() { c.Finish(testTimeout) })
+		loop.Post(func() { c.CloseWrite(testTimeout) })
 		return received
 	}, func(error) {})
 	select {
@@ -211,7 +211,7 @@
 				c.Write(make([]byte, outboundCapacity/2))
 				c.Flush()
 			}
-			c.Finish(testTimeout)
+			c.CloseWrite(testTimeout)
 			c.Flush() // like the scheduled retry
 			close(halfClosed)
 		})
@@ -340,12 +340,12 @@
 			want = append(want, fill...)
 			c.Flush()
 		}
-		if c.Unsent() < 16<<10 && c.Recall(first) {
+		if c.Unsent() < 16<<10 && c.CancelWrite(first) {
 			t.Error("a partly written message was removed")
 		}
 		message := func(name string) Ticket { return c.WriteThen([]byte(name), func() { written = append(written, name) }) }
 		a, b, d := message("<a>"), message("<bb>"), message("<d>")
-		if !c.Recall(b) || c.Recall(b) || c.Recall(0) || !c.Recall(d) {
+		if !c.CancelWrite(b) || c.CancelWrite(b) || c.CancelWrite(0) || !c.CancelWrite(d) {
 			t.Error("want each queued message removed once, and no message removed for ticket 0")
 		}
 		message("<eeee>")
@@ -365,7 +365,7 @@
 	if diff := cmp.Diff([]string{"<a>", "<eeee>"}, written); diff != "" {
 		t.Errorf("messages reported as written (-want +got):\n%s", diff)
 	}
-	c.Close(ErrClosedHere)
+	c.Close(ErrClosedLocally)
 }
 
 // TestPeerClosed checks that a close or a reset by the peer is detected before the event loop has processed it, and that the close reason
@@ -394,13 +394,13 @@
 			defer peer.Close()
 			(<-loop)()
 			c := <-connected
-			if c.Left() {
+			if c.PeerClosed() {
 				t.Error("a close is reported before the peer has closed")
 			}
 			if err := test.end(peer); err != nil {
 				t.Fatal(err)
 			}
-			for deadline := time.Now().Add(testTimeout); !c.Left(); time.Sleep(time.Millisecond) { // the event loop runs nothing meanwhile
+			for deadline := time.Now().Add(testTimeout); !c.PeerClosed(); time.Sleep(time.Millisecond) { // the event loop runs nothing meanwhile
 				if time.Now().After(deadline) {
 					t.Fatal("the close is not reported")
 				}
--- a/internal/conn/listener.go
+++ b/internal/conn/listener.go
@@ -29,17 +29,17 @@
 	lingering       []*Conn            // closed by this side, oldest first; some may have ended since
 }
 
-// Limit sets the maximum number of connections that hold a descriptor at once; 0 means no limit. Open connections are kept. Connections
+// SetMaxConnections sets the maximum number of connections that hold a descriptor at once; 0 means no limit. Open connections are kept. Connections
 // beyond the limit wait in the kernel's backlog instead of being closed, which would lose what their peers have sent.
-func (l *Listener) Limit(maxConns int) {
+func (l *Listener) SetMaxConnections(maxConns int) {
 	l.mu.Lock()
 	l.maxConns = maxConns
 	l.mu.Unlock()
 	l.capacityChanged.Broadcast()
 }
 
-// Held returns the number of connections that hold a descriptor, including connections that linger after a close.
-func (l *Listener) Held() int {
+// SocketCount returns the number of connections that hold a descriptor, including connections that linger after a close.
+func (l *Listener) SocketCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
@@ -124,8 +124,8 @@
 	}
 }
 
-// Share returns a file with a duplicate of the socket's descriptor, to be passed to a process that accepts from the same socket.
-func (l *Listener) Share() (*os.File, error) {
+// File returns a file with a duplicate of the socket's descriptor, to be passed to a process that accepts from the same socket.
+func (l *Listener) File() (*os.File, error) {
 	f, err := l.tcp.File()
 	if err != nil {
 		return nil, fmt.Errorf("duplicating the socket of %s: %w", l.Address(), err)
@@ -133,8 +133,8 @@
 	return f, nil
 }
 
-// Shared sets whether another process accepts from the same socket. Shutdown then leaves the socket usable for that process.
-func (l *Listener) Shared(shared bool) { l.shared.Store(shared) }
+// SetShared sets whether another process accepts from the same socket. Shutdown then leaves the socket usable for that process.
+func (l *Listener) SetShared(shared bool) { l.shared.Store(shared) }
 
 // Address returns the address of the listening socket.
 func (l *Listener) Address() string { return l.tcp.Addr().String() }
@@ -153,13 +153,13 @@
 	l.Stop()
 	err = errors.Join(err, l.tcp.Close())
 	for _, c := range l.connections() {
-		c.halfClose(ErrClosedHere)
+		c.halfClose(ErrClosedLocally)
 	}
-	for deadline := time.Now().Add(shutdownLinger); l.Held() > 0 && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(shutdownLinger); l.SocketCount() > 0 && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	for _, c := range l.connections() {
-		c.Abort(ErrClosedHere)
+		c.Abort(ErrClosedLocally)
 	}
 	if err != nil {
 		return fmt.Errorf("closing the listener: %w", err)
--- a/internal/conn/read.go
+++ b/internal/conn/read.go
@@ -180,9 +180,9 @@
 	c.handler.Closed(c.reason)
 }
 
-// Quiet reports whether no input waits for the handler, neither in the ring nor in netpoll nor in the socket. Otherwise closing a
+// NoPendingInput reports whether no input waits for the handler, neither in the ring nor in netpoll nor in the socket. Otherwise closing a
 // connection that is not needed any more would lose input that has arrived already.
-func (c *Conn) Quiet() bool {
+func (c *Conn) NoPendingInput() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	fd, ok := c.nc.(netpoll.Conn)
@@ -203,10 +203,10 @@
 	c.mu.Unlock()
 }
 
-// AllTaken reports whether all bytes that the kernel has received were read into the ring or discarded. netpoll's poller can be descheduled
-// between reading bytes from the socket and making them available; in between, neither the socket nor Quiet shows them. AllTaken returns
+// AllInputRead reports whether all bytes that the kernel has received were read into the ring or discarded. netpoll's poller can be descheduled
+// between reading bytes from the socket and making them available; in between, neither the socket nor Quiet shows them. AllInputRead returns
 // true if the kernel does not count received bytes.
-func (c *Conn) AllTaken() bool {
+func (c *Conn) AllInputRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	fd, ok := c.nc.(netpoll.Conn)
@@ -217,9 +217,9 @@
 	return err != nil || info.Bytes_received <= c.bytesRead
 }
 
-// Unread reports whether there is unread input for which the ring has space. After a pause of the process, such input may concern overdue
+// HasUnreadInput reports whether there is unread input for which the ring has space. After a pause of the process, such input may concern overdue
 // timers, so it must be processed before them.
-func (c *Conn) Unread() bool {
+func (c *Conn) HasUnreadInput() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	fd, ok := c.nc.(netpoll.Conn)
@@ -236,9 +236,9 @@
 	return true
 }
 
-// Hear passes input that waits for its event loop iteration to the handler at once. It must be called on the event loop, and not from
+// ProcessInput passes input that waits for its event loop iteration to the handler at once. It must be called on the event loop, and not from
 // within a handler of a caller's connection.
-func (c *Conn) Hear() {
+func (c *Conn) ProcessInput() {
 	c.mu.Lock()
 	posted := c.inputPosted
 	c.mu.Unlock()
@@ -247,9 +247,9 @@
 	}
 }
 
-// Left reports whether the peer has closed its side or reset the connection. It asks the socket itself, because after a pause of the
+// PeerClosed reports whether the peer has closed its side or reset the connection. It asks the socket itself, because after a pause of the
 // process overdue timers can run before netpoll has noticed the close.
-func (c *Conn) Left() bool {
+func (c *Conn) PeerClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	fd, ok := c.nc.(netpoll.Conn)
--- a/internal/conn/write.go
+++ b/internal/conn/write.go
@@ -49,9 +49,9 @@
 	return c.lastTicket
 }
 
-// Recall removes a queued message of which no byte was written to the socket, and returns false if there is no such message. The function
+// CancelWrite removes a queued message of which no byte was written to the socket, and returns false if there is no such message. The function
 // given to WriteThen does not run for a removed message.
-func (c *Conn) Recall(t Ticket) bool {
+func (c *Conn) CancelWrite(t Ticket) bool {
 	i := slices.IndexFunc(c.writeCallbacks, func(w writeCallback) bool { return w.ticket == t })
 	if t == 0 || i < 0 || c.closedDelivered || c.writeCallbacks[i].start < c.bytesWritten {
 		return false
@@ -105,7 +105,7 @@
 			return
 		}
 	}
-	c.out.Empty()
+	c.out.ReleaseStorage()
 }
 
 // discardOutput drops the buffered output after the peer has ended the connection. It does not close the connection, because that would
--- a/internal/conn/write_test.go
+++ b/internal/conn/write_test.go
@@ -32,10 +32,10 @@
 	if err := errors.Join(peer.SetLinger(0), peer.Close()); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, c.Left)
+	waitUntil(t, c.PeerClosed)
 	c.Write([]byte("x"))
 	c.Flush()
-	if ticket := c.WriteThen([]byte("y"), func() { t.Error("an unwritable message is reported as written") }); !c.Recall(ticket) || c.Unsent() != 0 {
+	if ticket := c.WriteThen([]byte("y"), func() { t.Error("an unwritable message is reported as written") }); !c.CancelWrite(ticket) || c.Unsent() != 0 {
 		t.Errorf("%d bytes are buffered for a socket that accepts none", c.Unsent())
 	}
 	for len(handler.closed) == 0 {
--- a/internal/decide/subset/subset.go
+++ b/internal/decide/subset/subset.go
@@ -271,7 +271,7 @@
 func (s *Subset) Grow(now time.Duration) bool {
 	s.lastNeedAt = now
 	before := s.size
-	for s.size == before && s.targetSize < s.options.GrowthLimit && s.targetSize < s.Active() {
+	for s.size == before && s.targetSize < s.options.GrowthLimit && s.targetSize < s.ActiveCount() {
 		s.setTargetSize(min(s.targetSize+s.options.Size, s.options.GrowthLimit))
 	}
 	if s.size == before {
@@ -310,7 +310,7 @@
 			}
 		}
 	}
-	return 2*n < min(s.options.Size, s.Active())
+	return 2*n < min(s.options.Size, s.ActiveCount())
 }
 
 // AtBaseSize reports whether there is nothing to shrink: no growth, and no cell in use.
@@ -357,8 +357,8 @@
 	return 0
 }
 
-// Active returns the number of listed dispatchers that can fill a place.
-func (s *Subset) Active() int { return s.ownZone.len() + s.otherZones.len() }
+// ActiveCount returns the number of listed dispatchers that can fill a place.
+func (s *Subset) ActiveCount() int { return s.ownZone.len() + s.otherZones.len() }
 
 // Len returns the number of dispatchers in the subset.
 func (s *Subset) Len() int { return s.size }
--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -188,8 +188,8 @@
 			if len(reported) != len(after) || s.Len() != len(after) {
 				t.Fatalf("Changes reported %d dispatchers, Len is %d, the subset has %d", len(reported), s.Len(), len(after))
 			}
-			if len(s.members) <= o.Size && len(after) != s.Active() {
-				t.Fatalf("%d of %d dispatchers are in the subset of size %d", len(after), s.Active(), o.Size)
+			if len(s.members) <= o.Size && len(after) != s.ActiveCount() {
+				t.Fatalf("%d of %d dispatchers are in the subset of size %d", len(after), s.ActiveCount(), o.Size)
 			}
 		}
 	})
--- a/internal/dispatchers/budget.go
+++ b/internal/dispatchers/budget.go
@@ -154,12 +154,12 @@
 func (c *connection) evict() {
 	c.evicted = true
 	if s := c.server; c.state == connOpen && s.pool.core.EstablishedCount(s.ID) > 0 {
-		c.halfCloseWithin(conn.ErrClosedHere, evictedReadTimeout)
+		c.halfCloseWithin(conn.ErrClosedLocally, evictedReadTimeout)
 		return
 	}
-	c.conn.Abort(conn.ErrClosedHere) // no set-up is open on it, and its descriptor is needed
+	c.conn.Abort(conn.ErrClosedLocally) // no set-up is open on it, and its descriptor is needed
 	if c.state == connOpen {
-		c.Closed(conn.ErrClosedHere)
+		c.Closed(conn.ErrClosedLocally)
 	}
 }
 
@@ -182,5 +182,5 @@
 // which may be long after the connection was abandoned.
 type countedConn struct{ *connection }
 
-// Released updates the count of sockets. It is called once, as the last callback.
-func (c countedConn) Released() { c.server.pool.socketReleased(c.evicted) }
+// SocketClosed updates the count of sockets. It is called once, as the last callback.
+func (c countedConn) SocketClosed() { c.server.pool.socketReleased(c.evicted) }
--- a/internal/dispatchers/budget_test.go
+++ b/internal/dispatchers/budget_test.go
@@ -73,17 +73,17 @@
 // dispatcherAt starts a dispatcher at an address. It is stopped when the test ends.
 func dispatcherAt(t *testing.T, transport, address string) *peer.Dispatcher {
 	t.Helper()
-	d, err := peer.Dispatch(transport, address, "x0:40")
+	d, err := peer.StartDispatcher(transport, address, "x0:40")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(d.Die)
+	t.Cleanup(d.Kill)
 	return d
 }
 
 // addDispatcher adds a dispatcher to the list, and has it report events of its connections.
 func (fx *poolFixture) addDispatcher(d *peer.Dispatcher) {
-	d.TellLinks()
+	d.EnableConnEvents()
 	id := dispatcherName(len(fx.dispatchers))
 	fx.dispatchers = append(fx.dispatchers, d)
 	fx.list.Servers = append(fx.list.Servers, call.Server{ServerEntry: control.ServerEntry{ID: id}, Address: d.Address()})
@@ -110,7 +110,7 @@
 func (fx *poolFixture) waitFor(i int, kind string) peer.Event {
 	fx.Helper()
 	for begun := time.Now(); ; {
-		if time.Since(begun) > peer.Patience {
+		if time.Since(begun) > peer.Timeout {
 			fx.Fatalf("no %s event at dispatcher %d", kind, i)
 		}
 		// What was queued during a flush is sent with the next iteration.
@@ -141,7 +141,7 @@
 func (fx *poolFixture) setUpWithoutRelease(i int, id string) {
 	fx.Helper()
 	fx.setUp(i, id)
-	for until := time.Now().Add(peer.Patience); time.Now().Before(until); {
+	for until := time.Now().Add(peer.Timeout); time.Now().Before(until); {
 		fx.runOnLoop(fx.pool.Flush)
 		select {
 		case e := <-fx.dispatchers[i].Events:
@@ -174,7 +174,7 @@
 			t.Errorf("%d sockets are held, want 2; %d connections to d0, want 1", fx.pool.sockets.held, len(conns))
 		}
 	})
-	if err := second.Refuse(peer.Broken); err != nil {
+	if err := second.Refuse(peer.TemporaryFailure); err != nil {
 		t.Fatal(err)
 	}
 	fx.waitFor(1, "closed")
@@ -243,7 +243,7 @@
 	const n, duration = 50, 3 * time.Second
 	fx := newPoolFixture(t, 0, n)
 	for _, d := range fx.dispatchers {
-		d.Die()
+		d.Kill()
 	}
 	begun := time.Now()
 	fx.runOnLoop(func() { fx.pool.Update(fx.list) })
--- a/internal/dispatchers/check_test.go
+++ b/internal/dispatchers/check_test.go
@@ -23,7 +23,7 @@
 // waitActive waits until the next check visits exactly these dispatchers.
 func (fx *poolFixture) waitActive(what string, want ...control.ServerID) {
 	fx.Helper()
-	for until := time.Now().Add(peer.Patience); ; time.Sleep(10 * time.Millisecond) {
+	for until := time.Now().Add(peer.Timeout); ; time.Sleep(10 * time.Millisecond) {
 		got := fx.activeNames()
 		if slices.Equal(got, want) {
 			return
@@ -41,7 +41,7 @@
 	const n, refuse = 40, 10
 	fx := newPoolFixture(t, 0, n)
 	for _, d := range fx.dispatchers[:refuse] {
-		d.Die()
+		d.Kill()
 	}
 	fx.runOnLoop(func() { fx.pool.Update(fx.list) })
 	fx.waitActive("idle")
--- a/internal/dispatchers/connection.go
+++ b/internal/dispatchers/connection.go
@@ -113,7 +113,7 @@
 // cancelSetUp cancels a set-up. One that is still queued is not sent at all: its caller may have disconnected long before the dispatcher
 // reads on, or the dispatcher may be draining by then.
 func (c *connection) cancelSetUp(id string, setUp *setUpState) {
-	if c.conn.Recall(setUp.ticket) {
+	if c.conn.CancelWrite(setUp.ticket) {
 		delete(c.setUps, id)
 		return
 	}
@@ -124,7 +124,7 @@
 // Data processes input from the dispatcher.
 func (c *connection) Data(in *ring.Buffer, at time.Time) error {
 	if c.state == connClosed {
-		c.logStep(endlog.LinkDiscards, nil)
+		c.logStep(endlog.InputDiscarded, nil)
 		in.Discard(in.Len())
 		return nil
 	}
@@ -136,7 +136,7 @@
 		m, err := c.protocol.Next(in)
 		if errors.Is(err, io.EOF) {
 			c.closedCleanly = true
-			return conn.ErrClosedHere
+			return conn.ErrClosedLocally
 		}
 		if err != nil {
 			c.send(c.protocol.ClosingMessage(err))
--- a/internal/dispatchers/connection_close.go
+++ b/internal/dispatchers/connection_close.go
@@ -22,7 +22,7 @@
 func (c *connection) halfCloseWithin(reason error, within time.Duration) {
 	c.conn.Flush() // send what the socket accepts
 	c.abandon(reason, connHalfClosed)
-	c.conn.Finish(within)
+	c.conn.CloseWrite(within)
 }
 
 // drain abandons the connection of a dispatcher that may still run although it counts as lost. Its set-ups fail at once and are
@@ -35,24 +35,24 @@
 			c.cancelSetUp(id, setUp)
 		}
 	}
-	c.server.pool.loop.After(halfCloseTimeout, func() { c.conn.Close(conn.ErrClosedHere) })
+	c.server.pool.loop.After(halfCloseTimeout, func() { c.conn.Close(conn.ErrClosedLocally) })
 }
 
 // abandon fails the set-ups on an open connection, which is read on in the given state.
 func (c *connection) abandon(reason error, state connState) {
 	s, setUps := c.server, c.setUps
-	c.suspect = !errors.Is(reason, conn.ErrClosedHere)
+	c.suspect = !errors.Is(reason, conn.ErrClosedLocally)
 	if c.suspect {
 		s.logCallsAtRisk()
 		s.requestRenewal()
 	}
 	c.detach(reason)
 	c.state, c.setUps, c.since = state, setUps, time.Now()
-	c.logStep(endlog.LinkGivenUp, reason)
+	c.logStep(endlog.ConnectionAbandoned, reason)
 	s.pool.markActive(s)
 	if s.abandoned = append(s.abandoned, c); len(s.abandoned) > MaxConnections { // limits the abandoned connections per dispatcher
-		s.abandoned[0].logStep(endlog.LinkPushedOut, reason)
-		s.abandoned[0].conn.Abort(conn.ErrClosedHere)
+		s.abandoned[0].logStep(endlog.ConnectionEvicted, reason)
+		s.abandoned[0].conn.Abort(conn.ErrClosedLocally)
 		s.abandoned = s.abandoned[1:]
 	}
 	s.updateConnected()
@@ -61,7 +61,7 @@
 // Closed handles the end of the connection.
 func (c *connection) Closed(reason error) {
 	s, setUps := c.server, c.setUps
-	c.logStep(endlog.LinkEnded, reason)
+	c.logStep(endlog.ConnectionEnded, reason)
 	if c.mayLoseEnds(reason) {
 		s.recordLostEnds()
 	}
@@ -91,13 +91,13 @@
 // closedForFault reports whether this side closed the connection because of a fault. What the dispatcher sends there afterwards is
 // discarded.
 func closedForFault(reason error) bool {
-	return !errors.Is(reason, io.EOF) && !errors.Is(reason, conn.ErrClosedHere)
+	return !errors.Is(reason, io.EOF) && !errors.Is(reason, conn.ErrClosedLocally)
 }
 
 // finishClose handles the end of an abandoned connection.
 func (c *connection) finishClose(reason error) {
 	s := c.server
-	if errors.Is(reason, conn.ErrClosedHere) && !c.closedCleanly && (c.isAbandoned() || !c.evicted) {
+	if errors.Is(reason, conn.ErrClosedLocally) && !c.closedCleanly && (c.isAbandoned() || !c.evicted) {
 		s.renewal.SetUnreadConnection(true) // the dispatcher may still hold it open
 	}
 	if c.suspect && s.hasEndsAtRisk() {
--- a/internal/dispatchers/dial.go
+++ b/internal/dispatchers/dial.go
@@ -39,7 +39,7 @@
 			return
 		}
 		if s.Address != address || !s.reachable(time.Now()) {
-			c.conn.Close(conn.ErrClosedHere)
+			c.conn.Close(conn.ErrClosedLocally)
 			return
 		}
 		s.connOpened(c, now)
@@ -80,7 +80,7 @@
 // handleStopped handles a dispatcher that refuses connections while all its connections have closed or had no input for long: a process
 // that stops at the end of its drain may leave its connections open. The process has stopped, and its calls have ended.
 func (s *server) handleStopped() {
-	s.logStep(endlog.Stopped, nil)
+	s.logStep(endlog.DispatcherStopped, nil)
 	s.disconnect(errors.New("dispatcher has stopped"))
 	s.releases = nil // no connection can be opened for them
 	s.pool.core.DispatcherFailed(s.ID)
@@ -102,7 +102,7 @@
 	s.renewal.RecordOpened(dialedAt)
 	s.conns = append(s.conns, c)
 	s.updateConnected()
-	c.logStep(endlog.LinkOpened, nil)
+	c.logStep(endlog.ConnectionOpened, nil)
 	c.send(c.protocol.Handshake())
 	c.conn.Flush()
 	if c.ready() {
--- a/internal/dispatchers/dispatchers.go
+++ b/internal/dispatchers/dispatchers.go
@@ -182,7 +182,7 @@
 // established calls and open set-ups are not considered, as nothing that they send needs to be awaited.
 func (p *Pool) NoUnreadInput() bool {
 	return !slices.ContainsFunc(p.active, func(s *server) bool {
-		return slices.ContainsFunc(s.conns, func(c *connection) bool { return c.conn.Unread() })
+		return slices.ContainsFunc(s.conns, func(c *connection) bool { return c.conn.HasUnreadInput() })
 	})
 }
 
--- a/internal/dispatchers/earlier_attempt_test.go
+++ b/internal/dispatchers/earlier_attempt_test.go
@@ -52,9 +52,9 @@
 				}
 			}
 		})
-		waitUntil(fx, func() bool { return fx.dispatchers[0].Links() == 1 })
+		waitUntil(fx, func() bool { return fx.dispatchers[0].ConnCount() == 1 })
 	}
-	if err := first.ReleaseHere(id, call.CauseNormal); err != nil {
+	if err := first.ReleaseOnConn(id, call.CauseNormal); err != nil {
 		t.Fatal(err)
 	}
 	waitUntil(fx, func() bool { return len(core.attempts) > 0 })
@@ -72,11 +72,11 @@
 	const id = "00000000000000a2"
 	fx := newPoolFixture(t, 0, 1)
 	core, first, second := fx.establishBySecondAttempt(id)
-	if err := first.ReleaseHere(id, call.CauseNormal); err != nil {
+	if err := first.ReleaseOnConn(id, call.CauseNormal); err != nil {
 		t.Fatal(err)
 	}
 	waitUntil(fx, func() bool { return len(core.attempts) > 0 })
-	if err := second.CloseHere(); err != nil {
+	if err := second.CloseConn(); err != nil {
 		t.Fatal(err)
 	}
 	waitUntil(fx, func() bool { return len(fx.pool.servers[dispatcherName(0)].conns) == 1 })
@@ -106,7 +106,7 @@
 	fx.waitFor(0, "opened")
 	second = fx.waitFor(0, "setup")
 	fx.establish(0, second)
-	fx.dispatchers[0].Stop()
+	fx.dispatchers[0].StopListening()
 	return core, first, second
 }
 
@@ -122,7 +122,7 @@
 		if holds {
 			return
 		}
-		if time.Since(begun) > peer.Patience {
+		if time.Since(begun) > peer.Timeout {
 			fx.Fatal("the condition did not become true")
 		}
 	}
--- a/internal/dispatchers/fake_conn_test.go
+++ b/internal/dispatchers/fake_conn_test.go
@@ -137,8 +137,8 @@
 	c.closeReported, c.endedAt = true, time.Now()
 	c.loop.Post(func() {
 		c.handler.Closed(reason)
-		if r, ok := c.handler.(conn.Releaser); ok {
-			r.Released()
+		if r, ok := c.handler.(conn.SocketCloseHandler); ok {
+			r.SocketClosed()
 		}
 	})
 }
@@ -191,8 +191,8 @@
 	return c.lastTicket
 }
 
-// Recall removes a message that was not sent.
-func (c *fakeConn) Recall(ticket conn.Ticket) bool {
+// CancelWrite removes a message that was not sent.
+func (c *fakeConn) CancelWrite(ticket conn.Ticket) bool {
 	i := slices.IndexFunc(c.writeQueue, func(w queuedWrite) bool { return w.ticket == ticket })
 	if i < 0 {
 		return false
@@ -229,19 +229,19 @@
 // Unsent returns the number of queued messages.
 func (c *fakeConn) Unsent() int { return len(c.writeQueue) }
 
-// Unread reports that there is no unread input.
-func (c *fakeConn) Unread() bool { return false }
+// HasUnreadInput reports that there is no unread input.
+func (c *fakeConn) HasUnreadInput() bool { return false }
 
 // EndedAt returns when the connection ended.
 func (c *fakeConn) EndedAt() time.Time { return c.endedAt }
 
-// Finish closes the pool's direction and reads on.
-func (c *fakeConn) Finish(within time.Duration) {
+// CloseWrite closes the pool's direction and reads on.
+func (c *fakeConn) CloseWrite(within time.Duration) {
 	c.Flush()
 	c.poolHalfClosed = true
 	c.deliverToDispatcher()
 	c.writeQueue = nil
-	c.loop.After(within, func() { c.Abort(conn.ErrClosedHere) })
+	c.loop.After(within, func() { c.Abort(conn.ErrClosedLocally) })
 }
 
 // Close closes the pool's side, and discards further input.
--- a/internal/dispatchers/fake_dispatcher_test.go
+++ b/internal/dispatchers/fake_dispatcher_test.go
@@ -112,7 +112,7 @@
 
 // loadReport returns a report, as a dispatcher sends it without a request.
 func loadReport() []byte {
-	return sip.Append(nil, &sip.Message{Method: "NOTIFY", URI: "sip:state@net", CallID: "state", Seq: 1, SeqOf: "NOTIFY",
+	return sip.Append(nil, &sip.Message{Method: "NOTIFY", URI: "sip:state@net", CallID: "state", Seq: 1, SeqMethod: "NOTIFY",
 		Headers: []sip.Header{{Name: "P-Report", Value: "idle:8"}}})
 }
 
@@ -124,7 +124,7 @@
 
 // releaseOf returns the release of a call by a dispatcher.
 func releaseOf(id string) []byte {
-	return sip.Append(nil, &sip.Message{Method: "BYE", URI: "sip:call@net", CallID: id, Seq: 1, SeqOf: "BYE",
+	return sip.Append(nil, &sip.Message{Method: "BYE", URI: "sip:call@net", CallID: id, Seq: 1, SeqMethod: "BYE",
 		Headers: []sip.Header{{Name: "Reason", Value: "Q.850;cause=16"}}})
 }
 
@@ -169,7 +169,7 @@
 	if _, ok := c.setUps[id]; !ok {
 		return false
 	}
-	m := &sip.Message{Status: status, Phrase: "x", CallID: id, Seq: uint32(c.setUps[id]) + 1, SeqOf: "INVITE"}
+	m := &sip.Message{Status: status, Phrase: "x", CallID: id, Seq: uint32(c.setUps[id]) + 1, SeqMethod: "INVITE"}
 	delete(c.setUps, id)
 	if status == 200 {
 		m.Body = []byte("description")
@@ -238,7 +238,7 @@
 		return
 	}
 	if m.Method != "INVITE" && !(m.Method == "BYE" && d.ignoresReleases) {
-		c.send(sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: m.CallID, Seq: m.Seq, SeqOf: m.Method}))
+		c.send(sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: m.CallID, Seq: m.Seq, SeqMethod: m.Method}))
 	}
 }
 
--- a/internal/dispatchers/list.go
+++ b/internal/dispatchers/list.go
@@ -95,7 +95,7 @@
 	}
 	for _, c := range s.conns {
 		for _, id := range slices.Sorted(maps.Keys(c.setUps)) {
-			if setUp := c.setUps[id]; setUp.cancelledAt.IsZero() && c.conn.Recall(setUp.ticket) {
+			if setUp := c.setUps[id]; setUp.cancelledAt.IsZero() && c.conn.CancelWrite(setUp.ticket) {
 				delete(c.setUps, id)
 				s.pool.core.AttemptEnded(s.ID, id, setUp.attempt, control.NotSent, false, nil)
 			}
--- a/internal/dispatchers/log_test.go
+++ b/internal/dispatchers/log_test.go
@@ -31,10 +31,10 @@
 		t.Fatalf("possible: %v, violations: %v", result.possible, result.violations)
 	}
 	for _, want := range []string{
-		`step="` + string(endlog.LinkGivenUp) + `" server=first connection=1 state=half-closed`,
-		`step="` + string(endlog.InDoubt) + `" id=` + testCallID + ` server=first`,
+		`step="` + string(endlog.ConnectionAbandoned) + `" server=first connection=1 state=half-closed`,
+		`step="` + string(endlog.EndUncertain) + `" id=` + testCallID + ` server=first`,
 		`step="` + string(endlog.ReleaseRead) + `" id=` + testCallID + ` server=first connection=1 state=half-closed`,
-		`step="` + string(endlog.LinkEnded) + `" server=first connection=1`,
+		`step="` + string(endlog.ConnectionEnded) + `" server=first connection=1`,
 	} {
 		if !strings.Contains(log.String(), want) {
 			t.Errorf("not logged: %s", want)
@@ -56,17 +56,17 @@
 		func(h *harness) { h.pool.servers["first"].disconnect(errors.New("for the test")) })
 	byLetter['%'], byLetter['@'] = resetAll(), addressTaken()
 	for step, letters := range map[endlog.Step]string{
-		endlog.RenewalAsked:     "rT",
-		endlog.RenewalBegun:     "n",
-		endlog.RenewalFailed:    "sn",
-		endlog.LinkEnded:        "h",
-		endlog.Stopped:          "k",
-		endlog.Dropped:          "k",
-		endlog.SentRelease:      "adc",
-		endlog.WaitingRelease:   "adrrc",
-		endlog.LostAnswer:       "ar",
-		endlog.AnswerOnDraining: "a!d",
-		endlog.Stranded:         "ad%@",
+		endlog.RenewalRequested:           "rT",
+		endlog.RenewalStarted:             "n",
+		endlog.RenewalFailed:              "sn",
+		endlog.ConnectionEnded:            "h",
+		endlog.DispatcherStopped:          "k",
+		endlog.AllConnectionsAbandoned:    "k",
+		endlog.ReleaseSent:                "adc",
+		endlog.ReleaseWaits:               "adrrc",
+		endlog.ReleasedWithoutAnswer:      "ar",
+		endlog.AnswerOnDrainingConnection: "a!d",
+		endlog.Orphaned:                   "ad%@",
 	} {
 		t.Run(string(step), func(t *testing.T) {
 			var log bytes.Buffer
--- a/internal/dispatchers/lost_releases_test.go
+++ b/internal/dispatchers/lost_releases_test.go
@@ -45,7 +45,7 @@
 			if answered {
 				fx.establish(0, second)
 			}
-			if err := first.Reset(); err != nil {
+			if err := first.ResetConn(); err != nil {
 				t.Fatal(err)
 			}
 			waitUntil(fx, func() bool {
--- a/internal/dispatchers/messages.go
+++ b/internal/dispatchers/messages.go
@@ -12,7 +12,7 @@
 // This file handles the messages that dispatchers send.
 
 // errDamagedAnswer closes a connection on which an answer came with an invalid description.
-var errDamagedAnswer = &websocket.Error{Code: websocket.BadData, Text: "damaged answer"}
+var errDamagedAnswer = &websocket.Error{Code: websocket.InvalidPayload, Text: "damaged answer"}
 
 // handle processes a message. An error closes the connection.
 func (c *connection) handle(m *Message) error {
@@ -88,7 +88,7 @@
 func (c *connection) handleAnswer(m *Message, attempt int) {
 	s := c.server
 	if c.state == connDraining { // the attempt has already failed here
-		c.logCallStep(endlog.AnswerOnDraining, m.id, attempt)
+		c.logCallStep(endlog.AnswerOnDrainingConnection, m.id, attempt)
 		c.sendRelease(release{m.id, call.CauseNormal, true})
 		return
 	}
--- a/internal/dispatchers/obsolete.go
+++ b/internal/dispatchers/obsolete.go
@@ -43,7 +43,7 @@
 		if answeredOn == nil || answeredOn.generation == s.generation {
 			continue
 		}
-		endlog.Call(s.pool.Log, endlog.Stranded, id, endlog.Server(s.ID))
+		endlog.Call(s.pool.Log, endlog.Orphaned, id, endlog.Server(s.ID))
 		s.pool.Release(s.ID, id, call.CauseTemporary)
 		s.pool.core.Released(s.ID, id, noAttempt, call.CauseTemporary, nil)
 	}
--- a/internal/dispatchers/ping_test.go
+++ b/internal/dispatchers/ping_test.go
@@ -109,7 +109,7 @@
 		}
 		for id, want := range map[string]uint32{"probe-2": 2, "probe-x": 0, "probe-": 0, "probe--1": 0, "state": 0, testCallID: 0} {
 			in := ring.New(1 << 10)
-			in.Write(sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: id, Seq: 1, SeqOf: "OPTIONS",
+			in.Write(sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: id, Seq: 1, SeqMethod: "OPTIONS",
 				Headers: []sip.Header{{Name: "P-Report", Value: "idle:3"}}}))
 			m, err := protocol.Next(in)
 			if err != nil || m.probeReply != want || m.kind != report {
--- a/internal/dispatchers/release.go
+++ b/internal/dispatchers/release.go
@@ -39,7 +39,7 @@
 			c.sendRelease(release{callID, cause, id != ""})
 		} else if id != "" || len(s.releases) < maxUnknownReleases {
 			r := release{callID, cause, id != ""}
-			s.logRelease(endlog.WaitingRelease, r, 0)
+			s.logRelease(endlog.ReleaseWaits, r, 0)
 			s.releases = append(s.releases, r)
 			p.markActive(s)
 		}
@@ -56,7 +56,7 @@
 	for _, id := range slices.Sorted(maps.Keys(setUps)) {
 		if !s.hasCallOrAttempt(id) && len(s.releases) < maxUnknownReleases {
 			r := release{id, call.CauseNormal, true}
-			s.logRelease(endlog.LostAnswer, r, c.number)
+			s.logRelease(endlog.ReleasedWithoutAnswer, r, c.number)
 			s.releases = append(s.releases, r)
 			s.pool.markActive(s)
 		}
@@ -147,7 +147,7 @@
 	if !c.writable() {
 		return
 	}
-	c.server.logRelease(endlog.SentRelease, r, c.number)
+	c.server.logRelease(endlog.ReleaseSent, r, c.number)
 	sent := &sentRelease{release: r}
 	c.dropDelivered()
 	c.unconfirmed = append(c.unconfirmed, sent)
--- a/internal/dispatchers/release_test.go
+++ b/internal/dispatchers/release_test.go
@@ -16,7 +16,7 @@
 	t.Parallel()
 	const id, refusals = "00000000000000b1", 20
 	fx := newPoolFixture(t, 0, 1)
-	fx.dispatchers[0].Die()
+	fx.dispatchers[0].Kill()
 	fx.runOnLoop(func() {
 		fx.pool.Update(fx.list)
 		s := fx.pool.servers[dispatcherName(0)]
@@ -48,8 +48,8 @@
 	fx.runOnLoop(func() {
 		poolConn := fx.pool.servers[dispatcherName(0)].latestConn()
 		fx.pool.Release(dispatcherName(0), id, call.CauseNormal)
-		fx.dispatchers[0].Cut()
-		for until := time.Now().Add(peer.Patience); poolConn.conn.EndedAt().IsZero() &&
+		fx.dispatchers[0].ResetConns()
+		for until := time.Now().Add(peer.Timeout); poolConn.conn.EndedAt().IsZero() &&
 			time.Now().Before(until); time.Sleep(time.Millisecond) { // until netpoll has noticed the reset
 		}
 	})
@@ -71,7 +71,7 @@
 			t.Errorf("%T reads %+v, %v; want the confirmation of %s", protocol, m, err, id)
 		}
 	}
-	checkConfirmation(&SIP{fields: &fields}, sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: id, Seq: releaseCSeq, SeqOf: "BYE"}))
+	checkConfirmation(&SIP{fields: &fields}, sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: id, Seq: releaseCSeq, SeqMethod: "BYE"}))
 	checkConfirmation(&WebSocket{fields: &fields, handshakeDone: true},
 		websocket.Append(nil, websocket.Text, []byte(`{"type":"released","id":"`+id+`","fields":{}}`), false))
 }
@@ -88,13 +88,13 @@
 	fx.waitFor(0, "opened")
 	fx.setUp(0, id)
 	first := fx.waitFor(0, "setup")
-	if err := first.Reset(); err != nil { // an answer may have been lost with it
+	if err := first.ResetConn(); err != nil { // an answer may have been lost with it
 		t.Fatal(err)
 	}
 	released := fx.waitFor(0, "release")
 	fx.setUp(0, id)
 	fx.establish(0, fx.waitFor(0, "setup"))
-	if err := released.Reset(); err != nil {
+	if err := released.ResetConn(); err != nil {
 		t.Fatal(err)
 	}
 	fx.waitFor(0, "opened")
--- a/internal/dispatchers/renewal.go
+++ b/internal/dispatchers/renewal.go
@@ -18,7 +18,7 @@
 	switch {
 	case c.state == connClosed, c.closedCleanly, isCleanClose(reason):
 		return false
-	case errors.Is(reason, conn.ErrClosedHere):
+	case errors.Is(reason, conn.ErrClosedLocally):
 		return c.isAbandoned()
 	}
 	return true
@@ -26,14 +26,14 @@
 
 // requestRenewal requests a new connection, on which the dispatcher repeats the ends that it has sent until now.
 func (s *server) requestRenewal() {
-	s.logStep(endlog.RenewalAsked, nil)
+	s.logStep(endlog.RenewalRequested, nil)
 	s.renewal.Request(time.Now())
 	s.pool.markActive(s)
 }
 
 // recordLostEnds records that ends sent until now may have been lost.
 func (s *server) recordLostEnds() {
-	s.logStep(endlog.RenewalAsked, nil)
+	s.logStep(endlog.RenewalRequested, nil)
 	s.renewal.RecordLoss(time.Now())
 	s.pool.markActive(s)
 }
@@ -44,7 +44,7 @@
 		return
 	}
 	for id := range s.pool.core.EstablishedAt(s.ID) {
-		endlog.Call(s.pool.Log, endlog.InDoubt, id, endlog.Server(s.ID))
+		endlog.Call(s.pool.Log, endlog.EndUncertain, id, endlog.Server(s.ID))
 	}
 }
 
@@ -84,10 +84,10 @@
 			return // until a connection is idle
 		}
 		s.vacating = nil
-		s.conns[idle].halfClose(conn.ErrClosedHere)
+		s.conns[idle].halfClose(conn.ErrClosedLocally)
 	}
 	if s.connect(); s.dialing {
-		s.logStep(endlog.RenewalBegun, nil)
+		s.logStep(endlog.RenewalStarted, nil)
 	}
 }
 
--- a/internal/dispatchers/renewal_test.go
+++ b/internal/dispatchers/renewal_test.go
@@ -17,7 +17,7 @@
 		fx.pool.Update(fx.list)
 	})
 	fx.waitFor(0, "opened")
-	fx.dispatchers[0].Stop()
+	fx.dispatchers[0].StopListening()
 	ticker := time.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
 	dialState := func() (dials int, dialing bool) {
@@ -29,10 +29,10 @@
 	reportUntil := func(until func() bool) {
 		t.Helper()
 		for begun := time.Now(); !until(); <-ticker.C {
-			if err := fx.dispatchers[0].Report("x0:40"); err != nil {
+			if err := fx.dispatchers[0].SetReport("x0:40"); err != nil {
 				t.Fatal(err)
 			}
-			if time.Since(begun) > peer.Patience {
+			if time.Since(begun) > peer.Timeout {
 				t.Fatal("no new connection to the dispatcher was opened")
 			}
 		}
@@ -42,5 +42,5 @@
 		return dials > before && !dialing
 	})
 	restarted := dispatcherAt(t, "tcp", fx.dispatchers[0].Address())
-	reportUntil(func() bool { return restarted.Links() > 0 })
+	reportUntil(func() bool { return restarted.ConnCount() > 0 })
 }
--- a/internal/dispatchers/server.go
+++ b/internal/dispatchers/server.go
@@ -27,7 +27,7 @@
 // closeIdle half-closes an idle connection. An end may be in transit there, and the dispatcher may reset the connection while it closes.
 // If calls are established, another connection is therefore opened, on which the dispatcher repeats the ends sent since.
 func (s *server) closeIdle(c *connection) {
-	reason := conn.ErrClosedHere
+	reason := conn.ErrClosedLocally
 	if s.pool.core.EstablishedCount(s.ID) > 0 {
 		reason = errUnresponsive
 	}
@@ -149,7 +149,7 @@
 	latest := s.latestConn()
 	toRelease := s.collectReleases()
 	if len(s.conns)+len(toRelease) > 0 {
-		s.logStep(endlog.Dropped, reason)
+		s.logStep(endlog.AllConnectionsAbandoned, reason)
 	}
 	for _, c := range slices.Clone(s.conns) {
 		if len(c.setUps) > 0 || c == latest && len(toRelease) > 0 {
@@ -229,7 +229,7 @@
 	}
 	for _, c := range s.conns {
 		if c.openSetUps() == 0 && !c.healthy(now) {
-			c.halfClose(conn.ErrClosedHere)
+			c.halfClose(conn.ErrClosedLocally)
 			return true
 		}
 	}
--- a/internal/dispatchers/sip.go
+++ b/internal/dispatchers/sip.go
@@ -39,7 +39,7 @@
 // with the number 1 as well.
 func (p *SIP) SetUp(a call.SetUp) []byte {
 	return sip.Append(nil, &sip.Message{
-		Method: "INVITE", URI: uri(a.Called), CallID: a.ID, Seq: uint32(a.Attempt) + 1, SeqOf: "INVITE",
+		Method: "INVITE", URI: uri(a.Called), CallID: a.ID, Seq: uint32(a.Attempt) + 1, SeqMethod: "INVITE",
 		Headers: []sip.Header{
 			{Name: "P-Kind", Value: a.Class},
 			{Name: "P-Time-Left", Value: strconv.FormatInt(a.Timeout.Milliseconds(), 10)},
@@ -51,13 +51,13 @@
 // Cancel encodes a CANCEL.
 func (p *SIP) Cancel(id string, attempt int, called string) []byte {
 	return sip.Append(nil, &sip.Message{
-		Method: "CANCEL", URI: uri(called), CallID: id, Seq: uint32(attempt) + 1, SeqOf: "CANCEL"})
+		Method: "CANCEL", URI: uri(called), CallID: id, Seq: uint32(attempt) + 1, SeqMethod: "CANCEL"})
 }
 
 // Release encodes a BYE.
 func (p *SIP) Release(id string, cause int) []byte {
 	return sip.Append(nil, &sip.Message{
-		Method: "BYE", URI: uri("call"), CallID: id, Seq: releaseCSeq, SeqOf: "BYE",
+		Method: "BYE", URI: uri("call"), CallID: id, Seq: releaseCSeq, SeqMethod: "BYE",
 		Headers: []sip.Header{{Name: "Reason", Value: "Q.850;cause=" + strconv.Itoa(cause)}},
 	})
 }
@@ -66,7 +66,7 @@
 func (p *SIP) Probe() (message []byte, number uint32) {
 	p.probes++
 	return sip.Append(nil, &sip.Message{
-		Method: "OPTIONS", URI: uri("load"), CallID: probeIDPrefix + strconv.FormatUint(uint64(p.probes), 10), Seq: p.probes, SeqOf: "OPTIONS"}), p.probes
+		Method: "OPTIONS", URI: uri("load"), CallID: probeIDPrefix + strconv.FormatUint(uint64(p.probes), 10), Seq: p.probes, SeqMethod: "OPTIONS"}), p.probes
 }
 
 // probeNumber returns the number of the probe with the given Call-ID, or 0 if it is not that of a probe.
@@ -99,17 +99,17 @@
 	case m.Method == "NOTIFY" || m.Method == "ACK":
 	case m.Method != "":
 		message.encodeReply = okReply(m)
-	case m.SeqOf == "BYE" && m.Status >= 200:
+	case m.SeqMethod == "BYE" && m.Status >= 200:
 		message.kind = releaseConfirmed
-	case m.SeqOf == "OPTIONS" && m.Status >= 200:
+	case m.SeqMethod == "OPTIONS" && m.Status >= 200:
 		message.probeReply = probeNumber(m.CallID)
-	case m.SeqOf != "INVITE":
+	case m.SeqMethod != "INVITE":
 	case m.Status >= 200:
 		p.readFinalAnswer(m, message)
 		// A length that is too short makes the rest of the description the beginning of the next message; one that is too long adds that
 		// message to the description.
 		message.damaged = message.kind == answer && (!call.ValidDescription(message.description) ||
-			strings.Contains(message.description, "SIP/2.0") || !sip.MayBegin(in))
+			strings.Contains(message.description, "SIP/2.0") || !sip.MayStartMessage(in))
 	default:
 		message.kind = noAction
 	}
@@ -120,7 +120,7 @@
 func (p *SIP) readFinalAnswer(m *sip.Message, message *Message) {
 	message.final = true
 	message.encodeReply = func(called string) []byte {
-		return sip.Append(nil, &sip.Message{Method: "ACK", URI: uri(called), CallID: m.CallID, Seq: m.Seq, SeqOf: "ACK"})
+		return sip.Append(nil, &sip.Message{Method: "ACK", URI: uri(called), CallID: m.CallID, Seq: m.Seq, SeqMethod: "ACK"})
 	}
 	if m.Status < 300 {
 		message.kind, message.description = answer, string(m.Body)
@@ -143,7 +143,7 @@
 
 func okReply(m *sip.Message) func(string) []byte {
 	return func(string) []byte {
-		return sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: m.CallID, Seq: m.Seq, SeqOf: m.SeqOf})
+		return sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: m.CallID, Seq: m.Seq, SeqMethod: m.SeqMethod})
 	}
 }
 
--- a/internal/dispatchers/transport.go
+++ b/internal/dispatchers/transport.go
@@ -10,12 +10,12 @@
 type transportConn interface {
 	Write(p []byte)
 	WriteThen(p []byte, then func()) conn.Ticket
-	Recall(ticket conn.Ticket) bool
+	CancelWrite(ticket conn.Ticket) bool
 	Flush()
 	Unsent() int
-	Unread() bool
+	HasUnreadInput() bool
 	EndedAt() time.Time
-	Finish(within time.Duration)
+	CloseWrite(within time.Duration)
 	Close(reason error)
 	Abort(reason error)
 }
--- a/internal/dispatchers/waiting_test.go
+++ b/internal/dispatchers/waiting_test.go
@@ -30,11 +30,11 @@
 // connection opens. Those beyond 1,024 were once dropped, and their calls lasted until their own end.
 func TestWaitingReleases(t *testing.T) {
 	t.Parallel()
-	d, err := peer.DispatchLate("tcp", "x0:40")
+	d, err := peer.NewFullBacklogDispatcher("tcp", "x0:40")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(d.Die)
+	t.Cleanup(d.Kill)
 	loop := call.NewLoop()
 	go loop.Run()
 	t.Cleanup(loop.Quit)
@@ -54,7 +54,7 @@
 		}
 		p.SetUp("d", attemptOf("last", 0))
 	})
-	d.Open()
+	d.StartAccepting()
 	for n := range releaseCount + 1 {
 		want := fmt.Sprint("release known-", n)
 		if n == releaseCount {
--- a/internal/dispatchers/websocket.go
+++ b/internal/dispatchers/websocket.go
@@ -19,7 +19,7 @@
 type WebSocket struct {
 	fields                       *[]string // fields of load reports in the active configuration
 	host, path                   string
-	opening                      websocket.Opening
+	opening                      websocket.ClientHandshake
 	handshakeDone, closeReceived bool
 	dec                          websocket.Decoder
 	probes                       uint32 // number of probes sent
@@ -94,7 +94,7 @@
 	case p.closeReceived:
 		return nil, io.EOF
 	case !p.handshakeDone:
-		done, err := p.opening.Done(in)
+		done, err := p.opening.ReadResponse(in)
 		if err != nil || !done {
 			return nil, err
 		}
@@ -114,7 +114,7 @@
 	case websocket.Text:
 		message, err := jsonl.Parse(m.Payload)
 		if err != nil {
-			return nil, errors.Join(&websocket.Error{Code: websocket.BadData, Text: "unreadable message"}, err)
+			return nil, errors.Join(&websocket.Error{Code: websocket.InvalidPayload, Text: "unreadable message"}, err)
 		}
 		return p.interpret(message), nil
 	case websocket.Binary:
--- a/internal/endlog/endlog.go
+++ b/internal/endlog/endlog.go
@@ -9,13 +9,13 @@
 
 // Log messages for the steps of a call, of a dispatcher and of a connection from callers.
 const (
-	CallMessage       = "step of a call"                    // attributes: step, id
-	DispatcherMessage = "step of a dispatcher"              // step, server
-	CallersMessage    = "step of a connection from callers" // step, connection
+	CallMessage             = "step of a call"                    // attributes: step, id
+	DispatcherMessage       = "step of a dispatcher"              // step, server
+	CallerConnectionMessage = "step of a connection from callers" // step, connection
 )
 
 // Messages returns all messages of this package, for a handler that limits their rate.
-func Messages() []string { return []string{CallMessage, DispatcherMessage, CallersMessage} }
+func Messages() []string { return []string{CallMessage, DispatcherMessage, CallerConnectionMessage} }
 
 // Keys of the attributes.
 const (
@@ -34,58 +34,58 @@
 
 // Steps of a call, in the order in which they occur.
 const (
-	AnswerAgain      Step = "answer ignored: the call is established there"
-	AnswerOfEarlier  Step = "answer ignored: it is an earlier attempt's"
-	AnswerUnwanted   Step = "answer that nobody waits for: released at the dispatcher"
-	AnswerUnfit      Step = "answer that cannot be passed on: released at the dispatcher"
-	AnswerOnDraining Step = "answer on a connection that was given up: released at the dispatcher"
-	AnswerQueued     Step = "answer queued to the caller"
-	Established      Step = "established"
-
-	SentRelease    Step = "release sent to the dispatcher"
-	WaitingRelease Step = "release to the dispatcher waits for a connection"
-	LostAnswer     Step = "released at the dispatcher: its connection ended without an answer"
-
-	ReleaseRead   Step = "release read from the dispatcher"
-	EndReceived   Step = "end received" // with the result, as in the metrics
-	Over          Step = "over"
-	EndOfEarlier  Step = "ambiguous end is an earlier attempt's: a reply came on the connection of the later one"
-	EndOfLatest   Step = "ambiguous end counts as that of the established call: no reply came on its connection"
-	WithoutAnswer Step = "over without its answer"
-	EndedByCaller Step = "ended by its caller"
-	Arrived       Step = "taken over from another controller"
-	Given         Step = "given to another controller"
-	Recovered     Step = "taken up from an earlier process" // with the action
-	CameBack      Step = "its caller came back"             // with the state of the call
-	ToSuccessor   Step = "end handed to the successor"
-	EndQueued     Step = "end queued to the caller"
-	EndWithKernel Step = "end with the kernel"
-	EndWaits      Step = "end waits for a connection"
-	EndCountsRead Step = "end counts as read: its connection ended later"
-	EndUnread     Step = "end may be unread as its connection ended: told again"
-	EndForTest    Step = "end told on a connection for tests: told again"
-	EndDropped    Step = "end given up"
-	Stranded      Step = "counts as cut: another dispatcher has the address, and no connection is left of those that there were"
-	InDoubt       Step = "end in doubt: a connection to the dispatcher was given up"
+	RepeatedAnswer             Step = "answer ignored: the call is established there"
+	AnswerOfEarlierAttempt     Step = "answer ignored: it is an earlier attempt's"
+	UnexpectedAnswer           Step = "answer that nobody waits for: released at the dispatcher"
+	UndeliverableAnswer        Step = "answer that cannot be passed on: released at the dispatcher"
+	AnswerOnDrainingConnection Step = "answer on a connection that was given up: released at the dispatcher"
+	AnswerQueued               Step = "answer queued to the caller"
+	Established                Step = "established"
+
+	ReleaseSent           Step = "release sent to the dispatcher"
+	ReleaseWaits          Step = "release to the dispatcher waits for a connection"
+	ReleasedWithoutAnswer Step = "released at the dispatcher: its connection ended without an answer"
+
+	ReleaseRead             Step = "release read from the dispatcher"
+	EndReceived             Step = "end received" // with the result, as in the metrics
+	Terminated              Step = "over"
+	EndOfEarlierAttempt     Step = "ambiguous end is an earlier attempt's: a reply came on the connection of the later one"
+	EndOfEstablishedCall    Step = "ambiguous end counts as that of the established call: no reply came on its connection"
+	TerminatedWithoutAnswer Step = "over without its answer"
+	TerminatedByCaller      Step = "ended by its caller"
+	TransferredIn           Step = "taken over from another controller"
+	TransferredOut          Step = "given to another controller"
+	Recovered               Step = "taken up from an earlier process" // with the action
+	Resumed                 Step = "its caller came back"             // with the state of the call
+	EndHandedToSuccessor    Step = "end handed to the successor"
+	EndQueued               Step = "end queued to the caller"
+	EndWrittenToKernel      Step = "end with the kernel"
+	EndWaits                Step = "end waits for a connection"
+	EndPresumedRead         Step = "end counts as read: its connection ended later"
+	EndUnconfirmed          Step = "end may be unread as its connection ended: told again"
+	EndOnTestConnection     Step = "end told on a connection for tests: told again"
+	EndDropped              Step = "end given up"
+	Orphaned                Step = "counts as cut: another dispatcher has the address, and no connection is left of those that there were"
+	EndUncertain            Step = "end in doubt: a connection to the dispatcher was given up"
 )
 
 // Steps of a dispatcher.
 const (
-	LinkOpened    Step = "connection opened"
-	LinkGivenUp   Step = "connection given up"
-	LinkPushedOut Step = "given-up connection closed to make room"
-	LinkEnded     Step = "connection ended"
-	LinkDiscards  Step = "bytes on a closed connection discarded"
-	Dropped       Step = "all connections given up"
-	Stopped       Step = "nothing listens: it counts as stopped"
-	RenewalAsked  Step = "new connection asked for"
-	RenewalBegun  Step = "new connection begun"
-	RenewalFailed Step = "new connection failed"
-	CountsAsGone  Step = "counts as gone: its calls are over"
+	ConnectionOpened        Step = "connection opened"
+	ConnectionAbandoned     Step = "connection given up"
+	ConnectionEvicted       Step = "given-up connection closed to make room"
+	ConnectionEnded         Step = "connection ended"
+	InputDiscarded          Step = "bytes on a closed connection discarded"
+	AllConnectionsAbandoned Step = "all connections given up"
+	DispatcherStopped       Step = "nothing listens: it counts as stopped"
+	RenewalRequested        Step = "new connection asked for"
+	RenewalStarted          Step = "new connection begun"
+	RenewalFailed           Step = "new connection failed"
+	DispatcherPresumedGone  Step = "counts as gone: its calls are over"
 )
 
-// CallersEnded is the end of a connection from callers.
-const CallersEnded Step = "connection ended"
+// CallerConnectionEnded is the end of a connection from callers.
+const CallerConnectionEnded Step = "connection ended"
 
 // Enabled reports whether steps are logged.
 func Enabled(log *slog.Logger) bool {
@@ -106,10 +106,10 @@
 	}
 }
 
-// Callers logs a step of a connection from callers, by its number.
-func Callers(log *slog.Logger, step Step, connection uint64, more ...slog.Attr) {
+// CallerConnection logs a step of a connection from callers, by its number.
+func CallerConnection(log *slog.Logger, step Step, connection uint64, more ...slog.Attr) {
 	if Enabled(log) {
-		write(log, CallersMessage, step, Connection(connection), more)
+		write(log, CallerConnectionMessage, step, Connection(connection), more)
 	}
 }
 
--- a/internal/endlog/endlog_test.go
+++ b/internal/endlog/endlog_test.go
@@ -14,8 +14,8 @@
 	id, server, number := strings.Repeat("a", 16), strings.Repeat("b", 16), uint64(1)<<40
 	allocations := testing.AllocsPerRun(100, func() {
 		Call(log, ReleaseRead, id, Server(server), Connection(number), Attempt(1<<20))
-		Dispatcher(log, LinkEnded, server, Connection(number), Reason(io.EOF))
-		Callers(log, CallersEnded, number, Reason(io.EOF))
+		Dispatcher(log, ConnectionEnded, server, Connection(number), Reason(io.EOF))
+		CallerConnection(log, CallerConnectionEnded, number, Reason(io.EOF))
 		Call(nil, EndQueued, id)
 	})
 	if allocations > 0 {
@@ -28,9 +28,9 @@
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	Call(log, EndQueued, "c1", Connection(7))
-	Dispatcher(log, LinkGivenUp, "d1", Connection(8), Reason(io.EOF))
-	Callers(log, CallersEnded, 9, Reason(io.EOF))
-	Dispatcher(log, RenewalBegun, "d1", Reason(nil))
+	Dispatcher(log, ConnectionAbandoned, "d1", Connection(8), Reason(io.EOF))
+	CallerConnection(log, CallerConnectionEnded, 9, Reason(io.EOF))
+	Dispatcher(log, RenewalStarted, "d1", Reason(nil))
 	for i, want := range []string{
 		`level=DEBUG msg="step of a call" step="end queued to the caller" id=c1 connection=7`,
 		`level=DEBUG msg="step of a dispatcher" step="connection given up" server=d1 connection=8 reason=EOF`,
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -19,14 +19,14 @@
 type Direction int
 
 const (
-	// Forth is the direction from the client to the server.
-	Forth Direction = iota
-	// Back is the direction from the server to the client.
-	Back
+	// Forward is the direction from the client to the server.
+	Forward Direction = iota
+	// Backward is the direction from the server to the client.
+	Backward
 )
 
-// Way holds the faults that apply to the data of one direction. Data is delivered in order.
-type Way struct {
+// Impairment holds the faults that apply to the data of one direction. Data is delivered in order.
+type Impairment struct {
 	Delay  time.Duration // fixed delay of each chunk
 	Jitter time.Duration // upper bound of the random delay that is added to Delay
 	Rate   int           // bytes per second; 0 for no limit
@@ -36,13 +36,13 @@
 
 // Rule holds the faults that apply to a link.
 type Rule struct {
-	Forth, Back Way
+	Forth, Back Impairment
 	// Shut blocks new connections: the proxy accepts them, but connects to the server only once Shut is lifted.
 	Shut bool
 }
 
-// Entry is an entry of the log of a Net.
-type Entry struct {
+// LogEntry is an entry of the log of a Net.
+type LogEntry struct {
 	At   time.Duration // since the Net was created
 	Link string
 	What string
@@ -54,7 +54,7 @@
 	rng     *rand.Rand
 	started time.Time
 	links   map[string]*Link
-	log     []Entry
+	log     []LogEntry
 }
 
 // maxLogEntries is the number of log entries that are kept; later ones are dropped.
@@ -67,12 +67,12 @@
 
 func (n *Net) logf(link, format string, args ...any) {
 	if len(n.log) < maxLogEntries {
-		n.log = append(n.log, Entry{time.Since(n.started), link, fmt.Sprintf(format, args...)})
+		n.log = append(n.log, LogEntry{time.Since(n.started), link, fmt.Sprintf(format, args...)})
 	}
 }
 
 // Log returns a copy of the log.
-func (n *Net) Log() []Entry {
+func (n *Net) Log() []LogEntry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.log)
@@ -113,9 +113,9 @@
 	})
 }
 
-// Between adds a link between two named processes and returns the address of its proxy. Connections to this address are forwarded to the
+// AddLink adds a link between two named processes and returns the address of its proxy. Connections to this address are forwarded to the
 // target, which need not listen yet.
-func (n *Net) Between(from, to, target string) (address string, err error) {
+func (n *Net) AddLink(from, to, target string) (address string, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("fault: listen: %w", err)
@@ -154,9 +154,9 @@
 	return found
 }
 
-// Set sets the rule of all links that match a pattern, such as "n1>store" or "*>store". Delays and limits apply to data that is read from
+// SetRule sets the rule of all links that match a pattern, such as "n1>store" or "*>store". Delays and limits apply to data that is read from
 // now on.
-func (n *Net) Set(pattern string, r Rule) {
+func (n *Net) SetRule(pattern string, r Rule) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, l := range n.matchingLinks(pattern) {
@@ -168,22 +168,22 @@
 }
 
 // Heal removes the rules of all links.
-func (n *Net) Heal() { n.Set("*>*", Rule{}) }
+func (n *Net) Heal() { n.SetRule("*>*", Rule{}) }
 
-// Part blocks the links between two groups of processes in both directions. Open connections stay open, new ones are not established, and
+// Partition blocks the links between two groups of processes in both directions. Open connections stay open, new ones are not established, and
 // data that was sent in the meantime is delivered after Heal.
-func (n *Net) Part(groupA, groupB []string) {
+func (n *Net) Partition(groupA, groupB []string) {
 	for _, a := range groupA {
 		for _, b := range groupB {
-			blocked := Way{Hole: true}
-			n.Set(a+">"+b, Rule{blocked, blocked, true})
-			n.Set(b+">"+a, Rule{blocked, blocked, true})
+			blocked := Impairment{Hole: true}
+			n.SetRule(a+">"+b, Rule{blocked, blocked, true})
+			n.SetRule(b+">"+a, Rule{blocked, blocked, true})
 		}
 	}
 }
 
-// Cut closes or resets the connections of the links that match a pattern.
-func (n *Net) Cut(pattern string, reset bool) {
+// CloseConns closes or resets the connections of the links that match a pattern.
+func (n *Net) CloseConns(pattern string, reset bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, l := range n.matchingLinks(pattern) {
@@ -194,8 +194,8 @@
 	}
 }
 
-// Refuse closes the listeners of the links that match a pattern, so that new connections are refused. Open connections stay open.
-func (n *Net) Refuse(pattern string) {
+// RefuseConns closes the listeners of the links that match a pattern, so that new connections are refused. Open connections stay open.
+func (n *Net) RefuseConns(pattern string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, l := range n.matchingLinks(pattern) {
@@ -204,15 +204,15 @@
 	}
 }
 
-// Half closes one direction of the connections of the links that match a pattern and leaves the other one open.
-func (n *Net) Half(pattern string, d Direction) {
+// HalfClose closes one direction of the connections of the links that match a pattern and leaves the other one open.
+func (n *Net) HalfClose(pattern string, d Direction) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, l := range n.matchingLinks(pattern) {
 		n.logf(l.Name, "half-closed %d connections, direction %d", len(l.conns), d)
 		for p := range l.conns {
 			to := p.server
-			if d == Back {
+			if d == Backward {
 				to = p.client
 			}
 			if tcp, ok := to.(*net.TCPConn); ok {
@@ -222,12 +222,12 @@
 	}
 }
 
-// Passed returns the number of bytes that a link has forwarded in each direction.
-func (n *Net) Passed(name string) (forward, backward int64) {
+// ForwardedBytes returns the number of bytes that a link has forwarded in each direction.
+func (n *Net) ForwardedBytes(name string) (forward, backward int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if l := n.links[name]; l != nil {
-		return l.forwardedBytes[Forth], l.forwardedBytes[Back]
+		return l.forwardedBytes[Forward], l.forwardedBytes[Backward]
 	}
 	return 0, 0
 }
@@ -288,8 +288,8 @@
 	default:
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { l.forward(p, p.client, server, Forth) })
-	wg.Go(func() { l.forward(p, server, p.client, Back) })
+	wg.Go(func() { l.forward(p, p.client, server, Forward) })
+	wg.Go(func() { l.forward(p, server, p.client, Backward) })
 	wg.Wait()
 }
 
@@ -352,8 +352,8 @@
 	}
 }
 
-func (r *Rule) impairment(d Direction) Way {
-	if d == Forth {
+func (r *Rule) impairment(d Direction) Impairment {
+	if d == Forward {
 		return r.Forth
 	}
 	return r.Back
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -37,7 +37,7 @@
 	t.Helper()
 	n := New(7)
 	t.Cleanup(n.Close)
-	address, err := n.Between("a", "b", startEchoServer(t))
+	address, err := n.AddLink("a", "b", startEchoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,17 +85,17 @@
 		minElapsed time.Duration
 	}{
 		{"no faults", Rule{}, 0},
-		{"delay towards the server", Rule{Forth: Way{Delay: 60 * time.Millisecond}}, 60 * time.Millisecond},
-		{"delay in both directions, with jitter", Rule{Forth: Way{Delay: 30 * time.Millisecond}, Back: Way{Delay: 40 * time.Millisecond, Jitter: time.Millisecond}}, 70 * time.Millisecond},
-		{"chunks of 7 bytes", Rule{Forth: Way{Split: 7}, Back: Way{Split: 7}}, 0},
-		{"100,000 bytes per second", Rule{Back: Way{Rate: 100_000}}, 190 * time.Millisecond},
+		{"delay towards the server", Rule{Forth: Impairment{Delay: 60 * time.Millisecond}}, 60 * time.Millisecond},
+		{"delay in both directions, with jitter", Rule{Forth: Impairment{Delay: 30 * time.Millisecond}, Back: Impairment{Delay: 40 * time.Millisecond, Jitter: time.Millisecond}}, 70 * time.Millisecond},
+		{"chunks of 7 bytes", Rule{Forth: Impairment{Split: 7}, Back: Impairment{Split: 7}}, 0},
+		{"100,000 bytes per second", Rule{Back: Impairment{Rate: 100_000}}, 190 * time.Millisecond},
 	} {
-		n.Set("a>b", step.rule)
+		n.SetRule("a>b", step.rule)
 		if elapsed, err := exchange(c, long, echoTimeout); err != nil || elapsed < step.minElapsed {
 			t.Errorf("%s: %v, %v; want at least %v", step.name, elapsed, err, step.minElapsed)
 		}
 	}
-	if forward, backward := n.Passed("a>b"); forward != 5*int64(len(long)) || backward != forward {
+	if forward, backward := n.ForwardedBytes("a>b"); forward != 5*int64(len(long)) || backward != forward {
 		t.Errorf("forwarded %d bytes to the server and %d to the client, want the text of every step in both directions", forward, backward)
 	}
 	if log := n.Log(); len(log) != 5 || log[4].Link != "a>b" {
@@ -111,7 +111,7 @@
 	if _, err := exchange(openConn, "x", echoTimeout); err != nil {
 		t.Fatal(err)
 	}
-	n.Part([]string{"a"}, []string{"b"})
+	n.Partition([]string{"a"}, []string{"b"})
 	newConn := dial()
 	started := time.Now()
 	for _, c := range []net.Conn{openConn, newConn} {
@@ -126,11 +126,11 @@
 			t.Errorf("receive after the partition was healed: %v", err)
 		}
 	}
-	n.Set("*>b", Rule{Back: Way{Hole: true}}) // blocks the direction to the client only
+	n.SetRule("*>b", Rule{Back: Impairment{Hole: true}}) // blocks the direction to the client only
 	if _, err := exchange(openConn, "one way", 50*time.Millisecond); err == nil {
 		t.Error("received an echo through a blocked direction")
 	}
-	if forward, backward := n.Passed("a>b"); forward <= backward {
+	if forward, backward := n.ForwardedBytes("a>b"); forward <= backward {
 		t.Errorf("forwarded %d bytes to the server and %d to the client, want more to the server", forward, backward)
 	}
 }
@@ -142,7 +142,7 @@
 		if _, err := exchange(c, "x", echoTimeout); err != nil {
 			t.Fatal(err)
 		}
-		n.Cut("a>*", reset)
+		n.CloseConns("a>*", reset)
 		if _, err := receive(c, "x", time.Now(), echoTimeout); err == nil || !reset && !errors.Is(err, io.EOF) || reset && errors.Is(err, io.EOF) {
 			t.Errorf("receive after a close with reset %v: %v", reset, err)
 		}
@@ -151,11 +151,11 @@
 	if _, err := exchange(c, "x", echoTimeout); err != nil {
 		t.Fatal(err)
 	}
-	n.Half("a>b", Forth) // the echo server reads EOF and closes, which is forwarded to the client
+	n.HalfClose("a>b", Forward) // the echo server reads EOF and closes, which is forwarded to the client
 	if _, err := receive(c, "x", time.Now(), echoTimeout); !errors.Is(err, io.EOF) {
 		t.Errorf("receive after a half-close: error %v, want EOF", err)
 	}
-	refused, err := n.Between("a", "c", "127.0.0.1:1")
+	refused, err := n.AddLink("a", "c", "127.0.0.1:1")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/controller.go
+++ b/internal/fleet/controller.go
@@ -143,7 +143,7 @@
 		return
 	}
 	if call.attempt != nil || sim.now < call.readyAt {
-		sim.result.Faults = append(sim.result.Faults, fmt.Sprintf(
+		sim.result.Violations = append(sim.result.Violations, fmt.Sprintf(
 			"%v: call %s: attempt sent while another is in progress, or within the release guard", sim.now, a.ID))
 	}
 	att := &attempt{call: call, number: call.attempts, controller: c, sentAt: sim.now}
--- a/internal/fleet/dispatcher.go
+++ b/internal/fleet/dispatcher.go
@@ -137,7 +137,7 @@
 	}
 	if d.overloadTime += min(since, 100*time.Millisecond); d.overloadTime > maxOverloadTime {
 		d.down = true
-		d.sim.result.Tipped++
+		d.sim.result.OverloadedCold++
 	}
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -17,53 +17,53 @@
 
 // Scenario describes a simulated deployment and its load. Times count from the start of the simulation.
 type Scenario struct {
-	Seed        uint64
-	Lasting     time.Duration
-	ServedFrom  time.Duration // calls established earlier are not counted in Result.Served
-	Controllers int
-	Dispatchers int
-	Rate        float64 // calls per second that one warm processor can handle
-	Load        float64 // offered calls as a fraction of what all warm processors can handle
-	Uneven      float64 // fraction of calls that go straight to the first controller; the rest are spread over all
-	Jumps       []Jump
-	Withdrawn   []Withdrawn
-	Slow        []Slow
-	Replaced    []Replaced
-	ReportEvery time.Duration // interval of the reports of a processor
-	ReportDelay time.Duration // delay of a report
-	ReportNoise float64       // standard deviation of the relative error of a report
-	Settings    control.Settings
-	Lines       int           // lines of a dispatcher; 0 for no limit
-	CallTime    time.Duration // mean duration of established calls; 0 for defaultCallTime
-	NoReports   bool          // dispatchers send no reports
+	Seed                 uint64
+	Duration             time.Duration
+	ServedFrom           time.Duration // calls established earlier are not counted in Result.Served
+	Controllers          int
+	Dispatchers          int
+	Rate                 float64 // calls per second that one warm processor can handle
+	Load                 float64 // offered calls as a fraction of what all warm processors can handle
+	FirstControllerShare float64 // fraction of calls that go straight to the first controller; the rest are spread over all
+	LoadChanges          []LoadChange
+	Withdrawals          []Withdrawal
+	Slowdowns            []Slowdown
+	Replacements         []Replacement
+	ReportEvery          time.Duration // interval of the reports of a processor
+	ReportDelay          time.Duration // delay of a report
+	ReportNoise          float64       // standard deviation of the relative error of a report
+	Settings             control.Settings
+	Lines                int           // lines of a dispatcher; 0 for no limit
+	CallTime             time.Duration // mean duration of established calls; 0 for defaultCallTime
+	NoReports            bool          // dispatchers send no reports
 }
 
 // callTime returns the mean duration of established calls.
 func (s *Scenario) callTime() time.Duration { return cmp.Or(s.CallTime, defaultCallTime) }
 
-// Jump multiplies the offered load for a time.
-type Jump struct {
-	From, For time.Duration
-	Times     float64
+// LoadChange multiplies the offered load for a time.
+type LoadChange struct {
+	From, Duration time.Duration
+	Factor         float64
 }
 
-// Withdrawn stops new calls from reaching a controller for a time; the other controllers get them. A killed controller also
+// Withdrawal stops new calls from reaching a controller for a time; the other controllers get them. A killed controller also
 // loses its calls and its state.
-type Withdrawn struct {
-	Controller int
-	From, For  time.Duration
-	Killed     bool
+type Withdrawal struct {
+	Controller     int
+	From, Duration time.Duration
+	Killed         bool
 }
 
-// Slow multiplies the processing times of a dispatcher for a time.
-type Slow struct {
-	Dispatcher int
-	From, For  time.Duration
-	Times      float64
+// Slowdown multiplies the processing times of a dispatcher for a time.
+type Slowdown struct {
+	Dispatcher     int
+	From, Duration time.Duration
+	Factor         float64
 }
 
-// Replaced drains a dispatcher and puts a cold one in its place.
-type Replaced struct {
+// Replacement drains a dispatcher and puts a cold one in its place.
+type Replacement struct {
 	Dispatcher int
 	At         time.Duration
 }
@@ -95,21 +95,21 @@
 
 // Second holds the counts of one second. Offered calls and their outcomes count in the second of the first dial.
 type Second struct {
-	Offered, InTime, Late, Lost int           // calls: offered, established within the aim, established later, never established
-	Refusals                    int           // refused or failed calls; each dial counts
-	Attempts                    int           // attempts sent
-	Busy                        float64       // mean utilization of the processors
-	Wait                        time.Duration // longest queue wait of set-ups at the end of the second
-	Avoided                     int           // pairs of a controller and a dispatcher that gets at most trial calls from it, at the end of the second
-	Held                        int           // pending calls without an attempt in progress at the end of the second
+	Offered, InTime, Late, Unserved int           // calls: offered, established within the aim, established later, never established
+	Refusals                        int           // refused or failed calls; each dial counts
+	Attempts                        int           // attempts sent
+	Busy                            float64       // mean utilization of the processors
+	Wait                            time.Duration // longest queue wait of set-ups at the end of the second
+	Avoided                         int           // pairs of a controller and a dispatcher that gets at most trial calls from it, at the end of the second
+	WithoutAttempt                  int           // pending calls without an attempt in progress at the end of the second
 }
 
 // Result holds the outcome of a simulation.
 type Result struct {
-	Seconds []Second
-	Tipped  int      // cold dispatchers that failed under overload
-	Served  []int    // calls established from ServedFrom on, by controller
-	Faults  []string // attempts that broke a rule
+	Seconds        []Second
+	OverloadedCold int      // cold dispatchers that failed under overload
+	Served         []int    // calls established from ServedFrom on, by controller
+	Violations     []string // attempts that broke a rule
 }
 
 // Service returns the worth of the calls first dialled between two times, as a fraction of the worth if all were answered in time.
@@ -169,9 +169,9 @@
 // clockStart is the time on the modules' clock at the start. It isn't 0 because the modules take 0 for never.
 const clockStart = time.Hour
 
-// Play simulates a scenario to its end. It fails if the settings are invalid.
-func Play(s Scenario) (*Result, error) {
-	sim := &simulation{Scenario: s, rng: rand.New(rand.NewPCG(s.Seed, 99)), result: &Result{Seconds: make([]Second, int(s.Lasting/time.Second)+1)}}
+// Run simulates a scenario to its end. It fails if the settings are invalid.
+func Run(s Scenario) (*Result, error) {
+	sim := &simulation{Scenario: s, rng: rand.New(rand.NewPCG(s.Seed, 99)), result: &Result{Seconds: make([]Second, int(s.Duration/time.Second)+1)}}
 	for i := range s.Dispatchers {
 		sim.dispatchers = append(sim.dispatchers, &dispatcher{sim: sim, index: i, id: serverID(i, 0), warmAt: -time.Hour})
 	}
@@ -185,17 +185,17 @@
 		c.deliver(sim.serverList())
 		sim.schedule(time.Duration(sim.rng.Int64N(int64(tick))), c.runIteration)
 	}
-	for _, withdrawal := range s.Withdrawn {
+	for _, withdrawal := range s.Withdrawals {
 		c := sim.controllers[withdrawal.Controller]
 		sim.schedule(withdrawal.From, func() { c.withdraw(withdrawal.Killed) })
-		sim.schedule(withdrawal.From+withdrawal.For, func() { c.restore(withdrawal.Killed) })
+		sim.schedule(withdrawal.From+withdrawal.Duration, func() { c.restore(withdrawal.Killed) })
 	}
-	for _, slowdown := range s.Slow {
+	for _, slowdown := range s.Slowdowns {
 		i := slowdown.Dispatcher
-		sim.schedule(slowdown.From, func() { sim.dispatchers[i].slowdown = slowdown.Times })
-		sim.schedule(slowdown.From+slowdown.For, func() { sim.dispatchers[i].slowdown = 0 })
+		sim.schedule(slowdown.From, func() { sim.dispatchers[i].slowdown = slowdown.Factor })
+		sim.schedule(slowdown.From+slowdown.Duration, func() { sim.dispatchers[i].slowdown = 0 })
 	}
-	for _, replacement := range s.Replaced {
+	for _, replacement := range s.Replacements {
 		sim.schedule(replacement.At, func() { sim.replace(replacement.Dispatcher) })
 	}
 	sim.result.Served = make([]int, s.Controllers)
@@ -209,7 +209,7 @@
 	sim.schedule(time.Second, sim.sampleSecond)
 	for len(sim.queue) > 0 {
 		e, ok := heap.Pop(&sim.queue).(event)
-		if !ok || e.at > s.Lasting {
+		if !ok || e.at > s.Duration {
 			break
 		}
 		sim.now = e.at
@@ -245,7 +245,7 @@
 	for _, c := range sim.controllers {
 		for _, call := range c.calls {
 			if call.attempt == nil {
-				s.Held++
+				s.WithoutAttempt++
 			}
 		}
 	}
@@ -255,9 +255,9 @@
 // generateCall creates a caller that dials now, and schedules the next caller.
 func (sim *simulation) generateCall() {
 	rate := sim.Rate * float64(sim.Dispatchers) * sim.Load
-	for _, change := range sim.Jumps {
-		if sim.now >= change.From && sim.now < change.From+change.For {
-			rate *= change.Times
+	for _, change := range sim.LoadChanges {
+		if sim.now >= change.From && sim.now < change.From+change.Duration {
+			rate *= change.Factor
 		}
 	}
 	sim.schedule(time.Duration(sim.rng.ExpFloat64()/rate*float64(time.Second)), sim.generateCall)
@@ -279,7 +279,7 @@
 	if len(serving) == 0 {
 		return nil
 	}
-	if sim.Uneven > 0 && !sim.controllers[0].withdrawn && sim.rng.Float64() < sim.Uneven {
+	if sim.FirstControllerShare > 0 && !sim.controllers[0].withdrawn && sim.rng.Float64() < sim.FirstControllerShare {
 		return sim.controllers[0]
 	}
 	return serving[sim.rng.IntN(len(serving))]
@@ -322,7 +322,7 @@
 	if cl.finished || cl.dials >= maxDials || cl.sim.now-cl.firstDialAt > cl.sim.Settings.Classes[0].Deadline {
 		if !cl.finished {
 			cl.finished = true
-			cl.sim.secondAt(cl.firstDialAt).Lost++
+			cl.sim.secondAt(cl.firstDialAt).Unserved++
 		}
 		return
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -27,7 +27,7 @@
 // testScenario returns a scenario of 30 s with two dispatchers at 80% load.
 func testScenario(seed uint64, controllers int) Scenario {
 	return Scenario{
-		Seed: seed, Lasting: 30 * time.Second, Controllers: controllers, Dispatchers: 2, Rate: 50, Load: 0.8,
+		Seed: seed, Duration: 30 * time.Second, Controllers: controllers, Dispatchers: 2, Rate: 50, Load: 0.8,
 		ReportEvery: 500 * time.Millisecond, ReportDelay: 150 * time.Millisecond, ReportNoise: 0.1, Settings: testSettings(controllers),
 	}
 }
@@ -35,7 +35,7 @@
 // run simulates a scenario and fails the test on an error.
 func run(t *testing.T, s Scenario) *Result {
 	t.Helper()
-	r, err := Play(s)
+	r, err := Run(s)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 // TestSameSeedGivesSameResult guards against results that depend on anything but the scenario and its seed.
 func TestSameSeedGivesSameResult(t *testing.T) {
 	s := testScenario(3, 3)
-	s.Lasting = 10 * time.Second
+	s.Duration = 10 * time.Second
 	addWithdrawal(&s)
 	if diff := cmp.Diff(run(t, s), run(t, s)); diff != "" {
 		t.Errorf("two runs with the same seed differ:\n%s", diff)
@@ -75,8 +75,8 @@
 		t.Errorf("service %.3f at three times the capacity, want at most 0.5", v)
 	}
 	slow := lightLoad
-	slow.Slow = []Slow{{Dispatcher: 0, From: 5 * time.Second, For: 20 * time.Second, Times: 10},
-		{Dispatcher: 1, From: 5 * time.Second, For: 20 * time.Second, Times: 10}}
+	slow.Slowdowns = []Slowdown{{Dispatcher: 0, From: 5 * time.Second, Duration: 20 * time.Second, Factor: 10},
+		{Dispatcher: 1, From: 5 * time.Second, Duration: 20 * time.Second, Factor: 10}}
 	if v := run(t, slow).Service(8*time.Second, 20*time.Second); v > 0.6 {
 		t.Errorf("service %.3f with processors ten times slower, want at most 0.6", v)
 	}
@@ -84,13 +84,13 @@
 
 // addLoadChange multiplies the load by 1.6 from 4 s to 8 s.
 func addLoadChange(s *Scenario) {
-	s.Jumps = []Jump{{From: 4 * time.Second, For: 4 * time.Second, Times: 1.6}}
+	s.LoadChanges = []LoadChange{{From: 4 * time.Second, Duration: 4 * time.Second, Factor: 1.6}}
 }
 
 // addWithdrawal adds a load change and withdraws the first controller from 4 s to 8.5 s.
 func addWithdrawal(s *Scenario) {
 	addLoadChange(s)
-	s.Withdrawn = []Withdrawn{{Controller: 0, From: 4 * time.Second, For: 4500 * time.Millisecond}}
+	s.Withdrawals = []Withdrawal{{Controller: 0, From: 4 * time.Second, Duration: 4500 * time.Millisecond}}
 }
 
 // variants are the changes to the test scenario that the tests cover.
@@ -101,21 +101,24 @@
 	{"calm", func(*Scenario) {}},
 	{"jump", addLoadChange},
 	{"drain", addWithdrawal},
-	{"killed", func(s *Scenario) { addWithdrawal(s); s.Withdrawn[0].Killed = true }},
+	{"killed", func(s *Scenario) { addWithdrawal(s); s.Withdrawals[0].Killed = true }},
 	{"two drained", func(s *Scenario) {
 		addWithdrawal(s)
-		s.Withdrawn = append(s.Withdrawn, Withdrawn{Controller: 1, From: 9 * time.Second, For: 3 * time.Second})
+		s.Withdrawals = append(s.Withdrawals, Withdrawal{Controller: 1, From: 9 * time.Second, Duration: 3 * time.Second})
 	}},
 	{"old reports", func(s *Scenario) {
 		s.ReportEvery, s.ReportDelay = 900*time.Millisecond, 300*time.Millisecond
-		s.Jumps = []Jump{{From: 4 * time.Second, For: 3 * time.Second, Times: 1.8}}
+		s.LoadChanges = []LoadChange{{From: 4 * time.Second, Duration: 3 * time.Second, Factor: 1.8}}
 	}},
 	{"slow", func(s *Scenario) {
 		addLoadChange(s)
-		s.Slow = []Slow{{Dispatcher: 0, From: 5 * time.Second, For: 5 * time.Second, Times: 2.5}}
+		s.Slowdowns = []Slowdown{{Dispatcher: 0, From: 5 * time.Second, Duration: 5 * time.Second, Factor: 2.5}}
 	}},
-	{"replaced", func(s *Scenario) { addLoadChange(s); s.Replaced = []Replaced{{Dispatcher: 1, At: 3 * time.Second}} }},
-	{"lopsided", func(s *Scenario) { addLoadChange(s); s.Uneven = 0.5 }},
+	{"replaced", func(s *Scenario) {
+		addLoadChange(s)
+		s.Replacements = []Replacement{{Dispatcher: 1, At: 3 * time.Second}}
+	}},
+	{"lopsided", func(s *Scenario) { addLoadChange(s); s.FirstControllerShare = 0.5 }},
 }
 
 // sweep runs a variant of the test scenario with several seeds. It returns the service of each run between two times in ascending order, and how
@@ -131,16 +134,16 @@
 				s := testScenario(seed, controllers)
 				s.Load = load
 				change(&s)
-				r, err := Play(s)
+				r, err := Run(s)
 				mu.Lock()
 				switch {
 				case err != nil:
 					t.Error(err)
-				case len(r.Faults) > 0:
-					t.Errorf("load %.2f, seed %d: %s", load, seed, r.Faults[0])
+				case len(r.Violations) > 0:
+					t.Errorf("load %.2f, seed %d: %s", load, seed, r.Violations[0])
 				default:
 					services = append(services, r.Service(from, to))
-					failedCold += r.Tipped
+					failedCold += r.OverloadedCold
 				}
 				mu.Unlock()
 			}
@@ -188,14 +191,14 @@
 	randomTime := func(maxMs int) time.Duration { return time.Duration(rng.IntN(maxMs)) * time.Millisecond }
 	for range 1 + rng.IntN(3) {
 		from := 1*time.Second + randomTime(8000)
-		s.Jumps = append(s.Jumps, Jump{From: from, For: min(randomTime(6000), 12*time.Second-from), Times: 1.3 + 1.5*rng.Float64()})
+		s.LoadChanges = append(s.LoadChanges, LoadChange{From: from, Duration: min(randomTime(6000), 12*time.Second-from), Factor: 1.3 + 1.5*rng.Float64()})
 	}
 	for i := range s.Dispatchers {
 		from := 1*time.Second + randomTime(8000)
-		s.Slow = append(s.Slow, Slow{Dispatcher: i, From: from, For: min(randomTime(6000), 12*time.Second-from), Times: 1 + 3*rng.Float64()})
+		s.Slowdowns = append(s.Slowdowns, Slowdown{Dispatcher: i, From: from, Duration: min(randomTime(6000), 12*time.Second-from), Factor: 1 + 3*rng.Float64()})
 	}
 	from := 1*time.Second + randomTime(8000)
-	s.Withdrawn = []Withdrawn{{Controller: 0, From: from, For: min(randomTime(6000), 12*time.Second-from), Killed: rng.IntN(2) == 0}}
+	s.Withdrawals = []Withdrawal{{Controller: 0, From: from, Duration: min(randomTime(6000), 12*time.Second-from), Killed: rng.IntN(2) == 0}}
 	return s
 }
 
@@ -207,8 +210,8 @@
 	recovered, recoveredEarly := 0, 0
 	for seed := range uint64(seeds) {
 		r := run(t, randomOverload(seed))
-		if len(r.Faults) > 0 {
-			t.Errorf("seed %d: %s", seed, r.Faults[0])
+		if len(r.Violations) > 0 {
+			t.Errorf("seed %d: %s", seed, r.Violations[0])
 		}
 		if r.Service(17*time.Second, 22*time.Second) > 0.9 {
 			recoveredEarly++
--- a/internal/fleet/share_test.go
+++ b/internal/fleet/share_test.go
@@ -16,7 +16,7 @@
 	s.Dispatchers, s.Lines, s.CallTime = 4, lines, time.Second
 	s.Rate = 5 * float64(lines) / s.CallTime.Seconds()
 	s.Load = load / 5
-	s.Lasting, s.ServedFrom = 25*time.Second, 5*time.Second
+	s.Duration, s.ServedFrom = 25*time.Second, 5*time.Second
 	s.NoReports = !reports
 	s.ReportEvery, s.ReportDelay = 300*time.Millisecond, 20*time.Millisecond
 	return s
@@ -70,8 +70,8 @@
 								total += sum
 								indices = append(indices, jainIndex(r.Served))
 								worst = append(worst, float64(slices.Min(r.Served))*float64(controllers)/float64(sum))
-								if len(r.Faults) > 0 {
-									t.Errorf("seed %d: %s", seed, r.Faults[0])
+								if len(r.Violations) > 0 {
+									t.Errorf("seed %d: %s", seed, r.Violations[0])
 								}
 								mu.Unlock()
 							}
--- a/internal/fleet/uneven_test.go
+++ b/internal/fleet/uneven_test.go
@@ -29,7 +29,7 @@
 			for seed := uint64(1); seed <= seeds; seed++ {
 				runs.Go(func() {
 					s := scarceLines(seed, test.controllers, test.load, true)
-					s.Uneven = test.firstShare
+					s.FirstControllerShare = test.firstShare
 					r := run(t, s)
 					mu.Lock()
 					defer mu.Unlock()
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -40,15 +40,15 @@
 
 // Message is a message between the two processes, one line of JSON.
 type Message struct {
-	Hello     string   `json:"hello,omitempty"`     // the greeting
-	Busy      bool     `json:"busy,omitempty"`      // another successor is starting
-	Listeners []string `json:"listeners,omitempty"` // configured addresses of the listeners, in the order of the descriptors
-	Ready     bool     `json:"ready,omitempty"`     // the successor serves
-	Open      *int     `json:"open,omitempty"`      // number of callers' connections that the predecessor still holds
-	Over      string   `json:"over,omitempty"`      // id of a call that has ended; the successor notifies its caller
-	Cause     int      `json:"cause,omitempty"`     // cause of that end
-	Stands    string   `json:"stands,omitempty"`    // id of a call that is established as the predecessor ends
-	Server    string   `json:"server,omitempty"`    // server at which that call is established
+	Hello           string   `json:"hello,omitempty"`     // the greeting
+	Busy            bool     `json:"busy,omitempty"`      // another successor is starting
+	Listeners       []string `json:"listeners,omitempty"` // configured addresses of the listeners, in the order of the descriptors
+	Ready           bool     `json:"ready,omitempty"`     // the successor serves
+	OpenConnections *int     `json:"open,omitempty"`      // number of callers' connections that the predecessor still holds
+	TerminatedCall  string   `json:"over,omitempty"`      // id of a call that has ended; the successor notifies its caller
+	Cause           int      `json:"cause,omitempty"`     // cause of that end
+	EstablishedCall string   `json:"stands,omitempty"`    // id of a call that is established as the predecessor ends
+	Server          string   `json:"server,omitempty"`    // server at which that call is established
 }
 
 // Path returns the path of the Unix socket of the process that listens for callers on an address. It returns an empty path if the address has no
@@ -146,9 +146,9 @@
 	}
 }
 
-// Last queues a message and waits while the queue is full, unless the connection is closed. It is for the messages before Finish, which
+// SendBlocking queues a message and waits while the queue is full, unless the connection is closed. It is for the messages before Finish, which
 // may exceed the capacity of the queue.
-func (p *Peer) Last(m Message) {
+func (p *Peer) SendBlocking(m Message) {
 	select {
 	case <-p.done:
 	case p.send <- m:
@@ -164,9 +164,9 @@
 	}
 }
 
-// Ask requests the listening sockets of the process that serves at a path, and returns them by their addresses. The error matches
+// RequestListeners requests the listening sockets of the process that serves at a path, and returns them by their addresses. The error matches
 // fs.ErrNotExist or ECONNREFUSED if there is no such process, and ErrBusy if that process has a successor already.
-func Ask(path string) (_ *Peer, _ map[string]*net.TCPListener, err error) {
+func RequestListeners(path string) (_ *Peer, _ map[string]*net.TCPListener, err error) {
 	nc, err := dial(path)
 	if err != nil {
 		return nil, nil, err
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -22,13 +22,13 @@
 var (
 	// ErrTooLong means that a head or a body exceeds its maximum size.
 	ErrTooLong = errors.New("too long for a head of 8 KiB or a body of 4 KiB")
-	// ErrUnreadable means that the input is not valid HTTP/1.1, or uses a feature that is not supported.
-	ErrUnreadable = errors.New("no HTTP/1.1")
+	// ErrMalformed means that the input is not valid HTTP/1.1, or uses a feature that is not supported.
+	ErrMalformed = errors.New("no HTTP/1.1")
 )
 
-// Head decodes a head and removes it from the buffer. It returns the first line and the headers, with names in lower case. The
+// ReadHead decodes a head and removes it from the buffer. It returns the first line and the headers, with names in lower case. The
 // first line is empty if the head is not complete yet.
-func Head(in *ring.Buffer) (first string, headers map[string]string, err error) {
+func ReadHead(in *ring.Buffer) (first string, headers map[string]string, err error) {
 	end := -1
 	for from := 0; end < 0; {
 		length := in.Len() // taken before the search, since more bytes, with a line feed among them, may arrive during it
@@ -43,7 +43,7 @@
 		switch {
 		case line != "":
 		case from == 0:
-			return "", nil, fmt.Errorf("%w: an empty first line", ErrUnreadable)
+			return "", nil, fmt.Errorf("%w: an empty first line", ErrMalformed)
 		default:
 			end = i + 1
 		}
@@ -56,7 +56,7 @@
 	for _, line := range lines[1:] {
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || name == "" || strings.ContainsAny(name, " \t") {
-			return "", nil, fmt.Errorf("%w: header %.40q", ErrUnreadable, line)
+			return "", nil, fmt.Errorf("%w: header %.40q", ErrMalformed, line)
 		}
 		name = strings.ToLower(name)
 		if previous, repeated := headers[name]; repeated {
@@ -67,8 +67,8 @@
 	return lines[0], headers, nil
 }
 
-// Has reports whether a comma-separated list contains the token, ignoring case.
-func Has(list, token string) bool {
+// ListContains reports whether a comma-separated list contains the token, ignoring case.
+func ListContains(list, token string) bool {
 	for part := range strings.SplitSeq(list, ",") {
 		if strings.EqualFold(strings.TrimSpace(part), token) {
 			return true
@@ -94,7 +94,7 @@
 // Next decodes the next request; it returns nil if none is complete yet.
 func (d *Decoder) Next(in *ring.Buffer) (*Request, error) {
 	if d.pending == nil {
-		first, headers, err := Head(in)
+		first, headers, err := ReadHead(in)
 		if first == "" || err != nil {
 			return nil, err
 		}
@@ -118,10 +118,10 @@
 func parseRequest(first string, headers map[string]string) (*Request, error) {
 	parts := strings.Split(first, " ")
 	if len(parts) != 3 || parts[0] == "" || !strings.HasPrefix(parts[1], "/") {
-		return nil, fmt.Errorf("%w: %.60q", ErrUnreadable, first)
+		return nil, fmt.Errorf("%w: %.60q", ErrMalformed, first)
 	}
 	if version := parts[2]; version != "HTTP/1.1" && version != "HTTP/1.0" || version == "HTTP/1.1" && headers["host"] == "" {
-		return nil, fmt.Errorf("%w: %.60q, host %.60q", ErrUnreadable, first, headers["host"])
+		return nil, fmt.Errorf("%w: %.60q, host %.60q", ErrMalformed, first, headers["host"])
 	}
 	path, query, _ := strings.Cut(parts[1], "?")
 	return &Request{Method: parts[0], Path: path, Query: query, Headers: headers}, nil
@@ -130,7 +130,7 @@
 // contentLength returns the size of the body after a head with these headers.
 func contentLength(headers map[string]string) (int, error) {
 	if coding := headers["transfer-encoding"]; coding != "" {
-		return 0, fmt.Errorf("%w that is taken here: transfer-encoding %.40q", ErrUnreadable, coding)
+		return 0, fmt.Errorf("%w that is taken here: transfer-encoding %.40q", ErrMalformed, coding)
 	}
 	text, found := headers["content-length"]
 	if !found {
@@ -139,15 +139,15 @@
 	n, err := strconv.ParseUint(text, 10, 63)
 	switch {
 	case err != nil:
-		return 0, fmt.Errorf("%w: content-length %.40q", ErrUnreadable, text)
+		return 0, fmt.Errorf("%w: content-length %.40q", ErrMalformed, text)
 	case n > maxBodySize:
 		return 0, ErrTooLong
 	}
 	return int(n), nil
 }
 
-// Response encodes a response, after which the connection is closed. The headers are lines without line ends.
-func Response(status int, body string, headers ...string) []byte {
+// EncodeResponse encodes a response, after which the connection is closed. The headers are lines without line ends.
+func EncodeResponse(status int, body string, headers ...string) []byte {
 	text := fmt.Sprintf("HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
 	for _, h := range headers {
 		text += h + "\r\n"
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -40,9 +40,9 @@
 	return nil
 }
 
-// Named returns the section's name without its first word, such as "s-1" for [server s-1]. ok reports whether the first
+// NameAfter returns the section's name without its first word, such as "s-1" for [server s-1]. ok reports whether the first
 // word is word.
-func (s *Section) Named(word string) (rest string, ok bool) {
+func (s *Section) NameAfter(word string) (rest string, ok bool) {
 	first, rest, _ := strings.Cut(s.Name, " ")
 	return strings.TrimSpace(rest), first == word
 }
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -18,7 +18,7 @@
 	if diff := cmp.Diff(want, got); diff != "" || len(faults) > 0 {
 		t.Errorf("faults %v (-want +got):\n%s", faults, diff)
 	}
-	if name, ok := got.Sections[1].Named("server"); !ok || name != "s-1" {
+	if name, ok := got.Sections[1].NameAfter("server"); !ok || name != "s-1" {
 		t.Errorf("name of the server: %q %v", name, ok)
 	}
 }
--- a/internal/jsonl/jsonl.go
+++ b/internal/jsonl/jsonl.go
@@ -12,10 +12,10 @@
 	"cherryrelay/internal/ring"
 )
 
-// MaxMessage is the maximum size of a message in bytes, including its line feed.
-const MaxMessage = 16 << 10
+// MaxMessageSize is the maximum size of a message in bytes, including its line feed.
+const MaxMessageSize = 16 << 10
 
-// ErrTooLong means that a line is longer than MaxMessage bytes.
+// ErrTooLong means that a line is longer than MaxMessageSize bytes.
 var ErrTooLong = errors.New("message exceeds 16 KiB")
 
 var api = jsoniter.Config{SortMapKeys: true, ValidateJsonRawMessage: true}.Froze()
@@ -71,7 +71,7 @@
 	for {
 		length := in.Len() // taken before the search, since more bytes, with a line feed among them, may arrive during it
 		end := in.Index('\n', d.searched)
-		if end < 0 && length >= MaxMessage || end >= MaxMessage {
+		if end < 0 && length >= MaxMessageSize || end >= MaxMessageSize {
 			return nil, ErrTooLong
 		}
 		if end < 0 {
@@ -114,8 +114,8 @@
 	return append(p, text...), nil
 }
 
-// Int returns the value of a field that must be an integer.
-func (m *Message) Int(name string) (int64, error) {
+// IntField returns the value of a field that must be an integer.
+func (m *Message) IntField(name string) (int64, error) {
 	v, ok := m.Fields[name]
 	if !ok {
 		return 0, fmt.Errorf("field %s is missing", name)
--- a/internal/jsonl/jsonl_test.go
+++ b/internal/jsonl/jsonl_test.go
@@ -32,7 +32,7 @@
 		"not an object":                    {"[]\n", nil, true},
 		"no type":                          {"{}\n", nil, true},
 		"text after the object":            {`{"type":"a"}{}` + "\n", nil, true},
-		"too long":                         {`{"type":"` + strings.Repeat("x", MaxMessage), nil, true},
+		"too long":                         {`{"type":"` + strings.Repeat("x", MaxMessageSize), nil, true},
 	} {
 		for _, piece := range []int{1, 7, 1 << 20} {
 			got, err := decodeAll(test.text, piece)
--- a/internal/lists/coordinator/coordinator.go
+++ b/internal/lists/coordinator/coordinator.go
@@ -165,15 +165,15 @@
 	return n > 0 || c.processing.Load()
 }
 
-// Quiet reports whether everything received has been delivered. Any goroutine may call it.
-func (s *Stream) Quiet() bool {
+// AllDelivered reports whether everything received has been delivered. Any goroutine may call it.
+func (s *Stream) AllDelivered() bool {
 	c := s.latestConn.Load()
 	return c == nil || !c.hasUnreadInput()
 }
 
-// Move makes the stream resume at another address after the last received event: event numbers are the same at all
+// SetAddress makes the stream resume at another address after the last received event: event numbers are the same at all
 // addresses. With an empty address, the stream waits until it gets another one.
-func (s *Stream) Move(address string) {
+func (s *Stream) SetAddress(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if address != s.address {
--- a/internal/lists/coordinator/coordinator_test.go
+++ b/internal/lists/coordinator/coordinator_test.go
@@ -121,7 +121,7 @@
 		t.Errorf("first new update (-want +got):\n%s", diff)
 	}
 	<-partSent
-	s.Move(newAddress)
+	s.SetAddress(newAddress)
 	entry := control.ServerEntry{ID: "c", Status: control.Draining, Cell: 2, Zone: "east", StartedAt: 5 * time.Second}
 	if diff := cmp.Diff(call.Update{Servers: []call.Server{{ServerEntry: entry, Address: "127.0.0.1:1"}}}, <-updates); diff != "" {
 		t.Errorf("update after the change of the address (-want +got):\n%s", diff)
@@ -138,7 +138,7 @@
 	}{
 		"a break": {2 * time.Second, func(*Stream, string) bool { return true }},
 		"a stop":  {4 * time.Second, func(*Stream, string) bool { return false }},
-		"a move":  {4 * time.Second, func(s *Stream, otherAddress string) bool { s.Move(otherAddress); return false }},
+		"a move":  {4 * time.Second, func(s *Stream, otherAddress string) bool { s.SetAddress(otherAddress); return false }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/lists/etcd/etcd.go
+++ b/internal/lists/etcd/etcd.go
@@ -36,8 +36,8 @@
 	Prefix    string   `json:"prefix"`
 }
 
-// Check returns an error if an option is missing.
-func (o *Options) Check() error {
+// Validate returns an error if an option is missing.
+func (o *Options) Validate() error {
 	switch {
 	case len(o.Endpoints) == 0:
 		return errors.New("etcd: no endpoints")
@@ -59,8 +59,8 @@
 	return client, nil
 }
 
-// List follows the dispatchers under a prefix.
-type List struct {
+// Watcher follows the dispatchers under a prefix.
+type Watcher struct {
 	client     *clientv3.Client
 	ownsClient bool // Run closes the client when it ends
 	prefix     string
@@ -70,24 +70,24 @@
 }
 
 // New follows the prefix with a client of its own. etcd need not be up yet.
-func New(o Options, log *slog.Logger, onUpdate func(call.Update)) (*List, error) {
+func New(o Options, log *slog.Logger, onUpdate func(call.Update)) (*Watcher, error) {
 	client, err := Dial(o.Endpoints)
 	if err != nil {
 		return nil, err
 	}
-	l := Over(client, o.Prefix, log, onUpdate)
+	l := NewWithClient(client, o.Prefix, log, onUpdate)
 	l.ownsClient = true
 	return l, nil
 }
 
-// Over follows a prefix with a shared client, which it does not close.
-func Over(client *clientv3.Client, prefix string, log *slog.Logger, onUpdate func(call.Update)) *List {
-	return &List{client: client, prefix: prefix, log: log, onUpdate: onUpdate, servers: map[string]call.Server{}}
+// NewWithClient follows a prefix with a shared client, which it does not close.
+func NewWithClient(client *clientv3.Client, prefix string, log *slog.Logger, onUpdate func(call.Update)) *Watcher {
+	return &Watcher{client: client, prefix: prefix, log: log, onUpdate: onUpdate, servers: map[string]call.Server{}}
 }
 
 // Run follows the list until the context ends. Whenever the watch cannot resume at its last revision, as after a
 // compaction, Run reads the complete list again; dispatchers that were removed in between are missing from it.
-func (l *List) Run(ctx context.Context) {
+func (l *Watcher) Run(ctx context.Context) {
 	defer func() {
 		if !l.ownsClient {
 			return
@@ -116,7 +116,7 @@
 }
 
 // readAll reads the complete list and returns the revision at which it was read.
-func (l *List) readAll(ctx context.Context) (int64, error) {
+func (l *Watcher) readAll(ctx context.Context) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	resp, err := l.client.Get(ctx, l.prefix, clientv3.WithPrefix())
@@ -137,7 +137,7 @@
 
 // watch applies changes from a revision on. It returns when the watch cannot resume; the client itself resumes it after
 // a broken connection.
-func (l *List) watch(ctx context.Context, revision int64) error {
+func (l *Watcher) watch(ctx context.Context, revision int64) error {
 	ctx, cancel := context.WithCancel(clientv3.WithRequireLeader(ctx))
 	defer cancel()
 	for resp := range l.client.Watch(ctx, l.prefix, clientv3.WithPrefix(), clientv3.WithRev(revision)) {
@@ -170,7 +170,7 @@
 }
 
 // applyPut decodes a key's value. A dispatcher whose value is invalid stays as it was in previous.
-func (l *List) applyPut(kv *mvccpb.KeyValue, previous map[string]call.Server) (call.Server, bool) {
+func (l *Watcher) applyPut(kv *mvccpb.KeyValue, previous map[string]call.Server) (call.Server, bool) {
 	var p coordinator.Endpoint
 	err := jsoniter.ConfigDefault.Unmarshal(kv.Value, &p)
 	if p.Name == "" {
--- a/internal/lists/files/files.go
+++ b/internal/lists/files/files.go
@@ -59,17 +59,17 @@
 // now returns the time since the start, by a monotonic clock.
 func (w *Watcher) now() time.Duration { return time.Since(w.start) }
 
-// Nudge has the file polled soon. Any goroutine may call it.
-func (w *Watcher) Nudge() {
+// PollSoon has the file polled soon. Any goroutine may call it.
+func (w *Watcher) PollSoon() {
 	select {
 	case w.pollRequests <- struct{}{}:
 	default:
 	}
 }
 
-// First reads the file at startup. It waits briefly for a file that is missing or incomplete, since it may still be
+// ReadInitial reads the file at startup. It waits briefly for a file that is missing or incomplete, since it may still be
 // being written.
-func (w *Watcher) First() pool.Candidate {
+func (w *Watcher) ReadInitial() pool.Candidate {
 	poller := pool.NewFilePoller(w.now(), false)
 	for {
 		if f := w.poll(); poller.Observe(w.now(), f.Observation) {
@@ -106,7 +106,7 @@
 func (w *Watcher) poll() *pollResult {
 	f := new(pollResult)
 	if w.KeyFile != "" {
-		if f.key, f.err = Key(w.KeyFile); f.err != nil {
+		if f.key, f.err = ReadKey(w.KeyFile); f.err != nil {
 			f.err = fmt.Errorf("key: %w", f.err)
 		}
 	}
@@ -148,7 +148,7 @@
 // candidate returns the candidate for the pool.
 func (f *pollResult) candidate() pool.Candidate {
 	if f.err == nil {
-		return poolfile.Read(f.text, f.key)
+		return poolfile.Parse(f.text, f.key)
 	}
 	reason := pool.Missing
 	if errors.Is(f.err, errTooLarge) {
@@ -216,8 +216,8 @@
 	return err
 }
 
-// Key reads a key file and trims the line breaks at its end.
-func Key(path string) ([]byte, error) {
+// ReadKey reads a key file and trims the line breaks at its end.
+func ReadKey(path string) ([]byte, error) {
 	text, _, err := readFile(path, maxKeyBytes)
 	if err != nil {
 		return nil, err
--- a/internal/lists/files/files_test.go
+++ b/internal/lists/files/files_test.go
@@ -23,7 +23,7 @@
 
 // poolText returns a pool file with a label and a weight that depend on n.
 func poolText(n int) []byte {
-	return poolfile.Write(fmt.Sprint("v", n), []pool.Member{{Address: "127.0.0.1:1", ServerEntry: control.ServerEntry{ID: "a", Weight: 1 + n}}})
+	return poolfile.Encode(fmt.Sprint("v", n), []pool.Member{{Address: "127.0.0.1:1", ServerEntry: control.ServerEntry{ID: "a", Weight: 1 + n}}})
 }
 
 // fixture is a watcher of one file and the candidates that it submitted.
--- a/internal/lists/lists.go
+++ b/internal/lists/lists.go
@@ -13,13 +13,13 @@
 
 // Store saves accepted sets so that the next process can restore them.
 type Store interface {
-	Keep(pool.Snapshot)
-	// Failed returns why the last set was not saved; nil if it was.
-	Failed() error
+	Save(pool.Snapshot)
+	// LastError returns why the last set was not saved; nil if it was.
+	LastError() error
 }
 
-// Keeper holds the active set of dispatchers. After its setup it is safe for concurrent use.
-type Keeper struct {
+// Registry holds the active set of dispatchers. After its setup it is safe for concurrent use.
+type Registry struct {
 	log    *slog.Logger
 	notify func(pool.Update)
 	store  Store // nil if sets are not stored
@@ -30,27 +30,27 @@
 
 // New starts without an active set. It passes every later change of the active set to notify, in order. notify must not
 // block.
-func New(log *slog.Logger, notify func(pool.Update)) *Keeper {
-	return &Keeper{log: log, notify: notify, pool: pool.New()}
+func New(log *slog.Logger, notify func(pool.Update)) *Registry {
+	return &Registry{log: log, notify: notify, pool: pool.New()}
 }
 
-// StoreIn makes s save the accepted sets of files from now on.
-func (k *Keeper) StoreIn(s Store) { k.store = s }
+// SetStore makes s save the accepted sets of files from now on.
+func (k *Registry) SetStore(s Store) { k.store = s }
 
-// Bound sets the maximum number of dispatchers in a set. It must be called before the first set.
-func (k *Keeper) Bound(servers int) { k.pool.SetLimit(servers) }
+// SetLimit sets the maximum number of dispatchers in a set. It must be called before the first set.
+func (k *Registry) SetLimit(servers int) { k.pool.SetLimit(servers) }
 
 // unixTime returns the time since 1970, the clock of the pool decisions.
 func unixTime() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// Stream returns a function that applies the updates of a source that is followed without checks: the coordinator or
+// UpdateHandler returns a function that applies the updates of a source that is followed without checks: the coordinator or
 // etcd.
-func (k *Keeper) Stream(source pool.Source) func(pool.Update) {
-	return func(u pool.Update) { k.Take(pool.Candidate{Source: source, Update: u}) }
+func (k *Registry) UpdateHandler(source pool.Source) func(pool.Update) {
+	return func(u pool.Update) { k.Apply(pool.Candidate{Source: source, Update: u}) }
 }
 
-// Take checks a candidate and makes it the active set if it is accepted.
-func (k *Keeper) Take(c pool.Candidate) pool.Verdict {
+// Apply checks a candidate and makes it the active set if it is accepted.
+func (k *Registry) Apply(c pool.Candidate) pool.Verdict {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	before := k.pool.Current().Number
@@ -61,7 +61,7 @@
 			k.log.Info("pool file is active", "version", v.Label, "digest", v.Digest, "servers", v.Servers, "change", v.Change.String())
 		}
 		if k.store != nil && (v.Changed || v.Number != before) {
-			k.store.Keep(k.pool.Snapshot())
+			k.store.Save(k.pool.Snapshot())
 		}
 	}
 	if !v.Accepted && v.Repeats == 0 {
@@ -79,8 +79,8 @@
 // maxLoggedFaults bounds the faults of a refused set that are logged; the management pages list more.
 const maxLoggedFaults = 5
 
-// Recall activates the set that a previous process has stored.
-func (k *Keeper) Recall(m pool.Snapshot) pool.Verdict {
+// Restore activates the set that a previous process has stored.
+func (k *Registry) Restore(m pool.Snapshot) pool.Verdict {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	v := k.pool.Restore(unixTime(), m)
@@ -88,14 +88,14 @@
 	return v
 }
 
-func (k *Keeper) notifyChange(v pool.Verdict) {
+func (k *Registry) notifyChange(v pool.Verdict) {
 	if v.Changed {
 		k.notify(v.Update)
 	}
 }
 
-// Listed reports whether there is an active set.
-func (k *Keeper) Listed() bool {
+// HasSet reports whether there is an active set.
+func (k *Registry) HasSet() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.pool.HasSet()
--- a/internal/lists/poolfile/poolfile.go
+++ b/internal/lists/poolfile/poolfile.go
@@ -27,10 +27,10 @@
 const (
 	// MaxBytes bounds the size of a file.
 	MaxBytes = 8 << 20
-	// Format is the supported version of the file format.
-	Format = 1
-	// MinKey is the minimum length of a key in bytes: shorter keys can be guessed.
-	MinKey = 16
+	// FormatVersion is the supported version of the file format.
+	FormatVersion = 1
+	// MinKeyLength is the minimum length of a key in bytes: shorter keys can be guessed.
+	MinKeyLength = 16
 )
 
 // Digest identifies the content of a file in logs and in the history. It does not protect against forgery; the MAC
@@ -72,9 +72,9 @@
 	return rest, ok
 }
 
-// Read parses a file. The candidate's faults list all errors in it. With a key, the file must have the MAC that the key
+// Parse parses a file. The candidate's faults list all errors in it. With a key, the file must have the MAC that the key
 // gives. Without a key, it must not have a MAC, since it could not be verified.
-func Read(text, key []byte) pool.Candidate {
+func Parse(text, key []byte) pool.Candidate {
 	c := pool.Candidate{Source: pool.FromFile, Digest: Digest(text), Update: pool.Update{Complete: true}}
 	p := &parser{c: &c}
 	switch {
@@ -149,8 +149,8 @@
 	}
 	head := &f.Sections[0]
 	p.checkKeys(head, poolKeys)
-	if key := head.Get("format"); key != nil && key.Value != strconv.Itoa(Format) {
-		p.addFault(pool.BadFormat, key.Line, key.Name, "%.40q is not supported, only %d is", key.Value, Format)
+	if key := head.Get("format"); key != nil && key.Value != strconv.Itoa(FormatVersion) {
+		p.addFault(pool.BadFormat, key.Line, key.Name, "%.40q is not supported, only %d is", key.Value, FormatVersion)
 		return // the rest may have another meaning in another format
 	}
 	if key := head.Get("version"); key != nil {
@@ -161,7 +161,7 @@
 	}
 	for i := range f.Sections[1:] {
 		s := &f.Sections[1+i]
-		if name, ok := s.Named("server"); ok {
+		if name, ok := s.NameAfter("server"); ok {
 			p.parseServer(s, name)
 			continue
 		}
@@ -259,16 +259,16 @@
 
 // CheckKey returns an error if a key is too short.
 func CheckKey(key []byte) error {
-	if len(key) < MinKey {
-		return fmt.Errorf("the key has %d bytes, at least %d are required", len(key), MinKey)
+	if len(key) < MinKeyLength {
+		return fmt.Errorf("the key has %d bytes, at least %d are required", len(key), MinKeyLength)
 	}
 	return nil
 }
 
-// Write returns a set in the format of a pool file.
-func Write(label string, members []pool.Member) []byte {
+// Encode returns a set in the format of a pool file.
+func Encode(label string, members []pool.Member) []byte {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "[pool]\nformat = %d\n", Format)
+	fmt.Fprintf(&b, "[pool]\nformat = %d\n", FormatVersion)
 	if label != "" {
 		fmt.Fprintf(&b, "version = %s\n", label)
 	}
--- a/internal/lists/poolfile/poolfile_test.go
+++ b/internal/lists/poolfile/poolfile_test.go
@@ -42,7 +42,7 @@
 
 // faultTexts returns the reasons and texts of all faults of a file, as operators see them.
 func faultTexts(text, key []byte) []string {
-	c := Read(text, key)
+	c := Parse(text, key)
 	var got []string
 	for _, f := range pool.Check(testTime, &c) {
 		got = append(got, string(f.Reason)+": "+f.String())
@@ -51,7 +51,7 @@
 }
 
 func TestReadsValidFile(t *testing.T) {
-	c := Read([]byte(validFile), nil)
+	c := Parse([]byte(validFile), nil)
 	want := []pool.Member{
 		{Address: "127.0.0.1:7001", ServerEntry: control.ServerEntry{ID: "s-1", Zone: "tallinn", Weight: 100}},
 		{Address: "ws://127.0.0.1:7002/v1/calls", ServerEntry: control.ServerEntry{ID: "s-2", Cell: 1, Weight: pool.NoNewCalls, Status: control.Draining,
@@ -60,7 +60,7 @@
 	if diff := cmp.Diff(want, c.Servers); diff != "" || c.Label != "spring-42" || len(c.Faults) > 0 {
 		t.Errorf("label %q, faults %v (-want +got):\n%s", c.Label, c.Faults, diff)
 	}
-	if crlf := Read([]byte(strings.ReplaceAll(validFile, "\n", "\r\n")), nil); len(crlf.Faults) > 0 || len(crlf.Servers) != 2 {
+	if crlf := Parse([]byte(strings.ReplaceAll(validFile, "\n", "\r\n")), nil); len(crlf.Faults) > 0 || len(crlf.Servers) != 2 {
 		t.Errorf("with CRLF line ends: %v", crlf.Faults)
 	}
 }
@@ -173,13 +173,13 @@
 				StartedAt: time.Duration(rapid.Int64Range(0, int64(testTime)).Draw(t, "since")),
 			}})
 		}
-		text := Write("v", members)
-		c := Read(text, nil)
+		text := Encode("v", members)
+		c := Parse(text, nil)
 		if diff := cmp.Diff(members, c.Servers); diff != "" || len(c.Faults) > 0 {
 			t.Fatalf("faults %v (-want +got):\n%s", c.Faults, diff)
 		}
 		cut := rapid.IntRange(0, len(text)-1).Draw(t, "cut")
-		if prefix := Read(text[:cut], nil); len(prefix.Faults) == 0 {
+		if prefix := Parse(text[:cut], nil); len(prefix.Faults) == 0 {
 			t.Fatalf("the first %d of %d bytes are accepted", cut, len(text))
 		}
 	})
@@ -198,7 +198,7 @@
 		if !keyed {
 			k = nil
 		}
-		c := Read(text, k)
+		c := Parse(text, k)
 		faults := pool.Check(testTime, &c)
 		for _, fault := range faults {
 			if fault.Line < 0 || fault.Line > bytes.Count(text, []byte("\n"))+1 || strings.ContainsAny(fault.String(), "\n\r") {
@@ -209,7 +209,7 @@
 			if Unfinished(text) {
 				t.Error("an unfinished file is accepted")
 			}
-			if again := Read(Write(c.Label, c.Servers), nil); len(again.Faults) > 0 || !cmp.Equal(again.Servers, c.Servers) {
+			if again := Parse(Encode(c.Label, c.Servers), nil); len(again.Faults) > 0 || !cmp.Equal(again.Servers, c.Servers) {
 				t.Errorf("read again: %v", again.Faults)
 			}
 		}
@@ -223,12 +223,12 @@
 			members = append(members, pool.Member{Address: fmt.Sprintf("127.0.%d.%d:7000", i/250, i%250), ServerEntry: control.ServerEntry{
 				ID: control.ServerID(fmt.Sprint("s-", i)), Zone: "tallinn", Cell: i % 4, Weight: 100}})
 		}
-		text := Write("v", members)
+		text := Encode("v", members)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.SetBytes(int64(len(text)))
 			b.ReportAllocs()
 			for b.Loop() {
-				if c := Read(text, nil); len(c.Faults) > 0 {
+				if c := Parse(text, nil); len(c.Faults) > 0 {
 					b.Fatal(c.Faults)
 				}
 			}
--- a/internal/lists/report.go
+++ b/internal/lists/report.go
@@ -20,13 +20,13 @@
 
 // State describes the active set and its origin.
 type State struct {
-	Servers  int           `json:"servers"`
-	Weight   int           `json:"weight"` // sum over the active dispatchers; 0 without weights
-	Version  *pool.Version `json:"version"`
-	AgeMs    int64         `json:"age_ms"`              // since the set became active
-	Trouble  *pool.Version `json:"trouble"`             // the last candidate if it was refused
-	Stored   string        `json:"stored"`              // yes, no, or off
-	NotSaved string        `json:"not_saved,omitempty"` // why the set is not stored
+	Servers     int           `json:"servers"`
+	Weight      int           `json:"weight"` // sum over the active dispatchers; 0 without weights
+	Version     *pool.Version `json:"version"`
+	AgeMs       int64         `json:"age_ms"`              // since the set became active
+	LastRefused *pool.Version `json:"trouble"`             // the last candidate if it was refused
+	Stored      string        `json:"stored"`              // yes, no, or off
+	NotSaved    string        `json:"not_saved,omitempty"` // why the set is not stored
 }
 
 // ServerState describes one member of the active set.
@@ -61,7 +61,7 @@
 )
 
 // Pages returns the handlers of the management pages, by path.
-func (k *Keeper) Pages() map[string]func(url.Values) (any, error) {
+func (k *Registry) Pages() map[string]func(url.Values) (any, error) {
 	return map[string]func(url.Values) (any, error){
 		StatePath:   func(url.Values) (any, error) { return k.State(), nil },
 		ServersPath: func(q url.Values) (any, error) { return k.serversPage(q.Get("after")), nil },
@@ -79,7 +79,7 @@
 }
 
 // State returns the current state.
-func (k *Keeper) State() State {
+func (k *Registry) State() State {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s := State{Stored: "off"}
@@ -93,11 +93,11 @@
 		s.Version, s.AgeMs = &v, (unixTime() - v.At).Milliseconds()
 	}
 	if v, ok := k.pool.LastRefused(); ok {
-		s.Trouble = &v
+		s.LastRefused = &v
 	}
 	if k.store != nil {
 		s.Stored = "yes"
-		if err := k.store.Failed(); err != nil {
+		if err := k.store.LastError(); err != nil {
 			s.Stored, s.NotSaved = "no", err.Error()
 		}
 	}
@@ -105,7 +105,7 @@
 }
 
 // serversPage returns a page of the members whose names follow after.
-func (k *Keeper) serversPage(after string) Servers {
+func (k *Registry) serversPage(after string) Servers {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	page := Servers{Number: k.pool.Current().Number, Servers: []ServerState{}}
@@ -128,7 +128,7 @@
 }
 
 // versionsPage returns a page of the versions with numbers below before; 0 starts with the newest.
-func (k *Keeper) versionsPage(before int) Versions {
+func (k *Registry) versionsPage(before int) Versions {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	page := Versions{Versions: []pool.Version{}}
@@ -155,8 +155,8 @@
 	return len(data)
 }
 
-// Figures returns the metrics of the pool.
-func (k *Keeper) Figures() []*dto.MetricFamily {
+// Metrics returns the metrics of the pool.
+func (k *Registry) Metrics() []*dto.MetricFamily {
 	s := k.State()
 	k.mu.Lock()
 	accepted, refused := k.pool.Counts()
@@ -166,7 +166,7 @@
 	}
 	k.mu.Unlock()
 	refusedNow := 0
-	if s.Trouble != nil {
+	if s.LastRefused != nil {
 		refusedNow = 1
 	}
 	return []*dto.MetricFamily{
--- a/internal/lists/stored/stored.go
+++ b/internal/lists/stored/stored.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// Name is the name of the file in the state directory.
-	Name = "pool.state"
+	// FileName is the name of the file in the state directory.
+	FileName = "pool.state"
 	// formatName starts the first line of the file; files of another format are rejected.
 	formatName = "cherryrelay-pool 1"
 	// maxBytes bounds the size of the file: 50,000 servers take some 15 MiB.
@@ -29,12 +29,12 @@
 )
 
 var (
-	// ErrNone is returned if the directory has no stored set.
-	ErrNone = errors.New("no set is stored")
-	// ErrTorn is returned if the file is not a complete and unchanged stored set.
-	ErrTorn = errors.New("the stored set is corrupted")
-	// ErrOther is returned if the stored set has another format or belongs to another pool file.
-	ErrOther = errors.New("the stored set does not match")
+	// ErrNotFound is returned if the directory has no stored set.
+	ErrNotFound = errors.New("no set is stored")
+	// ErrCorrupted is returned if the file is not a complete and unchanged stored set.
+	ErrCorrupted = errors.New("the stored set is corrupted")
+	// ErrMismatch is returned if the stored set has another format or belongs to another pool file.
+	ErrMismatch = errors.New("the stored set does not match")
 )
 
 // content is the JSON object after the first line of the file.
@@ -47,15 +47,15 @@
 
 // Load reads the set that was saved for a pool file.
 func Load(directory, file string) (pool.Snapshot, error) {
-	path := filepath.Join(directory, Name)
+	path := filepath.Join(directory, FileName)
 	info, err := os.Stat(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		return pool.Snapshot{}, ErrNone
+		return pool.Snapshot{}, ErrNotFound
 	case err != nil:
 		return pool.Snapshot{}, fmt.Errorf("stored set: %w", err)
 	case !info.Mode().IsRegular() || info.Size() > maxBytes:
-		return pool.Snapshot{}, fmt.Errorf("%w: %s is not a regular file of at most %d bytes", ErrTorn, path, maxBytes)
+		return pool.Snapshot{}, fmt.Errorf("%w: %s is not a regular file of at most %d bytes", ErrCorrupted, path, maxBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -67,21 +67,21 @@
 func decode(text []byte, file string) (pool.Snapshot, error) {
 	header, body, found := bytes.Cut(text, []byte("\n"))
 	if !found {
-		return pool.Snapshot{}, fmt.Errorf("%w: the first line is incomplete", ErrTorn)
+		return pool.Snapshot{}, fmt.Errorf("%w: the first line is incomplete", ErrCorrupted)
 	}
 	gotFormat, gotChecksum, _ := bytes.Cut(header, []byte(": "))
 	if string(gotFormat) != formatName {
-		return pool.Snapshot{}, fmt.Errorf("%w: the first line is %.40q", ErrOther, header)
+		return pool.Snapshot{}, fmt.Errorf("%w: the first line is %.40q", ErrMismatch, header)
 	}
 	if want := checksum(body); string(gotChecksum) != want {
-		return pool.Snapshot{}, fmt.Errorf("%w: checksum %.40q, want %q", ErrTorn, gotChecksum, want)
+		return pool.Snapshot{}, fmt.Errorf("%w: checksum %.40q, want %q", ErrCorrupted, gotChecksum, want)
 	}
 	var c content
 	if err := jsonAPI.Unmarshal(body, &c); err != nil {
-		return pool.Snapshot{}, fmt.Errorf("%w: %w", ErrTorn, err)
+		return pool.Snapshot{}, fmt.Errorf("%w: %w", ErrCorrupted, err)
 	}
 	if c.File != file {
-		return pool.Snapshot{}, fmt.Errorf("%w: it was saved for %s", ErrOther, c.File)
+		return pool.Snapshot{}, fmt.Errorf("%w: it was saved for %s", ErrMismatch, c.File)
 	}
 	return c.Set, nil
 }
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	f, err := os.CreateTemp(directory, "."+Name+".*") // two processes may write during a handover
+	f, err := os.CreateTemp(directory, "."+FileName+".*") // two processes may write during a handover
 	if err != nil {
 		return fmt.Errorf("stored set: %w", err)
 	}
@@ -116,7 +116,7 @@
 	_, err = f.Write(text)
 	err = errors.Join(err, f.Sync(), f.Close())
 	if err == nil {
-		err = os.Rename(f.Name(), filepath.Join(directory, Name))
+		err = os.Rename(f.Name(), filepath.Join(directory, FileName))
 	}
 	if err == nil {
 		err = syncDirectory(directory)
@@ -170,15 +170,15 @@
 	s.lastErr = err
 }
 
-// Failed returns why the last set was not saved; nil if it was.
-func (s *Store) Failed() error {
+// LastError returns why the last set was not saved; nil if it was.
+func (s *Store) LastError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastErr
 }
 
-// Keep queues a set for saving. It replaces a set that is still pending.
-func (s *Store) Keep(set pool.Snapshot) {
+// Save queues a set for saving. It replaces a set that is still pending.
+func (s *Store) Save(set pool.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
--- a/internal/lists/stored/stored_test.go
+++ b/internal/lists/stored/stored_test.go
@@ -20,24 +20,24 @@
 // TestKeepAndLoad checks that the last of many sets is stored, for its own pool file only.
 func TestKeepAndLoad(t *testing.T) {
 	directory := t.TempDir()
-	if _, err := Load(directory, "f"); !errors.Is(err, ErrNone) {
+	if _, err := Load(directory, "f"); !errors.Is(err, ErrNotFound) {
 		t.Errorf("empty directory: %v", err)
 	}
 	s := Open(directory, "f", slog.New(slog.DiscardHandler))
 	for i := range 100 {
 		m := testSet
 		m.Label = strings.Repeat("x", i)
-		s.Keep(m)
+		s.Save(m)
 	}
-	s.Keep(testSet)
+	s.Save(testSet)
 	s.Close()
-	s.Keep(pool.Snapshot{}) // ignored after Close
+	s.Save(pool.Snapshot{}) // ignored after Close
 	s.Close()
 	got, err := Load(directory, "f")
 	if diff := cmp.Diff(testSet, got); diff != "" || err != nil {
 		t.Errorf("error %v (-want +got):\n%s", err, diff)
 	}
-	if _, err := Load(directory, "g"); !errors.Is(err, ErrOther) {
+	if _, err := Load(directory, "g"); !errors.Is(err, ErrMismatch) {
 		t.Errorf("set of another file: %v", err)
 	}
 	if files, err := os.ReadDir(directory); err != nil || len(files) != 1 {
@@ -57,11 +57,11 @@
 		}
 		flipped := append([]byte(nil), encoded...)
 		flipped[n] ^= 4
-		if _, err := decode(flipped, "f"); !errors.Is(err, ErrTorn) && !errors.Is(err, ErrOther) {
+		if _, err := decode(flipped, "f"); !errors.Is(err, ErrCorrupted) && !errors.Is(err, ErrMismatch) {
 			t.Errorf("byte %d flipped: %v", n, err)
 		}
 	}
-	if _, err := decode([]byte(strings.Replace(string(encoded), "pool 1", "pool 2", 1)), "f"); !errors.Is(err, ErrOther) {
+	if _, err := decode([]byte(strings.Replace(string(encoded), "pool 1", "pool 2", 1)), "f"); !errors.Is(err, ErrMismatch) {
 		t.Errorf("another format: %v", err)
 	}
 }
@@ -73,16 +73,16 @@
 		t.Fatal(err)
 	}
 	s := Open(directory, "f", slog.New(slog.DiscardHandler))
-	s.Keep(testSet)
+	s.Save(testSet)
 	s.Close()
-	if s.Failed() == nil {
+	if s.LastError() == nil {
 		t.Error("no error for a state directory that is a file")
 	}
 	directory = t.TempDir()
-	if err := os.Mkdir(filepath.Join(directory, Name), 0o700); err != nil {
+	if err := os.Mkdir(filepath.Join(directory, FileName), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Load(directory, "f"); !errors.Is(err, ErrTorn) {
+	if _, err := Load(directory, "f"); !errors.Is(err, ErrCorrupted) {
 		t.Errorf("a directory in place of the file: %v", err)
 	}
 	if err := Save(directory, "f", testSet); err == nil {
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -45,10 +45,10 @@
 	return nil, fmt.Errorf("log format: %q is neither text nor json", format)
 }
 
-// Bounded limits the rate of each message with a token bucket and passes the remaining records to another handler. The first record
+// RateLimiter limits the rate of each message with a token bucket and passes the remaining records to another handler. The first record
 // after dropped ones has their number as the attribute not_logged. Debug records are not limited, except for some messages, which have a
 // higher limit than those above the debug level.
-type Bounded struct {
+type RateLimiter struct {
 	slog.Handler
 	limiter  *limiter
 	frequent map[string]bool // the debug messages that are limited
@@ -67,9 +67,9 @@
 	dropped    int // records since the last one that was passed on
 }
 
-// Bound returns a handler that limits the rate of the records that it passes to h. At the debug level, only debugMessages are limited.
-func Bound(h slog.Handler, debugMessages ...string) *Bounded {
-	b := &Bounded{Handler: h, limiter: &limiter{buckets: map[string]*bucket{}}, frequent: map[string]bool{}}
+// LimitRate returns a handler that limits the rate of the records that it passes to h. At the debug level, only debugMessages are limited.
+func LimitRate(h slog.Handler, debugMessages ...string) *RateLimiter {
+	b := &RateLimiter{Handler: h, limiter: &limiter{buckets: map[string]*bucket{}}, frequent: map[string]bool{}}
 	for _, message := range debugMessages {
 		b.frequent[message] = true
 	}
@@ -77,7 +77,7 @@
 }
 
 // Handle passes a record on if its bucket has a token.
-func (b *Bounded) Handle(ctx context.Context, r slog.Record) error {
+func (b *RateLimiter) Handle(ctx context.Context, r slog.Record) error {
 	if debug := r.Level <= slog.LevelDebug; !debug || b.frequent[r.Message] {
 		limit := ordinary
 		if debug {
@@ -119,11 +119,11 @@
 }
 
 // WithAttrs returns a handler with additional attributes that shares the token buckets.
-func (b *Bounded) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &Bounded{Handler: b.Handler.WithAttrs(attrs), limiter: b.limiter, frequent: b.frequent}
+func (b *RateLimiter) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &RateLimiter{Handler: b.Handler.WithAttrs(attrs), limiter: b.limiter, frequent: b.frequent}
 }
 
 // WithGroup returns a handler with a group that shares the token buckets.
-func (b *Bounded) WithGroup(name string) slog.Handler {
-	return &Bounded{Handler: b.Handler.WithGroup(name), limiter: b.limiter, frequent: b.frequent}
+func (b *RateLimiter) WithGroup(name string) slog.Handler {
+	return &RateLimiter{Handler: b.Handler.WithGroup(name), limiter: b.limiter, frequent: b.frequent}
 }
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -14,7 +14,7 @@
 // TestBurstIsLimited guards against misbehaving clients that fill the log: in one day, they caused 900 KB of log at each controller.
 func TestBurstIsLimited(t *testing.T) {
 	var out bytes.Buffer
-	h := Bound(slog.NewTextHandler(&out, nil)).WithAttrs([]slog.Attr{slog.String("name", "n1")})
+	h := LimitRate(slog.NewTextHandler(&out, nil)).WithAttrs([]slog.Attr{slog.String("name", "n1")})
 	start := time.Unix(1000, 0)
 	log := func(text string, at time.Time) {
 		if err := h.Handle(context.Background(), slog.NewRecord(at, slog.LevelWarn, text, 0)); err != nil {
@@ -38,7 +38,7 @@
 func TestSomeDebugMessagesAreLimited(t *testing.T) {
 	var out bytes.Buffer
 	debug := &slog.HandlerOptions{Level: slog.LevelDebug}
-	h := Bound(slog.NewTextHandler(&out, debug), "step").WithGroup("g").WithAttrs([]slog.Attr{slog.Int("n", 1)})
+	h := LimitRate(slog.NewTextHandler(&out, debug), "step").WithGroup("g").WithAttrs([]slog.Attr{slog.Int("n", 1)})
 	start := time.Unix(1000, 0)
 	log := func(text string, at time.Time) {
 		if err := h.Handle(context.Background(), slog.NewRecord(at, slog.LevelDebug, text, 0)); err != nil {
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// MaxOpen is the maximum number of open connections: enough for a few operators and their tools at once.
-	MaxOpen = 8
+	// MaxConnections is the maximum number of open connections: enough for a few operators and their tools at once.
+	MaxConnections = 8
 	// spareConnections may be open in addition for a moment, until the oldest ones are evicted.
 	spareConnections = 4
 	// requestTimeout limits the time until a request has arrived completely. Operators wait for 1 s.
@@ -33,7 +33,7 @@
 )
 
 // Descriptors is the maximum number of file descriptors for the listener and its connections, which are reserved.
-const Descriptors = MaxOpen + spareConnections + 1
+const Descriptors = MaxConnections + spareConnections + 1
 
 var (
 	errTimeout = errors.New("no complete request arrived in time")
@@ -95,7 +95,7 @@
 // Listen starts to serve operators at an address.
 func Listen(loop *call.Loop, core Core, log *slog.Logger, address string) (*Server, error) {
 	s := &Server{loop: loop, core: core, log: log}
-	l, err := conn.Listen(loop, address, MaxOpen+spareConnections, s.accept)
+	l, err := conn.Listen(loop, address, MaxConnections+spareConnections, s.accept)
 	if err != nil {
 		return nil, fmt.Errorf("management: %w", err)
 	}
@@ -107,9 +107,9 @@
 // Page returns the object that a page shows as JSON, for the query of a request.
 type Page func(url.Values) (any, error)
 
-// Show adds a page that operators can read with GET. Its JSON must be shorter than 64 KiB: more than that is not written to a slow
+// AddPage adds a page that operators can read with GET. Its JSON must be shorter than 64 KiB: more than that is not written to a slow
 // reader.
-func (s *Server) Show(path string, p Page) {
+func (s *Server) AddPage(path string, p Page) {
 	if s.pages == nil {
 		s.pages = map[string]Page{}
 	}
@@ -119,7 +119,7 @@
 // servePage returns the response to a request for a page.
 func (s *Server) servePage(p Page, r *http1.Request) []byte {
 	if r.Method != http.MethodGet {
-		return http1.Response(http.StatusMethodNotAllowed, "", "Allow: "+http.MethodGet)
+		return http1.EncodeResponse(http.StatusMethodNotAllowed, "", "Allow: "+http.MethodGet)
 	}
 	query, err := url.ParseQuery(r.Query)
 	var object any
@@ -127,13 +127,13 @@
 		object, err = p(query)
 	}
 	if err != nil {
-		return http1.Response(http.StatusBadRequest, err.Error()+"\n", "Content-Type: "+plainText)
+		return http1.EncodeResponse(http.StatusBadRequest, err.Error()+"\n", "Content-Type: "+plainText)
 	}
 	text, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalToString(object)
 	if err != nil {
-		return http1.Response(http.StatusInternalServerError, err.Error()+"\n", "Content-Type: "+plainText)
+		return http1.EncodeResponse(http.StatusInternalServerError, err.Error()+"\n", "Content-Type: "+plainText)
 	}
-	return http1.Response(http.StatusOK, text+"\n", "Content-Type: application/json")
+	return http1.EncodeResponse(http.StatusOK, text+"\n", "Content-Type: application/json")
 }
 
 // Address returns the host:port on which the server listens.
@@ -145,7 +145,7 @@
 func (s *Server) accept(c *conn.Conn) conn.Handler {
 	newest := &client{server: s, conn: c, since: time.Now()}
 	s.clients = append(s.clients, newest)
-	if len(s.clients) > MaxOpen { // stalled connections must not keep new ones out
+	if len(s.clients) > MaxConnections { // stalled connections must not keep new ones out
 		s.clients[0].closeWith(errEvicted)
 	}
 	return newest
@@ -179,13 +179,13 @@
 	r, err := c.dec.Next(in)
 	switch {
 	case err != nil:
-		c.conn.Write(http1.Response(http.StatusBadRequest, err.Error()+"\n", "Content-Type: "+plainText))
+		c.conn.Write(http1.EncodeResponse(http.StatusBadRequest, err.Error()+"\n", "Content-Type: "+plainText))
 		return err
 	case r == nil:
 		return nil
 	}
 	c.conn.Write(c.server.respond(r))
-	return conn.ErrClosedHere
+	return conn.ErrClosedLocally
 }
 
 // respond returns the response to a request.
@@ -196,12 +196,12 @@
 	route, exists := routes[r.Path]
 	switch {
 	case !exists:
-		return http1.Response(http.StatusNotFound, "no such call\n", "Content-Type: "+plainText)
+		return http1.EncodeResponse(http.StatusNotFound, "no such call\n", "Content-Type: "+plainText)
 	case r.Method != route.method:
-		return http1.Response(http.StatusMethodNotAllowed, "", "Allow: "+route.method)
+		return http1.EncodeResponse(http.StatusMethodNotAllowed, "", "Allow: "+route.method)
 	}
 	status, kind, body := route.serve(s.core)
-	return http1.Response(status, body, "Content-Type: "+kind)
+	return http1.EncodeResponse(status, body, "Content-Type: "+kind)
 }
 
 // closeWith closes the connection for a reason.
@@ -218,7 +218,7 @@
 	c.closed = true
 	s := c.server
 	s.clients = slices.DeleteFunc(s.clients, func(other *client) bool { return other == c })
-	if !errors.Is(reason, io.EOF) && !errors.Is(reason, conn.ErrClosedHere) {
+	if !errors.Is(reason, io.EOF) && !errors.Is(reason, conn.ErrClosedLocally) {
 		s.log.Warn("connection from an operator closed", "peer", c.conn.Remote(), "reason", reason)
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// DefaultLease is the TTL of the lease if none is configured. LeastLease and MostLease bound the configured value: a lease of less than a
+	// DefaultLease is the TTL of the lease if none is configured. MinLease and MaxLease bound the configured value: a lease of less than a
 	// second could expire during a pause of the garbage collector or of the store's disk.
 	DefaultLease = 3 * time.Second
-	LeastLease   = time.Second
-	MostLease    = 30 * time.Second
+	MinLease     = time.Second
+	MaxLease     = 30 * time.Second
 	// renewalsPerLease is the number of lease renewals per TTL. Every second renewal also verifies the own key.
 	renewalsPerLease = 3
 	// retryFraction is the divisor of the TTL that gives the pause after a failed request.
@@ -80,8 +80,8 @@
 	<-f.done
 }
 
-// Say publishes the state of this process.
-func (f *Fleet) Say(s members.State) {
+// SetState publishes the state of this process.
+func (f *Fleet) SetState(s members.State) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.state == s {
@@ -111,9 +111,9 @@
 	}
 }
 
-// Certain reports whether this process holds its lease, and how long it will do so without another renewal. The incarnation is that of the own
+// HoldsLease reports whether this process holds its lease, and how long it will do so without another renewal. The incarnation is that of the own
 // key, or 0 if there is none.
-func (f *Fleet) Certain() (incarnation int64, remaining time.Duration, ok bool) {
+func (f *Fleet) HoldsLease() (incarnation int64, remaining time.Duration, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
@@ -121,8 +121,8 @@
 	return incarnation, until - now, ok
 }
 
-// Life returns the incarnation under which this process holds its lease, and the id of the store that assigned it.
-func (f *Fleet) Life() (store uint64, incarnation int64, ok bool) {
+// Incarnation returns the incarnation under which this process holds its lease, and the id of the store that assigned it.
+func (f *Fleet) Incarnation() (store uint64, incarnation int64, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	incarnation, _, ok = f.view.HoldsLease(f.now())
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -28,13 +28,13 @@
 		t.Cleanup(func() { _ = client.Close() })
 		f := Start(client, Options{Name: fmt.Sprint("n", i), Address: "a", Prefix: "/m/", Lease: lease}, slog.New(slog.DiscardHandler))
 		t.Cleanup(f.Close)
-		f.Say(members.Serving)
+		f.SetState(members.Serving)
 		all = append(all, f)
 	}
 	for deadline := time.Now().Add(time.Minute); ; time.Sleep(10 * time.Millisecond) {
 		ready := 0
 		for _, f := range all {
-			if v := f.Show(); v.Certain && len(v.Members)+v.More == n {
+			if v := f.Status(); v.HoldsLease && len(v.Members)+v.OmittedMembers == n {
 				ready++
 			}
 		}
@@ -66,9 +66,9 @@
 	start := time.Now()
 	startFleet(t, s, address, n, lease)
 	joined := time.Since(start)
-	before, cpu := s.Counts().Sum(), cpuTime()
+	before, cpu := s.Counts().Total(), cpuTime()
 	time.Sleep(period)
-	requests = float64(s.Counts().Sum()-before) / period.Seconds() / float64(n)
+	requests = float64(s.Counts().Total()-before) / period.Seconds() / float64(n)
 	cpu = cpuTime() - cpu
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -176,7 +176,7 @@
 		if err != nil {
 			pause = f.options.Lease / retryFraction
 		}
-		if own, _, _ := f.Certain(); own == 0 { // the store was replaced, and the own key is lost with it
+		if own, _, _ := f.HoldsLease(); own == 0 { // the store was replaced, and the own key is lost with it
 			return
 		}
 	}
--- a/internal/mutants/cmd/main.go
+++ b/internal/mutants/cmd/main.go
@@ -41,7 +41,7 @@
 	if err := mutants.Check(root, list); err != nil {
 		fail(err)
 	}
-	if !runMutants(ctx, &mutants.Player{Root: root, Limit: *timeout, Parallel: *parallel, Skip: *skip}, list) {
+	if !runMutants(ctx, &mutants.Runner{Root: root, Timeout: *timeout, Parallel: *parallel, Skip: *skip}, list) {
 		os.Exit(1)
 	}
 }
@@ -54,13 +54,13 @@
 }
 
 // runMutants runs the mutants, prints a line for each, and reports whether all of them passed.
-func runMutants(ctx context.Context, p *mutants.Player, list []mutants.Mutant) bool {
+func runMutants(ctx context.Context, p *mutants.Runner, list []mutants.Mutant) bool {
 	passed := 0
-	p.Play(ctx, list, func(r mutants.Result) {
+	p.Run(ctx, list, func(r mutants.Result) {
 		if r.Passed() {
 			passed++
 		}
-		fmt.Printf("%-10s  %-44s  %5.1f s  %s\n", r.Verdict, r.Mutant.Name, r.Took.Seconds(), detail(r))
+		fmt.Printf("%-10s  %-44s  %5.1f s  %s\n", r.Verdict, r.Mutant.Name, r.Elapsed.Seconds(), detail(r))
 	})
 	fmt.Printf("%d of %d mutants passed\n", passed, len(list))
 	return passed == len(list)
--- a/internal/mutants/mutants.go
+++ b/internal/mutants/mutants.go
@@ -29,14 +29,14 @@
 
 // Errors that Check reports.
 var (
-	// ErrNoText means that the file does not contain the text.
-	ErrNoText = errors.New("the text is not in the file")
+	// ErrTextNotFound means that the file does not contain the text.
+	ErrTextNotFound = errors.New("the text is not in the file")
 	// ErrAmbiguous means that the file contains the text more than once.
 	ErrAmbiguous = errors.New("the text is in the file more than once")
 	// ErrUnchanged means that the replacement equals the text.
 	ErrUnchanged = errors.New("the replacement equals the text")
-	// ErrNameTwice means that two mutants have the same name.
-	ErrNameTwice = errors.New("two mutants have the name")
+	// ErrDuplicateName means that two mutants have the same name.
+	ErrDuplicateName = errors.New("two mutants have the name")
 )
 
 // Apply returns the content of the mutant's file with the text replaced.
@@ -47,7 +47,7 @@
 	}
 	switch n := strings.Count(string(source), m.Text); {
 	case m.Text == "" || n == 0:
-		return nil, fmt.Errorf("mutant %s: %s: %w", m.Name, m.File, ErrNoText)
+		return nil, fmt.Errorf("mutant %s: %s: %w", m.Name, m.File, ErrTextNotFound)
 	case n > 1:
 		return nil, fmt.Errorf("mutant %s: %s: %w", m.Name, m.File, ErrAmbiguous)
 	case m.Text == m.Replacement:
@@ -62,7 +62,7 @@
 	seen := map[string]bool{}
 	for _, m := range list {
 		if seen[m.Name] {
-			errs = append(errs, fmt.Errorf("%w %s", ErrNameTwice, m.Name))
+			errs = append(errs, fmt.Errorf("%w %s", ErrDuplicateName, m.Name))
 		}
 		seen[m.Name] = true
 		if _, err := m.Apply(root); err != nil {
--- a/internal/mutants/mutants_test.go
+++ b/internal/mutants/mutants_test.go
@@ -55,12 +55,12 @@
 		list []Mutant
 		want error
 	}{
-		"text missing from the file":  {[]Mutant{mutantOfAdd("a - b", "0")}, ErrNoText},
-		"empty text":                  {[]Mutant{mutantOfAdd("", "0")}, ErrNoText},
+		"text missing from the file":  {[]Mutant{mutantOfAdd("a - b", "0")}, ErrTextNotFound},
+		"empty text":                  {[]Mutant{mutantOfAdd("", "0")}, ErrTextNotFound},
 		"text twice in the file":      {[]Mutant{mutantOfAdd("return", "panic")}, ErrAmbiguous},
 		"replacement equals the text": {[]Mutant{mutantOfAdd("a + b", "a + b")}, ErrUnchanged},
 		"no such file":                {[]Mutant{{Name: "m", File: "sub.go", Text: "a + b", Replacement: "0"}}, os.ErrNotExist},
-		"duplicate name":              {[]Mutant{mutantOfAdd("a + b", "0"), mutantOfAdd("return 0", "return 1")}, ErrNameTwice},
+		"duplicate name":              {[]Mutant{mutantOfAdd("a + b", "0"), mutantOfAdd("return 0", "return 1")}, ErrDuplicateName},
 		"valid":                       {[]Mutant{mutantOfAdd("a + b", "0")}, nil},
 	} {
 		if err := Check(root, test.list); !errors.Is(err, test.want) {
@@ -84,24 +84,24 @@
 	}{
 		"a test fails":                           {killed, Found, "TestAdd/ones", nil},
 		"no test fails":                          {survivor, NotFound, "", nil},
-		"mutant does not compile":                {modified(killed, func(m *Mutant) { m.Replacement = "a +" }), Faulty, "", ErrDoesNotCompile},
-		"tests do not compile with the mutant":   {modified(killed, func(m *Mutant) { m.Text, m.Replacement = "func add", "func plus" }), Faulty, "", ErrNoVerdict},
-		"mutant does not apply":                  {modified(killed, func(m *Mutant) { m.Text = "a * b" }), Faulty, "", ErrNoText},
-		"tests fail without the mutant":          {modified(killed, func(m *Mutant) { m.Tests.Run = "TestAdd|TestRed" }), Faulty, "", ErrFailsAnyway},
-		"no test matches":                        {modified(killed, func(m *Mutant) { m.Tests.Run = "TestNothing" }), Faulty, "", ErrNoTests},
+		"mutant does not compile":                {modified(killed, func(m *Mutant) { m.Replacement = "a +" }), Errored, "", ErrDoesNotCompile},
+		"tests do not compile with the mutant":   {modified(killed, func(m *Mutant) { m.Text, m.Replacement = "func add", "func plus" }), Errored, "", ErrNoFailedTest},
+		"mutant does not apply":                  {modified(killed, func(m *Mutant) { m.Text = "a * b" }), Errored, "", ErrTextNotFound},
+		"tests fail without the mutant":          {modified(killed, func(m *Mutant) { m.Tests.Run = "TestAdd|TestRed" }), Errored, "", ErrBaselineFails},
+		"no test matches":                        {modified(killed, func(m *Mutant) { m.Tests.Run = "TestNothing" }), Errored, "", ErrNoTests},
 		"mutant panics":                          {modified(killed, func(m *Mutant) { m.Replacement = "a / (b - 1)" }), Found, "TestAdd/ones", nil},
 		"tests do not end":                       {Mutant{File: "spin.go", Text: "false", Replacement: "true", Tests: Tests{".", "TestSpins"}}, TimedOut, "", nil},
 		"no test fails for an equivalent mutant": {modified(survivor, func(m *Mutant) { m.Equivalent = "unused function" }), Equivalent, "", nil},
-		"a test fails for an equivalent mutant":  {modified(killed, func(m *Mutant) { m.Equivalent = "unused function" }), Faulty, "", ErrNotEquivalent},
+		"a test fails for an equivalent mutant":  {modified(killed, func(m *Mutant) { m.Equivalent = "unused function" }), Errored, "", ErrNotEquivalent},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := Player{Root: root, Limit: time.Minute, Parallel: 1}
+			p := Runner{Root: root, Timeout: time.Minute, Parallel: 1}
 			if test.verdict == TimedOut {
-				p.Limit = 2 * time.Second
+				p.Timeout = 2 * time.Second
 			}
 			test.mutant.Name = "m"
 			results := 0
-			p.Play(context.Background(), []Mutant{test.mutant}, func(r Result) {
+			p.Run(context.Background(), []Mutant{test.mutant}, func(r Result) {
 				results++
 				if r.Verdict != test.verdict || r.Test != test.test || !errors.Is(r.Err, test.err) {
 					t.Errorf("%s by %q, %v; want %s by %q, %v", r.Verdict, r.Test, r.Err, test.verdict, test.test, test.err)
--- a/internal/mutants/runner.go
+++ b/internal/mutants/runner.go
@@ -22,7 +22,7 @@
 	Found    Verdict = "found"
 	NotFound Verdict = "NOT FOUND"
 	TimedOut Verdict = "TIMED OUT"
-	Faulty   Verdict = "ERROR"
+	Errored  Verdict = "ERROR"
 	// Equivalent means that no test failed, as expected: the list has the reason why no test can detect the mutant.
 	Equivalent Verdict = "equivalent"
 )
@@ -33,10 +33,10 @@
 	ErrDoesNotCompile = errors.New("the mutant does not compile")
 	// ErrNoTests means that the expression matches no test in one of its packages.
 	ErrNoTests = errors.New("no test matches")
-	// ErrFailsAnyway means that the tests fail without the mutant.
-	ErrFailsAnyway = errors.New("the tests fail without a mutant")
-	// ErrNoVerdict means that the run failed but no test did, for example because the tests do not compile with the mutant.
-	ErrNoVerdict = errors.New("the test run failed, but no test did")
+	// ErrBaselineFails means that the tests fail without the mutant.
+	ErrBaselineFails = errors.New("the tests fail without a mutant")
+	// ErrNoFailedTest means that the run failed but no test did, for example because the tests do not compile with the mutant.
+	ErrNoFailedTest = errors.New("the test run failed, but no test did")
 	// ErrNotEquivalent means that a test detects a mutant that the list calls equivalent.
 	ErrNotEquivalent = errors.New("a test detects a mutant that the list calls equivalent")
 )
@@ -47,28 +47,28 @@
 	Verdict Verdict
 	Test    string // the test that failed first
 	Err     error
-	Took    time.Duration
+	Elapsed time.Duration
 }
 
 // Passed reports whether a test detected the mutant, or none can.
 func (r *Result) Passed() bool { return r.Verdict == Found || r.Verdict == Equivalent }
 
-// Player runs the tests of a module against mutants.
-type Player struct {
+// Runner runs the tests of a module against mutants.
+type Runner struct {
 	Root     string        // root directory of the module
-	Limit    time.Duration // time limit for the tests of one mutant
+	Timeout  time.Duration // time limit for the tests of one mutant
 	Parallel int           // number of mutants that run at the same time
 	Skip     string        // regular expression of tests to skip because they fail without a mutant; empty for none
 }
 
-// Play runs all mutants and calls report with each result as soon as it is known. Calls of report do not overlap.
-func (p *Player) Play(ctx context.Context, list []Mutant, report func(Result)) {
+// Run runs all mutants and calls report with each result as soon as it is known. Calls of report do not overlap.
+func (p *Runner) Run(ctx context.Context, list []Mutant, report func(Result)) {
 	baselineErrs := p.runBaseline(ctx, list)
 	var mu sync.Mutex
 	p.forEach(len(list), func(i int) {
 		start := time.Now()
 		r := p.runMutant(ctx, list[i], baselineErrs[list[i].Tests])
-		r.Took = time.Since(start)
+		r.Elapsed = time.Since(start)
 		mu.Lock()
 		defer mu.Unlock()
 		report(r)
@@ -76,7 +76,7 @@
 }
 
 // forEach calls f with each number below n, up to Parallel calls at a time.
-func (p *Player) forEach(n int, f func(i int)) {
+func (p *Runner) forEach(n int, f func(i int)) {
 	next := make(chan int)
 	var workers sync.WaitGroup
 	for range max(p.Parallel, 1) {
@@ -94,7 +94,7 @@
 }
 
 // runBaseline runs each set of tests on the unmodified sources, and returns the error of each set or nil.
-func (p *Player) runBaseline(ctx context.Context, list []Mutant) map[Tests]error {
+func (p *Runner) runBaseline(ctx context.Context, list []Mutant) map[Tests]error {
 	errs := map[Tests]error{}
 	var sets []Tests
 	for _, m := range list {
@@ -112,15 +112,15 @@
 		case strings.Contains(output, "no tests to run") || strings.Contains(output, "no test files"):
 			errs[sets[i]] = fmt.Errorf("%w: %s in %s", ErrNoTests, sets[i].Run, sets[i].Packages)
 		case err != nil:
-			errs[sets[i]] = fmt.Errorf("%w: %s", ErrFailsAnyway, firstFailedTest(output))
+			errs[sets[i]] = fmt.Errorf("%w: %s", ErrBaselineFails, firstFailedTest(output))
 		}
 	})
 	return errs
 }
 
 // runMutant builds one mutant and runs its tests.
-func (p *Player) runMutant(ctx context.Context, m Mutant, baselineErr error) Result {
-	errorResult := func(err error) Result { return Result{Mutant: m, Verdict: Faulty, Err: err} }
+func (p *Runner) runMutant(ctx context.Context, m Mutant, baselineErr error) Result {
+	errorResult := func(err error) Result { return Result{Mutant: m, Verdict: Errored, Err: err} }
 	if baselineErr != nil {
 		return errorResult(baselineErr)
 	}
@@ -144,8 +144,8 @@
 		if m.Equivalent != "" {
 			return errorResult(fmt.Errorf("%w: %s", ErrNotEquivalent, r.Test))
 		}
-	case r.Verdict == Faulty && err != nil:
-		r.Err = fmt.Errorf("%w: %s", ErrNoVerdict, output)
+	case r.Verdict == Errored && err != nil:
+		r.Err = fmt.Errorf("%w: %s", ErrNoFailedTest, output)
 	case r.Verdict == NotFound && m.Equivalent != "":
 		r.Verdict = Equivalent
 	}
@@ -153,7 +153,7 @@
 }
 
 // writeOverlay writes the modified file and the overlay that refers to it, and returns the path of the overlay.
-func (p *Player) writeOverlay(dir string, m *Mutant) (string, error) {
+func (p *Runner) writeOverlay(dir string, m *Mutant) (string, error) {
 	source, err := m.Apply(p.Root)
 	if err != nil {
 		return "", err
@@ -171,13 +171,13 @@
 }
 
 // build builds the package of the mutant.
-func (p *Player) build(ctx context.Context, m *Mutant, overlayPath string) (output string, err error) {
+func (p *Runner) build(ctx context.Context, m *Mutant, overlayPath string) (output string, err error) {
 	return p.runGo(ctx, "build", "-overlay", overlayPath, "./"+filepath.Dir(m.File))
 }
 
 // runTests runs tests, with an overlay unless its path is empty.
-func (p *Player) runTests(ctx context.Context, tests Tests, overlayPath string) (output string, err error) {
-	args := []string{"test", "-count=1", "-vet=off", "-failfast", "-p", "1", "-timeout", p.Limit.String()}
+func (p *Runner) runTests(ctx context.Context, tests Tests, overlayPath string) (output string, err error) {
+	args := []string{"test", "-count=1", "-vet=off", "-failfast", "-p", "1", "-timeout", p.Timeout.String()}
 	if overlayPath != "" {
 		args = append(args, "-overlay", overlayPath)
 	}
@@ -191,7 +191,7 @@
 }
 
 // runGo runs the go command in the root directory of the module.
-func (p *Player) runGo(ctx context.Context, args ...string) (output string, err error) {
+func (p *Runner) runGo(ctx context.Context, args ...string) (output string, err error) {
 	cmd := exec.CommandContext(ctx, "go", args...)
 	cmd.Dir = p.Root
 	combined, err := cmd.CombinedOutput()
@@ -204,11 +204,11 @@
 	case err == nil:
 		return NotFound
 	case strings.Contains(output, "[build failed]") || strings.Contains(output, "[setup failed]"):
-		return Faulty
+		return Errored
 	case strings.Contains(output, "panic: test timed out"):
 		return TimedOut
 	case firstFailedTest(output) == "":
-		return Faulty
+		return Errored
 	}
 	return Found
 }
--- a/internal/peer/backlog.go
+++ b/internal/peer/backlog.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// DispatchLate returns a dispatcher that listens with a full backlog, so that no connection is established before it starts to accept. Until
+// NewFullBacklogDispatcher returns a dispatcher that listens with a full backlog, so that no connection is established before it starts to accept. Until
 // then a client gets no response, and its kernel retries after one second.
-func DispatchLate(transport, report string) (*Dispatcher, error) {
+func NewFullBacklogDispatcher(transport, report string) (*Dispatcher, error) {
 	ln, err := listenWithFullBacklog()
 	if err != nil {
 		return nil, fmt.Errorf("dispatcher with a full backlog: %w", err)
--- a/internal/peer/caller.go
+++ b/internal/peer/caller.go
@@ -21,9 +21,9 @@
 	Class, Tenant string // class and tenant of its set-ups
 }
 
-// Call connects to a front. The transport is "ws" for the call-control API over WebSocket and anything else for JSON lines.
-func Call(transport, address string) (*Caller, error) {
-	nc, err := net.DialTimeout("tcp", address, Patience)
+// DialCaller connects to a front. The transport is "ws" for the call-control API over WebSocket and anything else for JSON lines.
+func DialCaller(transport, address string) (*Caller, error) {
+	nc, err := net.DialTimeout("tcp", address, Timeout)
 	if err != nil {
 		return nil, fmt.Errorf("caller: %w", err)
 	}
@@ -31,12 +31,12 @@
 	if !c.ws {
 		return c, nil
 	}
-	var handshake websocket.Opening
+	var handshake websocket.ClientHandshake
 	if err := c.write(handshake.Request(address, Path)); err != nil {
 		return nil, fmt.Errorf("caller: %w", err)
 	}
 	for {
-		if done, err := handshake.Done(c.input); done || err != nil {
+		if done, err := handshake.ReadResponse(c.input); done || err != nil {
 			return c, err
 		}
 		if err := c.readMore(); err != nil {
@@ -67,11 +67,11 @@
 
 // SetUp sends a set-up. left is the time until its deadline, and first the index of the preferred dispatcher.
 func (c *Caller) SetUp(id string, left time.Duration, first int, sdp string) error {
-	return c.Send(c.Asks(id, left, first, sdp))
+	return c.Send(c.SetUpMessage(id, left, first, sdp))
 }
 
-// Asks returns the message that SetUp sends.
-func (c *Caller) Asks(id string, left time.Duration, first int, sdp string) jsonl.Message {
+// SetUpMessage returns the message that SetUp sends.
+func (c *Caller) SetUpMessage(id string, left time.Duration, first int, sdp string) jsonl.Message {
 	return jsonl.Message{Type: "setup", ID: id, SDP: &sdp, Fields: map[string]jsonl.Value{
 		"class": jsonl.Value(c.Class), "tenant": jsonl.Value(c.Tenant), "key": jsonl.Value("k" + id), "left": jsonl.Value(strconv.Itoa(int(left.Milliseconds()))),
 		"extras": jsonl.Value(fmt.Sprintf("dest:%d;width:1;via:-1", first)),
@@ -84,7 +84,7 @@
 }
 
 // Next waits for the next message.
-func (c *Caller) Next() (*jsonl.Message, error) { return c.NextWithin(Patience) }
+func (c *Caller) Next() (*jsonl.Message, error) { return c.NextWithin(Timeout) }
 
 // NextWithin waits for the next message until the timeout expires.
 func (c *Caller) NextWithin(timeout time.Duration) (*jsonl.Message, error) {
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -93,7 +93,7 @@
 		if err != nil {
 			return
 		}
-		left, _ := m.Int("left")
+		left, _ := m.IntField("left")
 		kind := map[string]string{"setup": "setup", "release": "release", "ping": "probe"}[m.Type]
 		c.deliver(Event{Kind: kind, ID: m.ID, Class: string(m.Fields["class"]), Key: string(m.Fields["key"]),
 			Description: m.Description(), Left: time.Duration(left) * time.Millisecond, Cause: m.CauseOr(0)})
@@ -118,7 +118,7 @@
 			continue
 		}
 		if m.Method == "BYE" {
-			_ = c.write(sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: m.CallID, Seq: m.Seq, SeqOf: "BYE"}))
+			_ = c.write(sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: m.CallID, Seq: m.Seq, SeqMethod: "BYE"}))
 		}
 		c.deliver(e)
 	}
@@ -164,7 +164,7 @@
 	if c.dispatcher.ws {
 		return c.write(encodeAPI(jsonl.Message{Type: "release", ID: id, Cause: &cause}))
 	}
-	return c.write(sip.Append(nil, &sip.Message{Method: "BYE", URI: "sip:caller@net", CallID: id, Seq: 2, SeqOf: "BYE",
+	return c.write(sip.Append(nil, &sip.Message{Method: "BYE", URI: "sip:caller@net", CallID: id, Seq: 2, SeqMethod: "BYE",
 		Headers: []sip.Header{{Name: "Reason", Value: fmt.Sprintf("Q.850;cause=%d", cause)}}}))
 }
 
--- a/internal/peer/dispatcher.go
+++ b/internal/peer/dispatcher.go
@@ -26,15 +26,15 @@
 	conns []*conn
 }
 
-// Dispatch returns a dispatcher that listens on the address and accepts connections. The transport is "ws" for the call-control API and
+// StartDispatcher returns a dispatcher that listens on the address and accepts connections. The transport is "ws" for the call-control API and
 // anything else for SIP. The report is the first message on each new connection.
-func Dispatch(transport, address, report string) (*Dispatcher, error) {
+func StartDispatcher(transport, address, report string) (*Dispatcher, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("dispatcher: %w", err)
 	}
 	d := newDispatcher(ln, transport, report)
-	d.Open()
+	d.StartAccepting()
 	return d, nil
 }
 
@@ -42,8 +42,8 @@
 	return &Dispatcher{Events: make(chan Event, 1024), Acks: make(chan Event, 1024), ln: ln, ws: transport == "ws", report: report}
 }
 
-// Open accepts connections in the background. Only a dispatcher from DispatchLate needs this call.
-func (d *Dispatcher) Open() {
+// StartAccepting accepts connections in the background. Only a dispatcher from NewFullBacklogDispatcher needs this call.
+func (d *Dispatcher) StartAccepting() {
 	go func() {
 		for {
 			nc, err := d.ln.Accept()
@@ -65,21 +65,21 @@
 	return d.ln.Addr().String()
 }
 
-// Listening returns the host and port of the listener.
-func (d *Dispatcher) Listening() string { return d.ln.Addr().String() }
+// ListenAddress returns the host and port of the listener.
+func (d *Dispatcher) ListenAddress() string { return d.ln.Addr().String() }
 
-// Links returns the number of open connections.
-func (d *Dispatcher) Links() int {
+// ConnCount returns the number of open connections.
+func (d *Dispatcher) ConnCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.conns)
 }
 
-// TellLinks also sends the events "opened" and "closed" for connections from now on.
-func (d *Dispatcher) TellLinks() { d.connEvents.Store(true) }
+// EnableConnEvents also sends the events "opened" and "closed" for connections from now on.
+func (d *Dispatcher) EnableConnEvents() { d.connEvents.Store(true) }
 
-// Report replaces the report and sends the new one on all connections.
-func (d *Dispatcher) Report(report string) error {
+// SetReport replaces the report and sends the new one on all connections.
+func (d *Dispatcher) SetReport(report string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.report = report
@@ -95,7 +95,7 @@
 	if d.ws {
 		return encodeAPI(jsonl.Message{Type: "state", ID: "0", Fields: map[string]jsonl.Value{"report": jsonl.Value(d.report)}})
 	}
-	return sip.Append(nil, &sip.Message{Method: "NOTIFY", URI: "sip:state@net", CallID: "state", Seq: 1, SeqOf: "NOTIFY",
+	return sip.Append(nil, &sip.Message{Method: "NOTIFY", URI: "sip:state@net", CallID: "state", Seq: 1, SeqMethod: "NOTIFY",
 		Headers: []sip.Header{{Name: "P-Report", Value: d.report}}})
 }
 
@@ -104,7 +104,7 @@
 	select {
 	case e := <-d.Events:
 		return e, nil
-	case <-time.After(Patience):
+	case <-time.After(Timeout):
 		return Event{}, errors.New("dispatcher: timeout waiting for an event")
 	}
 }
@@ -119,18 +119,18 @@
 	return d.conns[len(d.conns)-1].release(id, cause)
 }
 
-// Rest pauses the input of all connections, including the detection of closed ones, until Dispatcher.Wake is called. Output is not
+// PauseInput pauses the input of all connections, including the detection of closed ones, until Dispatcher.ResumeInput is called. Output is not
 // affected.
-func (d *Dispatcher) Rest() { d.pauseMu.Lock() }
+func (d *Dispatcher) PauseInput() { d.pauseMu.Lock() }
 
-// Wake resumes the input after Dispatcher.Rest.
-func (d *Dispatcher) Wake() { d.pauseMu.Unlock() }
+// ResumeInput resumes the input after Dispatcher.PauseInput.
+func (d *Dispatcher) ResumeInput() { d.pauseMu.Unlock() }
 
-// Stop closes the listener and leaves the connections open.
-func (d *Dispatcher) Stop() { _ = d.ln.Close() }
+// StopListening closes the listener and leaves the connections open.
+func (d *Dispatcher) StopListening() { _ = d.ln.Close() }
 
-// Cut resets all connections and continues to listen.
-func (d *Dispatcher) Cut() {
+// ResetConns resets all connections and continues to listen.
+func (d *Dispatcher) ResetConns() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, c := range d.conns {
@@ -143,8 +143,8 @@
 	d.conns = nil
 }
 
-// Die simulates the end of the process: it closes the listener and resets all connections.
-func (d *Dispatcher) Die() {
+// Kill simulates the end of the process: it closes the listener and resets all connections.
+func (d *Dispatcher) Kill() {
 	_ = d.ln.Close()
-	d.Cut()
+	d.ResetConns()
 }
--- a/internal/peer/event.go
+++ b/internal/peer/event.go
@@ -9,7 +9,7 @@
 	"cherryrelay/internal/websocket"
 )
 
-// Event is a message that a dispatcher has received. Its Kind is "setup", "release", "probe" or "ack". With TellLinks, the kinds "opened" and
+// Event is a message that a dispatcher has received. Its Kind is "setup", "release", "probe" or "ack". With EnableConnEvents, the kinds "opened" and
 // "closed" report changes of connections.
 type Event struct {
 	Kind, ID, Class, Key, Description string
@@ -25,13 +25,13 @@
 	if e.conn.dispatcher.ws {
 		return e.conn.write(encodeAPI(jsonl.Message{Type: "answer", ID: e.ID, SDP: &description}))
 	}
-	return e.conn.write(sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: e.ID, Seq: 1, SeqOf: "INVITE",
+	return e.conn.write(sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: e.ID, Seq: 1, SeqMethod: "INVITE",
 		Body: []byte(description)}))
 }
 
-// AnswerHalf sends only the first half of an answer.
-func (e Event) AnswerHalf() error {
-	message := sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: e.ID, Seq: 1, SeqOf: "INVITE", Body: []byte("half")})
+// SendPartialAnswer sends only the first half of an answer.
+func (e Event) SendPartialAnswer() error {
+	message := sip.Append(nil, &sip.Message{Status: 200, Phrase: "OK", CallID: e.ID, Seq: 1, SeqMethod: "INVITE", Body: []byte("half")})
 	if e.conn.dispatcher.ws {
 		message = websocket.Append(nil, websocket.Text, []byte(`{"type":"answer","id":"`+e.ID+`"}`), false)
 	}
@@ -43,18 +43,18 @@
 	if e.conn.dispatcher.ws {
 		return e.conn.write(encodeAPI(jsonl.Message{Type: "release", ID: e.ID, Cause: &r.Cause}))
 	}
-	return e.conn.write(sip.Append(nil, &sip.Message{Status: r.Status, Phrase: "No", CallID: e.ID, Seq: 1, SeqOf: "INVITE",
-		Headers: []sip.Header{{Name: "P-Reason", Value: r.Note}}}))
+	return e.conn.write(sip.Append(nil, &sip.Message{Status: r.Status, Phrase: "No", CallID: e.ID, Seq: 1, SeqMethod: "INVITE",
+		Headers: []sip.Header{{Name: "P-Reason", Value: r.Reason}}}))
 }
 
-// ReleaseHere ends an established call with a message on the connection of the event.
-func (e Event) ReleaseHere(id string, cause int) error { return e.conn.release(id, cause) }
+// ReleaseOnConn ends an established call with a message on the connection of the event.
+func (e Event) ReleaseOnConn(id string, cause int) error { return e.conn.release(id, cause) }
 
 // SendRaw writes unframed bytes on the connection of the event.
 func (e Event) SendRaw(p []byte) error { return e.conn.write(p) }
 
-// Reset resets the connection of the event.
-func (e Event) Reset() error {
+// ResetConn resets the connection of the event.
+func (e Event) ResetConn() error {
 	if tcp, ok := e.conn.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
@@ -63,24 +63,24 @@
 	return err
 }
 
-// CloseHere closes the connection of the event without a reset.
-func (e Event) CloseHere() error {
+// CloseConn closes the connection of the event without a reset.
+func (e Event) CloseConn() error {
 	err := e.conn.Close()
 	e.conn.recordClose()
 	return err
 }
 
-// ClosedHere returns the time at which the test closed the connection of the event, or the zero time if it did not.
-func (e Event) ClosedHere() time.Time {
+// ConnClosedAt returns the time at which the test closed the connection of the event, or the zero time if it did not.
+func (e Event) ConnClosedAt() time.Time {
 	if at := e.conn.closedAt.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
 }
 
-// Deafen simulates a connection that is dead without the knowledge of the dispatcher: all further input, including its end, is ignored. The
+// DiscardInput simulates a connection that is dead without the knowledge of the dispatcher: all further input, including its end, is ignored. The
 // test itself must send nothing more on this connection.
-func (e Event) Deafen() { close(e.conn.discarding) }
+func (e Event) DiscardInput() { close(e.conn.discarding) }
 
-// Beside reports whether two events arrived on the same connection.
-func (e Event) Beside(other Event) bool { return e.conn == other.conn }
+// SameConn reports whether two events arrived on the same connection.
+func (e Event) SameConn(other Event) bool { return e.conn == other.conn }
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -42,8 +42,8 @@
 // Free returns the number of bytes that can be written.
 func (b *Buffer) Free() int { return b.size - b.Len() }
 
-// Cap returns the size in bytes of the allocated storage, which is at most the capacity.
-func (b *Buffer) Cap() int { return len(*b.data.Load()) }
+// StorageSize returns the size in bytes of the allocated storage, which is at most the capacity.
+func (b *Buffer) StorageSize() int { return len(*b.data.Load()) }
 
 // Write appends as much of p as fits and returns the number of bytes written.
 func (b *Buffer) Write(p []byte) int {
@@ -78,9 +78,9 @@
 	return data
 }
 
-// Empty releases the storage if the ring is empty. It must not run concurrently with reads or writes.
-func (b *Buffer) Empty() {
-	if b.Len() == 0 && b.Cap() > 0 {
+// ReleaseStorage releases the storage if the ring is empty. It must not run concurrently with reads or writes.
+func (b *Buffer) ReleaseStorage() {
+	if b.Len() == 0 && b.StorageSize() > 0 {
 		b.data.Store(new([]byte))
 	}
 }
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -60,8 +60,8 @@
 		b.Write(text[:step.write])
 		got = append(got, b.Peek(step.read)...)
 		b.Discard(step.read)
-		if b.Cap() != step.storage {
-			t.Errorf("the storage has %d bytes after writing %d, want %d", b.Cap(), step.write, step.storage)
+		if b.StorageSize() != step.storage {
+			t.Errorf("the storage has %d bytes after writing %d, want %d", b.StorageSize(), step.write, step.storage)
 		}
 	}
 	want := slices.Concat(text[:900], text[:900], text[:100], text[:9000], text[:10])
--- a/internal/ring/ringtest/ringtest.go
+++ b/internal/ring/ringtest/ringtest.go
@@ -7,8 +7,8 @@
 	"cherryrelay/internal/ring"
 )
 
-// ErrStuck is the error of Feed if the ring is full and the decoder reads nothing from it.
-var ErrStuck = errors.New("ringtest: the ring is full and the decoder reads nothing")
+// ErrNoProgress is the error of Feed if the ring is full and the decoder reads nothing from it.
+var ErrNoProgress = errors.New("ringtest: the ring is full and the decoder reads nothing")
 
 // Feed writes text to a ring of the given size in pieces of at most piece bytes, and returns the messages that next decodes up to its
 // first error. The function next returns nil while no message is complete.
@@ -28,7 +28,7 @@
 			all = append(all, m)
 		}
 		if n == 0 {
-			return all, ErrStuck
+			return all, ErrNoProgress
 		}
 	}
 	return all, nil
