--- a/internal/scale/cluster.go
+++ b/internal/scale/cluster.go
@@ -51,7 +51,7 @@
 	workers             []*process          // with hollow controllers
 	dispatcherProcesses []*process          // with dispatchers
 	workerOf            map[string]*process // worker of each hollow controller
-	specs               map[string]Spec
+	specs               map[string]ControllerSpec
 	real                []*realController
 	// The addresses, processes and places of dispatchers, by name.
 	dispatcherAddress map[string]string
@@ -69,9 +69,9 @@
 // processCounts returns the number of processes with hollow controllers, the number of those with dispatchers, and the total, which includes this
 // process and the real controllers.
 func (s *Scenario) processCounts() (workers, dispatcherProcesses, all int) {
-	workers = (s.Controllers + s.PerProcess - 1) / s.PerProcess
+	workers = (s.Controllers + s.ControllersPerProcess - 1) / s.ControllersPerProcess
 	dispatcherProcesses = s.dispatcherProcessCount()
-	return workers, dispatcherProcesses, 1 + workers + dispatcherProcesses + s.Real
+	return workers, dispatcherProcesses, 1 + workers + dispatcherProcesses + s.RealControllers
 }
 
 // entryNames returns the names of all entries of the list: dispatchers and markers.
@@ -86,9 +86,9 @@
 // maxConnectionsPerDispatcher returns the maximum number of connections to one dispatcher.
 func (s *Scenario) maxConnectionsPerDispatcher() int {
 	if s.ListByService {
-		return (s.Controllers+s.Services-1)/s.Services + maxConnectionsPerReal*s.Real
+		return (s.Controllers+s.Services-1)/s.Services + maxConnectionsPerReal*s.RealControllers
 	}
-	return s.Controllers + maxConnectionsPerReal*s.Real
+	return s.Controllers + maxConnectionsPerReal*s.RealControllers
 }
 
 // maxConnectionsPerProcess is the maximum number of connections to the dispatchers of one process.
@@ -100,12 +100,12 @@
 	return (len(s.entryNames()) + each - 1) / each
 }
 
-// checkLimits returns an error if a scenario needs more processes than MostProcesses or more descriptors than the machine allows.
+// checkLimits returns an error if a scenario needs more processes than MaxProcesses or more descriptors than the machine allows.
 func (s *Scenario) checkLimits() error {
 	_, _, all := s.processCounts()
-	if all > MostProcesses {
+	if all > MaxProcesses {
 		return fmt.Errorf("scale: the run needs %d processes, %d are allowed: increase per_process, or use fewer dispatchers or real controllers",
-			all, MostProcesses)
+			all, MaxProcesses)
 	}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -115,8 +115,8 @@
 		name        string
 		descriptors int
 	}{
-		{"the process of the store", storeDescriptorsPerController * (s.Controllers + s.Real)},
-		{"a process of hollow controllers", min(s.Controllers, s.PerProcess) * (1 + connectionsPerHollow*s.entriesPerController())},
+		{"the process of the store", storeDescriptorsPerController * (s.Controllers + s.RealControllers)},
+		{"a process of hollow controllers", min(s.Controllers, s.ControllersPerProcess) * (1 + connectionsPerHollow*s.entriesPerController())},
 		{"a process of dispatchers", max(min(maxConnectionsPerProcess, s.maxConnectionsPerDispatcher()*len(s.entryNames())),
 			s.maxConnectionsPerDispatcher())},
 		{"a real controller", maxConnectionsPerReal * s.entriesPerController()},
@@ -139,7 +139,7 @@
 // openCluster starts the store, the dispatchers, the workers and the real controllers, but no hollow controllers.
 func openCluster(s *Scenario, o Options, seed uint64, directory string) (*cluster, error) {
 	c := &cluster{scenario: s, options: o, directory: directory, configPath: filepath.Join(directory, "hollow.ini"),
-		store: store.New(seed + 1), network: fault.New(seed), workerOf: map[string]*process{}, specs: map[string]Spec{},
+		store: store.New(seed + 1), network: fault.New(seed), workerOf: map[string]*process{}, specs: map[string]ControllerSpec{},
 		dispatcherAddress: map[string]string{}, dispatcherProcess: map[string]*process{}, dispatcherPlace: map[string]place{},
 		lastNumbers: map[stream]int{}, cutCounts: map[string]int{}, closedCounts: map[string]int{}, downCounts: map[string]int{}}
 	for _, step := range []func() error{c.openStore, c.startDispatchers, c.writeList, c.startWorkers, c.startRealControllers} {
@@ -171,7 +171,7 @@
 		c.dispatcherProcesses = append(c.dispatcherProcesses, p)
 		addresses := map[string]string{}
 		for j := i; j < len(names); j += processes {
-			if addresses[names[j]], err = peer.Free(); err != nil {
+			if addresses[names[j]], err = peer.FreeAddress(); err != nil {
 				return err //nolint:wrapcheck // the error needs no context
 			}
 			c.dispatcherAddress[names[j]], c.dispatcherProcess[names[j]] = addresses[names[j]], p
@@ -220,12 +220,12 @@
 // startWorkers starts the workers for hollow controllers, opens a proxy to the store for each rack and assigns the controllers to both.
 func (c *cluster) startWorkers() error {
 	if err := writeOperatorFile(c.configPath, "hollow", "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1", allServices, c.scenario.Lease,
-		c.scenario.Controllers+c.scenario.Real, 0); err != nil {
+		c.scenario.Controllers+c.scenario.RealControllers, 0); err != nil {
 		return err
 	}
 	proxies := map[string]string{}
 	for _, rack := range c.scenario.racks() {
-		address, err := c.network.Between(rack, storeName, c.storeAddress)
+		address, err := c.network.AddLink(rack, storeName, c.storeAddress)
 		if err != nil {
 			return err //nolint:wrapcheck // the error needs no context
 		}
@@ -242,7 +242,7 @@
 	for i, name := range c.scenario.hollowNames() {
 		p := c.scenario.place(i)
 		c.workerOf[name] = c.workers[i%processes]
-		c.specs[name] = Spec{Name: name, Store: proxies[p.rack], Prefix: listPrefix + c.scenario.scope(p.service) + "/"}
+		c.specs[name] = ControllerSpec{Name: name, Store: proxies[p.rack], Prefix: listPrefix + c.scenario.scope(p.service) + "/"}
 	}
 	return nil
 }
@@ -250,7 +250,7 @@
 // startRealControllers starts the real controllers, each with a proxy to the store.
 func (c *cluster) startRealControllers() error {
 	for i, name := range c.scenario.realNames() {
-		address, err := c.network.Between(name, storeName, c.storeAddress)
+		address, err := c.network.AddLink(name, storeName, c.storeAddress)
 		if err != nil {
 			return err //nolint:wrapcheck // the error needs no context
 		}
@@ -324,5 +324,5 @@
 
 // stopControllers stops hollow controllers: gracefully or, if crashed is set, as in a crash.
 func (c *cluster) stopControllers(names []string, crashed bool) error {
-	return c.orderByWorker(names, func(group []string) *Order { return &Order{Action: StopControllers, Names: group, Lost: crashed} })
+	return c.orderByWorker(names, func(group []string) *Order { return &Order{Action: StopControllers, Names: group, Crashed: crashed} })
 }
--- a/internal/scale/events.go
+++ b/internal/scale/events.go
@@ -11,13 +11,13 @@
 
 // execute executes an event. The function that it returns reverts the event; it is nil if there is nothing to revert.
 func (c *cluster) execute(e Event, phase string) (revert func() error, err error) {
-	switch e.Do {
+	switch e.Kind {
 	case Change:
-		return nil, c.changeMarker(e.Who, phase)
+		return nil, c.changeMarker(e.Target, phase)
 	case Settings:
 		return nil, c.changeSettings(phase)
 	case Restart:
-		return nil, c.restart([]string{e.Who})
+		return nil, c.restart([]string{e.Target})
 	case Release:
 		return nil, c.rollingRestart(e)
 	case Rack, StartAll:
@@ -60,7 +60,7 @@
 func (c *cluster) changeSettings(phase string) error {
 	number := c.nextNumber(stream{kind: Settings})
 	if err := writeOperatorFile(c.configPath, "hollow", "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1", allServices, c.scenario.Lease,
-		c.scenario.Controllers+c.scenario.Real, number); err != nil {
+		c.scenario.Controllers+c.scenario.RealControllers, number); err != nil {
 		return err
 	}
 	for _, r := range c.real {
@@ -120,7 +120,7 @@
 	names := c.scenario.affectedControllers(e)
 	start := time.Now()
 	for i, name := range names {
-		time.Sleep(time.Until(start.Add(e.For * time.Duration(i) / time.Duration(len(names)))))
+		time.Sleep(time.Until(start.Add(e.Duration * time.Duration(i) / time.Duration(len(names)))))
 		if err := c.restart([]string{name}); err != nil {
 			return err
 		}
@@ -141,8 +141,8 @@
 func (c *cluster) cutOff(e Event) (revert func() error, err error) {
 	proxies, dispatchers := c.affectedByCut(e)
 	for _, proxy := range c.adjustHolds(c.cutCounts, proxies, 1) {
-		hole := fault.Way{Hole: true}
-		c.network.Set(proxy+">"+storeName, fault.Rule{Forth: hole, Back: hole, Shut: true})
+		hole := fault.Impairment{Hole: true}
+		c.network.SetRule(proxy+">"+storeName, fault.Rule{Forth: hole, Back: hole, Shut: true})
 	}
 	closing := c.adjustHolds(c.closedCounts, dispatchers, 1)
 	err = forEachProcess(c.dispatcherProcesses, func(p *process) error {
@@ -151,7 +151,7 @@
 	})
 	return func() error {
 		for _, proxy := range c.adjustHolds(c.cutCounts, proxies, -1) {
-			c.network.Set(proxy+">"+storeName, fault.Rule{})
+			c.network.SetRule(proxy+">"+storeName, fault.Rule{})
 		}
 		opening := c.adjustHolds(c.closedCounts, dispatchers, -1)
 		return forEachProcess(c.dispatcherProcesses, func(p *process) error {
@@ -242,7 +242,7 @@
 	if revert == nil {
 		return
 	}
-	time.Sleep(time.Until(r.started.Add(e.At + e.For)))
+	time.Sleep(time.Until(r.started.Add(e.At + e.Duration)))
 	r.recordError(revert())
 }
 
@@ -260,7 +260,7 @@
 	select {
 	case <-done:
 		return
-	case <-time.After(time.Until(r.started.Add(r.cluster.scenario.Lasting))):
+	case <-time.After(time.Until(r.started.Add(r.cluster.scenario.Duration))):
 	}
 	r.tasks.Wait()
 }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -34,16 +34,16 @@
 	markerGroup  = 1_000_000
 )
 
-// Spec describes a hollow controller to start.
-type Spec struct {
+// ControllerSpec describes a hollow controller to start.
+type ControllerSpec struct {
 	Name   string `json:"name"`
 	Store  string `json:"store"`  // address of the store
 	Prefix string `json:"prefix"` // key prefix of its list
 }
 
-// Hollow is a call controller without listening sockets, so that no caller can reach it. Its event loop, list, membership, decision module,
+// HollowController is a call controller without listening sockets, so that no caller can reach it. Its event loop, list, membership, decision module,
 // connections to dispatchers and timers are those of the program, connected in the same way.
-type Hollow struct {
+type HollowController struct {
 	name        string
 	loop        *call.Loop
 	core        *call.Core
@@ -51,27 +51,27 @@
 	fleet       *membership.Fleet
 	client      *clientv3.Client
 	cancel      context.CancelFunc
-	onApplied   func(Applied)
+	onApplied   func(AppliedChange)
 	ready       atomic.Bool
 	leaving     bool // used by the event loop only
 	listApplied bool // whether a complete list has been applied; used by the event loop only
 }
 
-// Applied records that a controller has applied a change.
-type Applied struct {
-	Controller string `json:"controller"`
-	Kind       Kind   `json:"kind"`  // Change or Settings
-	Scope      string `json:"scope"` // scope of the list, if Kind is Change
-	Number     int    `json:"number"`
-	AtNs       int64  `json:"at_ns"` // Unix time in nanoseconds
-	First      bool   `json:"first"` // part of the first list or configuration after a start, which is not timed
+// AppliedChange records that a controller has applied a change.
+type AppliedChange struct {
+	Controller string    `json:"controller"`
+	Kind       EventKind `json:"kind"`  // Change or Settings
+	Scope      string    `json:"scope"` // scope of the list, if Kind is Change
+	Number     int       `json:"number"`
+	AtNs       int64     `json:"at_ns"` // Unix time in nanoseconds
+	First      bool      `json:"first"` // part of the first list or configuration after a start, which is not timed
 }
 
 // StartHollow starts a controller with a configuration of the program. The listening addresses in it are ignored. The controller calls applied
 // for each change that it applies.
-func StartHollow(c config.Config, s Spec, log slog.Handler, applied func(Applied)) (*Hollow, error) {
+func StartHollow(c config.Config, s ControllerSpec, log slog.Handler, applied func(AppliedChange)) (*HollowController, error) {
 	logger := slog.New(log).With("name", s.Name)
-	h := &Hollow{name: s.Name, loop: call.NewLoop(), onApplied: applied}
+	h := &HollowController{name: s.Name, loop: call.NewLoop(), onApplied: applied}
 	var err error
 	if h.core, err = call.New(h.loop, logger, c.Settings, uint64(time.Now().UnixNano())); err != nil {
 		return nil, err //nolint:wrapcheck // the error needs no context
@@ -87,35 +87,35 @@
 	}
 	var ctx context.Context
 	ctx, h.cancel = context.WithCancel(context.Background())
-	stream := coordinator.New("", 0, logger, list.Stream(pool.FromCoordinator))
-	h.loop.AddIdleCheck(stream.Quiet)
+	stream := coordinator.New("", 0, logger, list.UpdateHandler(pool.FromCoordinator))
+	h.loop.AddIdleCheck(stream.AllDelivered)
 	go stream.Run(ctx)
 	h.fleet = membership.Start(h.client, membership.Options{Name: s.Name, Address: "hollow", Prefix: strings.TrimSuffix(c.Fleet.Prefix, "/") + "/",
 		Lease: c.Fleet.Lease()}, logger)
 	h.loop.Post(h.reportState)
-	go etcd.Over(h.client, s.Prefix, logger, list.Stream(pool.FromEtcd)).Run(ctx)
+	go etcd.NewWithClient(h.client, s.Prefix, logger, list.UpdateHandler(pool.FromEtcd)).Run(ctx)
 	go h.loop.Run()
-	applied(Applied{Controller: s.Name, Kind: Settings, Number: settingsNumber(&c), AtNs: time.Now().UnixNano(), First: true})
+	applied(AppliedChange{Controller: s.Name, Kind: Settings, Number: settingsNumber(&c), AtNs: time.Now().UnixNano(), First: true})
 	return h, nil
 }
 
 // reportState reports the state of this controller to the fleet, and schedules the next report.
-func (h *Hollow) reportState() {
+func (h *HollowController) reportState() {
 	ready := h.core.Ready()
 	h.ready.Store(ready)
 	switch {
 	case h.leaving:
-		h.fleet.Say(members.Leaving)
+		h.fleet.SetState(members.Leaving)
 	case ready:
-		h.fleet.Say(members.Serving)
+		h.fleet.SetState(members.Serving)
 	default:
-		h.fleet.Say(members.Joining)
+		h.fleet.SetState(members.Joining)
 	}
 	h.loop.After(stateReportInterval, h.reportState)
 }
 
 // update applies a change of the list and reports the markers in it.
-func (h *Hollow) update(u pool.Update) {
+func (h *HollowController) update(u pool.Update) {
 	h.core.Update(u)
 	now := time.Now().UnixNano()
 	for _, entry := range u.Servers {
@@ -123,13 +123,13 @@
 		if !isMarker || entry.Status == control.Removed {
 			continue
 		}
-		h.onApplied(Applied{Controller: h.name, Kind: Change, Scope: scope, Number: entry.Cell - markerGroup, AtNs: now, First: !h.listApplied})
+		h.onApplied(AppliedChange{Controller: h.name, Kind: Change, Scope: scope, Number: entry.Cell - markerGroup, AtNs: now, First: !h.listApplied})
 	}
 	h.listApplied = h.listApplied || u.Complete
 }
 
 // Reload reads a file and applies its settings, as the program does at SIGHUP.
-func (h *Hollow) Reload(path string) error {
+func (h *HollowController) Reload(path string) error {
 	c, err := readConfig(path)
 	if err != nil {
 		return err
@@ -139,29 +139,29 @@
 			return // the check at the end of the run finds controllers without the last settings
 		}
 		h.pool.Reconfigure(c.Settings.ConnectTimeout(), c.Settings.Report.Fields)
-		h.onApplied(Applied{Controller: h.name, Kind: Settings, Number: settingsNumber(c), AtNs: time.Now().UnixNano()})
+		h.onApplied(AppliedChange{Controller: h.name, Kind: Settings, Number: settingsNumber(c), AtNs: time.Now().UnixNano()})
 	})
 	return nil
 }
 
 // Joined reports whether the controller is ready and holds its lease.
-func (h *Hollow) Joined() bool {
-	_, _, certain := h.fleet.Certain()
+func (h *HollowController) Joined() bool {
+	_, _, certain := h.fleet.HoldsLease()
 	return certain && h.ready.Load()
 }
 
 // Members returns the number of fleet members that the controller knows, or 0 while its view is not actable.
-func (h *Hollow) Members() int {
-	view := h.fleet.Show()
+func (h *HollowController) Members() int {
+	view := h.fleet.Status()
 	if !view.Actable {
 		return 0
 	}
-	return len(view.Members) + view.More
+	return len(view.Members) + view.OmittedMembers
 }
 
 // Close shuts the controller down gracefully or, if crashed is set, as in the crash of a machine: without a notification of the store. The
 // connection to the store is closed when Close returns; the connections to dispatchers close within poolCloseTimeout.
-func (h *Hollow) Close(crashed bool) error {
+func (h *HollowController) Close(crashed bool) error {
 	h.cancel()
 	if crashed {
 		err := h.client.Close()
@@ -176,7 +176,7 @@
 }
 
 // clearList applies an empty list, which makes the pool close its connections, and stops the event loop after poolCloseTimeout.
-func (h *Hollow) clearList() {
+func (h *HollowController) clearList() {
 	h.loop.Post(func() { h.pool.Update(pool.Update{Complete: true}) })
 	time.AfterFunc(poolCloseTimeout, h.loop.Quit)
 }
--- a/internal/scale/latency.go
+++ b/internal/scale/latency.go
@@ -50,7 +50,7 @@
 		}
 		var err error
 		if relayed == nil {
-			if relayed, err = peer.Call("tcp", controller); err != nil {
+			if relayed, err = peer.DialCaller("tcp", controller); err != nil {
 				relayed = nil
 				continue // the controller does not listen yet
 			}
@@ -140,7 +140,7 @@
 	if err := d.SetDeadline(time.Now().Add(callTimeout)); err != nil {
 		return err //nolint:wrapcheck // the error needs no context
 	}
-	invite := &sip.Message{Method: "INVITE", URI: uri, CallID: id, Seq: 1, SeqOf: "INVITE",
+	invite := &sip.Message{Method: "INVITE", URI: uri, CallID: id, Seq: 1, SeqMethod: "INVITE",
 		Headers: []sip.Header{{Name: "P-Kind", Value: "send-setup"}, {Name: "P-Time-Left", Value: "8000"}}, Body: []byte("x")}
 	if _, err := d.Write(sip.Append(nil, invite)); err != nil {
 		return err //nolint:wrapcheck // the error needs no context
@@ -150,12 +150,12 @@
 		if err != nil {
 			return err
 		}
-		if m.CallID == id && m.SeqOf == "INVITE" && m.Status >= 200 {
+		if m.CallID == id && m.SeqMethod == "INVITE" && m.Status >= 200 {
 			break
 		}
 	}
-	end := sip.Append(nil, &sip.Message{Method: "ACK", URI: uri, CallID: id, Seq: 1, SeqOf: "ACK"})
-	_, err := d.Write(sip.Append(end, &sip.Message{Method: "BYE", URI: uri, CallID: id, Seq: 2, SeqOf: "BYE"}))
+	end := sip.Append(nil, &sip.Message{Method: "ACK", URI: uri, CallID: id, Seq: 1, SeqMethod: "ACK"})
+	_, err := d.Write(sip.Append(end, &sip.Message{Method: "BYE", URI: uri, CallID: id, Seq: 2, SeqMethod: "BYE"}))
 	return err //nolint:wrapcheck // the error needs no context
 }
 
--- a/internal/scale/measure_test.go
+++ b/internal/scale/measure_test.go
@@ -16,10 +16,10 @@
 	for number := 1; number <= 3; number++ {
 		issued = append(issued, issuedChange{Change, allServices, number, at(100 * number), OrdinaryPhase})
 	}
-	applyAt := func(controller string, number, ms int, first bool) Applied {
-		return Applied{Controller: controller, Kind: Change, Scope: allServices, Number: number, AtNs: at(ms).UnixNano(), First: first}
+	applyAt := func(controller string, number, ms int, first bool) AppliedChange {
+		return AppliedChange{Controller: controller, Kind: Change, Scope: allServices, Number: number, AtNs: at(ms).UnixNano(), First: first}
 	}
-	applied := []Applied{
+	applied := []AppliedChange{
 		applyAt("c1", 0, 10, true), applyAt("c1", 1, 101, false), applyAt("c1", 3, 310, false), applyAt("c1", 3, 400, false),
 		applyAt("c2", 2, 250, true), applyAt("c2", 3, 305, false),
 		applyAt("real-1", -1-int(markerStatus(1)), 120, false), applyAt("real-1", -1-int(markerStatus(2)), 220, false),
@@ -31,10 +31,10 @@
 		return HollowKind
 	})
 	hollow := stalenessOf(histograms[stalenessKey{OrdinaryPhase, HollowKind, Change}])
-	if hollow.Count != 4 || hollow.P50 < 4 || hollow.P50 > 11 || hollow.Last < 109 || hollow.Last > 111 {
+	if hollow.Count != 4 || hollow.P50 < 4 || hollow.P50 > 11 || hollow.Max < 109 || hollow.Max > 111 {
 		t.Errorf("hollow: %+v, want the staleness of 1, 110, 10 and 5 ms", hollow)
 	}
-	if real := stalenessOf(histograms[stalenessKey{OrdinaryPhase, RealKind, Change}]); real.Count != 2 || real.Last < 19 || real.Last > 21 {
+	if real := stalenessOf(histograms[stalenessKey{OrdinaryPhase, RealKind, Change}]); real.Count != 2 || real.Max < 19 || real.Max > 21 {
 		t.Errorf("real: %+v, want the staleness of 20 and 20 ms", real)
 	}
 }
@@ -42,19 +42,19 @@
 // TestLimits checks that a run beyond the limits on processes or descriptors is rejected before it starts, and that the error for too much memory
 // is a single line with the amount.
 func TestLimits(t *testing.T) {
-	if err := checkMemoryLimit(MostMemory); err != nil {
+	if err := checkMemoryLimit(MaxMemoryBytes); err != nil {
 		t.Error(err)
 	}
-	if err := checkMemoryLimit(MostMemory + 1<<20); err == nil || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), "12289 MB") {
+	if err := checkMemoryLimit(MaxMemoryBytes + 1<<20); err == nil || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), "12289 MB") {
 		t.Errorf("too much memory: %v", err)
 	}
-	s := Default()
-	s.PerProcess, s.Controllers = 1, MostProcesses
+	s := DefaultScenario()
+	s.ControllersPerProcess, s.Controllers = 1, MaxProcesses
 	if err := s.checkLimits(); err == nil || !strings.Contains(err.Error(), "processes, 200 are allowed") {
 		t.Errorf("too many processes: error %v", err)
 	}
-	s = Default()
-	s.Controllers, s.PerProcess, s.Dispatchers = maxControllers, 5000, 1
+	s = DefaultScenario()
+	s.Controllers, s.ControllersPerProcess, s.Dispatchers = maxControllers, 5000, 1
 	if err := s.checkLimits(); err == nil || !strings.Contains(err.Error(), "descriptors") {
 		t.Errorf("too many descriptors: error %v", err)
 	}
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -17,17 +17,17 @@
 	rng := rand.New(rand.NewPCG(seed, planStream))
 	var plan []Event
 	for _, e := range s.Faults {
-		switch candidates := targets[e.Do]; {
+		switch candidates := targets[e.Kind]; {
 		case candidates == nil:
-			e.Who = ""
-		case e.Who == "?":
-			e.Who = pickRandom(rng, candidates(s))
+			e.Target = ""
+		case e.Target == "?":
+			e.Target = pickRandom(rng, candidates(s))
 		}
-		if e.Who != "" || targets[e.Do] == nil {
+		if e.Target != "" || targets[e.Kind] == nil {
 			plan = append(plan, e)
 		}
 	}
-	share := float64(s.Controllers) / float64(s.Fleet)
+	share := float64(s.Controllers) / float64(s.DeploymentSize)
 	plan = s.appendRandom(plan, rng, Restart, share*s.perSecond(s.RestartsPerDay), s.hollowNames())
 	plan = s.appendRandom(plan, rng, Change, s.perSecond(s.ChangesPerDay), s.scopes())
 	slices.SortStableFunc(plan, func(a, b Event) int { return int(a.At - b.At) })
@@ -35,17 +35,17 @@
 }
 
 // appendRandom appends events with exponentially distributed gaps, perSecond of them each second on average, up to maxPlannedEvents.
-func (s *Scenario) appendRandom(plan []Event, rng *rand.Rand, do Kind, perSecond float64, candidates []string) []Event {
+func (s *Scenario) appendRandom(plan []Event, rng *rand.Rand, do EventKind, perSecond float64, candidates []string) []Event {
 	if perSecond <= 0 || len(candidates) == 0 {
 		return plan
 	}
 	at := time.Duration(0)
 	for len(plan) < maxPlannedEvents {
 		at += time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second))
-		if at >= s.Lasting {
+		if at >= s.Duration {
 			break
 		}
-		plan = append(plan, Event{At: at.Truncate(time.Millisecond), Do: do, Who: pickRandom(rng, candidates)})
+		plan = append(plan, Event{At: at.Truncate(time.Millisecond), Kind: do, Target: pickRandom(rng, candidates)})
 	}
 	return plan
 }
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -22,8 +22,8 @@
 	replies *bufio.Scanner
 	stderr  *tailBuffer
 
-	mu        sync.Mutex // held during an order, so that only one is in progress
-	applied   []Applied  // from replies, not yet collected by takeApplied
+	mu        sync.Mutex      // held during an order, so that only one is in progress
+	applied   []AppliedChange // from replies, not yet collected by takeApplied
 	lastReply Reply
 }
 
@@ -98,7 +98,7 @@
 }
 
 // takeApplied returns the changes that were reported as applied since the last call.
-func (p *process) takeApplied() []Applied {
+func (p *process) takeApplied() []AppliedChange {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	all := p.applied
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -35,7 +35,7 @@
 endpoints = %s
 prefix = %s
 lease_ms = %d
-` + trial.Settings
+` + trial.SettingsFormat
 
 // memberPrefix and listPrefix are the key prefixes in the store of the members and of the lists of dispatchers.
 const (
@@ -43,7 +43,7 @@
 	listPrefix   = "/scale/list/"
 )
 
-// baseHoldOff is the hold-off in trial.Settings, in microseconds. Each change of settings adds its number to it.
+// baseHoldOff is the hold-off in trial.SettingsFormat, in microseconds. Each change of settings adds its number to it.
 const baseHoldOff = 2_000_000
 
 // writeOperatorFile writes an operator file. The number of the change of settings is encoded in the hold-off.
@@ -76,7 +76,7 @@
 	log                              tailBuffer
 
 	mu             sync.Mutex
-	applied        []Applied
+	applied        []AppliedChange
 	failedDials    int64
 	settingsNumber int // of the last change of settings
 }
@@ -112,9 +112,9 @@
 		case strings.Contains(line, `msg="`+dialFailed+`"`):
 			r.failedDials += 1 + logField(line, "not_logged")
 		case strings.Contains(line, `msg="configuration reloaded"`):
-			r.applied = append(r.applied, Applied{Controller: r.name, Kind: Settings, Number: r.settingsNumber, AtNs: now})
+			r.applied = append(r.applied, AppliedChange{Controller: r.name, Kind: Settings, Number: r.settingsNumber, AtNs: now})
 		case strings.Contains(line, "msg=dispatcher ") && strings.Contains(line, "server="+markerPrefix):
-			r.applied = append(r.applied, Applied{Controller: r.name, Kind: Change, Scope: r.scope, Number: -1 - int(logField(line, "status")), AtNs: now})
+			r.applied = append(r.applied, AppliedChange{Controller: r.name, Kind: Change, Scope: r.scope, Number: -1 - int(logField(line, "status")), AtNs: now})
 		}
 		r.mu.Unlock()
 	}
@@ -138,7 +138,7 @@
 }
 
 // takeApplied returns the changes that were applied since the last call, and the total number of failed dials.
-func (r *realController) takeApplied() ([]Applied, int64) {
+func (r *realController) takeApplied() ([]AppliedChange, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	all := r.applied
@@ -162,11 +162,11 @@
 
 // members returns the number of fleet members that the controller knows, or 0 if it does not answer, does not serve or its view is not actable.
 func (r *realController) members() int {
-	var view membership.Shown
+	var view membership.Status
 	if r.query(membership.Path, &view) != nil || !view.Actable || view.State != "serving" {
 		return 0
 	}
-	return len(view.Members) + view.More
+	return len(view.Members) + view.OmittedMembers
 }
 
 // activeChange returns the number of the last change in the controller's list, or -1 if that cannot be determined.
@@ -200,7 +200,7 @@
 	r := &realController{name: name, scope: scope, storeAddress: store, configPath: filepath.Join(directory, name+".ini")}
 	for _, address := range []*string{&r.callerAddress, &r.managementAddress} {
 		var err error
-		if *address, err = peer.Free(); err != nil {
+		if *address, err = peer.FreeAddress(); err != nil {
 			return nil, err //nolint:wrapcheck // the error needs no context
 		}
 	}
@@ -209,5 +209,5 @@
 
 // writeConfig writes the operator file with the settings of the given number.
 func (r *realController) writeConfig(s *Scenario, number int) error {
-	return writeOperatorFile(r.configPath, r.name, r.callerAddress, r.managementAddress, r.storeAddress, r.scope, s.Lease, s.Controllers+s.Real, number)
+	return writeOperatorFile(r.configPath, r.name, r.callerAddress, r.managementAddress, r.storeAddress, r.scope, s.Lease, s.Controllers+s.RealControllers, number)
 }
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -13,27 +13,27 @@
 
 // Report is the result of a run. It is stored as JSON.
 type Report struct {
-	Command     string        `json:"command"` // command line that repeats the run
-	Version     string        `json:"version"`
-	Seed        uint64        `json:"seed"`
-	Controllers int           `json:"controllers"`
-	Real        int           `json:"real"`
-	Services    int           `json:"services"`
-	Dispatchers int           `json:"dispatchers"`
-	Compress    int           `json:"compress"`
-	LeaseMs     int64         `json:"lease_ms"`
-	Events      []string      `json:"events"`
-	Phases      []Phase       `json:"phases"`
-	Staleness   []InForce     `json:"staleness"`
-	Latency     *Latency      `json:"latency"` // nil without real controllers
-	Faults      []string      `json:"faults"`  // violations of the rules of a run
-	MemoryMB    int64         `json:"memory_mb"`
-	Processes   int           `json:"processes"`
-	Took        time.Duration `json:"took_ns"`
+	Command         string         `json:"command"` // command line that repeats the run
+	Version         string         `json:"version"`
+	Seed            uint64         `json:"seed"`
+	Controllers     int            `json:"controllers"`
+	Real            int            `json:"real"`
+	Services        int            `json:"services"`
+	Dispatchers     int            `json:"dispatchers"`
+	TimeCompression int            `json:"compress"`
+	LeaseMs         int64          `json:"lease_ms"`
+	Events          []string       `json:"events"`
+	Phases          []Phase        `json:"phases"`
+	Staleness       []StalenessRow `json:"staleness"`
+	Latency         *Latency       `json:"latency"` // nil without real controllers
+	Violations      []string       `json:"faults"`  // violations of the rules of a run
+	MemoryMB        int64          `json:"memory_mb"`
+	Processes       int            `json:"processes"`
+	Elapsed         time.Duration  `json:"took_ns"`
 }
 
 // Passed reports whether the run violated no rule.
-func (r *Report) Passed() bool { return len(r.Faults) == 0 }
+func (r *Report) Passed() bool { return len(r.Violations) == 0 }
 
 // Phase summarizes a part of the run: the start, the time without faults, the time of a kind of fault, or the settling at the end.
 type Phase struct {
@@ -41,10 +41,10 @@
 	Seconds float64 `json:"seconds"`
 	Kinds   []Cost  `json:"kinds"`
 	// Rates over all controllers: of requests to the store, of watch messages and of connections that dispatchers accepted.
-	Requests float64 `json:"requests_per_second"`
-	Notices  float64 `json:"notices_per_second"` // messages that the store sent to watches
-	Changes  float64 `json:"changes_per_second"` // in those messages
-	Accepted float64 `json:"accepted_per_second"`
+	Requests            float64 `json:"requests_per_second"`
+	WatchMessages       float64 `json:"notices_per_second"` // messages that the store sent to watches
+	Changes             float64 `json:"changes_per_second"` // in those messages
+	AcceptedConnections float64 `json:"accepted_per_second"`
 }
 
 // Cost is the average resource usage of one controller of a kind.
@@ -58,11 +58,11 @@
 	FailedDials    float64 `json:"failed_dials_per_second"`
 }
 
-// InForce is the staleness of the changes of one kind that were made in a phase, at one kind of controllers.
-type InForce struct {
-	Phase  string `json:"phase"`
-	Kind   string `json:"kind"`
-	Change Kind   `json:"change"`
+// StalenessRow is the staleness of the changes of one kind that were made in a phase, at one kind of controllers.
+type StalenessRow struct {
+	Phase  string    `json:"phase"`
+	Kind   string    `json:"kind"`
+	Change EventKind `json:"change"`
 	Staleness
 }
 
@@ -104,8 +104,8 @@
 func (s *Scenario) faultSpans(plan []Event) []span {
 	var all []span
 	for _, e := range plan {
-		if e.Do != Restart && e.Do != Change {
-			all = append(all, span{string(e.Do), e.At, e.At + e.For + s.Recover})
+		if e.Kind != Restart && e.Kind != Change {
+			all = append(all, span{string(e.Kind), e.At, e.At + e.Duration + s.RecoveryTime})
 		}
 	}
 	return all
@@ -143,10 +143,10 @@
 		}
 		seconds := b.at.Sub(a.at).Seconds()
 		p.Seconds += seconds
-		p.Requests += float64(b.store.Sum() - a.store.Sum())
-		p.Notices += float64(b.store.Notices - a.store.Notices)
+		p.Requests += float64(b.store.Total() - a.store.Total())
+		p.WatchMessages += float64(b.store.Notifications - a.store.Notifications)
 		p.Changes += float64(b.store.Events - a.store.Events)
-		p.Accepted += float64(b.accepted - a.accepted)
+		p.AcceptedConnections += float64(b.accepted - a.accepted)
 		for kind, used := range b.usage {
 			c := p.cost[kind]
 			c.ProcessorShare += 100 * (used.Processor - a.usage[kind].Processor).Seconds()
@@ -164,7 +164,7 @@
 			p.Kinds = append(p.Kinds, s.perController(kind, c, p.Seconds))
 		}
 		slices.SortFunc(p.Kinds, func(a, b Cost) int { return cmp.Compare(a.Kind, b.Kind) })
-		p.Requests, p.Notices, p.Changes, p.Accepted = p.Requests/p.Seconds, p.Notices/p.Seconds, p.Changes/p.Seconds, p.Accepted/p.Seconds
+		p.Requests, p.WatchMessages, p.Changes, p.AcceptedConnections = p.Requests/p.Seconds, p.WatchMessages/p.Seconds, p.Changes/p.Seconds, p.AcceptedConnections/p.Seconds
 		all = append(all, p.Phase)
 	}
 	return all
@@ -177,7 +177,7 @@
 	case HollowKind:
 		c.Count = s.Controllers
 	case RealKind:
-		c.Count = s.Real
+		c.Count = s.RealControllers
 	}
 	divisor := seconds * float64(max(c.Count, 1))
 	c.ProcessorShare, c.MemoryKB, c.Bytes, c.Sockets, c.FailedDials = c.ProcessorShare/divisor, c.MemoryKB/divisor,
@@ -186,12 +186,12 @@
 }
 
 // stalenessRows lists the staleness sorted by phase, kind of change and kind of controller.
-func stalenessRows(found map[stalenessKey]*hdrhistogram.Histogram) []InForce {
-	var all []InForce
+func stalenessRows(found map[stalenessKey]*hdrhistogram.Histogram) []StalenessRow {
+	var all []StalenessRow
 	for key, h := range found {
-		all = append(all, InForce{key.phase, key.kind, key.change, stalenessOf(h)})
+		all = append(all, StalenessRow{key.phase, key.kind, key.change, stalenessOf(h)})
 	}
-	slices.SortFunc(all, func(a, b InForce) int {
+	slices.SortFunc(all, func(a, b StalenessRow) int {
 		return cmp.Or(cmp.Compare(a.Phase, b.Phase), cmp.Compare(a.Change, b.Change), cmp.Compare(a.Kind, b.Kind))
 	})
 	return all
@@ -201,7 +201,7 @@
 func (r *Report) Print(out io.Writer) error {
 	fmt.Fprintf(out, "%d hollow and %d real controllers in %d services, %d dispatchers, lease %v, %d events, seed %d, %s, version %s\n",
 		r.Controllers, r.Real, r.Services, r.Dispatchers,
-		time.Duration(r.LeaseMs)*time.Millisecond, len(r.Events), r.Seed, r.Took.Round(time.Second), r.Version)
+		time.Duration(r.LeaseMs)*time.Millisecond, len(r.Events), r.Seed, r.Elapsed.Round(time.Second), r.Version)
 	fmt.Fprintf(out, "%d processes, at most %d MB of memory together\n", r.Processes, r.MemoryMB)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "phase\ts\tkind\tcount\tcore %\tKB\tstore B/s\tsockets\tfailed dials/s")
@@ -214,12 +214,12 @@
 	fmt.Fprintln(table, "\nphase\tstore requests/s\ta controller\twatch messages/s\tchanges in them/s\tmessages/s a controller\tdials taken/s")
 	all := float64(max(r.Controllers+r.Real, 1))
 	for _, p := range r.Phases {
-		fmt.Fprintf(table, "%s\t%.0f\t%.2f\t%.0f\t%.0f\t%.2f\t%.1f\n", p.Name, p.Requests, p.Requests/all, p.Notices, p.Changes,
-			(2*p.Requests+p.Notices)/all, p.Accepted)
+		fmt.Fprintf(table, "%s\t%.0f\t%.2f\t%.0f\t%.0f\t%.2f\t%.1f\n", p.Name, p.Requests, p.Requests/all, p.WatchMessages, p.Changes,
+			(2*p.Requests+p.WatchMessages)/all, p.AcceptedConnections)
 	}
 	fmt.Fprintln(table, "\nin force after, made in\tchange\tkind\tcount\tp50 ms\tp99 ms\tlast ms")
 	for _, f := range r.Staleness {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%.1f\t%.1f\t%.1f\n", f.Phase, f.Change, f.Kind, f.Count, f.P50, f.P99, f.Last)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%.1f\t%.1f\t%.1f\n", f.Phase, f.Change, f.Kind, f.Count, f.P50, f.P99, f.Max)
 	}
 	if l := r.Latency; l != nil {
 		fmt.Fprintln(table, "\nset-up to answer\tcalls\tp50 us\tp90 us\tp99 us\tmax us")
@@ -231,7 +231,7 @@
 	if err := table.Flush(); err != nil {
 		return err //nolint:wrapcheck // the error needs no context
 	}
-	for _, f := range r.Faults {
+	for _, f := range r.Violations {
 		fmt.Fprintln(out, "broken:", f)
 	}
 	fmt.Fprintln(out, "play it again:", r.Command)
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -23,8 +23,8 @@
 	requestsPerStart = 24
 )
 
-// Play runs a scenario once. All processes that it starts have ended when it returns.
-func Play(ctx context.Context, s *Scenario, seed uint64, o Options) (*Report, error) {
+// Run runs a scenario once. All processes that it starts have ended when it returns.
+func Run(ctx context.Context, s *Scenario, seed uint64, o Options) (*Report, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
@@ -48,7 +48,7 @@
 		return nil, err
 	}
 	r := sr.report()
-	r.Seed, r.Command, r.Version, r.Took = seed, o.Command, o.Version, time.Since(start)
+	r.Seed, r.Command, r.Version, r.Elapsed = seed, o.Command, o.Version, time.Since(start)
 	return r, nil
 }
 
@@ -85,7 +85,7 @@
 		}
 		if !sr.started.IsZero() {
 			since := time.Since(sr.started)
-			sr.reportProgress(phaseAt(sr.spans, since), since.Seconds()/sr.scenario.Lasting.Seconds())
+			sr.reportProgress(phaseAt(sr.spans, since), since.Seconds()/sr.scenario.Duration.Seconds())
 		}
 		select {
 		case <-sr.done:
@@ -168,13 +168,13 @@
 	if err := sr.pollProcesses(polled); err != nil {
 		return false, err
 	}
-	total := sr.scenario.Controllers + sr.scenario.Real
+	total := sr.scenario.Controllers + sr.scenario.RealControllers
 	joined := 0
 	for _, worker := range sr.workers {
 		worker.mu.Lock()
 		r := worker.lastReply
 		worker.mu.Unlock()
-		if joined += r.Joined; r.MembersAsked > 0 && r.LeastMembers != total {
+		if joined += r.Joined; r.PolledControllers > 0 && r.MinMembers != total {
 			return false, nil
 		}
 	}
@@ -196,12 +196,12 @@
 		worker.mu.Lock()
 		r := worker.lastReply
 		worker.mu.Unlock()
-		if r.Joined != r.Controllers || r.LeastMembers != sr.scenario.Controllers+sr.scenario.Real {
-			text += fmt.Sprintf("worker %d: %d controllers, %d joined, fewest members known %d; ", i+1, r.Controllers, r.Joined, r.LeastMembers)
+		if r.Joined != r.Controllers || r.MinMembers != sr.scenario.Controllers+sr.scenario.RealControllers {
+			text += fmt.Sprintf("worker %d: %d controllers, %d joined, fewest members known %d; ", i+1, r.Controllers, r.Joined, r.MinMembers)
 		}
 	}
 	for _, r := range sr.real {
-		if n := r.members(); n != sr.scenario.Controllers+sr.scenario.Real {
+		if n := r.members(); n != sr.scenario.Controllers+sr.scenario.RealControllers {
 			text += fmt.Sprintf("%s: %d members known; ", r.name, n)
 		}
 	}
@@ -286,9 +286,9 @@
 	samples := sr.sampler.samples
 	first, last := &samples[0], &samples[len(samples)-1]
 	leases := last.at.Sub(first.at).Seconds()/sr.scenario.Lease.Seconds() + 1
-	controllers := float64(sr.scenario.Controllers + sr.scenario.Real)
+	controllers := float64(sr.scenario.Controllers + sr.scenario.RealControllers)
 	limit := controllers*leases*requestsPerLease + float64(sr.plannedStarts())*requestsPerStart
-	if requests := float64(last.store.Sum() - first.store.Sum()); requests > limit {
+	if requests := float64(last.store.Total() - first.store.Total()); requests > limit {
 		violation("%.0f requests to the store exceed the limit of %.0f: %d for each controller and lease, %d for each start",
 			requests, limit, requestsPerLease, requestsPerStart)
 	}
@@ -296,9 +296,9 @@
 
 // plannedStarts returns the number of controller starts in the run: the initial ones and those of the plan.
 func (sr *scenarioRun) plannedStarts() int {
-	starts := sr.scenario.Controllers + sr.scenario.Real
+	starts := sr.scenario.Controllers + sr.scenario.RealControllers
 	for _, e := range sr.plan {
-		if e.Do == Restart || e.Do == Release || e.Do == Rack || e.Do == StartAll {
+		if e.Kind == Restart || e.Kind == Release || e.Kind == Rack || e.Kind == StartAll {
 			starts += len(sr.scenario.affectedControllers(e))
 		}
 	}
@@ -308,7 +308,7 @@
 // staleHollow returns the names of the hollow controllers that lack the last change of their list or of the settings.
 func (sr *scenarioRun) staleHollow() []string {
 	applied := map[string]map[stream]int{}
-	slices.SortStableFunc(sr.sampler.applied, func(a, b Applied) int { return int(a.AtNs - b.AtNs) })
+	slices.SortStableFunc(sr.sampler.applied, func(a, b AppliedChange) int { return int(a.AtNs - b.AtNs) })
 	for _, a := range sr.sampler.applied {
 		if applied[a.Controller] == nil {
 			applied[a.Controller] = map[stream]int{}
@@ -344,11 +344,11 @@
 		return HollowKind
 	}
 	_, _, processes := sr.scenario.processCounts()
-	r := &Report{Controllers: sr.scenario.Controllers, Real: sr.scenario.Real, Services: sr.scenario.Services, Dispatchers: sr.scenario.Dispatchers,
-		Compress: sr.scenario.Compress, LeaseMs: sr.scenario.Lease.Milliseconds(), Events: sr.runner.events, Faults: sr.violations,
+	r := &Report{Controllers: sr.scenario.Controllers, Real: sr.scenario.RealControllers, Services: sr.scenario.Services, Dispatchers: sr.scenario.Dispatchers,
+		TimeCompression: sr.scenario.TimeCompression, LeaseMs: sr.scenario.Lease.Milliseconds(), Events: sr.runner.events, Violations: sr.violations,
 		MemoryMB: sr.sampler.peakMemory >> 20, Processes: processes, Phases: summarizePhases(sr.sampler.samples, phaseOf, sr.scenario),
 		Staleness: stalenessRows(activationTimes(sr.changes, sr.sampler.applied, kindOf))}
-	if sr.scenario.Real > 0 && sr.scenario.CallsPerSecond > 0 {
+	if sr.scenario.RealControllers > 0 && sr.scenario.CallsPerSecond > 0 {
 		r.Latency = sr.callers.latency()
 	}
 	return r
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(workerEnv) != "" {
-		if err := Work(os.Stdin, os.Stdout); err != nil {
+		if err := RunWorker(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, faults := Read(text)
+	s, faults := ReadScenario(text)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
@@ -52,10 +52,10 @@
 func mustRun(t *testing.T, s *Scenario, seed uint64) *Report {
 	t.Helper()
 	var program []string
-	if s.Real > 0 {
+	if s.RealControllers > 0 {
 		program = buildProgram(t)
 	}
-	r, err := Play(t.Context(), s, seed, Options{Worker: []string{os.Args[0]}, Env: []string{workerEnv + "=1"}, Program: program})
+	r, err := Run(t.Context(), s, seed, Options{Worker: []string{os.Args[0]}, Env: []string{workerEnv + "=1"}, Program: program})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 		t.Error(err)
 	}
 	t.Log("\n" + text.String())
-	for _, f := range r.Faults {
+	for _, f := range r.Violations {
 		t.Error(f)
 	}
 	return r
@@ -82,17 +82,17 @@
 	if !slices.Equal(r.Events, planned) {
 		t.Errorf("executed: %v\nplanned: %v", r.Events, planned)
 	}
-	if r.Processes > MostProcesses || r.MemoryMB > MostMemory>>20 {
+	if r.Processes > MaxProcesses || r.MemoryMB > MaxMemoryBytes>>20 {
 		t.Errorf("%d processes and %d MB exceed the limits", r.Processes, r.MemoryMB)
 	}
 	if r.Latency.Calls == 0 {
 		t.Error("no call was answered")
 	}
 	for _, kind := range []string{HollowKind, RealKind} {
-		if !slices.ContainsFunc(r.Staleness, func(f InForce) bool { return f.Kind == kind && f.Change == Settings && f.Count > 0 }) {
+		if !slices.ContainsFunc(r.Staleness, func(f StalenessRow) bool { return f.Kind == kind && f.Change == Settings && f.Count > 0 }) {
 			t.Errorf("no %s controller reported a change of the settings", kind)
 		}
-		if !slices.ContainsFunc(r.Staleness, func(f InForce) bool { return f.Kind == kind && f.Change == Change && f.Count > 0 }) {
+		if !slices.ContainsFunc(r.Staleness, func(f StalenessRow) bool { return f.Kind == kind && f.Change == Change && f.Count > 0 }) {
 			t.Errorf("no %s controller reported a change of the list", kind)
 		}
 	}
--- a/internal/scale/samples.go
+++ b/internal/scale/samples.go
@@ -34,7 +34,7 @@
 	samples    []sample
 	sockets    map[string]int
 	peakMemory int64 // over all processes, in bytes
-	applied    []Applied
+	applied    []AppliedChange
 }
 
 // takeSample takes the sample with the given count, which decides whether sockets are counted. It fails if the run exceeds its memory limit.
@@ -84,11 +84,11 @@
 // addTraffic adds up the bytes to and from the store.
 func (m *sampler) addTraffic(s *sample) {
 	for _, rack := range m.cluster.scenario.racks() {
-		forward, backward := m.cluster.network.Passed(rack + ">" + storeName)
+		forward, backward := m.cluster.network.ForwardedBytes(rack + ">" + storeName)
 		s.bytes[HollowKind] += forward + backward
 	}
 	for _, r := range m.cluster.real {
-		forward, backward := m.cluster.network.Passed(r.name + ">" + storeName)
+		forward, backward := m.cluster.network.ForwardedBytes(r.name + ">" + storeName)
 		s.bytes[RealKind] += forward + backward
 	}
 }
@@ -100,14 +100,14 @@
 	}
 	for _, p := range m.cluster.workers {
 		p.mu.Lock()
-		s.failedDials[HollowKind] += p.lastReply.Failed
+		s.failedDials[HollowKind] += p.lastReply.FailedDials
 		s.up += p.lastReply.Controllers
 		p.mu.Unlock()
 		m.applied = append(m.applied, p.takeApplied()...)
 	}
 	for _, p := range m.cluster.dispatcherProcesses {
 		p.mu.Lock()
-		s.accepted += p.lastReply.Accepted
+		s.accepted += p.lastReply.AcceptedConnections
 		p.mu.Unlock()
 	}
 	for _, r := range m.cluster.real {
@@ -128,10 +128,10 @@
 	return checkMemoryLimit(memory)
 }
 
-// checkMemoryLimit returns an error if a run uses more memory than MostMemory.
+// checkMemoryLimit returns an error if a run uses more memory than MaxMemoryBytes.
 func checkMemoryLimit(memory int64) error {
-	if memory > MostMemory {
-		return fmt.Errorf("scale: the run was stopped: it uses %d MB of memory, %d MB are allowed", memory>>20, MostMemory>>20)
+	if memory > MaxMemoryBytes {
+		return fmt.Errorf("scale: the run was stopped: it uses %d MB of memory, %d MB are allowed", memory>>20, MaxMemoryBytes>>20)
 	}
 	return nil
 }
@@ -140,7 +140,7 @@
 func (c *cluster) pollProcesses(members int) error {
 	all := append(append([]*process{}, c.workers...), c.dispatcherProcesses...)
 	return forEachProcess(all, func(p *process) error {
-		_, err := p.send(&Order{Action: Look, Members: members})
+		_, err := p.send(&Order{Action: ReportState, ControllersToPoll: members})
 		return err
 	})
 }
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -14,24 +14,24 @@
 	"cherryrelay/internal/inifile"
 )
 
-// Kind is the kind of an event.
-type Kind string
+// EventKind is the kind of an event.
+type EventKind string
 
 // The kinds of events. Besides the faults of a scenario, Restart and Change events occur at random at the scenario's rates.
 const (
-	Restart   Kind = "restart"    // a controller shuts down gracefully and starts again
-	Change    Kind = "change"     // an entry in the list of dispatchers changes
-	Release   Kind = "release"    // the controllers of a service restart one after the other
-	Rack      Kind = "rack"       // the controllers of a rack crash and start again later
-	Zone      Kind = "zone"       // a zone is cut off for a time
-	Region    Kind = "region"     // a region is cut off for a time
-	StartAll  Kind = "start all"  // all hollow controllers crash, and later start at once
-	StopStore Kind = "stop store" // the store is unavailable for a time
-	Settings  Kind = "settings"   // the settings of every controller change
+	Restart   EventKind = "restart"    // a controller shuts down gracefully and starts again
+	Change    EventKind = "change"     // an entry in the list of dispatchers changes
+	Release   EventKind = "release"    // the controllers of a service restart one after the other
+	Rack      EventKind = "rack"       // the controllers of a rack crash and start again later
+	Zone      EventKind = "zone"       // a zone is cut off for a time
+	Region    EventKind = "region"     // a region is cut off for a time
+	StartAll  EventKind = "start all"  // all hollow controllers crash, and later start at once
+	StopStore EventKind = "stop store" // the store is unavailable for a time
+	Settings  EventKind = "settings"   // the settings of every controller change
 )
 
 // targets lists the possible targets of each kind of event; nil for kinds without a target.
-var targets = map[Kind]func(*Scenario) []string{
+var targets = map[EventKind]func(*Scenario) []string{
 	Restart: (*Scenario).hollowNames, Change: (*Scenario).scopes, Release: (*Scenario).serviceNames, Rack: (*Scenario).racks,
 	Zone: (*Scenario).zoneNames, Region: (*Scenario).regionNames, StartAll: nil, StopStore: nil, Settings: nil,
 }
@@ -39,39 +39,39 @@
 // Scenario describes a run. The rate of restarts is that of the whole deployment; a run has a share of it in proportion to its number of hollow
 // controllers. The rate of changes applies as it is.
 type Scenario struct {
-	Controllers    int // hollow controllers
-	Real           int
-	Services       int
-	Regions, Zones int // Zones is the number in each region
-	RackSize       int // hollow controllers in a rack
-	Dispatchers    int
-	ListByService  bool // whether a controller gets only the dispatchers of its own service
-	Lease          time.Duration
-	Lasting        time.Duration // of the plan, after the start of the fleet
-	Recover        time.Duration // time after a fault that still counts as its phase
-	Fleet          int           // number of controllers in the whole deployment
-	RestartsPerDay int
-	ChangesPerDay  int
-	Compress       int // simulated seconds for each second of the run
-	CallsPerSecond int // pairs of calls at each real controller; 0 for none
-	PerProcess     int // hollow controllers in one process
-	Faults         []Event
+	Controllers           int // hollow controllers
+	RealControllers       int
+	Services              int
+	Regions, Zones        int // Zones is the number in each region
+	RackSize              int // hollow controllers in a rack
+	Dispatchers           int
+	ListByService         bool // whether a controller gets only the dispatchers of its own service
+	Lease                 time.Duration
+	Duration              time.Duration // of the plan, after the start of the fleet
+	RecoveryTime          time.Duration // time after a fault that still counts as its phase
+	DeploymentSize        int           // number of controllers in the whole deployment
+	RestartsPerDay        int
+	ChangesPerDay         int
+	TimeCompression       int // simulated seconds for each second of the run
+	CallsPerSecond        int // pairs of calls at each real controller; 0 for none
+	ControllersPerProcess int // hollow controllers in one process
+	Faults                []Event
 }
 
 // Event is an event of a run at a time from its start. Events with a lasting effect are reverted after their duration.
 type Event struct {
-	At, For time.Duration
-	Do      Kind
-	Who     string // name of the target; "?" in a scenario picks one at random
+	At, Duration time.Duration
+	Kind         EventKind
+	Target       string // name of the target; "?" in a scenario picks one at random
 }
 
 func (e Event) String() string {
-	text := fmt.Sprintf("%v %s", e.At, e.Do)
-	if e.Who != "" {
-		text += " " + e.Who
+	text := fmt.Sprintf("%v %s", e.At, e.Kind)
+	if e.Target != "" {
+		text += " " + e.Target
 	}
-	if e.For > 0 {
-		text += fmt.Sprintf(" for %v", e.For)
+	if e.Duration > 0 {
+		text += fmt.Sprintf(" for %v", e.Duration)
 	}
 	return text
 }
@@ -86,23 +86,23 @@
 	maxFaults      = 1000
 )
 
-// Default returns a scenario without faults.
-func Default() *Scenario {
+// DefaultScenario returns a scenario without faults.
+func DefaultScenario() *Scenario {
 	return &Scenario{Controllers: 100, Services: 10, Regions: 2, Zones: 3, RackSize: 20, Dispatchers: 20, Lease: 3 * time.Second,
-		Lasting: 20 * time.Second, Recover: 3 * time.Second, Fleet: 37_000, RestartsPerDay: 9_900, ChangesPerDay: 14_000, Compress: 10,
-		CallsPerSecond: 20, PerProcess: 250}
+		Duration: 20 * time.Second, RecoveryTime: 3 * time.Second, DeploymentSize: 37_000, RestartsPerDay: 9_900, ChangesPerDay: 14_000, TimeCompression: 10,
+		CallsPerSecond: 20, ControllersPerProcess: 250}
 }
 
-// Read parses a scenario: a section [scale], and a section [fault NAME] for each fault. It returns all errors in the text, not just the first.
-func Read(text []byte) (*Scenario, []inifile.Fault) {
+// ReadScenario parses a scenario: a section [scale], and a section [fault NAME] for each fault. It returns all errors in the text, not just the first.
+func ReadScenario(text []byte) (*Scenario, []inifile.Fault) {
 	f, faults := inifile.Parse(text)
 	if len(faults) > 0 {
 		return nil, faults
 	}
-	r := &scenarioReader{s: Default()}
+	r := &scenarioReader{s: DefaultScenario()}
 	for i := range f.Sections {
 		section := &f.Sections[i]
-		if _, isFault := section.Named("fault"); isFault {
+		if _, isFault := section.NameAfter("fault"); isFault {
 			r.readFault(section)
 		} else if section.Name == "scale" {
 			r.readScale(section)
@@ -150,7 +150,7 @@
 		case "controllers":
 			r.readNumber(k, &s.Controllers, 0, maxControllers)
 		case "real":
-			r.readNumber(k, &s.Real, 0, maxReal)
+			r.readNumber(k, &s.RealControllers, 0, maxReal)
 		case "services":
 			r.readNumber(k, &s.Services, 1, maxControllers)
 		case "regions":
@@ -168,21 +168,21 @@
 		case "lease_ms":
 			r.readMillis(k, &s.Lease, time.Second, 30*time.Second)
 		case "lasting_ms":
-			r.readMillis(k, &s.Lasting, time.Second, maxLasting)
+			r.readMillis(k, &s.Duration, time.Second, maxLasting)
 		case "recover_ms":
-			r.readMillis(k, &s.Recover, 0, maxLasting)
+			r.readMillis(k, &s.RecoveryTime, 0, maxLasting)
 		case "fleet":
-			r.readNumber(k, &s.Fleet, 1, maxPerDay)
+			r.readNumber(k, &s.DeploymentSize, 1, maxPerDay)
 		case "restarts_per_day":
 			r.readNumber(k, &s.RestartsPerDay, 0, maxPerDay)
 		case "changes_per_day":
 			r.readNumber(k, &s.ChangesPerDay, 0, maxPerDay)
 		case "compress":
-			r.readNumber(k, &s.Compress, 1, 100_000)
+			r.readNumber(k, &s.TimeCompression, 1, 100_000)
 		case "calls_per_second":
 			r.readNumber(k, &s.CallsPerSecond, 0, 1000)
 		case "per_process":
-			r.readNumber(k, &s.PerProcess, 1, 5000)
+			r.readNumber(k, &s.ControllersPerProcess, 1, 5000)
 		default:
 			r.addError(k.Line, "unknown key %.40q", k.Name)
 		}
@@ -194,24 +194,24 @@
 		r.addError(section.Line, "more than %d faults", maxFaults)
 		return
 	}
-	e := Event{Who: "?"}
+	e := Event{Target: "?"}
 	for i := range section.Keys {
 		switch k := &section.Keys[i]; k.Name {
 		case "at_ms":
 			r.readMillis(k, &e.At, 0, maxLasting)
 		case "for_ms":
-			r.readMillis(k, &e.For, 0, maxLasting)
+			r.readMillis(k, &e.Duration, 0, maxLasting)
 		case "do":
-			if e.Do = Kind(k.Value); !isKind(e.Do) {
-				r.addError(k.Line, "do: %.40q is none of %s", k.Value, strings.Join(Kinds(), ", "))
+			if e.Kind = EventKind(k.Value); !isKind(e.Kind) {
+				r.addError(k.Line, "do: %.40q is none of %s", k.Value, strings.Join(EventKinds(), ", "))
 			}
 		case "who":
-			e.Who = k.Value
+			e.Target = k.Value
 		default:
 			r.addError(k.Line, "unknown key %.40q", k.Name)
 		}
 	}
-	if e.Do == "" {
+	if e.Kind == "" {
 		r.addError(section.Line, "[%.80s] lacks the key do", section.Name)
 	}
 	r.s.Faults, r.faultLines = append(r.s.Faults, e), append(r.faultLines, section.Line)
@@ -220,11 +220,11 @@
 // checkFaults checks the faults against the duration of the run. It runs last, because sections may be in any order.
 func (r *scenarioReader) checkFaults() {
 	for i, e := range r.s.Faults {
-		if !isKind(e.Do) {
+		if !isKind(e.Kind) {
 			continue
 		}
-		if e.At+e.For > r.s.Lasting {
-			r.addError(r.faultLines[i], "%v: the run lasts %v", e, r.s.Lasting)
+		if e.At+e.Duration > r.s.Duration {
+			r.addError(r.faultLines[i], "%v: the run lasts %v", e, r.s.Duration)
 		}
 	}
 }
@@ -234,30 +234,30 @@
 	switch {
 	case s.Controllers < 0 || s.Controllers > maxControllers:
 		return fmt.Errorf("%d controllers are not between 0 and %d", s.Controllers, maxControllers)
-	case s.Real < 0 || s.Real > maxReal:
-		return fmt.Errorf("%d real controllers are not between 0 and %d", s.Real, maxReal)
-	case s.Controllers+s.Real == 0:
+	case s.RealControllers < 0 || s.RealControllers > maxReal:
+		return fmt.Errorf("%d real controllers are not between 0 and %d", s.RealControllers, maxReal)
+	case s.Controllers+s.RealControllers == 0:
 		return fmt.Errorf("the scenario has no controllers")
 	case s.Services < 1:
 		return fmt.Errorf("%d services, at least one is required", s.Services)
 	}
 	for _, e := range s.Faults {
-		candidates := targets[e.Do]
-		if candidates == nil || e.Who == "?" {
+		candidates := targets[e.Kind]
+		if candidates == nil || e.Target == "?" {
 			continue
 		}
-		if !slices.Contains(candidates(s), e.Who) {
-			return fmt.Errorf("%v: there is no %.40q in a run of %d controllers", e, e.Who, s.Controllers)
+		if !slices.Contains(candidates(s), e.Target) {
+			return fmt.Errorf("%v: there is no %.40q in a run of %d controllers", e, e.Target, s.Controllers)
 		}
 	}
 	return nil
 }
 
 // isKind reports whether the given kind of event exists.
-func isKind(kind Kind) bool { _, ok := targets[kind]; return ok }
+func isKind(kind EventKind) bool { _, ok := targets[kind]; return ok }
 
-// Kinds returns the names of all kinds of events.
-func Kinds() []string {
+// EventKinds returns the names of all kinds of events.
+func EventKinds() []string {
 	var names []string
 	for kind := range targets {
 		names = append(names, string(kind))
@@ -268,5 +268,5 @@
 
 // perSecond converts a daily rate of the deployment to the rate per second of a run.
 func (s *Scenario) perSecond(perDay int) float64 {
-	return float64(perDay) / (24 * time.Hour).Seconds() * float64(cmp.Or(s.Compress, 1))
+	return float64(perDay) / (24 * time.Hour).Seconds() * float64(cmp.Or(s.TimeCompression, 1))
 }
--- a/internal/scale/scenario_test.go
+++ b/internal/scale/scenario_test.go
@@ -32,7 +32,7 @@
 `
 
 func TestScenario(t *testing.T) {
-	s, faults := Read([]byte(sampleScenario))
+	s, faults := ReadScenario([]byte(sampleScenario))
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
@@ -45,7 +45,7 @@
 	if got := len(s.racks()); got != 12 {
 		t.Errorf("racks %v, want 12", s.racks())
 	}
-	if got := len(s.affectedControllers(Event{Do: Release, Who: "s2"})); got != 30 {
+	if got := len(s.affectedControllers(Event{Kind: Release, Target: "s2"})); got != 30 {
 		t.Errorf("%d controllers in the service, want 30", got)
 	}
 	plan := s.Plan(3)
@@ -55,9 +55,9 @@
 	if cmp.Equal(plan, s.Plan(4)) {
 		t.Error("two seeds gave the same plan")
 	}
-	count := map[Kind]int{}
+	count := map[EventKind]int{}
 	for _, e := range plan {
-		count[e.Do]++
+		count[e.Kind]++
 	}
 	// 20 changes per second for ten seconds, and 2 restarts per second: one hundredth of the deployment's 200.
 	if count[Change] < 100 || count[Change] > 320 || count[Restart] < 5 || count[Restart] > 50 || count[Zone] != 1 || count[Release] != 1 {
@@ -68,33 +68,33 @@
 // TestPlans checks for random scenarios that the events of a plan are in order, lie within the run and have existing targets.
 func TestPlans(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Default()
+		s := DefaultScenario()
 		s.Controllers = rapid.IntRange(0, 300).Draw(t, "controllers")
-		s.Real = 1
+		s.RealControllers = 1
 		s.Services = rapid.IntRange(1, 20).Draw(t, "services")
 		s.Regions, s.Zones = rapid.IntRange(1, 3).Draw(t, "regions"), rapid.IntRange(1, 4).Draw(t, "zones")
 		s.RackSize = rapid.IntRange(1, 50).Draw(t, "rack")
 		s.ListByService = rapid.Bool().Draw(t, "by service")
-		for _, kind := range Kinds() {
-			s.Faults = append(s.Faults, Event{At: time.Second, Do: Kind(kind), Who: "?"})
+		for _, kind := range EventKinds() {
+			s.Faults = append(s.Faults, Event{At: time.Second, Kind: EventKind(kind), Target: "?"})
 		}
 		if err := s.Check(); err != nil {
 			t.Fatal(err)
 		}
 		last := time.Duration(0)
 		for _, e := range s.Plan(rapid.Uint64().Draw(t, "seed")) {
-			if e.At < last || e.At > s.Lasting {
+			if e.At < last || e.At > s.Duration {
 				t.Fatalf("%v after %v", e, last)
 			}
 			last = e.At
-			candidates := targets[e.Do]
-			if (e.Who == "") != (candidates == nil) {
+			candidates := targets[e.Kind]
+			if (e.Target == "") != (candidates == nil) {
 				t.Fatalf("%v: a target is present or missing contrary to the kind", e)
 			}
-			if candidates == nil || e.Do == Change {
+			if candidates == nil || e.Kind == Change {
 				continue
 			}
-			if e.Do != Zone && e.Do != Region && e.Do != Release && len(s.affectedControllers(e)) == 0 {
+			if e.Kind != Zone && e.Kind != Region && e.Kind != Release && len(s.affectedControllers(e)) == 0 {
 				t.Fatalf("%v affects no controller", e)
 			}
 		}
@@ -116,13 +116,13 @@
 		"[fault a]\ndo = rack\nhow = well\n":                      "line 3: unknown key \"how\"",
 		strings.Repeat("[fault a]\ndo = settings\n", maxFaults+1): "more than 1000 faults",
 	} {
-		s, faults := Read([]byte(text))
+		s, faults := ReadScenario([]byte(text))
 		if s != nil || len(faults) == 0 || !strings.Contains(faults[0].Error(), want) {
 			t.Errorf("%.60q: %v, want %q", text, faults, want)
 		}
 	}
-	s := Default()
-	s.Faults = []Event{{Do: Release, Who: "s99"}}
+	s := DefaultScenario()
+	s.Faults = []Event{{Kind: Release, Target: "s99"}}
 	if err := s.Check(); err == nil || !strings.Contains(err.Error(), "there is no \"s99\"") {
 		t.Errorf("a fault with an unknown service: error %v", err)
 	}
--- a/internal/scale/staleness.go
+++ b/internal/scale/staleness.go
@@ -16,7 +16,7 @@
 
 // issuedChange records when a change was made.
 type issuedChange struct {
-	kind   Kind
+	kind   EventKind
 	scope  string
 	number int
 	at     time.Time
@@ -29,7 +29,7 @@
 	Count int     `json:"count"`
 	P50   float64 `json:"p50_ms"`
 	P99   float64 `json:"p99_ms"`
-	Last  float64 `json:"last_ms"`
+	Max   float64 `json:"last_ms"`
 }
 
 // maxStaleness is the largest value of a histogram, in microseconds.
@@ -43,30 +43,30 @@
 
 // stalenessOf returns the staleness that a histogram contains.
 func stalenessOf(h *hdrhistogram.Histogram) Staleness {
-	return Staleness{Count: int(h.TotalCount()), P50: millis(h.ValueAtQuantile(50)), P99: millis(h.ValueAtQuantile(99)), Last: millis(h.Max())}
+	return Staleness{Count: int(h.TotalCount()), P50: millis(h.ValueAtQuantile(50)), P99: millis(h.ValueAtQuantile(99)), Max: millis(h.Max())}
 }
 
 // stalenessKey identifies a histogram of staleness.
 type stalenessKey struct {
 	phase, kind string
-	change      Kind
+	change      EventKind
 }
 
 // stream identifies a sequence of numbered changes: those of the list of one scope, or those of the settings.
 type stream struct {
-	kind  Kind
+	kind  EventKind
 	scope string
 }
 
 // activationTimes returns histograms of the time from a change until a controller has applied it. A controller that has applied a change counts as
 // having all earlier changes of the stream. Changes in the first list after a start are not timed.
-func activationTimes(issued []issuedChange, applied []Applied, kindOf func(controller string) string) map[stalenessKey]*hdrhistogram.Histogram {
+func activationTimes(issued []issuedChange, applied []AppliedChange, kindOf func(controller string) string) map[stalenessKey]*hdrhistogram.Histogram {
 	changes := map[stream][]issuedChange{}
 	for _, c := range issued {
 		s := stream{c.kind, c.scope}
 		changes[s] = append(changes[s], c)
 	}
-	slices.SortStableFunc(applied, func(a, b Applied) int { return cmp.Compare(a.AtNs, b.AtNs) })
+	slices.SortStableFunc(applied, func(a, b AppliedChange) int { return cmp.Compare(a.AtNs, b.AtNs) })
 	type controllerStream struct {
 		controller string
 		stream     stream
--- a/internal/scale/topology.go
+++ b/internal/scale/topology.go
@@ -9,7 +9,7 @@
 const allServices = "all"
 
 func (s *Scenario) hollowNames() []string  { return numbered("c", s.Controllers) }
-func (s *Scenario) realNames() []string    { return numbered("real-", s.Real) }
+func (s *Scenario) realNames() []string    { return numbered("real-", s.RealControllers) }
 func (s *Scenario) serviceNames() []string { return numbered("s", s.Services) }
 func (s *Scenario) regionNames() []string  { return numbered("r", s.Regions) }
 
@@ -74,8 +74,8 @@
 	var names []string
 	for i, name := range s.hollowNames() {
 		p := s.place(i)
-		if e.Do == StartAll || e.Do == Settings || e.Do == Restart && name == e.Who || e.Do == Release && p.service == e.Who ||
-			e.Do == Rack && p.rack == e.Who || e.Do == Zone && p.zone == e.Who || e.Do == Region && p.region == e.Who {
+		if e.Kind == StartAll || e.Kind == Settings || e.Kind == Restart && name == e.Target || e.Kind == Release && p.service == e.Target ||
+			e.Kind == Rack && p.rack == e.Target || e.Kind == Zone && p.zone == e.Target || e.Kind == Region && p.region == e.Target {
 			names = append(names, name)
 		}
 	}
@@ -84,5 +84,5 @@
 
 // cutsOff reports whether an event cuts off the given place.
 func (e Event) cutsOff(p place) bool {
-	return e.Do == Zone && p.zone == e.Who || e.Do == Region && p.region == e.Who
+	return e.Kind == Zone && p.zone == e.Target || e.Kind == Region && p.region == e.Target
 }
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -10,8 +10,8 @@
 
 // The limits of a run over all its processes: memory in bytes, and the number of processes.
 const (
-	MostMemory    = 12 << 30
-	MostProcesses = 200
+	MaxMemoryBytes = 12 << 30
+	MaxProcesses   = 200
 )
 
 // clockTick is the unit of processor time in /proc: USER_HZ, which is 100 on every Linux that Go runs on.
--- a/internal/scale/worker.go
+++ b/internal/scale/worker.go
@@ -24,40 +24,40 @@
 	ReloadSettings   Action = "reload"
 	OpenDispatchers  Action = "open"  // at the addresses in Order.Dispatchers
 	CloseDispatchers Action = "close" // they reset their connections and refuse new ones
-	Look             Action = "look"  // only reports the state
+	ReportState      Action = "look"  // only reports the state
 )
 
 // Order is a request to a worker process, one line of JSON.
 type Order struct {
-	Action      Action            `json:"action"`
-	Config      string            `json:"config,omitempty"`
-	Specs       []Spec            `json:"specs,omitempty"`
-	Names       []string          `json:"names,omitempty"`       // of controllers or dispatchers
-	Lost        bool              `json:"lost,omitempty"`        // whether StopControllers stops as in a crash, without a notification of the store
-	Dispatchers map[string]string `json:"dispatchers,omitempty"` // addresses by name
-	Members     int               `json:"members,omitempty"`     // number of controllers whose known members are counted
+	Action            Action            `json:"action"`
+	Config            string            `json:"config,omitempty"`
+	Specs             []ControllerSpec  `json:"specs,omitempty"`
+	Names             []string          `json:"names,omitempty"`       // of controllers or dispatchers
+	Crashed           bool              `json:"lost,omitempty"`        // whether StopControllers stops as in a crash, without a notification of the store
+	Dispatchers       map[string]string `json:"dispatchers,omitempty"` // addresses by name
+	ControllersToPoll int               `json:"members,omitempty"`     // number of controllers whose known members are counted
 }
 
 // Reply is the response to an Order, one line of JSON. Every reply contains the state of the process, whatever the action.
 type Reply struct {
-	Error         string    `json:"error,omitempty"`
-	Controllers   int       `json:"controllers"`
-	Joined        int       `json:"joined"`
-	LeastMembers  int       `json:"least_members"` // smallest number of members that a polled controller knows
-	Applied       []Applied `json:"applied"`       // changes applied since the last reply
-	Failed        int64     `json:"failed"`        // failed dials, as logged by controllers
-	Connections   int       `json:"connections"`   // open connections at dispatchers
-	Accepted      int64     `json:"accepted"`      // connections accepted by dispatchers
-	MembersAsked  int       `json:"members_asked"`
-	ReloadsFailed int       `json:"reloads_failed"`
+	Error               string          `json:"error,omitempty"`
+	Controllers         int             `json:"controllers"`
+	Joined              int             `json:"joined"`
+	MinMembers          int             `json:"least_members"` // smallest number of members that a polled controller knows
+	Applied             []AppliedChange `json:"applied"`       // changes applied since the last reply
+	FailedDials         int64           `json:"failed"`        // failed dials, as logged by controllers
+	Connections         int             `json:"connections"`   // open connections at dispatchers
+	AcceptedConnections int64           `json:"accepted"`      // connections accepted by dispatchers
+	PolledControllers   int             `json:"members_asked"`
+	ReloadsFailed       int             `json:"reloads_failed"`
 }
 
 // maxOrder limits the length of an order or a reply, in bytes.
 const maxOrder = 64 << 20
 
-// Work executes orders until the input ends. It does not stop the controllers and dispatchers; they end with the process.
-func Work(in io.Reader, out io.Writer) error {
-	w := &worker{controllers: map[string]*Hollow{}, dispatchers: map[string]*peer.Dispatcher{}, addresses: map[string]string{}}
+// RunWorker executes orders until the input ends. It does not stop the controllers and dispatchers; they end with the process.
+func RunWorker(in io.Reader, out io.Writer) error {
+	w := &worker{controllers: map[string]*HollowController{}, dispatchers: map[string]*peer.Dispatcher{}, addresses: map[string]string{}}
 	orders := bufio.NewScanner(in)
 	orders.Buffer(make([]byte, 64<<10), maxOrder)
 	replies := json.NewEncoder(out)
@@ -67,7 +67,7 @@
 		if err == nil {
 			err = w.execute(&o)
 		}
-		r := w.state(o.Members)
+		r := w.state(o.ControllersToPoll)
 		if err != nil {
 			r.Error = err.Error()
 		}
@@ -80,7 +80,7 @@
 
 // worker is the state of a worker process, which runs hollow controllers or dispatchers.
 type worker struct {
-	controllers   map[string]*Hollow
+	controllers   map[string]*HollowController
 	dispatchers   map[string]*peer.Dispatcher
 	addresses     map[string]string
 	failedDials   atomic.Int64
@@ -88,7 +88,7 @@
 	failedReloads atomic.Int64
 
 	mu      sync.Mutex
-	applied []Applied
+	applied []AppliedChange
 }
 
 // execute executes an order.
@@ -106,12 +106,12 @@
 	case CloseDispatchers:
 		for _, name := range o.Names {
 			if d := w.dispatchers[name]; d != nil {
-				d.Die()
+				d.Kill()
 				delete(w.dispatchers, name)
 			}
 		}
 		return nil
-	case Look:
+	case ReportState:
 		return nil
 	}
 	return fmt.Errorf("scale worker: unknown action %.40q", o.Action)
@@ -126,7 +126,7 @@
 		if w.controllers[s.Name] != nil {
 			continue
 		}
-		h, err := StartHollow(*c, s, &dialCounter{logs.Bound(slog.NewTextHandler(io.Discard, nil)), &w.failedDials}, w.recordApplied)
+		h, err := StartHollow(*c, s, &dialCounter{logs.LimitRate(slog.NewTextHandler(io.Discard, nil)), &w.failedDials}, w.recordApplied)
 		if err != nil {
 			return err
 		}
@@ -135,7 +135,7 @@
 	return nil
 }
 
-func (w *worker) recordApplied(a Applied) {
+func (w *worker) recordApplied(a AppliedChange) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.applied = append(w.applied, a)
@@ -152,7 +152,7 @@
 				errs <- fmt.Errorf("%w: %.40q", errUnknownController, name)
 				return
 			}
-			errs <- h.Close(o.Lost)
+			errs <- h.Close(o.Crashed)
 		}()
 	}
 	var first error
@@ -183,11 +183,11 @@
 // openDispatchers starts dispatchers that answer every set-up at once.
 func (w *worker) openDispatchers(o *Order) error {
 	for name, address := range o.Dispatchers {
-		d, err := peer.Dispatch("tcp", address, idleReport)
+		d, err := peer.StartDispatcher("tcp", address, idleReport)
 		if err != nil {
 			return err //nolint:wrapcheck // the error needs no context
 		}
-		d.TellLinks()
+		d.EnableConnEvents()
 		w.dispatchers[name] = d
 		go func() {
 			for range d.Acks { // unused, but the channel must be drained
@@ -212,20 +212,20 @@
 
 // state returns the state of the process, and the changes that were applied since the last reply.
 func (w *worker) state(members int) *Reply {
-	r := &Reply{Controllers: len(w.controllers), Failed: w.failedDials.Load(), Accepted: w.accepted.Load(), ReloadsFailed: int(w.failedReloads.Load())}
+	r := &Reply{Controllers: len(w.controllers), FailedDials: w.failedDials.Load(), AcceptedConnections: w.accepted.Load(), ReloadsFailed: int(w.failedReloads.Load())}
 	for _, d := range w.dispatchers {
-		r.Connections += d.Links()
+		r.Connections += d.ConnCount()
 	}
 	for _, h := range w.controllers {
 		if h.Joined() {
 			r.Joined++
 		}
-		if r.MembersAsked < members {
+		if r.PolledControllers < members {
 			n := h.Members()
-			if r.MembersAsked == 0 || n < r.LeastMembers {
-				r.LeastMembers = n
+			if r.PolledControllers == 0 || n < r.MinMembers {
+				r.MinMembers = n
 			}
-			r.MembersAsked++
+			r.PolledControllers++
 		}
 	}
 	w.mu.Lock()
--- a/internal/sip/sip.go
+++ b/internal/sip/sip.go
@@ -23,15 +23,15 @@
 
 // Message is a request if Method is set, and a response otherwise.
 type Message struct {
-	Method  string
-	URI     string
-	Status  int
-	Phrase  string // the reason phrase of a response
-	CallID  string
-	Seq     uint32 // the number in CSeq
-	SeqOf   string // the method in CSeq
-	Headers []Header
-	Body    []byte
+	Method    string
+	URI       string
+	Status    int
+	Phrase    string // the reason phrase of a response
+	CallID    string
+	Seq       uint32 // the number in CSeq
+	SeqMethod string // the method in CSeq
+	Headers   []Header
+	Body      []byte
 }
 
 // Header is a header that has no field of its own in Message.
@@ -76,9 +76,9 @@
 	return m, nil
 }
 
-// MayBegin reports whether the content of the ring can be the start of a message: line breaks, then a method or the version of a
+// MayStartMessage reports whether the content of the ring can be the start of a message: line breaks, then a method or the version of a
 // response, each of them possibly incomplete.
-func MayBegin(in *ring.Buffer) bool {
+func MayStartMessage(in *ring.Buffer) bool {
 	start := bytes.TrimLeft(in.Peek(maxStartPeek), "\r\n")
 	token, _, _ := bytes.Cut(start, []byte(" "))
 	if version := []byte("SIP/2.0"); len(token) > 0 && (bytes.HasPrefix(token, version) || bytes.HasPrefix(version, token)) {
@@ -92,7 +92,7 @@
 	return true
 }
 
-// maxStartPeek is the number of bytes that MayBegin inspects, enough for any method and the line breaks before it.
+// maxStartPeek is the number of bytes that MayStartMessage inspects, enough for any method and the line breaks before it.
 const maxStartPeek = 24
 
 // readHead parses the first line and the headers of the next message once they are complete. It leaves them on the ring.
@@ -160,7 +160,7 @@
 			if err != nil {
 				return nil, 0, fmt.Errorf("invalid CSeq %.40q", value)
 			}
-			m.Seq, m.SeqOf = uint32(n), strings.TrimSpace(method)
+			m.Seq, m.SeqMethod = uint32(n), strings.TrimSpace(method)
 		default:
 			m.Headers = append(m.Headers, Header{name, value})
 		}
@@ -199,7 +199,7 @@
 	if m.CallID != "" {
 		p = fmt.Appendf(p, "Call-ID: %s\r\n", m.CallID)
 	}
-	p = fmt.Appendf(p, "CSeq: %d %s\r\n", m.Seq, m.SeqOf)
+	p = fmt.Appendf(p, "CSeq: %d %s\r\n", m.Seq, m.SeqMethod)
 	for _, h := range m.Headers {
 		p = fmt.Appendf(p, "%s: %s\r\n", h.Name, h.Value)
 	}
--- a/internal/sip/sip_test.go
+++ b/internal/sip/sip_test.go
@@ -18,7 +18,7 @@
 	"Content-Length: 4\r\n\r\na\r\nb"
 
 func TestDecoder(t *testing.T) {
-	wantInvite := &Message{Method: "INVITE", URI: "sip:7f@net", CallID: "9b", Seq: 1, SeqOf: "INVITE", Body: []byte("a\r\nb"),
+	wantInvite := &Message{Method: "INVITE", URI: "sip:7f@net", CallID: "9b", Seq: 1, SeqMethod: "INVITE", Body: []byte("a\r\nb"),
 		Headers: []Header{{"Via", "SIP/2.0/TCP peer"}, {"P-Kind", "voice"}}}
 	for name, test := range map[string]struct {
 		text string
@@ -28,7 +28,7 @@
 		"two in a row":                      {invite + invite, []*Message{wantInvite, wantInvite}, false},
 		"line breaks before the first line": {"\r\n\r\n" + invite, []*Message{wantInvite}, false},
 		"compact and folded headers, bare line feeds": {"SIP/2.0 503 Full up\ni: 9b\nl:0\nCSEQ:  7  INVITE\nReason: a\n  b\n\n",
-			[]*Message{{Status: 503, Phrase: "Full up", CallID: "9b", Seq: 7, SeqOf: "INVITE", Body: []byte{},
+			[]*Message{{Status: 503, Phrase: "Full up", CallID: "9b", Seq: 7, SeqMethod: "INVITE", Body: []byte{},
 				Headers: []Header{{"Reason", "a  b"}}}}, false},
 		"incomplete body":        {invite[:len(invite)-1], nil, false},
 		"no Content-Length":      {"BYE sip:x SIP/2.0\r\nCall-ID: 1\r\n\r\n", nil, true},
@@ -67,7 +67,7 @@
 			if len(again) == 1 {
 				again[0].Headers = nil
 			}
-			if m.SeqOf == "" { // Append writes an empty CSeq for a message without one
+			if m.SeqMethod == "" { // Append writes an empty CSeq for a message without one
 				continue
 			}
 			if diff := cmp.Diff([]*Message{m}, again); diff != "" || err != nil {
--- a/internal/store/backup.go
+++ b/internal/store/backup.go
@@ -17,9 +17,9 @@
 	return snap
 }
 
-// Hold makes serializable reads keep returning the state at the time of the call if on is true,
+// FreezeSerializableReads makes serializable reads keep returning the state at the time of the call if on is true,
 // and the present state again otherwise. Linearizable reads always return the present state.
-func (s *Store) Hold(on bool) {
+func (s *Store) FreezeSerializableReads(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.frozen = nil
--- a/internal/store/counts.go
+++ b/internal/store/counts.go
@@ -3,11 +3,11 @@
 // Counts holds the numbers of requests by kind, of notifications that were sent to watches, and of the events in them.
 type Counts struct {
 	Reads, Writes, Renewals, Watches, Progress int
-	Notices, Events                            int
+	Notifications, Events                      int
 }
 
-// Sum returns the number of all requests.
-func (c Counts) Sum() int { return c.Reads + c.Writes + c.Renewals + c.Watches + c.Progress }
+// Total returns the number of all requests.
+func (c Counts) Total() int { return c.Reads + c.Writes + c.Renewals + c.Watches + c.Progress }
 
 // Counts returns the counts since the store was created.
 func (s *Store) Counts() Counts {
--- a/internal/store/faults.go
+++ b/internal/store/faults.go
@@ -10,24 +10,24 @@
 // Faults selects the faults that the store injects.
 type Faults struct {
 	Stall bool // no request is processed or answered, and no lease expires: the time of a stall does not count for leases
-	// Late is the delay of each response and notification, after the request was processed.
-	Late time.Duration
-	// Lost is the number of coming writes and lease requests that are processed but never answered. Each of these requests
+	// ResponseDelay is the delay of each response and notification, after the request was processed.
+	ResponseDelay time.Duration
+	// LostWriteResponses is the number of coming writes and lease requests that are processed but never answered. Each of these requests
 	// ends when its client cancels it or times out.
-	Lost int
-	// Deaf stops all notifications to watches, which stay open.
-	Deaf bool
+	LostWriteResponses int
+	// MuteWatches stops all notifications to watches, which stay open.
+	MuteWatches bool
 }
 
-// Fault replaces the injected faults. Notifications to watches that were held back are sent when that fault ends.
-func (s *Store) Fault(f Faults) {
+// SetFaults replaces the injected faults. Notifications to watches that were held back are sent when that fault ends.
+func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.Stall && !f.Stall {
 		close(s.stallEnded)
 		s.stallEnded = make(chan struct{})
 	}
-	resume := s.faults.Deaf && !f.Deaf
+	resume := s.faults.MuteWatches && !f.MuteWatches
 	s.faults = f
 	if resume {
 		s.notifyWatches()
@@ -53,10 +53,10 @@
 
 // unlock releases the lock and delays the response as Faults demands. It returns an error if the response must not be sent.
 func (s *Store) unlock(ctx context.Context, wrote bool) error {
-	delay := s.faults.Late
-	lost := wrote && s.faults.Lost > 0
+	delay := s.faults.ResponseDelay
+	lost := wrote && s.faults.LostWriteResponses > 0
 	if lost {
-		s.faults.Lost--
+		s.faults.LostWriteResponses--
 	}
 	s.mu.Unlock()
 	if lost {
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -69,8 +69,8 @@
 	s.notifyWatches()
 }
 
-// LoseLeases ends all leases that have a key with the prefix, before they expire.
-func (s *Store) LoseLeases(prefix string) {
+// ExpireLeases ends all leases that have a key with the prefix, before they expire.
+func (s *Store) ExpireLeases(prefix string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, id := range s.sortedLeaseIDs() {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -128,9 +128,9 @@
 	}
 	for i := range 10 {
 		time.Sleep(15 * time.Millisecond)
-		s.Fault(Faults{Late: time.Duration(i%3) * 5 * time.Millisecond, Lost: i % 2, Stall: i == 7})
+		s.SetFaults(Faults{ResponseDelay: time.Duration(i%3) * 5 * time.Millisecond, LostWriteResponses: i % 2, Stall: i == 7})
 	}
-	s.Fault(Faults{})
+	s.SetFaults(Faults{})
 	clients.Wait()
 	return history
 }
@@ -143,7 +143,7 @@
 		t.Error("the history is not linearizable")
 	}
 	s := New(1)
-	s.Hold(true)
+	s.FreezeSerializableReads(true)
 	if porcupine.CheckOperations(registerModel, runClients(t, s, true)) {
 		t.Error("the check accepted reads from a frozen state")
 	}
@@ -206,7 +206,7 @@
 		t.Errorf("watch from a compacted revision: %v, want ErrCompacted", resp.Err())
 	}
 	// The response is lost, but the write has taken effect.
-	s.Fault(Faults{Lost: 1})
+	s.SetFaults(Faults{LostWriteResponses: 1})
 	short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 	defer cancel()
 	if _, err := c.Put(short, "/c", "z"); !errors.Is(err, context.DeadlineExceeded) || len(s.Keys("/c")) != 1 {
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -86,7 +86,7 @@
 	if err := s.lock(ctx); err != nil {
 		return nil, err
 	}
-	delay := s.faults.Late
+	delay := s.faults.ResponseDelay
 	responses := w.pendingResponses()
 	changed = s.changed
 	s.mu.Unlock()
@@ -133,10 +133,10 @@
 		resp = w.create(r.GetCreateRequest())
 	case r.GetCancelRequest() != nil:
 		resp = w.cancel(r.GetCancelRequest().WatchId)
-	case r.GetProgressRequest() != nil && !s.faults.Deaf:
+	case r.GetProgressRequest() != nil && !s.faults.MuteWatches:
 		resp = w.progress()
 	}
-	delay := s.faults.Late
+	delay := s.faults.ResponseDelay
 	s.mu.Unlock()
 	if err := sleep(ctx, delay); err != nil {
 		return err
@@ -190,7 +190,7 @@
 	if w.nextRevision <= s.compacted {
 		return &etcdserverpb.WatchResponse{Header: s.header(), WatchId: w.id, Canceled: true, CompactRevision: s.compacted}, true
 	}
-	if s.faults.Deaf || w.nextRevision > s.revision {
+	if s.faults.MuteWatches || w.nextRevision > s.revision {
 		return nil, false
 	}
 	var events []*mvccpb.Event
@@ -203,7 +203,7 @@
 	if len(events) == 0 {
 		return nil, false
 	}
-	s.counts.Notices++
+	s.counts.Notifications++
 	s.counts.Events += len(events)
 	return &etcdserverpb.WatchResponse{Header: s.header(), WatchId: w.id, Events: events}, false
 }
--- a/internal/takeover/call.go
+++ b/internal/takeover/call.go
@@ -16,9 +16,9 @@
 
 // Call is a call that passes from one controller to another, by a takeover or a transfer.
 type Call struct {
-	Events  []recovery.Event `cbor:"1,keyasint"` // the recorded events of the call, oldest first
-	LastUs  int64            `cbor:"2,keyasint"` // time at which its owner was last known to be alive, in µs since the Unix epoch
-	MayLive bool             `cbor:"3,keyasint"` // whether the owner's process may still be alive: messages that it has sent cannot be recalled
+	Events       []recovery.Event `cbor:"1,keyasint"` // the recorded events of the call, oldest first
+	LastAliveUs  int64            `cbor:"2,keyasint"` // time at which its owner was last known to be alive, in µs since the Unix epoch
+	OwnerMayLive bool             `cbor:"3,keyasint"` // whether the owner's process may still be alive: messages that it has sent cannot be recalled
 }
 
 // magic is the beginning of a call's file, with the version of the format.
@@ -61,13 +61,13 @@
 	return c, nil
 }
 
-// Book replays the events of the call, and returns a table with its state.
-func (c *Call) Book() *recovery.CallTable {
+// CallTable replays the events of the call, and returns a table with its state.
+func (c *Call) CallTable() *recovery.CallTable {
 	table := recovery.NewCallTable()
 	for _, e := range c.Events {
 		table.Apply(e)
 	}
-	table.MarkAlive(time.Duration(c.LastUs) * time.Microsecond)
+	table.MarkAlive(time.Duration(c.LastAliveUs) * time.Microsecond)
 	return table
 }
 
--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -16,7 +16,7 @@
 
 // processSealed advances a sealed ledger that this controller has claimed. It unpacks the ledger if the previous process of this name did not,
 // claims the calls that were not resumed in time, and deletes the ledger when no calls are left in it.
-func (p *Room) processSealed(s decide.SealedLedger) {
+func (p *Participant) processSealed(s decide.SealedLedger) {
 	ids, unpacked, err := decide.UnclaimedCalls(p.files, s)
 	if err != nil {
 		p.recordFailure(err)
@@ -40,7 +40,7 @@
 }
 
 // claimExpired claims the calls of a sealed ledger that were not resumed in time, and delivers them in the order of their deadlines.
-func (p *Room) claimExpired(s decide.SealedLedger, ids []string) {
+func (p *Participant) claimExpired(s decide.SealedLedger, ids []string) {
 	var claimed []*Call
 	for _, id := range decide.ExpiredCalls(p.now(), p.unpackedAt[s], ids) {
 		data, err := decide.ClaimCall(p.files, s, id, p.options.Name)
@@ -53,14 +53,14 @@
 		}
 	}
 	slices.SortFunc(claimed, func(a, b *Call) int { return cmp.Compare(a.Events[0].DeadlineUs, b.Events[0].DeadlineUs) })
-	p.updateStatus(func(s *Shown) { s.Left += uint64(len(claimed)) })
+	p.updateStatus(func(s *Status) { s.Expired += uint64(len(claimed)) })
 	for _, c := range claimed {
 		p.deliver(c)
 	}
 }
 
 // receive decodes the file of a call in the own inbox. It deletes a damaged file and returns nil.
-func (p *Room) receive(id string, data []byte) *Call {
+func (p *Participant) receive(id string, data []byte) *Call {
 	p.inbox[id] = true
 	c, err := decode(data, p.options.Key)
 	if err == nil && c.ID() != id {
@@ -76,7 +76,7 @@
 }
 
 // deliver passes a claimed call to the core, with the cause of its end if a dispatcher has reported that to another controller.
-func (p *Room) deliver(c *Call) {
+func (p *Participant) deliver(c *Call) {
 	cause := notTerminated
 	path := filepath.Join(decide.TerminationsDir, c.ID())
 	if data, err := p.files.Read(path); err == nil {
@@ -89,7 +89,7 @@
 }
 
 // recoverInbox delivers the calls in the own inbox that the core does not know of because the previous process of this name claimed them.
-func (p *Room) recoverInbox() {
+func (p *Participant) recoverInbox() {
 	ids, err := decide.ClaimedCalls(p.files, p.options.Name)
 	p.recordFailure(err)
 	for _, id := range ids {
@@ -108,7 +108,7 @@
 }
 
 // acknowledgePersisted deletes the inbox files of the claimed calls that the own ledger now contains.
-func (p *Room) acknowledgePersisted() {
+func (p *Participant) acknowledgePersisted() {
 	p.mu.Lock()
 	ids := p.persisted
 	p.persisted = nil
--- a/internal/takeover/participant.go
+++ b/internal/takeover/participant.go
@@ -16,8 +16,8 @@
 const (
 	// maxLookups bounds the pending lookups and the unpublished terminations. One connection may resume as many calls.
 	maxLookups = 16 << 10
-	// OwnerName is the name of the file in a ledger's directory that holds the owner's incarnation as a fleet member, as JSON.
-	OwnerName = "owner"
+	// OwnerFile is the name of the file in a ledger's directory that holds the owner's incarnation as a fleet member, as JSON.
+	OwnerFile = "owner"
 	// transferNumber is the number of a transfer ledger, which holds the calls that a live controller transfers to others.
 	transferNumber = "handed"
 )
@@ -39,21 +39,21 @@
 
 // Options are the settings and callbacks for Open.
 type Options struct {
-	Ledgers string        // path of the shared directory
-	Name    string        // of this controller and its ledger
-	Key     []byte        // for the MACs of ledgers and call files; nil if there is none
-	Lease   time.Duration // TTL of the fleet members' leases
-	Post    func(func())  // runs a function on the event loop
-	Still   func() error  // verifies that the own ledger still belongs to this process
-	Taken   func(error)   // called once the own ledger is sealed by another controller: this process must drop all its calls
-	// Certain returns the incarnation under which this process holds its lease, and whether it holds one; nil without a fleet.
-	Certain func() (decide.IncarnationID, bool)
-	Fleet   decide.Membership // nil without a fleet
+	LedgersDir      string        // path of the shared directory
+	Name            string        // of this controller and its ledger
+	Key             []byte        // for the MACs of ledgers and call files; nil if there is none
+	Lease           time.Duration // TTL of the fleet members' leases
+	Post            func(func())  // runs a function on the event loop
+	VerifyOwnership func() error  // verifies that the own ledger still belongs to this process
+	OnSealed        func(error)   // called once the own ledger is sealed by another controller: this process must drop all its calls
+	// Incarnation returns the incarnation under which this process holds its lease, and whether it holds one; nil without a fleet.
+	Incarnation func() (decide.IncarnationID, bool)
+	Fleet       decide.Membership // nil without a fleet
 }
 
-// Room takes part in the failover of calls on behalf of one controller. Its exported methods may be called from any goroutine; except for
+// Participant takes part in the failover of calls on behalf of one controller. Its exported methods may be called from any goroutine; except for
 // Close, they do not wait for the disk.
-type Room struct {
+type Participant struct {
 	options Options
 	core    Core
 	log     *slog.Logger
@@ -73,12 +73,12 @@
 	terminations map[string]int    // causes of the reported ends of calls that are not held here
 	outgoing     map[string][]byte // encoded calls to transfer
 	transferred  []string          // ids of transferred calls that are removed from the own ledger
-	status       Shown
+	status       Status
 
 	// Used by the scanning goroutine only.
 	owners       *decide.FailureDetector               // for the owners of ledgers
 	claimants    *decide.FailureDetector               // for the claimants of sealed ledgers
-	incarnation  decide.IncarnationID                  // as last written to OwnerName
+	incarnation  decide.IncarnationID                  // as last written to OwnerFile
 	heldSince    time.Duration                         // since when this process has held its lease under one incarnation
 	inbox        map[string]bool                       // ids of the calls in the own inbox that the core knows of
 	unpackedAt   map[decide.SealedLedger]time.Duration // when the sealed ledgers claimed by this controller were unpacked
@@ -88,13 +88,13 @@
 }
 
 // Open starts the participant for a controller that owns its ledger. It scans the shared directory until Close.
-func Open(core Core, o Options, log *slog.Logger) (*Room, error) {
-	root, err := os.OpenRoot(o.Ledgers)
+func Open(core Core, o Options, log *slog.Logger) (*Participant, error) {
+	root, err := os.OpenRoot(o.LedgersDir)
 	if err != nil {
 		return nil, fmt.Errorf("takeover: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &Room{
+	p := &Participant{
 		options:      o,
 		core:         core,
 		log:          log,
@@ -122,7 +122,7 @@
 }
 
 // createDirs creates the directories that the protocol needs, if they do not exist.
-func (p *Room) createDirs() error {
+func (p *Participant) createDirs() error {
 	return errors.Join(
 		decide.CreateSharedDirs(p.files),
 		decide.CreateInbox(p.files, p.options.Name),
@@ -132,20 +132,20 @@
 
 // Close stops the scans and waits for the current one. Calls whose takeover or transfer is not complete stay in the shared directory for other
 // controllers.
-func (p *Room) Close() error {
+func (p *Participant) Close() error {
 	p.cancel()
 	<-p.done
 	return p.files.root.Close() //nolint:wrapcheck // the error names the path
 }
 
 // transferLedger returns the transfer ledger of this controller.
-func (p *Room) transferLedger() decide.SealedLedger {
+func (p *Participant) transferLedger() decide.SealedLedger {
 	return decide.SealedLedger{Name: p.options.Name, Number: transferNumber, Claimant: p.options.Name}
 }
 
 // Lookup starts the lookup of a call that a caller wants to resume; the token is the hash of the caller's token. It returns false if too many
 // lookups are pending.
-func (p *Room) Lookup(id string, token []byte) bool {
+func (p *Participant) Lookup(id string, token []byte) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if _, pending := p.lookups[id]; !pending {
@@ -159,7 +159,7 @@
 }
 
 // Persisted reports that claimed calls have been persisted in the own ledger.
-func (p *Room) Persisted(ids ...string) {
+func (p *Participant) Persisted(ids ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.persisted = append(p.persisted, ids...)
@@ -167,7 +167,7 @@
 }
 
 // Terminated reports the end of a call that is not held here. The end is dropped if maxLookups of them are waiting to be published.
-func (p *Room) Terminated(id string, cause int) {
+func (p *Participant) Terminated(id string, cause int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.terminations) < maxLookups {
@@ -177,7 +177,7 @@
 }
 
 // Transfer starts the transfer of a call to another controller. Core.TransferWritten follows once the call's file is written.
-func (p *Room) Transfer(c *Call) error {
+func (p *Participant) Transfer(c *Call) error {
 	data, err := encode(c, p.options.Key)
 	if err != nil {
 		return err
@@ -190,7 +190,7 @@
 }
 
 // Transferred reports that transferred calls have been removed from the own ledger: other controllers may claim them now.
-func (p *Room) Transferred(ids ...string) {
+func (p *Participant) Transferred(ids ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.transferred = append(p.transferred, ids...)
@@ -198,7 +198,7 @@
 }
 
 // scanSoon wakes the scanning goroutine.
-func (p *Room) scanSoon() {
+func (p *Participant) scanSoon() {
 	select {
 	case p.wake <- struct{}{}:
 	default:
@@ -206,4 +206,4 @@
 }
 
 // now returns the time since Open, by the monotonic clock.
-func (p *Room) now() time.Duration { return time.Since(p.started) }
+func (p *Participant) now() time.Duration { return time.Since(p.started) }
--- a/internal/takeover/participant_test.go
+++ b/internal/takeover/participant_test.go
@@ -21,7 +21,7 @@
 
 // core is a fake Core that records the results it receives.
 type core struct {
-	participant *Room
+	participant *Participant
 	mu          sync.Mutex
 	results     []string
 	held        map[string]bool // ids of the calls held here
@@ -35,7 +35,7 @@
 }
 
 func (c *core) CallReceived(call *Call, endCause int) {
-	c.record("received %s, cause %d, owner may live %v", call.ID(), endCause, call.MayLive)
+	c.record("received %s, cause %d, owner may live %v", call.ID(), endCause, call.OwnerMayLive)
 	c.participant.Persisted(call.ID())
 }
 func (c *core) CallNotFound(id string, noHolder bool) {
@@ -130,9 +130,9 @@
 		}
 	}()
 	ready := make(chan struct{})
-	participant, err := Open(c, Options{Ledgers: dir, Name: name, Lease: time.Second, Fleet: fleet, Post: func(f func()) { <-ready; posts <- f },
-		Still: func() error { return ledger.VerifyPath(d) }, Taken: func(err error) { c.record("sealed %v", errors.Is(err, ledger.ErrSealed)) },
-		Certain: func() (decide.IncarnationID, bool) {
+	participant, err := Open(c, Options{LedgersDir: dir, Name: name, Lease: time.Second, Fleet: fleet, Post: func(f func()) { <-ready; posts <- f },
+		VerifyOwnership: func() error { return ledger.VerifyPath(d) }, OnSealed: func(err error) { c.record("sealed %v", errors.Is(err, ledger.ErrSealed)) },
+		Incarnation: func() (decide.IncarnationID, bool) {
 			return decide.IncarnationID{Store: 1, Number: int64(len(name))}, true
 		}}, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -159,7 +159,7 @@
 	b.await(t, "received 01, cause -1, owner may live false")
 	a.participant.Terminated("02", 41) // reported while no controller holds the call
 	awaitResult(t, "received 02, cause 41, owner may live false", a, b)
-	if left := a.participant.Show().Left + b.participant.Show().Left; left != 1 {
+	if left := a.participant.Status().Expired + b.participant.Status().Expired; left != 1 {
 		t.Errorf("%d calls were claimed from the sealed ledger without a lookup, want 1", left)
 	}
 	b.participant.Lookup("03", recovery.HashToken("t"))
@@ -240,7 +240,7 @@
 	a, _ := startController(t, dir, "a", nil)
 	for start := time.Now(); ; time.Sleep(time.Millisecond) {
 		left, err := os.ReadDir(inbox)
-		if failed := a.participant.Show().Failed; failed == 1 && err == nil && len(left) == 0 {
+		if failed := a.participant.Status().Failed; failed == 1 && err == nil && len(left) == 0 {
 			break
 		} else if time.Since(start) > timeout {
 			t.Fatalf("damaged file: %d failures counted, want 1; files left %v, want none; error %v", failed, left, err)
--- a/internal/takeover/queries.go
+++ b/internal/takeover/queries.go
@@ -14,8 +14,8 @@
 
 // Query is the request of another controller for a call that its caller wants to resume there.
 type Query struct {
-	Token []byte    // hash of the caller's token
-	Seen  time.Time // time at which this controller first saw the query
+	Token     []byte    // hash of the caller's token
+	FirstSeen time.Time // time at which this controller first saw the query
 }
 
 // seenQuery is the state of a query's file when this controller first saw it.
@@ -26,7 +26,7 @@
 
 // observeQueries records the queries of other controllers. A controller that has failed never removes its queries, so a query that is older than
 // any lookup can be is removed here.
-func (p *Room) observeQueries() {
+func (p *Participant) observeQueries() {
 	ids, err := p.files.List(decide.QueriesDir)
 	p.recordFailure(err)
 	observed := map[string]seenQuery{}
@@ -54,7 +54,7 @@
 
 // answerQueries passes the queries of other controllers to the core, which transfers those of the calls that it holds. Once the core has handled
 // them, the next scan records that in answeredFile.
-func (p *Room) answerQueries() {
+func (p *Participant) answerQueries() {
 	queries := p.readQueries()
 	if p.queriesDelivered.Swap(false) {
 		p.recordFailure(p.files.Write(filepath.Join(p.options.Name, answeredFile), []byte(p.options.Name)))
@@ -70,7 +70,7 @@
 
 // readQueries returns the observed queries by the id of the call, without those for calls in the own inbox, which are being claimed or
 // transferred.
-func (p *Room) readQueries() map[string]Query {
+func (p *Participant) readQueries() map[string]Query {
 	queries := map[string]Query{}
 	for id, q := range p.queries {
 		if p.inbox[id] {
@@ -81,14 +81,14 @@
 			continue
 		}
 		if token, err := hex.DecodeString(string(data)); err == nil && len(token) > 0 {
-			queries[id] = Query{Token: token, Seen: q.seen}
+			queries[id] = Query{Token: token, FirstSeen: q.seen}
 		}
 	}
 	return queries
 }
 
 // query writes a query for a call. A controller that holds the call transfers it unless its caller has resumed it there since.
-func (p *Room) query(id string, token []byte) {
+func (p *Participant) query(id string, token []byte) {
 	path := filepath.Join(decide.QueriesDir, id)
 	p.recordFailure(p.files.Write(path, []byte(hex.EncodeToString(token))))
 	if info, err := p.files.root.Stat(path); err == nil {
@@ -98,7 +98,7 @@
 
 // queryRemoved reports whether the file of an own query no longer exists: another controller took it for an older, expired query
 // for the same call.
-func (p *Room) queryRemoved(id string) bool {
+func (p *Participant) queryRemoved(id string) bool {
 	_, err := p.files.root.Stat(filepath.Join(decide.QueriesDir, id))
 	return err != nil
 }
--- a/internal/takeover/read.go
+++ b/internal/takeover/read.go
@@ -11,7 +11,7 @@
 
 // readLedger returns a function that reads the calls of a ledger's directory. These are the calls in its records, and the calls in its inbox,
 // which its owner had claimed and not yet persisted.
-func (p *Room) readLedger(ownerMayLive bool) decide.LedgerReader {
+func (p *Participant) readLedger(ownerMayLive bool) decide.LedgerReader {
 	return func(dir string) (map[string][]byte, error) {
 		table, err := p.replay(dir)
 		if err != nil {
@@ -27,7 +27,7 @@
 			if expired || len(events) == 0 {
 				continue
 			}
-			data, err := encode(&Call{Events: events, LastUs: table.LastAlive().Microseconds(), MayLive: ownerMayLive}, p.options.Key)
+			data, err := encode(&Call{Events: events, LastAliveUs: table.LastAlive().Microseconds(), OwnerMayLive: ownerMayLive}, p.options.Key)
 			if err != nil {
 				return nil, err
 			}
@@ -38,8 +38,8 @@
 }
 
 // replay reads the records of a ledger into a table of calls. It logs any damage to the ledger.
-func (p *Room) replay(dir string) (*recovery.CallTable, error) {
-	d, err := ledger.OpenReadOnly(filepath.Join(p.options.Ledgers, dir))
+func (p *Participant) replay(dir string) (*recovery.CallTable, error) {
+	d, err := ledger.OpenReadOnly(filepath.Join(p.options.LedgersDir, dir))
 	if err != nil {
 		return nil, wrap(err)
 	}
@@ -58,7 +58,7 @@
 }
 
 // readInbox returns the contents of the files in a ledger's inbox, by the id of the call.
-func (p *Room) readInbox(dir string) (map[string][]byte, error) {
+func (p *Participant) readInbox(dir string) (map[string][]byte, error) {
 	inbox := decide.InboxDir(dir)
 	ids, err := p.files.List(inbox)
 	if err != nil {
--- a/internal/takeover/scan.go
+++ b/internal/takeover/scan.go
@@ -19,7 +19,7 @@
 )
 
 // run scans the shared directory until the context is cancelled or another controller has sealed the own ledger.
-func (p *Room) run(ctx context.Context) {
+func (p *Participant) run(ctx context.Context) {
 	defer close(p.done)
 	interval := scanInterval
 	for {
@@ -30,22 +30,22 @@
 		case <-time.After(interval):
 		}
 		start := time.Now()
-		if err := p.options.Still(); err != nil {
+		if err := p.options.VerifyOwnership(); err != nil {
 			if errors.Is(err, ledger.ErrSealed) {
-				p.options.Taken(err)
+				p.options.OnSealed(err)
 				return
 			}
 			p.recordFailure(err)
 			continue
 		}
 		ledgers := p.scan(ctx)
-		p.updateStatus(func(s *Shown) { s.LookMs = time.Since(start).Milliseconds() })
+		p.updateStatus(func(s *Status) { s.ScanMs = time.Since(start).Milliseconds() })
 		interval = scanInterval + time.Duration(ledgers)*scanIntervalPerLedger
 	}
 }
 
 // scan performs all steps of the protocol that are due in the shared directory, and returns the number of ledgers there.
-func (p *Room) scan(ctx context.Context) int {
+func (p *Participant) scan(ctx context.Context) int {
 	p.writeOwner()
 	p.acknowledgePersisted()
 	p.transferCalls()
@@ -74,17 +74,17 @@
 }
 
 // notUnpacked reports whether a sealed ledger may hold calls that are not unpacked yet.
-func (p *Room) notUnpacked(s decide.SealedLedger) bool {
+func (p *Participant) notUnpacked(s decide.SealedLedger) bool {
 	_, unpacked, err := decide.UnclaimedCalls(p.files, s)
 	return err != nil || !unpacked
 }
 
 // recordFailure counts and logs a failed operation on the shared directory. It ignores ErrNotFound, which means that another process has moved
 // or removed the file first.
-func (p *Room) recordFailure(err error) {
+func (p *Participant) recordFailure(err error) {
 	if err == nil || errors.Is(err, decide.ErrNotFound) {
 		return
 	}
-	p.updateStatus(func(s *Shown) { s.Failed++ })
+	p.updateStatus(func(s *Status) { s.Failed++ })
 	p.log.Error("an operation on the shared directory of ledgers failed", "err", err)
 }
--- a/internal/takeover/seal.go
+++ b/internal/takeover/seal.go
@@ -22,11 +22,11 @@
 
 // writeOwner writes the own incarnation into the directory of the own ledger. While the ledger is locked, other controllers use it to decide
 // whether the owner is alive.
-func (p *Room) writeOwner() {
-	if p.options.Certain == nil {
+func (p *Participant) writeOwner() {
+	if p.options.Incarnation == nil {
 		return
 	}
-	incarnation, held := p.options.Certain()
+	incarnation, held := p.options.Incarnation()
 	if !held {
 		p.heldSince = p.now()
 	}
@@ -36,7 +36,7 @@
 	p.heldSince = p.now()
 	data, err := json.Marshal(incarnation)
 	if err == nil {
-		err = p.files.replace(filepath.Join(p.options.Name, OwnerName), data)
+		err = p.files.replace(filepath.Join(p.options.Name, OwnerFile), data)
 	}
 	if err != nil {
 		p.recordFailure(err)
@@ -46,15 +46,15 @@
 }
 
 // observe returns the state of another controller's ledger.
-func (p *Room) observe(name string) decide.Observation {
+func (p *Participant) observe(name string) decide.Observation {
 	o := decide.Observation{Name: name}
 	var err error
-	if o.Locked, err = ledger.IsLocked(filepath.Join(p.options.Ledgers, name)); err != nil {
+	if o.Locked, err = ledger.IsLocked(filepath.Join(p.options.LedgersDir, name)); err != nil {
 		p.recordFailure(err)
 		o.Locked = true // its state is unknown: it may be locked
 	}
 	if o.Locked {
-		if data, err := p.files.Read(filepath.Join(name, OwnerName)); err == nil {
+		if data, err := p.files.Read(filepath.Join(name, OwnerFile)); err == nil {
 			_ = json.Unmarshal(data, &o.Owner) // without a valid file, the incarnation of the owner is unknown
 		}
 	}
@@ -62,7 +62,7 @@
 }
 
 // observeAll returns the states of the ledgers of the named controllers.
-func (p *Room) observeAll(names []string) []decide.Observation {
+func (p *Participant) observeAll(names []string) []decide.Observation {
 	var all []decide.Observation
 	for _, name := range names {
 		all = append(all, p.observe(name))
@@ -76,7 +76,7 @@
 func (noMembership) HasEnded(string, decide.IncarnationID) bool { return false }
 
 // membership returns the membership of the fleet once this process has held its lease for long enough, and noMembership until then.
-func (p *Room) membership() decide.Membership {
+func (p *Participant) membership() decide.Membership {
 	// All leases expire during a long outage of the store. The first process that holds a lease again must not seal the ledgers of the others,
 	// which are about to rejoin.
 	if p.options.Fleet == nil || p.incarnation == (decide.IncarnationID{}) || p.now()-p.heldSince < minLeasesHeld*p.options.Lease {
@@ -89,7 +89,7 @@
 func newNumber() string { return strconv.FormatInt(time.Now().UnixNano(), 16) }
 
 // sealFailed seals and unpacks the ledgers of failed controllers.
-func (p *Room) sealFailed(others []string) {
+func (p *Participant) sealFailed(others []string) {
 	for _, failed := range p.owners.ReadyToSeal(p.now(), p.observeAll(others), p.membership()) {
 		number := newNumber()
 		if failed.Locked {
@@ -101,13 +101,13 @@
 			p.recordFailure(err)
 			continue
 		}
-		p.updateStatus(func(s *Shown) { s.Sealed++ })
+		p.updateStatus(func(s *Status) { s.Sealed++ })
 		p.unpack(s, start, "")
 	}
 }
 
 // reclaimFailed claims the sealed ledgers of claimants that have failed, and returns all sealed ledgers with their claimants updated.
-func (p *Room) reclaimFailed(sealed []decide.SealedLedger) []decide.SealedLedger {
+func (p *Participant) reclaimFailed(sealed []decide.SealedLedger) []decide.SealedLedger {
 	var names []string
 	for _, s := range sealed {
 		if s.Claimant != p.options.Name && !slices.Contains(names, s.Claimant) {
@@ -136,7 +136,7 @@
 }
 
 // unpack writes each call of a sealed ledger to a file of its own. The previous claimant is empty for a ledger that was just sealed.
-func (p *Room) unpack(s decide.SealedLedger, start time.Time, previous string) {
+func (p *Participant) unpack(s decide.SealedLedger, start time.Time, previous string) {
 	ownerMayLive := strings.HasSuffix(s.Number, liveOwnerSuffix)
 	if err := decide.Unpack(p.files, s, p.readLedger(ownerMayLive)); err != nil {
 		p.recordFailure(err)
@@ -146,7 +146,7 @@
 	p.recordFailure(err)
 	p.unpackedAt[s] = p.now()
 	took := time.Since(start)
-	p.addTakeover(Told{At: start, Name: s.Name, Held: ownerMayLive, Calls: len(ids), TookMs: took.Milliseconds(), From: previous})
+	p.addTakeover(Takeover{At: start, Name: s.Name, OwnerMayLive: ownerMayLive, Calls: len(ids), TookMs: took.Milliseconds(), PreviousClaimant: previous})
 	p.log.Warn("the ledger of a lost controller is taken over",
 		"lost", s.Name, "calls", len(ids), "owner_may_live", ownerMayLive, "took", took, "from", previous)
 }
--- a/internal/takeover/terminations.go
+++ b/internal/takeover/terminations.go
@@ -14,7 +14,7 @@
 
 // exchangeTerminations publishes the ends of calls that are not held here, and passes the published ends to the core, which applies those of the
 // calls that it holds.
-func (p *Room) exchangeTerminations() {
+func (p *Participant) exchangeTerminations() {
 	p.publishTerminations()
 	p.expireTerminations()
 	if published := p.readTerminations(); len(published) > 0 {
@@ -27,11 +27,11 @@
 }
 
 // publishTerminations writes a termination file for each end reported with Terminated.
-func (p *Room) publishTerminations() {
+func (p *Participant) publishTerminations() {
 	p.mu.Lock()
 	terminations := p.terminations
 	p.terminations = map[string]int{}
-	p.status.Ends += uint64(len(terminations))
+	p.status.RemoteEnds += uint64(len(terminations))
 	p.mu.Unlock()
 	for id, cause := range terminations {
 		if err := p.files.replace(filepath.Join(decide.TerminationsDir, id), []byte(strconv.Itoa(cause))); err != nil {
@@ -43,7 +43,7 @@
 }
 
 // expireTerminations removes the termination files of this controller that are older than terminationTTL.
-func (p *Room) expireTerminations() {
+func (p *Participant) expireTerminations() {
 	for id, at := range p.terminatedAt {
 		if p.now()-at > terminationTTL {
 			delete(p.terminatedAt, id)
@@ -53,7 +53,7 @@
 }
 
 // readTerminations returns the causes of all published ends, by the id of the call.
-func (p *Room) readTerminations() map[string]int {
+func (p *Participant) readTerminations() map[string]int {
 	ids, err := p.files.List(decide.TerminationsDir)
 	p.recordFailure(err)
 	causes := map[string]int{}
@@ -70,7 +70,7 @@
 }
 
 // removeTerminations removes the termination files of calls whose ends have been applied.
-func (p *Room) removeTerminations(ids []string) {
+func (p *Participant) removeTerminations(ids []string) {
 	for _, id := range ids {
 		_ = p.files.Remove(filepath.Join(decide.TerminationsDir, id)) // on failure, its publisher removes it later
 	}
--- a/internal/takeover/transfer.go
+++ b/internal/takeover/transfer.go
@@ -8,7 +8,7 @@
 
 // transferCalls writes the files of outgoing calls to the own inbox, and moves the calls that are removed from the own ledger to the transfer
 // ledger, where other controllers may claim them.
-func (p *Room) transferCalls() {
+func (p *Participant) transferCalls() {
 	p.mu.Lock()
 	outgoing, transferred := p.outgoing, p.transferred
 	p.outgoing, p.transferred = map[string][]byte{}, nil
@@ -25,5 +25,5 @@
 		p.recordFailure(decide.TransferCall(p.files, p.transferLedger(), id))
 		delete(p.inbox, id)
 	}
-	p.updateStatus(func(s *Shown) { s.Given += uint64(len(transferred)) })
+	p.updateStatus(func(s *Status) { s.Transferred += uint64(len(transferred)) })
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -14,8 +14,8 @@
 // prefix is the prefix of the names of all metrics.
 const prefix = "edge_lb_"
 
-// Figures holds the metrics of the event loop, which alone may use them. Counters start with the process.
-type Figures struct {
+// Metrics holds the metrics of the event loop, which alone may use them. Counters start with the process.
+type Metrics struct {
 	Attempts                 uint64
 	InFlight                 int
 	Known, Excluded          int
@@ -31,7 +31,7 @@
 
 // Class returns the counters of a class, which are created if there are none. A class that is removed from the settings keeps
 // its counters.
-func (f *Figures) Class(name string) *Class {
+func (f *Metrics) Class(name string) *Class {
 	i := slices.IndexFunc(f.classes, func(c *Class) bool { return c.name == name })
 	if i < 0 {
 		i = len(f.classes)
@@ -40,13 +40,13 @@
 	return f.classes[i]
 }
 
-// Has reports whether there are counters for a class.
-func (f *Figures) Has(name string) bool {
+// HasClass reports whether there are counters for a class.
+func (f *Metrics) HasClass(name string) bool {
 	return slices.ContainsFunc(f.classes, func(c *Class) bool { return c.name == name })
 }
 
 // Text returns all metrics as text, followed by those of other parts of the program.
-func (f *Figures) Text(more ...*dto.MetricFamily) (string, error) {
+func (f *Metrics) Text(more ...*dto.MetricFamily) (string, error) {
 	requests := family("requests_total", "Requests that have had their final answer, by class and outcome.", dto.MetricType_COUNTER)
 	for _, c := range f.classes {
 		for _, outcome := range []struct {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -9,7 +9,7 @@
 // TestText checks the names, types and help texts in the text format, and the escaping of quotes, backslashes and line feeds in
 // labels.
 func TestText(t *testing.T) {
-	var f Figures
+	var f Metrics
 	f.Class("a\"b\\\n").Refused = 2
 	f.Class("gone").Served++ // a class that is not in the settings any more
 	f.Attempts, f.InFlight, f.Known, f.Excluded, f.ReloadsOK, f.ReloadsFailed = 1234567, 3, 4, 1, 5, 6
--- a/internal/trial/call_checker.go
+++ b/internal/trial/call_checker.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Judge checks the rules for every call, over all controllers, from the messages that dispatchers and callers receive:
+// CallChecker checks the rules for every call, over all controllers, from the messages that dispatchers and callers receive:
 //
 //   - A call has at most one attempt in progress, and none while it is established or after its caller was answered.
 //   - After an attempt that may have left a trace at its dispatcher, the next one comes no earlier than after the guard.
 //   - A caller receives one final answer before the deadline, and an answer is one that a dispatcher sent.
 //
-// Judge.Left and Judge.Unsettled return what remains at the end. The checker does no I/O: it depends only on the events that are reported
+// Judge.Remaining and Judge.Unfinished return what remains at the end. The checker does no I/O: it depends only on the events that are reported
 // to it and their times. Its methods may be called from any goroutine.
-type Judge struct {
+type CallChecker struct {
 	guard, deadline time.Duration
 	onSetUp         func(id string, when time.Time) // may be nil
 
@@ -48,14 +48,14 @@
 // clockTolerance is the largest difference between the times that the two ends of a loopback connection record for one event.
 const clockTolerance = 5 * time.Millisecond
 
-// NewJudge returns a checker for a guard time after attempts that may have left a trace, and for a deadline of final answers, counted from
+// NewCallChecker returns a checker for a guard time after attempts that may have left a trace, and for a deadline of final answers, counted from
 // the set-up.
-func NewJudge(guard, deadline time.Duration) *Judge {
-	return &Judge{guard: guard, deadline: deadline, calls: map[string]*callState{}, finalAnswers: map[string]int{}}
+func NewCallChecker(guard, deadline time.Duration) *CallChecker {
+	return &CallChecker{guard: guard, deadline: deadline, calls: map[string]*callState{}, finalAnswers: map[string]int{}}
 }
 
 // state returns the state of a call and creates it if needed.
-func (cc *Judge) state(id string) *callState {
+func (cc *CallChecker) state(id string) *callState {
 	c := cc.calls[id]
 	if c == nil {
 		c = &callState{}
@@ -65,7 +65,7 @@
 }
 
 // addViolation records a violation with the history of the call.
-func (cc *Judge) addViolation(c *callState, format string, args ...any) {
+func (cc *CallChecker) addViolation(c *callState, format string, args ...any) {
 	if len(cc.violations) < maxViolations {
 		cc.violations = append(cc.violations, fmt.Sprintf(format, args...)+"; "+c.history.String())
 	}
@@ -75,10 +75,10 @@
 
 // OnSetUp registers a function that is called for each set-up that a dispatcher receives, while the checker is locked. It must be called
 // before the first set-up.
-func (cc *Judge) OnSetUp(f func(id string, when time.Time)) { cc.onSetUp = f }
+func (cc *CallChecker) OnSetUp(f func(id string, when time.Time)) { cc.onSetUp = f }
 
-// SetUp records that a dispatcher has received a complete set-up.
-func (cc *Judge) SetUp(id, dispatcher string, when time.Time) {
+// SetUpReceived records that a dispatcher has received a complete set-up.
+func (cc *CallChecker) SetUpReceived(id, dispatcher string, when time.Time) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	c := cc.state(id)
@@ -101,9 +101,9 @@
 	c.attemptAt, c.releasedByControllerAt = dispatcher, time.Time{}
 }
 
-// GivenUp records that an attempt was cancelled or failed, or that its connection closed. Such an attempt may have left a trace at its
+// AttemptAborted records that an attempt was cancelled or failed, or that its connection closed. Such an attempt may have left a trace at its
 // dispatcher.
-func (cc *Judge) GivenUp(id, dispatcher string, when time.Time) {
+func (cc *CallChecker) AttemptAborted(id, dispatcher string, when time.Time) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	if c := cc.state(id); c.attemptAt == dispatcher {
@@ -112,8 +112,8 @@
 	}
 }
 
-// Refused records that a dispatcher has refused an attempt, which leaves no trace.
-func (cc *Judge) Refused(id, dispatcher string) {
+// AttemptRefused records that a dispatcher has refused an attempt, which leaves no trace.
+func (cc *CallChecker) AttemptRefused(id, dispatcher string) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	if c := cc.state(id); c.attemptAt == dispatcher {
@@ -122,8 +122,8 @@
 	}
 }
 
-// Answered records that a dispatcher answers an attempt, which establishes the call there.
-func (cc *Judge) Answered(id, dispatcher string) {
+// AttemptAnswered records that a dispatcher answers an attempt, which establishes the call there.
+func (cc *CallChecker) AttemptAnswered(id, dispatcher string) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	if c := cc.state(id); c.attemptAt == dispatcher {
@@ -132,8 +132,8 @@
 	}
 }
 
-// AnswerUnsent records that a dispatcher could not send an answer, as it had closed the connection. The attempt ended with the close.
-func (cc *Judge) AnswerUnsent(id, dispatcher string, when time.Time) {
+// AnswerNotSent records that a dispatcher could not send an answer, as it had closed the connection. The attempt ended with the close.
+func (cc *CallChecker) AnswerNotSent(id, dispatcher string, when time.Time) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	if c := cc.state(id); c.establishedAt == dispatcher {
@@ -143,7 +143,7 @@
 }
 
 // AnswersLost records that a dispatcher resets its connections. The answers that it has sent since the given time may never have been read.
-func (cc *Judge) AnswersLost(dispatcher string, since, when time.Time) {
+func (cc *CallChecker) AnswersLost(dispatcher string, since, when time.Time) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	for _, c := range cc.calls {
@@ -154,8 +154,8 @@
 	}
 }
 
-// Cut records that a controller has released an established call.
-func (cc *Judge) Cut(id, dispatcher string) {
+// ReleasedByController records that a controller has released an established call.
+func (cc *CallChecker) ReleasedByController(id, dispatcher string) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	if c := cc.state(id); c.establishedAt == dispatcher {
@@ -164,8 +164,8 @@
 	}
 }
 
-// Over records that a dispatcher ends an established call. It returns false if the call is not established there.
-func (cc *Judge) Over(id, dispatcher string, cause int) bool {
+// CallEnded records that a dispatcher ends an established call. It returns false if the call is not established there.
+func (cc *CallChecker) CallEnded(id, dispatcher string, cause int) bool {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	c := cc.state(id)
@@ -177,33 +177,33 @@
 	return true
 }
 
-// Out returns the dispatcher of the attempt in progress; empty if there is none.
-func (cc *Judge) Out(id string) string {
+// AttemptAt returns the dispatcher of the attempt in progress; empty if there is none.
+func (cc *CallChecker) AttemptAt(id string) string {
 	return readState(cc, id, func(c *callState) string { return c.attemptAt })
 }
 
-// Stands returns the dispatcher at which the call is established; empty if there is none.
-func (cc *Judge) Stands(id string) string {
+// EstablishedAt returns the dispatcher at which the call is established; empty if there is none.
+func (cc *CallChecker) EstablishedAt(id string) string {
 	return readState(cc, id, func(c *callState) string { return c.establishedAt })
 }
 
-// Guarded returns when the last attempt that may have left a trace ended.
-func (cc *Judge) Guarded(id string) time.Time {
+// GuardStart returns when the last attempt that may have left a trace ended.
+func (cc *CallChecker) GuardStart(id string) time.Time {
 	return readState(cc, id, func(c *callState) time.Time { return c.guardStart })
 }
 
-// OverAt returns when the call's dispatcher has ended it; zero if it has not.
-func (cc *Judge) OverAt(id string) time.Time {
+// EndedAt returns when the call's dispatcher has ended it; zero if it has not.
+func (cc *CallChecker) EndedAt(id string) time.Time {
 	return readState(cc, id, func(c *callState) time.Time { return c.endedAt })
 }
 
-// Released returns the cause with which the call's dispatcher has ended it; 0 if it has not.
-func (cc *Judge) Released(id string) int {
+// ReleaseCause returns the cause with which the call's dispatcher has ended it; 0 if it has not.
+func (cc *CallChecker) ReleaseCause(id string) int {
 	return readState(cc, id, func(c *callState) int { return c.releaseCause })
 }
 
 // readState returns what read returns for the state of a call, under the lock of the checker.
-func readState[T any](cc *Judge, id string, read func(*callState) T) T {
+func readState[T any](cc *CallChecker, id string, read func(*callState) T) T {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	return read(cc.state(id))
@@ -211,8 +211,8 @@
 
 // --- Events at callers ---
 
-// Placed records that a caller sends a set-up.
-func (cc *Judge) Placed(id string, when time.Time) {
+// CallPlaced records that a caller sends a set-up.
+func (cc *CallChecker) CallPlaced(id string, when time.Time) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	c := cc.state(id)
@@ -220,9 +220,9 @@
 	c.history.add(when, "placed", "")
 }
 
-// Heard records that a caller has received a message of a kind about its call. The text is the description of an answer or the error of a
+// MessageReceived records that a caller has received a message of a kind about its call. The text is the description of an answer or the error of a
 // release. It reports whether the caller expects further messages.
-func (cc *Judge) Heard(id, kind, text string, cause int, when time.Time) (unfinished bool) {
+func (cc *CallChecker) MessageReceived(id, kind, text string, cause int, when time.Time) (unfinished bool) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	c := cc.calls[id]
@@ -266,8 +266,8 @@
 // Description returns the session description in the answer to a call.
 func Description(id string) string { return "y" + id }
 
-// Unsettled returns the calls whose callers wait for a final answer, and those whose callers were answered and not notified of the end.
-func (cc *Judge) Unsettled() (unanswered, unnotified []string) {
+// Unfinished returns the calls whose callers wait for a final answer, and those whose callers were answered and not notified of the end.
+func (cc *CallChecker) Unfinished() (unanswered, unnotified []string) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	for id, c := range cc.calls {
@@ -284,8 +284,8 @@
 	return unanswered, unnotified
 }
 
-// Left lists the calls with an attempt in progress and the established calls, with their dispatchers.
-func (cc *Judge) Left() []string {
+// Remaining lists the calls with an attempt in progress and the established calls, with their dispatchers.
+func (cc *CallChecker) Remaining() []string {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	var remaining []string
@@ -298,8 +298,8 @@
 	return remaining
 }
 
-// Verdict returns the violations, the number of set-ups that dispatchers received, and the numbers of final answers and ends by kind.
-func (cc *Judge) Verdict() (violations []string, setUps int, finalAnswers map[string]int) {
+// Results returns the violations, the number of set-ups that dispatchers received, and the numbers of final answers and ends by kind.
+func (cc *CallChecker) Results() (violations []string, setUps int, finalAnswers map[string]int) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	return slices.Clone(cc.violations), cc.setUps, maps.Clone(cc.finalAnswers)
--- a/internal/trial/call_history.go
+++ b/internal/trial/call_history.go
@@ -41,14 +41,14 @@
 	return b.String()
 }
 
-// Note adds an event to the history of a call. No rule depends on it.
-func (cc *Judge) Note(id, text, detail string) {
+// AddEvent adds an event to the history of a call. No rule depends on it.
+func (cc *CallChecker) AddEvent(id, text, detail string) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	cc.state(id).history.add(time.Now(), text, detail)
 }
 
-// Trail returns the history of a call, for a report.
-func (cc *Judge) Trail(id string) string {
+// History returns the history of a call, for a report.
+func (cc *CallChecker) History(id string) string {
 	return readState(cc, id, func(c *callState) string { return c.history.String() })
 }
--- a/internal/trial/cluster.go
+++ b/internal/trial/cluster.go
@@ -38,8 +38,8 @@
 // dispatcherStart is the start time of the dispatchers in the list. It lies far in the past, so that no dispatcher counts as just started.
 var dispatcherStart = time.Duration(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).UnixNano())
 
-// Prefix is the prefix of the fleet's keys in the store.
-const Prefix = "/trial/members/"
+// KeyPrefix is the prefix of the fleet's keys in the store.
+const KeyPrefix = "/trial/members/"
 
 // Options configure a cluster.
 type Options struct {
@@ -53,8 +53,8 @@
 	Ledgers     bool              // each controller has a ledger below a common directory
 }
 
-// Ground is a cluster of controllers with their store and the links between them.
-type Ground struct {
+// Cluster is a cluster of controllers with their store and the links between them.
+type Cluster struct {
 	Store        *store.Store
 	Net          *fault.Net
 	Controllers  []*Controller
@@ -62,9 +62,9 @@
 	storeAddress string // without a proxy
 }
 
-// Open creates a cluster and starts its store. It starts no controller.
-func Open(options Options) (*Ground, error) {
-	cl := &Ground{Store: store.New(options.Seed + 1), Net: fault.New(options.Seed), options: options}
+// NewCluster creates a cluster and starts its store. It starts no controller.
+func NewCluster(options Options) (*Cluster, error) {
+	cl := &Cluster{Store: store.New(options.Seed + 1), Net: fault.New(options.Seed), options: options}
 	var err error
 	if cl.storeAddress, err = cl.Store.Listen("127.0.0.1:0"); err != nil {
 		return nil, err //nolint:wrapcheck // the error needs no context
@@ -80,7 +80,7 @@
 }
 
 // Close kills all controllers and closes the links and the store. It does not remove the directory.
-func (cl *Ground) Close() error {
+func (cl *Cluster) Close() error {
 	var err error
 	for _, c := range cl.Controllers {
 		err = errors.Join(err, c.Kill())
@@ -91,16 +91,16 @@
 }
 
 // StopStore stops the store. StartStore starts it again.
-func (cl *Ground) StopStore() { cl.Store.Close() }
+func (cl *Cluster) StopStore() { cl.Store.Close() }
 
 // StartStore starts the store again, at the address that it had before.
-func (cl *Ground) StartStore() error {
+func (cl *Cluster) StartStore() error {
 	_, err := cl.Store.Listen(cl.storeAddress)
 	return err //nolint:wrapcheck // the error needs no context
 }
 
-// Names returns the names of all controllers except the given ones.
-func (cl *Ground) Names(excluded ...*Controller) []string {
+// NamesExcept returns the names of all controllers except the given ones.
+func (cl *Cluster) NamesExcept(excluded ...*Controller) []string {
 	var names []string
 	for _, c := range cl.Controllers {
 		if !slices.Contains(excluded, c) {
@@ -124,11 +124,11 @@
 endpoints = %s
 prefix = %s
 lease_ms = %d
-%s` + Settings
+%s` + SettingsFormat
 
-// Settings is a format of the settings for tests, with the number of controllers as its argument: short timeouts, reports with all fields
+// SettingsFormat is a format of the settings for tests, with the number of controllers as its argument: short timeouts, reports with all fields
 // and a single class.
-const Settings = `[settings]
+const SettingsFormat = `[settings]
 membershipMode = pushed
 peersTotal = %d
 resolutionUs = 5000
@@ -164,26 +164,26 @@
 `
 
 // addController writes the files of a controller and adds its links.
-func (cl *Ground) addController(name string) (*Controller, error) {
+func (cl *Cluster) addController(name string) (*Controller, error) {
 	c := &Controller{Name: name, cluster: cl, directory: filepath.Join(cl.options.Directory, name)}
 	if err := os.MkdirAll(c.directory, 0o700); err != nil {
 		return nil, fmt.Errorf("trial: %w", err)
 	}
 	var management string
-	for _, address := range []*string{&c.Lines, &c.API, &management} {
+	for _, address := range []*string{&c.LinesAddress, &c.APIAddress, &management} {
 		var err error
-		if *address, err = peer.Free(); err != nil {
+		if *address, err = peer.FreeAddress(); err != nil {
 			return nil, err //nolint:wrapcheck // the error needs no context
 		}
 	}
 	c.management.Store(management)
-	storeLink, err := cl.Net.Between(name, StoreName, cl.storeAddress)
+	storeLink, err := cl.Net.AddLink(name, StoreName, cl.storeAddress)
 	if err != nil {
 		return nil, err //nolint:wrapcheck // the error needs no context
 	}
 	var listed []pool.Member
 	for i, dispatcher := range slices.Sorted(maps.Keys(cl.options.Dispatchers)) {
-		address, err := cl.Net.Between(name, dispatcher, cl.options.Dispatchers[dispatcher])
+		address, err := cl.Net.AddLink(name, dispatcher, cl.options.Dispatchers[dispatcher])
 		if err != nil {
 			return nil, err //nolint:wrapcheck // the error needs no context
 		}
@@ -195,9 +195,9 @@
 		ledgers := filepath.Join(cl.options.Directory, "ledgers")
 		ledgerSettings = fmt.Sprintf("ledgers = %s\n[ledger]\ndirectory = %s\nlines = true\n", ledgers, filepath.Join(ledgers, name))
 	}
-	operatorFile := fmt.Sprintf(operatorFileFormat, name, c.Lines, management, c.API, storeLink, Prefix, cl.options.Lease.Milliseconds(), ledgerSettings,
+	operatorFile := fmt.Sprintf(operatorFileFormat, name, c.LinesAddress, management, c.APIAddress, storeLink, KeyPrefix, cl.options.Lease.Milliseconds(), ledgerSettings,
 		cl.options.Controllers)
-	for file, text := range map[string]string{"operator.ini": operatorFile, "pool.ini": string(poolfile.Write("v", listed))} {
+	for file, text := range map[string]string{"operator.ini": operatorFile, "pool.ini": string(poolfile.Encode("v", listed))} {
 		if err := os.WriteFile(filepath.Join(c.directory, file), []byte(text), 0o600); err != nil {
 			return nil, fmt.Errorf("trial: %w", err)
 		}
@@ -207,11 +207,11 @@
 
 // Controller is a controller of the cluster and the process that it runs in.
 type Controller struct {
-	Name       string
-	Lines, API string       // addresses of its fronts for JSON lines and for WebSocket
-	management atomic.Value // string; an upgrade changes it
-	cluster    *Ground
-	directory  string
+	Name                     string
+	LinesAddress, APIAddress string       // addresses of its fronts for JSON lines and for WebSocket
+	management               atomic.Value // string; an upgrade changes it
+	cluster                  *Cluster
+	directory                string
 	process
 	predecessors []process // processes that were replaced by an upgrade and exit on their own
 	log          logBuffer
@@ -258,16 +258,16 @@
 	return nil
 }
 
-// Beside returns a second controller with the same files, for a process that runs at the same time, as in an upgrade. Its processes are
+// NewSibling returns a second controller with the same files, for a process that runs at the same time, as in an upgrade. Its processes are
 // not stopped with the cluster: who starts one stops it.
-func (c *Controller) Beside() *Controller {
-	second := &Controller{Name: c.Name, Lines: c.Lines, API: c.API, cluster: c.cluster, directory: c.directory}
-	second.management.Store(c.Management())
+func (c *Controller) NewSibling() *Controller {
+	second := &Controller{Name: c.Name, LinesAddress: c.LinesAddress, APIAddress: c.APIAddress, cluster: c.cluster, directory: c.directory}
+	second.management.Store(c.ManagementAddress())
 	return second
 }
 
-// Management returns the address of the management interface.
-func (c *Controller) Management() string {
+// ManagementAddress returns the address of the management interface.
+func (c *Controller) ManagementAddress() string {
 	address, _ := c.management.Load().(string) // every controller is created with one
 	return address
 }
@@ -276,14 +276,14 @@
 // and exits on its own.
 func (c *Controller) Upgrade() error {
 	old := c.process
-	management, err := peer.Free()
+	management, err := peer.FreeAddress()
 	if err != nil {
 		return err //nolint:wrapcheck // the error needs no context
 	}
 	path := filepath.Join(c.directory, "operator.ini")
 	text, err := os.ReadFile(path)
 	if err == nil { // two processes cannot share a management address
-		err = os.WriteFile(path, bytes.Replace(text, []byte("management = "+c.Management()), []byte("management = "+management), 1), 0o600)
+		err = os.WriteFile(path, bytes.Replace(text, []byte("management = "+c.ManagementAddress()), []byte("management = "+management), 1), 0o600)
 	}
 	if err != nil {
 		return fmt.Errorf("trial: %w", err)
@@ -369,7 +369,7 @@
 	c.signalAll(syscall.SIGSTOP)
 	for _, p := range append(slices.Clone(c.predecessors), c.process) {
 		if p.cmd != nil {
-			Until(pauseTimeout, func() bool { return isStopped(p.cmd.Process.Pid) })
+			WaitUntil(pauseTimeout, func() bool { return isStopped(p.cmd.Process.Pid) })
 		}
 	}
 }
@@ -405,8 +405,8 @@
 	}
 }
 
-// Runs reports whether the controller has been started and its process has not exited.
-func (c *Controller) Runs() bool {
+// IsRunning reports whether the controller has been started and its process has not exited.
+func (c *Controller) IsRunning() bool {
 	return c.cmd != nil && !c.exited()
 }
 
@@ -415,11 +415,11 @@
 // requestTimeout is the timeout of a request to the management interface.
 const requestTimeout = time.Second
 
-// Ask requests a page of the management interface and decodes it into result, unless that is nil.
-func (c *Controller) Ask(path string, result any) (status int, err error) {
+// Get requests a page of the management interface and decodes it into result, unless that is nil.
+func (c *Controller) Get(path string, result any) (status int, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.Management()+path, nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.ManagementAddress()+path, nil)
 	if err != nil {
 		return 0, fmt.Errorf("trial: %w", err)
 	}
@@ -441,15 +441,15 @@
 }
 
 // Fleet returns the controller's view of the fleet, or the zero value if the controller does not answer.
-func (c *Controller) Fleet() membership.Shown {
-	var view membership.Shown
-	_, _ = c.Ask(membership.Path, &view) // without an answer the view stays empty
+func (c *Controller) Fleet() membership.Status {
+	var view membership.Status
+	_, _ = c.Get(membership.Path, &view) // without an answer the view stays empty
 	return view
 }
 
-// Until waits until the condition holds and reports whether it did before the timeout, which should be long
+// WaitUntil waits until the condition holds and reports whether it did before the timeout, which should be long
 // enough for a busy machine.
-func Until(timeout time.Duration, condition func() bool) bool {
+func WaitUntil(timeout time.Duration, condition func() bool) bool {
 	for deadline := time.Now().Add(timeout); ; time.Sleep(5 * time.Millisecond) {
 		if condition() {
 			return true
--- a/internal/trial/fleet_checker.go
+++ b/internal/trial/fleet_checker.go
@@ -9,9 +9,9 @@
 	"cherryrelay/internal/membership"
 )
 
-// Beliefs compares the views that all controllers have of the fleet. Only one process at a time may hold the lease of a name, and no
+// FleetChecker compares the views that all controllers have of the fleet. Only one process at a time may hold the lease of a name, and no
 // process may hold a lease after another process has reported the end of that incarnation. Its methods may be called from any goroutine.
-type Beliefs struct {
+type FleetChecker struct {
 	mu           sync.Mutex
 	firstReports map[incarnationKey]firstReport
 	reports      map[incarnationKey]map[string]time.Time // when each process first reported an end
@@ -44,9 +44,9 @@
 // cause.
 const maxViolations = 50
 
-// Sample adds the view of a process, which was requested at asked and received at answered. The view was true at some moment between the
+// AddSample adds the view of a process, which was requested at asked and received at answered. The view was true at some moment between the
 // two. A lease with some time left is valid at least for that time after asked, unless the process gives the lease up earlier.
-func (f *Beliefs) Sample(process string, asked, answered time.Time, page membership.Shown) {
+func (f *FleetChecker) AddSample(process string, asked, answered time.Time, page membership.Status) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.firstReports == nil {
@@ -54,7 +54,7 @@
 	}
 	f.samples++
 	for _, m := range page.Gone {
-		ended := incarnationKey{m.Store, m.Name, m.Incarnation}
+		ended := incarnationKey{m.StoreID, m.Name, m.Incarnation}
 		if _, known := f.firstReports[ended]; !known {
 			f.firstReports[ended] = firstReport{answered, process}
 			f.reports[ended] = map[string]time.Time{}
@@ -63,10 +63,10 @@
 			f.reports[ended][process] = answered
 		}
 	}
-	if !page.Certain {
+	if !page.HoldsLease {
 		return
 	}
-	own := incarnationKey{page.Store, page.Name, page.Incarnation}
+	own := incarnationKey{page.StoreID, page.Name, page.Incarnation}
 	if report, reported := f.firstReports[own]; reported && report.at.Before(asked) {
 		f.addViolation("%s holds the lease of %s as incarnation %d, %v after %s reported its end",
 			process, page.Name, page.Incarnation, asked.Sub(report.at), report.by)
@@ -76,26 +76,26 @@
 			process, page.Name, page.Incarnation, c.by, c.incarnation, c.until.Sub(asked))
 	}
 	if c := f.holders[page.Name]; c.by == process || page.Incarnation > c.incarnation {
-		f.holders[page.Name] = holding{process, page.Incarnation, asked, asked.Add(time.Duration(page.LeftMs) * time.Millisecond)}
+		f.holders[page.Name] = holding{process, page.Incarnation, asked, asked.Add(time.Duration(page.LeaseRemainingMs) * time.Millisecond)}
 	}
 }
 
 // addViolation records a violation.
-func (f *Beliefs) addViolation(format string, args ...any) {
+func (f *FleetChecker) addViolation(format string, args ...any) {
 	if len(f.violations) < maxViolations {
 		f.violations = append(f.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// Faults returns the violations and the number of samples that were checked.
-func (f *Beliefs) Faults() (violations []string, samples int) {
+// Violations returns the violations and the number of samples that were checked.
+func (f *FleetChecker) Violations() (violations []string, samples int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]string(nil), f.violations...), f.samples
 }
 
-// Heard returns when each process first reported the end of an incarnation.
-func (f *Beliefs) Heard(store uint64, name string, incarnation int64) map[string]time.Time {
+// EndReports returns when each process first reported the end of an incarnation.
+func (f *FleetChecker) EndReports(store uint64, name string, incarnation int64) map[string]time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return maps.Clone(f.reports[incarnationKey{store, name, incarnation}])
@@ -104,9 +104,9 @@
 // pollInterval is the pause between two requests to the same controller.
 const pollInterval = 20 * time.Millisecond
 
-// Watch polls the fleet view of every controller until stop is closed. Each controller has its own goroutine, so that one that does not
+// StartPolling polls the fleet view of every controller until stop is closed. Each controller has its own goroutine, so that one that does not
 // answer delays no other.
-func (cl *Ground) Watch(checker *Beliefs, stop <-chan struct{}) *sync.WaitGroup {
+func (cl *Cluster) StartPolling(checker *FleetChecker, stop <-chan struct{}) *sync.WaitGroup {
 	var polls sync.WaitGroup
 	for _, c := range cl.Controllers {
 		polls.Go(func() {
@@ -116,10 +116,10 @@
 					return
 				case <-time.After(pollInterval):
 				}
-				var page membership.Shown
+				var page membership.Status
 				asked := time.Now()
-				if status, err := c.Ask(membership.Path, &page); err == nil && status == 200 {
-					checker.Sample(c.Name, asked, time.Now(), page)
+				if status, err := c.Get(membership.Path, &page); err == nil && status == 200 {
+					checker.AddSample(c.Name, asked, time.Now(), page)
 				}
 			}
 		})
--- a/internal/trial/log_steps.go
+++ b/internal/trial/log_steps.go
@@ -14,7 +14,7 @@
 
 // LastSteps returns a line for each of the given calls, with its last steps from the logs of all controllers. Controllers log steps only at
 // the debug level, which LB_LOG=debug sets.
-func (cl *Ground) LastSteps(ids []string) []string {
+func (cl *Cluster) LastSteps(ids []string) []string {
 	steps := map[string][]loggedStep{}
 	for _, c := range cl.Controllers {
 		for line := range strings.Lines(c.Log()) {
--- a/internal/trial/log_steps_test.go
+++ b/internal/trial/log_steps_test.go
@@ -13,7 +13,7 @@
 // TestLastSteps guards against reports on a call that list the steps of other calls, other kinds of log lines or steps before the last ones.
 func TestLastSteps(t *testing.T) {
 	const loggedID, otherID, unloggedID = "00000000000000a1", "00000000000000a2", "00000000000000a3"
-	cl := &Ground{Controllers: []*Controller{{Name: "n1"}, {Name: "n2"}}}
+	cl := &Cluster{Controllers: []*Controller{{Name: "n1"}, {Name: "n2"}}}
 	start := time.Unix(1000, 0)
 	logStep := func(c *Controller, ms int, id string, step endlog.Step) {
 		at := start.Add(time.Duration(ms) * time.Millisecond)
@@ -27,11 +27,11 @@
 	}
 	logStep(cl.Controllers[0], 10, loggedID, endlog.ReleaseRead)
 	logStep(cl.Controllers[0], 30, loggedID, endlog.EndQueued)
-	logStep(cl.Controllers[0], 40, otherID, endlog.EndWithKernel)
-	logStep(cl.Controllers[1], 20, loggedID, endlog.Arrived)
+	logStep(cl.Controllers[0], 40, otherID, endlog.EndWrittenToKernel)
+	logStep(cl.Controllers[1], 20, loggedID, endlog.TransferredIn)
 	fmt.Fprintf(&cl.Controllers[1].log, "time=2100-01-01T00:00:00.000Z level=WARN msg=%q id=%s\n", "end of a call given up", loggedID)
 	got := cl.LastSteps([]string{loggedID, unloggedID})
-	if len(got) != 2 || !containsInOrder(got[0], loggedID, string(endlog.ReleaseRead), "name=n2", string(endlog.Arrived),
+	if len(got) != 2 || !containsInOrder(got[0], loggedID, string(endlog.ReleaseRead), "name=n2", string(endlog.TransferredIn),
 		"name=n1", string(endlog.EndQueued), "connection=7") ||
 		strings.Contains(got[0], otherID) || strings.Contains(got[0], "given up") || got[1] != unloggedID+": no step is logged" {
 		t.Errorf("last steps %q", got)
--- a/internal/trial/peers.go
+++ b/internal/trial/peers.go
@@ -20,7 +20,7 @@
 type Dispatcher struct {
 	*peer.Dispatcher
 	Name    string
-	checker *Judge
+	checker *CallChecker
 
 	mu            sync.Mutex
 	attempts      map[string]peer.Event // set-ups of the attempts in progress, by call id
@@ -30,18 +30,18 @@
 	failNext      int // number of the next set-ups that fail
 }
 
-// Stand starts a dispatcher on a free port. Its response to each call is pseudo-random until Dispatcher.Act changes that.
-func Stand(transport, name string, checker *Judge) (*Dispatcher, error) {
-	return StandAt(transport, "127.0.0.1:0", name, checker)
+// StartDispatcher starts a dispatcher on a free port. Its response to each call is pseudo-random until Dispatcher.SetBehavior changes that.
+func StartDispatcher(transport, name string, checker *CallChecker) (*Dispatcher, error) {
+	return StartDispatcherAt(transport, "127.0.0.1:0", name, checker)
 }
 
-// StandAt starts a dispatcher at an address.
-func StandAt(transport, address, name string, checker *Judge) (*Dispatcher, error) {
-	listener, err := peer.Dispatch(transport, address, "x0:1000000;x1:1000000")
+// StartDispatcherAt starts a dispatcher at an address.
+func StartDispatcherAt(transport, address, name string, checker *CallChecker) (*Dispatcher, error) {
+	listener, err := peer.StartDispatcher(transport, address, "x0:1000000;x1:1000000")
 	if err != nil {
 		return nil, err //nolint:wrapcheck // the error needs no context
 	}
-	listener.TellLinks()
+	listener.EnableConnEvents()
 	d := &Dispatcher{Dispatcher: listener, Name: name, checker: checker, attempts: map[string]peer.Event{}, releases: map[string]time.Time{}}
 	go func() {
 		for range listener.Acks { // unused, but the channel must not fill up
@@ -55,22 +55,22 @@
 	return d, nil
 }
 
-// Act makes the dispatcher answer every set-up at once, or none at all, or, with neither, respond pseudo-randomly.
-func (d *Dispatcher) Act(answersAtOnce, neverAnswers bool) {
+// SetBehavior makes the dispatcher answer every set-up at once, or none at all, or, with neither, respond pseudo-randomly.
+func (d *Dispatcher) SetBehavior(answersAtOnce, neverAnswers bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.answersAtOnce, d.neverAnswers = answersAtOnce, neverAnswers
 }
 
-// Break makes the given number of following set-ups fail temporarily.
-func (d *Dispatcher) Break(setUps int) {
+// FailNext makes the given number of following set-ups fail temporarily.
+func (d *Dispatcher) FailNext(setUps int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.failNext = setUps
 }
 
-// AnswerAll answers all attempts in progress of a dispatcher that never answers.
-func (d *Dispatcher) AnswerAll() {
+// AnswerPending answers all attempts in progress of a dispatcher that never answers.
+func (d *Dispatcher) AnswerPending() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for id, e := range d.attempts {
@@ -82,9 +82,9 @@
 // answerSetUp answers a set-up and reports whether the answer was sent. It notifies the checker before it sends the answer, as the
 // controller's reaction could otherwise reach the checker first.
 func (d *Dispatcher) answerSetUp(e peer.Event) bool {
-	d.checker.Answered(e.ID, d.Name)
+	d.checker.AttemptAnswered(e.ID, d.Name)
 	if e.Answer(Description(e.ID)) != nil { // this dispatcher has closed the connection, as it is being killed
-		d.checker.AnswerUnsent(e.ID, d.Name, attemptEnd(e, time.Now()))
+		d.checker.AnswerNotSent(e.ID, d.Name, attemptEnd(e, time.Now()))
 		return false
 	}
 	return true
@@ -96,21 +96,21 @@
 	defer d.mu.Unlock()
 	switch e.Kind {
 	case "setup":
-		d.checker.SetUp(e.ID, d.Name, e.At)
+		d.checker.SetUpReceived(e.ID, d.Name, e.At)
 		d.attempts[e.ID] = e
 		d.respondToSetUp(e)
 	case "release":
 		if attempt, inProgress := d.attempts[e.ID]; inProgress {
 			delete(d.attempts, e.ID)
-			d.checker.GivenUp(e.ID, d.Name, attemptEnd(attempt, e.At))
+			d.checker.AttemptAborted(e.ID, d.Name, attemptEnd(attempt, e.At))
 		}
-		d.checker.Cut(e.ID, d.Name)
+		d.checker.ReleasedByController(e.ID, d.Name)
 	case "closed": // the attempts on the connection end with it
 		for id, attempt := range d.attempts {
-			if attempt.Beside(e) {
-				d.checker.Note(id, "connection closed at", d.Name)
+			if attempt.SameConn(e) {
+				d.checker.AddEvent(id, "connection closed at", d.Name)
 				delete(d.attempts, id)
-				d.checker.GivenUp(id, d.Name, attemptEnd(attempt, e.At))
+				d.checker.AttemptAborted(id, d.Name, attemptEnd(attempt, e.At))
 			}
 		}
 	case "opened":
@@ -119,7 +119,7 @@
 				delete(d.releases, id)
 				continue
 			}
-			_ = e.ReleaseHere(id, d.checker.Released(id))
+			_ = e.ReleaseOnConn(id, d.checker.ReleaseCause(id))
 		}
 	}
 }
@@ -127,7 +127,7 @@
 // attemptEnd returns when an attempt ended whose end was seen at the given time. If a test has closed the connection before, the attempt
 // ended with the close, which the reader of the connection may see later than the controller does.
 func attemptEnd(setUp peer.Event, seen time.Time) time.Time {
-	if closed := setUp.ClosedHere(); !closed.IsZero() && closed.Before(seen) {
+	if closed := setUp.ConnClosedAt(); !closed.IsZero() && closed.Before(seen) {
 		return closed
 	}
 	return seen
@@ -137,7 +137,7 @@
 // dispatcher's name and the number of set-ups so far.
 func (d *Dispatcher) respondToSetUp(e peer.Event) {
 	h := fnv.New64a()
-	_, setUps, _ := d.checker.Verdict()
+	_, setUps, _ := d.checker.Results()
 	fmt.Fprint(h, e.ID, d.Name, setUps%3)
 	rng := rand.New(rand.NewPCG(h.Sum64(), 1))
 	delay := time.Duration(rng.IntN(120)) * time.Millisecond
@@ -154,30 +154,30 @@
 	time.AfterFunc(delay, func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if attempt, inProgress := d.attempts[e.ID]; !inProgress || !attempt.Beside(e) || attempt.At != e.At {
+		if attempt, inProgress := d.attempts[e.ID]; !inProgress || !attempt.SameConn(e) || attempt.At != e.At {
 			return // the attempt ended in the meantime
 		}
 		delete(d.attempts, e.ID)
 		switch {
 		case outcome < 2: // a temporary failure
-			d.checker.GivenUp(e.ID, d.Name, time.Now())
-			_ = e.Refuse(peer.Broken)
+			d.checker.AttemptAborted(e.ID, d.Name, time.Now())
+			_ = e.Refuse(peer.TemporaryFailure)
 		case outcome < 4:
-			d.checker.Refused(e.ID, d.Name)
+			d.checker.AttemptRefused(e.ID, d.Name)
 			_ = e.Refuse(peer.NoLine)
 		default:
 			if d.answerSetUp(e) && !d.answersAtOnce {
-				time.AfterFunc(time.Duration(rng.IntN(1500))*time.Millisecond, func() { d.End(e.ID) })
+				time.AfterFunc(time.Duration(rng.IntN(1500))*time.Millisecond, func() { d.EndCall(e.ID) })
 			}
 		}
 	})
 }
 
-// End ends an established call. It sends the release on an open connection, and again on each connection that opens in the next 10 s.
-func (d *Dispatcher) End(id string) {
+// EndCall ends an established call. It sends the release on an open connection, and again on each connection that opens in the next 10 s.
+func (d *Dispatcher) EndCall(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.checker.Over(id, d.Name, 16) {
+	if d.checker.CallEnded(id, d.Name, 16) {
 		_ = d.Release(id, 16)
 		d.releases[id] = time.Now()
 	}
@@ -201,13 +201,13 @@
 type Caller struct {
 	Transport string
 	Addresses []string
-	First     int // number of its first call
+	FirstCall int // number of its first call
 	Window    int // maximum number of open calls
-	Judge     *Judge
-	Patience  time.Duration // how long Run waits for open calls once done is closed; 0 for the default of package peer
+	Checker   *CallChecker
+	Timeout   time.Duration // how long Run waits for open calls once done is closed; 0 for the default of package peer
 
 	Placed, Resumes  int             // numbers of set-ups and of resume requests
-	Words            []time.Duration // from the loss of a connection to the first message of each call that was pending on it
+	ResumeDelays     []time.Duration // from the loss of a connection to the first message of each call that was pending on it
 	connectionLostAt time.Time       // when the connection was lost on which the calls in awaitingMessage were pending
 	awaitingMessage  map[string]bool // pending calls without a message since they were resumed
 	nextCall         int
@@ -217,22 +217,22 @@
 	stopDeadline     time.Time            // when Run stops waiting for open calls; zero before done is closed
 }
 
-// From sets the index of the address that the caller connects to first.
-func (c *Caller) From(index int) { c.addressIndex = index }
+// StartAt sets the index of the address that the caller connects to first.
+func (c *Caller) StartAt(index int) { c.addressIndex = index }
 
 // Run places calls and follows each to its end, until done is closed and no call is open or the timeout has passed. Calls that are open
 // after that are known to the checker.
 func (c *Caller) Run(done <-chan struct{}) {
-	c.openCalls, c.nextCall, c.awaitingMessage, c.answerDeadlines = map[string]bool{}, c.First, map[string]bool{}, map[string]time.Time{}
+	c.openCalls, c.nextCall, c.awaitingMessage, c.answerDeadlines = map[string]bool{}, c.FirstCall, map[string]bool{}, map[string]time.Time{}
 	for {
-		connection, err := peer.Call(c.Transport, c.Addresses[c.addressIndex%len(c.Addresses)])
+		connection, err := peer.DialCaller(c.Transport, c.Addresses[c.addressIndex%len(c.Addresses)])
 		if err != nil {
 			time.Sleep(2 * time.Millisecond)
 		} else {
 			c.useConnection(connection, done)
 			_ = connection.Close()
 			for id := range c.openCalls {
-				c.Judge.Note(id, "connection ended", connection.RemoteAddr().String())
+				c.Checker.AddEvent(id, "connection ended", connection.RemoteAddr().String())
 			}
 			if len(c.awaitingMessage) == 0 { // otherwise this connection was lost before all pending calls had a message
 				c.connectionLostAt = time.Now()
@@ -250,7 +250,7 @@
 	select {
 	case <-done:
 		if c.stopDeadline.IsZero() {
-			c.stopDeadline = time.Now().Add(cmp.Or(c.Patience, peer.Patience))
+			c.stopDeadline = time.Now().Add(cmp.Or(c.Timeout, peer.Timeout))
 		}
 		return true
 	default:
@@ -271,7 +271,7 @@
 		} else {
 			fields["left"] = jsonl.Value(strconv.FormatInt(max(time.Until(c.answerDeadlines[id]), 0).Milliseconds(), 10))
 		}
-		c.Judge.Note(id, "resumed at", connection.RemoteAddr().String())
+		c.Checker.AddEvent(id, "resumed at", connection.RemoteAddr().String())
 		if connection.Send(jsonl.Message{Type: "resume", ID: id, Fields: fields}) != nil {
 			return
 		}
@@ -304,13 +304,13 @@
 		}
 		if c.awaitingMessage[m.ID] {
 			delete(c.awaitingMessage, m.ID)
-			c.Words = append(c.Words, time.Since(c.connectionLostAt))
+			c.ResumeDelays = append(c.ResumeDelays, time.Since(c.connectionLostAt))
 		}
 		text := m.Description()
 		if m.Type == "release" {
 			text = string(m.Fields["error"])
 		}
-		if c.Judge.Heard(m.ID, m.Type, text, m.CauseOr(0), time.Now()) {
+		if c.Checker.MessageReceived(m.ID, m.Type, text, m.CauseOr(0), time.Now()) {
 			c.openCalls[m.ID] = c.openCalls[m.ID] || m.Type == "answer"
 		} else {
 			if !c.openCalls[m.ID] {
@@ -328,7 +328,7 @@
 	c.nextCall++
 	c.Placed++
 	c.openCalls[id], c.answerDeadlines[id] = false, time.Now().Add(answerTimeout)
-	c.Judge.Placed(id, time.Now())
+	c.Checker.CallPlaced(id, time.Now())
 	description := "x"
 	return connection.Send(jsonl.Message{Type: "setup", ID: id, SDP: &description, Fields: map[string]jsonl.Value{
 		"class": "send-setup", "tenant": "acme", "key": jsonl.Value("k" + id), "left": jsonl.Value(strconv.Itoa(int(answerTimeout.Milliseconds()))),
--- a/internal/trial/replaced_dispatcher.go
+++ b/internal/trial/replaced_dispatcher.go
@@ -8,25 +8,25 @@
 	"cherryrelay/internal/peer"
 )
 
-// Work configures how a dispatcher treats its calls. Shares are from 0 to 1.
-type Work struct {
-	Lines      int           // maximum number of pending and established calls; further set-ups are refused
-	Answers    time.Duration // maximum delay of an answer
-	Holds      time.Duration // maximum time that a call is established
-	Broken     float64       // share of set-ups that fail temporarily
-	Unanswered float64       // share of set-ups that are never answered
-	Brief      float64       // share of calls that end shortly after their answer, possibly before it has arrived
-	Closes     float64       // share of calls whose end first closes the connection of the set-up, unless an attempt is in progress on it
-	Seed       uint64
+// Workload configures how a dispatcher treats its calls. Shares are from 0 to 1.
+type Workload struct {
+	Lines           int           // maximum number of pending and established calls; further set-ups are refused
+	MaxAnswerDelay  time.Duration // maximum delay of an answer
+	MaxCallDuration time.Duration // maximum time that a call is established
+	FailedShare     float64       // share of set-ups that fail temporarily
+	UnansweredShare float64       // share of set-ups that are never answered
+	BriefShare      float64       // share of calls that end shortly after their answer, possibly before it has arrived
+	CloseShare      float64       // share of calls whose end first closes the connection of the set-up, unless an attempt is in progress on it
+	Seed            uint64
 }
 
-// Replaced is a fake dispatcher that is replaced while it has calls. It may have few lines, answer slowly and close connections. It can
+// ReplaceableDispatcher is a fake dispatcher that is replaced while it has calls. It may have few lines, answer slowly and close connections. It can
 // drain, which refuses connections while its calls continue, and its process can end, which resets its connections and ends its calls.
-type Replaced struct {
+type ReplaceableDispatcher struct {
 	*peer.Dispatcher
 	Name     string
-	checker  *Judge
-	workload Work
+	checker  *CallChecker
+	workload Workload
 
 	mu               sync.Mutex
 	rng              *rand.Rand
@@ -43,14 +43,14 @@
 // answerTransitTime is how long before a reset an answer may have been sent that the reset still loses.
 const answerTransitTime = 100 * time.Millisecond
 
-// StandToBeReplaced starts a dispatcher, which sends the report first on every new connection.
-func StandToBeReplaced(transport, name, report string, checker *Judge, workload Work) (*Replaced, error) {
-	listener, err := peer.Dispatch(transport, "127.0.0.1:0", report)
+// StartReplaceableDispatcher starts a dispatcher, which sends the report first on every new connection.
+func StartReplaceableDispatcher(transport, name, report string, checker *CallChecker, workload Workload) (*ReplaceableDispatcher, error) {
+	listener, err := peer.StartDispatcher(transport, "127.0.0.1:0", report)
 	if err != nil {
 		return nil, err //nolint:wrapcheck // the error needs no context
 	}
-	listener.TellLinks()
-	r := &Replaced{Dispatcher: listener, Name: name, checker: checker, workload: workload, rng: rand.New(rand.NewPCG(workload.Seed, 0x7265706c)),
+	listener.EnableConnEvents()
+	r := &ReplaceableDispatcher{Dispatcher: listener, Name: name, checker: checker, workload: workload, rng: rand.New(rand.NewPCG(workload.Seed, 0x7265706c)),
 		pending: map[string]peer.Event{}, established: map[string]peer.Event{}}
 	go func() {
 		for range listener.Acks { // unused, but the channel must not fill up
@@ -64,35 +64,35 @@
 	return r, nil
 }
 
-// Free returns the number of free lines.
-func (r *Replaced) Free() int {
+// FreeLines returns the number of free lines.
+func (r *ReplaceableDispatcher) FreeLines() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return max(r.workload.Lines-len(r.pending)-len(r.established), 0)
 }
 
-// Answer sets the maximum delay of answers from now on.
-func (r *Replaced) Answer(maxDelay time.Duration) {
+// SetMaxAnswerDelay sets the maximum delay of answers from now on.
+func (r *ReplaceableDispatcher) SetMaxAnswerDelay(maxDelay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.workload.Answers = maxDelay
+	r.workload.MaxAnswerDelay = maxDelay
 }
 
 // handleEvent reports an event to the checker and reacts to it.
-func (r *Replaced) handleEvent(e peer.Event) {
+func (r *ReplaceableDispatcher) handleEvent(e peer.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch e.Kind {
 	case "setup":
-		r.checker.SetUp(e.ID, r.Name, e.At)
+		r.checker.SetUpReceived(e.ID, r.Name, e.At)
 		r.handleSetUp(e)
 	case "release":
 		if setUp, isPending := r.pending[e.ID]; isPending {
 			delete(r.pending, e.ID)
-			r.checker.GivenUp(e.ID, r.Name, attemptEnd(setUp, e.At))
+			r.checker.AttemptAborted(e.ID, r.Name, attemptEnd(setUp, e.At))
 		}
 		delete(r.established, e.ID)
-		r.checker.Cut(e.ID, r.Name)
+		r.checker.ReleasedByController(e.ID, r.Name)
 	case "opened":
 		r.conns = append(r.conns, e)
 		for _, id := range r.releasesToRepeat {
@@ -105,51 +105,51 @@
 }
 
 // handleClosed removes a connection that has closed. The attempts on it end.
-func (r *Replaced) handleClosed(e peer.Event) {
+func (r *ReplaceableDispatcher) handleClosed(e peer.Event) {
 	var open []peer.Event
 	for _, conn := range r.conns {
-		if !conn.Beside(e) {
+		if !conn.SameConn(e) {
 			open = append(open, conn)
 		}
 	}
 	r.conns = open
 	for id, setUp := range r.pending {
-		if setUp.Beside(e) {
-			r.checker.Note(id, "connection closed at", r.Name)
+		if setUp.SameConn(e) {
+			r.checker.AddEvent(id, "connection closed at", r.Name)
 			delete(r.pending, id)
-			r.checker.GivenUp(id, r.Name, attemptEnd(setUp, e.At))
+			r.checker.AttemptAborted(id, r.Name, attemptEnd(setUp, e.At))
 		}
 	}
 }
 
 // handleSetUp refuses a set-up, lets it fail, answers it or ignores it.
-func (r *Replaced) handleSetUp(e peer.Event) {
+func (r *ReplaceableDispatcher) handleSetUp(e peer.Event) {
 	if len(r.pending)+len(r.established) >= r.workload.Lines {
-		r.checker.Refused(e.ID, r.Name)
+		r.checker.AttemptRefused(e.ID, r.Name)
 		_ = e.Refuse(peer.NoLine)
 		return
 	}
 	r.pending[e.ID] = e
 	outcome := r.rng.Float64()
-	if outcome < r.workload.Unanswered {
+	if outcome < r.workload.UnansweredShare {
 		return
 	}
-	fails := outcome < r.workload.Unanswered+r.workload.Broken
-	delay := time.Duration(r.rng.Int64N(int64(r.workload.Answers)))
-	duration := time.Duration(r.rng.Int64N(int64(r.workload.Holds)))
-	if r.rng.Float64() < r.workload.Brief {
+	fails := outcome < r.workload.UnansweredShare+r.workload.FailedShare
+	delay := time.Duration(r.rng.Int64N(int64(r.workload.MaxAnswerDelay)))
+	duration := time.Duration(r.rng.Int64N(int64(r.workload.MaxCallDuration)))
+	if r.rng.Float64() < r.workload.BriefShare {
 		duration %= maxBriefDuration
 	}
 	time.AfterFunc(delay, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if setUp, isPending := r.pending[e.ID]; !isPending || !setUp.Beside(e) || setUp.At != e.At {
+		if setUp, isPending := r.pending[e.ID]; !isPending || !setUp.SameConn(e) || setUp.At != e.At {
 			return // the attempt ended in the meantime
 		}
 		delete(r.pending, e.ID)
 		if fails {
-			r.checker.GivenUp(e.ID, r.Name, time.Now())
-			_ = e.Refuse(peer.Broken)
+			r.checker.AttemptAborted(e.ID, r.Name, time.Now())
+			_ = e.Refuse(peer.TemporaryFailure)
 			return
 		}
 		r.answerSetUp(e, duration)
@@ -157,17 +157,17 @@
 }
 
 // answerSetUp answers a set-up and ends the call after the given duration.
-func (r *Replaced) answerSetUp(e peer.Event, duration time.Duration) {
-	r.checker.Answered(e.ID, r.Name)
+func (r *ReplaceableDispatcher) answerSetUp(e peer.Event, duration time.Duration) {
+	r.checker.AttemptAnswered(e.ID, r.Name)
 	if e.Answer(Description(e.ID)) != nil {
-		r.checker.AnswerUnsent(e.ID, r.Name, attemptEnd(e, time.Now()))
+		r.checker.AnswerNotSent(e.ID, r.Name, attemptEnd(e, time.Now()))
 		return
 	}
 	r.established[e.ID] = e
 	time.AfterFunc(duration, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if setUp, isEstablished := r.established[e.ID]; isEstablished && setUp.Beside(e) && setUp.At == e.At {
+		if setUp, isEstablished := r.established[e.ID]; isEstablished && setUp.SameConn(e) && setUp.At == e.At {
 			r.endCall(e.ID)
 		}
 	})
@@ -175,15 +175,15 @@
 
 // endCall ends an established call. It sends the release on the connection of the set-up, or else on any open one, and again on the next
 // connection that opens.
-func (r *Replaced) endCall(id string) {
+func (r *ReplaceableDispatcher) endCall(id string) {
 	e := r.established[id]
 	delete(r.established, id)
-	if !r.checker.Over(id, r.Name, 16) {
+	if !r.checker.CallEnded(id, r.Name, 16) {
 		return
 	}
 	r.releasesToRepeat = append(r.releasesToRepeat, id)
-	if r.rng.Float64() < r.workload.Closes && r.pendingOn(e) == 0 {
-		_ = e.CloseHere()
+	if r.rng.Float64() < r.workload.CloseShare && r.pendingOn(e) == 0 {
+		_ = e.CloseConn()
 		r.handleClosed(e)
 	}
 	if r.sendRelease(e, id) {
@@ -197,8 +197,8 @@
 }
 
 // sendRelease sends the release of a call on the connection of an event and reports whether that succeeded.
-func (r *Replaced) sendRelease(conn peer.Event, id string) bool {
-	if conn.ReleaseHere(id, 16) != nil {
+func (r *ReplaceableDispatcher) sendRelease(conn peer.Event, id string) bool {
+	if conn.ReleaseOnConn(id, 16) != nil {
 		return false
 	}
 	r.checker.ReleaseSent(id, r.Name, time.Now())
@@ -206,7 +206,7 @@
 }
 
 // EndAll ends all established calls.
-func (r *Replaced) EndAll() {
+func (r *ReplaceableDispatcher) EndAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id := range r.established {
@@ -214,14 +214,14 @@
 	}
 }
 
-// CloseOne closes a random connection without an attempt in progress, if there is one.
-func (r *Replaced) CloseOne() {
+// CloseIdleConn closes a random connection without an attempt in progress, if there is one.
+func (r *ReplaceableDispatcher) CloseIdleConn() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, i := range r.rng.Perm(len(r.conns)) {
 		conn := r.conns[i]
 		if r.pendingOn(conn) == 0 {
-			_ = conn.CloseHere()
+			_ = conn.CloseConn()
 			r.handleClosed(conn)
 			return
 		}
@@ -229,18 +229,18 @@
 }
 
 // pendingOn returns the number of attempts in progress on the connection of an event.
-func (r *Replaced) pendingOn(conn peer.Event) int {
+func (r *ReplaceableDispatcher) pendingOn(conn peer.Event) int {
 	n := 0
 	for _, setUp := range r.pending {
-		if setUp.Beside(conn) {
+		if setUp.SameConn(conn) {
 			n++
 		}
 	}
 	return n
 }
 
-// Die ends the dispatcher like the end of its process: it stops listening, resets all connections and ends all calls.
-func (r *Replaced) Die() {
+// Kill ends the dispatcher like the end of its process: it stops listening, resets all connections and ends all calls.
+func (r *ReplaceableDispatcher) Kill() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.dead {
@@ -248,10 +248,10 @@
 	}
 	r.dead = true
 	now := time.Now()
-	r.Dispatcher.Die()
+	r.Dispatcher.Kill()
 	r.checker.AnswersLost(r.Name, now.Add(-answerTransitTime), now)
 	for id := range r.established {
 		delete(r.established, id)
-		r.checker.Over(id, r.Name, 41)
+		r.checker.CallEnded(id, r.Name, 41)
 	}
 }
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -13,27 +13,27 @@
 
 // Result is the result of a trial. It is stored as JSON.
 type Result struct {
-	Seed       uint64         `json:"seed"`
-	Version    string         `json:"version"`
-	Plan       []string       `json:"plan"`
-	Faults     []string       `json:"faults"`  // violations of the rules for calls, and errors of steps
-	Beliefs    []string       `json:"beliefs"` // violations of the rules for leases
-	Samples    int            `json:"samples"` // views of the fleet that were checked
-	Calls      int            `json:"calls"`
-	SetUps     int            `json:"set_ups"`    // received by dispatchers
-	Finals     map[string]int `json:"finals"`     // numbers of final answers and ends by kind
-	Unanswered int            `json:"unanswered"` // calls without a final answer
-	Untold     int            `json:"untold"`     // answered calls whose end went to a controller without the call, not to the caller
-	Together   bool           `json:"together"`   // in the end all controllers held their leases and knew all members
-	EndsMs     []Ended        `json:"ends_ms"`
-	WordsMs    []int64        `json:"words_ms"` // from the loss of a connection to the first message of each call that was pending on it
-	Resumes    int            `json:"resumes"`  // resume requests of all callers
-	Store      store.Counts   `json:"store"`
-	TookMs     int64          `json:"took_ms"`
+	Seed            uint64         `json:"seed"`
+	Version         string         `json:"version"`
+	Plan            []string       `json:"plan"`
+	Violations      []string       `json:"faults"`  // violations of the rules for calls, and errors of steps
+	LeaseViolations []string       `json:"beliefs"` // violations of the rules for leases
+	Samples         int            `json:"samples"` // views of the fleet that were checked
+	Calls           int            `json:"calls"`
+	SetUps          int            `json:"set_ups"`    // received by dispatchers
+	FinalAnswers    map[string]int `json:"finals"`     // numbers of final answers and ends by kind
+	Unanswered      int            `json:"unanswered"` // calls without a final answer
+	Unnotified      int            `json:"untold"`     // answered calls whose end went to a controller without the call, not to the caller
+	Converged       bool           `json:"together"`   // in the end all controllers held their leases and knew all members
+	EndDelays       []EndDelays    `json:"ends_ms"`
+	ResumeDelaysMs  []int64        `json:"words_ms"` // from the loss of a connection to the first message of each call that was pending on it
+	Resumes         int            `json:"resumes"`  // resume requests of all callers
+	Store           store.Counts   `json:"store"`
+	TookMs          int64          `json:"took_ms"`
 }
 
-// Ended lists, for one cause, the delays from the loss of a controller until each other controller reported the end of its incarnation.
-type Ended struct {
+// EndDelays lists, for one cause, the delays from the loss of a controller until each other controller reported the end of its incarnation.
+type EndDelays struct {
 	Cause string  `json:"cause"`
 	Ms    []int64 `json:"ms"`
 }
@@ -41,7 +41,7 @@
 // Passed reports whether no rule was violated, every call was answered and the fleet converged. Ends that did not
 // reach their callers do not count.
 func (r *Result) Passed() bool {
-	return len(r.Faults) == 0 && len(r.Beliefs) == 0 && r.Unanswered == 0 && r.Together
+	return len(r.Violations) == 0 && len(r.LeaseViolations) == 0 && r.Unanswered == 0 && r.Converged
 }
 
 // incarnationLoss is a step that ends the incarnation of a controller, or may do so.
@@ -54,10 +54,10 @@
 
 // runner runs one trial.
 type runner struct {
-	*Ground
+	*Cluster
 	scenario     *Scenario
-	fleetChecker Beliefs
-	callChecker  *Judge
+	fleetChecker FleetChecker
+	callChecker  *CallChecker
 
 	mu          sync.Mutex
 	holds       map[string]int // number of steps in effect, by effect and controller
@@ -72,27 +72,27 @@
 	checkedDeadline = 9 * time.Second
 )
 
-// Play runs a scenario once, with the program and additional environment of the controllers. It calls progress with the fraction of the
+// RunScenario runs a scenario once, with the program and additional environment of the controllers. It calls progress with the fraction of the
 // scenario that has been run. Everything that it has started has ended when it returns.
-func Play(scenario *Scenario, seed uint64, program, env []string, version string, progress func(part float64)) (result *Result, err error) {
+func RunScenario(scenario *Scenario, seed uint64, program, env []string, version string, progress func(part float64)) (result *Result, err error) {
 	start := time.Now()
 	directory, err := os.MkdirTemp("", "cherryrelay-trial-")
 	if err != nil {
 		return nil, fmt.Errorf("trial: %w", err)
 	}
 	defer os.RemoveAll(directory)
-	r := &runner{scenario: scenario, callChecker: NewJudge(checkedGuard, checkedDeadline), holds: map[string]int{}}
+	r := &runner{scenario: scenario, callChecker: NewCallChecker(checkedGuard, checkedDeadline), holds: map[string]int{}}
 	addresses := map[string]string{}
 	for i := range scenario.Dispatchers {
 		name := fmt.Sprint("d", i+1)
-		d, err := Stand("tcp", name, r.callChecker)
+		d, err := StartDispatcher("tcp", name, r.callChecker)
 		if err != nil {
 			return nil, err
 		}
-		defer d.Die()
+		defer d.Kill()
 		addresses[name] = d.Address()
 	}
-	if r.Ground, err = Open(Options{Directory: directory, Program: program, Env: env, Controllers: scenario.Controllers, Lease: scenario.Lease,
+	if r.Cluster, err = NewCluster(Options{Directory: directory, Program: program, Env: env, Controllers: scenario.Controllers, Lease: scenario.Lease,
 		Seed: seed, Dispatchers: addresses, Ledgers: true}); err != nil {
 		return nil, err
 	}
@@ -106,22 +106,22 @@
 			return nil, err
 		}
 	}
-	if !Until(exitTimeout, r.converged) {
+	if !WaitUntil(exitTimeout, r.converged) {
 		return nil, fmt.Errorf("trial: the fleet has not converged; log of the first controller: %s", r.Controllers[0].Log())
 	}
 	stop := make(chan struct{})
-	polls := r.Watch(&r.fleetChecker, stop)
+	polls := r.StartPolling(&r.fleetChecker, stop)
 	done := make(chan struct{})
 	var running sync.WaitGroup
 	var callers []*Caller
 	var fronts []string
 	for _, c := range r.Controllers {
-		fronts = append(fronts, c.Lines)
+		fronts = append(fronts, c.LinesAddress)
 	}
 	for i := range r.Controllers {
 		for k := range scenario.Callers {
-			caller := &Caller{Transport: "tcp", Addresses: fronts, addressIndex: i, First: (i*maxControllers + k + 1) << 32, Window: scenario.Window,
-				Judge: r.callChecker, Patience: checkedDeadline}
+			caller := &Caller{Transport: "tcp", Addresses: fronts, addressIndex: i, FirstCall: (i*maxControllers + k + 1) << 32, Window: scenario.Window,
+				Checker: r.callChecker, Timeout: checkedDeadline}
 			callers = append(callers, caller)
 			running.Go(func() { caller.Run(done) })
 		}
@@ -130,25 +130,25 @@
 	r.runPlan(scenario.Plan(seed), result, progress)
 	close(done)
 	running.Wait()
-	result.Together = Until(exitTimeout, r.converged)
+	result.Converged = WaitUntil(exitTimeout, r.converged)
 	close(stop)
 	polls.Wait()
 	var answers map[string]int
-	result.Faults, result.SetUps, answers = r.callChecker.Verdict()
-	unanswered, unnotified := r.callChecker.Unsettled()
-	result.Finals, result.Unanswered, result.Untold = answers, len(unanswered), len(unnotified)
-	result.Beliefs, result.Samples = r.fleetChecker.Faults()
+	result.Violations, result.SetUps, answers = r.callChecker.Results()
+	unanswered, unnotified := r.callChecker.Unfinished()
+	result.FinalAnswers, result.Unanswered, result.Unnotified = answers, len(unanswered), len(unnotified)
+	result.LeaseViolations, result.Samples = r.fleetChecker.Violations()
 	for _, c := range callers {
 		result.Calls += c.Placed
 		result.Resumes += c.Resumes
-		for _, latency := range c.Words {
-			result.WordsMs = append(result.WordsMs, latency.Milliseconds())
+		for _, latency := range c.ResumeDelays {
+			result.ResumeDelaysMs = append(result.ResumeDelaysMs, latency.Milliseconds())
 		}
 	}
 	for _, err := range r.errs {
-		result.Faults = append(result.Faults, err.Error())
+		result.Violations = append(result.Violations, err.Error())
 	}
-	result.EndsMs, result.Store, result.TookMs = r.endLatencies(), r.Store.Counts(), time.Since(start).Milliseconds()
+	result.EndDelays, result.Store, result.TookMs = r.endLatencies(), r.Store.Counts(), time.Since(start).Milliseconds()
 	return result, nil
 }
 
@@ -156,7 +156,7 @@
 func (r *runner) converged() bool {
 	for _, c := range r.Controllers {
 		view := c.Fleet()
-		if !view.Certain || !view.Actable || len(view.Members) != len(r.Controllers) {
+		if !view.HoldsLease || !view.Actable || len(view.Members) != len(r.Controllers) {
 			return false
 		}
 	}
@@ -170,22 +170,22 @@
 	for _, step := range plan {
 		for wait := step.At - time.Since(start); wait > 0; wait = step.At - time.Since(start) {
 			time.Sleep(min(wait, 100*time.Millisecond))
-			progress(time.Since(start).Seconds() / r.scenario.Lasting.Seconds())
+			progress(time.Since(start).Seconds() / r.scenario.Duration.Seconds())
 		}
 		result.Plan = append(result.Plan, step.String())
 		undo := r.execute(step)
 		if undo != nil {
 			undos.Go(func() {
-				time.Sleep(step.For)
+				time.Sleep(step.Duration)
 				r.mu.Lock()
 				defer r.mu.Unlock()
 				undo()
 			})
 		}
 	}
-	for time.Since(start) < r.scenario.Lasting {
-		time.Sleep(min(r.scenario.Lasting-time.Since(start), 100*time.Millisecond))
-		progress(time.Since(start).Seconds() / r.scenario.Lasting.Seconds())
+	for time.Since(start) < r.scenario.Duration {
+		time.Sleep(min(r.scenario.Duration-time.Since(start), 100*time.Millisecond))
+		progress(time.Since(start).Seconds() / r.scenario.Duration.Seconds())
 	}
 	undos.Wait()
 }
@@ -212,7 +212,7 @@
 // execute executes a step and returns the function that undoes it; nil if there is nothing to undo.
 func (r *runner) execute(step Step) (undo func()) {
 	var c *Controller
-	if i := slices.IndexFunc(r.Controllers, func(c *Controller) bool { return c.Name == step.Who }); i >= 0 {
+	if i := slices.IndexFunc(r.Controllers, func(c *Controller) bool { return c.Name == step.Target }); i >= 0 {
 		c = r.Controllers[i]
 	}
 	var fleet = struct {
@@ -220,73 +220,73 @@
 		incarnation int64
 		certain     bool
 	}{}
-	if c != nil && (step.Do == "kill" || step.Do == "pause" || step.Do == "part" || step.Do == "stop") {
+	if c != nil && (step.Action == "kill" || step.Action == "pause" || step.Action == "part" || step.Action == "stop") {
 		view := c.Fleet()
-		fleet.store, fleet.incarnation, fleet.certain = view.Store, view.Incarnation, view.Certain
+		fleet.store, fleet.incarnation, fleet.certain = view.StoreID, view.Incarnation, view.HoldsLease
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if fleet.certain {
-		r.losses = append(r.losses, incarnationLoss{step.Do, c.Name, fleet.store, fleet.incarnation, time.Now()})
+		r.losses = append(r.losses, incarnationLoss{step.Action, c.Name, fleet.store, fleet.incarnation, time.Now()})
 	}
 	setStoreFault := func(change func(*store.Faults, bool)) func() {
-		return r.hold(step.Do, func() { change(&r.storeFaults, true); r.Store.Fault(r.storeFaults) },
-			func() { change(&r.storeFaults, false); r.Store.Fault(r.storeFaults) })
+		return r.hold(step.Action, func() { change(&r.storeFaults, true); r.Store.SetFaults(r.storeFaults) },
+			func() { change(&r.storeFaults, false); r.Store.SetFaults(r.storeFaults) })
 	}
-	link := step.Who + ">" + StoreName
-	switch step.Do {
+	link := step.Target + ">" + StoreName
+	switch step.Action {
 	case "kill", "stop":
 		// Kill and stop count as the same effect. The controller may be paused as well, and a new process starts unpaused.
-		return r.hold("down "+step.Who, func() {
-			if step.Do == "kill" {
+		return r.hold("down "+step.Target, func() {
+			if step.Action == "kill" {
 				r.addError(c.Kill())
-			} else if r.holds["pause "+step.Who] == 0 {
+			} else if r.holds["pause "+step.Target] == 0 {
 				r.addError(c.Stop())
 			} else {
 				r.addError(c.Kill())
 			}
 		}, func() { r.addError(c.Start()) })
 	case "pause":
-		return r.hold("pause "+step.Who, func() { r.pause(c) }, func() { r.resume(c) })
+		return r.hold("pause "+step.Target, func() { r.pause(c) }, func() { r.resume(c) })
 	case "crawl": // the controller runs a tenth of the time
 		done := make(chan struct{})
-		return r.hold("crawl "+step.Who, func() { go r.crawl(c, done) }, func() { close(done) })
+		return r.hold("crawl "+step.Target, func() { go r.crawl(c, done) }, func() { close(done) })
 	case "upgrade":
-		if r.holds["down "+step.Who] == 0 && r.holds["pause "+step.Who] == 0 {
+		if r.holds["down "+step.Target] == 0 && r.holds["pause "+step.Target] == 0 {
 			r.addError(c.Upgrade())
 		}
 	case "part dispatchers", "slow dispatchers":
-		rule := fault.Rule{Forth: fault.Way{Delay: slowLinkDelay, Jitter: slowLinkDelay}, Back: fault.Way{Delay: slowLinkDelay, Jitter: slowLinkDelay}}
-		if step.Do == "part dispatchers" {
-			rule = fault.Rule{Forth: fault.Way{Hole: true}, Back: fault.Way{Hole: true}, Shut: true}
+		rule := fault.Rule{Forth: fault.Impairment{Delay: slowLinkDelay, Jitter: slowLinkDelay}, Back: fault.Impairment{Delay: slowLinkDelay, Jitter: slowLinkDelay}}
+		if step.Action == "part dispatchers" {
+			rule = fault.Rule{Forth: fault.Impairment{Hole: true}, Back: fault.Impairment{Hole: true}, Shut: true}
 		}
 		setRule := func(newRule fault.Rule) {
 			for dispatcher := range r.options.Dispatchers {
-				r.Net.Set(step.Who+">"+dispatcher, newRule)
+				r.Net.SetRule(step.Target+">"+dispatcher, newRule)
 			}
 		}
-		return r.hold("dispatchers "+step.Who, func() { setRule(rule) }, func() { setRule(fault.Rule{}) })
+		return r.hold("dispatchers "+step.Target, func() { setRule(rule) }, func() { setRule(fault.Rule{}) })
 	case "part", "mute", "slow":
 		rule := map[string]fault.Rule{
-			"part": {Forth: fault.Way{Hole: true}, Back: fault.Way{Hole: true}, Shut: true}, "mute": {Back: fault.Way{Hole: true}},
-			"slow": {Forth: fault.Way{Delay: r.scenario.Lease / 4, Jitter: r.scenario.Lease / 4},
-				Back: fault.Way{Delay: r.scenario.Lease / 4, Jitter: r.scenario.Lease / 4}},
-		}[step.Do]
-		return r.hold("link "+step.Who, func() { r.Net.Set(link, rule) }, func() { r.Net.Set(link, fault.Rule{}) })
+			"part": {Forth: fault.Impairment{Hole: true}, Back: fault.Impairment{Hole: true}, Shut: true}, "mute": {Back: fault.Impairment{Hole: true}},
+			"slow": {Forth: fault.Impairment{Delay: r.scenario.Lease / 4, Jitter: r.scenario.Lease / 4},
+				Back: fault.Impairment{Delay: r.scenario.Lease / 4, Jitter: r.scenario.Lease / 4}},
+		}[step.Action]
+		return r.hold("link "+step.Target, func() { r.Net.SetRule(link, rule) }, func() { r.Net.SetRule(link, fault.Rule{}) })
 	case "cut":
-		r.Net.Cut(step.Who+">*", true)
+		r.Net.CloseConns(step.Target+">*", true)
 	case "stall store":
 		return setStoreFault(func(f *store.Faults, on bool) { f.Stall = on })
 	case "deafen store":
-		return setStoreFault(func(f *store.Faults, on bool) { f.Deaf = on })
+		return setStoreFault(func(f *store.Faults, on bool) { f.MuteWatches = on })
 	case "stop store":
-		return r.hold(step.Do, r.StopStore, func() { r.addError(r.StartStore()) })
+		return r.hold(step.Action, r.StopStore, func() { r.addError(r.StartStore()) })
 	case "compact":
 		r.Store.Compact()
 	case "lose answers":
 		storeFaults := r.storeFaults
-		storeFaults.Lost = 3
-		r.Store.Fault(storeFaults)
+		storeFaults.LostWriteResponses = 3
+		r.Store.SetFaults(storeFaults)
 	}
 	return nil
 }
@@ -334,20 +334,20 @@
 
 // endLatencies returns, by cause, the delays from each loss until each other controller reported the end of the incarnation. A controller
 // that recovered before its lease expired has no such report.
-func (r *runner) endLatencies() []Ended {
+func (r *runner) endLatencies() []EndDelays {
 	byCause := map[string][]int64{}
 	for _, l := range r.losses {
-		for process, reportedAt := range r.fleetChecker.Heard(l.storeID, l.name, l.incarnation) {
+		for process, reportedAt := range r.fleetChecker.EndReports(l.storeID, l.name, l.incarnation) {
 			if latency := reportedAt.Sub(l.at); process != l.name && latency >= 0 {
 				byCause[l.cause] = append(byCause[l.cause], latency.Milliseconds())
 			}
 		}
 	}
-	var latencies []Ended
+	var latencies []EndDelays
 	for _, cause := range []string{"kill", "pause", "part", "stop"} {
 		if ms := byCause[cause]; len(ms) > 0 {
 			slices.Sort(ms)
-			latencies = append(latencies, Ended{cause, ms})
+			latencies = append(latencies, EndDelays{cause, ms})
 		}
 	}
 	return latencies
--- a/internal/trial/scenario.go
+++ b/internal/trial/scenario.go
@@ -15,25 +15,25 @@
 	Controllers, Dispatchers int
 	Callers                  int           // for each controller
 	Window                   int           // maximum number of open calls of each caller
-	Lease, Lasting           time.Duration // of the controllers; of the trial
+	Lease, Duration          time.Duration // of the controllers; of the trial
 	Steps                    []Step
-	Drawn                    []string      // actions of the random steps, which the seed determines
-	Every                    time.Duration // mean interval between random steps
+	RandomActions            []string      // actions of the random steps, which the seed determines
+	MeanInterval             time.Duration // mean interval between random steps
 }
 
 // Step is an action on one controller ("n1"), all of them ("*") or a random one ("?"), which is undone after a duration.
 type Step struct {
-	At, For time.Duration // time since the start of the trial; duration of the effect
-	Do, Who string        // action; controller, empty for an action that affects none
+	At, Duration   time.Duration // time since the start of the trial; duration of the effect
+	Action, Target string        // action; controller, empty for an action that affects none
 }
 
 func (s Step) String() string {
-	text := fmt.Sprintf("%v %s", s.At, s.Do)
-	if s.Who != "" {
-		text += " " + s.Who
+	text := fmt.Sprintf("%v %s", s.At, s.Action)
+	if s.Target != "" {
+		text += " " + s.Target
 	}
-	if s.For > 0 {
-		text += fmt.Sprintf(" for %v", s.For)
+	if s.Duration > 0 {
+		text += fmt.Sprintf(" for %v", s.Duration)
 	}
 	return text
 }
@@ -60,7 +60,7 @@
 	if len(faults) > 0 {
 		return nil, faults
 	}
-	s := &Scenario{Controllers: 3, Dispatchers: 2, Callers: 1, Window: 8, Lease: time.Second, Lasting: 10 * time.Second, Every: 500 * time.Millisecond}
+	s := &Scenario{Controllers: 3, Dispatchers: 2, Callers: 1, Window: 8, Lease: time.Second, Duration: 10 * time.Second, MeanInterval: 500 * time.Millisecond}
 	addFault := func(line int, format string, args ...any) {
 		faults = append(faults, inifile.Fault{Line: line, Text: fmt.Sprintf(format, args...)})
 	}
@@ -76,33 +76,33 @@
 	}
 	for i := range f.Sections {
 		section := &f.Sections[i]
-		if _, isStep := section.Named("step"); isStep {
+		if _, isStep := section.NameAfter("step"); isStep {
 			if len(s.Steps) == maxSteps {
 				addFault(section.Line, "more than %d steps", maxSteps)
 				break
 			}
-			step := Step{Who: "?"}
+			step := Step{Target: "?"}
 			for j := range section.Keys {
 				switch k := &section.Keys[j]; k.Name {
 				case "at_ms":
 					step.At = millis(k, 0, maxLasting)
 				case "for_ms":
-					step.For = millis(k, 0, maxLasting)
+					step.Duration = millis(k, 0, maxLasting)
 				case "do":
-					if step.Do = k.Value; !isAction(step.Do) {
-						addFault(k.Line, "do: %.40q is none of %s", step.Do, strings.Join(Deeds(), ", "))
+					if step.Action = k.Value; !isAction(step.Action) {
+						addFault(k.Line, "do: %.40q is none of %s", step.Action, strings.Join(Actions(), ", "))
 					}
 				case "who":
-					step.Who = k.Value
+					step.Target = k.Value
 				default:
 					addFault(k.Line, "unknown key %.40q", k.Name)
 				}
 			}
-			if step.Do == "" {
+			if step.Action == "" {
 				addFault(section.Line, "[%.80s] lacks the key do", section.Name)
 			}
-			if !actions[step.Do].who {
-				step.Who = ""
+			if !actions[step.Action].who {
+				step.Target = ""
 			}
 			s.Steps = append(s.Steps, step)
 			continue
@@ -124,16 +124,16 @@
 			case "lease_ms":
 				s.Lease = millis(k, time.Second, 30*time.Second)
 			case "lasting_ms":
-				s.Lasting = millis(k, time.Second, maxLasting)
+				s.Duration = millis(k, time.Second, maxLasting)
 			case "every_ms":
-				s.Every = millis(k, 10*time.Millisecond, maxLasting)
+				s.MeanInterval = millis(k, 10*time.Millisecond, maxLasting)
 			case "drawn":
 				for item := range strings.SplitSeq(k.Value, ",") {
 					action := strings.TrimSpace(item)
 					if !isAction(action) {
-						addFault(k.Line, "drawn: %.40q is none of %s", action, strings.Join(Deeds(), ", "))
+						addFault(k.Line, "drawn: %.40q is none of %s", action, strings.Join(Actions(), ", "))
 					}
-					s.Drawn = append(s.Drawn, action)
+					s.RandomActions = append(s.RandomActions, action)
 				}
 			default:
 				addFault(k.Line, "unknown key %.40q", k.Name)
@@ -141,11 +141,11 @@
 		}
 	}
 	for _, step := range s.Steps {
-		if step.Who != "" && step.Who != "?" && step.Who != "*" && !slices.Contains(s.controllerNames(), step.Who) {
-			addFault(0, "%v: there is no controller %.40q", step, step.Who)
+		if step.Target != "" && step.Target != "?" && step.Target != "*" && !slices.Contains(s.controllerNames(), step.Target) {
+			addFault(0, "%v: there is no controller %.40q", step, step.Target)
 		}
-		if step.At > s.Lasting {
-			addFault(0, "%v: the trial lasts %v", step, s.Lasting)
+		if step.At > s.Duration {
+			addFault(0, "%v: the trial lasts %v", step, s.Duration)
 		}
 	}
 	if len(faults) > 0 {
@@ -157,8 +157,8 @@
 // isAction reports whether an action is known.
 func isAction(action string) bool { _, ok := actions[action]; return ok }
 
-// Deeds returns the names of all actions, sorted.
-func Deeds() []string {
+// Actions returns the names of all actions, sorted.
+func Actions() []string {
 	var names []string
 	for name := range actions {
 		names = append(names, name)
@@ -182,28 +182,28 @@
 	names := s.controllerNames()
 	var plan []Step
 	for _, step := range s.Steps {
-		switch step.Who {
+		switch step.Target {
 		case "?":
-			step.Who = names[rng.IntN(len(names))]
+			step.Target = names[rng.IntN(len(names))]
 			plan = append(plan, step)
 		case "*":
 			for _, name := range names {
-				step.Who = name
+				step.Target = name
 				plan = append(plan, step)
 			}
 		default:
 			plan = append(plan, step)
 		}
 	}
-	if len(s.Drawn) > 0 {
+	if len(s.RandomActions) > 0 {
 		// No random step starts in the last two leases, so that all are undone before the end.
-		for at := s.Lease; at < s.Lasting-2*s.Lease && len(plan) < maxSteps; at += s.Every/2 + time.Duration(rng.Int64N(int64(s.Every))) {
-			step := Step{At: at, Do: s.Drawn[rng.IntN(len(s.Drawn))]}
-			if actions[step.Do].who {
-				step.Who = names[rng.IntN(len(names))]
+		for at := s.Lease; at < s.Duration-2*s.Lease && len(plan) < maxSteps; at += s.MeanInterval/2 + time.Duration(rng.Int64N(int64(s.MeanInterval))) {
+			step := Step{At: at, Action: s.RandomActions[rng.IntN(len(s.RandomActions))]}
+			if actions[step.Action].who {
+				step.Target = names[rng.IntN(len(names))]
 			}
-			if actions[step.Do].lasts {
-				step.For = time.Duration(rng.Int64N(int64(2 * s.Lease)))
+			if actions[step.Action].lasts {
+				step.Duration = time.Duration(rng.Int64N(int64(2 * s.Lease)))
 			}
 			plan = append(plan, step)
 		}
--- a/internal/trial/scenario_test.go
+++ b/internal/trial/scenario_test.go
@@ -32,7 +32,7 @@
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	if s.Controllers != 4 || s.Lease != 2*time.Second || len(s.Drawn) != 4 || len(s.Steps) != 2 {
+	if s.Controllers != 4 || s.Lease != 2*time.Second || len(s.RandomActions) != 4 || len(s.Steps) != 2 {
 		t.Errorf("read as %+v", s)
 	}
 	plan := s.Plan(7)
@@ -42,11 +42,11 @@
 	if cmp.Equal(plan, s.Plan(8)) {
 		t.Error("two seeds have the same plan")
 	}
-	if len(plan) < 20 || plan[0].Do != "stall store" || plan[0].Who != "" || plan[1].String() != "1s kill n1 for 200ms" || plan[4].Who != "n4" {
+	if len(plan) < 20 || plan[0].Action != "stall store" || plan[0].Target != "" || plan[1].String() != "1s kill n1 for 200ms" || plan[4].Target != "n4" {
 		t.Errorf("plan %v", plan)
 	}
 	for i, step := range plan {
-		if i > 0 && step.At < plan[i-1].At || step.At > s.Lasting {
+		if i > 0 && step.At < plan[i-1].At || step.At > s.Duration {
 			t.Errorf("step %d of the plan is out of order: %v", i, step)
 		}
 	}
--- a/internal/websocket/handshake.go
+++ b/internal/websocket/handshake.go
@@ -13,15 +13,15 @@
 	"cherryrelay/internal/ring"
 )
 
-// Protocol is the subprotocol of the call-control API.
-const Protocol = "call-control.v1"
+// Subprotocol is the subprotocol of the call-control API.
+const Subprotocol = "call-control.v1"
 
 // keyGUID is appended to the client's key to compute Sec-WebSocket-Accept (RFC 6455, 1.3).
 const keyGUID = "258EAFA5-E914-47DA-95CA-C5AB0DC85B11"
 
 // readHead reads the first line and the headers of an HTTP message from the ring. An error has the code to close the connection with.
 func readHead(in *ring.Buffer) (first string, headers map[string]string, err error) {
-	first, headers, err = http1.Head(in)
+	first, headers, err = http1.ReadHead(in)
 	switch {
 	case errors.Is(err, http1.ErrTooLong):
 		err = &Error{TooBig, "handshake longer than 8 KiB"}
@@ -42,13 +42,13 @@
 func Accept(in *ring.Buffer, path string) (response []byte, err error) {
 	first, h, err := readHead(in)
 	if err != nil {
-		return http1.Response(http.StatusBadRequest, ""), err
+		return http1.EncodeResponse(http.StatusBadRequest, ""), err
 	}
 	if first == "" {
 		return nil, nil
 	}
 	refuse := func(status int, reason string, headers ...string) ([]byte, error) {
-		return http1.Response(status, "", headers...), &Error{ProtocolError, reason}
+		return http1.EncodeResponse(status, "", headers...), &Error{ProtocolError, reason}
 	}
 	parts := strings.Split(first, " ")
 	if len(parts) != 3 || parts[0] != "GET" || parts[2] != "HTTP/1.1" || h["host"] == "" {
@@ -57,7 +57,7 @@
 	if target, _, _ := strings.Cut(parts[1], "?"); target != path {
 		return refuse(http.StatusNotFound, fmt.Sprintf("handshake for the unknown path %.60q", parts[1]))
 	}
-	if !http1.Has(h["upgrade"], "websocket") || !http1.Has(h["connection"], "upgrade") {
+	if !http1.ListContains(h["upgrade"], "websocket") || !http1.ListContains(h["connection"], "upgrade") {
 		return refuse(http.StatusUpgradeRequired, "request without an upgrade to WebSocket", "Upgrade: websocket")
 	}
 	if h["sec-websocket-version"] != "13" {
@@ -69,38 +69,38 @@
 	}
 	protocol := ""
 	if offered := h["sec-websocket-protocol"]; offered != "" {
-		if !http1.Has(offered, Protocol) {
+		if !http1.ListContains(offered, Subprotocol) {
 			return refuse(http.StatusBadRequest, fmt.Sprintf("unsupported subprotocols %.60q", offered))
 		}
-		protocol = "Sec-WebSocket-Protocol: " + Protocol + "\r\n"
+		protocol = "Sec-WebSocket-Protocol: " + Subprotocol + "\r\n"
 	}
 	return []byte("HTTP/1.1 101 Switching Protocols\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n" +
 		"Sec-WebSocket-Accept: " + acceptKey(key) + "\r\n" + protocol + "\r\n"), nil
 }
 
-// Opening is the client's side of an opening handshake.
-type Opening struct{ key string }
+// ClientHandshake is the client's side of an opening handshake.
+type ClientHandshake struct{ key string }
 
 // Request returns the request that starts the handshake with the host.
-func (o *Opening) Request(host, path string) []byte {
+func (o *ClientHandshake) Request(host, path string) []byte {
 	raw := make([]byte, 16)
 	_, _ = rand.Read(raw) // never fails: crypto/rand terminates the program instead
 	o.key = base64.StdEncoding.EncodeToString(raw)
 	return []byte("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n" +
-		"Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: " + o.key + "\r\nSec-WebSocket-Protocol: " + Protocol + "\r\n\r\n")
+		"Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: " + o.key + "\r\nSec-WebSocket-Protocol: " + Subprotocol + "\r\n\r\n")
 }
 
-// Done reads the response from the ring and reports whether the handshake is complete. It returns false while the response is incomplete.
-func (o *Opening) Done(in *ring.Buffer) (bool, error) {
+// ReadResponse reads the response from the ring and reports whether the handshake is complete. It returns false while the response is incomplete.
+func (o *ClientHandshake) ReadResponse(in *ring.Buffer) (bool, error) {
 	first, h, err := readHead(in)
 	if err != nil || first == "" {
 		return false, err
 	}
-	if !strings.HasPrefix(first, "HTTP/1.1 101") || !http1.Has(h["upgrade"], "websocket") || !http1.Has(h["connection"], "upgrade") ||
+	if !strings.HasPrefix(first, "HTTP/1.1 101") || !http1.ListContains(h["upgrade"], "websocket") || !http1.ListContains(h["connection"], "upgrade") ||
 		h["sec-websocket-accept"] != acceptKey(o.key) {
 		return false, &Error{ProtocolError, fmt.Sprintf("handshake refused or invalid: %.60q", first)}
 	}
-	if p := h["sec-websocket-protocol"]; p != "" && p != Protocol {
+	if p := h["sec-websocket-protocol"]; p != "" && p != Subprotocol {
 		return false, &Error{ProtocolError, fmt.Sprintf("server selected the unsupported subprotocol %.60q", p)}
 	}
 	return true, nil
--- a/internal/websocket/websocket.go
+++ b/internal/websocket/websocket.go
@@ -27,14 +27,14 @@
 
 // Close codes of RFC 6455, 7.4.1.
 const (
-	Normal        = 1000
-	GoingAway     = 1001
-	ProtocolError = 1002
-	Unsupported   = 1003
-	noStatus      = 1005 // stands for a close frame without a code; never sent
-	BadData       = 1007
-	PolicyError   = 1008
-	TooBig        = 1009
+	Normal          = 1000
+	GoingAway       = 1001
+	ProtocolError   = 1002
+	Unsupported     = 1003
+	noStatus        = 1005 // stands for a close frame without a code; never sent
+	InvalidPayload  = 1007
+	PolicyViolation = 1008
+	TooBig          = 1009
 )
 
 // MaxMessage is the size in bytes of the largest message, with all its fragments.
@@ -60,7 +60,7 @@
 	case err == nil:
 		return Normal
 	}
-	return PolicyError
+	return PolicyViolation
 }
 
 // Message is a complete message or a control frame. Code is the peer's close code if Op is Close.
@@ -109,7 +109,7 @@
 		m := &Message{Op: d.op, Payload: d.message}
 		d.op, d.message = Continuation, nil
 		if m.Op == Text && !utf8.Valid(m.Payload) {
-			return nil, &Error{BadData, "text message is not valid UTF-8"}
+			return nil, &Error{InvalidPayload, "text message is not valid UTF-8"}
 		}
 		return m, nil
 	}
@@ -189,13 +189,13 @@
 		return nil, &Error{ProtocolError, "close frame with an incomplete code"}
 	}
 	m.Code, m.Payload = int(binary.BigEndian.Uint16(payload)), payload[2:]
-	valid := m.Code >= Normal && m.Code <= Unsupported || m.Code >= BadData && m.Code <= 1014 ||
+	valid := m.Code >= Normal && m.Code <= Unsupported || m.Code >= InvalidPayload && m.Code <= 1014 ||
 		m.Code >= 3000 && m.Code <= 4999
 	if !valid {
 		return nil, &Error{ProtocolError, "close frame with an invalid code"}
 	}
 	if !utf8.Valid(m.Payload) {
-		return nil, &Error{BadData, "close reason is not valid UTF-8"}
+		return nil, &Error{InvalidPayload, "close reason is not valid UTF-8"}
 	}
 	return m, nil
 }
