--- a/internal/websocket/websocket_test.go
+++ b/internal/websocket/websocket_test.go
@@ -47,7 +47,7 @@
 		"continuation without a message":  {fragment(Continuation, "x", true), nil, ProtocolError},
 		"message within another":          {join(fragment(Text, "x", false), fragment(Text, "y", true)), nil, ProtocolError},
 		"length not in its shortest form": {[]byte{0x81, 0xfe, 0, 5}, nil, ProtocolError},
-		"invalid UTF-8":                   {fragment(Text, "\xff", true), nil, BadData},
+		"invalid UTF-8":                   {fragment(Text, "\xff", true), nil, InvalidPayload},
 		"incomplete close code":           {fragment(Close, "\x03", true), nil, ProtocolError},
 		"close code 1005":                 {fragment(Close, "\x03\xed", true), nil, ProtocolError},
 	} {
@@ -89,7 +89,7 @@
 			t.Errorf("%s: %q lacks the right Sec-WebSocket-Accept", name, response)
 		}
 	}
-	var client Opening
+	var client ClientHandshake
 	requests, responses := ring.New(1<<10), ring.New(1<<10)
 	requests.Write(client.Request("h", "/v1"))
 	response, err := Accept(requests, "/v1")
@@ -97,15 +97,15 @@
 		t.Fatal(err)
 	}
 	responses.Write(response[:20])
-	if open, err := client.Done(responses); open || err != nil {
+	if open, err := client.ReadResponse(responses); open || err != nil {
 		t.Errorf("incomplete response: open %v, error %v", open, err)
 	}
 	responses.Write(response[20:])
-	if open, err := client.Done(responses); !open || err != nil {
+	if open, err := client.ReadResponse(responses); !open || err != nil {
 		t.Errorf("valid response: open %v, error %v", open, err)
 	}
 	responses.Write([]byte(strings.Replace(string(response), "Accept: ", "Accept: x", 1)))
-	if open, err := client.Done(responses); open || err == nil {
+	if open, err := client.ReadResponse(responses); open || err == nil {
 		t.Error("a response to another key is accepted")
 	}
 }
