--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -144,7 +144,7 @@
 		seconds := b.at.Sub(a.at).Seconds()
 		p.Seconds += seconds
 		p.Requests += float64(b.store.Total() - a.store.Total())
-		p.WatchMessages += float64(b.store.Notifications - a.store.Notifications)
+		p.WatchMessages += float64(b.store.Notices - a.store.Notices)
 		p.Changes += float64(b.store.Events - a.store.Events)
 		p.AcceptedConnections += float64(b.accepted - a.accepted)
 		for kind, used := range b.usage {
--- a/internal/store/counts.go
+++ b/internal/store/counts.go
@@ -3,7 +3,7 @@
 // Counts holds the numbers of requests by kind, of notifications that were sent to watches, and of the events in them.
 type Counts struct {
 	Reads, Writes, Renewals, Watches, Progress int
-	Notifications, Events                      int
+	Notices, Events                            int
 }
 
 // Total returns the number of all requests.
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -203,7 +203,7 @@
 	if len(events) == 0 {
 		return nil, false
 	}
-	s.counts.Notifications++
+	s.counts.Notices++
 	s.counts.Events += len(events)
 	return &etcdserverpb.WatchResponse{Header: s.header(), WatchId: w.id, Events: events}, false
 }
