--- a/cmd/cherryrelay/takeover.go
+++ b/cmd/cherryrelay/takeover.go
@@ -25,7 +25,7 @@
 		store, incarnation, ok := n.fleet.Incarnation()
 		return decide.IncarnationID{Store: store, Number: incarnation}, ok
 	}
-	room, err := takeover.Open(n.core, takeover.Options{
+	participant, err := takeover.Open(n.core, takeover.Options{
 		LedgersDir: f.Ledgers, Name: n.config.Name, Key: k.key, Lease: f.Lease(), Post: n.loop.Post, VerifyOwnership: k.verify, OnSealed: n.restart,
 		Incarnation: heldIncarnation, Fleet: n,
 	}, n.log)
@@ -33,12 +33,12 @@
 		n.log.Error("calls are not transferred between controllers", "err", err)
 		return
 	}
-	n.takeovers = room
-	n.core.UseFinder(room, func() bool { _, ok := heldIncarnation(); return ok }, n.restart)
-	n.core.AddMetrics(room.Metrics)
+	n.takeovers = participant
+	n.core.UseFinder(participant, func() bool { _, ok := heldIncarnation(); return ok }, n.restart)
+	n.core.AddMetrics(participant.Metrics)
 	n.loop.Post(func() {
 		if n.manage != nil {
-			for path, page := range room.Pages() {
+			for path, page := range participant.Pages() {
 				n.manage.AddPage(path, page)
 			}
 		}
