--- a/cmd/cherryrelay/takeover.go
+++ b/cmd/cherryrelay/takeover.go
@@ -53,7 +53,7 @@
 // restart stops this process at once and starts the program again in its place. Another controller may have taken over its calls, so
 // this process must not send any further message about them. Its connections close, and its callers reconnect here or elsewhere.
 func (n *node) restart(why error) {
-	n.log.Error("THE CALLS OF THIS CONTROLLER WERE TAKEN OVER: it restarts without them", "err", why)
+	n.log.Error("THE CALLS OF THIS CONTROLLER ARE ANOTHER'S: it begins anew without them", "err", why)
 	program, err := os.Executable()
 	if err == nil {
 		err = setCloseOnExec()
